--- a/src/test/java/shorecrank/sim/Scenario.java
+++ b/src/test/java/shorecrank/sim/Scenario.java
@@ -36,6 +36,9 @@
   /** Takes what steps and messages cost; null if nobody asks. */
   Measurements measurements;
 
+  /** Takes every reply and call of the controllers; null if nobody asks. */
+  OutputDigest digest;
+
   /** Called with the world before it runs, for what no line can say. */
   Consumer<World> prepare = w -> {};
 
@@ -117,6 +120,7 @@
     World w = new World(seed, t);
     w.verbose = verbose;
     w.measurements = measurements;
+    w.digest = digest;
     world = w;
     int nodes = 3;
     long until = 120_000;
--- a/src/test/java/shorecrank/sim/ScenarioTest.java
+++ b/src/test/java/shorecrank/sim/ScenarioTest.java
@@ -23,6 +23,7 @@
     }
     assertTrue(files.size() >= 24, "scenario files are missing");
     String only = System.getProperty("scenario", "");
+    DigestFile digests = DigestFile.create();
     List<DynamicTest> tests = new ArrayList<>();
     for (Path p : files) {
       String name = p.getFileName().toString().replace(".txt", "");
@@ -36,10 +37,12 @@
         tests.add(
             DynamicTest.dynamicTest(
                 name + " seed " + s,
-                () ->
-                    assertEquals(
-                        List.of(),
-                        new Scenario(name, Files.readString(p)).play(s, name.equals(only)))));
+                () -> {
+                  Scenario scenario = new Scenario(name, Files.readString(p));
+                  scenario.digest = digests.newDigest();
+                  assertEquals(List.of(), scenario.play(s, name.equals(only)));
+                  digests.write(name, s, scenario.digest);
+                }));
       }
     }
     return tests;
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -205,6 +205,9 @@
         measurements.step(in, took, outputs);
       }
       for (Output o : outputs) {
+        if (digest != null) {
+          digest.add(label, sim.now, o);
+        }
         if (o instanceof Output.Reply r) {
           BiConsumer<Integer, JsonNode> to = replies.remove(r.reply());
           if (to != null) {
@@ -314,6 +317,9 @@
   /** What steps and messages cost, if that is to be measured. */
   Measurements measurements;
 
+  /** Takes every reply and call of the controllers; null if nobody asks. */
+  OutputDigest digest;
+
   double reportS = 1.5;
   double leaseS = 10;
   double cancelS = 40;
