--- a/src/main/java/shorecrank/client/SharesCommand.java
+++ b/src/main/java/shorecrank/client/SharesCommand.java
@@ -1,5 +1,7 @@
 package shorecrank.client;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -7,9 +9,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.AbortMoves;
@@ -74,9 +75,9 @@
           int count,
       @Mixin DryRun dryRun,
       @Mixin OrderOptions order) {
-    List<HostName> names = new ArrayList<>();
+    List<MachineName> names = new ArrayList<>();
     if (machines != null) {
-      machines.forEach(m -> names.add(new HostName(m)));
+      machines.forEach(m -> names.add(new MachineName(m)));
     }
     boolean byName = !names.isEmpty() && from == null && count == 0;
     boolean byNumber = names.isEmpty() && from != null && count > 0;
@@ -86,10 +87,10 @@
     if (to < 0 || (from != null && from < 0)) {
       throw options.usage("a shard must be 0 or more");
     }
-    PartId source = from == null ? null : new PartId(from);
+    ShardId source = from == null ? null : new ShardId(from);
     return order(
         options,
-        new MoveMachines(order.idOrNew(), dryRun.dryRun, names, source, count, new PartId(to)));
+        new MoveMachines(order.idOrNew(), dryRun.dryRun, names, source, count, new ShardId(to)));
   }
 
   @Command(
--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -1,16 +1,17 @@
 package shorecrank.config;
 
+import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.protocol.Ids.NodeLabel;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Json;
 
 /** The platform's file. */
 public record NodeConfig(
-    NodeLabel label,
+    ControllerName label,
     String zone,
     Address publicAddr,
     Address peerBind,
@@ -37,7 +38,7 @@
     }
   }
 
-  public record Member(NodeLabel label, String location, Address addr) {}
+  public record Member(ControllerName label, String location, Address addr) {}
 
   /** A maximum of 0 means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
@@ -80,7 +81,7 @@
     for (JsonNode m : n.path("members")) {
       members.add(
           new Member(
-              new NodeLabel(text(m, "label", "members.label")),
+              new ControllerName(text(m, "label", "members.label")),
               m.path("location").asText(""),
               addr(m, "addr", "members.")));
     }
@@ -119,7 +120,7 @@
     JsonNode c = s.path("cloud");
     JsonNode q = s.path("quota");
     return new NodeConfig(
-        new NodeLabel(text(n, "label", "label")),
+        new ControllerName(text(n, "label", "label")),
         n.path("location").asText(""),
         addr(n, "public_addr", ""),
         addr(n, "peer_bind", ""),
--- a/src/main/java/shorecrank/config/Tuning.java
+++ b/src/main/java/shorecrank/config/Settings.java
@@ -1,7 +1,7 @@
 package shorecrank.config;
 
-/** The operators' own settings; {@link TuningFile} reads them and knows ranges and defaults. */
-public record Tuning(
+/** The operators' own settings; {@link SettingsFile} reads them and knows ranges and defaults. */
+public record Settings(
     int parts,
     int leaseMs,
     int renewMs,
--- a/src/main/java/shorecrank/config/TuningFile.java
+++ b/src/main/java/shorecrank/config/SettingsFile.java
@@ -7,8 +7,8 @@
 import shorecrank.config.TextProto.Field;
 
 /** Reads the operators' settings in protobuf text format. */
-public final class TuningFile {
-  private TuningFile() {}
+public final class SettingsFile {
+  private SettingsFile() {}
 
   /** Every setting with its range and default. */
   public enum Setting {
@@ -34,7 +34,7 @@
   }
 
   /** What holds where nothing is set. */
-  public static Tuning defaults() {
+  public static Settings defaults() {
     Map<Setting, Double> values = new EnumMap<>(Setting.class);
     for (Setting s : Setting.values()) {
       values.put(s, s.field.unset());
@@ -43,22 +43,22 @@
   }
 
   /** Reads a file's text; what is not set has its default. */
-  public static Tuning read(String text) throws NodeConfig.Invalid {
+  public static Settings read(String text) throws NodeConfig.Invalid {
     Message message =
         TextProto.parse("Settings", Stream.of(Setting.values()).map(s -> s.field).toList(), text);
     Map<Setting, Double> values = new EnumMap<>(Setting.class);
     for (Setting s : Setting.values()) {
       values.put(s, s.field.numberOf(message));
     }
-    Tuning t = tuning(values);
+    Settings t = tuning(values);
     if (t.renewMs() * 2 > t.leaseMs()) {
       throw new NodeConfig.Invalid("renew_ms must be at most half of lease_ms");
     }
     return t;
   }
 
-  private static Tuning tuning(Map<Setting, Double> m) {
-    return new Tuning(
+  private static Settings tuning(Map<Setting, Double> m) {
+    return new Settings(
         m.get(Setting.PARTS).intValue(),
         m.get(Setting.LEASE_MS).intValue(),
         m.get(Setting.RENEW_MS).intValue(),
--- a/src/main/java/shorecrank/coordination/Core.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -1,5 +1,12 @@
 package shorecrank.coordination;
 
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.UserMessages.JobStatus;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,21 +17,29 @@
 import java.util.Set;
 import java.util.TreeMap;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.Tuning;
+import shorecrank.config.Settings;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.leader.Leader;
+import shorecrank.coordination.leader.StepLeaderEnvironment;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.request.RolloutRequestHandler;
+import shorecrank.coordination.request.ShareRequestHandler;
+import shorecrank.coordination.request.UserRequestHandler;
+import shorecrank.coordination.shard.ShardOwner;
+import shorecrank.coordination.shard.StatusQueries;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.Heartbeat;
 import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.HostInfo;
 import shorecrank.protocol.PeerMessages.Lease;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
 import shorecrank.protocol.PeerMessages.OwnerInfo;
@@ -33,9 +48,8 @@
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.WorkerMessages;
-import shorecrank.protocol.WorkerMessages.Report;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.FeatureGate;
 import shorecrank.rollout.RolloutCoordinator;
@@ -45,7 +59,7 @@
  * One controller as a state machine: inputs in, what to send, write and answer out. It holds no
  * I/O, clock, thread or random source.
  */
-public final class Core {
+public final class ControllerStateMachine {
   private static final String CATALOG = "catalog";
   private static final int ASK_MS = 700;
   private static final int RELAY_MS = 2000;
@@ -63,7 +77,7 @@
   /** So long without the state service, while others reach it, and users are better off there. */
   private static final int UNHEALTHY_MS = 3000;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final Election election;
   private final Leader leader;
 
@@ -76,20 +90,20 @@
   private final boolean sharesEnabled;
   private final FeatureGate gate = new FeatureGate();
   private final UserRequestHandler userRequests;
-  private final Cancellations cancellations;
-  private final Map<PartId, ShardOwner> shardOwners = new TreeMap<>();
-  private final Map<PartId, OwnerInfo> owners = new TreeMap<>();
+  private final CancellationLog cancellations;
+  private final Map<ShardId, ShardOwner> shardOwners = new TreeMap<>();
+  private final Map<ShardId, OwnerInfo> owners = new TreeMap<>();
 
   /** Parts granted under an epoch that is used up, to be reported. */
-  private final Map<PartId, Epoch> refused = new TreeMap<>();
+  private final Map<ShardId, Epoch> refused = new TreeMap<>();
 
   /** The highest epoch under which this process has given a part up. */
-  private final Map<PartId, Epoch> givenUp = new TreeMap<>();
+  private final Map<ShardId, Epoch> givenUp = new TreeMap<>();
 
-  private final Map<HostName, MachineAssignment> lent = new LinkedHashMap<>();
-  private final Map<HostName, HostInfo> seen = new LinkedHashMap<>();
-  private final Map<HostName, MonotonicTime> strays = new HashMap<>();
-  private final Map<PartId, Map<JobId, List<StatusQueries.OnStanding>>> statusQueries =
+  private final Map<MachineName, MachineAssignment> lent = new LinkedHashMap<>();
+  private final Map<MachineName, MachineInfo> seen = new LinkedHashMap<>();
+  private final Map<MachineName, MonotonicTime> strays = new HashMap<>();
+  private final Map<ShardId, Map<JobId, List<StatusQueries.OnStanding>>> statusQueries =
       new TreeMap<>();
   private long lendVersion = -1;
   private MonotonicTime beatAt = new MonotonicTime(0);
@@ -101,14 +115,14 @@
   private boolean beating;
   private boolean othersStateOk;
   private MonotonicTime othersAt = MonotonicTime.NEVER;
-  private Map<String, HostType> catalog = Map.of();
+  private Map<String, MachineType> catalog = Map.of();
   private boolean catalogBusy;
   private boolean catalogStored;
   private MonotonicTime catalogAt = new MonotonicTime(0);
   private MonotonicTime probeAt = new MonotonicTime(0);
 
   /** A controller without rollouts: it writes and sends nothing above the lowest level. */
-  public Core(NodeConfig config, Tuning tuning, WriterId writer) {
+  public ControllerStateMachine(NodeConfig config, Settings tuning, WriterId writer) {
     this(config, tuning, writer, null, null);
   }
 
@@ -116,9 +130,9 @@
    * @param setup of rollouts; null if they are not enabled
    * @param shares the settings of shares, which need rollouts; null if they are not enabled
    */
-  public Core(
-      NodeConfig config, Tuning tuning, WriterId writer, RolloutSetup setup, ShareSettings shares) {
-    this.ports = new Ports(config, tuning, writer);
+  public ControllerStateMachine(
+      NodeConfig config, Settings tuning, WriterId writer, RolloutSetup setup, ShareSettings shares) {
+    this.ports = new StepContext(config, tuning, writer);
     this.announcement = setup == null ? null : setup.announcement();
     this.election = new Election(ports, setup == null ? null : announcement.supported());
     this.rollout = setup == null ? null : coordinator(setup);
@@ -126,16 +140,16 @@
     this.leader = new Leader(ports, election, rollout, gate, shares);
     this.shareRequests = new ShareRequestHandler(ports, election, leader.moves());
     this.sharesEnabled = shares != null;
-    this.cancellations = new Cancellations(ports, this::learnCancelled, this::owner);
+    this.cancellations = new CancellationLog(ports, this::learnCancelled, this::owner);
     this.userRequests = new UserRequestHandler(ports, cancellations, this::askOwner, this::relay);
   }
 
   private RolloutCoordinator coordinator(RolloutSetup setup) {
-    List<NodeLabel> members = new ArrayList<>();
+    List<ControllerName> members = new ArrayList<>();
     members.add(ports.config.label());
     ports.config.members().forEach(m -> members.add(m.label()));
     return new RolloutCoordinator(
-        new LeaderPorts(ports),
+        new StepLeaderEnvironment(ports),
         election,
         setup.settings(),
         announcement,
@@ -257,7 +271,7 @@
     if (!othersStateOk || ports.now().since(othersAt) > 4000) {
       return false;
     }
-    NodeLabel to = election.leader();
+    ControllerName to = election.leader();
     if (to == null || to.equals(ports.config.label())) {
       List<NodeConfig.Member> others = ports.config.members();
       if (others.isEmpty()) {
@@ -360,7 +374,7 @@
     JsonNode n = Json.parse(r.body());
     ShardOwner s = shardOwners.get(PeerMessages.askedPart(n));
     List<JobId> ids = PeerMessages.asked(n);
-    Map<JobId, Standing> told = new HashMap<>();
+    Map<JobId, JobStatus> told = new HashMap<>();
     if (s == null || ids.isEmpty()) {
       ports.reply(r.reply(), 200, PeerMessages.told(told));
       return;
@@ -381,7 +395,7 @@
   }
 
   /** Asks the owner of a part, here or elsewhere; null if it can't tell. */
-  private void askOwner(PartId part, JobId id, StatusQueries.OnStanding then) {
+  private void askOwner(ShardId part, JobId id, StatusQueries.OnStanding then) {
     ShardOwner s = shardOwners.get(part);
     if (s != null) {
       s.ask(id, then);
@@ -399,8 +413,8 @@
   }
 
   /** Machines met here; what does not fit into one message goes with the next. */
-  private List<HostInfo> someSeen() {
-    List<HostInfo> some = new ArrayList<>();
+  private List<MachineInfo> someSeen() {
+    List<MachineInfo> some = new ArrayList<>();
     for (var i = seen.values().iterator(); i.hasNext() && some.size() < MAX_SEEN; ) {
       some.add(i.next());
       i.remove();
@@ -409,10 +423,10 @@
   }
 
   /** Workers that came here lately instead of to their owner. */
-  private Map<PartId, Integer> strays() {
+  private Map<ShardId, Integer> strays() {
     strays.values().removeIf(at -> ports.now().since(at) > STRAY_MS);
-    Map<PartId, Integer> byPart = new TreeMap<>();
-    for (HostName h : strays.keySet()) {
+    Map<ShardId, Integer> byPart = new TreeMap<>();
+    for (MachineName h : strays.keySet()) {
       MachineAssignment l = lent.get(h);
       if (l != null) {
         byPart.merge(l.part(), 1, Integer::sum);
@@ -438,8 +452,8 @@
               PeerMessages.ask(part, ids),
               ASK_MS,
               (status, body) -> {
-                Map<JobId, Standing> told =
-                    status == 200 ? PeerMessages.told(body) : Map.<JobId, Standing>of();
+                Map<JobId, JobStatus> told =
+                    status == 200 ? PeerMessages.told(body) : Map.<JobId, JobStatus>of();
                 sent.forEach((id, l) -> l.forEach(t -> t.told(told.get(id))));
               });
         });
@@ -468,7 +482,7 @@
   }
 
   private void report(Input.Request r) {
-    Report w = WorkerMessages.read(Json.parse(r.body()));
+    WorkerHeartbeat w = WorkerMessages.read(Json.parse(r.body()));
     if (w == null) {
       ports.refused("report.malformed", "malformed report refused");
       ports.reply(r.reply(), 400, Json.error("malformed report"));
@@ -478,7 +492,7 @@
   }
 
   /** A report that waits until this process knows where it belongs. */
-  private record Sheltered(long reply, Report report, MonotonicTime since) {}
+  private record Sheltered(long reply, WorkerHeartbeat report, MonotonicTime since) {}
 
   /** A report that waits holds its connection, and there are no more than sockets. */
   private int mostSheltered() {
@@ -495,7 +509,7 @@
   }
 
   private void route(Sheltered one) {
-    Report w = one.report();
+    WorkerHeartbeat w = one.report();
     long reply = one.reply();
     MachineAssignment known = lent.get(w.host());
     boolean unclear =
@@ -511,16 +525,16 @@
       return;
     }
     if (known == null) {
-      seen.put(w.host(), new HostInfo(w.host(), w.type(), w.zone(), w.spot()));
+      seen.put(w.host(), new MachineInfo(w.host(), w.type(), w.zone(), w.spot()));
       beatAt = ports.now().plus(100).before(beatAt) ? ports.now().plus(100) : beatAt;
-      NodeLabel l = election.leader();
+      ControllerName l = election.leader();
       ports.reply(
           reply,
           421,
           WorkerMessages.elsewhere(l == null || l.equals(ports.config.label()) ? null : l));
       return;
     }
-    PartId part = known.part();
+    ShardId part = known.part();
     ShardOwner s = shardOwners.get(part);
     if (s != null) {
       boolean alone = ports.aloneMs() > 4000;
@@ -554,13 +568,13 @@
 
   private void beat() {
     MonotonicTime now = ports.now();
-    NodeLabel to = election.leader();
+    ControllerName to = election.leader();
     int renew = ports.tuning.renewMs();
     beatAt = now.plus(renew - renew / 10 + ports.random().nextInt(renew / 5 + 1));
     List<ShardReport> parts = new ArrayList<>();
     shardOwners.values().stream().filter(s -> !s.relinquished()).forEach(s -> parts.add(s.beat()));
     refused.forEach((part, epoch) -> parts.add(ShardReport.refused(part, epoch)));
-    List<HostInfo> met = someSeen();
+    List<MachineInfo> met = someSeen();
     if (!seen.isEmpty()) {
       // The rest goes at once with the next, not an interval later.
       beatAt = now.plus(100);
@@ -645,7 +659,7 @@
     }
   }
 
-  private void giveUp(PartId part, String why) {
+  private void giveUp(ShardId part, String why) {
     ShardOwner s = shardOwners.remove(part);
     givenUp.merge(part, s.epoch(), (a, b) -> a.above(b) ? a : b);
     s.end(why);
@@ -772,8 +786,8 @@
         4000,
         (status, body) -> {
           catalogBusy = false;
-          Map<String, HostType> c =
-              status == 200 ? CloudMessages.catalog(body) : new TreeMap<String, HostType>();
+          Map<String, MachineType> c =
+              status == 200 ? CloudMessages.catalog(body) : new TreeMap<String, MachineType>();
           if (c.isEmpty()) {
             catalogAt = ports.now().plus(1000);
             return;
@@ -796,7 +810,7 @@
         });
   }
 
-  private void catalog(Map<String, HostType> c) {
+  private void catalog(Map<String, MachineType> c) {
     if (c.isEmpty()) {
       return;
     }
@@ -807,8 +821,8 @@
   }
 
   /** The epochs of the parts whose workers this process may command at a moment, for observers. */
-  public Map<PartId, Epoch> commanded(MonotonicTime at) {
-    Map<PartId, Epoch> m = new TreeMap<>();
+  public Map<ShardId, Epoch> commanded(MonotonicTime at) {
+    Map<ShardId, Epoch> m = new TreeMap<>();
     shardOwners.forEach(
         (part, shardOwner) -> {
           if (shardOwner.validAt(at)) {
@@ -819,8 +833,8 @@
   }
 
   /** The machines that this process may command at a moment, for observers. */
-  public Set<HostName> commandedMachines(MonotonicTime at) {
-    Set<HostName> machines = new HashSet<>();
+  public Set<MachineName> commandedMachines(MonotonicTime at) {
+    Set<MachineName> machines = new HashSet<>();
     for (ShardOwner s : shardOwners.values()) {
       if (s.validAt(at)) {
         machines.addAll(s.custody().commanded());
@@ -830,8 +844,8 @@
   }
 
   /** The epochs of the parts owned here, for observers. */
-  public Map<PartId, Epoch> owned() {
-    Map<PartId, Epoch> m = new TreeMap<>();
+  public Map<ShardId, Epoch> owned() {
+    Map<ShardId, Epoch> m = new TreeMap<>();
     shardOwners.forEach((p, s) -> m.put(p, s.epoch()));
     return m;
   }
--- a/src/main/java/shorecrank/coordination/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -1,5 +1,11 @@
-package shorecrank.coordination;
-
+package shorecrank.coordination.leader;
+
+import shorecrank.protocol.CloudMessages.ListedMachine;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.PeerMessages.UnavailableOffer;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,20 +19,18 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import shorecrank.coordination.MachineDirectory.Machine;
+import shorecrank.coordination.leader.MachineDirectory;
+import shorecrank.coordination.leader.MachineDirectory.Machine;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages;
-import shorecrank.protocol.CloudMessages.HostType;
-import shorecrank.protocol.CloudMessages.Listed;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.Blocked;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.CapacityRequest;
-import shorecrank.protocol.PeerMessages.HostInfo;
-import shorecrank.storage.Budget;
+import shorecrank.storage.RateLimiter;
 
 /** The leader's dealings with the cloud: renting, giving back, and reading the machine list. */
 final class CloudProvisioner {
@@ -71,26 +75,26 @@
   private static final long BACK_AGAIN_MS = 10_000;
 
   /** A request to rent, under a name that is never used for another. */
-  private record Claim(String name, Offer offer, int count, PartId part) {}
+  private record Claim(String name, Offer offer, int count, ShardId part) {}
 
   /** The machine list as read up to a name; each page is a call of its own. */
-  private record PartialList(String after, Map<HostName, Listed> found) {
+  private record PartialList(String after, Map<MachineName, ListedMachine> found) {
     int pages() {
       return 1 + found.size() / CloudMessages.MAX_PAGE;
     }
   }
 
-  private final Ports ports;
+  private final StepContext ports;
   private final MachineDirectory machines;
   private final Supplier<Revision> loadedTerm;
-  private final BiConsumer<HostInfo, PartId> rented;
-  private final BiConsumer<HostInfo, String> met;
-  private final Budget calls;
-  private final Map<HostName, MonotonicTime> released = new HashMap<>();
+  private final BiConsumer<MachineInfo, ShardId> rented;
+  private final BiConsumer<MachineInfo, String> met;
+  private final RateLimiter calls;
+  private final Map<MachineName, MonotonicTime> released = new HashMap<>();
   private final Map<Offer, MonotonicTime> blockedUntil = new LinkedHashMap<>();
   private final Map<Offer, Integer> refusals = new HashMap<>();
-  private final Set<HostName> toRelease = new LinkedHashSet<>();
-  private final Set<HostName> releasing = new LinkedHashSet<>();
+  private final Set<MachineName> toRelease = new LinkedHashSet<>();
+  private final Set<MachineName> releasing = new LinkedHashSet<>();
   private final ArrayDeque<Claim> claims = new ArrayDeque<>();
 
   /** Names of claims that may have been carried out. */
@@ -106,7 +110,7 @@
 
   private MonotonicTime listAt = new MonotonicTime(0);
   private MonotonicTime retryAt = new MonotonicTime(0);
-  private Map<String, HostType> catalog = Map.of();
+  private Map<String, MachineType> catalog = Map.of();
 
   /**
    * @param loadedTerm the term under which the leader works now; answers of another are ignored
@@ -114,20 +118,20 @@
    * @param met takes a machine that the list shows, and how it was found
    */
   CloudProvisioner(
-      Ports ports,
+      StepContext ports,
       MachineDirectory machines,
       Supplier<Revision> loadedTerm,
-      BiConsumer<HostInfo, PartId> rented,
-      BiConsumer<HostInfo, String> met) {
+      BiConsumer<MachineInfo, ShardId> rented,
+      BiConsumer<MachineInfo, String> met) {
     this.ports = ports;
     this.machines = machines;
     this.loadedTerm = loadedTerm;
     this.rented = rented;
     this.met = met;
-    this.calls = new Budget(ports.config.cloud().rps() * RATE_SHARE);
+    this.calls = new RateLimiter(ports.config.cloud().rps() * RATE_SHARE);
   }
 
-  void catalog(Map<String, HostType> types) {
+  void catalog(Map<String, MachineType> types) {
     catalog = types;
   }
 
@@ -174,7 +178,7 @@
   }
 
   /** Rents what an owner asks for, but kinds that were refused lately. */
-  void request(PartId part, List<CapacityRequest> requests) {
+  void request(ShardId part, List<CapacityRequest> requests) {
     for (CapacityRequest r : requests) {
       MonotonicTime until = blockedUntil.get(r.offer());
       if (r.count() <= 0 || (until != null && !until.before(ports.now()))) {
@@ -212,11 +216,11 @@
 
   private void claimed(Claim c, int status, JsonNode body) {
     if (status == 200) {
-      List<HostName> got = CloudMessages.rented(body);
-      for (HostName name : got) {
+      List<MachineName> got = CloudMessages.rented(body);
+      for (MachineName name : got) {
         if (!machines.contains(name)) {
           Offer offer = c.offer();
-          rented.accept(new HostInfo(name, offer.type(), offer.zone(), offer.spot()), c.part());
+          rented.accept(new MachineInfo(name, offer.type(), offer.zone(), offer.spot()), c.part());
         }
       }
       ports.info("claim %s: %d of %d %s", c.name(), got.size(), c.count(), c.offer());
@@ -251,12 +255,12 @@
   }
 
   /** Kinds that were refused, and for how long they are not asked for. */
-  List<Blocked> blocked() {
-    List<Blocked> blocked = new ArrayList<>();
+  List<UnavailableOffer> blocked() {
+    List<UnavailableOffer> blocked = new ArrayList<>();
     blockedUntil.forEach(
         (offer, until) -> {
           if (ports.now().before(until)) {
-            blocked.add(new Blocked(offer, until.since(ports.now())));
+            blocked.add(new UnavailableOffer(offer, until.since(ports.now())));
           }
         });
     return blocked;
@@ -265,23 +269,23 @@
   // ---- giving back -----------------------------------------------------------------------------
 
   /** The machine is to be given back. */
-  void giveBack(HostName name) {
+  void giveBack(MachineName name) {
     if (!releasing.contains(name)) {
       toRelease.add(name);
     }
   }
 
-  boolean isReleasing(HostName name) {
+  boolean isReleasing(MachineName name) {
     return releasing.contains(name);
   }
 
   /** Whether its release was answered: it is gone, with all that ran on it. */
-  boolean wasReleased(HostName name) {
+  boolean wasReleased(MachineName name) {
     return released.containsKey(name);
   }
 
-  List<HostName> releasedLately() {
-    List<HostName> lately = new ArrayList<>();
+  List<MachineName> releasedLately() {
+    List<MachineName> lately = new ArrayList<>();
     released.forEach(
         (name, at) -> {
           if (ports.now().since(at) < TELL_RELEASED_MS) {
@@ -293,7 +297,7 @@
 
   private void release() {
     releasingNow = true;
-    List<HostName> batch = toRelease.stream().limit(CloudMessages.MAX_RELEASE).toList();
+    List<MachineName> batch = toRelease.stream().limit(CloudMessages.MAX_RELEASE).toList();
     batch.forEach(toRelease::remove);
     releasing.addAll(batch);
     Revision term = loadedTerm.get();
@@ -318,7 +322,7 @@
         });
   }
 
-  private void gone(HostName name) {
+  private void gone(MachineName name) {
     released.put(name, ports.now());
     machines.remove(name);
     ports.info("machine %s: released", name);
@@ -347,8 +351,8 @@
       listAt = ports.now().plus(LIST_RETRY_MS);
       return;
     }
-    Map<HostName, Listed> found = soFar.found();
-    List<Listed> page = CloudMessages.listed(body);
+    Map<MachineName, ListedMachine> found = soFar.found();
+    List<ListedMachine> page = CloudMessages.listed(body);
     page.forEach(l -> found.put(l.name(), l));
     if (CloudMessages.more(body) && !page.isEmpty()) {
       nextPage = new PartialList(page.get(page.size() - 1).name().value(), found);
@@ -373,10 +377,10 @@
     return Math.max(LIST_PAUSE_MS, (long) (pages / callsPerMs));
   }
 
-  private void listed(Collection<Listed> found) {
+  private void listed(Collection<ListedMachine> found) {
     MonotonicTime now = ports.now();
     long lag = (long) (ports.config.cloud().listLagS() * 2000) + 2000;
-    for (Listed l : found) {
+    for (ListedMachine l : found) {
       MonotonicTime at = released.get(l.name());
       if (at != null) {
         if (now.since(at) > lag + BACK_AGAIN_MS) {
@@ -393,7 +397,7 @@
         }
         continue;
       }
-      met.accept(new HostInfo(l.name(), l.type(), l.zone(), l.spot()), "listed as " + l.state());
+      met.accept(new MachineInfo(l.name(), l.type(), l.zone(), l.spot()), "listed as " + l.state());
       Machine machine = machines.get(l.name());
       if (machine != null) {
         machine.listedAt = now;
@@ -405,8 +409,8 @@
   }
 
   /** It has failed, or will never come up. */
-  private boolean isLost(Listed l) {
-    HostType type = catalog.get(l.type());
+  private boolean isLost(ListedMachine l) {
+    MachineType type = catalog.get(l.type());
     double boot = type == null ? 60 : type.bootS();
     return l.state().equals("failed") || (l.state().equals("starting") && l.ageS() > 4 * boot + 60);
   }
@@ -417,7 +421,7 @@
    */
   private void returnUnlisted(long lag) {
     for (Machine machine : machines.all()) {
-      HostName name = machine.info.name();
+      MachineName name = machine.info.name();
       if (machine.listedAt != MonotonicTime.NEVER
           && ports.now().since(machine.listedAt) > lag
           && !releasing.contains(name)
--- a/src/main/java/shorecrank/coordination/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -1,10 +1,12 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
+import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.leadership.Leadership;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
@@ -16,8 +18,8 @@
  * Who leads: the process whose key hangs on a living grant. The key's stamp is the leader's term;
  * whatever the leader writes is guarded by it.
  */
-final class Election implements Leadership {
-  static final String KEY = "leader";
+public final class Election implements Leadership {
+  public static final String KEY = "leader";
 
   /**
    * From the level of {@link Feature#PROTECTED_LEADERSHIP} on the grant hangs on this key, and
@@ -43,12 +45,12 @@
     LEAD
   }
 
-  private final Ports ports;
+  private final StepContext ports;
   private Step step = Step.READ;
   private boolean busy;
   private MonotonicTime retryAt = new MonotonicTime(0);
   private long watchFrom;
-  private NodeLabel leader;
+  private ControllerName leader;
   private Revision term = Revision.ABSENT;
   private long hold = -1;
   private MonotonicTime validUntil = MonotonicTime.NEVER;
@@ -63,7 +65,7 @@
   /** The revision of {@link #KEY} while the grant hangs on the other. */
   private Revision namingRevision = Revision.ABSENT;
 
-  Election(Ports ports, LevelRange supported) {
+  public Election(StepContext ports, LevelRange supported) {
     this.ports = ports;
     this.supported = supported;
   }
@@ -77,7 +79,7 @@
   }
 
   /** The key on which the leader's grant hangs. */
-  String key() {
+  public String key() {
     return isProtected() ? PROTECTED_KEY : KEY;
   }
 
@@ -86,12 +88,12 @@
     transaction.guard(key(), term);
   }
 
-  NodeLabel leader() {
+  public ControllerName leader() {
     return leader;
   }
 
   /** The key is ours as far as we know; the grant may be in doubt. */
-  boolean holding() {
+  public boolean holding() {
     return step == Step.LEAD;
   }
 
@@ -106,7 +108,7 @@
     return term;
   }
 
-  void tick() {
+  public void tick() {
     MonotonicTime now = ports.now();
     if (step == Step.LEAD) {
       if (!now.before(renewAt)) {
@@ -203,7 +205,7 @@
 
   private void seen(JsonNode value, Revision stamp) {
     String label = Json.text(value.path(LABEL));
-    leader = label.isEmpty() ? null : new NodeLabel(label);
+    leader = label.isEmpty() ? null : new ControllerName(label);
     term = stamp;
   }
 
--- a/src/main/java/shorecrank/coordination/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -1,5 +1,11 @@
-package shorecrank.coordination;
-
+package shorecrank.coordination.leader;
+
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineInfo;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
@@ -8,21 +14,19 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import shorecrank.config.NodeConfig;
-import shorecrank.coordination.MachineDirectory.Machine;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.leader.MachineDirectory.Machine;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.Ids.Token;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.Heartbeat;
 import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.HostInfo;
 import shorecrank.protocol.PeerMessages.Lease;
 import shorecrank.protocol.PeerMessages.OwnerInfo;
 import shorecrank.protocol.PeerMessages.ShardReport;
@@ -34,9 +38,9 @@
 import shorecrank.rollout.RolloutCoordinator;
 
 /** The leading controller's work: epochs, shard leases, and which shard gets which machine. */
-final class Leader implements ShardTable {
+public final class Leader implements ShardTable {
   private static final String EPOCH = "epoch";
-  static final String PART = "part/";
+  public static final String PART = "part/";
   private static final int CALL_MS = 1500;
 
   private static final class Node {
@@ -44,11 +48,11 @@
     boolean stateOk;
     MonotonicTime stateBadSince = MonotonicTime.NEVER;
     MonotonicTime heard = MonotonicTime.NEVER;
-    Map<PartId, Integer> strays = Map.of();
+    Map<ShardId, Integer> strays = Map.of();
   }
 
   private static final class Part {
-    NodeLabel owner;
+    ControllerName owner;
     WriterId writer;
     Epoch epoch = Epoch.NONE;
     MonotonicTime leaseUntil = MonotonicTime.NEVER;
@@ -64,7 +68,7 @@
     /**
      * Whom the workers don't reach, and in which zones they are, when it was last moved for that.
      */
-    NodeLabel unreached;
+    ControllerName unreached;
 
     List<String> unreachedBy = List.of();
     MonotonicTime movedAt = MonotonicTime.NEVER;
@@ -93,12 +97,12 @@
   private static final int UNREACHED_ZONE_LOAD = 100_000;
   private static final int UNREACHED_OWNER_LOAD = 100_000_000;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final Election election;
   private final RolloutCoordinator rollout;
   private final FeatureGate gate;
-  private final Map<NodeLabel, Node> nodes = new TreeMap<>();
-  private final Map<PartId, Part> parts = new TreeMap<>();
+  private final Map<ControllerName, Node> nodes = new TreeMap<>();
+  private final Map<ShardId, Part> parts = new TreeMap<>();
   private final MachineDirectory machines;
   private final CloudProvisioner cloud;
   private final MachineAssigner assigner;
@@ -113,7 +117,7 @@
    * next committed mint settles it, since all are guarded by the counter's stamp; before that the
    * last owner gets no lease.
    */
-  private final Set<PartId> ownerInDoubt = new TreeSet<>();
+  private final Set<ShardId> ownerInDoubt = new TreeSet<>();
 
   private Revision doubtTerm = Revision.ABSENT;
 
@@ -135,8 +139,8 @@
    * @param rollout says which controllers may own shards; null if rollouts are not enabled
    * @param shares the operators' settings of shares; null if those are not enabled
    */
-  Leader(
-      Ports ports,
+  public Leader(
+      StepContext ports,
       Election election,
       RolloutCoordinator rollout,
       FeatureGate gate,
@@ -155,7 +159,7 @@
     this.cloud = new CloudProvisioner(ports, machines, () -> loadedTerm, this::assign, this::meet);
   }
 
-  void catalog(Map<String, HostType> c) {
+  public void catalog(Map<String, MachineType> c) {
     cloud.catalog(c);
     if (shareAssigner != null) {
       shareAssigner.catalog(c);
@@ -163,7 +167,7 @@
   }
 
   /** Moves of machines between shards; null if shares are not enabled. */
-  MoveCoordinator moves() {
+  public MoveCoordinator moves() {
     return shareAssigner == null ? null : shareAssigner.moves();
   }
 
@@ -173,7 +177,7 @@
     return loaded && levelKnown && assigner.ready();
   }
 
-  void tick() {
+  public void tick() {
     if (!election.leading()) {
       interrupted = true;
       return;
@@ -274,7 +278,7 @@
           }
           parts.clear();
           for (int i = 0; i < ports.tuning.parts(); i++) {
-            parts.put(new PartId(i), new Part());
+            parts.put(new ShardId(i), new Part());
           }
           for (StoreMessages.Entry e : StoreMessages.entries(body)) {
             OwnerInfo o = owner(e.value());
@@ -299,10 +303,10 @@
   }
 
   /** What the record of a part says. */
-  static OwnerInfo owner(JsonNode part) {
+  public static OwnerInfo owner(JsonNode part) {
     return new OwnerInfo(
-        new PartId((int) Json.count(part.path("part"))),
-        new NodeLabel(Json.text(part.path("label"))),
+        new ShardId((int) Json.count(part.path("part"))),
+        new ControllerName(Json.text(part.path("label"))),
         new Epoch(part.path("epoch").asLong()));
   }
 
@@ -331,7 +335,7 @@
   // ---- beats and leases ----------------------------------------------------------------------
 
   /** Null while this controller can't answer for the leader. */
-  HeartbeatAnswer beat(Heartbeat b) {
+  public HeartbeatAnswer beat(Heartbeat b) {
     if (!ready()) {
       return null;
     }
@@ -351,7 +355,7 @@
     }
 
     List<Lease> leases = new ArrayList<>();
-    for (Map.Entry<PartId, Part> e : parts.entrySet()) {
+    for (Map.Entry<ShardId, Part> e : parts.entrySet()) {
       Part p = e.getValue();
       if (!b.from().equals(p.owner) || p.vacant) {
         continue;
@@ -419,7 +423,7 @@
             pb.part(), pb.fenced(), b.from());
       }
     }
-    for (HostInfo h : b.seen()) {
+    for (MachineInfo h : b.seen()) {
       meet(h, "seen by " + b.from());
     }
     return answer(b, leases);
@@ -430,14 +434,14 @@
    * all of them are likely to reach. Their leases would run out, although nothing is wrong with
    * them.
    */
-  private boolean unreached(PartId id, Part p, WorkerReachability h) {
+  private boolean unreached(ShardId id, Part p, WorkerReachability h) {
     MonotonicTime now = ports.now();
     if (h.unheard() < 2 || h.unheard() * 5 < h.expected() || now.since(p.movedAt) < MOVE_PAUSE_MS) {
       return false;
     }
     int elsewhere = 0;
     boolean another = false;
-    for (Map.Entry<NodeLabel, Node> e : nodes.entrySet()) {
+    for (Map.Entry<ControllerName, Node> e : nodes.entrySet()) {
       Node n = e.getValue();
       if (e.getKey().equals(p.owner) || !canServe(n)) {
         continue;
@@ -453,7 +457,7 @@
   }
 
   /** Whether a controller may own shards at the feature level in force, with its settings. */
-  private boolean mayOwn(NodeLabel label) {
+  private boolean mayOwn(ControllerName label) {
     String reason = rollout == null ? null : rollout.reasonAgainstOwner(label);
     if (reason != null) {
       ports.refused(
@@ -480,7 +484,7 @@
     return n.stateOk && ports.now().since(n.heard) <= ports.tuning.renewMs() * 2L + 500;
   }
 
-  private String location(NodeLabel l) {
+  private String location(ControllerName l) {
     for (NodeConfig.Member m : ports.config.members()) {
       if (m.label().equals(l)) {
         return m.location();
@@ -489,11 +493,11 @@
     return ports.config.zone();
   }
 
-  private boolean anyOtherOk(NodeLabel not) {
+  private boolean anyOtherOk(ControllerName not) {
     if (!not.equals(ports.config.label()) && ports.stateOk()) {
       return true;
     }
-    for (Map.Entry<NodeLabel, Node> e : nodes.entrySet()) {
+    for (Map.Entry<ControllerName, Node> e : nodes.entrySet()) {
       Node n = e.getValue();
       if (!e.getKey().equals(not) && n.stateOk && ports.now().since(n.heard) < 3000) {
         return true;
@@ -502,13 +506,13 @@
     return false;
   }
 
-  private void takeFence(PartId id, Part p, ShardReport pb) {
+  private void takeFence(ShardId id, Part p, ShardReport pb) {
     Epoch f = pb.fenced();
     // Only the owner's own report, at its own epoch, moves the counter; and never by a jump that
     // would walk it to its end.
     if (f.value() >= p.epoch.value()
         && pb.epoch().equals(p.epoch)
-        && f.value() < Token.MAX_EPOCH / 2
+        && f.value() < FencingToken.MAX_EPOCH / 2
         && !p.minting) {
       ports.info("part %s: owner at epoch %s was refused by epoch %s", id, p.epoch, f);
       mint(id, p, p.owner, p.writer, f.value());
@@ -524,7 +528,7 @@
           }
         });
     MachineDirectory.Changes changes = machines.changesSince(b.lendVersion(), parts.size() == 1);
-    List<HostName> gone =
+    List<MachineName> gone =
         changes.whole()
             ? cloud.releasedLately()
             : changes.removed().stream().filter(cloud::wasReleased).toList();
@@ -544,15 +548,15 @@
 
   private void assignParts() {
     MonotonicTime now = ports.now();
-    for (Map.Entry<PartId, Part> e : parts.entrySet()) {
+    for (Map.Entry<ShardId, Part> e : parts.entrySet()) {
       Part p = e.getValue();
       boolean lapsed = !p.vacant && p.leaseUntil.before(now);
       if ((!p.vacant && !lapsed) || p.minting || minting) {
         continue;
       }
-      NodeLabel best = null;
+      ControllerName best = null;
       int bestLoad = Integer.MAX_VALUE;
-      for (Map.Entry<NodeLabel, Node> n : nodes.entrySet()) {
+      for (Map.Entry<ControllerName, Node> n : nodes.entrySet()) {
         Node x = n.getValue();
         if (!canServe(x) || !mayOwn(n.getKey())) {
           continue;
@@ -577,7 +581,7 @@
    * How unfit a controller is to own a shard beside what it does already: the lower the better.
    * Shards are spread over controllers first, then over zones.
    */
-  private int ownerLoad(Part p, NodeLabel candidate) {
+  private int ownerLoad(Part p, ControllerName candidate) {
     int load = candidate.equals(ports.config.label()) ? LEADER_LOAD : 0;
     String at = location(candidate);
     if (p.unreached != null && ports.now().since(p.movedAt) < AVOID_MS) {
@@ -607,7 +611,7 @@
     return officeSince.plus(1500);
   }
 
-  private void mint(PartId id, Part p, NodeLabel owner, WriterId writer, long above) {
+  private void mint(ShardId id, Part p, ControllerName owner, WriterId writer, long above) {
     if (minting) {
       return;
     }
@@ -679,7 +683,7 @@
 
   // ---- machines ------------------------------------------------------------------------------
 
-  private void meet(HostInfo h, String how) {
+  private void meet(MachineInfo h, String how) {
     if (machines.contains(h.name()) || cloud.isReleasing(h.name())) {
       return;
     }
@@ -691,14 +695,14 @@
     assign(h, assigner.shardOfNewcomer());
   }
 
-  private void assign(HostInfo info, PartId part) {
+  private void assign(MachineInfo info, ShardId part) {
     Part p = parts.get(part);
     machines.assign(info, part, p == null ? Epoch.NONE : p.epoch);
   }
 
   /** What an owner asks for its part. */
   private void take(ShardReport pb, long knownVersion) {
-    for (HostName h : pb.retire()) {
+    for (MachineName h : pb.retire()) {
       Machine machine = machines.get(h);
       // A machine no longer known may have been released by a leader that could not say so.
       boolean theirs = machine == null ? !cloud.wasReleased(h) : machine.part.equals(pb.part());
@@ -717,18 +721,18 @@
   // ---- shards for others -----------------------------------------------------------------------
 
   @Override
-  public Set<PartId> shards() {
+  public Set<ShardId> shards() {
     return parts.keySet();
   }
 
   @Override
-  public Epoch epoch(PartId shard) {
+  public Epoch epoch(ShardId shard) {
     Part p = parts.get(shard);
     return p == null ? Epoch.NONE : p.epoch;
   }
 
   @Override
-  public NodeLabel owner(PartId shard) {
+  public ControllerName owner(ShardId shard) {
     Part p = parts.get(shard);
     return p == null || p.vacant || p.revoking ? null : p.owner;
   }
@@ -739,13 +743,13 @@
   }
 
   @Override
-  public boolean hasQueue(PartId shard) {
+  public boolean hasQueue(ShardId shard) {
     Part p = parts.get(shard);
     return p != null && p.queued;
   }
 
   @Override
-  public void raiseAbove(PartId shard, Epoch least) {
+  public void raiseAbove(ShardId shard, Epoch least) {
     Part p = parts.get(shard);
     if (p != null && !p.vacant && !p.minting) {
       mint(shard, p, p.owner, p.writer, least.value());
--- a/src/main/java/shorecrank/coordination/MachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
@@ -1,6 +1,7 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
-import shorecrank.protocol.Ids.PartId;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.PeerMessages.ShardReport;
 
 /** Decides which shard a machine belongs to, and when it goes to another. */
@@ -20,13 +21,13 @@
   boolean inDoubt();
 
   /** The shard that gets a machine nobody has asked for. */
-  PartId shardOfNewcomer();
+  ShardId shardOfNewcomer();
 
   /** A shard's owner reports, under the shard's epoch. */
   void reported(ShardReport report);
 
   /** A shard has a new owner, or its owner a new epoch. */
-  void minted(PartId shard);
+  void minted(ShardId shard);
 
   /** Once a round. */
   void tick();
--- a/src/main/java/shorecrank/coordination/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -1,5 +1,8 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineInfo;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.ArrayDeque;
@@ -12,14 +15,15 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.HostInfo;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
 import shorecrank.protocol.StoreMessages;
 
@@ -52,8 +56,8 @@
 
   /** A machine and its assignment. */
   static final class Machine {
-    HostInfo info;
-    PartId part;
+    MachineInfo info;
+    ShardId part;
     Epoch term;
     MonotonicTime since;
 
@@ -64,7 +68,7 @@
     boolean recall;
 
     /** A shard whose records name it, although it is assigned to another; null if there is none. */
-    PartId reclaimedBy;
+    ShardId reclaimedBy;
 
     MonotonicTime listedAt = MonotonicTime.NEVER;
 
@@ -79,15 +83,15 @@
   }
 
   /** A machine that is no longer assigned. */
-  private record Removal(long version, HostName name) {}
+  private record Removal(long version, MachineName name) {}
 
   /** What has changed since a controller's version; all assignments if {@code whole}. */
-  record Changes(boolean whole, List<MachineAssignment> assigned, List<HostName> removed) {}
+  record Changes(boolean whole, List<MachineAssignment> assigned, List<MachineName> removed) {}
 
-  private final Ports ports;
+  private final StepContext ports;
   private final Election election;
   private final Supplier<Revision> loadedTerm;
-  private final Map<HostName, Machine> machines = new TreeMap<>();
+  private final Map<MachineName, Machine> machines = new TreeMap<>();
   private final Set<Integer> unsaved = new TreeSet<>();
 
   /**
@@ -105,18 +109,18 @@
   /**
    * @param loadedTerm the term under which the leader works now; answers of another are ignored
    */
-  MachineDirectory(Ports ports, Election election, Supplier<Revision> loadedTerm) {
+  MachineDirectory(StepContext ports, Election election, Supplier<Revision> loadedTerm) {
     this.ports = ports;
     this.election = election;
     this.loadedTerm = loadedTerm;
   }
 
-  boolean contains(HostName name) {
+  boolean contains(MachineName name) {
     return machines.containsKey(name);
   }
 
   /** Null if it is not known. */
-  Machine get(HostName name) {
+  Machine get(MachineName name) {
     return machines.get(name);
   }
 
@@ -129,7 +133,7 @@
   }
 
   /** How many machines a shard has. */
-  long count(PartId part) {
+  long count(ShardId part) {
     return machines.values().stream().filter(m -> m.part.equals(part)).count();
   }
 
@@ -151,7 +155,7 @@
   // ---- changes ---------------------------------------------------------------------------------
 
   /** A machine belongs to a shard from now on, under the shard's epoch. */
-  void assign(HostInfo info, PartId part, Epoch term) {
+  void assign(MachineInfo info, ShardId part, Epoch term) {
     put(info, part, term);
     unsaved.add(bucket(info.name()));
   }
@@ -161,7 +165,7 @@
     again.recorded = true;
   }
 
-  private Machine put(HostInfo info, PartId part, Epoch term) {
+  private Machine put(MachineInfo info, ShardId part, Epoch term) {
     Machine machine = new Machine();
     machine.info = info;
     machine.part = part;
@@ -196,14 +200,14 @@
   }
 
   /** A machine is no longer assigned as owners know. */
-  void remove(HostName name) {
+  void remove(MachineName name) {
     if (machines.remove(name) != null) {
       unsaved.add(bucket(name));
     }
     tellRemoved(name);
   }
 
-  private void tellRemoved(HostName name) {
+  private void tellRemoved(MachineName name) {
     removals.add(new Removal(++version, name));
     while (removals.size() > Math.max(MIN_KEPT_REMOVALS, machines.size())) {
       removalsFrom = removals.poll().version;
@@ -214,7 +218,7 @@
   Changes changesSince(long known, boolean oneShard) {
     boolean whole = known < removalsFrom || known > version;
     List<MachineAssignment> assigned = new ArrayList<>();
-    List<HostName> removed = new ArrayList<>();
+    List<MachineName> removed = new ArrayList<>();
     if (known == version) {
       return new Changes(whole, assigned, removed);
     }
@@ -309,9 +313,9 @@
     }
     Machine machine = new Machine();
     machine.info =
-        new HostInfo(
-            new HostName(name), Json.text(n.path(1)), Json.text(n.path(2)), n.path(3).asBoolean());
-    machine.part = new PartId((int) part);
+        new MachineInfo(
+            new MachineName(name), Json.text(n.path(1)), Json.text(n.path(2)), n.path(3).asBoolean());
+    machine.part = new ShardId((int) part);
     machine.term = new Epoch(term);
     machine.since = ports.now();
     machine.recorded = true;
@@ -331,7 +335,7 @@
 
   // ---- writing ---------------------------------------------------------------------------------
 
-  private static int bucket(HostName name) {
+  private static int bucket(MachineName name) {
     return Math.floorMod(name.value().hashCode(), BUCKETS);
   }
 
@@ -371,18 +375,18 @@
   }
 
   /** A machine's next shard, and the term under which it is assigned there. */
-  record NextAssignment(PartId part, Epoch term) {}
+  record NextAssignment(ShardId part, Epoch term) {}
 
   /**
    * New assignments that are written in a transaction of somebody else's. Until that is over no
    * other assignment is written.
    */
   final class Transfer {
-    private final Map<HostName, NextAssignment> moved = new TreeMap<>();
+    private final Map<MachineName, NextAssignment> moved = new TreeMap<>();
     private final Map<String, ArrayNode> values = new TreeMap<>();
     private final Map<Integer, List<Machine>> buckets = new TreeMap<>();
 
-    Set<HostName> machines() {
+    Set<MachineName> machines() {
       return moved.keySet();
     }
 
@@ -415,7 +419,7 @@
     void refused(boolean conflict) {
       saving = false;
       unsaved.addAll(buckets.keySet());
-      for (HostName name : moved.keySet()) {
+      for (MachineName name : moved.keySet()) {
         Machine machine = machines.get(name);
         if (machine != null) {
           machine.inTransfer = false;
@@ -432,18 +436,18 @@
    * Prepares new assignments, as many as fit beside {@code otherOperations} and {@code otherBytes};
    * null if none can be written now.
    */
-  Transfer prepare(Map<HostName, NextAssignment> assignments, int otherOperations, int otherBytes) {
+  Transfer prepare(Map<MachineName, NextAssignment> assignments, int otherOperations, int otherBytes) {
     if (saving) {
       return null;
     }
     Transfer transfer = new Transfer();
     int bytes = otherBytes;
-    for (Map.Entry<HostName, NextAssignment> e : assignments.entrySet()) {
+    for (Map.Entry<MachineName, NextAssignment> e : assignments.entrySet()) {
       if (!machines.containsKey(e.getKey())) {
         continue;
       }
       int bucket = bucket(e.getKey());
-      Map<HostName, NextAssignment> moved = new TreeMap<>(transfer.moved);
+      Map<MachineName, NextAssignment> moved = new TreeMap<>(transfer.moved);
       moved.put(e.getKey(), e.getValue());
       List<Machine> inBucket = machinesIn(bucket);
       BucketValues next = values(bucket, inBucket.stream().map(m -> as(m, moved)).toList());
@@ -466,7 +470,7 @@
     }
     saving = true;
     unsaved.removeAll(transfer.buckets.keySet());
-    for (HostName name : transfer.moved.keySet()) {
+    for (MachineName name : transfer.moved.keySet()) {
       machines.get(name).inTransfer = true;
       tellRemoved(name);
     }
@@ -477,7 +481,7 @@
     return machines.values().stream().filter(m -> bucket(m.info.name()) == bucket).toList();
   }
 
-  private static Machine as(Machine machine, Map<HostName, NextAssignment> moved) {
+  private static Machine as(Machine machine, Map<MachineName, NextAssignment> moved) {
     NextAssignment next = moved.get(machine.info.name());
     if (next == null) {
       return machine;
--- a/src/main/java/shorecrank/coordination/ShardTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardTable.java
@@ -1,27 +1,28 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.ShardId;
 import java.util.Set;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.NodeLabel;
-import shorecrank.protocol.Ids.PartId;
 
 /** The shards as the leader knows them, for whoever assigns machines to them. */
 interface ShardTable {
   /** All shards of the fleet. */
-  Set<PartId> shards();
+  Set<ShardId> shards();
 
   /** The highest epoch that was minted for a shard; {@link Epoch#NONE} if none was. */
-  Epoch epoch(PartId shard);
+  Epoch epoch(ShardId shard);
 
   /** The label of a shard's owner; null if it has none that may be granted its lease. */
-  NodeLabel owner(PartId shard);
+  ControllerName owner(ShardId shard);
 
   /** Whether a shard's owner says that tasks wait. */
-  boolean hasQueue(PartId shard);
+  boolean hasQueue(ShardId shard);
 
   /** Reads shards and machines anew: what is known of them may be out of date. */
   void reload();
 
   /** Has an epoch above {@code least} minted for a shard's present owner. */
-  void raiseAbove(PartId shard, Epoch least);
+  void raiseAbove(ShardId shard, Epoch least);
 }
--- a/src/main/java/shorecrank/coordination/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -1,22 +1,30 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import shorecrank.coordination.MachineDirectory.Machine;
-import shorecrank.coordination.MachineDirectory.NextAssignment;
-import shorecrank.coordination.MachineDirectory.Transfer;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.leader.MachineAssigner;
+import shorecrank.coordination.leader.MachineDirectory;
+import shorecrank.coordination.leader.MachineDirectory.Machine;
+import shorecrank.coordination.leader.MachineDirectory.NextAssignment;
+import shorecrank.coordination.leader.MachineDirectory.Transfer;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.leader.StepLeaderEnvironment;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.NodeLabel;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.StoreMessages.Txn;
 import shorecrank.rebalance.MoveCoordinator;
@@ -31,15 +39,15 @@
   /** The shares' key is changed in the same transaction. */
   private static final int OTHER_OPERATIONS = 1;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final MachineDirectory machines;
   private final ShardTable shards;
   private final RolloutCoordinator rollout;
   private final MoveCoordinator moves;
-  private Map<String, HostType> catalog = Map.of();
+  private Map<String, MachineType> catalog = Map.of();
 
   ShareAssigner(
-      Ports ports,
+      StepContext ports,
       Election election,
       RolloutCoordinator rollout,
       FeatureGate gate,
@@ -52,7 +60,7 @@
     this.rollout = rollout;
     this.moves =
         new MoveCoordinator(
-            new LeaderPorts(ports),
+            new StepLeaderEnvironment(ports),
             election,
             gate,
             this,
@@ -65,14 +73,14 @@
     return moves;
   }
 
-  void catalog(Map<String, HostType> types) {
+  void catalog(Map<String, MachineType> types) {
     catalog = types;
   }
 
   /** A controller that knows no moves may be given a shard by an earlier version at any time. */
   private List<String> reasonsAgainstMoves() {
     List<String> reasons = new ArrayList<>();
-    for (NodeLabel label : rollout.unsupporting(Feature.SHARES.level())) {
+    for (ControllerName label : rollout.unsupporting(Feature.SHARES.level())) {
       reasons.add(label + ": runs without shares, or a version that knows none");
     }
     return reasons;
@@ -101,7 +109,7 @@
   }
 
   @Override
-  public PartId shardOfNewcomer() {
+  public ShardId shardOfNewcomer() {
     return moves.shardOfNewcomer();
   }
 
@@ -111,7 +119,7 @@
   }
 
   @Override
-  public void minted(PartId shard) {
+  public void minted(ShardId shard) {
     moves.minted(shard);
   }
 
@@ -133,18 +141,18 @@
   }
 
   @Override
-  public List<HostName> ordered() {
+  public List<MachineName> ordered() {
     return machines.all().stream().filter(m -> m.move.isSet()).map(m -> m.info.name()).toList();
   }
 
   @Override
-  public FleetMachine machine(HostName name) {
+  public FleetMachine machine(MachineName name) {
     Machine machine = machines.get(name);
     return machine == null ? null : described(machine);
   }
 
   private FleetMachine described(Machine m) {
-    HostType type = catalog.get(m.info.type());
+    MachineType type = catalog.get(m.info.type());
     return new FleetMachine(
         m.info.name(),
         new Offer(m.info.type(), m.info.zone(), m.info.spot()),
@@ -155,33 +163,33 @@
   }
 
   @Override
-  public Epoch epoch(PartId shard) {
+  public Epoch epoch(ShardId shard) {
     return shards.epoch(shard);
   }
 
   @Override
-  public String owner(PartId shard) {
-    NodeLabel owner = shards.owner(shard);
+  public String owner(ShardId shard) {
+    ControllerName owner = shards.owner(shard);
     return owner == null ? "" : owner.value();
   }
 
   @Override
-  public void raiseAbove(PartId shard, Epoch least) {
+  public void raiseAbove(ShardId shard, Epoch least) {
     shards.raiseAbove(shard, least);
   }
 
   @Override
-  public void recall(HostName name, MoveId order) {
+  public void recall(MachineName name, MoveId order) {
     machines.recall(machines.get(name), order);
   }
 
   @Override
-  public void keep(HostName name) {
+  public void keep(MachineName name) {
     machines.keep(machines.get(name));
   }
 
   @Override
-  public void awaitArrival(HostName name, MoveId order) {
+  public void awaitArrival(MachineName name, MoveId order) {
     machines.awaitArrival(machines.get(name), order);
   }
 
@@ -191,8 +199,8 @@
   }
 
   @Override
-  public Handover prepare(Map<HostName, PartId> assignments) {
-    Map<HostName, NextAssignment> next = new TreeMap<>();
+  public Handover prepare(Map<MachineName, ShardId> assignments) {
+    Map<MachineName, NextAssignment> next = new TreeMap<>();
     assignments.forEach(
         (name, shard) -> next.put(name, new NextAssignment(shard, shards.epoch(shard))));
     int valueBytes = (int) (ports.config.state().valueKb() * 1024);
@@ -203,7 +211,7 @@
   /** New assignments in the machine directory. */
   private record DirectoryHandover(Transfer transfer) implements Handover {
     @Override
-    public Set<HostName> machines() {
+    public Set<MachineName> machines() {
       return transfer.machines();
     }
 
--- a/src/main/java/shorecrank/coordination/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -1,12 +1,17 @@
-package shorecrank.coordination;
-
-import shorecrank.coordination.MachineDirectory.Machine;
+package shorecrank.coordination.leader;
+
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineHandover;
+import shorecrank.coordination.leader.MachineAssigner;
+import shorecrank.coordination.leader.MachineDirectory;
+import shorecrank.coordination.leader.MachineDirectory.Machine;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages.HandedBack;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.ShardReport;
 
 /**
@@ -18,13 +23,13 @@
   /** So many orders of one term have ids of their own. */
   private static final int ORDER_BITS = 20;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final MachineDirectory machines;
   private final ShardTable shards;
   private Revision term = Revision.ABSENT;
   private long orders;
 
-  SpareMachineAssigner(Ports ports, MachineDirectory machines, ShardTable shards) {
+  SpareMachineAssigner(StepContext ports, MachineDirectory machines, ShardTable shards) {
     this.ports = ports;
     this.machines = machines;
     this.shards = shards;
@@ -52,23 +57,23 @@
   }
 
   @Override
-  public void minted(PartId shard) {}
+  public void minted(ShardId shard) {}
 
   @Override
   public void tick() {}
 
   @Override
-  public PartId shardOfNewcomer() {
+  public ShardId shardOfNewcomer() {
     return neediest();
   }
 
-  private PartId neediest() {
-    PartId best = new PartId(0);
+  private ShardId neediest() {
+    ShardId best = new ShardId(0);
     if (shards.shards().size() == 1) {
       return best;
     }
     long most = Long.MIN_VALUE;
-    for (PartId shard : shards.shards()) {
+    for (ShardId shard : shards.shards()) {
       long need = (shards.hasQueue(shard) ? 1000 : 0) - machines.count(shard);
       if (need > most) {
         most = need;
@@ -85,14 +90,14 @@
       keepAll(report.part());
       return;
     }
-    for (HandedBack back : report.handedBack()) {
+    for (MachineHandover back : report.handedBack()) {
       Machine machine = machines.get(back.machine());
       boolean asOrdered = machine != null && machine.recall && machine.move.equals(back.move());
       if (asOrdered && machine.part.equals(report.part())) {
         handOver(machine, report.part());
       }
     }
-    for (HostName name : report.misplaced()) {
+    for (MachineName name : report.misplaced()) {
       reclaim(name, report.part());
     }
     if (!report.spare().isEmpty() && anotherQueues(report.part())) {
@@ -103,7 +108,7 @@
     }
   }
 
-  private void keepAll(PartId shard) {
+  private void keepAll(ShardId shard) {
     for (Machine machine : machines.all()) {
       if (machine.recall && machine.part.equals(shard)) {
         machines.keep(machine);
@@ -112,7 +117,7 @@
   }
 
   /** A machine on which tasks of a shard may run goes back to that shard. */
-  private void reclaim(HostName name, PartId shard) {
+  private void reclaim(MachineName name, ShardId shard) {
     Machine machine = machines.get(name);
     boolean known = machine != null && machine.recall && shard.equals(machine.reclaimedBy);
     if (machine == null || machine.part.equals(shard) || known) {
@@ -130,13 +135,13 @@
     return new MoveId((term.value() << ORDER_BITS) + ++orders);
   }
 
-  private boolean anotherQueues(PartId but) {
+  private boolean anotherQueues(ShardId but) {
     return shards.shards().stream().anyMatch(s -> !s.equals(but) && shards.hasQueue(s));
   }
 
   /** Empty of the last shard's tasks, and assigned anew only above its term. */
-  private void handOver(Machine machine, PartId from) {
-    PartId to = machine.reclaimedBy != null ? machine.reclaimedBy : neediest();
+  private void handOver(Machine machine, ShardId from) {
+    ShardId to = machine.reclaimedBy != null ? machine.reclaimedBy : neediest();
     if (to.equals(from)) {
       machines.keep(machine);
       return;
--- a/src/main/java/shorecrank/coordination/LeaderPorts.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -1,16 +1,17 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /** What a rollout sees of the core: its time, its calls of the state service, its log. */
-final class LeaderPorts implements LeaderEnvironment {
+public final class StepLeaderEnvironment implements LeaderEnvironment {
   private static final int CALL_MS = 2000;
 
-  private final Ports ports;
+  private final StepContext ports;
 
-  LeaderPorts(Ports ports) {
+  public StepLeaderEnvironment(StepContext ports) {
     this.ports = ports;
   }
 
--- a/src/main/java/shorecrank/coordination/Cancellations.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -1,5 +1,7 @@
-package shorecrank.coordination;
+package shorecrank.coordination.model;
 
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.PeerMessages.ConfirmedCancellations;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayList;
@@ -9,11 +11,11 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
 import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerMessages.Confirmed;
 import shorecrank.protocol.PeerMessages.OwnerInfo;
 
 /**
@@ -24,7 +26,7 @@
  * While it shows nothing, the other controllers can say which cancellations they have confirmed
  * since; one that is not heard, or that has begun anew since, says nothing.
  */
-final class Cancellations {
+public final class CancellationLog {
   private static final int CALL_MS = 900;
   private static final int PULL_MS = 1000;
 
@@ -55,8 +57,8 @@
     MonotonicTime askAt = new MonotonicTime(0);
   }
 
-  private final Ports ports;
-  private final Map<NodeLabel, Member> members = new LinkedHashMap<>();
+  private final StepContext ports;
+  private final Map<ControllerName, Member> members = new LinkedHashMap<>();
   private final Consumer<JobId> learned;
   private final Consumer<OwnerInfo> ownerSeen;
 
@@ -79,7 +81,7 @@
    * @param learned takes each job that another controller reports as cancelled
    * @param ownerSeen takes the owners that another controller knows of
    */
-  Cancellations(Ports ports, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
+  public CancellationLog(StepContext ports, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
     this.ports = ports;
     this.learned = learned;
     this.ownerSeen = ownerSeen;
@@ -95,17 +97,17 @@
     }
   }
 
-  boolean known(JobId id) {
+  public boolean known(JobId id) {
     return known.getIfPresent(id) != null;
   }
 
   /** A committed mark was seen. */
-  void learn(JobId id) {
+  public void learn(JobId id) {
     known.put(id, true);
   }
 
   /** A user is being told that the job is cancelled. */
-  void confirmed(JobId id) {
+  public void confirmed(JobId id) {
     if (own.putIfAbsent(id, ports.now()) != null) {
       return;
     }
@@ -126,7 +128,7 @@
    *
    * @param storeAsOf up to when the state service has shown them; NEVER if it has not
    */
-  MonotonicTime horizon(MonotonicTime storeAsOf) {
+  public MonotonicTime horizon(MonotonicTime storeAsOf) {
     if (storeAsOf == MonotonicTime.NEVER) {
       return storeAsOf;
     }
@@ -145,7 +147,7 @@
   }
 
   /** Once a round; {@code blindSince} is what the owner here that knows least knows. */
-  void tick(MonotonicTime blindSince) {
+  public void tick(MonotonicTime blindSince) {
     MonotonicTime now = ports.now();
     if (ownFrom == MonotonicTime.NEVER) {
       ownFrom = now;
@@ -162,7 +164,7 @@
         });
   }
 
-  private void pull(NodeLabel label, Member m, MonotonicTime since) {
+  private void pull(ControllerName label, Member m, MonotonicTime since) {
     m.asking = true;
     MonotonicTime sent = ports.now();
     m.askAt = sent.plus(PULL_MS);
@@ -174,7 +176,7 @@
         CALL_MS,
         (status, body) -> {
           m.asking = false;
-          Confirmed c = status == 200 ? PeerMessages.readConfirmed(body, mostAsked) : null;
+          ConfirmedCancellations c = status == 200 ? PeerMessages.readConfirmed(body, mostAsked) : null;
           if (c == null) {
             if (status == 200) {
               ports.refused("peer.malformed", "malformed cancellations of " + label + " refused");
@@ -215,7 +217,7 @@
    * What was confirmed here in so many milliseconds, for another controller. It asks because it
    * does not reach the state service, so it is also told who owns what.
    */
-  Confirmed answer(long within, int most, Collection<OwnerInfo> owners) {
+  public ConfirmedCancellations answer(long within, int most, Collection<OwnerInfo> owners) {
     MonotonicTime now = ports.now();
     long span = Math.min(within, ownFrom == MonotonicTime.NEVER ? 0 : now.since(ownFrom));
     List<JobId> ids = new ArrayList<>();
@@ -228,6 +230,6 @@
       }
       ids.add(all.get(i).getKey());
     }
-    return new Confirmed(span, ids, List.copyOf(owners));
+    return new ConfirmedCancellations(span, ids, List.copyOf(owners));
   }
 }
--- a/src/main/java/shorecrank/coordination/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -1,5 +1,10 @@
-package shorecrank.coordination;
+package shorecrank.coordination.model;
 
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.TaskAttemptId;
+import shorecrank.protocol.UserMessages.JobStatus;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectAVLTreeMap;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
@@ -10,50 +15,48 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids.Attempt;
+import shorecrank.coordination.model.Machine;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.Ids.TaskRun;
-import shorecrank.protocol.Ids.Tenure;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.WorkerMessages.TaskState;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.LiveRange;
 
 /** An unfinished job as its owner sees it: the record plus what is not yet written. */
-final class Job {
+public final class Job {
   /** One attempt placed on a machine, from before its record is written until it is surely off. */
-  static final class LiveTask {
-    final Job job;
-    final int index;
-    final Host host;
-    final Tenure tenure;
-    final Attempt attempt;
+  public static final class LiveTask {
+    public final Job job;
+    public final int index;
+    public final Machine host;
+    public final Incarnation tenure;
+    public final AttemptNumber attempt;
 
     /** The write that holds this placement; commands wait until it is committed. */
-    final long seq;
+    public final long seq;
 
-    boolean seen;
+    public boolean seen;
 
     /** Its start went out in the answer to the machine's last report. */
-    boolean ordered;
+    public boolean ordered;
 
     /** Its start went out at least once. */
-    boolean commanded;
+    public boolean commanded;
 
-    TaskState state;
-    boolean revoked;
+    public TaskState state;
+    public boolean revoked;
     boolean yielded;
-    final MonotonicTime placedAt;
-    MonotonicTime runningSince;
+    public final MonotonicTime placedAt;
+    public MonotonicTime runningSince;
 
-    LiveTask(
-        Job job, int index, Host host, Tenure tenure, Attempt attempt, long seq, MonotonicTime at) {
+    public LiveTask(
+        Job job, int index, Machine host, Incarnation tenure, AttemptNumber attempt, long seq, MonotonicTime at) {
       this.job = job;
       this.index = index;
       this.host = host;
@@ -63,17 +66,17 @@
       this.placedAt = at;
     }
 
-    TaskRun run() {
-      return new TaskRun(job.spec.id(), index, attempt);
+    public TaskAttemptId run() {
+      return new TaskAttemptId(job.spec.id(), index, attempt);
     }
 
     /** Seconds of work that stopping it now throws away. */
-    double lost(MonotonicTime now) {
+    public double lost(MonotonicTime now) {
       return runningSince == null ? 0 : now.since(runningSince) / 1000.0;
     }
 
     /** What it has done is kept when it is stopped, and it is not stopped yet. */
-    boolean movable() {
+    public boolean movable() {
       return job.spec.checkpointS() > 0
           && state == TaskState.RUNNING
           && !revoked
@@ -82,84 +85,84 @@
     }
 
     /** Seconds until it ends, by its owner's estimate; of what runs over that a quarter more. */
-    double leftS(MonotonicTime now) {
+    public double leftS(MonotonicTime now) {
       double estimate = Math.max(1, job.spec.estimateS());
       return Math.max(estimate / 4, estimate - lost(now));
     }
 
-    boolean committed() {
+    public boolean committed() {
       return seq <= job.committedSeq;
     }
   }
 
-  enum Urgency {
+  public enum Urgency {
     NONE,
     LATER,
     NOW
   }
 
-  final JobSpec spec;
-  final long acceptedAtMs;
-  Revision stamp;
-  Epoch epoch;
-  WriterId writer;
-  long seq;
-  long committedSeq;
-  long tries;
-  boolean aborted;
-  boolean claimed;
+  public final JobSpec spec;
+  public final long acceptedAtMs;
+  public Revision stamp;
+  public Epoch epoch;
+  public WriterId writer;
+  public long seq;
+  public long committedSeq;
+  public long tries;
+  public boolean aborted;
+  public boolean claimed;
 
   /** Counts as unclaimed for its team's limit, although nobody had claimed it yet. */
-  boolean claimFirst;
+  public boolean claimFirst;
 
   /** What the record with our stamp says; a user is told this while the stamp still holds. */
-  Standing standing;
+  public JobStatus standing;
 
   /** The latest stamp a watch has shown; above ours, somebody else has written meanwhile. */
-  Revision seenStamp = Revision.ABSENT;
+  public Revision seenStamp = Revision.ABSENT;
 
   /** A transaction with it was too large; it goes alone until it is through. */
-  boolean alone;
+  public boolean alone;
 
   /** The state service has refused it for its size; it is written in the shortest form. */
-  boolean compact;
+  public boolean compact;
 
-  boolean inFlight;
-  boolean rereading;
-  Urgency dirty = Urgency.NONE;
-  MonotonicTime dirtySince = MonotonicTime.NEVER;
-  MonotonicTime writeAfter = MonotonicTime.NEVER;
+  public boolean inFlight;
+  public boolean rereading;
+  public Urgency dirty = Urgency.NONE;
+  public MonotonicTime dirtySince = MonotonicTime.NEVER;
+  public MonotonicTime writeAfter = MonotonicTime.NEVER;
 
   /** So many more ranges fit into the record; known from its last write on. */
-  int rangesLeft = Integer.MAX_VALUE;
+  public int rangesLeft = Integer.MAX_VALUE;
 
-  final BitSet done = new BitSet();
-  final BitSet taken = new BitSet();
-  final Int2ObjectAVLTreeMap<LiveTask> live = new Int2ObjectAVLTreeMap<>();
+  public final BitSet done = new BitSet();
+  public final BitSet taken = new BitSet();
+  public final Int2ObjectAVLTreeMap<LiveTask> live = new Int2ObjectAVLTreeMap<>();
   private final Int2IntOpenHashMap ghosts = new Int2IntOpenHashMap();
 
   /** Exits seen but not yet recorded: the write that will hold them. */
-  final Map<TaskRun, Long> exits = new HashMap<>();
+  public final Map<TaskAttemptId, Long> exits = new HashMap<>();
 
   /** Jobs that have to be done first, as far as they are not known to be recorded as done. */
-  final Set<JobId> awaits = new LinkedHashSet<>();
+  public final Set<JobId> awaits = new LinkedHashSet<>();
 
   /** Since when it waits for no other job; its acceptance if it names none. */
-  long readyAtMs;
+  public long readyAtMs;
 
   /** The most urgent of its own priority and of those that need it. */
-  JobSpec.Priority priority;
+  public JobSpec.Priority priority;
 
-  MonotonicTime placeAfter = MonotonicTime.NEVER;
+  public MonotonicTime placeAfter = MonotonicTime.NEVER;
 
   /** Seconds until it must get room to reach an aim, as found when jobs were last put in order. */
-  double slackS;
+  public double slackS;
 
   /** Within its team's guarantee, so it waits for no other team. */
-  boolean owed;
+  public boolean owed;
 
-  final Set<HostName> failedOn = new ObjectOpenHashSet<>();
-  int backoff;
+  public final Set<MachineName> failedOn = new ObjectOpenHashSet<>();
+  public int backoff;
 
   /** Writes of this object are numbered above it; no other of this process shares the range. */
   private final long base;
@@ -167,7 +170,7 @@
   /** The part's jobs with something to write; each puts itself there. */
   private final Set<Job> dirtyJobs;
 
-  Job(JobRecord r, Revision stamp, long life, Set<Job> dirtyJobs) {
+  public Job(JobRecord r, Revision stamp, long life, Set<Job> dirtyJobs) {
     this.dirtyJobs = dirtyJobs;
     this.spec = r.spec();
     this.acceptedAtMs = r.acceptedAtMs();
@@ -180,16 +183,16 @@
   }
 
   /** The record holds a write of this very object, so memory is as new or newer. */
-  boolean wrote(JobRecord r, WriterId me) {
+  public boolean wrote(JobRecord r, WriterId me) {
     return r.writer().equals(me) && r.seq() > base;
   }
 
-  JobId id() {
+  public JobId id() {
     return spec.id();
   }
 
   /** Takes over all of a record but its live ranges. */
-  void adoptHead(JobRecord r, Revision st) {
+  public void adoptHead(JobRecord r, Revision st) {
     stamp = st;
     standing = r.standing();
     epoch = r.epoch();
@@ -207,30 +210,30 @@
     exits.clear();
   }
 
-  int doneCount() {
+  public int doneCount() {
     return done.cardinality();
   }
 
-  boolean complete() {
+  public boolean complete() {
     return done.cardinality() == spec.tasks();
   }
 
-  int queued() {
+  public int queued() {
     return aborted || !awaits.isEmpty() ? 0 : Math.max(0, spec.tasks() - taken.cardinality());
   }
 
-  int nextQueued(int from) {
+  public int nextQueued(int from) {
     int i = taken.nextClearBit(from);
     return i < spec.tasks() ? i : -1;
   }
 
-  void add(LiveTask t) {
+  public void add(LiveTask t) {
     live.put(t.index, t);
     taken.set(t.index);
     t.host.add(t);
   }
 
-  void remove(LiveTask t) {
+  public void remove(LiveTask t) {
     if (live.get(t.index) == t) {
       live.remove(t.index);
       release(t.index);
@@ -257,25 +260,25 @@
     release(index);
   }
 
-  boolean hasGhosts() {
+  public boolean hasGhosts() {
     return !ghosts.isEmpty();
   }
 
-  double ageS(long wallMs) {
+  public double ageS(long wallMs) {
     return (wallMs - acceptedAtMs) / 1000.0;
   }
 
   /** How long it has waited for nothing but room. */
-  double readyS(long wallMs) {
+  public double readyS(long wallMs) {
     return (wallMs - readyAtMs) / 1000.0;
   }
 
   /** What is still to be done, in processor seconds by the owner's estimate. */
-  double workLeft() {
+  public double workLeft() {
     return (spec.tasks() - done.cardinality()) * Math.max(0.1, spec.cpus()) * spec.estimateS();
   }
 
-  void touch(Urgency u, MonotonicTime now) {
+  public void touch(Urgency u, MonotonicTime now) {
     dirtyJobs.add(this);
     if (dirty == Urgency.NONE) {
       dirtySince = now;
@@ -285,7 +288,7 @@
     }
   }
 
-  JobRecord record(Epoch e, WriterId w) {
+  public JobRecord record(Epoch e, WriterId w) {
     List<LiveRange> ranges = new ArrayList<>();
     LiveTask first = null;
     int end = 0;
--- a/src/main/java/shorecrank/coordination/Host.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -1,5 +1,11 @@
-package shorecrank.coordination;
-
+package shorecrank.coordination.model;
+
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.TaskAttemptId;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import it.unimi.dsi.fastutil.objects.Object2DoubleLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
@@ -8,111 +14,110 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.scheduling.BinPacking;
+import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.TaskRun;
-import shorecrank.protocol.Ids.Tenure;
-import shorecrank.protocol.Ids.Token;
 import shorecrank.protocol.JobSpec;
-import shorecrank.protocol.PeerMessages.HostInfo;
-import shorecrank.protocol.WorkerMessages.Report;
+import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.WorkerMessages;
 
 /** A machine lent to a part, as the part's owner sees it. */
-final class Host {
-  record Ghost(Job job, int index) {}
+public final class Machine {
+  public record Ghost(Job job, int index) {}
 
-  final HostName name;
-  HostInfo info;
-  private HostType type;
-  boolean lent;
+  public final MachineName name;
+  public MachineInfo info;
+  private MachineType type;
+  public boolean lent;
 
   /** It is to be emptied and handed over: nothing new is placed on it. */
-  boolean recall;
+  public boolean recall;
 
   /** The order under which it is to be handed over, or has come. */
-  MoveId move = MoveId.NONE;
+  public MoveId move = MoveId.NONE;
 
   /** It has come from another shard, so it has run before it was assigned here. */
-  boolean hasRun;
+  public boolean hasRun;
 
   /** Assigned to another shard, whose owner may renew its worker's lease. */
-  boolean assignedElsewhere;
+  public boolean assignedElsewhere;
 
   /** Under an epoch below this its worker may have been another shard's. */
-  Epoch term = Epoch.NONE;
+  public Epoch term = Epoch.NONE;
 
-  MonotonicTime lentSince = MonotonicTime.NEVER;
+  public MonotonicTime lentSince = MonotonicTime.NEVER;
 
-  Tenure tenure = new Tenure(0);
-  long serial = -1;
-  MonotonicTime lastHeard = MonotonicTime.NEVER;
-  MonotonicTime firstHeard = MonotonicTime.NEVER;
+  public Incarnation tenure = new Incarnation(0);
+  public long serial = -1;
+  public MonotonicTime lastHeard = MonotonicTime.NEVER;
+  public MonotonicTime firstHeard = MonotonicTime.NEVER;
 
   /** What answers and commands to it carry; numbers under one epoch only rise. */
-  private Token token = Token.NONE;
+  private FencingToken token = FencingToken.NONE;
 
   /** The highest token it has shown: below that it takes no command any more. */
-  private Token shown = Token.NONE;
+  private FencingToken shown = FencingToken.NONE;
 
   /** Where it takes commands outside the answers to its reports; empty if it has not said. */
-  String address = "";
+  public String address = "";
 
   /**
    * Starts that went straight to it, and under which token. Until it shows a higher one, a copy or
    * a message held back may start them, once more or only then.
    */
-  private final Map<TaskRun, Token> direct = new HashMap<>();
+  private final Map<TaskAttemptId, FencingToken> direct = new HashMap<>();
 
   /** Commands that went straight to it and are not answered, and those answered lately. */
-  int directOut;
+  public int directOut;
 
-  int directAnswered;
+  public int directAnswered;
 
   /** It has seen our epoch, so no earlier owner can renew its lease. */
-  boolean confirmed;
+  public boolean confirmed;
 
   /** What is on it is known: a report was taken in. */
-  boolean known;
+  public boolean known;
 
-  Tenure deadTenure = new Tenure(-1);
+  public Incarnation deadTenure = new Incarnation(-1);
 
   /** Its reports arrive, but it seems not to get our answers: nothing new is placed on it. */
-  boolean deaf;
+  public boolean deaf;
 
-  MonotonicTime deafFrom = MonotonicTime.NEVER;
+  public MonotonicTime deafFrom = MonotonicTime.NEVER;
 
   /** Reports in a row that show that the answer before them was not taken. */
-  int unheeded;
+  public int unheeded;
 
   /** The last report was answered with 200. */
-  boolean answered;
+  public boolean answered;
 
-  boolean noticed;
-  boolean retiring;
+  public boolean noticed;
+  public boolean retiring;
 
   /** More than is needed: nothing new is placed on it, and it goes back once empty. */
-  boolean draining;
+  public boolean draining;
 
-  MonotonicTime quarantinedUntil = MonotonicTime.NEVER;
-  MonotonicTime noRoomUntil = MonotonicTime.NEVER;
-  int errors;
-  int quarantines;
-  MonotonicTime idleSince = MonotonicTime.NEVER;
-  int listedTasks;
-  Report report;
+  public MonotonicTime quarantinedUntil = MonotonicTime.NEVER;
+  public MonotonicTime noRoomUntil = MonotonicTime.NEVER;
+  public int errors;
+  public int quarantines;
+  public MonotonicTime idleSince = MonotonicTime.NEVER;
+  public int listedTasks;
+  public WorkerHeartbeat report;
 
   /** The request whose answer waits for a commit; -1 if there is none. */
-  long parked = -1;
+  public long parked = -1;
 
-  MonotonicTime parkedUntil = MonotonicTime.NEVER;
+  public MonotonicTime parkedUntil = MonotonicTime.NEVER;
 
-  final Set<LiveTask> live = new ObjectLinkedOpenHashSet<>();
-  final List<Ghost> ghosts = new ArrayList<>();
+  public final Set<LiveTask> live = new ObjectLinkedOpenHashSet<>();
+  public final List<Ghost> ghosts = new ArrayList<>();
 
   /** Images it should hold, by size, the most lately used last. */
   private final Object2DoubleLinkedOpenHashMap<String> images =
@@ -126,18 +131,18 @@
   private double memoryGb;
 
   /** The part's machines with room; each keeps its own place there up to date. */
-  private final Set<Host> withRoom;
+  private final Set<Machine> withRoom;
 
-  Host(HostName name, Set<Host> withRoom) {
+  public Machine(MachineName name, Set<Machine> withRoom) {
     this.name = name;
     this.withRoom = withRoom;
   }
 
-  HostType type() {
+  public MachineType type() {
     return type;
   }
 
-  void type(HostType t) {
+  public void type(MachineType t) {
     type = t;
     index();
   }
@@ -151,8 +156,8 @@
   }
 
   /** The token to use at this epoch. */
-  Token token(Epoch epoch) {
-    Token least = Token.of(epoch);
+  public FencingToken token(Epoch epoch) {
+    FencingToken least = FencingToken.of(epoch);
     if (least.above(token)) {
       token = least;
     }
@@ -160,8 +165,8 @@
   }
 
   /** For an answer: above that of all starts that went out directly, so that it ends them. */
-  Token tokenAbove(Epoch epoch) {
-    Token t = token(epoch);
+  public FencingToken tokenAbove(Epoch epoch) {
+    FencingToken t = token(epoch);
     if (!t.isLast() && direct.containsValue(t)) {
       token = t.next();
     }
@@ -169,19 +174,19 @@
   }
 
   /** Takes in what its report shows. */
-  void shows(Token t) {
+  public void shows(FencingToken t) {
     shown = t;
     direct.values().removeIf(t::above);
   }
 
   /** It has begun a new session and takes no command of an earlier one. */
-  void newSession() {
+  public void newSession() {
     direct.clear();
     images.clear();
   }
 
   /** Whether it takes commands directly: it is reached under our epoch, and a number is left. */
-  boolean takesDirect(Epoch epoch) {
+  public boolean takesDirect(Epoch epoch) {
     return !address.isEmpty()
         && confirmed
         && shown.epoch().equals(epoch)
@@ -189,17 +194,17 @@
         && !token(epoch).isLast();
   }
 
-  void sentDirectly(TaskRun r, Token t) {
+  public void sentDirectly(TaskAttemptId r, FencingToken t) {
     direct.put(r, t);
   }
 
   /** Whether a command that went straight to it may yet be carried out. */
-  boolean awaitsDirect() {
+  public boolean awaitsDirect() {
     return directOut > 0 || !direct.isEmpty();
   }
 
   /** Whether a command under way may yet start it. */
-  boolean mayStart(TaskRun r) {
+  public boolean mayStart(TaskAttemptId r) {
     return direct.containsKey(r);
   }
 
@@ -223,14 +228,14 @@
   }
 
   /** The task's room is given to another, which starts only after it has been stopped. */
-  void yield(LiveTask t) {
+  public void yield(LiveTask t) {
     if (!t.yielded) {
       t.yielded = true;
       use(t.job.spec, -1);
     }
   }
 
-  boolean fitsWith(JobSpec s, double moreCpus, double moreGpus, double moreMemoryGb) {
+  public boolean fitsWith(JobSpec s, double moreCpus, double moreGpus, double moreMemoryGb) {
     return type != null
         && s.cpus() <= type.cpus() - cpus + moreCpus + 1e-9
         && s.gpus() <= type.gpus() - gpus + moreGpus + 1e-9
@@ -238,11 +243,11 @@
   }
 
   /** A fetch of the image to a machine of this kind. */
-  double fetchAnewS(JobSpec s) {
+  public double fetchAnewS(JobSpec s) {
     return s.imageGb() / Math.max(0.01, type.fetchGbPerS());
   }
 
-  double fetchSeconds(JobSpec s) {
+  public double fetchSeconds(JobSpec s) {
     if (images.containsKey(s.image())) {
       return 0;
     }
@@ -251,21 +256,21 @@
   }
 
   /** Seconds until it can be told something: in the answer to its next report. */
-  double toldInS(MonotonicTime now, double reportS) {
+  public double toldInS(MonotonicTime now, double reportS) {
     return parked >= 0 ? 0 : Math.max(0, reportS - now.since(lastHeard) / 1000.0);
   }
 
-  boolean holdsOrFetches(JobSpec s) {
+  public boolean holdsOrFetches(JobSpec s) {
     return images.containsKey(s.image()) || wanted.containsKey(s.image());
   }
 
-  void addGhost(Job j, int index) {
+  public void addGhost(Job j, int index) {
     ghosts.add(new Ghost(j, index));
     j.ghost(index);
     use(j.spec, 1);
   }
 
-  void clearGhosts() {
+  public void clearGhosts() {
     for (Ghost g : ghosts) {
       g.job.unghost(g.index);
       use(g.job.spec, -1);
@@ -281,7 +286,7 @@
   }
 
   /** A task with this image runs, so the machine holds it; others may have had to go for it. */
-  void holds(JobSpec s) {
+  public void holds(JobSpec s) {
     images.putAndMoveToLast(s.image(), s.imageGb());
     double sum = 0;
     for (double gb : images.values()) {
@@ -292,27 +297,27 @@
     }
   }
 
-  boolean empty() {
+  public boolean empty() {
     return live.isEmpty() && ghosts.isEmpty();
   }
 
-  double usedCpus() {
+  public double usedCpus() {
     return cpus;
   }
 
   /** The share of it that is taken, of what there is the least of. */
-  double usedShare() {
+  public double usedShare() {
     double share = cpus / Math.max(1e-9, type.cpus());
     share = Math.max(share, memoryGb / Math.max(1e-9, type.memoryGb()));
     return type.gpus() > 0 ? Math.max(share, gpus / type.gpus()) : share;
   }
 
-  double freeCpus() {
+  public double freeCpus() {
     return type == null ? 0 : type.cpus() - cpus;
   }
 
   /** How many more tasks like this fit. */
-  int fits(JobSpec s) {
+  public int fits(JobSpec s) {
     if (type == null) {
       return 0;
     }
@@ -332,11 +337,11 @@
   }
 
   /** Type, zone and kind are such as the job allows. */
-  boolean allowed(JobSpec s) {
-    return info != null && type != null && Placement.allowed(s, offer(), type);
+  public boolean allowed(JobSpec s) {
+    return info != null && type != null && BinPacking.allowed(s, offer(), type);
   }
 
-  boolean reported() {
+  public boolean reported() {
     return firstHeard != MonotonicTime.NEVER;
   }
 }
--- a/src/main/java/shorecrank/coordination/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -1,25 +1,28 @@
-package shorecrank.coordination;
+package shorecrank.coordination.model;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /** Which of a part's machines its owner hears, and what their silence proves. */
-final class WorkerLiveness {
+public final class WorkerLiveness {
   /** A worker gives a report up after 4 s and tries the next controller 1 s later. */
   private static final long REDIRECT_MS = 5000;
 
-  private final Ports ports;
-  private final Collection<Host> hosts;
+  private final StepContext ports;
+  private final Collection<Machine> hosts;
 
   /** When the part was granted: before it nobody could report here. */
   private final MonotonicTime grantedAt;
 
-  WorkerLiveness(Ports ports, Collection<Host> hosts, MonotonicTime grantedAt) {
+  public WorkerLiveness(StepContext ports, Collection<Machine> hosts, MonotonicTime grantedAt) {
     this.ports = ports;
     this.hosts = hosts;
     this.grantedAt = grantedAt;
@@ -30,10 +33,10 @@
    * owner is better replaced soon; alone with a share of it, both are cut off together, and those
    * workers have nobody else.
    */
-  boolean hearsFew() {
+  public boolean hearsFew() {
     int heard = 0;
     int reported = 0;
-    for (Host h : hosts) {
+    for (Machine h : hosts) {
       if (h.reported()) {
         reported++;
         heard += overdue(h) ? 0 : 1;
@@ -43,11 +46,11 @@
   }
 
   /** Whom this owner should hear and does not, for the leader to compare with what others hear. */
-  WorkerReachability hearing() {
+  public WorkerReachability hearing() {
     int expected = 0;
     int unheard = 0;
     Map<String, int[]> byZone = new TreeMap<>();
-    for (Host h : hosts) {
+    for (Machine h : hosts) {
       if (h.info != null && h.lent && (h.reported() || !h.empty())) {
         int[] zone = byZone.computeIfAbsent(h.info.zone(), z -> new int[2]);
         expected++;
@@ -72,13 +75,13 @@
    * Its next report should have come by now. A worker whose report was lost with the last owner
    * gives it up and turns to another controller first, so a new owner waits for that too.
    */
-  private boolean overdue(Host h) {
+  private boolean overdue(Machine h) {
     long redirect = h.lastHeard.before(grantedAt) ? REDIRECT_MS : 0;
     return silentMs(h) > ports.config.workers().reportS() * 1250 + 2000 + redirect;
   }
 
   /** When a silent machine's worker has surely killed its tasks. */
-  boolean leaseOut(Host h) {
+  public boolean leaseOut(Machine h) {
     MonotonicTime from = h.lastHeard;
     if (!h.confirmed) {
       // An earlier owner may have gone on renewing it until its grace was over.
@@ -90,12 +93,12 @@
     return ports.now().since(from) > lease * 1.002 + 1000;
   }
 
-  long silentMs(Host h) {
+  public long silentMs(Machine h) {
     MonotonicTime from = h.lastHeard.before(grantedAt) ? grantedAt : h.lastHeard;
     return ports.now().since(from);
   }
 
-  boolean fresh(Host h) {
+  public boolean fresh(Machine h) {
     return h.known && silentMs(h) < ports.config.workers().reportS() * 2500 + 1500;
   }
 }
--- a/src/main/java/shorecrank/coordination/PrerequisiteCheck.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -1,13 +1,15 @@
-package shorecrank.coordination;
+package shorecrank.coordination.request;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.function.Consumer;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.UserMessages.Phase;
+import shorecrank.protocol.UserMessages;
+import shorecrank.protocol.UserMessages.JobState;
 
 /**
  * Looks up the jobs that a submission names as its prerequisites.
@@ -15,7 +17,7 @@
  * <p>What was found is kept for a while: a submission that names more jobs than the budget of state
  * requests allows at once is answered "later", and goes on where it stopped when it is repeated.
  */
-final class PrerequisiteCheck {
+final class DependencyAdmission {
   /** What is known of the named jobs. */
   sealed interface Result {
     /** All were accepted; one of them may be cancelled. */
@@ -33,7 +35,7 @@
 
   /** Looks one job up in the state service. */
   interface LookUp {
-    void lookUp(JobId id, Consumer<Phase> found, Runnable absent, Runnable unknown);
+    void lookUp(JobId id, Consumer<JobState> found, Runnable absent, Runnable unknown);
   }
 
   private static final int MAX_KEPT = 10_000;
@@ -47,14 +49,14 @@
    */
   private static final int FRESH_MS = 5000;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final LookUp lookUp;
 
   /** Jobs seen in their records, and when. */
   private final Cache<JobId, MonotonicTime> unfinished =
       Caffeine.newBuilder().maximumSize(MAX_KEPT).executor(Runnable::run).build();
 
-  PrerequisiteCheck(Ports ports, LookUp lookUp) {
+  DependencyAdmission(StepContext ports, LookUp lookUp) {
     this.ports = ports;
     this.lookUp = lookUp;
   }
@@ -103,11 +105,11 @@
       return at != null && ports.now().since(at) < FRESH_MS;
     }
 
-    private void found(JobId id, Phase phase) {
+    private void found(JobId id, JobState phase) {
       underWay--;
-      if (phase == Phase.WITHDRAWN) {
+      if (phase == JobState.WITHDRAWN) {
         cancelled = true;
-      } else if (phase != Phase.DONE) {
+      } else if (phase != JobState.DONE) {
         unfinished.put(id, ports.now());
       }
       next();
--- a/src/main/java/shorecrank/coordination/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -1,8 +1,12 @@
-package shorecrank.coordination;
+package shorecrank.coordination.request;
 
+import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
-import shorecrank.protocol.Ids.NodeLabel;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
 
@@ -13,7 +17,7 @@
 final class LeaderForwarder {
   private static final int FORWARD_MS = 3000;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final Election election;
   private final String feature;
   private final String option;
@@ -22,7 +26,7 @@
    * @param feature what the requests are about, for those that have it not enabled
    * @param option the command-line option that enables it
    */
-  LeaderForwarder(Ports ports, Election election, String feature, String option) {
+  LeaderForwarder(StepContext ports, Election election, String feature, String option) {
     this.ports = ports;
     this.election = election;
     this.feature = feature;
@@ -40,7 +44,7 @@
       return;
     }
     JsonNode request = Json.parse(r.body());
-    NodeLabel leader = election.leader();
+    ControllerName leader = election.leader();
     if (election.holding()) {
       here.accept(request);
     } else if (leader == null || leader.equals(ports.config.label())) {
@@ -52,7 +56,7 @@
     }
   }
 
-  private void forward(Input.Request r, String path, NodeLabel leader, JsonNode request) {
+  private void forward(Input.Request r, String path, ControllerName leader, JsonNode request) {
     ports.peer(
         leader,
         path,
--- a/src/main/java/shorecrank/coordination/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -1,9 +1,12 @@
-package shorecrank.coordination;
+package shorecrank.coordination.request;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.Order;
@@ -16,27 +19,27 @@
  * Operators' requests about rollouts, taken by every controller. The leader answers; the others
  * pass the request on, so that the answer is the same wherever it is asked for.
  */
-final class RolloutRequestHandler {
+public final class RolloutRequestHandler {
   private static final int READ_MS = 2000;
   private static final int PAGE = 200;
 
   /** What keys of the service are made of, so that none can change the request's path. */
   private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9/._-]+");
 
-  private final Ports ports;
+  private final StepContext ports;
   private final LeaderForwarder leader;
   private final RolloutCoordinator rollout;
 
   /**
    * @param rollout null if rollouts are not enabled here
    */
-  RolloutRequestHandler(Ports ports, Election election, RolloutCoordinator rollout) {
+  public RolloutRequestHandler(StepContext ports, Election election, RolloutCoordinator rollout) {
     this.ports = ports;
     this.leader = new LeaderForwarder(ports, election, "rollouts", "--rollout FILE");
     this.rollout = rollout;
   }
 
-  void status(Input.Request r) {
+  public void status(Input.Request r) {
     leader.answer(
         r,
         RolloutMessages.STATUS,
@@ -51,7 +54,7 @@
         });
   }
 
-  void order(Input.Request r) {
+  public void order(Input.Request r) {
     leader.answer(
         r,
         RolloutMessages.ORDERS,
@@ -78,7 +81,7 @@
   }
 
   /** Only keys of the service, and its archives. */
-  void keys(Input.Request r) {
+  public void keys(Input.Request r) {
     if (rollout == null) {
       leader.notEnabled(r);
       return;
--- a/src/main/java/shorecrank/coordination/ShareRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
@@ -1,5 +1,8 @@
-package shorecrank.coordination;
+package shorecrank.coordination.request;
 
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.ShareOrder;
@@ -7,21 +10,21 @@
 import shorecrank.rebalance.MoveCoordinator;
 
 /** Operators' requests about shares, taken by every controller and answered by the leader. */
-final class ShareRequestHandler {
-  private final Ports ports;
+public final class ShareRequestHandler {
+  private final StepContext ports;
   private final LeaderForwarder leader;
   private final MoveCoordinator moves;
 
   /**
    * @param moves null if shares are not enabled here
    */
-  ShareRequestHandler(Ports ports, Election election, MoveCoordinator moves) {
+  public ShareRequestHandler(StepContext ports, Election election, MoveCoordinator moves) {
     this.ports = ports;
     this.leader = new LeaderForwarder(ports, election, "shares", "--shares FILE");
     this.moves = moves;
   }
 
-  void show(Input.Request r) {
+  public void show(Input.Request r) {
     leader.answer(
         r,
         ShareMessages.SHOW,
@@ -36,7 +39,7 @@
         });
   }
 
-  void order(Input.Request r) {
+  public void order(Input.Request r) {
     leader.answer(
         r,
         ShareMessages.ORDERS,
--- a/src/main/java/shorecrank/coordination/UserRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
@@ -1,5 +1,8 @@
-package shorecrank.coordination;
+package shorecrank.coordination.request;
 
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.UserMessages.JobStatus;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
@@ -11,11 +14,15 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
-import shorecrank.coordination.PrerequisiteCheck.Result;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.request.DependencyAdmission.Result;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.scheduling.BinPacking;
+import shorecrank.coordination.shard.StatusQueries;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
@@ -23,8 +30,7 @@
 import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Txn;
 import shorecrank.protocol.UserMessages;
-import shorecrank.protocol.UserMessages.Phase;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.Final;
 
@@ -32,7 +38,7 @@
  * The users' requests. Any controller serves them from the store alone, so that no answer is older
  * than one already given; only what can never change again is answered from memory.
  */
-final class UserRequestHandler {
+public final class UserRequestHandler {
   private static final int CALL_MS = 1500;
   private static final int CANCEL_TRIES = 6;
   private static final int CREATE_TRIES = 2;
@@ -42,47 +48,47 @@
 
   private static final String TOO_LARGE = "its record is larger than the state service takes";
 
-  private final Ports ports;
+  private final StepContext ports;
   private final Cache<JobId, Final> finals =
       Caffeine.newBuilder().maximumSize(5000).executor(Runnable::run).build();
 
   /** Parts of jobs seen here: whom to ask about them. */
-  private final Cache<JobId, PartId> partOf =
+  private final Cache<JobId, ShardId> partOf =
       Caffeine.newBuilder().maximumSize(5000).executor(Runnable::run).build();
 
-  private final Cancellations cancellations;
+  private final CancellationLog cancellations;
   private final Owners owners;
   private final Relay relay;
-  private final PrerequisiteCheck prerequisites;
-  private Map<String, HostType> catalog = Map.of();
+  private final DependencyAdmission prerequisites;
+  private Map<String, MachineType> catalog = Map.of();
 
   /** A user's request; {@code relayed} if another controller passed it on. */
-  record Ask(long reply, String method, String path, byte[] body, boolean relayed) {}
+  public record Ask(long reply, String method, String path, byte[] body, boolean relayed) {}
 
   /** Passes a request on to a controller that reaches the state service. */
-  interface Relay {
+  public interface Relay {
     /** False if there is none; else the answer is given, or {@code failed} is run. */
     boolean relay(Ask ask, Runnable failed);
   }
 
   /** Asks the owner of a part, wherever it is. */
-  interface Owners {
-    void ask(PartId part, JobId id, StatusQueries.OnStanding then);
+  public interface Owners {
+    void ask(ShardId part, JobId id, StatusQueries.OnStanding then);
   }
 
-  UserRequestHandler(Ports ports, Cancellations cancellations, Owners owners, Relay relay) {
+  public UserRequestHandler(StepContext ports, CancellationLog cancellations, Owners owners, Relay relay) {
     this.ports = ports;
     this.cancellations = cancellations;
     this.relay = relay;
     this.owners = owners;
     this.prerequisites =
-        new PrerequisiteCheck(
+        new DependencyAdmission(
             ports,
             (id, found, absent, unknown) ->
                 lookUp(id, f -> found.accept(f.standing().phase()), absent, unknown));
   }
 
-  void catalog(Map<String, HostType> c) {
+  public void catalog(Map<String, MachineType> c) {
     catalog = c;
   }
 
@@ -106,7 +112,7 @@
     return true;
   }
 
-  void submit(Ask ask) {
+  public void submit(Ask ask) {
     JobSpec spec;
     try {
       spec = JobSpec.read(Json.parse(ask.body()));
@@ -137,10 +143,10 @@
    * Only jobs that were accepted may be named. One that names a cancelled job is accepted, and is
    * cancelled.
    */
-  private void checked(Ask ask, JobSpec spec, ObjectNode value, PrerequisiteCheck.Result result) {
+  private void checked(Ask ask, JobSpec spec, ObjectNode value, DependencyAdmission.Result result) {
     if (result instanceof Result.Accepted accepted) {
       if (ports.userWrites.tryTake(1, ports.now())) {
-        Phase phase = accepted.cancelled() ? Phase.WITHDRAWN : Phase.QUEUED;
+        JobState phase = accepted.cancelled() ? JobState.WITHDRAWN : JobState.QUEUED;
         create(ask, spec, phase, value, CREATE_TRIES);
       } else {
         later(ask, "state changes are used up");
@@ -171,7 +177,7 @@
     if (team == null) {
       return "unknown team " + s.team();
     }
-    if (!Placement.possible(s, catalog)) {
+    if (!BinPacking.possible(s, catalog)) {
       return "no allowed machine type can hold a task";
     }
     if ((team.cpusMax() > 0 && s.cpus() > team.cpusMax())
@@ -212,8 +218,8 @@
     return Json.bytes(compact).length + OWNERS_BYTES <= most ? compact : null;
   }
 
-  private void create(Ask ask, JobSpec spec, Phase phase, ObjectNode value, int tries) {
-    partOf.put(spec.id(), PartId.of(spec.team(), ports.tuning.parts()));
+  private void create(Ask ask, JobSpec spec, JobState phase, ObjectNode value, int tries) {
+    partOf.put(spec.id(), ShardId.of(spec.team(), ports.tuning.parts()));
     ports.state(
         "POST",
         StoreMessages.MULTI,
@@ -226,7 +232,7 @@
         (status, body) -> {
           if (status == 200) {
             ports.count("job.accepted");
-            if (phase == Phase.WITHDRAWN) {
+            if (phase == JobState.WITHDRAWN) {
               cancellations.confirmed(spec.id());
             }
             ports.reply(ask.reply(), 201, UserMessages.phase(spec.id(), phase));
@@ -250,11 +256,11 @@
 
   /** A job as the store has it. */
   private sealed interface Found {
-    Standing standing();
+    JobStatus standing();
 
     record Unfinished(JobRecord record, Revision stamp) implements Found {
       @Override
-      public Standing standing() {
+      public JobStatus standing() {
         return record.standing();
       }
     }
@@ -262,14 +268,14 @@
     /** Its record is as it was, but a job that it needs is cancelled, and so is this one. */
     record CancelledWithOthers(JobRecord record) implements Found {
       @Override
-      public Standing standing() {
-        return new Standing(Phase.WITHDRAWN, 0, 0);
+      public JobStatus standing() {
+        return new JobStatus(JobState.WITHDRAWN, 0, 0);
       }
     }
 
     record Over(Final end) implements Found {
       @Override
-      public Standing standing() {
+      public JobStatus standing() {
         return end.standing();
       }
     }
@@ -336,7 +342,7 @@
     lookUpRecord(
         id,
         f -> {
-          if (f.standing().phase() == Phase.WITHDRAWN) {
+          if (f.standing().phase() == JobState.WITHDRAWN) {
             cancellations.learn(id);
             found.accept(new Found.CancelledWithOthers(waiting.record));
             return;
@@ -369,7 +375,7 @@
               ports.unreadable(JobRecord.liveKey(id));
               unknown.run();
             } else {
-              partOf.put(id, PartId.of(r.spec().team(), ports.tuning.parts()));
+              partOf.put(id, ShardId.of(r.spec().team(), ports.tuning.parts()));
               found.accept(new Found.Unfinished(r, e.revision()));
             }
           } else if (status == 404) {
@@ -404,13 +410,13 @@
         });
   }
 
-  void status(Ask ask, String name) {
+  public void status(Ask ask, String name) {
     if (!JobSpec.idOk(name)) {
       ports.reply(ask.reply(), 404, Json.error("no such job"));
       return;
     }
     JobId id = new JobId(name);
-    PartId part = partOf.getIfPresent(id);
+    ShardId part = partOf.getIfPresent(id);
     if (part == null || finals.getIfPresent(id) != null) {
       statusFromStore(ask, id);
       return;
@@ -423,7 +429,7 @@
             statusFromStore(ask, id);
             return;
           }
-          if (standing.phase() == Phase.WITHDRAWN) {
+          if (standing.phase() == JobState.WITHDRAWN) {
             cancellations.confirmed(id);
           }
           ports.reply(ask.reply(), 200, UserMessages.status(id, standing));
@@ -450,7 +456,7 @@
         () -> unavailable(ask));
   }
 
-  void cancel(Ask ask, String name) {
+  public void cancel(Ask ask, String name) {
     if (!JobSpec.idOk(name)) {
       ports.reply(ask.reply(), 404, Json.error("no such job"));
       return;
@@ -500,7 +506,7 @@
           if (status == 200) {
             ports.count("job.cancelled");
             cancellations.confirmed(id);
-            ports.reply(ask.reply(), 200, UserMessages.phase(id, Phase.WITHDRAWN));
+            ports.reply(ask.reply(), 200, UserMessages.phase(id, JobState.WITHDRAWN));
           } else if (status == 409 || status == 0) {
             // Changed meanwhile, or not known: look again and write behind what is there now.
             cancel(ask, id, tries - 1);
--- a/src/main/java/shorecrank/coordination/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -1,5 +1,8 @@
-package shorecrank.coordination;
+package shorecrank.coordination.scheduling;
 
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.PeerMessages.UnavailableOffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,17 +10,22 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.scheduling.BinPacking;
+import shorecrank.coordination.shard.ShardOwner;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
-import shorecrank.protocol.PeerMessages.Blocked;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.CapacityRequest;
 
 /** Which machines a part asks the leader to rent and to return. */
-final class Autoscaler {
+public final class Autoscaler {
   /** Arrivals come in bursts: somewhat more than the last peak stays. */
   private static final double SPARE = 1.05;
 
@@ -36,9 +44,9 @@
   private static final double MOVE_GAIN = 2;
 
   /** A start that is stopped sooner does not count as one (PROTOCOL: 30 s). */
-  static final double SETTLED_S = 32;
+  public static final double SETTLED_S = 32;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final ShardOwner owner;
   private final Map<Offer, MonotonicTime> blocked = new HashMap<>();
 
@@ -53,12 +61,12 @@
   /** Falling peaks of what was needed lately, the highest first. */
   private final ArrayDeque<Peak> peaks = new ArrayDeque<>();
 
-  Autoscaler(Ports ports, ShardOwner owner) {
+  public Autoscaler(StepContext ports, ShardOwner owner) {
     this.ports = ports;
     this.owner = owner;
   }
 
-  void blocked(List<Blocked> l) {
+  public void blocked(List<UnavailableOffer> l) {
     blocked.clear();
     l.forEach(
         b -> {
@@ -68,13 +76,13 @@
   }
 
   /** Machines to be given back: broken, silent, or idle for a while. */
-  void review(List<HostName> retire) {
+  public void review(List<MachineName> retire) {
     MonotonicTime now = ports.now();
     double report = reportS() * 1000;
     double lease = ports.config.workers().leaseS() * 1000;
     Silence all = new Silence();
     Map<String, Silence> byZone = new HashMap<>();
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.hosts.values()) {
       // One that holds tasks has run before, whether or not this owner has heard it.
       if (h.info != null && (h.reported() || !h.empty())) {
         boolean silent = !owner.liveness.fresh(h);
@@ -99,7 +107,7 @@
     double soon = lease - early > 10_000 ? early : lease + 30_000;
     double patient = lease + 60_000;
     balance();
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.hosts.values()) {
       long quiet = owner.liveness.silentMs(h);
       // When it is over the last of them have a lease's time to find their way.
       MonotonicTime cutAt =
@@ -155,9 +163,9 @@
     MonotonicTime now = ports.now();
     double used = 0;
     double have = 0;
-    List<Host> running = new ArrayList<>();
-    List<Host> draining = new ArrayList<>();
-    for (Host h : owner.hosts.values()) {
+    List<Machine> running = new ArrayList<>();
+    List<Machine> draining = new ArrayList<>();
+    for (Machine h : owner.hosts.values()) {
       if (h.type() == null) {
         continue;
       }
@@ -186,13 +194,13 @@
     peaks.removeIf(p -> p.cpus <= need);
     peaks.add(new Peak(now, need));
     double keep = peaks.peekFirst().cpus * SPARE;
-    Comparator<Host> dear =
-        Comparator.<Host>comparingDouble(h -> h.type().price(h.info.spot()) / h.type().cpus());
+    Comparator<Machine> dear =
+        Comparator.<Machine>comparingDouble(h -> h.type().price(h.info.spot()) / h.type().cpus());
     draining.sort(dear.thenComparing(h -> h.name));
-    for (Host h : running) {
+    for (Machine h : running) {
       unfit -= owner.usable(h) ? roomFor(waiting, h) : 0;
     }
-    for (Host h : draining) {
+    for (Machine h : draining) {
       if (have >= keep && unfit <= 0) {
         break;
       }
@@ -207,8 +215,8 @@
     if (unfit > 0) {
       return;
     }
-    running.sort(dear.reversed().thenComparing(Host::usedCpus).thenComparing(h -> h.name));
-    for (Host h : running) {
+    running.sort(dear.reversed().thenComparing(Machine::usedCpus).thenComparing(h -> h.name));
+    for (Machine h : running) {
       if (have - h.type().cpus() < keep) {
         break;
       }
@@ -222,9 +230,9 @@
    * save move to where there is room, if their machine goes back so much sooner that it is worth
    * the saving, the new start and perhaps another fetch.
    */
-  private void vacate(List<Host> draining) {
+  private void vacate(List<Machine> draining) {
     double room = 0;
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.hosts.values()) {
       room += owner.usable(h) ? h.freeCpus() : 0;
     }
     for (Job j : owner.jobs.values()) {
@@ -232,10 +240,10 @@
     }
     room *= MOVE_SHARE;
     draining.sort(
-        Comparator.<Host>comparingDouble(h -> -h.type().price(h.info.spot()) / h.type().cpus())
-            .thenComparing(Host::usedCpus)
+        Comparator.<Machine>comparingDouble(h -> -h.type().price(h.info.spot()) / h.type().cpus())
+            .thenComparing(Machine::usedCpus)
             .thenComparing(h -> h.name));
-    for (Host h : draining) {
+    for (Machine h : draining) {
       if (!h.draining || h.empty() || !owner.liveness.fresh(h) || h.deaf) {
         continue;
       }
@@ -305,7 +313,7 @@
    * Processors of a machine that waiting jobs can use. What is free is not always of use: a task
    * may need more memory, or more processors, than any machine has left.
    */
-  private double roomFor(Map<Job, Integer> waiting, Host h) {
+  private double roomFor(Map<Job, Integer> waiting, Machine h) {
     double best = 0;
     if (h.freeCpus() > 1e-9) {
       for (Map.Entry<Job, Integer> e : waiting.entrySet()) {
@@ -327,19 +335,19 @@
   }
 
   /** What the waiting work needs beyond what is there or on its way. */
-  List<CapacityRequest> wants() {
+  public List<CapacityRequest> wants() {
     List<CapacityRequest> wants = new ArrayList<>();
     if (!owner.ready() || !owner.valid()) {
       return wants;
     }
     MonotonicTime now = ports.now();
-    Map<String, HostType> catalog = owner.catalog();
+    Map<String, MachineType> catalog = owner.catalog();
     Map<Job, Integer> waiting = waiting();
     if (waiting.isEmpty()) {
       return wants;
     }
     double free = 0;
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.hosts.values()) {
       if (h.type() == null || !h.lent || h.retiring || h.noticed) {
         continue;
       }
@@ -363,7 +371,7 @@
       return wants;
     }
     List<Offer> offers = new ArrayList<>();
-    for (HostType t : catalog.values()) {
+    for (MachineType t : catalog.values()) {
       for (String z : t.zones()) {
         offers.add(new Offer(t.name(), z, true));
         offers.add(new Offer(t.name(), z, false));
@@ -391,10 +399,10 @@
       }
       for (; i < alike; i++) {
         Offer o = offers.get(i);
-        HostType t = catalog.get(o.type());
+        MachineType t = catalog.get(o.type());
         double eligible = 0;
         for (Map.Entry<Job, Double> e : needs.entrySet()) {
-          if (Placement.allowed(e.getKey().spec, o, t)) {
+          if (BinPacking.allowed(e.getKey().spec, o, t)) {
             eligible += e.getValue();
           }
         }
@@ -416,19 +424,19 @@
   /**
    * One that takes far longer than usual to boot may never come up, or was gone when it was met.
    */
-  private boolean mayComeUp(Host h) {
+  private boolean mayComeUp(Machine h) {
     return !h.hasRun
         && h.type() != null
         && ports.now().since(h.lentSince) < LONG_BOOT * 1000 * h.type().bootS();
   }
 
   private double perCpu(Offer o) {
-    HostType t = owner.catalog().get(o.type());
+    MachineType t = owner.catalog().get(o.type());
     return t.price(o.spot()) / t.cpus();
   }
 
   private boolean served(Job j) {
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.hosts.values()) {
       if (h.lent
           && !h.retiring
           && !h.noticed
@@ -442,9 +450,9 @@
   }
 
   /** A task's share of a machine in processors, where memory or accelerators may be what counts. */
-  private static double size(JobSpec s, Map<String, HostType> catalog) {
+  private static double size(JobSpec s, Map<String, MachineType> catalog) {
     double best = Double.MAX_VALUE;
-    for (HostType t : catalog.values()) {
+    for (MachineType t : catalog.values()) {
       double share = s.cpus() / t.cpus();
       share = Math.max(share, s.memoryGb() / Math.max(1e-9, t.memoryGb()));
       if (s.gpus() > 0) {
--- a/src/main/java/shorecrank/coordination/Placement.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -1,18 +1,20 @@
-package shorecrank.coordination;
+package shorecrank.coordination.scheduling;
 
+import shorecrank.protocol.CloudMessages.MachineType;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.model.Machine;
+import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
 
 /** Where a job's tasks may go, and where they go best. */
-final class Placement {
-  private Placement() {}
+public final class BinPacking {
+  private BinPacking() {}
 
-  static boolean allowed(JobSpec s, Offer o, HostType t) {
+  public static boolean allowed(JobSpec s, Offer o, MachineType t) {
     return (s.types() == null || s.types().contains(o.type()))
         && (s.zone() == null || s.zone().equals(o.zone()))
         && (s.spot() || !o.spot())
@@ -22,8 +24,8 @@
   }
 
   /** A task fits some machine type that the job allows. */
-  static boolean possible(JobSpec s, Map<String, HostType> catalog) {
-    for (HostType t : catalog.values()) {
+  public static boolean possible(JobSpec s, Map<String, MachineType> catalog) {
+    for (MachineType t : catalog.values()) {
       for (String z : t.zones()) {
         if (allowed(s, new Offer(t.name(), z, false), t)) {
           return true;
@@ -34,10 +36,10 @@
   }
 
   /** When it is, and how often workers report: a start goes in the answer to a report. */
-  record Clock(MonotonicTime now, double reportS) {}
+  public record Clock(MonotonicTime now, double reportS) {}
 
   /** What a placement there costs, in seconds; less is better. */
-  private static double cost(JobSpec s, Host h, int wanted, Clock clock) {
+  private static double cost(JobSpec s, Machine h, int wanted, Clock clock) {
     double c = h.fetchSeconds(s) + h.toldInS(clock.now, clock.reportS);
     int n = Math.min(wanted, h.fits(s));
     double left = h.freeCpus() - n * s.cpus();
@@ -50,20 +52,20 @@
    * Looks at a few machines that have room and takes the best fit; if none of them fits, at all of
    * them.
    */
-  static Host choose(
+  public static Machine choose(
       JobSpec s,
       int wanted,
-      List<Host> hosts,
+      List<Machine> hosts,
       String zone,
       Clock clock,
       int sample,
       SplittableRandom random) {
-    Host best = null;
+    Machine best = null;
     double bestCost = Double.MAX_VALUE;
     int n = hosts.size();
     if (n > sample) {
       for (int i = 0; i < sample; i++) {
-        Host h = hosts.get(random.nextInt(n));
+        Machine h = hosts.get(random.nextInt(n));
         double c = fitting(s, h, zone) ? cost(s, h, wanted, clock) : Double.MAX_VALUE;
         if (c < bestCost) {
           best = h;
@@ -74,7 +76,7 @@
         return best;
       }
     }
-    for (Host h : hosts) {
+    for (Machine h : hosts) {
       double c = fitting(s, h, zone) ? cost(s, h, wanted, clock) : Double.MAX_VALUE;
       if (c < bestCost) {
         best = h;
@@ -84,7 +86,7 @@
     return best;
   }
 
-  private static boolean fitting(JobSpec s, Host h, String zone) {
+  private static boolean fitting(JobSpec s, Machine h, String zone) {
     return (zone == null || zone.equals(h.info.zone())) && h.fits(s) > 0 && h.allowed(s);
   }
 }
--- a/src/main/java/shorecrank/coordination/Dependencies.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.scheduling;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,11 +11,15 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec.Priority;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages.Phase;
+import shorecrank.protocol.UserMessages;
+import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.Final;
 
@@ -27,7 +31,7 @@
  * so is the job. Prerequisites may be any other owner's: their marks and ends are seen in the
  * store.
  */
-final class Dependencies {
+public final class DependencyGraph {
   private static final int CALL_MS = 1500;
   private static final int MAX_LOOKS = 4;
 
@@ -38,14 +42,14 @@
   private static final int MAX_DUES = 4;
 
   /** When a job must have ended for the sake of one that needs it, on the wall clock. */
-  record Due(double byMs, String jobClass) {}
+  public record Due(double byMs, String jobClass) {}
 
   /** What those that need a job make of it. */
   private record Pressure(Priority priority, List<Due> dues) {}
 
-  private final Ports ports;
+  private final StepContext ports;
   private final Map<JobId, Job> jobs;
-  private final Cancellations cancellations;
+  private final CancellationLog cancellations;
   private final Consumer<Job> cancel;
 
   /** Jobs that wait, by what they wait for. */
@@ -64,15 +68,15 @@
   /**
    * @param cancel what is to be done with a job that needs a cancelled one
    */
-  Dependencies(
-      Ports ports, Map<JobId, Job> jobs, Cancellations cancellations, Consumer<Job> cancel) {
+  public DependencyGraph(
+      StepContext ports, Map<JobId, Job> jobs, CancellationLog cancellations, Consumer<Job> cancel) {
     this.ports = ports;
     this.jobs = jobs;
     this.cancellations = cancellations;
     this.cancel = cancel;
   }
 
-  void add(Job j) {
+  public void add(Job j) {
     for (JobId p : List.copyOf(j.awaits)) {
       if (cancellations.known(p)) {
         cancelled(j);
@@ -86,7 +90,7 @@
     }
   }
 
-  void forget(Job j) {
+  public void forget(Job j) {
     changed |= pressures.remove(j) != null;
     for (JobId p : j.awaits) {
       Set<Job> s = dependents.get(p);
@@ -96,16 +100,16 @@
     }
   }
 
-  void clear() {
+  public void clear() {
     dependents.clear();
     unknown.clear();
     pressures.clear();
   }
 
   /** A final record is there. */
-  void ended(JobId id, Phase phase) {
+  public void ended(JobId id, JobState phase) {
     unknown.remove(id);
-    if (phase != Phase.DONE) {
+    if (phase != JobState.DONE) {
       cancelled(id);
       return;
     }
@@ -124,7 +128,7 @@
   }
 
   /** The record of a job that may be another owner's is no more. */
-  void dropped(JobId id) {
+  public void dropped(JobId id) {
     if (dependents.containsKey(id)) {
       unknown.add(id);
       lookAt = ports.now();
@@ -132,7 +136,7 @@
   }
 
   /** A committed mark of a cancellation was seen, or follows from one. */
-  void cancelled(JobId id) {
+  public void cancelled(JobId id) {
     Set<Job> waiting = dependents.remove(id);
     if (waiting != null) {
       List.copyOf(waiting).forEach(this::cancelled);
@@ -151,7 +155,7 @@
   }
 
   /** Looks up what is not known, a few at a time. */
-  void tick() {
+  public void tick() {
     if (unknown.isEmpty() || ports.now().before(lookAt)) {
       return;
     }
@@ -223,7 +227,7 @@
    * All jobs whose cancellation would be this job's too. Null if one of them is not of this part,
    * or if there are too many to compare.
    */
-  Collection<Job> allNeeded(Job j, int most) {
+  public Collection<Job> allNeeded(Job j, int most) {
     Set<Job> all = new LinkedHashSet<>();
     ArrayDeque<Job> open = new ArrayDeque<>(List.of(j));
     while (!open.isEmpty()) {
@@ -251,7 +255,7 @@
    * @param own the deadlines of a job's own
    * @param spanMs what a job takes once it is ready
    */
-  void refresh(Function<Job, List<Due>> own, Function<Job, Double> spanMs) {
+  public void refresh(Function<Job, List<Due>> own, Function<Job, Double> spanMs) {
     if (!changed) {
       return;
     }
--- a/src/main/java/shorecrank/coordination/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -1,26 +1,33 @@
-package shorecrank.coordination;
+package shorecrank.coordination.scheduling;
 
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.AttemptNumber;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import shorecrank.config.NodeConfig;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.protocol.CloudMessages.HostType;
-import shorecrank.protocol.Ids.Attempt;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.scheduling.SchedulingQueue;
+import shorecrank.coordination.shard.ShardOwner;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.WorkerMessages.TaskState;
 
 /** Stops tasks of lower priority for jobs whose users wait for the start. */
-final class Preemption {
+public final class Preemption {
   /** Others' work that may be thrown away for a task, as a share of its own. */
   private static final double WORTH = 0.5;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final ShardOwner owner;
   private final SchedulingQueue queue;
 
-  Preemption(Ports ports, ShardOwner owner, SchedulingQueue queue) {
+  public Preemption(StepContext ports, ShardOwner owner, SchedulingQueue queue) {
     this.ports = ports;
     this.owner = owner;
     this.queue = queue;
@@ -30,7 +37,7 @@
    * Users wait for the start of such a job, so it does not wait for others' ends; but while its aim
    * leaves time for the command and the image, room may yet come free by itself.
    */
-  boolean wanted(Job j) {
+  public boolean wanted(Job j) {
     if (queue.hasAims(j.spec) && !queue.waitsForStart(j.spec)) {
       return false;
     }
@@ -49,7 +56,7 @@
       return false;
     }
     double fetch = 0;
-    for (HostType t : owner.catalog().values()) {
+    for (MachineType t : owner.catalog().values()) {
       fetch = Math.max(fetch, j.spec.imageGb() / Math.max(0.01, t.fetchGbPerS()));
     }
     return age > aim - fetch - 1.25 * ports.config.workers().reportS() - 2;
@@ -59,16 +66,16 @@
    * Makes room by stopping tasks of lower priority that lose the least by it. Only such as exit at
    * once when stopped: the stop goes before the start in one answer, and so the start finds room.
    */
-  boolean makeRoom(Job j, int wanted, int from, String onlyZone) {
+  public boolean makeRoom(Job j, int wanted, int from, String onlyZone) {
     boolean placed = false;
     String zone = onlyZone;
     int index = from;
     double mayCost = WORTH * j.spec.cpus() * Math.max(1, j.spec.estimateS());
     while (wanted > 0 && j.rangesLeft > 0) {
-      Host best = null;
+      Machine best = null;
       List<LiveTask> victims = List.of();
       double bestCost = Double.MAX_VALUE;
-      for (Host h : owner.hosts.values()) {
+      for (Machine h : owner.hosts.values()) {
         if (!owner.usable(h)
             || !h.allowed(j.spec)
             || j.failedOn.contains(h.name)
@@ -106,7 +113,7 @@
       }
       ports.count("task.preempted");
       victims.forEach(t -> ports.count("task.preempted.ms", (long) (t.lost(ports.now()) * 1000)));
-      Attempt attempt = new Attempt(++j.tries);
+      AttemptNumber attempt = new AttemptNumber(++j.tries);
       j.rangesLeft--;
       owner.attach(new LiveTask(j, index, best, best.tenure, attempt, j.seq + 1, ports.now()));
       placed = true;
@@ -119,7 +126,7 @@
   }
 
   /** The cheapest tasks of lower priority whose end makes room for one task; empty if none do. */
-  private List<LiveTask> victims(Host h, Job j) {
+  private List<LiveTask> victims(Machine h, Job j) {
     List<LiveTask> can = new ArrayList<>();
     for (LiveTask t : h.live) {
       if (!t.revoked
--- a/src/main/java/shorecrank/coordination/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,6 +11,8 @@
 import java.util.Set;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.NodeConfig.Objective;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.JobSpec;
 
 /**
@@ -23,12 +25,12 @@
  * class has, and for more by the number of its class's aims and by its priority. The rest follows
  * by priority and least work left.
  */
-final class SchedulingQueue {
+public final class SchedulingQueue {
   /** A job without a single task after this long goes first, whatever its size. */
   static final double BEGIN_S = 120;
 
   /** Of such a job only a share goes first, so that one large job does not stop all others. */
-  static final int BEGIN_SHARE = 8;
+  public static final int BEGIN_SHARE = 8;
 
   /** Estimates are often wrong by half: a job is given up on only when half of it is too long. */
   private static final double DOUBT = 0.5;
@@ -56,7 +58,7 @@
   private record Entry(
       Job job, double latestStartS, double runS, double work, double weight, boolean owed) {}
 
-  private final Ports ports;
+  private final StepContext ports;
   private final Map<String, List<Aim>> aims = new HashMap<>();
 
   /** How many jobs of a class there were; aims are shares of them. */
@@ -64,12 +66,12 @@
 
   private final Set<Job> known = new HashSet<>();
 
-  private final Dependencies dependencies;
+  private final DependencyGraph dependencies;
 
   /** How fast the fleet's machines fetch images, as last seen. */
   private double fetchGbPerS = 0.2;
 
-  SchedulingQueue(Ports ports, Dependencies dependencies) {
+  public SchedulingQueue(StepContext ports, DependencyGraph dependencies) {
     this.ports = ports;
     this.dependencies = dependencies;
     for (Objective o : ports.config.objectives()) {
@@ -84,7 +86,7 @@
   }
 
   /** Whether users of the class wait for the start of its tasks. */
-  boolean waitsForStart(JobSpec s) {
+  public boolean waitsForStart(JobSpec s) {
     return aims.getOrDefault(s.jobClass(), List.of()).stream().anyMatch(Aim::start);
   }
 
@@ -92,7 +94,7 @@
     return !aims.getOrDefault(s.jobClass(), List.of()).isEmpty() || s.hasDeadline();
   }
 
-  static boolean overdue(Job j, long wallMs) {
+  public static boolean overdue(Job j, long wallMs) {
     return j.tries == 0 && j.doneCount() == 0 && j.awaits.isEmpty() && j.readyS(wallMs) > BEGIN_S;
   }
 
@@ -105,7 +107,7 @@
    * @param soonS when they will be there
    * @param busyWork processor seconds left of what runs
    */
-  List<Job> sort(
+  public List<Job> sort(
       Collection<Job> waiting,
       double fetchGbPerS,
       double cpus,
@@ -197,7 +199,7 @@
    * Marks the jobs within their team's guarantee: those that fit into it together with all of the
    * team's earlier ones.
    */
-  void owe(Collection<Job> jobs) {
+  public void owe(Collection<Job> jobs) {
     Map<String, List<Job>> byTeam = new HashMap<>();
     for (Job j : jobs) {
       j.owed = false;
@@ -251,7 +253,7 @@
       best = Math.min(best, latest);
     }
     double weight = weight(s.jobClass());
-    for (Dependencies.Due d : dependencies.dues(j)) {
+    for (DependencyGraph.Due d : dependencies.dues(j)) {
       double left = (d.byMs() - wall) / 1000;
       if (left >= fetch + command + run * DOUBT) {
         best = Math.min(best, left - fetch - command - run * LAST_TASK);
@@ -282,13 +284,13 @@
   }
 
   /** The deadlines of a job's own, on the wall clock. */
-  List<Dependencies.Due> ownDues(Job j) {
-    List<Dependencies.Due> l = new ArrayList<>();
+  public List<DependencyGraph.Due> ownDues(Job j) {
+    List<DependencyGraph.Due> l = new ArrayList<>();
     if (j.spec.hasDeadline()) {
       for (Aim a : aims.getOrDefault(j.spec.jobClass(), List.of())) {
         if (!a.start() && a.withinS() <= 0) {
           double s = j.spec.deadlineS() * a.times();
-          l.add(new Dependencies.Due(j.acceptedAtMs + s * 1000, j.spec.jobClass()));
+          l.add(new DependencyGraph.Due(j.acceptedAtMs + s * 1000, j.spec.jobClass()));
         }
       }
     }
@@ -296,7 +298,7 @@
   }
 
   /** What a job takes from when it is ready, by its owner's estimate. */
-  double spanMs(Job j) {
+  public double spanMs(Job j) {
     double command = ports.config.workers().reportS() / 2;
     double run = Math.max(0.5, j.spec.estimateS());
     return 1000 * (j.spec.imageGb() / Math.max(0.01, fetchGbPerS) + command + run * LAST_TASK);
@@ -308,7 +310,7 @@
     }
   }
 
-  void forget(Job j) {
+  public void forget(Job j) {
     known.remove(j);
   }
 }
--- a/src/main/java/shorecrank/coordination/DirectStarts.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -1,30 +1,34 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.WorkerMessages.WorkerCommand;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.coordination.ShardOwner.Write;
-import shorecrank.protocol.Ids.Token;
+import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.shard.ShardOwner;
+import shorecrank.coordination.shard.ShardOwner.Write;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.WorkerMessages;
-import shorecrank.protocol.WorkerMessages.Order;
 import shorecrank.protocol.WorkerMessages.Start;
 
 /** Starts that go straight to their machines, without waiting for the next report. */
-final class DirectStarts {
+final class DirectCommandSender {
   /** A machine that reports so soon is told then. */
   private static final int SOON_MS = 100;
 
   /** So long a worker may take to answer a command; what is not answered may yet be carried out. */
   private static final int DIRECT_MS = 1000;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final ShardOwner owner;
 
   /** Commands that went straight to workers and are not answered. */
   private int directOut;
 
-  DirectStarts(Ports ports, ShardOwner owner) {
+  DirectCommandSender(StepContext ports, ShardOwner owner) {
     this.ports = ports;
     this.owner = owner;
   }
@@ -36,7 +40,7 @@
    * it has done is not reaped.
    */
   void send(List<Write> batch) {
-    Set<Host> to = new LinkedHashSet<>();
+    Set<Machine> to = new LinkedHashSet<>();
     for (Write w : batch) {
       if (w.last() || !owner.owns(w.job())) {
         continue;
@@ -47,7 +51,7 @@
         }
       }
     }
-    for (Host h : to) {
+    for (Machine h : to) {
       if (!owner.valid()
           || directOut >= maxDirect()
           || !h.known
@@ -55,12 +59,12 @@
           || h.toldInS(ports.now(), ports.config.workers().reportS()) * 1000 < SOON_MS) {
         continue;
       }
-      List<Order> orders = owner.orders(h, true);
+      List<WorkerCommand> orders = owner.orders(h, true);
       if (orders.stream().noneMatch(Start.class::isInstance)) {
         continue;
       }
-      Token token = h.token(owner.epoch());
-      for (Order o : orders) {
+      FencingToken token = h.token(owner.epoch());
+      for (WorkerCommand o : orders) {
         if (o instanceof Start) {
           h.sentDirectly(o.run(), token);
         }
--- a/src/main/java/shorecrank/coordination/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -1,14 +1,16 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.PartId;
-import shorecrank.protocol.Ids.TaskRun;
 import shorecrank.protocol.StoreMessages;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.LiveRange;
@@ -39,7 +41,7 @@
     UNCLAIMED
   }
 
-  private record Named(HostName machine, TaskRun run) {}
+  private record Named(MachineName machine, TaskAttemptId run) {}
 
   /** A job's record as it was read. */
   private static final class Lookup {
@@ -50,17 +52,17 @@
     final Set<Named> named = new HashSet<>();
   }
 
-  private final Ports ports;
-  private final PartId shard;
+  private final StepContext ports;
+  private final ShardId shard;
   private final Map<JobId, Lookup> lookups = new HashMap<>();
 
-  ForeignTasks(Ports ports, PartId shard) {
+  ForeignTasks(StepContext ports, ShardId shard) {
     this.ports = ports;
     this.shard = shard;
   }
 
   /** What is known of a task now; asks for what is not. */
-  Verdict verdict(HostName machine, TaskRun run) {
+  Verdict verdict(MachineName machine, TaskAttemptId run) {
     Lookup lookup = lookups.get(run.job());
     if (lookup == null) {
       if (lookups.size() >= MAX_KEPT) {
@@ -120,11 +122,11 @@
       lookup.unreadable = true;
       return;
     }
-    lookup.elsewhere = !PartId.of(record.spec().team(), ports.tuning.parts()).equals(shard);
+    lookup.elsewhere = !ShardId.of(record.spec().team(), ports.tuning.parts()).equals(shard);
     for (LiveRange range : record.live()) {
       for (int i = range.first(); i < range.first() + range.count(); i++) {
         if (!record.done().get(i)) {
-          TaskRun run = new TaskRun(record.spec().id(), i, range.attempt());
+          TaskAttemptId run = new TaskAttemptId(record.spec().id(), i, range.attempt());
           lookup.named.add(new Named(range.host(), run));
         }
       }
--- a/src/main/java/shorecrank/coordination/RecordReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -1,5 +1,6 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
+import shorecrank.protocol.Ids.MachineName;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.storage.JobRecord;
@@ -21,25 +22,25 @@
  * one that guards it. Until an owner has written a record itself, a write of an earlier owner may
  * still put any machine into it.
  */
-final class RecordReferences {
+final class MachineReferences {
   /** A write without an answer so far. */
-  private record PendingWrite(long sequence, Revision guard, Set<HostName> machines) {}
+  private record PendingWrite(long sequence, Revision guard, Set<MachineName> machines) {}
 
   /** A record as last known, and what may yet replace it. */
   private static final class Reference {
     Revision revision = Revision.ABSENT;
-    Set<HostName> stored = Set.of();
+    Set<MachineName> stored = Set.of();
     final List<PendingWrite> pending = new ArrayList<>();
     boolean writableByOthers;
   }
 
   private final Map<JobId, Reference> references = new HashMap<>();
-  private final Object2IntOpenHashMap<HostName> counts = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<MachineName> counts = new Object2IntOpenHashMap<>();
   private int writableByOthers;
 
   /** The machines that a record's live ranges name. */
-  static Set<HostName> machinesOf(JobRecord record) {
-    Set<HostName> machines = new HashSet<>();
+  static Set<MachineName> machinesOf(JobRecord record) {
+    Set<MachineName> machines = new HashSet<>();
     for (LiveRange range : record.live()) {
       machines.add(range.host());
     }
@@ -52,7 +53,7 @@
    * @param othersMayWrite whether a write of another process may still change it: this owner has
    *     not written it yet, or has been refused by a higher epoch
    */
-  void read(JobId job, Revision at, Set<HostName> machines, boolean othersMayWrite) {
+  void read(JobId job, Revision at, Set<MachineName> machines, boolean othersMayWrite) {
     Reference reference = references.computeIfAbsent(job, k -> new Reference());
     if (at.after(reference.revision)) {
       settle(reference, at, machines);
@@ -61,7 +62,7 @@
   }
 
   /** A write was sent, guarded by the record's revision. */
-  void sent(JobId job, long sequence, Revision guard, Set<HostName> machines) {
+  void sent(JobId job, long sequence, Revision guard, Set<MachineName> machines) {
     Reference reference = references.computeIfAbsent(job, k -> new Reference());
     reference.pending.add(new PendingWrite(sequence, guard, machines));
     count(machines, 1);
@@ -113,11 +114,11 @@
   }
 
   /** Whether any record may name the machine, now or once a late write is carried out. */
-  boolean mayName(HostName machine) {
+  boolean mayName(MachineName machine) {
     return writableByOthers > 0 || counts.getInt(machine) > 0;
   }
 
-  private void settle(Reference reference, Revision at, Set<HostName> machines) {
+  private void settle(Reference reference, Revision at, Set<MachineName> machines) {
     count(reference.stored, -1);
     reference.stored = Set.copyOf(machines);
     count(reference.stored, 1);
@@ -139,8 +140,8 @@
     }
   }
 
-  private void count(Set<HostName> machines, int by) {
-    for (HostName machine : machines) {
+  private void count(Set<MachineName> machines, int by) {
+    for (MachineName machine : machines) {
       if (counts.addTo(machine, by) + by == 0) {
         counts.removeInt(machine);
       }
--- a/src/main/java/shorecrank/coordination/MachineCustody.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -1,5 +1,13 @@
-package shorecrank.coordination;
-
+package shorecrank.coordination.shard;
+
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.TaskAttemptId;
+import shorecrank.protocol.PeerMessages.MachineHandover;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.WorkerMessages.TaskStatus;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -9,57 +17,57 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.coordination.scheduling.Autoscaler;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
-import shorecrank.protocol.Ids.TaskRun;
-import shorecrank.protocol.PeerMessages.HandedBack;
-import shorecrank.protocol.PeerMessages.HostInfo;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.WorkerMessages.Report;
-import shorecrank.protocol.WorkerMessages.TaskReport;
+import shorecrank.protocol.WorkerMessages;
 
 /**
  * The machines that a shard's owner knows of: which are assigned to the shard, which are to be
  * handed over, and when nothing of the shard is left on one so that it may be.
  */
-final class MachineCustody {
+public final class MachineRegistry {
   /** What the owner does with the tasks of a machine, and with an answer that it waits for. */
   interface Tasks {
     /** The attempt is surely off its machine, without a result. */
     void lost(LiveTask task);
 
     /** A report whose answer was held back gets none any more. */
-    void supersede(Host machine);
+    void supersede(Machine machine);
   }
 
-  private final Ports ports;
-  private final PartId shard;
-  private final RecordReferences references;
+  private final StepContext ports;
+  private final ShardId shard;
+  private final MachineReferences references;
   private final ForeignTasks foreign;
   private final Tasks tasks;
-  private final Map<HostName, Host> machines = new TreeMap<>();
+  private final Map<MachineName, Machine> machines = new TreeMap<>();
 
   /** Machines with free processors, so that a round in a full fleet looks at few. */
-  private final Set<Host> withRoom = new ObjectLinkedOpenHashSet<>();
+  private final Set<Machine> withRoom = new ObjectLinkedOpenHashSet<>();
 
-  private Map<String, HostType> catalog = Map.of();
+  private Map<String, MachineType> catalog = Map.of();
 
   /**
    * The orders under which machines were handed back: that holds until a machine may be used again,
    * also while the leader says that it is nobody's.
    */
-  private final Map<HostName, MoveId> handedBack = new HashMap<>();
+  private final Map<MachineName, MoveId> handedBack = new HashMap<>();
 
   /**
    * @param references machines that records may name; null where there is only one shard
    * @param foreign tasks of other shards; null where there is only one shard
    */
-  MachineCustody(
-      Ports ports, PartId shard, RecordReferences references, ForeignTasks foreign, Tasks tasks) {
+  MachineRegistry(
+      StepContext ports, ShardId shard, MachineReferences references, ForeignTasks foreign, Tasks tasks) {
     this.ports = ports;
     this.shard = shard;
     this.references = references;
@@ -67,22 +75,22 @@
     this.tasks = tasks;
   }
 
-  Map<HostName, Host> machines() {
+  Map<MachineName, Machine> machines() {
     return machines;
   }
 
-  Set<Host> withRoom() {
+  Set<Machine> withRoom() {
     return withRoom;
   }
 
   /** The machine of that name, which is known from now on. */
-  Host machine(HostName name) {
-    return machines.computeIfAbsent(name, n -> new Host(n, withRoom));
+  Machine machine(MachineName name) {
+    return machines.computeIfAbsent(name, n -> new Machine(n, withRoom));
   }
 
-  void catalog(Map<String, HostType> types) {
+  void catalog(Map<String, MachineType> types) {
     catalog = types;
-    for (Host h : machines.values()) {
+    for (Machine h : machines.values()) {
       if (h.info != null) {
         h.type(types.get(h.info.type()));
       }
@@ -90,7 +98,7 @@
   }
 
   /** What kind of machine it is. */
-  void describe(Host h, HostInfo info) {
+  void describe(Machine h, MachineInfo info) {
     if (h.info == null) {
       h.info = info;
       h.type(catalog.get(info.type()));
@@ -100,13 +108,13 @@
   // ---- assignment ------------------------------------------------------------------------------
 
   /** All assignments, to whichever shard. */
-  void assignedAll(Collection<MachineAssignment> all) {
-    Set<HostName> named = new HashSet<>();
+  public void assignedAll(Collection<MachineAssignment> all) {
+    Set<MachineName> named = new HashSet<>();
     for (MachineAssignment a : all) {
       assigned(a);
       named.add(a.host().name());
     }
-    for (HostName name : new ArrayList<>(machines.keySet())) {
+    for (MachineName name : new ArrayList<>(machines.keySet())) {
       if (!named.contains(name)) {
         unassigned(name);
       }
@@ -114,18 +122,18 @@
   }
 
   /** An assignment is new or has changed. */
-  void assigned(MachineAssignment a) {
-    HostName name = a.host().name();
+  public void assigned(MachineAssignment a) {
+    MachineName name = a.host().name();
     if (!a.part().equals(shard)) {
       handedBack.remove(name);
       unassigned(name);
-      Host kept = machines.get(name);
+      Machine kept = machines.get(name);
       if (kept != null) {
         kept.assignedElsewhere = true;
       }
       return;
     }
-    Host h = machine(name);
+    Machine h = machine(name);
     describe(h, a.host());
     h.assignedElsewhere = false;
     if (!h.lent) {
@@ -147,8 +155,8 @@
   }
 
   /** The machine is not assigned to this shard. */
-  void unassigned(HostName name) {
-    Host h = machines.get(name);
+  public void unassigned(MachineName name) {
+    Machine h = machines.get(name);
     if (h != null) {
       h.lent = false;
       h.known = false;
@@ -163,10 +171,10 @@
   }
 
   /** Machines that are surely gone, with all that ran on them. */
-  void gone(Collection<HostName> names) {
-    for (HostName name : names) {
+  public void gone(Collection<MachineName> names) {
+    for (MachineName name : names) {
       handedBack.remove(name);
-      Host h = machines.get(name);
+      Machine h = machines.get(name);
       if (h != null) {
         loseAll(h, "released");
         tasks.supersede(h);
@@ -176,7 +184,7 @@
     }
   }
 
-  private void drop(Host h) {
+  private void drop(Machine h) {
     machines.remove(h.name);
     withRoom.remove(h);
   }
@@ -184,7 +192,7 @@
   // ---- tasks that are surely off ---------------------------------------------------------------
 
   /** All of a machine's tasks are surely off it. */
-  void loseAll(Host h, String why) {
+  void loseAll(Machine h, String why) {
     int n = h.live.size();
     for (LiveTask t : new ArrayList<>(h.live)) {
       tasks.lost(t);
@@ -196,7 +204,7 @@
   }
 
   /** Tasks of sessions before the one that has begun. */
-  void loseOlder(Host h) {
+  void loseOlder(Machine h) {
     for (LiveTask t : new ArrayList<>(h.live)) {
       if (t.tenure.compareTo(h.tenure) < 0) {
         tasks.lost(t);
@@ -206,7 +214,7 @@
 
   /** Takes the tasks of machines whose worker's lease has surely run out. */
   void expireLeases(WorkerLiveness liveness) {
-    for (Host h : machines.values()) {
+    for (Machine h : machines.values()) {
       // The owner of another shard may renew the lease of one that is assigned there.
       if (!h.empty() && !h.assignedElsewhere && liveness.leaseOut(h)) {
         loseAll(h, "its worker's lease ran out");
@@ -227,7 +235,7 @@
    * their start counts; all others run to their end.
    */
   void stopSavingTasks() {
-    for (Host h : machines.values()) {
+    for (Machine h : machines.values()) {
       if (!h.recall) {
         continue;
       }
@@ -243,7 +251,7 @@
   // ---- reports ---------------------------------------------------------------------------------
 
   /** The epoch that a worker must have shown before its reports count. */
-  static Epoch required(Host h, Epoch ownersFirst) {
+  static Epoch required(Machine h, Epoch ownersFirst) {
     return Epoch.higher(h.term, ownersFirst);
   }
 
@@ -251,18 +259,18 @@
    * Whether a task that no job of this shard explains may be stopped, or its result discarded:
    * never while the record of another shard names it, nor before that is known.
    */
-  boolean mayClear(Host h, TaskRun run) {
+  boolean mayClear(Machine h, TaskAttemptId run) {
     return foreign == null || foreign.verdict(h.name, run) == ForeignTasks.Verdict.UNCLAIMED;
   }
 
   // ---- handing over ----------------------------------------------------------------------------
 
   /** Machines that were to be handed over and have nothing of this shard left. */
-  List<HandedBack> handedBack(WorkerLiveness liveness) {
-    List<HandedBack> back = new ArrayList<>();
-    for (Host h : machines.values()) {
+  List<MachineHandover> handedBack(WorkerLiveness liveness) {
+    List<MachineHandover> back = new ArrayList<>();
+    for (Machine h : machines.values()) {
       if (h.recall && isSettled(h, liveness)) {
-        back.add(new HandedBack(h.name, h.move));
+        back.add(new MachineHandover(h.name, h.move));
         handedBack.put(h.name, h.move);
       }
     }
@@ -274,7 +282,7 @@
    * the worker has shown our token and lists nothing of ours in its last report, no command is
    * under way to it, and no record names it, not even by a write that is carried out late.
    */
-  private boolean isSettled(Host h, WorkerLiveness liveness) {
+  private boolean isSettled(Machine h, WorkerLiveness liveness) {
     return h.empty()
         && h.confirmed
         && liveness.fresh(h)
@@ -283,12 +291,12 @@
         && listsOnlyForeign(h);
   }
 
-  private boolean listsOnlyForeign(Host h) {
-    Report report = h.report;
+  private boolean listsOnlyForeign(Machine h) {
+    WorkerHeartbeat report = h.report;
     if (report == null) {
       return false;
     }
-    for (TaskReport t : report.tasks()) {
+    for (TaskStatus t : report.tasks()) {
       boolean elsewhere =
           foreign != null
               && foreign.verdict(h.name, t.run()) == ForeignTasks.Verdict.NAMED_ELSEWHERE;
@@ -303,9 +311,9 @@
    * Machines that this owner may command: those assigned here that it has not handed back. For
    * observers.
    */
-  Set<HostName> commanded() {
-    Set<HostName> names = new HashSet<>();
-    for (Host h : machines.values()) {
+  public Set<MachineName> commanded() {
+    Set<MachineName> names = new HashSet<>();
+    for (Machine h : machines.values()) {
       boolean isBack = h.recall && h.move.equals(handedBack.get(h.name));
       if (h.lent && !isBack) {
         names.add(h.name);
@@ -315,9 +323,9 @@
   }
 
   /** Machines that records of this shard name although they are assigned to another. */
-  List<HostName> misplaced() {
-    List<HostName> names = new ArrayList<>();
-    for (Host h : machines.values()) {
+  List<MachineName> misplaced() {
+    List<MachineName> names = new ArrayList<>();
+    for (Machine h : machines.values()) {
       if (h.assignedElsewhere && !h.empty()) {
         names.add(h.name);
       }
--- a/src/main/java/shorecrank/coordination/ShardDemands.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -1,5 +1,6 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
+import shorecrank.protocol.CloudMessages.MachineType;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -8,9 +9,16 @@
 import java.util.Map;
 import java.util.Set;
 import shorecrank.config.NodeConfig;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.scheduling.Autoscaler;
+import shorecrank.coordination.scheduling.BinPacking;
+import shorecrank.coordination.shard.ShardOwner;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.JobSpec.Priority;
 import shorecrank.protocol.ShareMessages.Candidate;
@@ -19,17 +27,17 @@
 import shorecrank.protocol.ShareMessages.ShardDemand;
 
 /** What a shard's owner tells the leader of its share: what it has, needs and could give up. */
-final class ShardDemands {
+final class ShardDemandReporter {
   /** So many machines are named that the shard could give up. */
   private static final int MOST_CANDIDATES = 32;
 
   /** A machine that should be empty in more than this is not named. */
   private static final double MAX_EMPTY_S = 1e6;
 
-  private final Ports ports;
+  private final StepContext ports;
   private final ShardOwner owner;
 
-  ShardDemands(Ports ports, ShardOwner owner) {
+  ShardDemandReporter(StepContext ports, ShardOwner owner) {
     this.ports = ports;
     this.owner = owner;
   }
@@ -44,7 +52,7 @@
     List<Candidate> candidates = new ArrayList<>();
     List<DrainProgress> draining = new ArrayList<>();
     List<MoveId> arrived = new ArrayList<>();
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.hosts.values()) {
       running += h.type() == null ? 0 : Math.min(h.usedCpus(), h.type().cpus());
       if (h.recall) {
         draining.add(progress(h));
@@ -75,7 +83,7 @@
         arrived);
   }
 
-  private DrainProgress progress(Host h) {
+  private DrainProgress progress(Machine h) {
     DrainState state = DrainState.DRAINING;
     if (h.noticed) {
       state = DrainState.NOTICED;
@@ -86,7 +94,7 @@
   }
 
   /** Seconds until the machine's tasks should have ended, or can be stopped with their progress. */
-  private double emptyInS(Host h) {
+  private double emptyInS(Machine h) {
     double longest = 0;
     for (LiveTask t : h.live) {
       double left = t.leftS(ports.now());
@@ -131,11 +139,11 @@
   }
 
   private void addKinds(Job j, Set<Offer> kinds) {
-    for (HostType type : owner.catalog().values()) {
+    for (MachineType type : owner.catalog().values()) {
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
           Offer offer = new Offer(type.name(), zone, spot);
-          if (!kinds.contains(offer) && Placement.allowed(j.spec, offer, type)) {
+          if (!kinds.contains(offer) && BinPacking.allowed(j.spec, offer, type)) {
             kinds.add(offer);
           }
         }
