--- a/src/main/java/shorecrank/coordination/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -1,5 +1,17 @@
-package shorecrank.coordination;
-
+package shorecrank.coordination.shard;
+
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.TaskAttemptId;
+import shorecrank.protocol.PeerMessages.MachineHandover;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.UserMessages.JobStatus;
+import shorecrank.protocol.WorkerMessages.Reap;
+import shorecrank.protocol.WorkerMessages.TaskStatus;
+import shorecrank.protocol.WorkerMessages.WorkerCommand;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.ArrayList;
@@ -12,42 +24,45 @@
 import java.util.Set;
 import java.util.TreeMap;
 import shorecrank.config.NodeConfig;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.coordination.Job.Urgency;
-import shorecrank.protocol.CloudMessages.HostType;
-import shorecrank.protocol.Ids.Attempt;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Job.Urgency;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.coordination.scheduling.Autoscaler;
+import shorecrank.coordination.scheduling.BinPacking;
+import shorecrank.coordination.scheduling.DependencyGraph;
+import shorecrank.coordination.scheduling.Preemption;
+import shorecrank.coordination.scheduling.SchedulingQueue;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.Ids.TaskRun;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.HandedBack;
-import shorecrank.protocol.PeerMessages.HostInfo;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages.Phase;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages;
+import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.protocol.WorkerMessages;
-import shorecrank.protocol.WorkerMessages.Forget;
-import shorecrank.protocol.WorkerMessages.Order;
-import shorecrank.protocol.WorkerMessages.Report;
+import shorecrank.protocol.WorkerMessages.ExitReason;
 import shorecrank.protocol.WorkerMessages.Start;
 import shorecrank.protocol.WorkerMessages.Stop;
-import shorecrank.protocol.WorkerMessages.TaskReport;
 import shorecrank.protocol.WorkerMessages.TaskState;
-import shorecrank.protocol.WorkerMessages.Why;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.FeatureGate;
-import shorecrank.storage.Budget;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.RateLimiter;
 
 /** The owner of one part: its jobs, the machines lent to it, and every write to its records. */
-final class ShardOwner {
+public final class ShardOwner {
   private static final int CALL_MS = 2000;
   private static final int MAX_IN_FLIGHT = 3;
 
@@ -82,8 +97,8 @@
     READY
   }
 
-  private final Ports ports;
-  final PartId part;
+  private final StepContext ports;
+  final ShardId part;
   private final Epoch firstEpoch;
   private Epoch epoch;
   private MonotonicTime validUntil = MonotonicTime.NEVER;
@@ -101,28 +116,28 @@
   /** Up to when the state service has shown all changes of records, cancellations among them. */
   private MonotonicTime storeAsOf = MonotonicTime.NEVER;
 
-  private final Cancellations cancellations;
+  private final CancellationLog cancellations;
   private final FeatureGate gate;
   private MonotonicTime watchRetryAt = new MonotonicTime(0);
 
-  final Map<JobId, Job> jobs = new TreeMap<>();
+  public final Map<JobId, Job> jobs = new TreeMap<>();
   private final Set<JobId> latched = new HashSet<>();
 
   /** Which machines our records may name; null where there is only one shard. */
-  private final RecordReferences references;
+  private final MachineReferences references;
 
-  private final MachineCustody custody;
+  private final MachineRegistry custody;
 
   /** Finds out what became of writes that were refused or got no answer. */
-  private final WriteSettlement settlement;
+  private final WriteOutcomeResolver settlement;
 
   private final Preemption preemption;
-  private final DirectStarts directStarts;
+  private final DirectCommandSender directStarts;
 
   /** Says what the shard needs; null where shares are not enabled. */
-  private final ShardDemands demands;
+  private final ShardDemandReporter demands;
 
-  final Map<HostName, Host> hosts;
+  public final Map<MachineName, Machine> hosts;
 
   /** Jobs with something to write. */
   private final Set<Job> dirty = new ObjectLinkedOpenHashSet<>();
@@ -130,28 +145,28 @@
   private MonotonicTime lookedAt = MonotonicTime.NEVER;
   private boolean hearsFew;
   private final Map<String, double[]> teamUse = new HashMap<>();
-  private Map<String, HostType> catalog = Map.of();
+  private Map<String, MachineType> catalog = Map.of();
 
   private int inFlight;
 
   private MonotonicTime writeRetryAt = MonotonicTime.NEVER;
   private JobId cursor;
-  final WorkerLiveness liveness;
-  final Autoscaler autoscaler;
+  public final WorkerLiveness liveness;
+  public final Autoscaler autoscaler;
   private final SchedulingQueue queue;
-  private final Dependencies dependencies;
+  private final DependencyGraph dependencies;
   private boolean closed;
 
   private final StatusQueries statusQueries;
-  private final Set<Host> parked = new LinkedHashSet<>();
+  private final Set<Machine> parked = new LinkedHashSet<>();
   private boolean kicked;
   private MonotonicTime readyAt = MonotonicTime.NEVER;
 
-  ShardOwner(
-      Ports ports,
-      Cancellations cancellations,
+  public ShardOwner(
+      StepContext ports,
+      CancellationLog cancellations,
       FeatureGate gate,
-      PartId part,
+      ShardId part,
       Epoch epoch,
       MonotonicTime grantedAt,
       boolean shares) {
@@ -162,38 +177,38 @@
     this.epoch = epoch;
     this.firstEpoch = epoch;
     boolean oneShard = ports.tuning.parts() == 1;
-    this.references = oneShard ? null : new RecordReferences();
+    this.references = oneShard ? null : new MachineReferences();
     ForeignTasks foreign = oneShard ? null : new ForeignTasks(ports, part);
-    this.custody = new MachineCustody(ports, part, references, foreign, new TasksOfMachines());
+    this.custody = new MachineRegistry(ports, part, references, foreign, new TasksOfMachines());
     this.hosts = custody.machines();
-    this.demands = shares ? new ShardDemands(ports, this) : null;
+    this.demands = shares ? new ShardDemandReporter(ports, this) : null;
     this.liveness = new WorkerLiveness(ports, hosts.values(), grantedAt);
     this.autoscaler = new Autoscaler(ports, this);
-    this.dependencies = new Dependencies(ports, jobs, cancellations, this::cancelWithOthers);
+    this.dependencies = new DependencyGraph(ports, jobs, cancellations, this::cancelWithOthers);
     this.queue = new SchedulingQueue(ports, dependencies);
-    this.settlement = new WriteSettlement(ports, references, new JobsOfRecords());
+    this.settlement = new WriteOutcomeResolver(ports, references, new JobsOfRecords());
     this.preemption = new Preemption(ports, this, queue);
-    this.directStarts = new DirectStarts(ports, this);
+    this.directStarts = new DirectCommandSender(ports, this);
     this.statusQueries = new StatusQueries(ports, jobs, dependencies);
     ports.info("part %s: taken over at epoch %s", part, epoch);
     ports.count("part.takeover");
   }
 
-  Epoch epoch() {
+  public Epoch epoch() {
     return epoch;
   }
 
-  Map<String, HostType> catalog() {
+  public Map<String, MachineType> catalog() {
     return catalog;
   }
 
-  void catalog(Map<String, HostType> c) {
+  public void catalog(Map<String, MachineType> c) {
     catalog = c;
     custody.catalog(c);
   }
 
   /** The leader's lease: no other controller owns the part before it ends, by our own clock. */
-  void lease(Epoch e, MonotonicTime until) {
+  public void lease(Epoch e, MonotonicTime until) {
     if (e.above(epoch)) {
       ports.info("part %s: raised from epoch %s to %s", part, epoch, e);
       epoch = e;
@@ -207,20 +222,20 @@
     relinquished = false;
   }
 
-  boolean valid() {
+  public boolean valid() {
     return validAt(ports.now());
   }
 
-  boolean validAt(MonotonicTime at) {
+  public boolean validAt(MonotonicTime at) {
     return at.before(validUntil);
   }
 
   /** Since when the picture is whole. */
-  MonotonicTime readyAt() {
+  public MonotonicTime readyAt() {
     return readyAt;
   }
 
-  boolean ready() {
+  public boolean ready() {
     return stage == Stage.READY;
   }
 
@@ -231,7 +246,7 @@
    *
    * @return whether this is news
    */
-  boolean relinquish(String why) {
+  public boolean relinquish(String why) {
     if (relinquished) {
       return false;
     }
@@ -244,7 +259,7 @@
     return true;
   }
 
-  boolean relinquished() {
+  public boolean relinquished() {
     return relinquished;
   }
 
@@ -252,7 +267,7 @@
    * After the lease a worker's own lease may still be renewed, without commands, so that running
    * work outlives an outage of the state service. Bounded: a new owner counts on silence after it.
    */
-  boolean inGrace(boolean alone) {
+  public boolean inGrace(boolean alone) {
     long over = ports.now().since(validUntil);
     if (over < 0 || over >= ports.tuning.graceMs()) {
       return false;
@@ -272,7 +287,7 @@
   }
 
   /** Up to when the state service has shown this owner all cancellations. */
-  MonotonicTime storeAsOf() {
+  public MonotonicTime storeAsOf() {
     return storeAsOf;
   }
 
@@ -280,7 +295,7 @@
    * Whether this owner knows of all cancellations that must end before the lease it would renew
    * does. Without that knowledge the lease has to take the tasks, also while the part is ours.
    */
-  boolean informed() {
+  public boolean informed() {
     return ports.now().since(cancellations.horizon(storeAsOf)) <= ports.evidenceMs();
   }
 
@@ -293,7 +308,7 @@
    * A user has been told that the job is cancelled. The mark is committed and final, so its tasks
    * may be stopped by whoever the workers still listen to, also in the grace.
    */
-  void learnCancelled(JobId id) {
+  public void learnCancelled(JobId id) {
     Job j = jobs.get(id);
     if (j == null) {
       dependencies.cancelled(id);
@@ -313,7 +328,7 @@
     j.touch(Urgency.NOW, ports.now());
   }
 
-  void end(String why) {
+  public void end(String why) {
     closed = true;
     answerParked(true);
     statusQueries.close();
@@ -323,7 +338,7 @@
 
   // ---- loading -------------------------------------------------------------------------------
 
-  void tick(Input.RoundBudget budget) {
+  public void tick(Input.RoundBudget budget) {
     if (closed) {
       return;
     }
@@ -373,7 +388,7 @@
     }
     latched.clear();
     dependencies.clear();
-    for (Host h : hosts.values()) {
+    for (Machine h : hosts.values()) {
       unpark(h);
       h.known = false;
     }
@@ -385,7 +400,7 @@
     loadRound++;
   }
 
-  void load() {
+  public void load() {
     loadBusy = true;
     watchFrom = -1;
     loadPage("", ++loadRound, ports.now());
@@ -416,7 +431,7 @@
             JobRecord r = JobRecord.read(e.value());
             if (r == null) {
               ports.unreadable(e.key());
-            } else if (PartId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
+            } else if (ShardId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
               Job j = add(r, e.revision());
               boolean countsNow =
                   references != null || limited(ports.config.teams().get(r.spec().team()));
@@ -456,7 +471,7 @@
     jobs.put(j.id(), j);
     j.claimed = false;
     if (references != null) {
-      references.read(j.id(), stamp, RecordReferences.machinesOf(r), stage == Stage.LOADING);
+      references.read(j.id(), stamp, MachineReferences.machinesOf(r), stage == Stage.LOADING);
     }
     if (r.epoch().value() > 0) {
       if (r.epoch().above(epoch) || (r.epoch().equals(epoch) && !r.writer().equals(ports.writer))) {
@@ -478,7 +493,7 @@
 
   private void adoptLive(Job j, JobRecord r) {
     for (LiveRange l : r.live()) {
-      Host h = custody.machine(l.host());
+      Machine h = custody.machine(l.host());
       for (int i = l.first(); i < l.first() + l.count(); i++) {
         if (!j.done.get(i) && !j.live.containsKey(i)) {
           attach(new LiveTask(j, i, h, l.tenure(), l.attempt(), 0, ports.now()));
@@ -487,7 +502,7 @@
     }
   }
 
-  void attach(LiveTask t) {
+  public void attach(LiveTask t) {
     t.job.add(t);
     double[] u = teamUse.computeIfAbsent(t.job.spec.team(), k -> new double[2]);
     u[0] += t.job.spec.cpus();
@@ -562,7 +577,7 @@
       JobRecord r = JobRecord.isUnclaimed(c.value()) ? JobRecord.read(c.value()) : null;
       if (r != null
           && r.spec().id().equals(id)
-          && PartId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
+          && ShardId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
         add(r, c.revision());
       }
       return;
@@ -580,7 +595,7 @@
   // ---- records -------------------------------------------------------------------------------
 
   /** A write of a job's record, as it was sent. */
-  record Write(Job job, long seq, boolean last, Standing standing) {}
+  record Write(Job job, long seq, boolean last, JobStatus standing) {}
 
   private void flush() {
     MonotonicTime now = ports.now();
@@ -640,7 +655,7 @@
   }
 
   /** What a takeover has to claim comes before new placements, with all that the service takes. */
-  private Budget budget(Job j) {
+  private RateLimiter budget(Job j) {
     return j.claimed || j.epoch.value() == 0 ? ports.writes : ports.userWrites;
   }
 
@@ -674,7 +689,7 @@
    * @param machines those that it names, where that is kept track of
    */
   private record EncodedRecord(
-      ObjectNode value, int bytes, int boundBytes, Standing standing, Set<HostName> machines) {}
+      ObjectNode value, int bytes, int boundBytes, JobStatus standing, Set<MachineName> machines) {}
 
   private EncodedRecord encode(Job j, boolean dense) {
     JobRecord record = j.record(epoch, ports.writer);
@@ -687,7 +702,7 @@
     int bytes = Json.bytes(value).length;
     boolean bound = dense && record.isLarge();
     int boundBytes = bound ? Json.bytes(record.writeCompact()).length : bytes;
-    Set<HostName> machines = references == null ? Set.of() : RecordReferences.machinesOf(record);
+    Set<MachineName> machines = references == null ? Set.of() : MachineReferences.machinesOf(record);
     return new EncodedRecord(value, bytes, boundBytes, record.standing(), machines);
   }
 
@@ -697,15 +712,15 @@
     j.inFlight = true;
     j.seq++;
     boolean last = over(j);
-    Standing standing;
+    JobStatus standing;
     int bytes;
-    Set<HostName> machines = Set.of();
+    Set<MachineName> machines = Set.of();
     if (last) {
-      Phase phase = j.complete() && !j.aborted ? Phase.DONE : Phase.WITHDRAWN;
+      JobState phase = j.complete() && !j.aborted ? JobState.DONE : JobState.WITHDRAWN;
       ObjectNode f = JobRecord.writeFinal(phase, j.doneCount());
       txn.drop(key).write(JobRecord.finalKey(j.id()), f);
       bytes = 200;
-      standing = new Standing(phase, j.doneCount(), 0);
+      standing = new JobStatus(phase, j.doneCount(), 0);
     } else {
       EncodedRecord record = encode(j, dense);
       double max = ports.config.state().valueKb() * 1024;
@@ -822,7 +837,7 @@
   }
 
   /** What becomes of a job, by what its record says. */
-  private final class JobsOfRecords implements WriteSettlement.Jobs {
+  private final class JobsOfRecords implements WriteOutcomeResolver.Jobs {
     @Override
     public boolean isCurrent(Job j) {
       return !closed && jobs.get(j.id()) == j;
@@ -844,7 +859,7 @@
     }
 
     @Override
-    public void ended(Job j, Phase phase) {
+    public void ended(Job j, JobState phase) {
       forget(j);
       dependencies.ended(j.id(), phase);
     }
@@ -896,19 +911,19 @@
   // ---- machines ------------------------------------------------------------------------------
 
   /** What becomes of the tasks of a machine that goes. */
-  private final class TasksOfMachines implements MachineCustody.Tasks {
+  private final class TasksOfMachines implements MachineRegistry.Tasks {
     @Override
     public void lost(LiveTask task) {
       lose(task);
     }
 
     @Override
-    public void supersede(Host machine) {
+    public void supersede(Machine machine) {
       unpark(machine);
     }
   }
 
-  MachineCustody custody() {
+  public MachineRegistry custody() {
     return custody;
   }
 
@@ -920,10 +935,10 @@
   }
 
   /** Takes a worker's report in and answers it, now or after the next commit. */
-  void report(long reply, Report r, boolean commands) {
+  public void report(long reply, WorkerHeartbeat r, boolean commands) {
     MonotonicTime now = ports.now();
-    Host h = custody.machine(r.host());
-    custody.describe(h, new HostInfo(r.host(), r.type(), r.zone(), r.spot()));
+    Machine h = custody.machine(r.host());
+    custody.describe(h, new MachineInfo(r.host(), r.type(), r.zone(), r.spot()));
     int cmp = r.tenure().compareTo(h.tenure);
     boolean late = cmp < 0 || (cmp == 0 && r.serial() <= h.serial);
     // Of a session whose tasks were given up as surely gone, a report can only be late.
@@ -933,7 +948,7 @@
       return;
     }
     h.address = r.address();
-    if (r.token().epoch().compareTo(MachineCustody.required(h, firstEpoch)) < 0) {
+    if (r.token().epoch().compareTo(MachineRegistry.required(h, firstEpoch)) < 0) {
       // The worker has not seen our epoch, or this is a copy of a report from before it did, which
       // may come a lease late. It gets the token; its next report shows it, and only that counts.
       ports.count("report.unconfirmed");
@@ -998,10 +1013,10 @@
    * Every answer that renews a lease ends what is cancelled, whatever else it may not command: the
    * lease would keep it running. A start on its way straight to the machine may come before it.
    */
-  private List<Order> cancelledOn(Host h, Report r) {
-    List<Order> stops = new ArrayList<>();
-    Set<TaskRun> listed = new HashSet<>();
-    for (TaskReport t : r.tasks()) {
+  private List<WorkerCommand> cancelledOn(Machine h, WorkerHeartbeat r) {
+    List<WorkerCommand> stops = new ArrayList<>();
+    Set<TaskAttemptId> listed = new HashSet<>();
+    for (TaskStatus t : r.tasks()) {
       listed.add(t.run());
       if (t.state() != TaskState.EXITED && cancelled(t.run().job())) {
         stops.add(new Stop(t.run(), 0));
@@ -1011,7 +1026,7 @@
     return stops;
   }
 
-  private void stopUnlisted(Host h, Set<TaskRun> listed, List<Order> orders) {
+  private void stopUnlisted(Machine h, Set<TaskAttemptId> listed, List<WorkerCommand> orders) {
     for (LiveTask l : h.live) {
       if (l.job.aborted
           && l.committed()
@@ -1023,7 +1038,7 @@
     }
   }
 
-  private static boolean awaitsCommit(Host h) {
+  private static boolean awaitsCommit(Machine h) {
     for (LiveTask l : h.live) {
       if (!l.committed()) {
         return true;
@@ -1037,7 +1052,7 @@
    * stays here and takes the next number for its next report; one that does not asks other
    * controllers in between. And what it was told to start, it lists.
    */
-  private void hearing(Host h, boolean stayed) {
+  private void hearing(Machine h, boolean stayed) {
     boolean followed = stayed;
     for (LiveTask l : h.live) {
       if (l.ordered) {
@@ -1068,7 +1083,7 @@
     if (parked.isEmpty()) {
       return;
     }
-    for (Host h : new ArrayList<>(parked)) {
+    for (Machine h : new ArrayList<>(parked)) {
       boolean settled = settled(h);
       if (all || !ports.now().before(h.parkedUntil) || settled) {
         ports.count(settled ? "report.parked.settled" : "report.parked.expired");
@@ -1086,14 +1101,14 @@
   }
 
   /** Nothing about the machine waits for a write. */
-  private boolean settled(Host h) {
+  private boolean settled(Machine h) {
     if (kicked) {
       return false;
     }
     if (awaitsCommit(h)) {
       return false;
     }
-    for (TaskReport t : h.report.tasks()) {
+    for (TaskStatus t : h.report.tasks()) {
       Job j = t.state() == TaskState.EXITED ? jobs.get(t.run().job()) : null;
       if (j != null && j.inFlight && j.exits.containsKey(t.run())) {
         return false;
@@ -1102,7 +1117,7 @@
     return true;
   }
 
-  private void unpark(Host h) {
+  private void unpark(Machine h) {
     if (h.parked >= 0) {
       parked.remove(h);
       ports.reply(h.parked, 503, Json.error("superseded by a later report"));
@@ -1112,12 +1127,12 @@
   }
 
   /** What a report says goes into the picture; true if it frees anything. */
-  private boolean takeIn(Host h, Report r) {
+  private boolean takeIn(Machine h, WorkerHeartbeat r) {
     boolean freed = false;
     h.clearGhosts();
     h.listedTasks = 0;
     Set<LiveTask> unlisted = new LinkedHashSet<>(h.live);
-    for (TaskReport t : r.tasks()) {
+    for (TaskStatus t : r.tasks()) {
       JobId id = t.run().job();
       Job j = jobs.get(id);
       LiveTask l = j == null ? null : j.live.get(t.run().index());
@@ -1159,10 +1174,10 @@
   }
 
   /** What the worker is told, from its last report and what is committed by now. */
-  List<Order> orders(Host h, boolean direct) {
-    List<Order> orders = new ArrayList<>();
+  List<WorkerCommand> orders(Machine h, boolean direct) {
+    List<WorkerCommand> orders = new ArrayList<>();
     Set<LiveTask> listed = new HashSet<>();
-    for (TaskReport t : h.report.tasks()) {
+    for (TaskStatus t : h.report.tasks()) {
       JobId id = t.run().job();
       Job j = jobs.get(id);
       if (latched.contains(id) || (j != null && !j.claimed && j.epoch.value() > 0)) {
@@ -1192,11 +1207,11 @@
         if ((recorded == null || recorded <= j.committedSeq) && !direct && !h.mayStart(t.run())) {
           // Reaped only once no record names it and no start of it is under way: a repeated start
           // would run it anew.
-          orders.add(new Forget(t.run()));
+          orders.add(new Reap(t.run()));
         }
       }
     }
-    Set<TaskRun> reported = new HashSet<>();
+    Set<TaskAttemptId> reported = new HashSet<>();
     h.report.tasks().forEach(t -> reported.add(t.run()));
     stopUnlisted(h, reported, orders);
     for (LiveTask l : h.live) {
@@ -1222,7 +1237,7 @@
     return orders;
   }
 
-  private void stop(Host h, LiveTask l, TaskReport t, List<Order> orders) {
+  private void stop(Machine h, LiveTask l, TaskStatus t, List<WorkerCommand> orders) {
     Job j = l.job;
     if (j.aborted) {
       orders.add(new Stop(l.run(), 0));
@@ -1235,7 +1250,7 @@
     }
   }
 
-  private void running(Host h, LiveTask l, TaskReport t) {
+  private void running(Machine h, LiveTask l, TaskStatus t) {
     MonotonicTime now = ports.now();
     Job j = l.job;
     l.seen = true;
@@ -1258,7 +1273,7 @@
     }
   }
 
-  private void exited(Host h, LiveTask l, TaskReport t) {
+  private void exited(Machine h, LiveTask l, TaskStatus t) {
     MonotonicTime now = ports.now();
     Job j = l.job;
     switch (t.why()) {
@@ -1283,11 +1298,11 @@
   }
 
   /** Tells faulty machines from faulty jobs: a job that fails on many machines is at fault. */
-  private void failed(Host h, Job j, Why why) {
+  private void failed(Machine h, Job j, ExitReason why) {
     MonotonicTime now = ports.now();
     ports.count("task.failed");
     j.failedOn.add(h.name);
-    if (j.failedOn.size() > 2 || why == Why.UNKNOWN) {
+    if (j.failedOn.size() > 2 || why == ExitReason.UNKNOWN) {
       j.backoff = Math.min(j.backoff + 1, 6);
       j.placeAfter = now.plus(1000L << j.backoff);
       ports.info("job %s: fails on %d machines, held back", j.id(), j.failedOn.size());
@@ -1305,11 +1320,11 @@
 
   // ---- placing -------------------------------------------------------------------------------
 
-  boolean usable(Host h) {
+  public boolean usable(Machine h) {
     return !h.draining && sound(h);
   }
 
-  private boolean sound(Host h) {
+  private boolean sound(Machine h) {
     MonotonicTime now = ports.now();
     return h.lent
         && h.type() != null
@@ -1346,7 +1361,7 @@
     double soon = 0;
     double soonS = 0;
     double fetch = 0;
-    for (Host h : hosts.values()) {
+    for (Machine h : hosts.values()) {
       if (h.type() == null || !h.lent || h.retiring || h.noticed) {
         continue;
       }
@@ -1375,10 +1390,10 @@
     if (waiting.isEmpty()) {
       return;
     }
-    List<Host> room = new ArrayList<>();
-    List<Host> reserve = new ArrayList<>();
+    List<Machine> room = new ArrayList<>();
+    List<Machine> reserve = new ArrayList<>();
     ports.count("round.looks", custody.withRoom().size());
-    for (Host h : custody.withRoom()) {
+    for (Machine h : custody.withRoom()) {
       if (sound(h)) {
         (h.draining ? reserve : room).add(h);
       }
@@ -1417,8 +1432,8 @@
           placeIfSure(j, allClaimed, room);
           start = i + 1;
         } else {
-          List<Host> holders = new ArrayList<>();
-          for (Host h : room) {
+          List<Machine> holders = new ArrayList<>();
+          for (Machine h : room) {
             if (h.holdsOrFetches(j.spec)) {
               holders.add(h);
             }
@@ -1441,8 +1456,8 @@
   }
 
   /** What found no room takes machines back into use that were to run empty. */
-  private void takeBack(List<Job> waiting, boolean allClaimed, List<Host> reserve) {
-    List<Host> before = List.copyOf(reserve);
+  private void takeBack(List<Job> waiting, boolean allClaimed, List<Machine> reserve) {
+    List<Machine> before = List.copyOf(reserve);
     int[] held = before.stream().mapToInt(h -> h.live.size()).toArray();
     for (Job j : waiting) {
       if (reserve.isEmpty()) {
@@ -1460,7 +1475,7 @@
     }
   }
 
-  private void placeIfSure(Job j, boolean allClaimed, List<Host> room) {
+  private void placeIfSure(Job j, boolean allClaimed, List<Machine> room) {
     NodeConfig.Team team = ports.config.teams().get(j.spec.team());
     // Until every record is claimed, a late write of the last owner may add to the team's use.
     if (allClaimed || !limited(team)) {
@@ -1473,7 +1488,7 @@
   }
 
   /** What a team may still take: processors and accelerators. */
-  double[] limitLeft(String name) {
+  public double[] limitLeft(String name) {
     NodeConfig.Team team = ports.config.teams().get(name);
     if (team == null) {
       return new double[2];
@@ -1488,8 +1503,8 @@
     double[] u = teamUse.getOrDefault(name, new double[2]);
     left[0] -= u[0];
     left[1] -= u[1];
-    for (Host h : hosts.values()) {
-      for (Host.Ghost g : h.ghosts) {
+    for (Machine h : hosts.values()) {
+      for (Machine.Ghost g : h.ghosts) {
         if (g.job().spec.team().equals(name)) {
           left[0] -= g.job().spec.cpus();
           left[1] -= g.job().spec.gpus();
@@ -1500,7 +1515,7 @@
   }
 
   /** How many of a job's waiting tasks what is left of its team's limit allows. */
-  static int within(double[] left, Job j) {
+  public static int within(double[] left, Job j) {
     double n = j.queued();
     if (j.spec.cpus() > 0) {
       n = Math.min(n, Math.floor(left[0] / j.spec.cpus() + 1e-9));
@@ -1511,7 +1526,7 @@
     return (int) Math.max(0, n);
   }
 
-  private void place(Job j, List<Host> room) {
+  private void place(Job j, List<Machine> room) {
     int wanted = within(limitLeft(j.spec.team()), j);
     if (SchedulingQueue.overdue(j, ports.wallMs())) {
       wanted = Math.min(wanted, 1 + j.spec.tasks() / SchedulingQueue.BEGIN_SHARE);
@@ -1531,7 +1546,7 @@
     }
     int index = 0;
     boolean placed = false;
-    List<Host> candidates = room;
+    List<Machine> candidates = room;
     if (!j.failedOn.isEmpty()) {
       candidates = new ArrayList<>(room);
       candidates.removeIf(h -> j.failedOn.contains(h.name));
@@ -1543,13 +1558,13 @@
       candidates = new ArrayList<>(candidates);
     }
     while (wanted > 0 && j.rangesLeft > 0 && !candidates.isEmpty()) {
-      Host h =
-          Placement.choose(
+      Machine h =
+          BinPacking.choose(
               j.spec,
               wanted,
               candidates,
               zone,
-              new Placement.Clock(ports.now(), ports.config.workers().reportS()),
+              new BinPacking.Clock(ports.now(), ports.config.workers().reportS()),
               ports.tuning.sampleSize(),
               ports.random());
       if (h == null) {
@@ -1565,7 +1580,7 @@
           continue;
         }
       }
-      Attempt attempt = new Attempt(j.tries + 1);
+      AttemptNumber attempt = new AttemptNumber(j.tries + 1);
       for (int k = 0; k < n; k++) {
         index = j.nextQueued(index);
         if (index < 0) {
@@ -1603,20 +1618,20 @@
   // ---- for users -------------------------------------------------------------------------------
 
   /** Tells where a job stands, if this owner can. */
-  void ask(JobId id, StatusQueries.OnStanding then) {
+  public void ask(JobId id, StatusQueries.OnStanding then) {
     statusQueries.ask(id, ready() && valid(), then);
   }
 
   // ---- for the leader ------------------------------------------------------------------------
 
-  ShardReport beat() {
-    List<HostName> retire = new ArrayList<>();
-    List<HostName> spare = new ArrayList<>();
-    List<HandedBack> back = List.of();
+  public ShardReport beat() {
+    List<MachineName> retire = new ArrayList<>();
+    List<MachineName> spare = new ArrayList<>();
+    List<MachineHandover> back = List.of();
     if (ready() && valid()) {
       autoscaler.review(retire);
       back = custody.handedBack(liveness);
-      for (Host h : hosts.values()) {
+      for (Machine h : hosts.values()) {
         if (!h.recall
             && (usable(h) || h.draining)
             && h.empty()
--- a/src/main/java/shorecrank/coordination/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -1,5 +1,6 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
+import shorecrank.protocol.UserMessages.JobStatus;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayList;
@@ -10,10 +11,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.scheduling.DependencyGraph;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages.Phase;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages;
+import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.JobRecord;
 
 /**
@@ -21,37 +25,37 @@
  * question unchanged, so no answer is older than one given elsewhere, and a burst of questions
  * costs the state service few requests.
  */
-final class StatusQueries {
+public final class StatusQueries {
   private static final int COMPARE_MS = 1000;
 
   /** Takes what the store holds of a job now; null if this owner can't tell. */
-  interface OnStanding {
-    void told(Standing standing);
+  public interface OnStanding {
+    void told(JobStatus standing);
   }
 
-  private final Ports ports;
+  private final StepContext ports;
   private final Map<JobId, Job> jobs;
-  private final Dependencies dependencies;
+  private final DependencyGraph dependencies;
 
   /** Jobs that ended here: what never changes again needs no look at the store. */
-  private final Cache<JobId, Standing> ended =
+  private final Cache<JobId, JobStatus> ended =
       Caffeine.newBuilder().maximumSize(2000).executor(Runnable::run).build();
 
   private final Map<JobId, List<OnStanding>> asked = new LinkedHashMap<>();
   private boolean asking;
 
-  StatusQueries(Ports ports, Map<JobId, Job> jobs, Dependencies dependencies) {
+  StatusQueries(StepContext ports, Map<JobId, Job> jobs, DependencyGraph dependencies) {
     this.ports = ports;
     this.dependencies = dependencies;
     this.jobs = jobs;
   }
 
-  void ended(JobId id, Standing standing) {
+  void ended(JobId id, JobStatus standing) {
     ended.put(id, standing);
   }
 
   void ask(JobId id, boolean owner, OnStanding then) {
-    Standing end = ended.getIfPresent(id);
+    JobStatus end = ended.getIfPresent(id);
     if (end != null) {
       then.told(end);
     } else if (!owner || !jobs.containsKey(id)) {
@@ -84,7 +88,7 @@
 
   private void compare(Map<JobId, List<OnStanding>> batch, int tries) {
     StoreMessages.Txn txn = new StoreMessages.Txn();
-    Map<JobId, Standing> sent = new HashMap<>();
+    Map<JobId, JobStatus> sent = new HashMap<>();
     Map<JobId, Set<String>> keys = new HashMap<>();
     Set<String> guarded = new HashSet<>();
     int max = ports.config.state().txnOps() * 4;
@@ -111,7 +115,7 @@
         }
       }
       keys.put(id, mine);
-      sent.put(id, j.aborted && j.standing.phase() != Phase.WITHDRAWN ? null : j.standing);
+      sent.put(id, j.aborted && j.standing.phase() != JobState.WITHDRAWN ? null : j.standing);
     }
     if (batch.isEmpty()) {
       return;
--- a/src/main/java/shorecrank/coordination/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -1,7 +1,11 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
 import java.util.Collection;
-import shorecrank.coordination.Job.LiveTask;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.WorkerMessages.TaskState;
 
 /** What a part's processors do: where time goes while jobs wait. */
@@ -9,13 +13,13 @@
   private UtilizationGauges() {}
 
   static void tell(
-      Ports ports, Collection<Host> hosts, Collection<Job> jobs, WorkerLiveness liveness) {
+      StepContext ports, Collection<Machine> hosts, Collection<Job> jobs, WorkerLiveness liveness) {
     double there = 0;
     double commanded = 0;
     double pulling = 0;
     double running = 0;
     double taken = 0;
-    for (Host h : hosts) {
+    for (Machine h : hosts) {
       if (h.type() == null || !liveness.fresh(h)) {
         continue;
       }
--- a/src/main/java/shorecrank/coordination/WriteSettlement.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -1,20 +1,24 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
+import shorecrank.protocol.UserMessages.JobState;
 import com.fasterxml.jackson.databind.JsonNode;
-import shorecrank.coordination.Job.Urgency;
-import shorecrank.coordination.ShardOwner.Write;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Job.Urgency;
+import shorecrank.coordination.shard.MachineReferences;
+import shorecrank.coordination.shard.ShardOwner.Write;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages.Phase;
+import shorecrank.protocol.UserMessages;
 import shorecrank.storage.JobRecord;
 
 /**
  * Finds out what became of writes that were refused or got no answer: what the record says now
  * decides whether the job is still this owner's.
  */
-final class WriteSettlement {
+final class WriteOutcomeResolver {
   private static final int CALL_MS = 2000;
 
   /** A record that could not be read is read again after so long, and up to as much again. */
@@ -41,20 +45,20 @@
     void cancelled(Job job);
 
     /** The job is over. */
-    void ended(Job job, Phase phase);
+    void ended(Job job, JobState phase);
 
     /** An earlier owner's write came in before ours: its record is what counts. */
     void replaced(Job job, JobRecord record, Revision revision);
   }
 
-  private final Ports ports;
-  private final RecordReferences references;
+  private final StepContext ports;
+  private final MachineReferences references;
   private final Jobs jobs;
 
   /**
    * @param references machines that records may name; null where that is not kept track of
    */
-  WriteSettlement(Ports ports, RecordReferences references, Jobs jobs) {
+  WriteOutcomeResolver(StepContext ports, MachineReferences references, Jobs jobs) {
     this.ports = ports;
     this.references = references;
     this.jobs = jobs;
@@ -168,7 +172,7 @@
     boolean ours = j.wrote(r, ports.writer);
     if (references != null) {
       boolean othersMayWrite = !ours && (r.epoch().value() > 0 || j.claimFirst);
-      references.read(j.id(), revision, RecordReferences.machinesOf(r), othersMayWrite);
+      references.read(j.id(), revision, MachineReferences.machinesOf(r), othersMayWrite);
     }
     if (ours) {
       // One of our own writes, by its number; memory already holds all of it. Somebody may have
--- a/src/main/java/shorecrank/coordination/Input.java
+++ b/src/main/java/shorecrank/coordination/step/Input.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.step;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
--- a/src/main/java/shorecrank/coordination/Output.java
+++ b/src/main/java/shorecrank/coordination/step/Output.java
@@ -1,6 +1,7 @@
-package shorecrank.coordination;
+package shorecrank.coordination.step;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import shorecrank.protocol.Ids.ControllerName;
 
 /** What the core wants done. */
 public sealed interface Output {
@@ -31,5 +32,5 @@
   /** A machine's worker, where its report said it can be reached. */
   record Worker(String address) implements Target {}
 
-  record Peer(shorecrank.protocol.Ids.NodeLabel label) implements Target {}
+  record Peer(ControllerName label) implements Target {}
 }
--- a/src/main/java/shorecrank/coordination/Ports.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -1,5 +1,6 @@
-package shorecrank.coordination;
+package shorecrank.coordination.step;
 
+import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 import java.util.ArrayList;
@@ -8,17 +9,19 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.Tuning;
+import shorecrank.config.Settings;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
 import shorecrank.protocol.Ids.WriterId;
-import shorecrank.storage.Budget;
+import shorecrank.storage.RateLimiter;
 
 /** One step's view of the world for the parts of the core: time in, effects out. */
-final class Ports {
+public final class StepContext {
   /** What to do with an answer; status 0 means there was none and the call may still act later. */
   @FunctionalInterface
-  interface OnAnswer {
+  public interface OnAnswer {
     void answer(int status, JsonNode body);
   }
 
@@ -33,14 +36,14 @@
   /** What is refused for the same reason is logged no more often. */
   private static final int REFUSAL_PAUSE_MS = 5000;
 
-  final NodeConfig config;
-  final Tuning tuning;
-  final WriterId writer;
-  final Budget requests;
-  final Budget writes;
+  public final NodeConfig config;
+  public final Settings tuning;
+  public final WriterId writer;
+  public final RateLimiter requests;
+  public final RateLimiter writes;
 
   /** Changes that users wait for: these may use all that the state service takes. */
-  final Budget userWrites;
+  public final RateLimiter userWrites;
 
   private final Long2ObjectOpenHashMap<Pending> calls = new Long2ObjectOpenHashMap<>();
   private long nextCall = 1;
@@ -54,13 +57,13 @@
   private MonotonicTime peerHeardAt = MonotonicTime.NEVER;
   private final Map<String, MonotonicTime> refusalToldAt = new HashMap<>();
 
-  Ports(NodeConfig config, Tuning tuning, WriterId writer) {
+  public StepContext(NodeConfig config, Settings tuning, WriterId writer) {
     this.config = config;
     this.tuning = tuning;
     this.writer = writer;
-    this.requests = new Budget(config.state().rps());
-    this.writes = new Budget(config.state().writeRps());
-    this.userWrites = new Budget(config.state().writeRps());
+    this.requests = new RateLimiter(config.state().rps());
+    this.writes = new RateLimiter(config.state().writeRps());
+    this.userWrites = new RateLimiter(config.state().writeRps());
     share(0, false);
   }
 
@@ -69,7 +72,7 @@
    * for is not bound by the share: it comes in bursts, at one controller more than at others, and
    * the state service itself says when it is too much.
    */
-  void share(double owned, boolean leading) {
+  public void share(double owned, boolean leading) {
     int n = Math.max(1, config.members().size() + 1);
     requests.rate(config.state().rps() * (0.55 / n + 0.4 * owned));
     writes.rate(config.state().writeRps() * (0.1 / n + 0.75 * owned + (leading ? 0.05 : 0)));
@@ -79,7 +82,7 @@
    * So old may be what an owner knows of confirmed cancellations while it renews workers' leases:
    * what it missed ends with the lease, and no later than {@code cancel_s} after the confirmation.
    */
-  long evidenceMs() {
+  public long evidenceMs() {
     return Math.max(leastEvidenceMs(), safeEvidenceMs());
   }
 
@@ -94,40 +97,40 @@
   }
 
   /** Whether the platform leaves enough time between the lease and the end of cancelled tasks. */
-  boolean cancelsInTime() {
+  public boolean cancelsInTime() {
     return safeEvidenceMs() >= leastEvidenceMs();
   }
 
-  void begin(MonotonicTime now, long wallMs, long entropy) {
+  public void begin(MonotonicTime now, long wallMs, long entropy) {
     this.now = now;
     this.wallMs = wallMs;
     this.random = new SplittableRandom(entropy);
   }
 
-  List<Output> end() {
+  public List<Output> end() {
     List<Output> done = out;
     out = new ArrayList<>();
     return done;
   }
 
   /** Numbers objects that write records, so that their writes can be told apart. */
-  long nextLife() {
+  public long nextLife() {
     return ++lives;
   }
 
-  MonotonicTime now() {
+  public MonotonicTime now() {
     return now;
   }
 
-  long wallMs() {
+  public long wallMs() {
     return wallMs;
   }
 
-  SplittableRandom random() {
+  public SplittableRandom random() {
     return random;
   }
 
-  void state(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
+  public void state(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
     requests.take(1, now);
     count("state.requests");
     if (body != null && body.has("apply")) {
@@ -136,15 +139,15 @@
     call(Output.Service.STATE, method, path, body, timeoutMs, then);
   }
 
-  void cloud(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
+  public void cloud(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
     call(Output.Service.CLOUD, method, path, body, timeoutMs, then);
   }
 
-  void worker(String address, String path, JsonNode body, int timeoutMs, OnAnswer then) {
+  public void worker(String address, String path, JsonNode body, int timeoutMs, OnAnswer then) {
     call(new Output.Worker(address), "POST", path, body, timeoutMs, then);
   }
 
-  void peer(NodeLabel to, String path, JsonNode body, int timeoutMs, OnAnswer then) {
+  public void peer(ControllerName to, String path, JsonNode body, int timeoutMs, OnAnswer then) {
     call(new Output.Peer(to), "POST", path, body, timeoutMs, then);
   }
 
@@ -155,7 +158,7 @@
     out.add(new Output.Call(id, t, method, path, body, timeoutMs));
   }
 
-  void answered(Input.Answer a) {
+  public void answered(Input.Answer a) {
     Pending p = calls.remove(a.call());
     if (p == null) {
       return;
@@ -180,52 +183,52 @@
   }
 
   /** The state service answered lately. */
-  boolean stateOk() {
+  public boolean stateOk() {
     return now.since(stateOkAt) < tuning.stateFreshMs();
   }
 
-  MonotonicTime stateOkAt() {
+  public MonotonicTime stateOkAt() {
     return stateOkAt;
   }
 
   /** Another controller has answered, whatever it was asked, or asks something. */
-  void peerHeard() {
+  public void peerHeard() {
     peerHeardAt = now;
   }
 
   /** How long no other controller has been heard. */
-  long aloneMs() {
+  public long aloneMs() {
     return now.since(peerHeardAt);
   }
 
   /** When the state service began to answer again after it had not, or first. */
-  MonotonicTime stateOkSince() {
+  public MonotonicTime stateOkSince() {
     return stateOkSince;
   }
 
-  void reply(long reply, int status, JsonNode body) {
+  public void reply(long reply, int status, JsonNode body) {
     out.add(new Output.Reply(reply, status, body, 0));
   }
 
-  void replyLater(long reply, int status, JsonNode body, int retryAfterS) {
+  public void replyLater(long reply, int status, JsonNode body, int retryAfterS) {
     out.add(new Output.Reply(reply, status, body, retryAfterS));
   }
 
-  void info(String format, Object... args) {
+  public void info(String format, Object... args) {
     out.add(new Output.Log(Output.Level.INFO, String.format(format, args)));
   }
 
-  void error(String format, Object... args) {
+  public void error(String format, Object... args) {
     out.add(new Output.Log(Output.Level.ERROR, String.format(format, args)));
   }
 
   /** A key of the state service holds nothing that this version reads; it is left alone. */
-  void unreadable(String key) {
+  public void unreadable(String key) {
     refused("state.unreadable", "the value of " + key + " makes no sense, left alone");
   }
 
   /** Something from outside was refused: counted, and logged at a bounded rate. */
-  void refused(String metric, String what) {
+  public void refused(String metric, String what) {
     count(metric);
     if (now.since(refusalToldAt.getOrDefault(metric, MonotonicTime.NEVER)) >= REFUSAL_PAUSE_MS) {
       refusalToldAt.put(metric, now);
@@ -233,15 +236,15 @@
     }
   }
 
-  void count(String metric) {
+  public void count(String metric) {
     count(metric, 1);
   }
 
-  void count(String metric, long by) {
+  public void count(String metric, long by) {
     out.add(new Output.Count(metric, by));
   }
 
-  void gauge(String metric, double v) {
+  public void gauge(String metric, double v) {
     out.add(new Output.Gauge(metric, v));
   }
 }
--- a/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
+++ b/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.TuningFile;
+import shorecrank.config.SettingsFile;
 
 /**
  * A short run on loopback in which the controller is its own state service, cloud and peer, so that
@@ -68,7 +68,7 @@
             .formatted(pub, peer);
     NodeConfig config = NodeConfig.read(text.getBytes(StandardCharsets.UTF_8));
     try {
-      new Daemon(config, TuningFile.defaults(), null, null, "rehearsal").start();
+      new ControllerProcess(config, SettingsFile.defaults(), null, null, "rehearsal").start();
       return new int[] {pub, peer};
     } catch (Exception e) {
       if (tries <= 1) {
--- a/src/main/java/shorecrank/daemon/Daemon.java
+++ b/src/main/java/shorecrank/daemon/ControllerProcess.java
@@ -4,17 +4,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.Tuning;
-import shorecrank.coordination.Core;
+import shorecrank.config.Settings;
+import shorecrank.coordination.ControllerStateMachine;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.RolloutSetup;
-import shorecrank.transport.Runtime;
+import shorecrank.transport.ControllerEventLoop;
 
 /** One controller process. */
-final class Daemon {
+final class ControllerProcess {
   private static final Logger LOG = LoggerFactory.getLogger("shorecrank");
-  private final Runtime runtime;
+  private final ControllerEventLoop eventLoop;
   private final NodeConfig config;
 
   /**
@@ -22,20 +23,20 @@
    * @param shares null if shares are not enabled
    * @param identity names this process and no other, also not a later one under the same label
    */
-  Daemon(
+  ControllerProcess(
       NodeConfig config,
-      Tuning tuning,
+      Settings tuning,
       RolloutSetup rollout,
       ShareSettings shares,
       String identity) {
     this.config = config;
     WriterId writer = new WriterId(config.label() + "." + identity);
-    Core core = new Core(config, tuning, writer, rollout, shares);
-    this.runtime = new Runtime(config, tuning, core, new SimpleMeterRegistry());
+    ControllerStateMachine core = new ControllerStateMachine(config, tuning, writer, rollout, shares);
+    this.eventLoop = new ControllerEventLoop(config, tuning, core, new SimpleMeterRegistry());
   }
 
   void start() throws InterruptedException {
-    runtime.start();
+    eventLoop.start();
     LOG.info(
         "{} serves on {}, peers on {}", config.label(), config.publicAddr(), config.peerBind());
   }
--- a/src/main/java/shorecrank/daemon/Main.java
+++ b/src/main/java/shorecrank/daemon/Main.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.ParameterException;
 import shorecrank.client.ClientCommand;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.Tuning;
-import shorecrank.config.TuningFile;
+import shorecrank.config.Settings;
+import shorecrank.config.SettingsFile;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.RolloutSettings;
 import shorecrank.rollout.RolloutSetup;
@@ -130,16 +130,16 @@
       return complain("--shares needs --rollout FILE");
     }
     NodeConfig config;
-    Tuning tuning;
+    Settings tuning;
     RolloutSetup rollout = null;
     ShareSettings shares = null;
     Path reading = configFile;
     try {
       config = NodeConfig.read(Files.readAllBytes(configFile));
-      tuning = TuningFile.defaults();
+      tuning = SettingsFile.defaults();
       if (settingsFile != null) {
         reading = settingsFile;
-        tuning = TuningFile.read(Files.readString(settingsFile));
+        tuning = SettingsFile.read(Files.readString(settingsFile));
       }
       if (rolloutFile != null) {
         reading = rolloutFile;
@@ -158,7 +158,7 @@
     }
     try {
       String identity = UUID.randomUUID().toString().substring(0, 13);
-      new Daemon(config, tuning, rollout, shares, identity).start();
+      new ControllerProcess(config, tuning, rollout, shares, identity).start();
     } catch (Exception e) {
       return complain("can't listen on " + config.publicAddr() + " and " + config.peerBind());
     }
--- a/src/main/java/shorecrank/protocol/CloudMessages.java
+++ b/src/main/java/shorecrank/protocol/CloudMessages.java
@@ -1,5 +1,6 @@
 package shorecrank.protocol;
 
+import shorecrank.protocol.Ids.MachineName;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -8,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.protocol.Ids.HostName;
 
 /** Messages to and from the cloud. */
 public final class CloudMessages {
@@ -18,7 +18,7 @@
   public static final int MAX_RELEASE = 100;
   public static final int MAX_PAGE = 500;
 
-  public record HostType(
+  public record MachineType(
       String name,
       double cpus,
       double gpus,
@@ -34,8 +34,8 @@
     }
   }
 
-  public record Listed(
-      HostName name, String type, String zone, boolean spot, String state, double ageS) {}
+  public record ListedMachine(
+      MachineName name, String type, String zone, boolean spot, String state, double ageS) {}
 
   /** A kind of machine that can be rented. */
   public record Offer(String type, String zone, boolean spot) {
@@ -54,8 +54,8 @@
   }
 
   /** Empty if the answer makes no sense. */
-  public static Map<String, HostType> catalog(JsonNode n) {
-    Map<String, HostType> m = new TreeMap<>();
+  public static Map<String, MachineType> catalog(JsonNode n) {
+    Map<String, MachineType> m = new TreeMap<>();
     for (JsonNode t : n.path("hosttypes")) {
       String name = Json.text(t.path("sku"));
       List<String> zones = new ArrayList<>();
@@ -63,7 +63,7 @@
       if (!name.isEmpty() && t.path("cpus").isNumber()) {
         m.put(
             name,
-            new HostType(
+            new MachineType(
                 name,
                 t.path("cpus").asDouble(),
                 t.path("accelerators").asDouble(),
@@ -88,13 +88,13 @@
         .put("count", count);
   }
 
-  public static List<HostName> rented(JsonNode n) {
-    List<HostName> l = new ArrayList<>();
-    n.path("hosts").forEach(h -> l.add(new HostName(h.asText())));
+  public static List<MachineName> rented(JsonNode n) {
+    List<MachineName> l = new ArrayList<>();
+    n.path("hosts").forEach(h -> l.add(new MachineName(h.asText())));
     return l;
   }
 
-  public static ObjectNode release(Collection<HostName> hosts) {
+  public static ObjectNode release(Collection<MachineName> hosts) {
     ObjectNode n = Json.object();
     ArrayNode a = n.putArray("hosts");
     hosts.forEach(h -> a.add(h.value()));
@@ -105,14 +105,14 @@
     return n.path("truncated").asBoolean(false);
   }
 
-  public static List<Listed> listed(JsonNode n) {
-    List<Listed> l = new ArrayList<>();
+  public static List<ListedMachine> listed(JsonNode n) {
+    List<ListedMachine> l = new ArrayList<>();
     for (JsonNode h : n.path("hosts")) {
       String name = Json.text(h.path("nameId"));
       if (!name.isEmpty()) {
         l.add(
-            new Listed(
-                new HostName(name),
+            new ListedMachine(
+                new MachineName(name),
                 Json.text(h.path("hosttype")),
                 Json.text(h.path("site")),
                 h.path("loaner").asBoolean(),
--- a/src/main/java/shorecrank/protocol/Ids.java
+++ b/src/main/java/shorecrank/protocol/Ids.java
@@ -18,9 +18,9 @@
   }
 
   /** A machine's name. */
-  public record HostName(String value) implements Comparable<HostName> {
+  public record MachineName(String value) implements Comparable<MachineName> {
     @Override
-    public int compareTo(HostName o) {
+    public int compareTo(MachineName o) {
       return value.compareTo(o.value);
     }
 
@@ -31,9 +31,9 @@
   }
 
   /** A controller's label. */
-  public record NodeLabel(String value) implements Comparable<NodeLabel> {
+  public record ControllerName(String value) implements Comparable<ControllerName> {
     @Override
-    public int compareTo(NodeLabel o) {
+    public int compareTo(ControllerName o) {
       return value.compareTo(o.value);
     }
 
@@ -54,14 +54,14 @@
   }
 
   /** A share of the teams, served by one owner at a time. */
-  public record PartId(int value) implements Comparable<PartId> {
+  public record ShardId(int value) implements Comparable<ShardId> {
     /** The same on every controller and in every Java release: String.hashCode is specified. */
-    public static PartId of(String team, int parts) {
-      return new PartId(Math.floorMod(team.hashCode() * 0x9E3779B1, parts));
+    public static ShardId of(String team, int parts) {
+      return new ShardId(Math.floorMod(team.hashCode() * 0x9E3779B1, parts));
     }
 
     @Override
-    public int compareTo(PartId o) {
+    public int compareTo(ShardId o) {
       return Integer.compare(value, o.value);
     }
 
@@ -99,16 +99,16 @@
    * What a worker is shown: the owner's epoch, and under it a number of the owner's own for each
    * machine. Whoever holds a higher epoch has the higher token, whatever the numbers.
    */
-  public record Token(long value) implements Comparable<Token> {
+  public record FencingToken(long value) implements Comparable<FencingToken> {
     private static final int BITS = 24;
 
     /** Epochs from here on have no tokens. */
     public static final long MAX_EPOCH = 1L << (62 - BITS);
 
-    public static final Token NONE = new Token(0);
+    public static final FencingToken NONE = new FencingToken(0);
 
-    public static Token of(Epoch e) {
-      return new Token(e.value() << BITS);
+    public static FencingToken of(Epoch e) {
+      return new FencingToken(e.value() << BITS);
     }
 
     public Epoch epoch() {
@@ -116,20 +116,20 @@
     }
 
     /** The next number under the same epoch; none is left after the last. */
-    public Token next() {
-      return new Token(value + 1);
+    public FencingToken next() {
+      return new FencingToken(value + 1);
     }
 
     public boolean isLast() {
       return !next().epoch().equals(epoch());
     }
 
-    public boolean above(Token o) {
+    public boolean above(FencingToken o) {
       return value > o.value;
     }
 
     @Override
-    public int compareTo(Token o) {
+    public int compareTo(FencingToken o) {
       return Long.compare(value, o.value);
     }
   }
@@ -173,18 +173,18 @@
   }
 
   /** A worker's session. */
-  public record Tenure(long value) implements Comparable<Tenure> {
+  public record Incarnation(long value) implements Comparable<Incarnation> {
     @Override
-    public int compareTo(Tenure o) {
+    public int compareTo(Incarnation o) {
       return Long.compare(value, o.value);
     }
   }
 
   /** A task's attempt; unique among all attempts of its job. */
-  public record Attempt(long value) {}
+  public record AttemptNumber(long value) {}
 
   /** One attempt of one task. */
-  public record TaskRun(JobId job, int index, Attempt attempt) {}
+  public record TaskAttemptId(JobId job, int index, AttemptNumber attempt) {}
 
   /** A point on this process's steady clock. */
   public record MonotonicTime(long ms) implements Comparable<MonotonicTime> {
--- a/src/main/java/shorecrank/protocol/PeerMessages.java
+++ b/src/main/java/shorecrank/protocol/PeerMessages.java
@@ -1,5 +1,11 @@
 package shorecrank.protocol;
 
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,18 +16,12 @@
 import java.util.Map;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.NodeLabel;
-import shorecrank.protocol.Ids.PartId;
-import shorecrank.protocol.Ids.Token;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.Notice;
 import shorecrank.protocol.ShareMessages.ShardDemand;
-import shorecrank.protocol.UserMessages.Phase;
-import shorecrank.protocol.UserMessages.Standing;
 
 /**
  * Messages between controllers: every controller beats to the leader, which answers with leases.
@@ -53,7 +53,7 @@
   public static final int MAX_ASKED = 400;
 
   /** A machine somebody saw, or that is lent. */
-  public record HostInfo(HostName name, String type, String zone, boolean spot) {}
+  public record MachineInfo(MachineName name, String type, String zone, boolean spot) {}
 
   public record CapacityRequest(Offer offer, int count) {}
 
@@ -65,7 +65,7 @@
    *
    * @param move the order; {@link MoveId#NONE} from versions that don't repeat it
    */
-  public record HandedBack(HostName machine, MoveId move) {}
+  public record MachineHandover(MachineName machine, MoveId move) {}
 
   /**
    * What an owner says of one part. {@code fenced} is an epoch that refused it, or NONE.
@@ -75,20 +75,20 @@
    * @param demand what the shard needs and could give up; null where shares are not enabled
    */
   public record ShardReport(
-      PartId part,
+      ShardId part,
       Epoch epoch,
       Epoch fenced,
       boolean queued,
       WorkerReachability hearing,
       List<CapacityRequest> wants,
-      List<HostName> retire,
-      List<HostName> spare,
-      List<HandedBack> handedBack,
-      List<HostName> misplaced,
+      List<MachineName> retire,
+      List<MachineName> spare,
+      List<MachineHandover> handedBack,
+      List<MachineName> misplaced,
       boolean repeatsMoves,
       ShardDemand demand) {
     /** Of an owner that can't take the part under its present epoch. */
-    public static ShardReport refused(PartId part, Epoch epoch) {
+    public static ShardReport refused(ShardId part, Epoch epoch) {
       return new ShardReport(
           part,
           epoch,
@@ -111,18 +111,18 @@
    * @param announcement what the sender supports; null if it says nothing
    */
   public record Heartbeat(
-      NodeLabel from,
+      ControllerName from,
       WriterId writer,
       boolean stateOk,
       long lendVersion,
       List<ShardReport> parts,
-      List<HostInfo> seen,
-      Map<PartId, Integer> strays,
+      List<MachineInfo> seen,
+      Map<ShardId, Integer> strays,
       Announcement announcement) {}
 
-  public record Lease(PartId part, Epoch epoch, long ttlMs) {}
+  public record Lease(ShardId part, Epoch epoch, long ttlMs) {}
 
-  public record OwnerInfo(PartId part, NodeLabel label, Epoch epoch) {}
+  public record OwnerInfo(ShardId part, ControllerName label, Epoch epoch) {}
 
   /**
    * A machine's shard.
@@ -132,9 +132,9 @@
    * @param move the order under which it is to be handed over ({@code recall}) or has just come
    */
   public record MachineAssignment(
-      HostInfo host, PartId part, long ageMs, Epoch term, boolean recall, MoveId move) {}
+      MachineInfo host, ShardId part, long ageMs, Epoch term, boolean recall, MoveId move) {}
 
-  public record Blocked(Offer offer, long forMs) {}
+  public record UnavailableOffer(Offer offer, long forMs) {}
 
   /**
    * {@code lent} is all that is lent if {@code whole}, else what changed since the asker's version.
@@ -149,9 +149,9 @@
       long lendVersion,
       boolean whole,
       List<MachineAssignment> lent,
-      List<HostName> off,
-      List<HostName> gone,
-      List<Blocked> blocked,
+      List<MachineName> off,
+      List<MachineName> gone,
+      List<UnavailableOffer> blocked,
       Notice rollout) {}
 
   public static ObjectNode write(Heartbeat b) {
@@ -202,16 +202,16 @@
     }
   }
 
-  private static List<HandedBack> handedBack(JsonNode p) {
-    List<HostName> machines = names(p.path("back"));
+  private static List<MachineHandover> handedBack(JsonNode p) {
+    List<MachineName> machines = names(p.path("back"));
     JsonNode moves = p.path(MOVES);
     if (moves.isArray() && moves.size() != machines.size()) {
       throw new Malformed(MOVES);
     }
-    List<HandedBack> all = new ArrayList<>();
+    List<MachineHandover> all = new ArrayList<>();
     for (int i = 0; i < machines.size(); i++) {
       long move = moves.isArray() ? Json.count(moves.path(i)) : 0;
-      all.add(new HandedBack(machines.get(i), new MoveId(Math.max(0, move))));
+      all.add(new MachineHandover(machines.get(i), new MoveId(Math.max(0, move))));
     }
     return all;
   }
@@ -267,13 +267,13 @@
               p.path(MOVES).isArray(),
               ShareMessages.readDemand(p.path(DEMAND))));
     }
-    List<HostInfo> seen = new ArrayList<>();
+    List<MachineInfo> seen = new ArrayList<>();
     n.path("seen").forEach(h -> seen.add(host(h)));
-    Map<PartId, Integer> strays = new HashMap<>();
+    Map<ShardId, Integer> strays = new HashMap<>();
     n.path("strays")
-        .forEach(s -> strays.put(new PartId(s.path(0).asInt()), Math.max(0, s.path(1).asInt())));
+        .forEach(s -> strays.put(new ShardId(s.path(0).asInt()), Math.max(0, s.path(1).asInt())));
     return new Heartbeat(
-        new NodeLabel(from),
+        new ControllerName(from),
         new WriterId(writer),
         n.path("stateOk").asBoolean(),
         n.path("ver").asLong(-1),
@@ -309,7 +309,7 @@
     names(n.putArray("off"), a.off);
     names(n.putArray("gone"), a.gone);
     ArrayNode bs = n.putArray("blocked");
-    for (Blocked b : a.blocked) {
+    for (UnavailableOffer b : a.blocked) {
       offer(bs.addObject(), b.offer).put("ms", b.forMs);
     }
     if (a.rollout != null) {
@@ -344,8 +344,8 @@
               h.path("recall").asBoolean(),
               new MoveId(Math.max(0, Json.count(h.path(MOVE))))));
     }
-    List<Blocked> blocked = new ArrayList<>();
-    n.path("blocked").forEach(b -> blocked.add(new Blocked(offer(b), b.path("ms").asLong())));
+    List<UnavailableOffer> blocked = new ArrayList<>();
+    n.path("blocked").forEach(b -> blocked.add(new UnavailableOffer(offer(b), b.path("ms").asLong())));
     return new HeartbeatAnswer(
         term,
         n.path("othersOk").asBoolean(),
@@ -364,7 +364,7 @@
    * All cancellations that a controller has confirmed to users in the last {@code spanMs}, and the
    * shard owners it knows of.
    */
-  public record Confirmed(long spanMs, List<JobId> ids, List<OwnerInfo> owners) {}
+  public record ConfirmedCancellations(long spanMs, List<JobId> ids, List<OwnerInfo> owners) {}
 
   /** Asks for what the other has confirmed lately, and no more jobs than {@code most}. */
   public static ObjectNode confirmedWithin(long ms, int most) {
@@ -382,7 +382,7 @@
     return Json.count(n.path("withinMs"));
   }
 
-  public static ObjectNode write(Confirmed c) {
+  public static ObjectNode write(ConfirmedCancellations c) {
     ObjectNode n = Json.object().put("spanMs", c.spanMs);
     ArrayNode a = n.putArray("ids");
     c.ids.forEach(id -> a.add(id.value()));
@@ -391,7 +391,7 @@
   }
 
   /** Null if malformed, or with more jobs than were asked for. */
-  public static Confirmed readConfirmed(JsonNode n, int most) {
+  public static ConfirmedCancellations readConfirmed(JsonNode n, int most) {
     long span = Json.count(n.path("spanMs"));
     if (span < 0 || !n.path("ids").isArray() || n.path("ids").size() > most) {
       return null;
@@ -404,7 +404,7 @@
       l.add(new JobId(id.textValue()));
     }
     try {
-      return new Confirmed(span, l, owners(n.path("owners")));
+      return new ConfirmedCancellations(span, l, owners(n.path("owners")));
     } catch (Malformed e) {
       return null;
     }
@@ -430,15 +430,15 @@
   }
 
   /** Asks a part's owner where jobs stand now. */
-  public static ObjectNode ask(PartId part, Collection<JobId> ids) {
+  public static ObjectNode ask(ShardId part, Collection<JobId> ids) {
     ObjectNode n = Json.object().put("part", part.value());
     ArrayNode a = n.putArray("ids");
     ids.forEach(id -> a.add(id.value()));
     return n;
   }
 
-  public static PartId askedPart(JsonNode n) {
-    return new PartId(n.path("part").asInt(-1));
+  public static ShardId askedPart(JsonNode n) {
+    return new ShardId(n.path("part").asInt(-1));
   }
 
   public static List<JobId> asked(JsonNode n) {
@@ -452,7 +452,7 @@
   }
 
   /** Only what was found current in the store while the question was open. */
-  public static ObjectNode told(Map<JobId, Standing> standings) {
+  public static ObjectNode told(Map<JobId, JobStatus> standings) {
     ObjectNode n = Json.object();
     ArrayNode a = n.putArray("told");
     standings.forEach(
@@ -465,14 +465,14 @@
     return n;
   }
 
-  public static Map<JobId, Standing> told(JsonNode n) {
-    Map<JobId, Standing> m = new HashMap<>();
+  public static Map<JobId, JobStatus> told(JsonNode n) {
+    Map<JobId, JobStatus> m = new HashMap<>();
     for (JsonNode t : n.path("told")) {
-      Phase p = Phase.of(t.path("phase").asText());
+      JobState p = JobState.of(t.path("phase").asText());
       if (p != null) {
         m.put(
             new JobId(t.path("id").asText()),
-            new Standing(p, t.path("done").asInt(), t.path("running").asInt()));
+            new JobStatus(p, t.path("done").asInt(), t.path("running").asInt()));
       }
     }
     return m;
@@ -490,18 +490,18 @@
   private static List<OwnerInfo> owners(JsonNode a) {
     List<OwnerInfo> owners = new ArrayList<>();
     for (JsonNode o : a) {
-      owners.add(new OwnerInfo(part(o), new NodeLabel(name(o.path("label"))), epoch(o, "epoch")));
+      owners.add(new OwnerInfo(part(o), new ControllerName(name(o.path("label"))), epoch(o, "epoch")));
     }
     return owners;
   }
 
-  private static ObjectNode host(ObjectNode o, HostInfo h) {
+  private static ObjectNode host(ObjectNode o, MachineInfo h) {
     return o.put("h", h.name.value()).put("type", h.type).put("zone", h.zone).put("spot", h.spot);
   }
 
-  private static HostInfo host(JsonNode n) {
-    return new HostInfo(
-        new HostName(name(n.path("h"))),
+  private static MachineInfo host(JsonNode n) {
+    return new MachineInfo(
+        new MachineName(name(n.path("h"))),
         Json.text(n.path("type")),
         Json.text(n.path("zone")),
         n.path("spot").asBoolean());
@@ -516,22 +516,22 @@
         Json.text(n.path("type")), Json.text(n.path("zone")), n.path("spot").asBoolean());
   }
 
-  private static void names(ArrayNode a, Collection<HostName> l) {
+  private static void names(ArrayNode a, Collection<MachineName> l) {
     l.forEach(h -> a.add(h.value()));
   }
 
-  private static List<HostName> names(JsonNode a) {
-    List<HostName> l = new ArrayList<>();
-    a.forEach(h -> l.add(new HostName(name(h))));
+  private static List<MachineName> names(JsonNode a) {
+    List<MachineName> l = new ArrayList<>();
+    a.forEach(h -> l.add(new MachineName(name(h))));
     return l;
   }
 
-  private static PartId part(JsonNode n) {
-    return new PartId((int) count(n, "part", MAX_PARTS));
+  private static ShardId part(JsonNode n) {
+    return new ShardId((int) count(n, "part", MAX_PARTS));
   }
 
   private static Epoch epoch(JsonNode n, String field) {
-    return new Epoch(count(n, field, Token.MAX_EPOCH));
+    return new Epoch(count(n, field, FencingToken.MAX_EPOCH));
   }
 
   private static long count(JsonNode n, String field, long most) {
--- a/src/main/java/shorecrank/protocol/ShareMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareMessages.java
@@ -1,5 +1,7 @@
 package shorecrank.protocol;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -8,9 +10,7 @@
 import java.util.Locale;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 
 /**
  * Shards' shares of the machines, in the state service and between controllers: what owners report,
@@ -43,7 +43,7 @@
   // ---- what an owner reports -------------------------------------------------------------------
 
   /** A machine that a shard could give up, and in how many seconds it would be empty. */
-  public record Candidate(HostName machine, double cpus, double emptyInS) {}
+  public record Candidate(MachineName machine, double cpus, double emptyInS) {}
 
   /** What keeps a machine from being handed over. */
   public enum DrainState {
@@ -227,9 +227,9 @@
    */
   public record Move(
       MoveId id,
-      HostName machine,
-      PartId from,
-      PartId to,
+      MachineName machine,
+      ShardId from,
+      ShardId to,
       Epoch term,
       MovePhase phase,
       String order,
@@ -285,7 +285,7 @@
         new SharesState(0, 1, List.of(), List.of(), List.of(), List.of());
 
     /** The active move of a machine; null if there is none. */
-    public Move moveOf(HostName machine) {
+    public Move moveOf(MachineName machine) {
       return active.stream().filter(m -> m.machine.equals(machine)).findFirst().orElse(null);
     }
 
@@ -486,7 +486,7 @@
    * @param count how many; 0 if machines are named
    */
   public record MoveMachines(
-      String id, boolean dryRun, List<HostName> machines, PartId from, int count, PartId to)
+      String id, boolean dryRun, List<MachineName> machines, ShardId from, int count, ShardId to)
       implements ShareOrder {}
 
   /** Aborts a move, all of an order, or all that are under way. */
@@ -554,11 +554,11 @@
   }
 
   private static MoveMachines moveOrder(String id, boolean dryRun, JsonNode n) throws Malformed {
-    List<HostName> machines = new ArrayList<>();
+    List<MachineName> machines = new ArrayList<>();
     for (JsonNode m : list(n.path("machines"))) {
       machines.add(machine(m));
     }
-    PartId from = n.has("from") ? shard(n.path("from")) : null;
+    ShardId from = n.has("from") ? shard(n.path("from")) : null;
     int count = (int) Math.min(Integer.MAX_VALUE, count(n.path("count")));
     boolean byName = from == null && count == 0 && !machines.isEmpty();
     boolean byNumber = from != null && count > 0 && machines.isEmpty();
@@ -572,7 +572,7 @@
 
   /** A shard as the leader sees it; amounts are processors. */
   public record ShardStatus(
-      PartId shard,
+      ShardId shard,
       String owner,
       int machines,
       double cpus,
@@ -676,8 +676,8 @@
     return value;
   }
 
-  private static HostName machine(JsonNode n) throws Malformed {
-    return new HostName(text(n));
+  private static MachineName machine(JsonNode n) throws Malformed {
+    return new MachineName(text(n));
   }
 
   private static MoveId move(JsonNode n) throws Malformed {
@@ -688,11 +688,11 @@
     return new MoveId(id);
   }
 
-  private static PartId shard(JsonNode n) throws Malformed {
+  private static ShardId shard(JsonNode n) throws Malformed {
     long shard = count(n);
     if (shard > Integer.MAX_VALUE) {
       throw new Malformed();
     }
-    return new PartId((int) shard);
+    return new ShardId((int) shard);
   }
 }
--- a/src/main/java/shorecrank/protocol/UserMessages.java
+++ b/src/main/java/shorecrank/protocol/UserMessages.java
@@ -8,7 +8,7 @@
   private UserMessages() {}
 
   /** Where a job stands, as its user sees it. */
-  public enum Phase {
+  public enum JobState {
     QUEUED("queued"),
     RUNNING("running"),
     DONE("done"),
@@ -16,13 +16,13 @@
 
     final String wire;
 
-    Phase(String wire) {
+    JobState(String wire) {
       this.wire = wire;
     }
 
     /** Null if there is no such phase. */
-    static Phase of(String wire) {
-      for (Phase p : values()) {
+    static JobState of(String wire) {
+      for (JobState p : values()) {
         if (p.wire.equals(wire)) {
           return p;
         }
@@ -32,13 +32,13 @@
   }
 
   /** What a user is told of a job. */
-  public record Standing(Phase phase, int done, int running) {}
+  public record JobStatus(JobState phase, int done, int running) {}
 
-  public static ObjectNode status(JobId id, Standing s) {
+  public static ObjectNode status(JobId id, JobStatus s) {
     return phase(id, s.phase).put("done", s.done).put("running", s.running);
   }
 
-  public static ObjectNode phase(JobId id, Phase phase) {
+  public static ObjectNode phase(JobId id, JobState phase) {
     return Json.object().put("nameId", id.value()).put("phase", phase.wire);
   }
 }
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -1,18 +1,18 @@
 package shorecrank.protocol;
 
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import shorecrank.protocol.Ids.Attempt;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.JobId;
-import shorecrank.protocol.Ids.NodeLabel;
-import shorecrank.protocol.Ids.TaskRun;
-import shorecrank.protocol.Ids.Tenure;
-import shorecrank.protocol.Ids.Token;
 
 /** What workers report and what they are told. */
 public final class WorkerMessages {
@@ -33,7 +33,7 @@
   }
 
   /** Why a task exited. */
-  public enum Why {
+  public enum ExitReason {
     DONE,
     HALTED,
     ERROR,
@@ -42,36 +42,36 @@
     UNKNOWN
   }
 
-  public record TaskReport(TaskRun run, TaskState state, Why why) {}
+  public record TaskStatus(TaskAttemptId run, TaskState state, ExitReason why) {}
 
-  public record Report(
-      HostName host,
+  public record WorkerHeartbeat(
+      MachineName host,
       String type,
       String zone,
       boolean spot,
-      Tenure tenure,
+      Incarnation tenure,
       long serial,
-      Token token,
+      FencingToken token,
       String address,
       double noticeS,
-      List<TaskReport> tasks) {
+      List<TaskStatus> tasks) {
     public boolean noticed() {
       return noticeS >= 0;
     }
   }
 
-  public sealed interface Order {
-    TaskRun run();
+  public sealed interface WorkerCommand {
+    TaskAttemptId run();
   }
 
-  public record Start(TaskRun run) implements Order {}
+  public record Start(TaskAttemptId run) implements WorkerCommand {}
 
-  public record Stop(TaskRun run, double graceS) implements Order {}
+  public record Stop(TaskAttemptId run, double graceS) implements WorkerCommand {}
 
-  public record Forget(TaskRun run) implements Order {}
+  public record Reap(TaskAttemptId run) implements WorkerCommand {}
 
   /** Null if the report is malformed. */
-  public static Report read(JsonNode n) {
+  public static WorkerHeartbeat read(JsonNode n) {
     String host = Json.text(n.path("host"));
     long tenure = Json.count(n.path("tenure"));
     long serial = Json.count(n.path("serial"));
@@ -87,23 +87,23 @@
         || !(pieces.isArray() || pieces.isMissingNode() || pieces.isNull())) {
       return null;
     }
-    List<TaskReport> tasks = new ArrayList<>(pieces.size());
+    List<TaskStatus> tasks = new ArrayList<>(pieces.size());
     for (JsonNode p : pieces) {
-      TaskReport t = task(p);
+      TaskStatus t = task(p);
       if (t == null) {
         return null;
       }
       tasks.add(t);
     }
     JsonNode notice = n.path("reclaimInS");
-    return new Report(
-        new HostName(host),
+    return new WorkerHeartbeat(
+        new MachineName(host),
         Json.text(n.path("hosttype")),
         Json.text(n.path("site")),
         n.path("loaner").asBoolean(false),
-        new Tenure(tenure),
+        new Incarnation(tenure),
         serial,
-        new Token(token),
+        new FencingToken(token),
         address(Json.text(n.path("addr"))),
         notice.isNumber() ? Math.max(0, notice.doubleValue()) : -1,
         tasks);
@@ -122,7 +122,7 @@
     return ok ? s : "";
   }
 
-  private static TaskReport task(JsonNode p) {
+  private static TaskStatus task(JsonNode p) {
     String piece = Json.text(p.path("piece"));
     int slash = piece.lastIndexOf('/');
     long attempt = Json.count(p.path("try"));
@@ -146,34 +146,34 @@
     if (state == null || index < 0) {
       return null;
     }
-    Why why = null;
+    ExitReason why = null;
     if (state == TaskState.EXITED) {
       why =
           switch (Json.text(p.path("cause"))) {
-            case "done" -> Why.DONE;
-            case "halted" -> Why.HALTED;
-            case "full" -> Why.FULL;
-            case "busy" -> Why.BUSY;
-            case "unknown" -> Why.UNKNOWN;
-            default -> Why.ERROR;
+            case "done" -> ExitReason.DONE;
+            case "halted" -> ExitReason.HALTED;
+            case "full" -> ExitReason.FULL;
+            case "busy" -> ExitReason.BUSY;
+            case "unknown" -> ExitReason.UNKNOWN;
+            default -> ExitReason.ERROR;
           };
     }
-    return new TaskReport(
-        new TaskRun(new JobId(piece.substring(0, slash)), index, new Attempt(attempt)), state, why);
+    return new TaskStatus(
+        new TaskAttemptId(new JobId(piece.substring(0, slash)), index, new AttemptNumber(attempt)), state, why);
   }
 
-  public static ObjectNode answer(Token token, List<Order> orders) {
+  public static ObjectNode answer(FencingToken token, List<WorkerCommand> orders) {
     return write(Json.object().put("epoch", token.value()), orders);
   }
 
   /** What goes straight to a worker, which takes it only in this session and under this token. */
-  public static ObjectNode direct(Token token, Tenure tenure, List<Order> orders) {
+  public static ObjectNode direct(FencingToken token, Incarnation tenure, List<WorkerCommand> orders) {
     return write(Json.object().put("epoch", token.value()).put("tenure", tenure.value()), orders);
   }
 
-  private static ObjectNode write(ObjectNode n, List<Order> orders) {
+  private static ObjectNode write(ObjectNode n, List<WorkerCommand> orders) {
     ArrayNode a = n.putArray("orders");
-    for (Order o : orders) {
+    for (WorkerCommand o : orders) {
       ObjectNode e = a.addObject();
       String verb;
       if (o instanceof Start) {
@@ -194,7 +194,7 @@
   }
 
   /** Sends a worker elsewhere; null if it is not known where. */
-  public static ObjectNode elsewhere(NodeLabel steward) {
+  public static ObjectNode elsewhere(ControllerName steward) {
     ObjectNode n = Json.object();
     if (steward != null) {
       n.put("steward", steward.value());
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -1,5 +1,8 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineHandover;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,13 +15,12 @@
 import org.HdrHistogram.Histogram;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.Leadership;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages.HandedBack;
+import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.ShareMessages.DrainProgress;
 import shorecrank.protocol.ShareMessages.Move;
@@ -88,14 +90,14 @@
   private final ShareOrders orders;
   private final Supplier<List<String>> reasonsAgainstMoves;
 
-  private final Map<PartId, Report> reports = new HashMap<>();
+  private final Map<ShardId, Report> reports = new HashMap<>();
   private final Set<MoveId> handedBack = new HashSet<>();
   private final Set<MoveId> arrived = new HashSet<>();
-  private final Map<PartId, MonotonicTime> lackingSince = new HashMap<>();
-  private final Map<HostName, MonotonicTime> restingUntil = new HashMap<>();
-  private final Map<HostName, PartId> misplaced = new TreeMap<>();
+  private final Map<ShardId, MonotonicTime> lackingSince = new HashMap<>();
+  private final Map<MachineName, MonotonicTime> restingUntil = new HashMap<>();
+  private final Map<MachineName, ShardId> misplaced = new TreeMap<>();
   private final Histogram moveTimes = new Histogram(LONGEST_MOVE_MS, HISTOGRAM_DIGITS);
-  private Map<PartId, Double> targets = new TreeMap<>();
+  private Map<ShardId, Double> targets = new TreeMap<>();
 
   /** The key's revision as of which owners are told of moves; null before the first. */
   private Revision toldRevision;
@@ -189,7 +191,7 @@
     reports.put(
         report.part(),
         new Report(report.demand(), report.repeatsMoves(), draining, environment.now()));
-    for (HandedBack back : report.handedBack()) {
+    for (MachineHandover back : report.handedBack()) {
       Move move = store.state().moveOf(back.machine());
       if (move != null && move.id().equals(back.move()) && move.from().equals(report.part())) {
         handedBack.add(move.id());
@@ -202,7 +204,7 @@
    * A shard has a new owner, or its owner a new epoch. What was handed back before is asked for
    * again: the new owner was told that the machine is still its own.
    */
-  public void minted(PartId shard) {
+  public void minted(ShardId shard) {
     reports.remove(shard);
     for (Move move : store.state().active()) {
       if (move.from().equals(shard)) {
@@ -212,14 +214,14 @@
   }
 
   /** The shard that lacks the most; of equals, that with the fewest machines. */
-  public PartId shardOfNewcomer() {
-    Map<PartId, Double> present = present();
+  public ShardId shardOfNewcomer() {
+    Map<ShardId, Double> present = present();
     // While machine types are not known, machines have no processors, but still count.
     fleet.machines().forEach(m -> present.merge(m.shard(), MACHINE_TIE_BREAK, Double::sum));
-    PartId best = new PartId(0);
+    ShardId best = new ShardId(0);
     double most = Double.NEGATIVE_INFINITY;
     for (int i = 0; i < fleet.shards(); i++) {
-      PartId shard = new PartId(i);
+      ShardId shard = new ShardId(i);
       double lack = targets.getOrDefault(shard, 0.0) - present.getOrDefault(shard, 0.0);
       if (lack > most) {
         most = lack;
@@ -247,7 +249,7 @@
         fleet.awaitArrival(machine.name(), move.id());
       }
     }
-    for (HostName machine : fleet.ordered()) {
+    for (MachineName machine : fleet.ordered()) {
       if (store.state().moveOf(machine) == null) {
         fleet.keep(machine);
       }
@@ -277,7 +279,7 @@
   /** Writes down the next steps of all moves; false if there is none. */
   private boolean takeSteps() {
     SharesState next = store.state();
-    Map<HostName, PartId> handovers = new LinkedHashMap<>();
+    Map<MachineName, ShardId> handovers = new LinkedHashMap<>();
     List<Move> toHandOver = new ArrayList<>();
     for (Move move : store.state().active()) {
       Step step = MoveRules.next(move, observe(move), settings.timeoutS());
@@ -396,7 +398,7 @@
       return;
     }
     prepared.refused(conflict);
-    for (HostName machine : prepared.machines()) {
+    for (MachineName machine : prepared.machines()) {
       Move move = store.state().moveOf(machine);
       if (move != null) {
         handedBack.remove(move.id());
@@ -438,29 +440,29 @@
   // ---- planning --------------------------------------------------------------------------------
 
   /** Processors by shard, with moves under way counted where they lead. */
-  private Map<PartId, Double> present() {
-    Map<PartId, Double> present = new TreeMap<>();
+  private Map<ShardId, Double> present() {
+    Map<ShardId, Double> present = new TreeMap<>();
     for (int i = 0; i < fleet.shards(); i++) {
-      present.put(new PartId(i), 0.0);
+      present.put(new ShardId(i), 0.0);
     }
     for (FleetMachine machine : fleet.machines()) {
       Move move = store.state().moveOf(machine.name());
-      PartId shard = move == null ? machine.shard() : move.to();
+      ShardId shard = move == null ? machine.shard() : move.to();
       present.merge(shard, machine.cpus(), Double::sum);
     }
     return present;
   }
 
-  private ShardDemand freshDemand(PartId shard) {
+  private ShardDemand freshDemand(ShardId shard) {
     Report report = reports.get(shard);
     boolean fresh = report != null && environment.now().since(report.at) <= FRESH_MS;
     return fresh ? report.demand : null;
   }
 
   private void plan() {
-    Map<PartId, Double> present = present();
-    Map<PartId, Claim> claims = new TreeMap<>();
-    Map<PartId, ShardDemand> demands = new TreeMap<>();
+    Map<ShardId, Double> present = present();
+    Map<ShardId, Claim> claims = new TreeMap<>();
+    Map<ShardId, ShardDemand> demands = new TreeMap<>();
     teams
         .byShard(store.state().teams())
         .forEach(
@@ -483,7 +485,7 @@
     }
   }
 
-  private void tell(Map<PartId, Double> present) {
+  private void tell(Map<ShardId, Double> present) {
     targets.forEach((shard, cpus) -> environment.gauge("shares.target." + shard, cpus));
     present.forEach((shard, cpus) -> environment.gauge("shares.present." + shard, cpus));
     environment.gauge("shares.moves.active", store.state().active().size());
@@ -492,7 +494,7 @@
   }
 
   /** A move by need; {@code offset} counts those that begin with it. */
-  private Move begin(int offset, HostName machine, PartId to) {
+  private Move begin(int offset, MachineName machine, ShardId to) {
     MoveId id = new MoveId(store.state().nextMove() + offset);
     return fleet.machine(machine).moveTo(to, id, "", environment.wallMs());
   }
@@ -514,7 +516,7 @@
     return moves;
   }
 
-  private List<Move> byNeed(Map<PartId, Double> present, Map<PartId, ShardDemand> demands) {
+  private List<Move> byNeed(Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands) {
     int most = Math.min(settings.movesAtOnce() - store.state().active().size(), room());
     if (most <= 0) {
       return List.of();
@@ -533,9 +535,9 @@
   }
 
   /** Shards that have lacked machines for long enough, and have tasks waiting. */
-  private Set<PartId> receiving(Map<PartId, Double> present, Map<PartId, ShardDemand> demands) {
+  private Set<ShardId> receiving(Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands) {
     MonotonicTime now = environment.now();
-    Set<PartId> receiving = new HashSet<>();
+    Set<ShardId> receiving = new HashSet<>();
     targets.forEach(
         (shard, target) -> {
           ShardDemand demand = demands.get(shard);
@@ -552,7 +554,7 @@
     return receiving;
   }
 
-  private boolean mayMove(HostName machine) {
+  private boolean mayMove(MachineName machine) {
     MonotonicTime until = restingUntil.get(machine);
     if (until != null && until.before(environment.now())) {
       restingUntil.remove(machine);
@@ -572,7 +574,7 @@
   }
 
   /** Machines that a shard's owner would give up first. */
-  private List<HostName> candidates(PartId shard) {
+  private List<MachineName> candidates(ShardId shard) {
     ShardDemand demand = freshDemand(shard);
     return demand == null ? List.of() : demand.candidates().stream().map(c -> c.machine()).toList();
   }
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -1,5 +1,7 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -9,8 +11,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import shorecrank.protocol.Ids.HostName;
-import shorecrank.protocol.Ids.PartId;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.ShareMessages.Candidate;
 import shorecrank.protocol.ShareMessages.ShardDemand;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
@@ -24,7 +25,7 @@
   private static final double GAIN = 0.5;
 
   /** A machine that should move. */
-  record Planned(HostName machine, PartId from, PartId to) {}
+  record Planned(MachineName machine, ShardId from, ShardId to) {}
 
   /**
    * What moves are planned from.
@@ -34,17 +35,17 @@
    * @param movable whether a machine may move now
    */
   record Situation(
-      Map<PartId, Double> targets,
-      Map<PartId, Double> present,
-      Map<PartId, ShardDemand> demands,
-      Set<PartId> receiving,
-      Predicate<HostName> movable) {}
+      Map<ShardId, Double> targets,
+      Map<ShardId, Double> present,
+      Map<ShardId, ShardDemand> demands,
+      Set<ShardId> receiving,
+      Predicate<MachineName> movable) {}
 
   private final Situation situation;
   private final double tolerance;
-  private final Map<HostName, FleetMachine> machines = new HashMap<>();
-  private final Map<PartId, Double> present;
-  private final Set<HostName> taken = new HashSet<>();
+  private final Map<MachineName, FleetMachine> machines = new HashMap<>();
+  private final Map<ShardId, Double> present;
+  private final Set<MachineName> taken = new HashSet<>();
 
   MovePlanner(Situation situation, Collection<FleetMachine> machines, double tolerance) {
     this.situation = situation;
@@ -71,24 +72,24 @@
   }
 
   /** How far a shard is above its target; negative if it is below. */
-  private double surplus(PartId shard) {
+  private double surplus(ShardId shard) {
     return present.getOrDefault(shard, 0.0) - situation.targets().getOrDefault(shard, 0.0);
   }
 
-  private boolean beyondTolerance(PartId shard) {
+  private boolean beyondTolerance(ShardId shard) {
     double target = situation.targets().getOrDefault(shard, 0.0);
     return Math.abs(surplus(shard)) > tolerance * target;
   }
 
   private Planned next() {
-    List<PartId> receivers = new ArrayList<>(situation.receiving());
+    List<ShardId> receivers = new ArrayList<>(situation.receiving());
     receivers.removeIf(s -> surplus(s) >= 0 || !beyondTolerance(s));
     receivers.sort((a, b) -> Double.compare(surplus(a), surplus(b)));
-    List<PartId> donors = new ArrayList<>(present.keySet());
+    List<ShardId> donors = new ArrayList<>(present.keySet());
     donors.removeIf(s -> surplus(s) <= 0 || !situation.demands().containsKey(s));
     donors.sort((a, b) -> Double.compare(surplus(b), surplus(a)));
-    for (PartId to : receivers) {
-      for (PartId from : donors) {
+    for (ShardId to : receivers) {
+      for (ShardId from : donors) {
         Planned planned = from.equals(to) ? null : choose(from, to);
         if (planned != null) {
           return planned;
@@ -98,7 +99,7 @@
     return null;
   }
 
-  private Planned choose(PartId from, PartId to) {
+  private Planned choose(ShardId from, ShardId to) {
     for (Candidate candidate : situation.demands().get(from).candidates()) {
       FleetMachine machine = machines.get(candidate.machine());
       boolean usable =
@@ -114,7 +115,7 @@
     return null;
   }
 
-  private boolean gains(PartId from, PartId to, double cpus) {
+  private boolean gains(ShardId from, ShardId to, double cpus) {
     return surplus(from) >= cpus * GAIN && -surplus(to) >= cpus * GAIN;
   }
 }
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -1,7 +1,8 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.ShareMessages.DrainProgress;
 import shorecrank.protocol.ShareMessages.DrainState;
 import shorecrank.protocol.ShareMessages.Move;
@@ -51,7 +52,7 @@
    * @param arrived whether the new owner has said that it hears the machine
    */
   record Observation(
-      PartId assignedTo,
+      ShardId assignedTo,
       Epoch term,
       DrainProgress progress,
       boolean ownerKnowsMoves,
--- a/src/main/java/shorecrank/rebalance/ShareFleet.java
+++ b/src/main/java/shorecrank/rebalance/ShareFleet.java
@@ -1,14 +1,15 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.ShareMessages.Move;
 import shorecrank.protocol.ShareMessages.MovePhase;
@@ -23,13 +24,13 @@
    * @param order the order that its owner, or its new owner, is told; NONE if there is none
    */
   record FleetMachine(
-      HostName name, Offer offer, double cpus, PartId shard, Epoch term, MoveId order) {
+      MachineName name, Offer offer, double cpus, ShardId shard, Epoch term, MoveId order) {
     /**
      * The move of the machine to another shard, as it begins.
      *
      * @param by the operator's order that asks for it; empty if it is need
      */
-    Move moveTo(PartId to, MoveId id, String by, long wallMs) {
+    Move moveTo(ShardId to, MoveId id, String by, long wallMs) {
       return new Move(id, name, shard, to, term, MovePhase.REQUESTED, by, wallMs, "");
     }
   }
@@ -41,33 +42,33 @@
   Collection<FleetMachine> machines();
 
   /** Machines of which an owner is told an order. */
-  List<HostName> ordered();
+  List<MachineName> ordered();
 
   /** Null if the machine is not assigned. */
-  FleetMachine machine(HostName name);
+  FleetMachine machine(MachineName name);
 
   /** The highest epoch that was minted for a shard. */
-  Epoch epoch(PartId shard);
+  Epoch epoch(ShardId shard);
 
   /** The label of a shard's owner; empty if it has none. */
-  String owner(PartId shard);
+  String owner(ShardId shard);
 
   /** Has an epoch above {@code least} minted for a shard's present owner. */
-  void raiseAbove(PartId shard, Epoch least);
+  void raiseAbove(ShardId shard, Epoch least);
 
   /** The owner is to empty the machine and hand it back. */
-  void recall(HostName machine, MoveId order);
+  void recall(MachineName machine, MoveId order);
 
   /** The owner may use the machine; the order that concerned it is over. */
-  void keep(HostName machine);
+  void keep(MachineName machine);
 
   /** The new owner is to say when it hears the machine. */
-  void awaitArrival(HostName machine, MoveId order);
+  void awaitArrival(MachineName machine, MoveId order);
 
   /** Assignments that are being written in a transaction; no others are until it is over. */
   interface Handover {
     /** The machines that it assigns: as many of those asked for as fit into a transaction. */
-    Set<HostName> machines();
+    Set<MachineName> machines();
 
     /** How many changes it adds to the transaction. */
     int operations();
@@ -89,7 +90,7 @@
   /**
    * Prepares new assignments, under the epochs of their shards; null if none can be written now.
    */
-  Handover prepare(Map<HostName, PartId> assignments);
+  Handover prepare(Map<MachineName, ShardId> assignments);
 
   /** Assignments may differ from what is known here: reads everything anew. */
   void reload();
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -1,5 +1,7 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -7,9 +9,8 @@
 import java.util.function.Function;
 import java.util.function.IntSupplier;
 import org.apache.commons.codec.digest.MurmurHash3;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.AbortMoves;
@@ -30,7 +31,7 @@
 
   private final ShareFleet fleet;
   private final TeamShares teams;
-  private final Function<PartId, List<HostName>> candidates;
+  private final Function<ShardId, List<MachineName>> candidates;
   private final IntSupplier mostActive;
 
   /**
@@ -40,7 +41,7 @@
   ShareOrders(
       ShareFleet fleet,
       TeamShares teams,
-      Function<PartId, List<HostName>> candidates,
+      Function<ShardId, List<MachineName>> candidates,
       IntSupplier mostActive) {
     this.fleet = fleet;
     this.teams = teams;
@@ -184,7 +185,7 @@
   private Decision move(MoveMachines order, String content, SharesState state, long wallMs)
       throws Refused {
     checkShard(order.to());
-    Set<HostName> chosen = order.machines().isEmpty() ? choose(order, state) : named(order, state);
+    Set<MachineName> chosen = order.machines().isEmpty() ? choose(order, state) : named(order, state);
     int room = mostActive.getAsInt() - state.active().size();
     if (chosen.size() > room) {
       throw new Refused(
@@ -192,7 +193,7 @@
               .formatted(chosen.size(), state.active().size(), mostActive.getAsInt()));
     }
     List<Move> begun = new ArrayList<>();
-    for (HostName name : chosen) {
+    for (MachineName name : chosen) {
       MoveId id = new MoveId(state.nextMove() + begun.size());
       begun.add(fleet.machine(name).moveTo(order.to(), id, order.id(), wallMs));
     }
@@ -201,21 +202,21 @@
     return accepted(order, content, state.withBegun(begun), text, ids);
   }
 
-  private void checkShard(PartId shard) throws Refused {
+  private void checkShard(ShardId shard) throws Refused {
     if (shard.value() >= fleet.shards()) {
       throw new Refused("unknown shard %s: there are %d".formatted(shard, fleet.shards()));
     }
   }
 
-  private static String names(Set<HostName> machines) {
-    List<String> some = machines.stream().limit(MOST_NAMED).map(HostName::value).toList();
+  private static String names(Set<MachineName> machines) {
+    List<String> some = machines.stream().limit(MOST_NAMED).map(MachineName::value).toList();
     int more = machines.size() - some.size();
     return String.join(", ", some) + (more > 0 ? " and %d more".formatted(more) : "");
   }
 
-  private Set<HostName> named(MoveMachines order, SharesState state) throws Refused {
-    Set<HostName> chosen = new LinkedHashSet<>();
-    for (HostName name : order.machines()) {
+  private Set<MachineName> named(MoveMachines order, SharesState state) throws Refused {
+    Set<MachineName> chosen = new LinkedHashSet<>();
+    for (MachineName name : order.machines()) {
       FleetMachine machine = fleet.machine(name);
       if (machine == null) {
         throw new Refused("unknown machine " + name);
@@ -237,15 +238,15 @@
     return "move %s from %s to %s, %s".formatted(move.id(), move.from(), move.to(), by);
   }
 
-  private Set<HostName> choose(MoveMachines order, SharesState state) throws Refused {
+  private Set<MachineName> choose(MoveMachines order, SharesState state) throws Refused {
     checkShard(order.from());
     if (order.from().equals(order.to())) {
       throw new Refused("shard %s can't give machines to itself".formatted(order.to()));
     }
-    Set<HostName> chosen = new LinkedHashSet<>();
-    List<HostName> inOrder = new ArrayList<>(candidates.apply(order.from()));
+    Set<MachineName> chosen = new LinkedHashSet<>();
+    List<MachineName> inOrder = new ArrayList<>(candidates.apply(order.from()));
     fleet.machines().forEach(m -> inOrder.add(m.name()));
-    for (HostName name : inOrder) {
+    for (MachineName name : inOrder) {
       FleetMachine machine = fleet.machine(name);
       boolean free =
           machine != null && machine.shard().equals(order.from()) && state.moveOf(name) == null;
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -1,10 +1,11 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.ShardId;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.protocol.Ids.PartId;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.ShareMessages.ShardDemand;
 import shorecrank.rebalance.TeamShares.ShardShare;
 
@@ -37,8 +38,8 @@
    *
    * @param capacity processors of all machines that are assigned
    */
-  static Map<PartId, Double> compute(double capacity, Map<PartId, Claim> claims) {
-    Map<PartId, Double> targets = new TreeMap<>();
+  static Map<ShardId, Double> compute(double capacity, Map<ShardId, Claim> claims) {
+    Map<ShardId, Double> targets = new TreeMap<>();
     claims.keySet().forEach(shard -> targets.put(shard, 0.0));
     fill(targets, capacity, claims, claim -> lowest(claim));
     fill(targets, capacity, claims, claim -> Math.max(lowest(claim), guaranteed(claim)));
@@ -94,9 +95,9 @@
 
   /** Raises all targets to a level, by weight where there is not enough for it. */
   private static void fill(
-      Map<PartId, Double> targets, double capacity, Map<PartId, Claim> claims, Level level) {
+      Map<ShardId, Double> targets, double capacity, Map<ShardId, Claim> claims, Level level) {
     double left = capacity - sum(targets);
-    Map<PartId, Double> lacking = new HashMap<>();
+    Map<ShardId, Double> lacking = new HashMap<>();
     claims.forEach(
         (shard, claim) -> {
           double lack = level.of(claim) - targets.get(shard);
@@ -111,17 +112,17 @@
 
   /** Gives each its share of what is left, or all that it lacks; returns what was given. */
   private static double fillOnce(
-      Map<PartId, Double> targets,
+      Map<ShardId, Double> targets,
       double left,
-      Map<PartId, Double> lacking,
-      Map<PartId, Claim> claims) {
+      Map<ShardId, Double> lacking,
+      Map<ShardId, Claim> claims) {
     double weights = 0;
-    for (PartId shard : lacking.keySet()) {
+    for (ShardId shard : lacking.keySet()) {
       weights += weight(claims.get(shard));
     }
     double given = 0;
-    List<PartId> shards = List.copyOf(lacking.keySet());
-    for (PartId shard : shards) {
+    List<ShardId> shards = List.copyOf(lacking.keySet());
+    for (ShardId shard : shards) {
       double part = weights > EPSILON ? weight(claims.get(shard)) / weights : 1.0 / shards.size();
       double lack = lacking.get(shard);
       double gets = Math.min(lack, left * part);
@@ -142,9 +143,9 @@
 
   /** What nobody needs stays with those that have it, as far as their maximums go. */
   private static void leaveInPlace(
-      Map<PartId, Double> targets, double capacity, Map<PartId, Claim> claims) {
+      Map<ShardId, Double> targets, double capacity, Map<ShardId, Claim> claims) {
     double left = capacity - sum(targets);
-    for (Map.Entry<PartId, Claim> e : claims.entrySet()) {
+    for (Map.Entry<ShardId, Claim> e : claims.entrySet()) {
       double most = Math.min(e.getValue().present(), e.getValue().share().maxCpus());
       double stays = Math.max(0, Math.min(left, most - targets.get(e.getKey())));
       targets.merge(e.getKey(), stays, Double::sum);
@@ -154,14 +155,14 @@
       return;
     }
     double weights = claims.values().stream().mapToDouble(c -> c.share().weight()).sum();
-    for (Map.Entry<PartId, Claim> e : claims.entrySet()) {
+    for (Map.Entry<ShardId, Claim> e : claims.entrySet()) {
       double part =
           weights > EPSILON ? e.getValue().share().weight() / weights : 1.0 / claims.size();
       targets.merge(e.getKey(), left * part, Double::sum);
     }
   }
 
-  private static double sum(Map<PartId, Double> targets) {
+  private static double sum(Map<ShardId, Double> targets) {
     return targets.values().stream().mapToDouble(Double::doubleValue).sum();
   }
 }
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/StatusView.java
@@ -1,12 +1,13 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
 import org.HdrHistogram.Histogram;
-import shorecrank.protocol.Ids.PartId;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.ShareMessages.Move;
 import shorecrank.protocol.ShareMessages.MoveStatus;
 import shorecrank.protocol.ShareMessages.ShardDemand;
@@ -17,7 +18,7 @@
 
 /** Puts together what operators are shown. */
 record StatusView(
-    ShareFleet fleet, TeamShares teams, SharesState state, Map<PartId, Double> targets) {
+    ShareFleet fleet, TeamShares teams, SharesState state, Map<ShardId, Double> targets) {
 
   /**
    * The status.
@@ -27,13 +28,13 @@
    */
   SharesStatus of(
       List<String> against,
-      Function<PartId, ShardDemand> demandOf,
+      Function<ShardId, ShardDemand> demandOf,
       ToDoubleFunction<Move> ageS,
       Function<Move, String> waitsFor,
       Histogram moveTimes) {
     List<ShardStatus> shards = new ArrayList<>();
     for (int i = 0; i < fleet.shards(); i++) {
-      PartId shard = new PartId(i);
+      ShardId shard = new ShardId(i);
       shards.add(shard(shard, demandOf.apply(shard)));
     }
     List<MoveStatus> active = new ArrayList<>();
@@ -51,7 +52,7 @@
         moveTimes.getValueAtPercentile(99));
   }
 
-  private ShardStatus shard(PartId shard, ShardDemand demand) {
+  private ShardStatus shard(ShardId shard, ShardDemand demand) {
     int machines = 0;
     double cpus = 0;
     for (FleetMachine machine : fleet.machines()) {
--- a/src/main/java/shorecrank/rebalance/TeamShares.java
+++ b/src/main/java/shorecrank/rebalance/TeamShares.java
@@ -1,11 +1,12 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.protocol.Ids.PartId;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.ShareMessages.TeamShare;
 
 /** What each team, and so each shard, is to get: the file's words, then operators' orders. */
@@ -32,8 +33,8 @@
   }
 
   /** The teams of a shard. */
-  List<String> teamsOf(PartId shard) {
-    return teams.stream().filter(t -> PartId.of(t, shards).equals(shard)).toList();
+  List<String> teamsOf(ShardId shard) {
+    return teams.stream().filter(t -> ShardId.of(t, shards).equals(shard)).toList();
   }
 
   /** A team's share in force. */
@@ -53,10 +54,10 @@
   }
 
   /** Shares by shard; a shard without teams gets nothing. */
-  Map<PartId, ShardShare> byShard(List<TeamShare> ordered) {
-    Map<PartId, ShardShare> shares = new TreeMap<>();
+  Map<ShardId, ShardShare> byShard(List<TeamShare> ordered) {
+    Map<ShardId, ShardShare> shares = new TreeMap<>();
     for (int i = 0; i < shards; i++) {
-      PartId shard = new PartId(i);
+      ShardId shard = new ShardId(i);
       shares.put(shard, sum(teamsOf(shard), ordered));
     }
     return shares;
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -15,7 +15,7 @@
 import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Entry;
 import shorecrank.protocol.StoreMessages.Txn;
-import shorecrank.storage.Budget;
+import shorecrank.storage.RateLimiter;
 
 /**
  * Puts what stands in newer forms back into those of a lower level, in one pass over the keys.
@@ -50,7 +50,7 @@
   private final Leadership leadership;
   private final List<Feature> features;
   private final List<String> prefixes;
-  private final Budget budget;
+  private final RateLimiter budget;
   private final ArrayDeque<Pending> pending = new ArrayDeque<>();
   private String cursor;
   private String pageEnd;
@@ -82,7 +82,7 @@
     this.prefixes = List.copyOf(sorted);
     // Its own share: what the leader writes otherwise needs little.
     double most = environment.changesPerSecond() * SHARE;
-    this.budget = new Budget(Math.min(rewritesPerS, most));
+    this.budget = new RateLimiter(Math.min(rewritesPerS, most));
     this.cursor = cursor;
     this.done = prefixes.isEmpty();
   }
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -1,5 +1,6 @@
 package shorecrank.rollout;
 
+import shorecrank.protocol.Ids.ControllerName;
 import java.time.Instant;
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
@@ -7,8 +8,8 @@
 import java.util.List;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.Leadership;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.RolloutMessages.Announcement;
@@ -55,7 +56,7 @@
   private final Leadership leadership;
   private final RolloutSettings settings;
   private final Announcement own;
-  private final List<NodeLabel> members;
+  private final List<ControllerName> members;
   private final long freshMs;
   private final SupportVotes votes;
   private final LevelStore store;
@@ -77,7 +78,7 @@
       Leadership leadership,
       RolloutSettings settings,
       Announcement own,
-      List<NodeLabel> members,
+      List<ControllerName> members,
       long heartbeatMs) {
     this.environment = environment;
     this.leadership = leadership;
@@ -91,7 +92,7 @@
   }
 
   /** A controller's heartbeat has come; {@code announcement} is null if it names no levels. */
-  public void heard(NodeLabel label, WriterId writer, Announcement announcement) {
+  public void heard(ControllerName label, WriterId writer, Announcement announcement) {
     votes.heard(label, writer, announcement, environment.now());
   }
 
@@ -109,7 +110,7 @@
    * Why a controller may not own a shard; null if it may. It has to support what is in force, and
    * the settings that all share.
    */
-  public String reasonAgainstOwner(NodeLabel label) {
+  public String reasonAgainstOwner(ControllerName label) {
     LevelRange supported = votes.supported(label);
     if (!supported.supports(store.required())) {
       return "it supports levels %s, and %s is in force".formatted(supported, store.required());
@@ -118,7 +119,7 @@
   }
 
   /** Controllers of the fleet that were heard and don't support a level. */
-  public List<NodeLabel> unsupporting(FeatureLevel level) {
+  public List<ControllerName> unsupporting(FeatureLevel level) {
     return votes.unsupporting(level);
   }
 
@@ -434,7 +435,7 @@
     }
     RolloutState state = store.state();
     List<Member> all = new ArrayList<>();
-    for (NodeLabel label : members) {
+    for (ControllerName label : members) {
       all.add(
           new Member(
               label.value(),
--- a/src/main/java/shorecrank/rollout/RolloutSetup.java
+++ b/src/main/java/shorecrank/rollout/RolloutSetup.java
@@ -1,6 +1,6 @@
 package shorecrank.rollout;
 
-import shorecrank.config.Tuning;
+import shorecrank.config.Settings;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.LevelRange;
 
@@ -13,13 +13,13 @@
    * @param shares whether shares are enabled too
    */
   public static RolloutSetup of(
-      RolloutSettings settings, String build, Tuning tuning, boolean shares) {
+      RolloutSettings settings, String build, Settings tuning, boolean shares) {
     return of(settings, build, tuning, Feature.supported(shares));
   }
 
   /** Of a build that supports certain levels. */
   public static RolloutSetup of(
-      RolloutSettings settings, String build, Tuning tuning, LevelRange supported) {
+      RolloutSettings settings, String build, Settings tuning, LevelRange supported) {
     return new RolloutSetup(
         settings, new Announcement(build, supported, SettingsDigest.of(tuning)));
   }
--- a/src/main/java/shorecrank/rollout/SupportVotes.java
+++ b/src/main/java/shorecrank/rollout/SupportVotes.java
@@ -1,11 +1,12 @@
 package shorecrank.rollout;
 
+import shorecrank.protocol.Ids.ControllerName;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
@@ -25,15 +26,15 @@
     MonotonicTime since;
   }
 
-  private final List<NodeLabel> members;
+  private final List<ControllerName> members;
   private final String ownDigest;
-  private final Map<NodeLabel, Vote> votes = new HashMap<>();
+  private final Map<ControllerName, Vote> votes = new HashMap<>();
 
   /**
    * @param members all controllers of the configuration, this one included
    * @param ownDigest the digest of this controller's shared settings
    */
-  SupportVotes(List<NodeLabel> members, String ownDigest) {
+  SupportVotes(List<ControllerName> members, String ownDigest) {
     this.members = members;
     this.ownDigest = ownDigest;
   }
@@ -44,7 +45,7 @@
   }
 
   /** A heartbeat has come; {@code announcement} is null if it names no levels. */
-  void heard(NodeLabel label, WriterId writer, Announcement announcement, MonotonicTime now) {
+  void heard(ControllerName label, WriterId writer, Announcement announcement, MonotonicTime now) {
     Vote vote = votes.computeIfAbsent(label, l -> new Vote());
     boolean same =
         writer.equals(vote.writer)
@@ -59,32 +60,32 @@
   }
 
   /** The levels a controller supports, as last announced. */
-  LevelRange supported(NodeLabel label) {
+  LevelRange supported(ControllerName label) {
     Announcement announcement = announcement(label);
     return announcement == null ? LevelRange.UNANNOUNCED : announcement.supported();
   }
 
   /** What a controller last announced; null if nothing. */
-  Announcement announcement(NodeLabel label) {
+  Announcement announcement(ControllerName label) {
     Vote vote = votes.get(label);
     return vote == null ? null : vote.announcement;
   }
 
   /** Members that were heard and have not announced that they support a level. */
-  List<NodeLabel> unsupporting(FeatureLevel level) {
+  List<ControllerName> unsupporting(FeatureLevel level) {
     return members.stream()
         .filter(label -> votes.containsKey(label) && !supported(label).supports(level))
         .toList();
   }
 
   /** How long a controller has not been heard; negative if never under this leader. */
-  long heardMsAgo(NodeLabel label, MonotonicTime now) {
+  long heardMsAgo(ControllerName label, MonotonicTime now) {
     Vote vote = votes.get(label);
     return vote == null ? -1 : now.since(vote.heardAt);
   }
 
   /** Whether a controller has announced settings that differ from ours where they must not. */
-  boolean settingsDiffer(NodeLabel label) {
+  boolean settingsDiffer(ControllerName label) {
     Announcement announcement = announcement(label);
     return announcement != null && !announcement.settingsDigest().equals(ownDigest);
   }
@@ -92,7 +93,7 @@
   /** The highest level that all members support; the lowest while one was not heard. */
   FeatureLevel highestOfAll() {
     FeatureLevel highest = null;
-    for (NodeLabel label : members) {
+    for (ControllerName label : members) {
       FeatureLevel one = supported(label).highest();
       highest = highest == null || one.compareTo(highest) < 0 ? one : highest;
     }
@@ -107,7 +108,7 @@
    */
   List<String> reasonsAgainst(FeatureLevel level, MonotonicTime now, long freshMs, long settleMs) {
     List<String> reasons = new ArrayList<>();
-    for (NodeLabel label : members) {
+    for (ControllerName label : members) {
       Vote vote = votes.get(label);
       if (vote == null) {
         reasons.add(label + ": not heard by this leader yet");
--- a/src/main/java/shorecrank/storage/DenseRecordBody.java
+++ b/src/main/java/shorecrank/storage/DenseRecordBody.java
@@ -1,5 +1,8 @@
 package shorecrank.storage;
 
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.io.ByteArrayInputStream;
@@ -14,9 +17,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.roaringbitmap.RoaringBitmap;
-import shorecrank.protocol.Ids.Attempt;
-import shorecrank.protocol.Ids.HostName;
-import shorecrank.protocol.Ids.Tenure;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
 import shorecrank.storage.JobRecord.LiveRange;
@@ -158,9 +159,9 @@
           new LiveRange(
               (int) first,
               (int) count,
-              new HostName(host),
-              new Tenure(Column.SESSIONS.of(n).path(i).asLong()),
-              new Attempt(attempt)));
+              new MachineName(host),
+              new Incarnation(Column.SESSIONS.of(n).path(i).asLong()),
+              new AttemptNumber(attempt)));
       end = first + count;
     }
     return live;
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -1,5 +1,9 @@
 package shorecrank.storage;
 
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.UserMessages.JobStatus;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,16 +13,14 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.function.IntFunction;
-import shorecrank.protocol.Ids.Attempt;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.JobId;
-import shorecrank.protocol.Ids.Tenure;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.UserMessages.Phase;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages;
+import shorecrank.protocol.UserMessages.JobState;
 
 /**
  * The record of an unfinished job, as it stands in the store.
@@ -40,7 +42,7 @@
     long readyAtMs) {
 
   /** Tasks placed on one machine in one round. Those already done do not count as live. */
-  public record LiveRange(int first, int count, HostName host, Tenure tenure, Attempt attempt) {}
+  public record LiveRange(int first, int count, MachineName host, Incarnation tenure, AttemptNumber attempt) {}
 
   /** With more live ranges than this a record is packed, to fit the value the store takes. */
   private static final int PACK_ABOVE = 24;
@@ -70,15 +72,15 @@
     return n;
   }
 
-  public Phase phase() {
+  public JobState phase() {
     if (aborted) {
-      return Phase.WITHDRAWN;
+      return JobState.WITHDRAWN;
     }
-    return running() > 0 ? Phase.RUNNING : Phase.QUEUED;
+    return running() > 0 ? JobState.RUNNING : JobState.QUEUED;
   }
 
-  public Standing standing() {
-    return new Standing(phase(), done.cardinality(), aborted ? 0 : running());
+  public JobStatus standing() {
+    return new JobStatus(phase(), done.cardinality(), aborted ? 0 : running());
   }
 
   /** In the form that every version reads. */
@@ -248,9 +250,9 @@
           new LiveRange(
               first,
               field.apply(1).asInt(-1),
-              new HostName(field.apply(2).asText()),
-              new Tenure(field.apply(3).asLong()),
-              new Attempt(field.apply(4).asLong()));
+              new MachineName(field.apply(2).asText()),
+              new Incarnation(field.apply(3).asLong()),
+              new AttemptNumber(field.apply(4).asLong()));
       end = lr.first + lr.count;
       if (outside(lr.first, lr.count, spec)) {
         return null;
@@ -289,14 +291,14 @@
   }
 
   /** The short record that is kept for ever once a job is over. */
-  public static ObjectNode writeFinal(Phase phase, int done) {
-    return Json.object().put("p", phase == Phase.DONE ? "done" : "withdrawn").put("n", done);
+  public static ObjectNode writeFinal(JobState phase, int done) {
+    return Json.object().put("p", phase == JobState.DONE ? "done" : "withdrawn").put("n", done);
   }
 
   /** How a job ended. */
-  public record Final(Phase phase, int done) {
-    public Standing standing() {
-      return new Standing(phase, done, 0);
+  public record Final(JobState phase, int done) {
+    public JobStatus standing() {
+      return new JobStatus(phase, done, 0);
     }
 
     /** Null if it is not such a record. */
@@ -306,8 +308,8 @@
         return null;
       }
       return switch (Json.text(n.path("p"))) {
-        case "done" -> new Final(Phase.DONE, (int) done);
-        case "withdrawn" -> new Final(Phase.WITHDRAWN, (int) done);
+        case "done" -> new Final(JobState.DONE, (int) done);
+        case "withdrawn" -> new Final(JobState.WITHDRAWN, (int) done);
         default -> null;
       };
     }
--- a/src/main/java/shorecrank/storage/Budget.java
+++ b/src/main/java/shorecrank/storage/RateLimiter.java
@@ -3,12 +3,12 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /** A token bucket holding at most one second's worth. */
-public final class Budget {
+public final class RateLimiter {
   private double rate;
   private double tokens;
   private MonotonicTime at;
 
-  public Budget(double rate) {
+  public RateLimiter(double rate) {
     this.rate = rate;
     this.tokens = rate;
   }
--- a/src/main/java/shorecrank/transport/Runtime.java
+++ b/src/main/java/shorecrank/transport/ControllerEventLoop.java
@@ -1,5 +1,6 @@
 package shorecrank.transport;
 
+import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.micrometer.core.instrument.Measurement;
 import io.micrometer.core.instrument.Meter;
@@ -27,24 +28,24 @@
 import shorecrank.config.NodeConfig;
 import shorecrank.config.NodeConfig.Address;
 import shorecrank.config.NodeConfig.Member;
-import shorecrank.config.Tuning;
-import shorecrank.coordination.Core;
-import shorecrank.coordination.Input;
-import shorecrank.coordination.Output;
+import shorecrank.config.Settings;
+import shorecrank.coordination.ControllerStateMachine;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
 import shorecrank.protocol.Json;
 
 /** Runs the core on one event loop: sockets and clocks on one side, its inputs on the other. */
-public final class Runtime {
+public final class ControllerEventLoop {
   private static final Logger LOG = LoggerFactory.getLogger("shorecrank");
   private static final int EXIT_BROKEN = 3;
   private static final int METERS_S = 10;
   private static final int MIN_IDLE_S = 30;
 
   private final NodeConfig config;
-  private final Tuning tuning;
-  private final Core core;
+  private final Settings tuning;
+  private final ControllerStateMachine core;
   private final MeterRegistry meters;
   private final Map<String, Timer> steps = new HashMap<>();
   private final Timer lateRounds;
@@ -60,11 +61,11 @@
   private final Object2DoubleOpenHashMap<String> gauges = new Object2DoubleOpenHashMap<>();
   private final HttpClientPool state;
   private final HttpClientPool cloud;
-  private final Map<NodeLabel, HttpClientPool> peers = new HashMap<>();
+  private final Map<ControllerName, HttpClientPool> peers = new HashMap<>();
   private long nextExchange = 1;
   private long due;
 
-  public Runtime(NodeConfig config, Tuning tuning, Core core, MeterRegistry meters) {
+  public ControllerEventLoop(NodeConfig config, Settings tuning, ControllerStateMachine core, MeterRegistry meters) {
     this.config = config;
     this.tuning = tuning;
     this.core = core;
--- a/src/test/java/shorecrank/config/SettingsTest.java
+++ b/src/test/java/shorecrank/config/SettingsTest.java
@@ -15,8 +15,8 @@
   @Test
   void shippedExampleHoldsTheDefaults() throws Exception {
     assertEquals(
-        TuningFile.defaults(),
-        TuningFile.read(Files.readString(Path.of("deploy/settings.textproto"))));
+        SettingsFile.defaults(),
+        SettingsFile.read(Files.readString(Path.of("deploy/settings.textproto"))));
   }
 
   @ParameterizedTest
@@ -29,7 +29,7 @@
     "parts: many, parts"
   })
   void badSettingsNameTheField(String text, String part) {
-    NodeConfig.Invalid e = assertThrows(NodeConfig.Invalid.class, () -> TuningFile.read(text));
+    NodeConfig.Invalid e = assertThrows(NodeConfig.Invalid.class, () -> SettingsFile.read(text));
     assertTrue(e.getMessage().contains(part) || text.startsWith("parts: many"), e.getMessage());
   }
 
--- a/src/test/java/shorecrank/coordination/RecordReferencesTest.java
+++ b/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
@@ -1,20 +1,21 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
+import shorecrank.protocol.Ids.MachineName;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.Revision;
 
 /** Which machines records may name, while writes have no answer, are refused, or come late. */
-class RecordReferencesTest {
+class MachineReferencesTest {
   private static final JobId JOB = new JobId("wk-1");
-  private static final HostName ONE = new HostName("n-1");
-  private static final HostName TWO = new HostName("n-2");
+  private static final MachineName ONE = new MachineName("n-1");
+  private static final MachineName TWO = new MachineName("n-2");
 
-  private final RecordReferences references = new RecordReferences();
+  private final MachineReferences references = new MachineReferences();
 
   private static Revision at(long revision) {
     return new Revision(revision);
--- a/src/test/java/shorecrank/rebalance/MoveModel.java
+++ b/src/test/java/shorecrank/rebalance/MoveModel.java
@@ -1,14 +1,15 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.ShareMessages.DrainProgress;
 import shorecrank.protocol.ShareMessages.DrainState;
 import shorecrank.protocol.ShareMessages.Move;
@@ -22,8 +23,8 @@
  * design's page step by step.
  */
 final class MoveModel {
-  private static final PartId SOURCE = new PartId(0);
-  private static final PartId TARGET = new PartId(1);
+  private static final ShardId SOURCE = new ShardId(0);
+  private static final ShardId TARGET = new ShardId(1);
   private static final Epoch TERM = new Epoch(1);
   private static final MoveId MOVE = new MoveId(1);
   private static final double TIMEOUT_S = 100;
@@ -369,13 +370,13 @@
   }
 
   private static Observation seen(State s, DrainProgress progress, double ageS) {
-    PartId assigned = isOver(s.leader.known) ? TARGET : SOURCE;
+    ShardId assigned = isOver(s.leader.known) ? TARGET : SOURCE;
     return new Observation(
         assigned, TERM, progress, true, s.leader.handedBack, s.leader.arrived, ageS);
   }
 
   private static Move move(MovePhase phase) {
-    return new Move(MOVE, new HostName("n-1"), SOURCE, TARGET, TERM, phase, "", 0, "");
+    return new Move(MOVE, new MachineName("n-1"), SOURCE, TARGET, TERM, phase, "", 0, "");
   }
 
   private static void send(State s, MovePhase phase, BiConsumer<String, State> to) {
--- a/src/test/java/shorecrank/rebalance/ShareFormsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareFormsTest.java
@@ -1,5 +1,7 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -15,10 +17,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import shorecrank.config.NodeConfig;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.Move;
@@ -34,9 +35,9 @@
   private static Move move(long id, String machine, MovePhase phase) {
     return new Move(
         new MoveId(id),
-        new HostName(machine),
-        new PartId(0),
-        new PartId(1),
+        new MachineName(machine),
+        new ShardId(0),
+        new ShardId(1),
         new Epoch(7),
         phase,
         "o-1",
@@ -68,7 +69,7 @@
     SharesState begun = STATE.withBegun(List.of(move(9, "n-3", MovePhase.REQUESTED)));
     assertEquals(10, begun.nextMove());
     SharesState ended = begun.withChanged(move(7, "n-1", MovePhase.ABORTED), 2);
-    assertNull(ended.moveOf(new HostName("n-1")));
+    assertNull(ended.moveOf(new MachineName("n-1")));
     assertEquals(List.of(4L, 7L), ended.ended().stream().map(m -> m.id().value()).toList());
   }
 
@@ -98,7 +99,7 @@
   void ordersAreReadAsWritten() {
     SetShare set = new SetShare("s", false, "t", 2.0, null, -1.0);
     assertEquals(set, ShareMessages.readOrder(ShareMessages.write(set)));
-    MoveMachines move = new MoveMachines("m", true, List.of(), new PartId(0), 3, new PartId(1));
+    MoveMachines move = new MoveMachines("m", true, List.of(), new ShardId(0), 3, new ShardId(1));
     assertEquals(move, ShareMessages.readOrder(ShareMessages.write(move)));
   }
 
--- a/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
@@ -1,5 +1,7 @@
 package shorecrank.rebalance;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,10 +11,9 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.ShareMessages.Candidate;
 import shorecrank.protocol.ShareMessages.ShardDemand;
 import shorecrank.rebalance.MovePlanner.Planned;
@@ -24,8 +25,8 @@
 /** Targets and the moves that follow from them. */
 class ShareTargetsTest {
   private static final double NO_BOUND = Double.POSITIVE_INFINITY;
-  private static final PartId A = new PartId(0);
-  private static final PartId B = new PartId(1);
+  private static final ShardId A = new ShardId(0);
+  private static final ShardId B = new ShardId(1);
   private static final Offer KIND = new Offer("p8", "a", true);
 
   private static ShardDemand demand(
@@ -57,7 +58,7 @@
   }
 
   private static void targets(double capacity, Claim a, Claim b, double ofA, double ofB) {
-    Map<PartId, Double> targets = ShareTargets.compute(capacity, Map.of(A, a, B, b));
+    Map<ShardId, Double> targets = ShareTargets.compute(capacity, Map.of(A, a, B, b));
     assertEquals(ofA, targets.get(A), 0.01);
     assertEquals(ofB, targets.get(B), 0.01);
   }
@@ -152,7 +153,7 @@
   void targetsSumUpToTheCapacityWhateverTheInput() {
     Random random = new Random(7);
     for (int i = 0; i < 2000; i++) {
-      Map<PartId, Claim> claims = new TreeMap<>();
+      Map<ShardId, Claim> claims = new TreeMap<>();
       int shards = 1 + random.nextInt(8);
       for (int s = 0; s < shards; s++) {
         double min = random.nextInt(3) * 10;
@@ -167,11 +168,11 @@
                     random.nextInt(60),
                     random.nextInt(300));
         claims.put(
-            new PartId(s),
+            new ShardId(s),
             new Claim(share(random.nextInt(4), min, max), demand, random.nextInt(100)));
       }
       double capacity = random.nextInt(400);
-      Map<PartId, Double> targets = ShareTargets.compute(capacity, claims);
+      Map<ShardId, Double> targets = ShareTargets.compute(capacity, claims);
       double sum = targets.values().stream().mapToDouble(Double::doubleValue).sum();
       assertEquals(capacity, sum, 0.01, claims.toString());
       assertTrue(targets.values().stream().allMatch(t -> t >= -1e-9), targets.toString());
@@ -181,16 +182,16 @@
   // ---- moves -----------------------------------------------------------------------------------
 
   private static FleetMachine machine(String name) {
-    return new FleetMachine(new HostName(name), KIND, 8, A, new Epoch(1), MoveId.NONE);
+    return new FleetMachine(new MachineName(name), KIND, 8, A, new Epoch(1), MoveId.NONE);
   }
 
   private static List<String> planned(double presentA, double targetA, int most, String resting) {
     List<FleetMachine> machines = List.of(machine("n-1"), machine("n-2"), machine("n-3"));
     List<Candidate> candidates =
         List.of(
-            new Candidate(new HostName("n-3"), 8, 0),
-            new Candidate(new HostName("n-1"), 8, 2),
-            new Candidate(new HostName("n-2"), 8, 9));
+            new Candidate(new MachineName("n-3"), 8, 0),
+            new Candidate(new MachineName("n-1"), 8, 2),
+            new Candidate(new MachineName("n-2"), 8, 9));
     Situation situation =
         new Situation(
             Map.of(A, targetA, B, 24 - targetA),
@@ -199,7 +200,7 @@
             java.util.Set.of(B),
             name -> !name.value().equals(resting));
     return new MovePlanner(situation, machines, 0.1)
-        .plan(most).stream().map(Planned::machine).map(HostName::value).toList();
+        .plan(most).stream().map(Planned::machine).map(MachineName::value).toList();
   }
 
   @Test
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -1,5 +1,6 @@
 package shorecrank.rollout;
 
+import shorecrank.protocol.Ids.ControllerName;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,9 +17,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.TuningFile;
+import shorecrank.config.SettingsFile;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
@@ -106,16 +107,16 @@
 
   @Test
   void theDigestIsOfWhatAllMustShare() throws Exception {
-    String own = SettingsDigest.of(TuningFile.defaults());
-    assertEquals(own, SettingsDigest.of(TuningFile.read("round_ms: 60 clear_s: 9")));
+    String own = SettingsDigest.of(SettingsFile.defaults());
+    assertEquals(own, SettingsDigest.of(SettingsFile.read("round_ms: 60 clear_s: 9")));
     for (String other :
         List.of("parts: 2", "lease_ms: 6000", "leader_ttl_ms: 6000", "grace_ms: 1")) {
-      assertNotEquals(own, SettingsDigest.of(TuningFile.read(other)), other);
+      assertNotEquals(own, SettingsDigest.of(SettingsFile.read(other)), other);
     }
   }
 
-  private static final NodeLabel A = new NodeLabel("a");
-  private static final NodeLabel B = new NodeLabel("b");
+  private static final ControllerName A = new ControllerName("a");
+  private static final ControllerName B = new ControllerName("b");
   private static final FeatureLevel ONE = new FeatureLevel(1);
 
   private static Announcement announces(int highest, String digest) {
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -1,5 +1,6 @@
 package shorecrank.sim;
 
+import shorecrank.protocol.Ids.MachineName;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids;
 import shorecrank.storage.JobRecord;
 
 /** Watches the rules at every step, from outside the service. */
@@ -97,7 +98,7 @@
 
   /** Never may two processes command the same machine, as owners of whichever shards. */
   void oneCommander(World.Node node) {
-    for (HostName machine : node.commandedMachines()) {
+    for (MachineName machine : node.commandedMachines()) {
       Worker worker = world.workers.get(machine.value());
       if (worker == null || worker.dead) {
         // Gone: a list that lags may bring its name back.
--- a/src/test/java/shorecrank/sim/Measurements.java
+++ b/src/test/java/shorecrank/sim/Measurements.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.coordination.Input;
-import shorecrank.coordination.Output;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
 import shorecrank.protocol.Json;
 
 /** Processor time of the controllers' steps and the sizes of what they send, by kind. */
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -9,7 +9,7 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import shorecrank.config.TuningFile;
+import shorecrank.config.SettingsFile;
 import shorecrank.sim.ProcessWorld.ProcessNode;
 import shorecrank.sim.ProcessWorld.Version;
 import shorecrank.sim.World.JobPlan;
@@ -38,7 +38,7 @@
     Path logs = Files.createDirectories(ProgramVersions.BASE.resolve("target/mixed-versions"));
     Path own = Files.createTempDirectory(logs, "run");
     long seed = Long.getLong("seed", 1);
-    try (ProcessWorld w = new ProcessWorld(seed, production, own, TuningFile.defaults())) {
+    try (ProcessWorld w = new ProcessWorld(seed, production, own, SettingsFile.defaults())) {
       world = w;
       describeSite();
       world.mayLead(null);
--- a/src/test/java/shorecrank/sim/OutputDigest.java
+++ b/src/test/java/shorecrank/sim/OutputDigest.java
@@ -6,7 +6,7 @@
 import java.security.MessageDigest;
 import org.apache.commons.codec.binary.Hex;
 import org.apache.commons.codec.digest.DigestUtils;
-import shorecrank.coordination.Output;
+import shorecrank.coordination.step.Output;
 import shorecrank.protocol.Json;
 
 /**
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -14,8 +14,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 import shorecrank.client.ClientCommand;
-import shorecrank.config.Tuning;
-import shorecrank.config.TuningFile;
+import shorecrank.config.Settings;
+import shorecrank.config.SettingsFile;
 import shorecrank.protocol.RolloutMessages.RolloutState;
 import shorecrank.sim.ProcessWorld.ProcessNode;
 import shorecrank.sim.ProcessWorld.Version;
@@ -34,13 +34,13 @@
   record Run(int status, String out, String err) {}
 
   ProcessFleet(long seed, Version first, int machines) throws Exception {
-    this(seed, first, machines, TuningFile.defaults());
+    this(seed, first, machines, SettingsFile.defaults());
   }
 
   /**
    * @param tuning as in the settings file that the processes are started with
    */
-  ProcessFleet(long seed, Version first, int machines, Tuning tuning) throws Exception {
+  ProcessFleet(long seed, Version first, int machines, Settings tuning) throws Exception {
     Path logs = Files.createDirectories(ProgramVersions.BASE.resolve("target/process-fleet"));
     world = new ProcessWorld(seed, first, Files.createTempDirectory(logs, "run"), tuning);
     world.describeSmallSite();
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -1,5 +1,7 @@
 package shorecrank.sim;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
@@ -34,10 +36,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import shorecrank.config.Tuning;
+import shorecrank.config.Settings;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Json;
 
 /**
@@ -160,12 +161,12 @@
     }
 
     @Override
-    Map<PartId, Epoch> owned() {
-      Map<PartId, Epoch> owned = new HashMap<>();
+    Map<ShardId, Epoch> owned() {
+      Map<ShardId, Epoch> owned = new HashMap<>();
       for (String key : store.keys("part/")) {
         JsonNode part = store.peek(key);
         if (part.path("label").asText().equals(label)) {
-          PartId shard = new PartId(part.path("part").asInt());
+          ShardId shard = new ShardId(part.path("part").asInt());
           owned.put(shard, new Epoch(part.path("epoch").asLong()));
         }
       }
@@ -173,13 +174,13 @@
     }
 
     @Override
-    Set<HostName> commandedMachines() {
+    Set<MachineName> commandedMachines() {
       return Set.of();
     }
 
     /** What a process may command is not seen from outside. */
     @Override
-    Map<PartId, Epoch> commanded() {
+    Map<ShardId, Epoch> commanded() {
       return Map.of();
     }
 
@@ -235,7 +236,7 @@
   /**
    * @param tuning as in the settings file that the processes are started with
    */
-  ProcessWorld(long seed, Version first, Path directory, Tuning tuning) {
+  ProcessWorld(long seed, Version first, Path directory, Settings tuning) {
     super(seed, tuning);
     this.first = first;
     this.directory = directory;
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.Tuning;
-import shorecrank.config.TuningFile;
+import shorecrank.config.Settings;
+import shorecrank.config.SettingsFile;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
@@ -92,10 +92,10 @@
     otherSettings.put(index, text);
   }
 
-  Tuning tuning(Node node) {
+  Settings tuning(Node node) {
     String other = otherSettings.get(node.index);
     try {
-      return other == null ? world.tuning : TuningFile.read(other);
+      return other == null ? world.tuning : SettingsFile.read(other);
     } catch (NodeConfig.Invalid e) {
       throw new IllegalArgumentException(e);
     }
--- a/src/test/java/shorecrank/sim/Scenario.java
+++ b/src/test/java/shorecrank/sim/Scenario.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.Tuning;
-import shorecrank.config.TuningFile;
+import shorecrank.config.Settings;
+import shorecrank.config.SettingsFile;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages.OrderKind;
 import shorecrank.sim.World.JobPlan;
@@ -116,7 +116,7 @@
         tuning.append(l.substring(4)).append('\n');
       }
     }
-    Tuning t = tuning.isEmpty() ? TuningFile.defaults() : TuningFile.read(tuning.toString());
+    Settings t = tuning.isEmpty() ? SettingsFile.defaults() : SettingsFile.read(tuning.toString());
     World w = new World(seed, t);
     w.verbose = verbose;
     w.measurements = measurements;
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -1,5 +1,7 @@
 package shorecrank.sim;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,9 +11,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import shorecrank.config.NodeConfig;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.AbortMoves;
@@ -170,8 +171,8 @@
           if (was == shard || !names.contains(name)) {
             return;
           }
-          Move move = after.moveOf(new HostName(name));
-          Move earlier = before.moveOf(new HostName(name));
+          Move move = after.moveOf(new MachineName(name));
+          Move earlier = before.moveOf(new MachineName(name));
           boolean handedOver =
               move != null
                   && earlier != null
@@ -199,11 +200,11 @@
           new SetShare(
               id, dryRun, o.get("team"), amount(o, "weight"), amount(o, "min"), amount(o, "max"));
       case "move" -> {
-        List<HostName> machines =
+        List<MachineName> machines =
             o.containsKey("machines")
-                ? Arrays.stream(o.get("machines").split(",")).map(HostName::new).toList()
+                ? Arrays.stream(o.get("machines").split(",")).map(MachineName::new).toList()
                 : List.of();
-        PartId from = o.containsKey("from") ? shard(o.get("from")) : null;
+        ShardId from = o.containsKey("from") ? shard(o.get("from")) : null;
         int count = Integer.parseInt(o.getOrDefault("count", "0"));
         yield new MoveMachines(id, dryRun, machines, from, count, shard(o.get("to")));
       }
@@ -217,8 +218,8 @@
     };
   }
 
-  private static PartId shard(String text) {
-    return new PartId(Integer.parseInt(text));
+  private static ShardId shard(String text) {
+    return new ShardId(Integer.parseInt(text));
   }
 
   private static Double amount(Map<String, String> o, String key) {
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shorecrank.config.Tuning;
-import shorecrank.config.TuningFile;
+import shorecrank.config.Settings;
+import shorecrank.config.SettingsFile;
 import shorecrank.sim.ProcessFleet.Run;
 import shorecrank.sim.ProcessWorld.Version;
 
@@ -32,7 +32,7 @@
 
   @TempDir Path dir;
   private Version program;
-  private Tuning tuning;
+  private Settings tuning;
   private int orders;
   private int accepted;
   private int ended;
@@ -45,7 +45,7 @@
         Files.writeString(
             dir.resolve("shares.textproto"),
             "automatic: false move_timeout_s: 20 team { name: \"t\" weight: 2 }");
-    tuning = TuningFile.read(Files.readString(settings));
+    tuning = SettingsFile.read(Files.readString(settings));
     program =
         ProgramVersions.present(
             "--settings",
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -1,5 +1,7 @@
 package shorecrank.sim;
 
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -11,14 +13,13 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.Tuning;
-import shorecrank.coordination.Core;
-import shorecrank.coordination.Input;
-import shorecrank.coordination.Output;
+import shorecrank.config.Settings;
+import shorecrank.coordination.ControllerStateMachine;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
 import shorecrank.rollout.RolloutSetup;
@@ -83,7 +84,7 @@
     final int index;
     final String label;
     final String zone;
-    Core core;
+    ControllerStateMachine core;
     int life;
     boolean up;
     long frozenUntil = -1;
@@ -111,7 +112,7 @@
       life++;
       RolloutSetup setup = rollouts.start(this);
       WriterId writer = new WriterId(label + "." + life);
-      core = new Core(config(this), rollouts.tuning(this), writer, setup, shares.start(this));
+      core = new ControllerStateMachine(config(this), rollouts.tuning(this), writer, setup, shares.start(this));
       int mine = life;
       sim.after(20 + sim.random.nextInt(50), () -> tick(mine));
     }
@@ -163,7 +164,7 @@
     }
 
     /** The epochs of the shards that it owns. */
-    Map<PartId, Epoch> owned() {
+    Map<ShardId, Epoch> owned() {
       return core.owned();
     }
 
@@ -185,12 +186,12 @@
     }
 
     /** The machines that it may command now. */
-    Set<HostName> commandedMachines() {
+    Set<MachineName> commandedMachines() {
       return up ? core.commandedMachines(steady()) : Set.of();
     }
 
     /** The epochs of the shards that it may command now. */
-    Map<PartId, Epoch> commanded() {
+    Map<ShardId, Epoch> commanded() {
       return up ? core.commanded(steady()) : Map.of();
     }
 
@@ -311,7 +312,7 @@
   private double copiesUpToS;
   private boolean copiesInOrder;
   final Set<String> unheard = new HashSet<>();
-  Tuning tuning;
+  Settings tuning;
   boolean verbose;
 
   /** What steps and messages cost, if that is to be measured. */
@@ -338,7 +339,7 @@
   int leaseKills;
   int refusedFull;
 
-  World(long seed, Tuning tuning) {
+  World(long seed, Settings tuning) {
     this.sim = new Sim(seed);
     this.tuning = tuning;
     this.store = new Store(sim);
@@ -388,7 +389,7 @@
       return;
     }
     int shards = rollouts.tuning(nodes.get(0)).parts();
-    int shard = PartId.of(record.spec().team(), shards).value();
+    int shard = ShardId.of(record.spec().team(), shards).value();
     for (JobRecord.LiveRange range : record.live()) {
       Worker worker = workers.get(range.host().value());
       boolean there = worker != null && !worker.dead;
@@ -785,7 +786,7 @@
     long top = -1;
     for (Node n : nodes) {
       if (n.up) {
-        Epoch e = n.owned().get(new PartId(part));
+        Epoch e = n.owned().get(new ShardId(part));
         if (e != null && e.value() > top) {
           top = e.value();
           best = n;
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -1,5 +1,8 @@
 package shorecrank.storage;
 
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,10 +15,8 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import shorecrank.protocol.Ids.Attempt;
+import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
-import shorecrank.protocol.Ids.Tenure;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
@@ -44,8 +45,8 @@
     BitSet done = new BitSet();
     List<LiveRange> live = new ArrayList<>();
     for (int i = 0; i < ranges; i++) {
-      HostName host = new HostName(machine.formatted(random.nextInt(MACHINES)));
-      live.add(new LiveRange(2 * i, 1, host, new Tenure(1 + i % 3), new Attempt(i + 1)));
+      MachineName host = new MachineName(machine.formatted(random.nextInt(MACHINES)));
+      live.add(new LiveRange(2 * i, 1, host, new Incarnation(1 + i % 3), new AttemptNumber(i + 1)));
       if (i % 4 == 0) {
         done.set(2 * i + 1);
       }
