--- a/src/main/java/shorecrank/client/SharesCommand.java
+++ b/src/main/java/shorecrank/client/SharesCommand.java
@@ -1,7 +1,5 @@
 package shorecrank.client;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -9,8 +7,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.AbortMoves;
--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -1,12 +1,11 @@
 package shorecrank.config;
 
-import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Json;
 
 /** The platform's file. */
--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -1,12 +1,5 @@
 package shorecrank.coordination;
 
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.UserMessages.JobStatus;
-import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -31,10 +24,13 @@
 import shorecrank.coordination.step.Output;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.PeerMessages;
@@ -42,14 +38,16 @@
 import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
 import shorecrank.protocol.PeerMessages.Lease;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
+import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.PeerMessages.OwnerInfo;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages;
+import shorecrank.protocol.UserMessages.JobStatus;
 import shorecrank.protocol.WorkerMessages;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.FeatureGate;
 import shorecrank.rollout.RolloutCoordinator;
@@ -131,7 +129,11 @@
    * @param shares the settings of shares, which need rollouts; null if they are not enabled
    */
   public ControllerStateMachine(
-      NodeConfig config, Settings tuning, WriterId writer, RolloutSetup setup, ShareSettings shares) {
+      NodeConfig config,
+      Settings tuning,
+      WriterId writer,
+      RolloutSetup setup,
+      ShareSettings shares) {
     this.ports = new StepContext(config, tuning, writer);
     this.announcement = setup == null ? null : setup.announcement();
     this.election = new Election(ports, setup == null ? null : announcement.supported());
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -1,11 +1,5 @@
 package shorecrank.coordination.leader;
 
-import shorecrank.protocol.CloudMessages.ListedMachine;
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.PeerMessages.UnavailableOffer;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,17 +13,20 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import shorecrank.coordination.leader.MachineDirectory;
 import shorecrank.coordination.leader.MachineDirectory.Machine;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.CloudMessages.ListedMachine;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.CapacityRequest;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.PeerMessages.UnavailableOffer;
 import shorecrank.storage.RateLimiter;
 
 /** The leader's dealings with the cloud: renting, giving back, and reading the machine list. */
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -1,11 +1,10 @@
 package shorecrank.coordination.leader;
 
-import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.leadership.Leadership;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Json;
--- a/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
@@ -1,7 +1,6 @@
 package shorecrank.coordination.leader;
 
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.PeerMessages.ShardReport;
 
 /** Decides which shard a machine belongs to, and when it goes to another. */
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -1,8 +1,5 @@
 package shorecrank.coordination.leader;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.ArrayDeque;
@@ -15,16 +12,16 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
+import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.StoreMessages;
 
 /**
@@ -314,7 +311,10 @@
     Machine machine = new Machine();
     machine.info =
         new MachineInfo(
-            new MachineName(name), Json.text(n.path(1)), Json.text(n.path(2)), n.path(3).asBoolean());
+            new MachineName(name),
+            Json.text(n.path(1)),
+            Json.text(n.path(2)),
+            n.path(3).asBoolean());
     machine.part = new ShardId((int) part);
     machine.term = new Epoch(term);
     machine.since = ports.now();
@@ -436,7 +436,8 @@
    * Prepares new assignments, as many as fit beside {@code otherOperations} and {@code otherBytes};
    * null if none can be written now.
    */
-  Transfer prepare(Map<MachineName, NextAssignment> assignments, int otherOperations, int otherBytes) {
+  Transfer prepare(
+      Map<MachineName, NextAssignment> assignments, int otherOperations, int otherBytes) {
     if (saving) {
       return null;
     }
--- a/src/main/java/shorecrank/coordination/leader/ShardTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardTable.java
@@ -1,10 +1,9 @@
 package shorecrank.coordination.leader;
 
-import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.Ids.ShardId;
 import java.util.Set;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.ShardId;
 
 /** The shards as the leader knows them, for whoever assigns machines to them. */
 interface ShardTable {
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -1,17 +1,13 @@
 package shorecrank.coordination.leader;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineHandover;
-import shorecrank.coordination.leader.MachineAssigner;
-import shorecrank.coordination.leader.MachineDirectory;
 import shorecrank.coordination.leader.MachineDirectory.Machine;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineHandover;
 import shorecrank.protocol.PeerMessages.ShardReport;
 
 /**
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -1,7 +1,5 @@
 package shorecrank.coordination.model;
 
-import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.PeerMessages.ConfirmedCancellations;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayList;
@@ -12,10 +10,11 @@
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.PeerMessages.ConfirmedCancellations;
 import shorecrank.protocol.PeerMessages.OwnerInfo;
 
 /**
@@ -81,7 +80,8 @@
    * @param learned takes each job that another controller reports as cancelled
    * @param ownerSeen takes the owners that another controller knows of
    */
-  public CancellationLog(StepContext ports, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
+  public CancellationLog(
+      StepContext ports, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
     this.ports = ports;
     this.learned = learned;
     this.ownerSeen = ownerSeen;
@@ -176,7 +176,8 @@
         CALL_MS,
         (status, body) -> {
           m.asking = false;
-          ConfirmedCancellations c = status == 200 ? PeerMessages.readConfirmed(body, mostAsked) : null;
+          ConfirmedCancellations c =
+              status == 200 ? PeerMessages.readConfirmed(body, mostAsked) : null;
           if (c == null) {
             if (status == 200) {
               ports.refused("peer.malformed", "malformed cancellations of " + label + " refused");
--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -1,10 +1,5 @@
 package shorecrank.coordination.model;
 
-import shorecrank.protocol.Ids.AttemptNumber;
-import shorecrank.protocol.Ids.Incarnation;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.TaskAttemptId;
-import shorecrank.protocol.UserMessages.JobStatus;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectAVLTreeMap;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
@@ -15,15 +10,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.coordination.model.Machine;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.Incarnation;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
-import shorecrank.protocol.UserMessages;
+import shorecrank.protocol.UserMessages.JobStatus;
 import shorecrank.protocol.WorkerMessages.TaskState;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.LiveRange;
@@ -56,7 +53,13 @@
     public MonotonicTime runningSince;
 
     public LiveTask(
-        Job job, int index, Machine host, Incarnation tenure, AttemptNumber attempt, long seq, MonotonicTime at) {
+        Job job,
+        int index,
+        Machine host,
+        Incarnation tenure,
+        AttemptNumber attempt,
+        long seq,
+        MonotonicTime at) {
       this.job = job;
       this.index = index;
       this.host = host;
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -1,11 +1,5 @@
 package shorecrank.coordination.model;
 
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.Ids.Incarnation;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.TaskAttemptId;
-import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import it.unimi.dsi.fastutil.objects.Object2DoubleLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
@@ -16,16 +10,18 @@
 import java.util.Set;
 import shorecrank.coordination.model.Job.LiveTask;
 import shorecrank.coordination.scheduling.BinPacking;
-import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.JobSpec;
-import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.WorkerMessages;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /** A machine lent to a part, as the part's owner sees it. */
 public final class Machine {
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -5,10 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /** Which of a part's machines its owner hears, and what their silence proves. */
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -8,7 +8,6 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.UserMessages.JobState;
 
 /**
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -1,12 +1,11 @@
 package shorecrank.coordination.request;
 
-import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
 
--- a/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
@@ -1,8 +1,5 @@
 package shorecrank.coordination.request;
 
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.UserMessages.JobStatus;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
@@ -14,16 +11,16 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
-import shorecrank.coordination.request.DependencyAdmission.Result;
 import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.request.DependencyAdmission.Result;
 import shorecrank.coordination.scheduling.BinPacking;
 import shorecrank.coordination.shard.StatusQueries;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.CloudMessages;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
@@ -31,6 +28,7 @@
 import shorecrank.protocol.StoreMessages.Txn;
 import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.Final;
 
@@ -76,7 +74,8 @@
     void ask(ShardId part, JobId id, StatusQueries.OnStanding then);
   }
 
-  public UserRequestHandler(StepContext ports, CancellationLog cancellations, Owners owners, Relay relay) {
+  public UserRequestHandler(
+      StepContext ports, CancellationLog cancellations, Owners owners, Relay relay) {
     this.ports = ports;
     this.cancellations = cancellations;
     this.relay = relay;
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -1,8 +1,5 @@
 package shorecrank.coordination.scheduling;
 
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.PeerMessages.UnavailableOffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,16 +10,15 @@
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Job.LiveTask;
 import shorecrank.coordination.model.Machine;
-import shorecrank.coordination.scheduling.BinPacking;
 import shorecrank.coordination.shard.ShardOwner;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
-import shorecrank.protocol.PeerMessages;
 import shorecrank.protocol.PeerMessages.CapacityRequest;
+import shorecrank.protocol.PeerMessages.UnavailableOffer;
 
 /** Which machines a part asks the leader to rent and to return. */
 public final class Autoscaler {
--- a/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -1,11 +1,10 @@
 package shorecrank.coordination.scheduling;
 
-import shorecrank.protocol.CloudMessages.MachineType;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import shorecrank.coordination.model.Machine;
-import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -18,7 +18,6 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec.Priority;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.Final;
@@ -69,7 +68,10 @@
    * @param cancel what is to be done with a job that needs a cancelled one
    */
   public DependencyGraph(
-      StepContext ports, Map<JobId, Job> jobs, CancellationLog cancellations, Consumer<Job> cancel) {
+      StepContext ports,
+      Map<JobId, Job> jobs,
+      CancellationLog cancellations,
+      Consumer<Job> cancel) {
     this.ports = ports;
     this.jobs = jobs;
     this.cancellations = cancellations;
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -1,7 +1,5 @@
 package shorecrank.coordination.scheduling;
 
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.Ids.AttemptNumber;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -9,11 +7,10 @@
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Job.LiveTask;
 import shorecrank.coordination.model.Machine;
-import shorecrank.coordination.scheduling.SchedulingQueue;
 import shorecrank.coordination.shard.ShardOwner;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.CloudMessages;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.WorkerMessages.TaskState;
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -1,18 +1,16 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.Ids.FencingToken;
-import shorecrank.protocol.WorkerMessages.WorkerCommand;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import shorecrank.coordination.model.Job.LiveTask;
-import shorecrank.coordination.shard.ShardOwner;
-import shorecrank.coordination.shard.ShardOwner.Write;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.shard.ShardOwner.Write;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.WorkerMessages;
 import shorecrank.protocol.WorkerMessages.Start;
+import shorecrank.protocol.WorkerMessages.WorkerCommand;
 
 /** Starts that go straight to their machines, without waiting for the next report. */
 final class DirectCommandSender {
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -1,16 +1,15 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.Ids.TaskAttemptId;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.StoreMessages;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.LiveRange;
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -1,6 +1,5 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.Ids.MachineName;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.LiveRange;
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -1,13 +1,5 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.Ids.TaskAttemptId;
-import shorecrank.protocol.PeerMessages.MachineHandover;
-import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.WorkerMessages.TaskStatus;
-import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -22,13 +14,17 @@
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.CloudMessages;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.WorkerMessages;
+import shorecrank.protocol.PeerMessages.MachineHandover;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.WorkerMessages.TaskStatus;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
  * The machines that a shard's owner knows of: which are assigned to the shard, which are to be
@@ -67,7 +63,11 @@
    * @param foreign tasks of other shards; null where there is only one shard
    */
   MachineRegistry(
-      StepContext ports, ShardId shard, MachineReferences references, ForeignTasks foreign, Tasks tasks) {
+      StepContext ports,
+      ShardId shard,
+      MachineReferences references,
+      ForeignTasks foreign,
+      Tasks tasks) {
     this.ports = ports;
     this.shard = shard;
     this.references = references;
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -1,6 +1,5 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.CloudMessages.MachineType;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -14,11 +13,9 @@
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.scheduling.BinPacking;
-import shorecrank.coordination.shard.ShardOwner;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.JobSpec.Priority;
 import shorecrank.protocol.ShareMessages.Candidate;
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -1,17 +1,5 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.Ids.AttemptNumber;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.Ids.TaskAttemptId;
-import shorecrank.protocol.PeerMessages.MachineHandover;
-import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.UserMessages.JobStatus;
-import shorecrank.protocol.WorkerMessages.Reap;
-import shorecrank.protocol.WorkerMessages.TaskStatus;
-import shorecrank.protocol.WorkerMessages.WorkerCommand;
-import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.ArrayList;
@@ -37,24 +25,32 @@
 import shorecrank.coordination.scheduling.SchedulingQueue;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.protocol.CloudMessages;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.PeerMessages.MachineHandover;
+import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 import shorecrank.protocol.WorkerMessages;
 import shorecrank.protocol.WorkerMessages.ExitReason;
+import shorecrank.protocol.WorkerMessages.Reap;
 import shorecrank.protocol.WorkerMessages.Start;
 import shorecrank.protocol.WorkerMessages.Stop;
 import shorecrank.protocol.WorkerMessages.TaskState;
+import shorecrank.protocol.WorkerMessages.TaskStatus;
+import shorecrank.protocol.WorkerMessages.WorkerCommand;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.FeatureGate;
 import shorecrank.storage.JobRecord;
@@ -702,7 +698,8 @@
     int bytes = Json.bytes(value).length;
     boolean bound = dense && record.isLarge();
     int boundBytes = bound ? Json.bytes(record.writeCompact()).length : bytes;
-    Set<MachineName> machines = references == null ? Set.of() : MachineReferences.machinesOf(record);
+    Set<MachineName> machines =
+        references == null ? Set.of() : MachineReferences.machinesOf(record);
     return new EncodedRecord(value, bytes, boundBytes, record.standing(), machines);
   }
 
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -1,6 +1,5 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.UserMessages.JobStatus;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayList;
@@ -16,8 +15,8 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 import shorecrank.storage.JobRecord;
 
 /**
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -1,17 +1,15 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.UserMessages.JobState;
 import com.fasterxml.jackson.databind.JsonNode;
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Job.Urgency;
-import shorecrank.coordination.shard.MachineReferences;
 import shorecrank.coordination.shard.ShardOwner.Write;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages;
+import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.JobRecord;
 
 /**
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -1,6 +1,5 @@
 package shorecrank.coordination.step;
 
-import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 import java.util.ArrayList;
@@ -10,9 +9,7 @@
 import java.util.SplittableRandom;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.Settings;
-import shorecrank.coordination.step.Input;
-import shorecrank.coordination.step.Output;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.storage.RateLimiter;
--- a/src/main/java/shorecrank/daemon/ControllerProcess.java
+++ b/src/main/java/shorecrank/daemon/ControllerProcess.java
@@ -6,7 +6,6 @@
 import shorecrank.config.NodeConfig;
 import shorecrank.config.Settings;
 import shorecrank.coordination.ControllerStateMachine;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.RolloutSetup;
@@ -31,7 +30,8 @@
       String identity) {
     this.config = config;
     WriterId writer = new WriterId(config.label() + "." + identity);
-    ControllerStateMachine core = new ControllerStateMachine(config, tuning, writer, rollout, shares);
+    ControllerStateMachine core =
+        new ControllerStateMachine(config, tuning, writer, rollout, shares);
     this.eventLoop = new ControllerEventLoop(config, tuning, core, new SimpleMeterRegistry());
   }
 
--- a/src/main/java/shorecrank/protocol/CloudMessages.java
+++ b/src/main/java/shorecrank/protocol/CloudMessages.java
@@ -1,6 +1,5 @@
 package shorecrank.protocol;
 
-import shorecrank.protocol.Ids.MachineName;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import shorecrank.protocol.Ids.MachineName;
 
 /** Messages to and from the cloud. */
 public final class CloudMessages {
--- a/src/main/java/shorecrank/protocol/PeerMessages.java
+++ b/src/main/java/shorecrank/protocol/PeerMessages.java
@@ -1,11 +1,5 @@
 package shorecrank.protocol;
 
-import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.Ids.FencingToken;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.UserMessages.JobState;
-import shorecrank.protocol.UserMessages.JobStatus;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -15,13 +9,19 @@
 import java.util.List;
 import java.util.Map;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.Notice;
 import shorecrank.protocol.ShareMessages.ShardDemand;
+import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
  * Messages between controllers: every controller beats to the leader, which answers with leases.
@@ -345,7 +345,8 @@
               new MoveId(Math.max(0, Json.count(h.path(MOVE))))));
     }
     List<UnavailableOffer> blocked = new ArrayList<>();
-    n.path("blocked").forEach(b -> blocked.add(new UnavailableOffer(offer(b), b.path("ms").asLong())));
+    n.path("blocked")
+        .forEach(b -> blocked.add(new UnavailableOffer(offer(b), b.path("ms").asLong())));
     return new HeartbeatAnswer(
         term,
         n.path("othersOk").asBoolean(),
@@ -490,7 +491,8 @@
   private static List<OwnerInfo> owners(JsonNode a) {
     List<OwnerInfo> owners = new ArrayList<>();
     for (JsonNode o : a) {
-      owners.add(new OwnerInfo(part(o), new ControllerName(name(o.path("label"))), epoch(o, "epoch")));
+      owners.add(
+          new OwnerInfo(part(o), new ControllerName(name(o.path("label"))), epoch(o, "epoch")));
     }
     return owners;
   }
--- a/src/main/java/shorecrank/protocol/ShareMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareMessages.java
@@ -1,7 +1,5 @@
 package shorecrank.protocol;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,7 +8,9 @@
 import java.util.Locale;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
 
 /**
  * Shards' shares of the machines, in the state service and between controllers: what owners report,
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -1,18 +1,18 @@
 package shorecrank.protocol;
 
-import shorecrank.protocol.Ids.AttemptNumber;
-import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.Ids.FencingToken;
-import shorecrank.protocol.Ids.Incarnation;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.TaskAttemptId;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.Incarnation;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.TaskAttemptId;
 
 /** What workers report and what they are told. */
 public final class WorkerMessages {
@@ -159,7 +159,9 @@
           };
     }
     return new TaskStatus(
-        new TaskAttemptId(new JobId(piece.substring(0, slash)), index, new AttemptNumber(attempt)), state, why);
+        new TaskAttemptId(new JobId(piece.substring(0, slash)), index, new AttemptNumber(attempt)),
+        state,
+        why);
   }
 
   public static ObjectNode answer(FencingToken token, List<WorkerCommand> orders) {
@@ -167,7 +169,8 @@
   }
 
   /** What goes straight to a worker, which takes it only in this session and under this token. */
-  public static ObjectNode direct(FencingToken token, Incarnation tenure, List<WorkerCommand> orders) {
+  public static ObjectNode direct(
+      FencingToken token, Incarnation tenure, List<WorkerCommand> orders) {
     return write(Json.object().put("epoch", token.value()).put("tenure", tenure.value()), orders);
   }
 
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -1,8 +1,5 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineHandover;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -15,12 +12,13 @@
 import org.HdrHistogram.Histogram;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.Leadership;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineHandover;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.ShareMessages.DrainProgress;
 import shorecrank.protocol.ShareMessages.Move;
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -1,7 +1,5 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -11,7 +9,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.Candidate;
 import shorecrank.protocol.ShareMessages.ShardDemand;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -1,8 +1,7 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.DrainProgress;
 import shorecrank.protocol.ShareMessages.DrainState;
 import shorecrank.protocol.ShareMessages.Move;
--- a/src/main/java/shorecrank/rebalance/ShareFleet.java
+++ b/src/main/java/shorecrank/rebalance/ShareFleet.java
@@ -1,16 +1,15 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.Move;
 import shorecrank.protocol.ShareMessages.MovePhase;
 import shorecrank.protocol.StoreMessages.Txn;
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -1,7 +1,5 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -9,8 +7,9 @@
 import java.util.function.Function;
 import java.util.function.IntSupplier;
 import org.apache.commons.codec.digest.MurmurHash3;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.AbortMoves;
@@ -185,7 +184,8 @@
   private Decision move(MoveMachines order, String content, SharesState state, long wallMs)
       throws Refused {
     checkShard(order.to());
-    Set<MachineName> chosen = order.machines().isEmpty() ? choose(order, state) : named(order, state);
+    Set<MachineName> chosen =
+        order.machines().isEmpty() ? choose(order, state) : named(order, state);
     int room = mostActive.getAsInt() - state.active().size();
     if (chosen.size() > room) {
       throw new Refused(
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -1,11 +1,10 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.ShardId;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.ShardDemand;
 import shorecrank.rebalance.TeamShares.ShardShare;
 
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/StatusView.java
@@ -1,13 +1,12 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
 import org.HdrHistogram.Histogram;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.Move;
 import shorecrank.protocol.ShareMessages.MoveStatus;
 import shorecrank.protocol.ShareMessages.ShardDemand;
--- a/src/main/java/shorecrank/rebalance/TeamShares.java
+++ b/src/main/java/shorecrank/rebalance/TeamShares.java
@@ -1,12 +1,11 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.TeamShare;
 
 /** What each team, and so each shard, is to get: the file's words, then operators' orders. */
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -1,6 +1,5 @@
 package shorecrank.rollout;
 
-import shorecrank.protocol.Ids.ControllerName;
 import java.time.Instant;
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
@@ -8,7 +7,7 @@
 import java.util.List;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.Leadership;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.WriterId;
--- a/src/main/java/shorecrank/rollout/SupportVotes.java
+++ b/src/main/java/shorecrank/rollout/SupportVotes.java
@@ -1,11 +1,10 @@
 package shorecrank.rollout;
 
-import shorecrank.protocol.Ids.ControllerName;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.RolloutMessages.Announcement;
--- a/src/main/java/shorecrank/storage/DenseRecordBody.java
+++ b/src/main/java/shorecrank/storage/DenseRecordBody.java
@@ -1,8 +1,5 @@
 package shorecrank.storage;
 
-import shorecrank.protocol.Ids.AttemptNumber;
-import shorecrank.protocol.Ids.Incarnation;
-import shorecrank.protocol.Ids.MachineName;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.io.ByteArrayInputStream;
@@ -17,7 +14,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.roaringbitmap.RoaringBitmap;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
 import shorecrank.storage.JobRecord.LiveRange;
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -1,9 +1,5 @@
 package shorecrank.storage;
 
-import shorecrank.protocol.Ids.AttemptNumber;
-import shorecrank.protocol.Ids.Incarnation;
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.UserMessages.JobStatus;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,14 +9,16 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.function.IntFunction;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.Incarnation;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
  * The record of an unfinished job, as it stands in the store.
@@ -42,7 +40,8 @@
     long readyAtMs) {
 
   /** Tasks placed on one machine in one round. Those already done do not count as live. */
-  public record LiveRange(int first, int count, MachineName host, Incarnation tenure, AttemptNumber attempt) {}
+  public record LiveRange(
+      int first, int count, MachineName host, Incarnation tenure, AttemptNumber attempt) {}
 
   /** With more live ranges than this a record is packed, to fit the value the store takes. */
   private static final int PACK_ABOVE = 24;
--- a/src/main/java/shorecrank/transport/ControllerEventLoop.java
+++ b/src/main/java/shorecrank/transport/ControllerEventLoop.java
@@ -1,6 +1,5 @@
 package shorecrank.transport;
 
-import shorecrank.protocol.Ids.ControllerName;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.micrometer.core.instrument.Measurement;
 import io.micrometer.core.instrument.Meter;
@@ -32,7 +31,7 @@
 import shorecrank.coordination.ControllerStateMachine;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.Output;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Json;
 
@@ -65,7 +64,8 @@
   private long nextExchange = 1;
   private long due;
 
-  public ControllerEventLoop(NodeConfig config, Settings tuning, ControllerStateMachine core, MeterRegistry meters) {
+  public ControllerEventLoop(
+      NodeConfig config, Settings tuning, ControllerStateMachine core, MeterRegistry meters) {
     this.config = config;
     this.tuning = tuning;
     this.core = core;
--- a/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
+++ b/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
@@ -1,12 +1,11 @@
 package shorecrank.coordination.shard;
 
-import shorecrank.protocol.Ids.MachineName;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 
 /** Which machines records may name, while writes have no answer, are refused, or come late. */
--- a/src/test/java/shorecrank/rebalance/MoveModel.java
+++ b/src/test/java/shorecrank/rebalance/MoveModel.java
@@ -1,15 +1,14 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.DrainProgress;
 import shorecrank.protocol.ShareMessages.DrainState;
 import shorecrank.protocol.ShareMessages.Move;
--- a/src/test/java/shorecrank/rebalance/ShareFormsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareFormsTest.java
@@ -1,7 +1,5 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,9 +15,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import shorecrank.config.NodeConfig;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.Move;
--- a/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
@@ -1,7 +1,5 @@
 package shorecrank.rebalance;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,9 +9,10 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.Candidate;
 import shorecrank.protocol.ShareMessages.ShardDemand;
 import shorecrank.rebalance.MovePlanner.Planned;
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -1,6 +1,5 @@
 package shorecrank.rollout;
 
-import shorecrank.protocol.Ids.ControllerName;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -18,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.SettingsFile;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -1,6 +1,5 @@
 package shorecrank.sim;
 
-import shorecrank.protocol.Ids.MachineName;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.storage.JobRecord;
 
 /** Watches the rules at every step, from outside the service. */
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -1,7 +1,5 @@
 package shorecrank.sim;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
@@ -37,8 +35,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import shorecrank.config.Settings;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
 
 /**
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -1,7 +1,5 @@
 package shorecrank.sim;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -11,8 +9,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import shorecrank.config.NodeConfig;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.AbortMoves;
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -1,7 +1,5 @@
 package shorecrank.sim;
 
-import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.ShardId;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -17,9 +15,10 @@
 import shorecrank.coordination.ControllerStateMachine;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.Output;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
 import shorecrank.rollout.RolloutSetup;
@@ -112,7 +111,9 @@
       life++;
       RolloutSetup setup = rollouts.start(this);
       WriterId writer = new WriterId(label + "." + life);
-      core = new ControllerStateMachine(config(this), rollouts.tuning(this), writer, setup, shares.start(this));
+      core =
+          new ControllerStateMachine(
+              config(this), rollouts.tuning(this), writer, setup, shares.start(this));
       int mine = life;
       sim.after(20 + sim.random.nextInt(50), () -> tick(mine));
     }
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -1,8 +1,5 @@
 package shorecrank.storage;
 
-import shorecrank.protocol.Ids.AttemptNumber;
-import shorecrank.protocol.Ids.Incarnation;
-import shorecrank.protocol.Ids.MachineName;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,8 +12,10 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import shorecrank.protocol.Ids;
+import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/ProductionFormsTest.java
@@ -22,7 +22,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import shorecrank.protocol.Ids;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
