--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -9,7 +9,6 @@
 import java.util.Map;
 import java.util.Set;
 import shorecrank.coordination.model.Job.LiveTask;
-import shorecrank.coordination.scheduling.BinPacking;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.Epoch;
@@ -334,7 +333,7 @@
 
   /** Type, zone and kind are such as the job allows. */
   public boolean allowed(JobSpec s) {
-    return info != null && type != null && BinPacking.allowed(s, offer(), type);
+    return info != null && type != null && MachineConstraints.allows(s, offer(), type);
   }
 
   public boolean reported() {
--- a/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
@@ -13,7 +13,7 @@
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.CancellationLog;
 import shorecrank.coordination.request.DependencyAdmission.Result;
-import shorecrank.coordination.scheduling.BinPacking;
+import shorecrank.coordination.model.MachineConstraints;
 import shorecrank.coordination.shard.StatusQueries;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
@@ -176,7 +176,7 @@
     if (team == null) {
       return "unknown team " + s.team();
     }
-    if (!BinPacking.possible(s, catalog)) {
+    if (!MachineConstraints.isSatisfiable(s, catalog)) {
       return "no allowed machine type can hold a task";
     }
     if ((team.cpusMax() > 0 && s.cpus() > team.cpusMax())
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -7,10 +7,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import shorecrank.coordination.model.MachineConstraints;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Job.LiveTask;
 import shorecrank.coordination.model.Machine;
-import shorecrank.coordination.shard.ShardOwner;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
@@ -43,7 +44,7 @@
   public static final double SETTLED_S = 32;
 
   private final StepContext ports;
-  private final ShardOwner owner;
+  private final ShardView owner;
   private final Map<Offer, MonotonicTime> blocked = new HashMap<>();
 
   /** When a kind was last known to be used up. */
@@ -57,7 +58,7 @@
   /** Falling peaks of what was needed lately, the highest first. */
   private final ArrayDeque<Peak> peaks = new ArrayDeque<>();
 
-  public Autoscaler(StepContext ports, ShardOwner owner) {
+  public Autoscaler(StepContext ports, ShardView owner) {
     this.ports = ports;
     this.owner = owner;
   }
@@ -78,10 +79,10 @@
     double lease = ports.config.workers().leaseS() * 1000;
     Silence all = new Silence();
     Map<String, Silence> byZone = new HashMap<>();
-    for (Machine h : owner.hosts.values()) {
+    for (Machine h : owner.machines().values()) {
       // One that holds tasks has run before, whether or not this owner has heard it.
       if (h.info != null && (h.reported() || !h.empty())) {
-        boolean silent = !owner.liveness.fresh(h);
+        boolean silent = !owner.liveness().fresh(h);
         all.add(silent);
         byZone.computeIfAbsent(h.info.zone(), z -> new Silence()).add(silent);
       }
@@ -103,8 +104,8 @@
     double soon = lease - early > 10_000 ? early : lease + 30_000;
     double patient = lease + 60_000;
     balance();
-    for (Machine h : owner.hosts.values()) {
-      long quiet = owner.liveness.silentMs(h);
+    for (Machine h : owner.machines().values()) {
+      long quiet = owner.liveness().silentMs(h);
       // When it is over the last of them have a lease's time to find their way.
       MonotonicTime cutAt =
           h.info == null
@@ -132,14 +133,14 @@
           && h.empty()
           && now.since(h.deafFrom) > 3 * lease + 30_000) {
         retire.add(h.name);
-      } else if (h.quarantines > 1 && h.empty() && owner.liveness.fresh(h)) {
+      } else if (h.quarantines > 1 && h.empty() && owner.liveness().fresh(h)) {
         h.retiring = true;
         retire.add(h.name);
       } else if (h.draining
           && !h.recall
           && h.empty()
           && h.listedTasks == 0
-          && owner.liveness.fresh(h)
+          && owner.liveness().fresh(h)
           && now.since(h.idleSince) > 2000) {
         h.retiring = true;
         retire.add(h.name);
@@ -161,13 +162,13 @@
     double have = 0;
     List<Machine> running = new ArrayList<>();
     List<Machine> draining = new ArrayList<>();
-    for (Machine h : owner.hosts.values()) {
+    for (Machine h : owner.machines().values()) {
       if (h.type() == null) {
         continue;
       }
       // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
       used += h.usedShare() * h.type().cpus();
-      if (!h.reported() || !owner.liveness.fresh(h) || h.retiring || h.noticed || h.recall) {
+      if (!h.reported() || !owner.liveness().fresh(h) || h.retiring || h.noticed || h.recall) {
         continue;
       }
       if (h.draining) {
@@ -228,10 +229,10 @@
    */
   private void vacate(List<Machine> draining) {
     double room = 0;
-    for (Machine h : owner.hosts.values()) {
+    for (Machine h : owner.machines().values()) {
       room += owner.usable(h) ? h.freeCpus() : 0;
     }
-    for (Job j : owner.jobs.values()) {
+    for (Job j : owner.jobs().values()) {
       room -= j.queued() * j.spec.cpus();
     }
     room *= MOVE_SHARE;
@@ -240,7 +241,7 @@
             .thenComparing(Machine::usedCpus)
             .thenComparing(h -> h.name));
     for (Machine h : draining) {
-      if (!h.draining || h.empty() || !owner.liveness.fresh(h) || h.deaf) {
+      if (!h.draining || h.empty() || !owner.liveness().fresh(h) || h.deaf) {
         continue;
       }
       List<LiveTask> movable = new ArrayList<>();
@@ -289,17 +290,16 @@
   /** Tasks that wait for machines, by job; what waits for its team's limit needs none. */
   private Map<Job, Integer> waiting() {
     Map<Job, Integer> waiting = new LinkedHashMap<>();
-    Map<String, double[]> left = new HashMap<>();
-    for (Job j : owner.jobs.values()) {
+    Map<String, Headroom> headrooms = new HashMap<>();
+    for (Job j : owner.jobs().values()) {
       if (j.queued() == 0 || j.backoff > 0) {
         continue;
       }
-      double[] l = left.computeIfAbsent(j.spec.team(), owner::limitLeft);
-      int n = ShardOwner.within(l, j);
+      Headroom headroom = headrooms.computeIfAbsent(j.spec.team(), owner::headroom);
+      int n = headroom.queuedTasksThatFit(j);
       if (n > 0) {
         waiting.put(j, n);
-        l[0] -= n * j.spec.cpus();
-        l[1] -= n * j.spec.gpus();
+        headroom.take(j.spec, n);
       }
     }
     return waiting;
@@ -343,7 +343,7 @@
       return wants;
     }
     double free = 0;
-    for (Machine h : owner.hosts.values()) {
+    for (Machine h : owner.machines().values()) {
       if (h.type() == null || !h.lent || h.retiring || h.noticed) {
         continue;
       }
@@ -374,7 +374,7 @@
       }
     }
     Map<String, Integer> perZone = new HashMap<>();
-    owner.hosts.values().stream()
+    owner.machines().values().stream()
         .filter(h -> h.info != null)
         .forEach(h -> perZone.merge(h.info.zone(), 1, Integer::sum));
     offers.sort(
@@ -398,7 +398,7 @@
         MachineType t = catalog.get(o.type());
         double eligible = 0;
         for (Map.Entry<Job, Double> e : needs.entrySet()) {
-          if (BinPacking.allowed(e.getKey().spec, o, t)) {
+          if (MachineConstraints.allows(e.getKey().spec, o, t)) {
             eligible += e.getValue();
           }
         }
@@ -432,7 +432,7 @@
   }
 
   private boolean served(Job j) {
-    for (Machine h : owner.hosts.values()) {
+    for (Machine h : owner.machines().values()) {
       if (h.lent
           && !h.retiring
           && !h.noticed
--- a/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -1,11 +1,8 @@
 package shorecrank.coordination.scheduling;
 
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import shorecrank.coordination.model.Machine;
-import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
 
@@ -13,27 +10,6 @@
 public final class BinPacking {
   private BinPacking() {}
 
-  public static boolean allowed(JobSpec s, Offer o, MachineType t) {
-    return (s.types() == null || s.types().contains(o.type()))
-        && (s.zone() == null || s.zone().equals(o.zone()))
-        && (s.spot() || !o.spot())
-        && s.cpus() <= t.cpus()
-        && s.gpus() <= t.gpus()
-        && s.memoryGb() <= t.memoryGb();
-  }
-
-  /** A task fits some machine type that the job allows. */
-  public static boolean possible(JobSpec s, Map<String, MachineType> catalog) {
-    for (MachineType t : catalog.values()) {
-      for (String z : t.zones()) {
-        if (allowed(s, new Offer(t.name(), z, false), t)) {
-          return true;
-        }
-      }
-    }
-    return false;
-  }
-
   /** When it is, and how often workers report: a start goes in the answer to a report. */
   public record Clock(MonotonicTime now, double reportS) {}
 
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -7,7 +7,6 @@
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Job.LiveTask;
 import shorecrank.coordination.model.Machine;
-import shorecrank.coordination.shard.ShardOwner;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Ids.AttemptNumber;
@@ -21,10 +20,10 @@
   private static final double WORTH = 0.5;
 
   private final StepContext ports;
-  private final ShardOwner owner;
+  private final ShardView owner;
   private final SchedulingQueue queue;
 
-  public Preemption(StepContext ports, ShardOwner owner, SchedulingQueue queue) {
+  public Preemption(StepContext ports, ShardView owner, SchedulingQueue queue) {
     this.ports = ports;
     this.owner = owner;
     this.queue = queue;
@@ -72,7 +71,7 @@
       Machine best = null;
       List<LiveTask> victims = List.of();
       double bestCost = Double.MAX_VALUE;
-      for (Machine h : owner.hosts.values()) {
+      for (Machine h : owner.machines().values()) {
         if (!owner.usable(h)
             || !h.allowed(j.spec)
             || j.failedOn.contains(h.name)
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/scheduling/ShardView.java
@@ -0,0 +1,44 @@
+package shorecrank.coordination.scheduling;
+
+import java.util.Map;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
+import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.MonotonicTime;
+
+/** One shard as its owner knows it, for the decisions about placement and capacity. */
+public interface ShardView {
+  /** The machines that the owner knows, those of other shards that hold its tasks included. */
+  Map<MachineName, Machine> machines();
+
+  /** The unfinished jobs of the shard. */
+  Map<JobId, Job> jobs();
+
+  /** The machine types that can be rented, by name. */
+  Map<String, MachineType> catalog();
+
+  /** The failure detector for the shard's workers. */
+  WorkerLiveness liveness();
+
+  /** Whether new tasks may be placed on a machine. */
+  boolean usable(Machine machine);
+
+  /** Whether all records of the shard have been read. */
+  boolean ready();
+
+  /** Since when all records of the shard have been read. */
+  MonotonicTime readyAt();
+
+  /** Whether the owner's lease runs. */
+  boolean valid();
+
+  /** What a team may still take within its limits. */
+  Headroom headroom(String team);
+
+  /** Adds an attempt to its job and machine; it is commanded once its record is committed. */
+  void attach(Job.LiveTask attempt);
+}
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -11,8 +11,9 @@
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Job.LiveTask;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.scheduling.Autoscaler;
-import shorecrank.coordination.scheduling.BinPacking;
+import shorecrank.coordination.model.MachineConstraints;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
@@ -110,18 +111,17 @@
     double[] waiting = new double[Priority.values().length];
     double oldestS = 0;
     Set<Offer> kinds = new LinkedHashSet<>();
-    Map<String, double[]> left = new HashMap<>();
+    Map<String, Headroom> headrooms = new HashMap<>();
     for (Job j : owner.jobs.values()) {
       if (j.queued() == 0 || j.backoff > 0) {
         continue;
       }
-      double[] ofTeam = left.computeIfAbsent(j.spec.team(), owner::limitLeft);
-      int n = ShardOwner.within(ofTeam, j);
+      Headroom headroom = headrooms.computeIfAbsent(j.spec.team(), owner::headroom);
+      int n = headroom.queuedTasksThatFit(j);
       if (n == 0) {
         continue;
       }
-      ofTeam[0] -= n * j.spec.cpus();
-      ofTeam[1] -= n * j.spec.gpus();
+      headroom.take(j.spec, n);
       waiting[j.priority.ordinal()] += n * j.spec.cpus();
       if (j.live.isEmpty() && j.doneCount() == 0) {
         oldestS = Math.max(oldestS, j.readyS(ports.wallMs()));
@@ -140,7 +140,7 @@
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
           Offer offer = new Offer(type.name(), zone, spot);
-          if (!kinds.contains(offer) && BinPacking.allowed(j.spec, offer, type)) {
+          if (!kinds.contains(offer) && MachineConstraints.allows(j.spec, offer, type)) {
             kinds.add(offer);
           }
         }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -17,6 +17,9 @@
 import shorecrank.coordination.model.Job.LiveTask;
 import shorecrank.coordination.model.Job.Urgency;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TeamQuotas;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
+import shorecrank.coordination.scheduling.ShardView;
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.scheduling.BinPacking;
@@ -58,7 +61,7 @@
 import shorecrank.storage.RateLimiter;
 
 /** The owner of one part: its jobs, the machines lent to it, and every write to its records. */
-public final class ShardOwner {
+public final class ShardOwner implements ShardView {
   private static final int CALL_MS = 2000;
   private static final int MAX_IN_FLIGHT = 3;
 
@@ -140,7 +143,7 @@
 
   private MonotonicTime lookedAt = MonotonicTime.NEVER;
   private boolean hearsFew;
-  private final Map<String, double[]> teamUse = new HashMap<>();
+  private final TeamQuotas quotas;
   private Map<String, MachineType> catalog = Map.of();
 
   private int inFlight;
@@ -177,6 +180,7 @@
     ForeignTasks foreign = oneShard ? null : new ForeignTasks(ports, part);
     this.custody = new MachineRegistry(ports, part, references, foreign, new TasksOfMachines());
     this.hosts = custody.machines();
+    this.quotas = new TeamQuotas(ports.config.teams(), hosts.values());
     this.demands = shares ? new ShardDemandReporter(ports, this) : null;
     this.liveness = new WorkerLiveness(ports, hosts.values(), grantedAt);
     this.autoscaler = new Autoscaler(ports, this);
@@ -194,6 +198,7 @@
     return epoch;
   }
 
+  @Override
   public Map<String, MachineType> catalog() {
     return catalog;
   }
@@ -218,6 +223,7 @@
     relinquished = false;
   }
 
+  @Override
   public boolean valid() {
     return validAt(ports.now());
   }
@@ -227,10 +233,12 @@
   }
 
   /** Since when the picture is whole. */
+  @Override
   public MonotonicTime readyAt() {
     return readyAt;
   }
 
+  @Override
   public boolean ready() {
     return stage == Stage.READY;
   }
@@ -277,6 +285,21 @@
     return !alone || hearsFew || over < ports.tuning.leaseMs() * 2L;
   }
 
+  @Override
+  public Map<MachineName, Machine> machines() {
+    return hosts;
+  }
+
+  @Override
+  public Map<JobId, Job> jobs() {
+    return jobs;
+  }
+
+  @Override
+  public WorkerLiveness liveness() {
+    return liveness;
+  }
+
   /** Whether this very object is the shard's job of that id. */
   boolean owns(Job job) {
     return jobs.get(job.id()) == job;
@@ -430,7 +453,7 @@
             } else if (ShardId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
               Job j = add(r, e.revision());
               boolean countsNow =
-                  references != null || limited(ports.config.teams().get(r.spec().team()));
+                  references != null || quotas.isLimited(r.spec().team());
               if (countsNow && !j.claimed) {
                 // A write that the last owner sent in time may still place tasks of it: they would
                 // count for its team's limit, and hold their machine in this shard.
@@ -498,11 +521,10 @@
     }
   }
 
+  @Override
   public void attach(LiveTask t) {
     t.job.add(t);
-    double[] u = teamUse.computeIfAbsent(t.job.spec.team(), k -> new double[2]);
-    u[0] += t.job.spec.cpus();
-    u[1] += t.job.spec.gpus();
+    quotas.allocate(t.job.spec);
   }
 
   private void detach(LiveTask t) {
@@ -510,9 +532,7 @@
       return;
     }
     t.job.remove(t);
-    double[] u = teamUse.get(t.job.spec.team());
-    u[0] -= t.job.spec.cpus();
-    u[1] -= t.job.spec.gpus();
+    quotas.release(t.job.spec);
   }
 
   private void forget(Job j) {
@@ -1317,6 +1337,7 @@
 
   // ---- placing -------------------------------------------------------------------------------
 
+  @Override
   public boolean usable(Machine h) {
     return !h.draining && sound(h);
   }
@@ -1473,58 +1494,19 @@
   }
 
   private void placeIfSure(Job j, boolean allClaimed, List<Machine> room) {
-    NodeConfig.Team team = ports.config.teams().get(j.spec.team());
     // Until every record is claimed, a late write of the last owner may add to the team's use.
-    if (allClaimed || !limited(team)) {
+    if (allClaimed || !quotas.isLimited(j.spec.team())) {
       place(j, room);
     }
   }
 
-  private static boolean limited(NodeConfig.Team team) {
-    return team != null && (team.cpusMax() > 0 || team.gpusMax() > 0);
-  }
-
-  /** What a team may still take: processors and accelerators. */
-  public double[] limitLeft(String name) {
-    NodeConfig.Team team = ports.config.teams().get(name);
-    if (team == null) {
-      return new double[2];
-    }
-    double[] left = {
-      team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE,
-      team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE
-    };
-    if (!limited(team)) {
-      return left;
-    }
-    double[] u = teamUse.getOrDefault(name, new double[2]);
-    left[0] -= u[0];
-    left[1] -= u[1];
-    for (Machine h : hosts.values()) {
-      for (Machine.Ghost g : h.ghosts) {
-        if (g.job().spec.team().equals(name)) {
-          left[0] -= g.job().spec.cpus();
-          left[1] -= g.job().spec.gpus();
-        }
-      }
-    }
-    return left;
-  }
-
-  /** How many of a job's waiting tasks what is left of its team's limit allows. */
-  public static int within(double[] left, Job j) {
-    double n = j.queued();
-    if (j.spec.cpus() > 0) {
-      n = Math.min(n, Math.floor(left[0] / j.spec.cpus() + 1e-9));
-    }
-    if (j.spec.gpus() > 0) {
-      n = Math.min(n, Math.floor(left[1] / j.spec.gpus() + 1e-9));
-    }
-    return (int) Math.max(0, n);
+  @Override
+  public Headroom headroom(String team) {
+    return quotas.headroom(team);
   }
 
   private void place(Job j, List<Machine> room) {
-    int wanted = within(limitLeft(j.spec.team()), j);
+    int wanted = quotas.headroom(j.spec.team()).queuedTasksThatFit(j);
     if (SchedulingQueue.overdue(j, ports.wallMs())) {
       wanted = Math.min(wanted, 1 + j.spec.tasks() / SchedulingQueue.BEGIN_SHARE);
     }
