--- a/src/main/java/shorecrank/config/Settings.java
+++ b/src/main/java/shorecrank/config/Settings.java
@@ -2,7 +2,7 @@
 
 /** The operators' own settings; {@link SettingsFile} reads them and knows ranges and defaults. */
 public record Settings(
-    int parts,
+    int shards,
     int leaseMs,
     int renewMs,
     int leaderTtlMs,
--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -75,7 +75,7 @@
   /** So long without the state service, while others reach it, and users are better off there. */
   private static final int UNHEALTHY_MS = 3000;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Election election;
   private final Leader leader;
 
@@ -98,19 +98,19 @@
   /** The highest epoch under which this process has given a part up. */
   private final Map<ShardId, Epoch> givenUp = new TreeMap<>();
 
-  private final Map<MachineName, MachineAssignment> lent = new LinkedHashMap<>();
+  private final Map<MachineName, MachineAssignment> assigned = new LinkedHashMap<>();
   private final Map<MachineName, MachineInfo> seen = new LinkedHashMap<>();
-  private final Map<MachineName, MonotonicTime> strays = new HashMap<>();
-  private final Map<ShardId, Map<JobId, List<StatusQueries.OnStanding>>> statusQueries =
+  private final Map<MachineName, MonotonicTime> misroutedWorkers = new HashMap<>();
+  private final Map<ShardId, Map<JobId, List<StatusQueries.StatusCallback>>> statusQueries =
       new TreeMap<>();
-  private long lendVersion = -1;
-  private MonotonicTime beatAt = new MonotonicTime(0);
+  private long assignmentVersion = -1;
+  private MonotonicTime nextHeartbeatAt = new MonotonicTime(0);
   private MonotonicTime answeredAt = MonotonicTime.NEVER;
   private MonotonicTime startedAt = MonotonicTime.NEVER;
   private final List<Sheltered> sheltered = new ArrayList<>();
   private boolean ownersBusy;
   private MonotonicTime ownersAt = new MonotonicTime(0);
-  private boolean beating;
+  private boolean heartbeatInFlight;
   private boolean othersStateOk;
   private MonotonicTime othersAt = MonotonicTime.NEVER;
   private Map<String, MachineType> catalog = Map.of();
@@ -134,29 +134,29 @@
       WriterId writer,
       RolloutSetup setup,
       ShareSettings shares) {
-    this.ports = new StepContext(config, tuning, writer);
+    this.context = new StepContext(config, tuning, writer);
     this.announcement = setup == null ? null : setup.announcement();
-    this.election = new Election(ports, setup == null ? null : announcement.supported());
+    this.election = new Election(context, setup == null ? null : announcement.supported());
     this.rollout = setup == null ? null : coordinator(setup);
-    this.rolloutRequests = new RolloutRequestHandler(ports, election, rollout);
-    this.leader = new Leader(ports, election, rollout, gate, shares);
-    this.shareRequests = new ShareRequestHandler(ports, election, leader.moves());
+    this.rolloutRequests = new RolloutRequestHandler(context, election, rollout);
+    this.leader = new Leader(context, election, rollout, gate, shares);
+    this.shareRequests = new ShareRequestHandler(context, election, leader.moves());
     this.sharesEnabled = shares != null;
-    this.cancellations = new CancellationLog(ports, this::learnCancelled, this::owner);
-    this.userRequests = new UserRequestHandler(ports, cancellations, this::askOwner, this::relay);
+    this.cancellations = new CancellationLog(context, this::learnCancelled, this::owner);
+    this.userRequests = new UserRequestHandler(context, cancellations, this::askOwner, this::relay);
   }
 
   private RolloutCoordinator coordinator(RolloutSetup setup) {
     List<ControllerName> members = new ArrayList<>();
-    members.add(ports.config.label());
-    ports.config.members().forEach(m -> members.add(m.label()));
+    members.add(context.config.label());
+    context.config.members().forEach(m -> members.add(m.label()));
     return new RolloutCoordinator(
-        new StepLeaderEnvironment(ports),
+        new StepLeaderEnvironment(context),
         election,
         setup.settings(),
         announcement,
         members,
-        ports.tuning.renewMs());
+        context.tuning.renewMs());
   }
 
   /**
@@ -167,45 +167,45 @@
    * @param entropy fresh random bits for this step
    */
   public List<Output> step(Input in, MonotonicTime now, long wallMs, long entropy) {
-    ports.begin(now, wallMs, entropy);
+    context.begin(now, wallMs, entropy);
     if (startedAt == MonotonicTime.NEVER) {
       startedAt = now;
-      if (!ports.cancelsInTime()) {
-        ports.error(
+      if (!context.cancelsInTime()) {
+        context.error(
             "settings.workers: cancel_s %.1f leaves too little over lease_s %.1f: without the state"
                 + " service cancelled tasks may outlast it",
-            ports.config.workers().cancelS(), ports.config.workers().leaseS());
+            context.config.workers().cancelS(), context.config.workers().leaseS());
       }
     }
     if (in instanceof Input.Request r) {
       request(r);
     } else if (in instanceof Input.Answer a) {
-      ports.answered(a);
+      context.answered(a);
       // What it told may be what reports wait for.
       shelter();
     } else if (in instanceof Input.Tick t) {
       tick(t);
     }
-    return ports.end();
+    return context.end();
   }
 
   private void tick(Input.Tick t) {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     election.tick();
     if (rollout != null) {
       rollout.tick();
     }
     leader.tick();
-    if (!beating && !now.before(beatAt)) {
-      beat();
+    if (!heartbeatInFlight && !now.before(nextHeartbeatAt)) {
+      heartbeat();
     }
     catalogWork();
     lookUpOwners();
     shelter();
     if (!now.before(probeAt)) {
       probeAt = now.plus(1000);
-      if (now.since(ports.stateOkAt()) > 900) {
-        ports.state("GET", StoreMessages.key(Election.KEY), null, 1500, (status, body) -> {});
+      if (now.since(context.stateOkAt()) > 900) {
+        context.state("GET", StoreMessages.key(Election.KEY), null, 1500, (status, body) -> {});
       }
     }
     for (ShardOwner s : shardOwners.values()) {
@@ -265,31 +265,31 @@
         return;
       }
     }
-    ports.reply(r.reply(), 404, Json.error("no such path"));
+    context.reply(r.reply(), 404, Json.error("no such path"));
   }
 
   /** Passes a user's request on to a controller that reaches the state service, if one says so. */
   private boolean relay(UserRequestHandler.Ask ask, Runnable failed) {
-    if (!othersStateOk || ports.now().since(othersAt) > 4000) {
+    if (!othersStateOk || context.now().since(othersAt) > 4000) {
       return false;
     }
     ControllerName to = election.leader();
-    if (to == null || to.equals(ports.config.label())) {
-      List<NodeConfig.Member> others = ports.config.members();
+    if (to == null || to.equals(context.config.label())) {
+      List<NodeConfig.Member> others = context.config.members();
       if (others.isEmpty()) {
         return false;
       }
-      to = others.get(ports.random().nextInt(others.size())).label();
+      to = others.get(context.random().nextInt(others.size())).label();
     }
-    ports.count("user.relayed");
-    ports.peer(
+    context.count("user.relayed");
+    context.peer(
         to,
         PeerMessages.RELAY,
         PeerMessages.relay(ask.method(), ask.path(), ask.body()),
         RELAY_MS,
         (status, body) -> {
           switch (status) {
-            case 200, 201, 400, 404, 422 -> ports.reply(ask.reply(), status, body);
+            case 200, 201, 400, 404, 422 -> context.reply(ask.reply(), status, body);
             default -> failed.run();
           }
         });
@@ -313,25 +313,25 @@
     if (r.method().equals(method)) {
       then.run();
     } else {
-      ports.reply(r.reply(), 405, Json.error("only " + method));
+      context.reply(r.reply(), 405, Json.error("only " + method));
     }
   }
 
   private void health(Input.Request r) {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     boolean othersServe = othersStateOk && now.since(othersAt) < 4000;
-    boolean alone = !ports.config.members().isEmpty() && ports.aloneMs() > 6000;
+    boolean alone = !context.config.members().isEmpty() && context.aloneMs() > 6000;
     // In an outage of the state service no controller is better than another, and all stay healthy.
     boolean ok =
         !catalog.isEmpty()
-            && (now.since(ports.stateOkAt()) < UNHEALTHY_MS || (!othersServe && !alone));
-    ports.reply(
+            && (now.since(context.stateOkAt()) < UNHEALTHY_MS || (!othersServe && !alone));
+    context.reply(
         r.reply(), ok ? 200 : 503, Json.object().put("status", ok ? "serving" : "not serving"));
   }
 
   private void peer(Input.Request r, String path) {
     switch (path) {
-      case PeerMessages.BEAT -> only("POST", r, () -> peerBeat(r));
+      case PeerMessages.HEARTBEAT -> only("POST", r, () -> handleHeartbeat(r));
       case PeerMessages.ASK -> only("POST", r, () -> peerAsk(r));
       case PeerMessages.CONFIRMED -> only("POST", r, () -> peerConfirmed(r));
       case PeerMessages.RELAY -> only("POST", r, () -> relayed(r));
@@ -340,15 +340,15 @@
       case RolloutMessages.KEYS -> only("POST", r, () -> rolloutRequests.keys(r));
       case ShareMessages.SHOW -> shareRequests.show(r);
       case ShareMessages.ORDERS -> only("POST", r, () -> shareRequests.order(r));
-      case PeerMessages.NUDGE ->
+      case PeerMessages.HEARTBEAT_NOW ->
           only(
               "POST",
               r,
               () -> {
-                beatAt = ports.now();
-                ports.reply(r.reply(), 200, Json.object());
+                nextHeartbeatAt = context.now();
+                context.reply(r.reply(), 200, Json.object());
               });
-      default -> ports.reply(r.reply(), 404, Json.error("no such path"));
+      default -> context.reply(r.reply(), 404, Json.error("no such path"));
     }
   }
 
@@ -359,7 +359,7 @@
       malformed(r, "question");
       return;
     }
-    ports.reply(
+    context.reply(
         r.reply(),
         200,
         PeerMessages.write(
@@ -368,8 +368,8 @@
   }
 
   private void malformed(Input.Request r, String what) {
-    ports.refused("peer.malformed", "malformed " + what + " of another controller refused");
-    ports.reply(r.reply(), 400, Json.error("malformed " + what));
+    context.refused("peer.malformed", "malformed " + what + " of another controller refused");
+    context.reply(r.reply(), 400, Json.error("malformed " + what));
   }
 
   private void peerAsk(Input.Request r) {
@@ -378,38 +378,38 @@
     List<JobId> ids = PeerMessages.asked(n);
     Map<JobId, JobStatus> told = new HashMap<>();
     if (s == null || ids.isEmpty()) {
-      ports.reply(r.reply(), 200, PeerMessages.told(told));
+      context.reply(r.reply(), 200, PeerMessages.told(told));
       return;
     }
     int[] open = {ids.size()};
     for (JobId id : ids) {
       s.ask(
           id,
-          standing -> {
-            if (standing != null) {
-              told.put(id, standing);
+          jobStatus -> {
+            if (jobStatus != null) {
+              told.put(id, jobStatus);
             }
             if (--open[0] == 0) {
-              ports.reply(r.reply(), 200, PeerMessages.told(told));
+              context.reply(r.reply(), 200, PeerMessages.told(told));
             }
           });
     }
   }
 
   /** Asks the owner of a part, here or elsewhere; null if it can't tell. */
-  private void askOwner(ShardId part, JobId id, StatusQueries.OnStanding then) {
-    ShardOwner s = shardOwners.get(part);
+  private void askOwner(ShardId shard, JobId id, StatusQueries.StatusCallback then) {
+    ShardOwner s = shardOwners.get(shard);
     if (s != null) {
       s.ask(id, then);
       return;
     }
-    OwnerInfo o = owners.get(part);
-    if (o == null || o.label().equals(ports.config.label())) {
+    OwnerInfo o = owners.get(shard);
+    if (o == null || o.label().equals(context.config.label())) {
       then.told(null);
       return;
     }
     statusQueries
-        .computeIfAbsent(part, p -> new LinkedHashMap<>())
+        .computeIfAbsent(shard, p -> new LinkedHashMap<>())
         .computeIfAbsent(id, k -> new ArrayList<>(1))
         .add(then);
   }
@@ -425,13 +425,13 @@
   }
 
   /** Workers that came here lately instead of to their owner. */
-  private Map<ShardId, Integer> strays() {
-    strays.values().removeIf(at -> ports.now().since(at) > STRAY_MS);
+  private Map<ShardId, Integer> misroutedWorkers() {
+    misroutedWorkers.values().removeIf(at -> context.now().since(at) > STRAY_MS);
     Map<ShardId, Integer> byPart = new TreeMap<>();
-    for (MachineName h : strays.keySet()) {
-      MachineAssignment l = lent.get(h);
+    for (MachineName h : misroutedWorkers.keySet()) {
+      MachineAssignment l = assigned.get(h);
       if (l != null) {
-        byPart.merge(l.part(), 1, Integer::sum);
+        byPart.merge(l.shard(), 1, Integer::sum);
       }
     }
     return byPart;
@@ -440,18 +440,18 @@
   /** All questions since the last round go to an owner in one message. */
   private void sendQuestions() {
     statusQueries.forEach(
-        (part, byId) -> {
-          OwnerInfo o = owners.get(part);
+        (shard, byId) -> {
+          OwnerInfo o = owners.get(shard);
           List<JobId> ids = byId.keySet().stream().limit(PeerMessages.MAX_ASKED).toList();
-          Map<JobId, List<StatusQueries.OnStanding>> sent = new LinkedHashMap<>(byId);
+          Map<JobId, List<StatusQueries.StatusCallback>> sent = new LinkedHashMap<>(byId);
           if (o == null) {
             sent.values().forEach(l -> l.forEach(t -> t.told(null)));
             return;
           }
-          ports.peer(
+          context.peer(
               o.label(),
               PeerMessages.ASK,
-              PeerMessages.ask(part, ids),
+              PeerMessages.ask(shard, ids),
               ASK_MS,
               (status, body) -> {
                 Map<JobId, JobStatus> told =
@@ -462,35 +462,35 @@
     statusQueries.clear();
   }
 
-  private void peerBeat(Input.Request r) {
+  private void handleHeartbeat(Input.Request r) {
     Heartbeat b = PeerMessages.readHeartbeat(Json.parse(r.body()));
     if (b == null) {
       malformed(r, "beat");
       return;
     }
-    ports.peerHeard();
+    context.peerHeard();
     if (b.stateOk()) {
       othersStateOk = true;
-      othersAt = ports.now();
-    } else if (ports.now().since(othersAt) > 2000) {
+      othersAt = context.now();
+    } else if (context.now().since(othersAt) > 2000) {
       othersStateOk = false;
     }
-    HeartbeatAnswer a = leader.beat(b);
+    HeartbeatAnswer a = leader.heartbeat(b);
     if (a == null) {
-      ports.reply(r.reply(), 503, Json.object().put("stateOk", ports.stateOk()));
+      context.reply(r.reply(), 503, Json.object().put("stateOk", context.stateOk()));
     } else {
-      ports.reply(r.reply(), 200, PeerMessages.write(a));
+      context.reply(r.reply(), 200, PeerMessages.write(a));
     }
   }
 
   private void report(Input.Request r) {
     WorkerHeartbeat w = WorkerMessages.read(Json.parse(r.body()));
     if (w == null) {
-      ports.refused("report.malformed", "malformed report refused");
-      ports.reply(r.reply(), 400, Json.error("malformed report"));
+      context.refused("report.malformed", "malformed report refused");
+      context.reply(r.reply(), 400, Json.error("malformed report"));
       return;
     }
-    route(new Sheltered(r.reply(), w, ports.now()));
+    route(new Sheltered(r.reply(), w, context.now()));
   }
 
   /** A report that waits until this process knows where it belongs. */
@@ -498,7 +498,7 @@
 
   /** A report that waits holds its connection, and there are no more than sockets. */
   private int mostSheltered() {
-    return ports.config.limits().sockets();
+    return context.config.limits().sockets();
   }
 
   private void shelter() {
@@ -513,12 +513,12 @@
   private void route(Sheltered one) {
     WorkerHeartbeat w = one.report();
     long reply = one.reply();
-    MachineAssignment known = lent.get(w.host());
+    MachineAssignment known = assigned.get(w.host());
     boolean unclear =
-        known == null ? answeredAt == MonotonicTime.NEVER : !owners.containsKey(known.part());
+        known == null ? answeredAt == MonotonicTime.NEVER : !owners.containsKey(known.shard());
     if (unclear
-        && ports.now().since(startedAt) < YOUNG_MS
-        && ports.now().since(one.since()) < SHELTER_MS
+        && context.now().since(startedAt) < YOUNG_MS
+        && context.now().since(one.since()) < SHELTER_MS
         && sheltered.size() < mostSheltered()) {
       // A process that has just begun will know in a moment. A worker that is sent away comes back
       // after a second at the earliest, and its lease may be short: after the end of all
@@ -528,91 +528,91 @@
     }
     if (known == null) {
       seen.put(w.host(), new MachineInfo(w.host(), w.type(), w.zone(), w.spot()));
-      beatAt = ports.now().plus(100).before(beatAt) ? ports.now().plus(100) : beatAt;
+      nextHeartbeatAt = context.now().plus(100).before(nextHeartbeatAt) ? context.now().plus(100) : nextHeartbeatAt;
       ControllerName l = election.leader();
-      ports.reply(
+      context.reply(
           reply,
           421,
-          WorkerMessages.elsewhere(l == null || l.equals(ports.config.label()) ? null : l));
+          WorkerMessages.elsewhere(l == null || l.equals(context.config.label()) ? null : l));
       return;
     }
-    ShardId part = known.part();
-    ShardOwner s = shardOwners.get(part);
+    ShardId shard = known.shard();
+    ShardOwner s = shardOwners.get(shard);
     if (s != null) {
-      boolean alone = ports.aloneMs() > 4000;
+      boolean alone = context.aloneMs() > 4000;
       if (s.valid() || s.inGrace(alone)) {
         if (s.informed()) {
           s.report(reply, w, s.valid());
           return;
         }
         if (s.storeAsOf() == MonotonicTime.NEVER
-            && ports.now().since(one.since()) < SHELTER_MS
+            && context.now().since(one.since()) < SHELTER_MS
             && sheltered.size() < mostSheltered()) {
           // A new owner will have read the records in a moment.
           sheltered.add(one);
           return;
         }
-        ports.count("report.uninformed");
+        context.count("report.uninformed");
       }
-      ports.reply(reply, 503, Json.error("not entitled now"));
+      context.reply(reply, 503, Json.error("not entitled now"));
       return;
     }
-    strays.put(w.host(), ports.now());
-    OwnerInfo o = owners.get(part);
-    ports.reply(
+    misroutedWorkers.put(w.host(), context.now());
+    OwnerInfo o = owners.get(shard);
+    context.reply(
         reply,
         421,
         WorkerMessages.elsewhere(
-            o == null || o.label().equals(ports.config.label()) ? null : o.label()));
+            o == null || o.label().equals(context.config.label()) ? null : o.label()));
   }
 
   // ---- beats ---------------------------------------------------------------------------------
 
-  private void beat() {
-    MonotonicTime now = ports.now();
+  private void heartbeat() {
+    MonotonicTime now = context.now();
     ControllerName to = election.leader();
-    int renew = ports.tuning.renewMs();
-    beatAt = now.plus(renew - renew / 10 + ports.random().nextInt(renew / 5 + 1));
-    List<ShardReport> parts = new ArrayList<>();
-    shardOwners.values().stream().filter(s -> !s.relinquished()).forEach(s -> parts.add(s.beat()));
-    refused.forEach((part, epoch) -> parts.add(ShardReport.refused(part, epoch)));
+    int renew = context.tuning.renewMs();
+    nextHeartbeatAt = now.plus(renew - renew / 10 + context.random().nextInt(renew / 5 + 1));
+    List<ShardReport> shards = new ArrayList<>();
+    shardOwners.values().stream().filter(s -> !s.relinquished()).forEach(s -> shards.add(s.heartbeat()));
+    refused.forEach((shard, epoch) -> shards.add(ShardReport.refused(shard, epoch)));
     List<MachineInfo> met = someSeen();
     if (!seen.isEmpty()) {
       // The rest goes at once with the next, not an interval later.
-      beatAt = now.plus(100);
+      nextHeartbeatAt = now.plus(100);
     }
     Heartbeat b =
         new Heartbeat(
-            ports.config.label(),
-            ports.writer,
-            ports.stateOk(),
-            lendVersion,
-            parts,
+            context.config.label(),
+            context.writer,
+            context.stateOk(),
+            assignmentVersion,
+            shards,
             met,
-            strays(),
+            misroutedWorkers(),
             announcement);
     if (election.holding()) {
-      HeartbeatAnswer a = leader.beat(b);
+      HeartbeatAnswer a = leader.heartbeat(b);
       if (a != null) {
         answered(a, now);
       }
       return;
     }
     if (to == null) {
-      beatAt = now.plus(150);
+      nextHeartbeatAt = now.plus(150);
       return;
     }
-    beating = true;
-    ports.peer(
+    heartbeatInFlight = true;
+    context.peer(
         to,
-        PeerMessages.BEAT,
+        PeerMessages.HEARTBEAT,
         PeerMessages.write(b),
         Math.max(500, renew * 2),
         (status, body) -> {
-          beating = false;
+          heartbeatInFlight = false;
           HeartbeatAnswer a = status == 200 ? PeerMessages.readAnswer(body) : null;
           if (status == 200 && a == null) {
-            ports.refused("peer.malformed", "malformed answer of the leader refused");
+            context.refused("peer.malformed", "malformed answer of the leader refused");
           }
           if (a != null) {
             answered(a, now);
@@ -620,7 +620,7 @@
             if (status == 503 && !body.path("stateOk").asBoolean(true)) {
               othersStateOk = false;
             }
-            beatAt = ports.now().plus(300);
+            nextHeartbeatAt = context.now().plus(300);
           }
         });
   }
@@ -631,19 +631,19 @@
    * ever.
    */
   private void lookUpOwners() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (now.since(answeredAt) < STALE_MS || ownersBusy || now.before(ownersAt)) {
       return;
     }
     ownersBusy = true;
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.list(Leader.PART, "", 200),
         null,
         1500,
         (status, body) -> {
           ownersBusy = false;
-          ownersAt = ports.now().plus(800 + ports.random().nextInt(400));
+          ownersAt = context.now().plus(800 + context.random().nextInt(400));
           if (status == 200) {
             StoreMessages.entries(body).forEach(e -> owner(Leader.owner(e.value())));
           }
@@ -651,19 +651,19 @@
   }
 
   private void owner(OwnerInfo o) {
-    OwnerInfo known = owners.get(o.part());
+    OwnerInfo known = owners.get(o.shard());
     if (known == null || o.epoch().above(known.epoch())) {
-      owners.put(o.part(), o);
+      owners.put(o.shard(), o);
     }
-    ShardOwner s = shardOwners.get(o.part());
-    if (s != null && o.epoch().above(s.epoch()) && !o.label().equals(ports.config.label())) {
-      giveUp(o.part(), "owner is " + o.label() + " at epoch " + o.epoch());
+    ShardOwner s = shardOwners.get(o.shard());
+    if (s != null && o.epoch().above(s.epoch()) && !o.label().equals(context.config.label())) {
+      giveUp(o.shard(), "owner is " + o.label() + " at epoch " + o.epoch());
     }
   }
 
-  private void giveUp(ShardId part, String why) {
-    ShardOwner s = shardOwners.remove(part);
-    givenUp.merge(part, s.epoch(), (a, b) -> a.above(b) ? a : b);
+  private void giveUp(ShardId shard, String why) {
+    ShardOwner s = shardOwners.remove(shard);
+    givenUp.merge(shard, s.epoch(), (a, b) -> a.above(b) ? a : b);
     s.end(why);
   }
 
@@ -673,90 +673,90 @@
    * answers be taken. Reported like a refused epoch, it makes the leader mint above it.
    */
   private boolean usedUp(Lease l) {
-    Epoch last = givenUp.get(l.part());
+    Epoch last = givenUp.get(l.shard());
     return last != null && !l.epoch().above(last);
   }
 
   private void answered(HeartbeatAnswer a, MonotonicTime sent) {
-    answeredAt = ports.now();
+    answeredAt = context.now();
     if (announcement != null) {
       gate.observe(a.rollout());
     }
     othersStateOk = a.othersStateOk() || !election.holding();
-    othersAt = ports.now();
+    othersAt = context.now();
     owners.clear();
     a.owners().forEach(this::owner);
     // A part we hold that the leader neither renews nor gives to another is being taken back. The
     // next heartbeat, without the part, tells the leader that it is free.
     shardOwners.forEach(
-        (part, shardOwner) -> {
-          boolean kept = a.leases().stream().anyMatch(l -> l.part().equals(part));
+        (shard, shardOwner) -> {
+          boolean kept = a.leases().stream().anyMatch(l -> l.shard().equals(shard));
           if (!kept && shardOwner.relinquish("not renewed by the leader")) {
-            beatAt = ports.now();
+            nextHeartbeatAt = context.now();
           }
         });
-    boolean news = a.whole() || a.lendVersion() != lendVersion;
-    lendVersion = a.lendVersion();
+    boolean news = a.whole() || a.assignmentVersion() != assignmentVersion;
+    assignmentVersion = a.assignmentVersion();
     if (a.whole()) {
-      lent.clear();
+      assigned.clear();
     }
-    a.lent().forEach(l -> lent.put(l.host().name(), l));
-    a.off().forEach(lent::remove);
+    a.assigned().forEach(l -> assigned.put(l.host().name(), l));
+    a.unassigned().forEach(assigned::remove);
     for (Lease l : a.leases()) {
       // Counted from before the request was sent, so that no delay can lengthen it.
       MonotonicTime until = sent.plus(l.ttlMs() - l.ttlMs() / 500 - 20);
-      ShardOwner s = shardOwners.get(l.part());
+      ShardOwner s = shardOwners.get(l.shard());
       if (s != null && l.epoch().above(s.epoch()) && !s.valid()) {
         // Since the lease lapsed another may have owned the part: what we remember is not true.
-        giveUp(l.part(), "its lease had lapsed before epoch " + l.epoch());
+        giveUp(l.shard(), "its lease had lapsed before epoch " + l.epoch());
         s = null;
       }
       if (s == null && usedUp(l)) {
-        refused.put(l.part(), l.epoch());
-        beatAt = ports.now().plus(100);
+        refused.put(l.shard(), l.epoch());
+        nextHeartbeatAt = context.now().plus(100);
         continue;
       }
-      refused.remove(l.part());
+      refused.remove(l.shard());
       if (s == null) {
         s =
             new ShardOwner(
-                ports, cancellations, gate, l.part(), l.epoch(), ports.now(), sharesEnabled);
+                context, cancellations, gate, l.shard(), l.epoch(), context.now(), sharesEnabled);
         s.catalog(catalog);
-        s.custody().assignedAll(lent.values());
+        s.machineRegistry().assignedAll(assigned.values());
         s.load();
-        shardOwners.put(l.part(), s);
+        shardOwners.put(l.shard(), s);
       }
       s.lease(l.epoch(), until);
     }
     long owned = shardOwners.values().stream().filter(s -> !s.relinquished()).count();
-    ports.share((double) owned / ports.tuning.parts(), election.holding());
+    context.share((double) owned / context.tuning.shards(), election.holding());
     for (ShardOwner s : shardOwners.values()) {
       if (a.whole()) {
-        s.custody().assignedAll(lent.values());
+        s.machineRegistry().assignedAll(assigned.values());
       } else {
-        a.lent().forEach(s.custody()::assigned);
-        a.off().forEach(s.custody()::unassigned);
+        a.assigned().forEach(s.machineRegistry()::assigned);
+        a.unassigned().forEach(s.machineRegistry()::unassigned);
       }
-      s.custody().gone(a.gone());
+      s.machineRegistry().gone(a.gone());
       s.autoscaler.blocked(a.blocked());
     }
-    if (news && shardOwners.values().stream().anyMatch(s -> !s.autoscaler.wants().isEmpty())) {
+    if (news && shardOwners.values().stream().anyMatch(s -> !s.autoscaler.capacityRequests().isEmpty())) {
       // The leader takes wants only from an owner that knows the last lending: say so at once.
-      beatAt = ports.now().plus(100);
+      nextHeartbeatAt = context.now().plus(100);
     }
-    ports.gauge("parts.owned", owned);
+    context.gauge("parts.owned", owned);
   }
 
   // ---- machine types -------------------------------------------------------------------------
 
   private void catalogWork() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (catalogBusy || now.before(catalogAt)) {
       return;
     }
     catalogBusy = true;
     if (catalog.isEmpty()) {
-      ports.state(
+      context.state(
           "GET",
           StoreMessages.key(CATALOG),
           null,
@@ -766,7 +766,7 @@
             if (status == 200) {
               catalog(CloudMessages.catalog(StoreMessages.entry(body).value()));
               catalogStored = true;
-              catalogAt = ports.now().plus(1000);
+              catalogAt = context.now().plus(1000);
             } else {
               askCloud();
             }
@@ -781,7 +781,7 @@
 
   private void askCloud() {
     catalogBusy = true;
-    ports.cloud(
+    context.cloud(
         "GET",
         CloudMessages.CATALOG,
         null,
@@ -791,18 +791,18 @@
           Map<String, MachineType> c =
               status == 200 ? CloudMessages.catalog(body) : new TreeMap<String, MachineType>();
           if (c.isEmpty()) {
-            catalogAt = ports.now().plus(1000);
+            catalogAt = context.now().plus(1000);
             return;
           }
-          catalogAt = ports.now().plus(60_000);
+          catalogAt = context.now().plus(60_000);
           catalog(c);
           if (!catalogStored && election.leading()) {
             catalogStored = true;
             // For controllers that start while the cloud can't be asked.
-            ports.state(
+            context.state(
                 "POST",
                 StoreMessages.MULTI,
-                new StoreMessages.Txn()
+                new StoreMessages.Transaction()
                     .guard(election.key(), election.term())
                     .write(CATALOG, body)
                     .body(),
@@ -826,9 +826,9 @@
   public Map<ShardId, Epoch> commanded(MonotonicTime at) {
     Map<ShardId, Epoch> m = new TreeMap<>();
     shardOwners.forEach(
-        (part, shardOwner) -> {
+        (shard, shardOwner) -> {
           if (shardOwner.validAt(at)) {
-            m.put(part, shardOwner.epoch());
+            m.put(shard, shardOwner.epoch());
           }
         });
     return m;
@@ -839,7 +839,7 @@
     Set<MachineName> machines = new HashSet<>();
     for (ShardOwner s : shardOwners.values()) {
       if (s.validAt(at)) {
-        machines.addAll(s.custody().commanded());
+        machines.addAll(s.machineRegistry().commanded());
       }
     }
     return machines;
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -72,7 +72,7 @@
   private static final long BACK_AGAIN_MS = 10_000;
 
   /** A request to rent, under a name that is never used for another. */
-  private record Claim(String name, Offer offer, int count, ShardId part) {}
+  private record Claim(String name, Offer offer, int count, ShardId shard) {}
 
   /** The machine list as read up to a name; each page is a call of its own. */
   private record PartialList(String after, Map<MachineName, ListedMachine> found) {
@@ -81,7 +81,7 @@
     }
   }
 
-  private final StepContext ports;
+  private final StepContext context;
   private final MachineDirectory machines;
   private final Supplier<Revision> loadedTerm;
   private final BiConsumer<MachineInfo, ShardId> rented;
@@ -115,17 +115,17 @@
    * @param met takes a machine that the list shows, and how it was found
    */
   CloudProvisioner(
-      StepContext ports,
+      StepContext context,
       MachineDirectory machines,
       Supplier<Revision> loadedTerm,
       BiConsumer<MachineInfo, ShardId> rented,
       BiConsumer<MachineInfo, String> met) {
-    this.ports = ports;
+    this.context = context;
     this.machines = machines;
     this.loadedTerm = loadedTerm;
     this.rented = rented;
     this.met = met;
-    this.calls = new RateLimiter(ports.config.cloud().rps() * RATE_SHARE);
+    this.calls = new RateLimiter(context.config.cloud().rps() * RATE_SHARE);
   }
 
   void catalog(Map<String, MachineType> types) {
@@ -143,12 +143,12 @@
     listing = false;
     nextPage = null;
     releasingNow = false;
-    listAt = ports.now();
+    listAt = context.now();
   }
 
   /** Once a round. */
   void tick() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (now.before(retryAt)) {
       return;
     }
@@ -175,30 +175,30 @@
   }
 
   /** Rents what an owner asks for, but kinds that were refused lately. */
-  void request(ShardId part, List<CapacityRequest> requests) {
+  void request(ShardId shard, List<CapacityRequest> requests) {
     for (CapacityRequest r : requests) {
       MonotonicTime until = blockedUntil.get(r.offer());
-      if (r.count() <= 0 || (until != null && !until.before(ports.now()))) {
+      if (r.count() <= 0 || (until != null && !until.before(context.now()))) {
         continue;
       }
       for (int left = Math.min(r.count(), mostRequested()); left > 0; ) {
         int count = Math.min(left, CloudMessages.MAX_RENT);
         String name = "sc-" + loadedTerm.get() + "-" + ++claimCount;
-        claims.add(new Claim(name, r.offer(), count, part));
+        claims.add(new Claim(name, r.offer(), count, shard));
         left -= count;
       }
     }
   }
 
   private int mostRequested() {
-    double most = ports.config.cloud().rps() * REQUEST_HORIZON_S;
+    double most = context.config.cloud().rps() * REQUEST_HORIZON_S;
     return (int) Math.max(1, most) * CloudMessages.MAX_RENT;
   }
 
   private void claim(Claim c) {
     claiming++;
     Revision term = loadedTerm.get();
-    ports.cloud(
+    context.cloud(
         "POST",
         CloudMessages.RENT,
         CloudMessages.rent(c.name(), c.offer(), c.count()),
@@ -217,10 +217,10 @@
       for (MachineName name : got) {
         if (!machines.contains(name)) {
           Offer offer = c.offer();
-          rented.accept(new MachineInfo(name, offer.type(), offer.zone(), offer.spot()), c.part());
+          rented.accept(new MachineInfo(name, offer.type(), offer.zone(), offer.spot()), c.shard());
         }
       }
-      ports.info("claim %s: %d of %d %s", c.name(), got.size(), c.count(), c.offer());
+      context.info("claim %s: %d of %d %s", c.name(), got.size(), c.count(), c.offer());
       if (got.size() < c.count()) {
         block(c.offer());
       } else {
@@ -229,26 +229,26 @@
     } else if (status == 503 && "no capacity".equals(Json.text(body.path("error")))) {
       block(c.offer());
     } else if (status == 400) {
-      ports.error("claim %s: refused as malformed: %s", c.name(), c.offer());
+      context.error("claim %s: refused as malformed: %s", c.name(), c.offer());
       block(c.offer());
     } else {
       // It may have been carried out: the same name again, and never another for it.
       claims.addFirst(c);
       tried.add(c.name());
-      retryAt = ports.now().plus(CALL_RETRY_MS);
+      retryAt = context.now().plus(CALL_RETRY_MS);
     }
   }
 
   private void block(Offer o) {
     // Those not yet sent would be refused too; their owners ask for something else.
     claims.removeIf(c -> c.offer().equals(o) && !tried.contains(c.name()));
-    if (ports.now().before(blockedUntil.getOrDefault(o, MonotonicTime.NEVER))) {
+    if (context.now().before(blockedUntil.getOrDefault(o, MonotonicTime.NEVER))) {
       return;
     }
     int n = refusals.merge(o, 1, Integer::sum);
     long ms = Math.min(BLOCK_MAX_MS, BLOCK_MS << Math.min(n - 1, MAX_DOUBLINGS));
-    blockedUntil.put(o, ports.now().plus(ms));
-    ports.info("no capacity for %s, again in %d ms", o, ms);
+    blockedUntil.put(o, context.now().plus(ms));
+    context.info("no capacity for %s, again in %d ms", o, ms);
   }
 
   /** Kinds that were refused, and for how long they are not asked for. */
@@ -256,8 +256,8 @@
     List<UnavailableOffer> blocked = new ArrayList<>();
     blockedUntil.forEach(
         (offer, until) -> {
-          if (ports.now().before(until)) {
-            blocked.add(new UnavailableOffer(offer, until.since(ports.now())));
+          if (context.now().before(until)) {
+            blocked.add(new UnavailableOffer(offer, until.since(context.now())));
           }
         });
     return blocked;
@@ -285,7 +285,7 @@
     List<MachineName> lately = new ArrayList<>();
     released.forEach(
         (name, at) -> {
-          if (ports.now().since(at) < TELL_RELEASED_MS) {
+          if (context.now().since(at) < TELL_RELEASED_MS) {
             lately.add(name);
           }
         });
@@ -298,7 +298,7 @@
     batch.forEach(toRelease::remove);
     releasing.addAll(batch);
     Revision term = loadedTerm.get();
-    ports.cloud(
+    context.cloud(
         "POST",
         CloudMessages.RELEASE,
         CloudMessages.release(batch),
@@ -311,18 +311,18 @@
           batch.forEach(releasing::remove);
           if (status == 200) {
             batch.forEach(this::gone);
-            ports.count("machine.released");
+            context.count("machine.released");
           } else {
             toRelease.addAll(batch);
-            retryAt = ports.now().plus(CALL_RETRY_MS);
+            retryAt = context.now().plus(CALL_RETRY_MS);
           }
         });
   }
 
   private void gone(MachineName name) {
-    released.put(name, ports.now());
+    released.put(name, context.now());
     machines.remove(name);
-    ports.info("machine %s: released", name);
+    context.info("machine %s: released", name);
   }
 
   // ---- the machine list ------------------------------------------------------------------------
@@ -330,7 +330,7 @@
   private void list(PartialList soFar) {
     Revision term = loadedTerm.get();
     nextPage = null;
-    ports.cloud(
+    context.cloud(
         "GET",
         CloudMessages.list(soFar.after()),
         null,
@@ -345,7 +345,7 @@
   private void listedPage(PartialList soFar, int status, JsonNode body) {
     if (status != 200) {
       listing = false;
-      listAt = ports.now().plus(LIST_RETRY_MS);
+      listAt = context.now().plus(LIST_RETRY_MS);
       return;
     }
     Map<MachineName, ListedMachine> found = soFar.found();
@@ -353,15 +353,15 @@
     page.forEach(l -> found.put(l.name(), l));
     if (CloudMessages.more(body) && !page.isEmpty()) {
       nextPage = new PartialList(page.get(page.size() - 1).name().value(), found);
-      if (calls.tryTake(1, ports.now())) {
+      if (calls.tryTake(1, context.now())) {
         list(nextPage);
       } else {
-        listAt = ports.now().plus(PAGE_RETRY_MS);
+        listAt = context.now().plus(PAGE_RETRY_MS);
       }
       return;
     }
     listing = false;
-    listAt = ports.now().plus(listPauseMs(soFar.pages()));
+    listAt = context.now().plus(listPauseMs(soFar.pages()));
     listed(found.values());
   }
 
@@ -370,13 +370,13 @@
     if (machines.size() == 0) {
       return EMPTY_LIST_PAUSE_MS;
     }
-    double callsPerMs = ports.config.cloud().rps() * LISTING_SHARE / 1000;
+    double callsPerMs = context.config.cloud().rps() * LISTING_SHARE / 1000;
     return Math.max(LIST_PAUSE_MS, (long) (pages / callsPerMs));
   }
 
   private void listed(Collection<ListedMachine> found) {
-    MonotonicTime now = ports.now();
-    long lag = (long) (ports.config.cloud().listLagS() * 2000) + 2000;
+    MonotonicTime now = context.now();
+    long lag = (long) (context.config.cloud().listLagS() * 2000) + 2000;
     for (ListedMachine l : found) {
       MonotonicTime at = released.get(l.name());
       if (at != null) {
@@ -390,7 +390,7 @@
       }
       if (isLost(l)) {
         if (!releasing.contains(l.name()) && toRelease.add(l.name())) {
-          ports.info("machine %s: %s for %.0f s, returned", l.name(), l.state(), l.ageS());
+          context.info("machine %s: %s for %.0f s, returned", l.name(), l.state(), l.ageS());
         }
         continue;
       }
@@ -402,7 +402,7 @@
     }
     returnUnlisted(lag);
     released.values().removeIf(at -> now.since(at) > KEEP_RELEASED_MS);
-    ports.gauge("machines", machines.size());
+    context.gauge("machines", machines.size());
   }
 
   /** It has failed, or will never come up. */
@@ -420,10 +420,10 @@
     for (Machine machine : machines.all()) {
       MachineName name = machine.info.name();
       if (machine.listedAt != MonotonicTime.NEVER
-          && ports.now().since(machine.listedAt) > lag
+          && context.now().since(machine.listedAt) > lag
           && !releasing.contains(name)
           && toRelease.add(name)) {
-        ports.info("machine %s: no longer listed", name);
+        context.info("machine %s: no longer listed", name);
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -14,7 +14,7 @@
 import shorecrank.rollout.Feature;
 
 /**
- * Who leads: the process whose key hangs on a living grant. The key's stamp is the leader's term;
+ * Who leads: the process whose key hangs on a living grant. The key's revision is the leader's term;
  * whatever the leader writes is guarded by it.
  */
 public final class Election implements Leadership {
@@ -44,7 +44,7 @@
     LEAD
   }
 
-  private final StepContext ports;
+  private final StepContext context;
   private Step step = Step.READ;
   private boolean busy;
   private MonotonicTime retryAt = new MonotonicTime(0);
@@ -64,8 +64,8 @@
   /** The revision of {@link #KEY} while the grant hangs on the other. */
   private Revision namingRevision = Revision.ABSENT;
 
-  public Election(StepContext ports, LevelRange supported) {
-    this.ports = ports;
+  public Election(StepContext context, LevelRange supported) {
+    this.context = context;
     this.supported = supported;
   }
 
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void guard(StoreMessages.Txn transaction) {
+  public void guard(StoreMessages.Transaction transaction) {
     transaction.guard(key(), term);
   }
 
@@ -99,7 +99,7 @@
   /** No other process can lead now, by our own clock. */
   @Override
   public boolean leading() {
-    return step == Step.LEAD && ports.now().before(validUntil);
+    return step == Step.LEAD && context.now().before(validUntil);
   }
 
   @Override
@@ -108,7 +108,7 @@
   }
 
   public void tick() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (step == Step.LEAD) {
       if (!now.before(renewAt)) {
         renew();
@@ -130,12 +130,12 @@
     busy = false;
     step = s;
     retryAt =
-        ports.now().plus(afterMs == 0 ? 0 : afterMs / 2 + ports.random().nextInt(afterMs + 1));
+        context.now().plus(afterMs == 0 ? 0 : afterMs / 2 + context.random().nextInt(afterMs + 1));
   }
 
   private void read() {
     busy = true;
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(KEY),
         null,
@@ -161,7 +161,7 @@
   }
 
   private void readProtected() {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(PROTECTED_KEY),
         null,
@@ -186,7 +186,7 @@
   private void found(StoreMessages.Entry e) {
     watchFrom = e.revision().value();
     seen(e.value(), e.revision());
-    boolean ours = ports.config.label().equals(leader);
+    boolean ours = context.config.label().equals(leader);
     if (!ours || e.hold() <= 0) {
       again(Step.WATCH, 0);
       return;
@@ -194,7 +194,7 @@
     // The label is ours and the process is not: it has ended, so nobody need wait for its grant.
     // Its late writes are refused, since the key's revision moves on.
     busy = true;
-    ports.state(
+    context.state(
         "DELETE",
         StoreMessages.grant(e.hold()),
         null,
@@ -202,16 +202,16 @@
         (status, body) -> again(status == 200 || status == 404 ? Step.CAMPAIGN : Step.READ, 20));
   }
 
-  private void seen(JsonNode value, Revision stamp) {
+  private void seen(JsonNode value, Revision revision) {
     String label = Json.text(value.path(LABEL));
     leader = label.isEmpty() ? null : new ControllerName(label);
-    term = stamp;
+    term = revision;
   }
 
   private void watch() {
     busy = true;
     int holdMs = 15_000;
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.watch(KEY, watchFrom, holdMs),
         null,
@@ -257,18 +257,18 @@
 
   private void campaign() {
     if (isProtected() && !supported.supports(level)) {
-      ports.refused(
+      context.refused(
           "leader.unfit",
           "leader not sought level=" + level + " supported=" + supported + " reason=unsupported");
       again(Step.READ, UNFIT_PAUSE_MS);
       return;
     }
     busy = true;
-    MonotonicTime sent = ports.now();
-    ports.state(
+    MonotonicTime sent = context.now();
+    context.state(
         "POST",
         StoreMessages.GRANTS,
-        StoreMessages.ttl(ports.tuning.leaderTtlMs()),
+        StoreMessages.ttl(context.tuning.leaderTtlMs()),
         CALL_MS,
         (status, body) -> {
           long h = StoreMessages.hold(body);
@@ -281,44 +281,44 @@
   }
 
   private void take(long h, MonotonicTime grantSent) {
-    StoreMessages.Txn txn = new StoreMessages.Txn().guard(key(), Revision.ABSENT);
+    StoreMessages.Transaction transaction = new StoreMessages.Transaction().guard(key(), Revision.ABSENT);
     if (isProtected()) {
-      txn.guard(KEY, namingRevision)
+      transaction.guard(KEY, namingRevision)
           .write(KEY, ownName().put(MOVED_TO, PROTECTED_KEY).put(LEVEL, level.value()));
     }
-    txn.write(key(), ownName(), h);
-    ports.state(
+    transaction.write(key(), ownName(), h);
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         CALL_MS,
         (status, body) -> {
           if (status == 200) {
             busy = false;
             step = Step.LEAD;
             hold = h;
-            leader = ports.config.label();
+            leader = context.config.label();
             term = new Revision(StoreMessages.revision(body));
             namingRevision = term;
             watchFrom = term.value();
             validUntil = until(grantSent);
-            renewAt = ports.now().plus(ports.tuning.leaderTtlMs() / 4);
-            ports.info("leading with term %s", term);
-            ports.count("leader.elected");
+            renewAt = context.now().plus(context.tuning.leaderTtlMs() / 4);
+            context.info("leading with term %s", term);
+            context.count("leader.elected");
             return;
           }
           // Refused, or without an answer: a late write of ours must not find its grant alive.
-          ports.state(
+          context.state(
               "DELETE", StoreMessages.grant(h), null, CALL_MS, (s2, b2) -> again(Step.READ, 300));
         });
   }
 
   private ObjectNode ownName() {
-    return Json.object().put(LABEL, ports.config.label().value()).put(WRITER, ports.writer.value());
+    return Json.object().put(LABEL, context.config.label().value()).put(WRITER, context.writer.value());
   }
 
   @Override
-  public void addLevelSwitch(StoreMessages.Txn transaction, FeatureLevel to) {
+  public void addLevelSwitch(StoreMessages.Transaction transaction, FeatureLevel to) {
     ObjectNode name = ownName();
     if (isProtected()) {
       transaction.guard(KEY, namingRevision);
@@ -340,21 +340,21 @@
     namingRevision = revision;
     if (otherKey) {
       term = revision;
-      ports.info("leader goes on term=%s level=%s key=%s", term, level, key());
+      context.info("leader goes on term=%s level=%s key=%s", term, level, key());
     }
   }
 
   /** Leases run on the service's clock; ours may be fast or slow by 0.05%. */
   private MonotonicTime until(MonotonicTime sent) {
-    long ttl = ports.tuning.leaderTtlMs();
+    long ttl = context.tuning.leaderTtlMs();
     return sent.plus(ttl - ttl / 500 - 20);
   }
 
   private void renew() {
-    MonotonicTime sent = ports.now();
+    MonotonicTime sent = context.now();
     long h = hold;
-    renewAt = sent.plus(ports.tuning.leaderTtlMs() / 4);
-    ports.state(
+    renewAt = sent.plus(context.tuning.leaderTtlMs() / 4);
+    context.state(
         "POST",
         StoreMessages.touch(h),
         Json.object(),
@@ -369,15 +369,15 @@
               validUntil = u;
             }
           } else if (status == 404) {
-            ports.info("term %s ended", term);
-            ports.count("leader.lost");
+            context.info("term %s ended", term);
+            context.count("leader.lost");
             leader = null;
             validUntil = MonotonicTime.NEVER;
             hold = -1;
             again(Step.READ, 50);
           } else {
             // Not known: an outage stops the clock of all grants, so the term may well go on.
-            renewAt = ports.now().plus(250);
+            renewAt = context.now().plus(250);
           }
         });
   }
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -45,7 +45,7 @@
     boolean stateOk;
     MonotonicTime stateBadSince = MonotonicTime.NEVER;
     MonotonicTime heard = MonotonicTime.NEVER;
-    Map<ShardId, Integer> strays = Map.of();
+    Map<ShardId, Integer> misroutedWorkers = Map.of();
   }
 
   private static final class Part {
@@ -94,12 +94,12 @@
   private static final int UNREACHED_ZONE_LOAD = 100_000;
   private static final int UNREACHED_OWNER_LOAD = 100_000_000;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Election election;
   private final RolloutCoordinator rollout;
   private final FeatureGate gate;
   private final Map<ControllerName, Node> nodes = new TreeMap<>();
-  private final Map<ShardId, Part> parts = new TreeMap<>();
+  private final Map<ShardId, Part> shards = new TreeMap<>();
   private final MachineDirectory machines;
   private final CloudProvisioner cloud;
   private final MachineAssigner assigner;
@@ -111,7 +111,7 @@
 
   /**
    * Shards for which a new owner may yet be written down by a transaction without an answer. The
-   * next committed mint settles it, since all are guarded by the counter's stamp; before that the
+   * next committed mint settles it, since all are guarded by the counter's revision; before that the
    * last owner gets no lease.
    */
   private final Set<ShardId> ownerInDoubt = new TreeSet<>();
@@ -123,7 +123,7 @@
 
   private boolean loading;
   private MonotonicTime loadRetryAt = new MonotonicTime(0);
-  private Revision epochStamp = Revision.ABSENT;
+  private Revision epochRevision = Revision.ABSENT;
   private long epochCounter;
   private boolean minting;
 
@@ -137,23 +137,23 @@
    * @param shares the operators' settings of shares; null if those are not enabled
    */
   public Leader(
-      StepContext ports,
+      StepContext context,
       Election election,
       RolloutCoordinator rollout,
       FeatureGate gate,
       ShareSettings shares) {
-    this.ports = ports;
+    this.context = context;
     this.election = election;
     this.rollout = rollout;
     this.gate = gate;
-    this.machines = new MachineDirectory(ports, election, () -> loadedTerm);
+    this.machines = new MachineDirectory(context, election, () -> loadedTerm);
     this.shareAssigner =
         shares == null
             ? null
-            : new ShareAssigner(ports, election, rollout, gate, shares, machines, this);
+            : new ShareAssigner(context, election, rollout, gate, shares, machines, this);
     this.assigner =
-        shares == null ? new SpareMachineAssigner(ports, machines, this) : shareAssigner;
-    this.cloud = new CloudProvisioner(ports, machines, () -> loadedTerm, this::assign, this::meet);
+        shares == null ? new SpareMachineAssigner(context, machines, this) : shareAssigner;
+    this.cloud = new CloudProvisioner(context, machines, () -> loadedTerm, this::assign, this::meet);
   }
 
   public void catalog(Map<String, MachineType> c) {
@@ -186,7 +186,7 @@
     assigner.look();
     if (!ready()) {
       boolean loaded = loadedTerm.equals(election.term());
-      if (!loaded && !loading && !isUnsettled() && !ports.now().before(loadRetryAt)) {
+      if (!loaded && !loading && !isUnsettled() && !context.now().before(loadRetryAt)) {
         load();
       }
       return;
@@ -218,8 +218,8 @@
    * ended lease say anything about its owner.
    */
   private void awaitOwners() {
-    MonotonicTime heardBy = ports.now().plus(ports.tuning.renewMs() * OWNER_HEARTBEATS);
-    for (Part p : parts.values()) {
+    MonotonicTime heardBy = context.now().plus(context.tuning.renewMs() * OWNER_HEARTBEATS);
+    for (Part p : shards.values()) {
       if (p.leaseUntil.before(heardBy)) {
         p.leaseUntil = heardBy;
       }
@@ -231,23 +231,23 @@
   private void load() {
     loading = true;
     Revision term = election.term();
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(EPOCH),
         null,
         CALL_MS,
         (status, body) -> {
           if (status == 200) {
-            epochStamp = StoreMessages.entry(body).revision();
+            epochRevision = StoreMessages.entry(body).revision();
             epochCounter = Json.count(body.path("data").path("v"));
             if (epochCounter < 0) {
               // Taken for 0, epochs would begin again.
-              ports.unreadable(EPOCH);
+              context.unreadable(EPOCH);
               loadLater();
               return;
             }
           } else if (status == 404) {
-            epochStamp = Revision.ABSENT;
+            epochRevision = Revision.ABSENT;
             epochCounter = 0;
           } else {
             loadLater();
@@ -259,11 +259,11 @@
 
   private void loadLater() {
     loading = false;
-    loadRetryAt = ports.now().plus(300);
+    loadRetryAt = context.now().plus(300);
   }
 
   private void loadParts(Revision term) {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.list(PART, "", 200),
         null,
@@ -273,13 +273,13 @@
             loadLater();
             return;
           }
-          parts.clear();
-          for (int i = 0; i < ports.tuning.parts(); i++) {
-            parts.put(new ShardId(i), new Part());
+          shards.clear();
+          for (int i = 0; i < context.tuning.shards(); i++) {
+            shards.put(new ShardId(i), new Part());
           }
           for (StoreMessages.Entry e : StoreMessages.entries(body)) {
             OwnerInfo o = owner(e.value());
-            Part p = parts.get(o.part());
+            Part p = shards.get(o.shard());
             if (p == null) {
               continue;
             }
@@ -288,27 +288,27 @@
             p.epoch = o.epoch();
             p.vacant = false;
             // The last leader may have renewed the lease just before its term ended.
-            p.leaseUntil = ports.now().plus(leaseBound());
+            p.leaseUntil = context.now().plus(leaseBound());
           }
           if (!term.equals(doubtTerm)) {
             // What an earlier term sent is refused, for the leader's key has changed.
             ownerInDoubt.clear();
           }
-          ownerInDoubt.forEach(id -> parts.get(id).vacant = true);
+          ownerInDoubt.forEach(id -> shards.get(id).vacant = true);
           machines.load(read -> machinesRead(term, read));
         });
   }
 
   /** What the record of a part says. */
-  public static OwnerInfo owner(JsonNode part) {
+  public static OwnerInfo owner(JsonNode shard) {
     return new OwnerInfo(
-        new ShardId((int) Json.count(part.path("part"))),
-        new ControllerName(Json.text(part.path("label"))),
-        new Epoch(part.path("epoch").asLong()));
+        new ShardId((int) Json.count(shard.path("part"))),
+        new ControllerName(Json.text(shard.path("label"))),
+        new Epoch(shard.path("epoch").asLong()));
   }
 
   private long leaseBound() {
-    return ports.tuning.leaseMs() + ports.tuning.leaseMs() / 500 + 20;
+    return context.tuning.leaseMs() + context.tuning.leaseMs() / 500 + 20;
   }
 
   private void machinesRead(Revision term, boolean read) {
@@ -324,7 +324,7 @@
       machines.began(term);
       assigner.began();
       cloud.began();
-      ports.info(
+      context.info(
           "term %s: epochs up to %d, %d machines known", term, epochCounter, machines.size());
     }
   }
@@ -332,11 +332,11 @@
   // ---- beats and leases ----------------------------------------------------------------------
 
   /** Null while this controller can't answer for the leader. */
-  public HeartbeatAnswer beat(Heartbeat b) {
+  public HeartbeatAnswer heartbeat(Heartbeat b) {
     if (!ready()) {
       return null;
     }
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     Node node = nodes.computeIfAbsent(b.from(), k -> new Node());
     node.heard = now;
     node.writer = b.writer();
@@ -346,31 +346,31 @@
       node.stateBadSince = now;
     }
     node.stateOk = b.stateOk();
-    node.strays = b.strays();
+    node.misroutedWorkers = b.misroutedWorkers();
     if (rollout != null) {
       rollout.heard(b.from(), b.writer(), b.announcement());
     }
 
     List<Lease> leases = new ArrayList<>();
-    for (Map.Entry<ShardId, Part> e : parts.entrySet()) {
+    for (Map.Entry<ShardId, Part> e : shards.entrySet()) {
       Part p = e.getValue();
       if (!b.from().equals(p.owner) || p.vacant) {
         continue;
       }
       if (!b.writer().equals(p.writer)) {
         // One label, one process: the one that held the lease has ended.
-        ports.info("part %s: owner %s restarted", e.getKey(), p.owner);
+        context.info("part %s: owner %s restarted", e.getKey(), p.owner);
         p.vacant = true;
         continue;
       }
       ShardReport pb = null;
-      for (ShardReport x : b.parts()) {
-        if (x.part().equals(e.getKey())) {
+      for (ShardReport x : b.shards()) {
+        if (x.shard().equals(e.getKey())) {
           pb = x;
         }
       }
       if (!p.revoking && lacksState(node) && anyOtherOk(b.from())) {
-        ports.info(
+        context.info(
             "part %s: %s has no state service, others have: taken back", e.getKey(), p.owner);
         p.revoking = true;
       }
@@ -393,31 +393,31 @@
         takeFence(e.getKey(), p, pb);
         p.queued = pb.queued();
         if (unreached(e.getKey(), p, pb.hearing())) {
-          ports.info(
+          context.info(
               "part %s: %s hears %d of %d machines, others hear them: taken back",
               e.getKey(),
               p.owner,
               pb.hearing().expected() - pb.hearing().unheard(),
               pb.hearing().expected());
-          ports.count("part.unreached");
+          context.count("part.unreached");
           p.unreached = p.owner;
-          p.unreachedBy = pb.hearing().deafTo();
+          p.unreachedBy = pb.hearing().unreachableZones();
           p.movedAt = now;
           p.revoking = true;
           continue;
         }
       }
       p.leaseUntil = now.plus(leaseBound());
-      leases.add(new Lease(e.getKey(), p.epoch, ports.tuning.leaseMs()));
+      leases.add(new Lease(e.getKey(), p.epoch, context.tuning.leaseMs()));
     }
-    for (ShardReport pb : b.parts()) {
-      Part p = parts.get(pb.part());
+    for (ShardReport pb : b.shards()) {
+      Part p = shards.get(pb.shard());
       if (p != null && b.writer().equals(p.writer) && pb.epoch().equals(p.epoch)) {
-        take(pb, b.lendVersion());
+        take(pb, b.assignmentVersion());
       } else if (pb.fenced().value() > 0) {
-        ports.info(
+        context.info(
             "part %s: refused epoch %s reported by %s, not its owner: moves nothing",
-            pb.part(), pb.fenced(), b.from());
+            pb.shard(), pb.fenced(), b.from());
       }
     }
     for (MachineInfo h : b.seen()) {
@@ -432,7 +432,7 @@
    * them.
    */
   private boolean unreached(ShardId id, Part p, WorkerReachability h) {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (h.unheard() < 2 || h.unheard() * 5 < h.expected() || now.since(p.movedAt) < MOVE_PAUSE_MS) {
       return false;
     }
@@ -443,11 +443,11 @@
       if (e.getKey().equals(p.owner) || !canServe(n)) {
         continue;
       }
-      elsewhere += n.strays.getOrDefault(id, 0);
+      elsewhere += n.misroutedWorkers.getOrDefault(id, 0);
       // Few are worth a move only to where the rest is not lost for them.
       another |=
           h.unheard() * 3 > h.expected() * 2
-              || !(h.deafTo().contains(location(e.getKey()))
+              || !(h.unreachableZones().contains(location(e.getKey()))
                   || location(e.getKey()).equals(location(p.owner)));
     }
     return another && elsewhere * 2 >= h.unheard();
@@ -457,7 +457,7 @@
   private boolean mayOwn(ControllerName label) {
     String reason = rollout == null ? null : rollout.reasonAgainstOwner(label);
     if (reason != null) {
-      ports.refused(
+      context.refused(
           "shard.owner_refused",
           "owner refused controller=" + label + " reason=\"" + reason + "\"");
     }
@@ -473,30 +473,30 @@
       return false;
     }
     MonotonicTime since =
-        n.stateBadSince.before(ports.stateOkSince()) ? ports.stateOkSince() : n.stateBadSince;
-    return ports.now().since(since) > STATE_BAD_MS;
+        n.stateBadSince.before(context.stateOkSince()) ? context.stateOkSince() : n.stateBadSince;
+    return context.now().since(since) > STATE_BAD_MS;
   }
 
   private boolean canServe(Node n) {
-    return n.stateOk && ports.now().since(n.heard) <= ports.tuning.renewMs() * 2L + 500;
+    return n.stateOk && context.now().since(n.heard) <= context.tuning.renewMs() * 2L + 500;
   }
 
   private String location(ControllerName l) {
-    for (NodeConfig.Member m : ports.config.members()) {
+    for (NodeConfig.Member m : context.config.members()) {
       if (m.label().equals(l)) {
         return m.location();
       }
     }
-    return ports.config.zone();
+    return context.config.zone();
   }
 
   private boolean anyOtherOk(ControllerName not) {
-    if (!not.equals(ports.config.label()) && ports.stateOk()) {
+    if (!not.equals(context.config.label()) && context.stateOk()) {
       return true;
     }
     for (Map.Entry<ControllerName, Node> e : nodes.entrySet()) {
       Node n = e.getValue();
-      if (!e.getKey().equals(not) && n.stateOk && ports.now().since(n.heard) < 3000) {
+      if (!e.getKey().equals(not) && n.stateOk && context.now().since(n.heard) < 3000) {
         return true;
       }
     }
@@ -511,20 +511,20 @@
         && pb.epoch().equals(p.epoch)
         && f.value() < FencingToken.MAX_EPOCH / 2
         && !p.minting) {
-      ports.info("part %s: owner at epoch %s was refused by epoch %s", id, p.epoch, f);
+      context.info("part %s: owner at epoch %s was refused by epoch %s", id, p.epoch, f);
       mint(id, p, p.owner, p.writer, f.value());
     }
   }
 
   private HeartbeatAnswer answer(Heartbeat b, List<Lease> leases) {
     List<OwnerInfo> owners = new ArrayList<>();
-    parts.forEach(
+    shards.forEach(
         (id, p) -> {
           if (!p.vacant && !p.revoking) {
             owners.add(new OwnerInfo(id, p.owner, p.epoch));
           }
         });
-    MachineDirectory.Changes changes = machines.changesSince(b.lendVersion(), parts.size() == 1);
+    MachineDirectory.Changes changes = machines.changesSince(b.assignmentVersion(), shards.size() == 1);
     List<MachineName> gone =
         changes.whole()
             ? cloud.releasedLately()
@@ -544,8 +544,8 @@
   }
 
   private void assignParts() {
-    MonotonicTime now = ports.now();
-    for (Map.Entry<ShardId, Part> e : parts.entrySet()) {
+    MonotonicTime now = context.now();
+    for (Map.Entry<ShardId, Part> e : shards.entrySet()) {
       Part p = e.getValue();
       boolean lapsed = !p.vacant && p.leaseUntil.before(now);
       if ((!p.vacant && !lapsed) || p.minting || minting) {
@@ -567,7 +567,7 @@
       // Right after an election the other controllers get a moment to be heard.
       if (best != null && (nodes.size() > 1 || now.since(listedFirst()) > 0)) {
         if (lapsed) {
-          ports.info("part %s: lease of %s lapsed", e.getKey(), p.owner);
+          context.info("part %s: lease of %s lapsed", e.getKey(), p.owner);
         }
         mint(e.getKey(), p, best, nodes.get(best).writer, 0);
       }
@@ -579,15 +579,15 @@
    * Shards are spread over controllers first, then over zones.
    */
   private int ownerLoad(Part p, ControllerName candidate) {
-    int load = candidate.equals(ports.config.label()) ? LEADER_LOAD : 0;
+    int load = candidate.equals(context.config.label()) ? LEADER_LOAD : 0;
     String at = location(candidate);
-    if (p.unreached != null && ports.now().since(p.movedAt) < AVOID_MS) {
+    if (p.unreached != null && context.now().since(p.movedAt) < AVOID_MS) {
       // Rather one that the workers reach: not the last, and not in its zone or in theirs.
       load += candidate.equals(p.unreached) ? UNREACHED_OWNER_LOAD : 0;
       boolean unreachedZone = at.equals(location(p.unreached)) || p.unreachedBy.contains(at);
       load += unreachedZone ? UNREACHED_ZONE_LOAD : 0;
     }
-    for (Part q : parts.values()) {
+    for (Part q : shards.values()) {
       if (q != p && !q.vacant && candidate.equals(q.owner)) {
         load += SHARD_LOAD;
       } else if (q != p && !q.vacant && at.equals(location(q.owner))) {
@@ -603,7 +603,7 @@
   private MonotonicTime listedFirst() {
     if (!officeTerm.equals(loadedTerm)) {
       officeTerm = loadedTerm;
-      officeSince = ports.now();
+      officeSince = context.now();
     }
     return officeSince.plus(1500);
   }
@@ -619,12 +619,12 @@
     Revision term = loadedTerm;
     mintTerm = term;
     long number = ++mints;
-    ports.state(
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        new StoreMessages.Txn()
+        new StoreMessages.Transaction()
             .guard(election.key(), term)
-            .guard(EPOCH, epochStamp)
+            .guard(EPOCH, epochRevision)
             .write(EPOCH, Json.object().put("v", next))
             .write(
                 PART + id,
@@ -657,10 +657,10 @@
             // Also without an answer: what the counter holds now is only known after a new look,
             // and a later mint behind the same guard is what settles it.
             loadedTerm = Revision.ABSENT;
-            loadRetryAt = ports.now().plus(200);
+            loadRetryAt = context.now().plus(200);
             return;
           }
-          epochStamp = new Revision(StoreMessages.revision(body));
+          epochRevision = new Revision(StoreMessages.revision(body));
           epochCounter = next;
           p.owner = owner;
           p.writer = writer;
@@ -668,12 +668,12 @@
           assigner.minted(id);
           p.vacant = false;
           p.revoking = false;
-          p.leaseUntil = ports.now().plus(leaseBound());
-          ports.info("part %s: epoch %d minted for %s (%s)", id, next, owner, writer);
-          ports.count("epoch.minted");
+          p.leaseUntil = context.now().plus(leaseBound());
+          context.info("part %s: epoch %d minted for %s (%s)", id, next, owner, writer);
+          context.count("epoch.minted");
           // The owner begins at once, and the others can tell the workers where to go.
-          for (NodeConfig.Member m : ports.config.members()) {
-            ports.peer(m.label(), PeerMessages.NUDGE, Json.object(), 1000, (s, b) -> {});
+          for (NodeConfig.Member m : context.config.members()) {
+            context.peer(m.label(), PeerMessages.HEARTBEAT_NOW, Json.object(), 1000, (s, b) -> {});
           }
         });
   }
@@ -688,13 +688,13 @@
       // It reports although its release was answered: a held report, or a list that lags.
       return;
     }
-    ports.info("machine %s: %s", h.name(), how);
+    context.info("machine %s: %s", h.name(), how);
     assign(h, assigner.shardOfNewcomer());
   }
 
-  private void assign(MachineInfo info, ShardId part) {
-    Part p = parts.get(part);
-    machines.assign(info, part, p == null ? Epoch.NONE : p.epoch);
+  private void assign(MachineInfo info, ShardId shard) {
+    Part p = shards.get(shard);
+    machines.assign(info, shard, p == null ? Epoch.NONE : p.epoch);
   }
 
   /** What an owner asks for its part. */
@@ -702,16 +702,16 @@
     for (MachineName h : pb.retire()) {
       Machine machine = machines.get(h);
       // A machine no longer known may have been released by a leader that could not say so.
-      boolean theirs = machine == null ? !cloud.wasReleased(h) : machine.part.equals(pb.part());
+      boolean theirs = machine == null ? !cloud.wasReleased(h) : machine.shard.equals(pb.shard());
       if (theirs) {
         cloud.giveBack(h);
       }
     }
     assigner.reported(pb);
     // An owner that has not yet seen the last lending would ask for the same machines again.
-    boolean allTold = parts.size() == 1 || machines.isWritten();
+    boolean allTold = shards.size() == 1 || machines.isWritten();
     if (knownVersion == machines.version() && allTold && cloud.isIdle()) {
-      cloud.request(pb.part(), pb.wants());
+      cloud.request(pb.shard(), pb.capacityRequests());
     }
   }
 
@@ -719,18 +719,18 @@
 
   @Override
   public Set<ShardId> shards() {
-    return parts.keySet();
+    return shards.keySet();
   }
 
   @Override
   public Epoch epoch(ShardId shard) {
-    Part p = parts.get(shard);
+    Part p = shards.get(shard);
     return p == null ? Epoch.NONE : p.epoch;
   }
 
   @Override
   public ControllerName owner(ShardId shard) {
-    Part p = parts.get(shard);
+    Part p = shards.get(shard);
     return p == null || p.vacant || p.revoking ? null : p.owner;
   }
 
@@ -741,13 +741,13 @@
 
   @Override
   public boolean hasQueue(ShardId shard) {
-    Part p = parts.get(shard);
+    Part p = shards.get(shard);
     return p != null && p.queued;
   }
 
   @Override
   public void raiseAbove(ShardId shard, Epoch least) {
-    Part p = parts.get(shard);
+    Part p = shards.get(shard);
     if (p != null && !p.vacant && !p.minting) {
       mint(shard, p, p.owner, p.writer, least.value());
     }
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -54,7 +54,7 @@
   /** A machine and its assignment. */
   static final class Machine {
     MachineInfo info;
-    ShardId part;
+    ShardId shard;
     Epoch term;
     MonotonicTime since;
 
@@ -62,7 +62,7 @@
     MoveId move = MoveId.NONE;
 
     /** It is to be emptied for another shard. */
-    boolean recall;
+    boolean handoverRequested;
 
     /** A shard whose records name it, although it is assigned to another; null if there is none. */
     ShardId reclaimedBy;
@@ -85,7 +85,7 @@
   /** What has changed since a controller's version; all assignments if {@code whole}. */
   record Changes(boolean whole, List<MachineAssignment> assigned, List<MachineName> removed) {}
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Election election;
   private final Supplier<Revision> loadedTerm;
   private final Map<MachineName, Machine> machines = new TreeMap<>();
@@ -106,8 +106,8 @@
   /**
    * @param loadedTerm the term under which the leader works now; answers of another are ignored
    */
-  MachineDirectory(StepContext ports, Election election, Supplier<Revision> loadedTerm) {
-    this.ports = ports;
+  MachineDirectory(StepContext context, Election election, Supplier<Revision> loadedTerm) {
+    this.context = context;
     this.election = election;
     this.loadedTerm = loadedTerm;
   }
@@ -130,8 +130,8 @@
   }
 
   /** How many machines a shard has. */
-  long count(ShardId part) {
-    return machines.values().stream().filter(m -> m.part.equals(part)).count();
+  long count(ShardId shard) {
+    return machines.values().stream().filter(m -> m.shard.equals(shard)).count();
   }
 
   /** The term under which the assignments were read. */
@@ -152,46 +152,46 @@
   // ---- changes ---------------------------------------------------------------------------------
 
   /** A machine belongs to a shard from now on, under the shard's epoch. */
-  void assign(MachineInfo info, ShardId part, Epoch term) {
-    put(info, part, term);
+  void assign(MachineInfo info, ShardId shard, Epoch term) {
+    put(info, shard, term);
     unsaved.add(bucket(info.name()));
   }
 
   private void reassign(Machine machine, NextAssignment next) {
-    Machine again = put(machine.info, next.part, next.term);
+    Machine again = put(machine.info, next.shard, next.term);
     again.recorded = true;
   }
 
-  private Machine put(MachineInfo info, ShardId part, Epoch term) {
+  private Machine put(MachineInfo info, ShardId shard, Epoch term) {
     Machine machine = new Machine();
     machine.info = info;
-    machine.part = part;
+    machine.shard = shard;
     machine.term = term;
-    machine.since = ports.now();
+    machine.since = context.now();
     machines.put(info.name(), machine);
     machine.version = ++version;
-    ports.info("machine %s: lent to part %s under epoch %s", info.name(), part, machine.term);
-    ports.count("machine.lent");
+    context.info("machine %s: lent to part %s under epoch %s", info.name(), shard, machine.term);
+    context.count("machine.lent");
     return machine;
   }
 
   /** The owner is to let the machine run empty and hand it back, under an order's id. */
-  void recall(Machine machine, MoveId move) {
-    machine.recall = true;
+  void handoverRequested(Machine machine, MoveId move) {
+    machine.handoverRequested = true;
     machine.move = move;
     machine.version = ++version;
   }
 
   /** The owner is to say when it hears the machine. */
   void awaitArrival(Machine machine, MoveId move) {
-    machine.recall = false;
+    machine.handoverRequested = false;
     machine.move = move;
     machine.version = ++version;
   }
 
   /** The owner may use the machine; the order that concerned it is over. */
   void keep(Machine machine) {
-    machine.recall = false;
+    machine.handoverRequested = false;
     machine.move = MoveId.NONE;
     machine.version = ++version;
   }
@@ -221,9 +221,9 @@
     }
     for (Machine m : machines.values()) {
       if (mayTell(m, oneShard) && (whole || m.version > known)) {
-        long ageMs = ports.now().since(m.since);
+        long ageMs = context.now().since(m.since);
         Epoch term = oneShard ? Epoch.NONE : m.term;
-        assigned.add(new MachineAssignment(m.info, m.part, ageMs, term, m.recall, m.move));
+        assigned.add(new MachineAssignment(m.info, m.shard, ageMs, term, m.handoverRequested, m.move));
       }
     }
     if (!whole) {
@@ -267,7 +267,7 @@
   /** Reads all keys, page by page; {@code then} takes null if one page could not be read. */
   private void readPages(
       String after, List<StoreMessages.Entry> read, Consumer<List<StoreMessages.Entry>> then) {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.list(PREFIX, after, PAGE),
         null,
@@ -293,7 +293,7 @@
       Machine machine = read(one);
       if (machine == null) {
         // Met again, it is assigned anew.
-        ports.unreadable(entry.key());
+        context.unreadable(entry.key());
       } else {
         machines.put(machine.info.name(), machine);
       }
@@ -303,9 +303,9 @@
   /** Null if the value is no machine's. */
   private Machine read(JsonNode n) {
     String name = Json.text(n.path(0));
-    long part = Json.count(n.path(4));
+    long shard = Json.count(n.path(4));
     long term = Json.count(n.path(5));
-    if (name.isEmpty() || part < 0 || part >= ports.tuning.parts() || term < 0) {
+    if (name.isEmpty() || shard < 0 || shard >= context.tuning.shards() || term < 0) {
       return null;
     }
     Machine machine = new Machine();
@@ -315,9 +315,9 @@
             Json.text(n.path(1)),
             Json.text(n.path(2)),
             n.path(3).asBoolean());
-    machine.part = new ShardId((int) part);
+    machine.shard = new ShardId((int) shard);
     machine.term = new Epoch(term);
-    machine.since = ports.now();
+    machine.since = context.now();
     machine.recorded = true;
     return machine;
   }
@@ -349,7 +349,7 @@
   private BucketValues values(int bucket, List<Machine> inBucket) {
     Map<String, ArrayNode> values = new TreeMap<>();
     int allBytes = 0;
-    double max = ports.config.state().valueKb() * 1024 * VALUE_FILL;
+    double max = context.config.state().valueKb() * 1024 * VALUE_FILL;
     String key = PREFIX + bucket;
     ArrayNode value = Json.array();
     values.put(key, value);
@@ -375,7 +375,7 @@
   }
 
   /** A machine's next shard, and the term under which it is assigned there. */
-  record NextAssignment(ShardId part, Epoch term) {}
+  record NextAssignment(ShardId shard, Epoch term) {}
 
   /**
    * New assignments that are written in a transaction of somebody else's. Until that is over no
@@ -394,8 +394,8 @@
       return values.size();
     }
 
-    void addTo(StoreMessages.Txn txn) {
-      values.forEach((key, value) -> guardedWrite(txn, key, value));
+    void addTo(StoreMessages.Transaction transaction) {
+      values.forEach((key, value) -> guardedWrite(transaction, key, value));
     }
 
     void committed(Revision at) {
@@ -456,7 +456,7 @@
       int operations = transfer.values.size() + (another ? next.byKey.size() : 0);
       int more = another ? next.bytes : 0;
       boolean full =
-          operations + otherOperations > ports.config.state().txnOps()
+          operations + otherOperations > context.config.state().txnOps()
               || bytes + more > StoreMessages.TXN_FILL_BYTES;
       if (full) {
         continue;
@@ -489,13 +489,13 @@
     }
     Machine other = new Machine();
     other.info = machine.info;
-    other.part = next.part;
+    other.shard = next.shard;
     other.term = next.term;
     return other;
   }
 
-  private void guardedWrite(StoreMessages.Txn txn, String key, ArrayNode machinesOfKey) {
-    txn.guard(key, revisions.getOrDefault(key, Revision.ABSENT))
+  private void guardedWrite(StoreMessages.Transaction transaction, String key, ArrayNode machinesOfKey) {
+    transaction.guard(key, revisions.getOrDefault(key, Revision.ABSENT))
         .write(key, Json.object().set(MACHINES, machinesOfKey));
   }
 
@@ -505,7 +505,7 @@
         .add(m.info.type())
         .add(m.info.zone())
         .add(m.info.spot())
-        .add(m.part.value())
+        .add(m.shard.value())
         .add(m.term.value());
   }
 
@@ -514,25 +514,25 @@
 
   /** Writes what is not yet written, as the budget allows. */
   void save() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (saving || unsaved.isEmpty() || now.before(saveAt)) {
       return;
     }
     Batch batch = nextBatch();
-    if (!ports.writes.has(batch.values.size(), now)) {
+    if (!context.writes.has(batch.values.size(), now)) {
       return;
     }
-    ports.writes.take(batch.values.size(), now);
+    context.writes.take(batch.values.size(), now);
     saving = true;
     saveAt = now.plus(SAVE_PAUSE_MS);
     unsaved.removeAll(batch.buckets.keySet());
     Revision term = loadedTerm.get();
-    StoreMessages.Txn txn = new StoreMessages.Txn().guard(election.key(), term);
-    batch.values.forEach((key, machinesOfKey) -> guardedWrite(txn, key, machinesOfKey));
-    ports.state(
+    StoreMessages.Transaction transaction = new StoreMessages.Transaction().guard(election.key(), term);
+    batch.values.forEach((key, machinesOfKey) -> guardedWrite(transaction, key, machinesOfKey));
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         CALL_MS,
         (status, body) -> {
           saving = false;
@@ -551,7 +551,7 @@
         inBucket.add(m);
       }
     }
-    int most = (int) Math.max(1, Math.min(ports.config.state().txnOps(), ports.writes.rate() / 2));
+    int most = (int) Math.max(1, Math.min(context.config.state().txnOps(), context.writes.rate() / 2));
     Batch batch = new Batch(new TreeMap<>(), new TreeMap<>());
     int bytes = 0;
     for (Map.Entry<Integer, List<Machine>> e : byBucket.entrySet()) {
@@ -577,7 +577,7 @@
       return;
     }
     unsaved.addAll(batch.buckets.keySet());
-    saveAt = ports.now().plus(SAVE_PAUSE_MS);
+    saveAt = context.now().plus(SAVE_PAUSE_MS);
     if (status == 409) {
       // Something else is there than we wrote last: a write of ours that came late.
       readRevisions();
@@ -606,7 +606,7 @@
             revisions.clear();
             entries.forEach(e -> revisions.put(e.key(), e.revision()));
           }
-          saveAt = ports.now().plus(SAVE_PAUSE_MS);
+          saveAt = context.now().plus(SAVE_PAUSE_MS);
         });
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -19,7 +19,7 @@
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.PeerMessages.ShardReport;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rebalance.MoveCoordinator;
 import shorecrank.rebalance.ShareFleet;
 import shorecrank.rebalance.ShareSettings;
@@ -32,7 +32,7 @@
   /** The shares' key is changed in the same transaction. */
   private static final int OTHER_OPERATIONS = 1;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final MachineDirectory machines;
   private final ShardTable shards;
   private final RolloutCoordinator rollout;
@@ -40,25 +40,25 @@
   private Map<String, MachineType> catalog = Map.of();
 
   ShareAssigner(
-      StepContext ports,
+      StepContext context,
       Election election,
       RolloutCoordinator rollout,
       FeatureGate gate,
       ShareSettings settings,
       MachineDirectory machines,
       ShardTable shards) {
-    this.ports = ports;
+    this.context = context;
     this.machines = machines;
     this.shards = shards;
     this.rollout = rollout;
     this.moves =
         new MoveCoordinator(
-            new StepLeaderEnvironment(ports),
+            new StepLeaderEnvironment(context),
             election,
             gate,
             this,
             settings,
-            List.copyOf(ports.config.teams().keySet()),
+            List.copyOf(context.config.teams().keySet()),
             this::reasonsAgainstMoves);
   }
 
@@ -125,7 +125,7 @@
 
   @Override
   public int shards() {
-    return ports.tuning.parts();
+    return context.tuning.shards();
   }
 
   @Override
@@ -150,7 +150,7 @@
         m.info.name(),
         new Offer(m.info.type(), m.info.zone(), m.info.spot()),
         type == null ? 0 : type.cpus(),
-        m.part,
+        m.shard,
         m.term,
         m.move);
   }
@@ -172,8 +172,8 @@
   }
 
   @Override
-  public void recall(MachineName name, MoveId order) {
-    machines.recall(machines.get(name), order);
+  public void handoverRequested(MachineName name, MoveId order) {
+    machines.handoverRequested(machines.get(name), order);
   }
 
   @Override
@@ -196,7 +196,7 @@
     Map<MachineName, NextAssignment> next = new TreeMap<>();
     assignments.forEach(
         (name, shard) -> next.put(name, new NextAssignment(shard, shards.epoch(shard))));
-    int valueBytes = (int) (ports.config.state().valueKb() * 1024);
+    int valueBytes = (int) (context.config.state().valueKb() * 1024);
     Transfer transfer = machines.prepare(next, OTHER_OPERATIONS, valueBytes);
     return transfer == null ? null : new DirectoryHandover(transfer);
   }
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public void addTo(Txn transaction) {
+    public void addTo(Transaction transaction) {
       transfer.addTo(transaction);
     }
 
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -19,14 +19,14 @@
   /** So many orders of one term have ids of their own. */
   private static final int ORDER_BITS = 20;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final MachineDirectory machines;
   private final ShardTable shards;
   private Revision term = Revision.ABSENT;
   private long orders;
 
-  SpareMachineAssigner(StepContext ports, MachineDirectory machines, ShardTable shards) {
-    this.ports = ports;
+  SpareMachineAssigner(StepContext context, MachineDirectory machines, ShardTable shards) {
+    this.context = context;
     this.machines = machines;
     this.shards = shards;
   }
@@ -83,30 +83,30 @@
   public void reported(ShardReport report) {
     if (!report.repeatsMoves()) {
       // An earlier version may hand a machine back too early, and under an order that is over.
-      keepAll(report.part());
+      keepAll(report.shard());
       return;
     }
-    for (MachineHandover back : report.handedBack()) {
+    for (MachineHandover back : report.handovers()) {
       Machine machine = machines.get(back.machine());
-      boolean asOrdered = machine != null && machine.recall && machine.move.equals(back.move());
-      if (asOrdered && machine.part.equals(report.part())) {
-        handOver(machine, report.part());
+      boolean asOrdered = machine != null && machine.handoverRequested && machine.move.equals(back.move());
+      if (asOrdered && machine.shard.equals(report.shard())) {
+        handOver(machine, report.shard());
       }
     }
     for (MachineName name : report.misplaced()) {
-      reclaim(name, report.part());
+      reclaim(name, report.shard());
     }
-    if (!report.spare().isEmpty() && anotherQueues(report.part())) {
+    if (!report.spare().isEmpty() && anotherQueues(report.shard())) {
       Machine machine = machines.get(report.spare().get(0));
-      if (machine != null && machine.part.equals(report.part()) && !machine.recall) {
-        machines.recall(machine, nextOrder());
+      if (machine != null && machine.shard.equals(report.shard()) && !machine.handoverRequested) {
+        machines.handoverRequested(machine, nextOrder());
       }
     }
   }
 
   private void keepAll(ShardId shard) {
     for (Machine machine : machines.all()) {
-      if (machine.recall && machine.part.equals(shard)) {
+      if (machine.handoverRequested && machine.shard.equals(shard)) {
         machines.keep(machine);
       }
     }
@@ -115,15 +115,15 @@
   /** A machine on which tasks of a shard may run goes back to that shard. */
   private void reclaim(MachineName name, ShardId shard) {
     Machine machine = machines.get(name);
-    boolean known = machine != null && machine.recall && shard.equals(machine.reclaimedBy);
-    if (machine == null || machine.part.equals(shard) || known) {
+    boolean known = machine != null && machine.handoverRequested && shard.equals(machine.reclaimedBy);
+    if (machine == null || machine.shard.equals(shard) || known) {
       return;
     }
-    ports.info("machine %s: claimed by part %s, assigned to %s", name, shard, machine.part);
-    ports.count("machine.reclaimed");
+    context.info("machine %s: claimed by part %s, assigned to %s", name, shard, machine.shard);
+    context.count("machine.reclaimed");
     machine.reclaimedBy = shard;
-    if (!machine.recall) {
-      machines.recall(machine, nextOrder());
+    if (!machine.handoverRequested) {
+      machines.handoverRequested(machine, nextOrder());
     }
   }
 
--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -9,75 +9,75 @@
 public final class StepLeaderEnvironment implements LeaderEnvironment {
   private static final int CALL_MS = 2000;
 
-  private final StepContext ports;
+  private final StepContext context;
 
-  public StepLeaderEnvironment(StepContext ports) {
-    this.ports = ports;
+  public StepLeaderEnvironment(StepContext context) {
+    this.context = context;
   }
 
   @Override
   public MonotonicTime now() {
-    return ports.now();
+    return context.now();
   }
 
   @Override
   public long wallMs() {
-    return ports.wallMs();
+    return context.wallMs();
   }
 
   @Override
   public void state(String method, String path, JsonNode body, OnAnswer then) {
-    ports.state(method, path, body, CALL_MS, then::answer);
+    context.state(method, path, body, CALL_MS, then::answer);
   }
 
   @Override
   public boolean hasWrites(int changes) {
-    return ports.writes.has(changes, ports.now());
+    return context.writes.has(changes, context.now());
   }
 
   @Override
   public boolean takeWrites(int changes) {
-    return ports.writes.tryTake(changes, ports.now());
+    return context.writes.tryTake(changes, context.now());
   }
 
   @Override
   public boolean takeRequest() {
     // The call itself takes it.
-    return ports.requests.has(1, ports.now());
+    return context.requests.has(1, context.now());
   }
 
   @Override
   public double changesPerSecond() {
-    return ports.config.state().writeRps();
+    return context.config.state().writeRps();
   }
 
   @Override
   public int transactionOperations() {
-    return ports.config.state().txnOps();
+    return context.config.state().txnOps();
   }
 
   @Override
   public int valueBytes() {
-    return (int) (ports.config.state().valueKb() * 1024);
+    return (int) (context.config.state().valueKb() * 1024);
   }
 
   @Override
   public void info(String format, Object... args) {
-    ports.info(format, args);
+    context.info(format, args);
   }
 
   @Override
   public void refused(String metric, String what) {
-    ports.refused(metric, what);
+    context.refused(metric, what);
   }
 
   @Override
   public void gauge(String metric, double value) {
-    ports.gauge(metric, value);
+    context.gauge(metric, value);
   }
 
   @Override
   public void count(String metric, long by) {
-    ports.count(metric, by);
+    context.count(metric, by);
   }
 }
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -56,7 +56,7 @@
     MonotonicTime askAt = new MonotonicTime(0);
   }
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Map<ControllerName, Member> members = new LinkedHashMap<>();
   private final Consumer<JobId> learned;
   private final Consumer<OwnerInfo> ownerSeen;
@@ -81,18 +81,18 @@
    * @param ownerSeen takes the owners that another controller knows of
    */
   public CancellationLog(
-      StepContext ports, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
-    this.ports = ports;
+      StepContext context, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
+    this.context = context;
     this.learned = learned;
     this.ownerSeen = ownerSeen;
-    double changesPerS = ports.config.state().writeRps();
+    double changesPerS = context.config.state().writeRps();
     this.mostKept = (int) Math.max(MIN_KEPT, changesPerS * KEPT_S);
     this.mostAsked =
         (int)
             Math.max(
-                PeerMessages.DEFAULT_CONFIRMED, changesPerS * (ports.evidenceMs() / 1000.0 + 2));
+                PeerMessages.DEFAULT_CONFIRMED, changesPerS * (context.evidenceMs() / 1000.0 + 2));
     this.known = Caffeine.newBuilder().maximumSize(mostKept).executor(Runnable::run).build();
-    for (NodeConfig.Member m : ports.config.members()) {
+    for (NodeConfig.Member m : context.config.members()) {
       members.put(m.label(), new Member());
     }
   }
@@ -108,7 +108,7 @@
 
   /** A user is being told that the job is cancelled. */
   public void confirmed(JobId id) {
-    if (own.putIfAbsent(id, ports.now()) != null) {
+    if (own.putIfAbsent(id, context.now()) != null) {
       return;
     }
     if (own.size() > mostKept) {
@@ -132,7 +132,7 @@
     if (storeAsOf == MonotonicTime.NEVER) {
       return storeAsOf;
     }
-    MonotonicTime all = ports.now();
+    MonotonicTime all = context.now();
     for (Member m : members.values()) {
       MonotonicTime one = storeAsOf;
       one = later(one, m.before, storeAsOf);
@@ -148,7 +148,7 @@
 
   /** Once a round; {@code blindSince} is what the owner here that knows least knows. */
   public void tick(MonotonicTime blindSince) {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (ownFrom == MonotonicTime.NEVER) {
       ownFrom = now;
     }
@@ -166,10 +166,10 @@
 
   private void pull(ControllerName label, Member m, MonotonicTime since) {
     m.asking = true;
-    MonotonicTime sent = ports.now();
+    MonotonicTime sent = context.now();
     m.askAt = sent.plus(PULL_MS);
-    ports.count("cancellations.asked");
-    ports.peer(
+    context.count("cancellations.asked");
+    context.peer(
         label,
         PeerMessages.CONFIRMED,
         PeerMessages.confirmedWithin(sent.since(since) + 2000, mostAsked),
@@ -180,7 +180,7 @@
               status == 200 ? PeerMessages.readConfirmed(body, mostAsked) : null;
           if (c == null) {
             if (status == 200) {
-              ports.refused("peer.malformed", "malformed cancellations of " + label + " refused");
+              context.refused("peer.malformed", "malformed cancellations of " + label + " refused");
             }
             return;
           }
@@ -188,7 +188,7 @@
           c.owners().forEach(ownerSeen);
           // What it says holds up to some moment after the question, and back from the answer at
           // the most.
-          MonotonicTime from = ports.now().plus(-(long) (c.spanMs() * (1 - DRIFT)) + 20);
+          MonotonicTime from = context.now().plus(-(long) (c.spanMs() * (1 - DRIFT)) + 20);
           heard(m, new Span(from, sent));
         });
   }
@@ -219,7 +219,7 @@
    * does not reach the state service, so it is also told who owns what.
    */
   public ConfirmedCancellations answer(long within, int most, Collection<OwnerInfo> owners) {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     long span = Math.min(within, ownFrom == MonotonicTime.NEVER ? 0 : now.since(ownFrom));
     List<JobId> ids = new ArrayList<>();
     List<Map.Entry<JobId, MonotonicTime>> all =
--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -23,16 +23,16 @@
 import shorecrank.protocol.UserMessages.JobStatus;
 import shorecrank.protocol.WorkerMessages.TaskState;
 import shorecrank.storage.JobRecord;
-import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.JobRecord.AttemptRange;
 
 /** An unfinished job as its owner sees it: the record plus what is not yet written. */
 public final class Job {
   /** One attempt placed on a machine, from before its record is written until it is surely off. */
-  public static final class LiveTask {
+  public static final class TaskAttempt {
     public final Job job;
     public final int index;
     public final Machine host;
-    public final Incarnation tenure;
+    public final Incarnation incarnation;
     public final AttemptNumber attempt;
 
     /** The write that holds this placement; commands wait until it is committed. */
@@ -48,22 +48,22 @@
 
     public TaskState state;
     public boolean revoked;
-    boolean yielded;
+    boolean roomReassigned;
     public final MonotonicTime placedAt;
     public MonotonicTime runningSince;
 
-    public LiveTask(
+    public TaskAttempt(
         Job job,
         int index,
         Machine host,
-        Incarnation tenure,
+        Incarnation incarnation,
         AttemptNumber attempt,
         long seq,
         MonotonicTime at) {
       this.job = job;
       this.index = index;
       this.host = host;
-      this.tenure = tenure;
+      this.incarnation = incarnation;
       this.attempt = attempt;
       this.seq = seq;
       this.placedAt = at;
@@ -98,7 +98,7 @@
     }
   }
 
-  public enum Urgency {
+  public enum WriteUrgency {
     NONE,
     LATER,
     NOW
@@ -106,23 +106,23 @@
 
   public final JobSpec spec;
   public final long acceptedAtMs;
-  public Revision stamp;
+  public Revision revision;
   public Epoch epoch;
   public WriterId writer;
   public long seq;
   public long committedSeq;
-  public long tries;
-  public boolean aborted;
+  public long attemptCount;
+  public boolean cancelled;
   public boolean claimed;
 
   /** Counts as unclaimed for its team's limit, although nobody had claimed it yet. */
   public boolean claimFirst;
 
-  /** What the record with our stamp says; a user is told this while the stamp still holds. */
-  public JobStatus standing;
+  /** What the record with our revision says; a user is told this while the revision still holds. */
+  public JobStatus jobStatus;
 
-  /** The latest stamp a watch has shown; above ours, somebody else has written meanwhile. */
-  public Revision seenStamp = Revision.ABSENT;
+  /** The latest revision a watch has shown; above ours, somebody else has written meanwhile. */
+  public Revision seenRevision = Revision.ABSENT;
 
   /** A transaction with it was too large; it goes alone until it is through. */
   public boolean alone;
@@ -132,7 +132,7 @@
 
   public boolean inFlight;
   public boolean rereading;
-  public Urgency dirty = Urgency.NONE;
+  public WriteUrgency dirty = WriteUrgency.NONE;
   public MonotonicTime dirtySince = MonotonicTime.NEVER;
   public MonotonicTime writeAfter = MonotonicTime.NEVER;
 
@@ -141,14 +141,14 @@
 
   public final BitSet done = new BitSet();
   public final BitSet taken = new BitSet();
-  public final Int2ObjectAVLTreeMap<LiveTask> live = new Int2ObjectAVLTreeMap<>();
-  private final Int2IntOpenHashMap ghosts = new Int2IntOpenHashMap();
+  public final Int2ObjectAVLTreeMap<TaskAttempt> live = new Int2ObjectAVLTreeMap<>();
+  private final Int2IntOpenHashMap unrecordedTasks = new Int2IntOpenHashMap();
 
   /** Exits seen but not yet recorded: the write that will hold them. */
   public final Map<TaskAttemptId, Long> exits = new HashMap<>();
 
   /** Jobs that have to be done first, as far as they are not known to be recorded as done. */
-  public final Set<JobId> awaits = new LinkedHashSet<>();
+  public final Set<JobId> unmetDependencies = new LinkedHashSet<>();
 
   /** Since when it waits for no other job; its acceptance if it names none. */
   public long readyAtMs;
@@ -173,16 +173,16 @@
   /** The part's jobs with something to write; each puts itself there. */
   private final Set<Job> dirtyJobs;
 
-  public Job(JobRecord r, Revision stamp, long life, Set<Job> dirtyJobs) {
+  public Job(JobRecord r, Revision revision, long life, Set<Job> dirtyJobs) {
     this.dirtyJobs = dirtyJobs;
     this.spec = r.spec();
     this.acceptedAtMs = r.acceptedAtMs();
     this.readyAtMs = r.readyAtMs() > 0 ? r.readyAtMs() : acceptedAtMs;
     this.priority = spec.priority();
-    this.awaits.addAll(spec.prerequisites());
+    this.unmetDependencies.addAll(spec.prerequisites());
     this.base = life << 24;
     this.seq = base;
-    adoptHead(r, stamp);
+    adoptHead(r, revision);
   }
 
   /** The record holds a write of this very object, so memory is as new or newer. */
@@ -196,17 +196,17 @@
 
   /** Takes over all of a record but its live ranges. */
   public void adoptHead(JobRecord r, Revision st) {
-    stamp = st;
-    standing = r.standing();
+    revision = st;
+    jobStatus = r.jobStatus();
     epoch = r.epoch();
     writer = r.writer();
     committedSeq = seq;
-    tries = Math.max(tries, r.tries());
-    if (tries > 0) {
+    attemptCount = Math.max(attemptCount, r.attemptCount());
+    if (attemptCount > 0) {
       // It was placed once, so all that it needs was recorded as done.
-      awaits.clear();
+      unmetDependencies.clear();
     }
-    aborted |= r.aborted();
+    cancelled |= r.cancelled();
     done.clear();
     done.or(r.done());
     taken.or(done);
@@ -222,7 +222,7 @@
   }
 
   public int queued() {
-    return aborted || !awaits.isEmpty() ? 0 : Math.max(0, spec.tasks() - taken.cardinality());
+    return cancelled || !unmetDependencies.isEmpty() ? 0 : Math.max(0, spec.tasks() - taken.cardinality());
   }
 
   public int nextQueued(int from) {
@@ -230,13 +230,13 @@
     return i < spec.tasks() ? i : -1;
   }
 
-  public void add(LiveTask t) {
+  public void add(TaskAttempt t) {
     live.put(t.index, t);
     taken.set(t.index);
     t.host.add(t);
   }
 
-  public void remove(LiveTask t) {
+  public void remove(TaskAttempt t) {
     if (live.get(t.index) == t) {
       live.remove(t.index);
       release(t.index);
@@ -245,26 +245,26 @@
   }
 
   /** An attempt that no record names is on a machine: the task must not start elsewhere. */
-  void ghost(int index) {
+  void markUnrecorded(int index) {
     taken.set(index);
-    ghosts.addTo(index, 1);
+    unrecordedTasks.addTo(index, 1);
   }
 
   private void release(int index) {
-    if (!done.get(index) && !live.containsKey(index) && !ghosts.containsKey(index)) {
+    if (!done.get(index) && !live.containsKey(index) && !unrecordedTasks.containsKey(index)) {
       taken.clear(index);
     }
   }
 
-  void unghost(int index) {
-    if (ghosts.addTo(index, -1) <= 1) {
-      ghosts.remove(index);
+  void unmarkUnrecorded(int index) {
+    if (unrecordedTasks.addTo(index, -1) <= 1) {
+      unrecordedTasks.remove(index);
     }
     release(index);
   }
 
-  public boolean hasGhosts() {
-    return !ghosts.isEmpty();
+  public boolean hasUnrecordedTasks() {
+    return !unrecordedTasks.isEmpty();
   }
 
   public double ageS(long wallMs) {
@@ -281,9 +281,9 @@
     return (spec.tasks() - done.cardinality()) * Math.max(0.1, spec.cpus()) * spec.estimateS();
   }
 
-  public void touch(Urgency u, MonotonicTime now) {
+  public void touch(WriteUrgency u, MonotonicTime now) {
     dirtyJobs.add(this);
-    if (dirty == Urgency.NONE) {
+    if (dirty == WriteUrgency.NONE) {
       dirtySince = now;
     }
     if (u.compareTo(dirty) > 0) {
@@ -292,14 +292,14 @@
   }
 
   public JobRecord record(Epoch e, WriterId w) {
-    List<LiveRange> ranges = new ArrayList<>();
-    LiveTask first = null;
+    List<AttemptRange> ranges = new ArrayList<>();
+    TaskAttempt first = null;
     int end = 0;
-    for (LiveTask t : live.values()) {
+    for (TaskAttempt t : live.values()) {
       // A range may span tasks that are done: they do not count as live.
       if (first != null
           && t.host == first.host
-          && t.tenure.equals(first.tenure)
+          && t.incarnation.equals(first.incarnation)
           && t.attempt.equals(first.attempt)
           && done.nextClearBit(end) >= t.index) {
         end = t.index + 1;
@@ -314,23 +314,23 @@
     if (first != null) {
       ranges.add(range(first, end));
     }
-    boolean waited = !spec.prerequisites().isEmpty() && awaits.isEmpty();
+    boolean waited = !spec.prerequisites().isEmpty() && unmetDependencies.isEmpty();
     return new JobRecord(
         // Once it is placed, nobody asks any more what it needed.
-        tries > 0 ? spec.withoutPrerequisites() : spec,
+        attemptCount > 0 ? spec.withoutPrerequisites() : spec,
         e,
         w,
         seq,
         (BitSet) done.clone(),
         ranges,
-        tries,
-        aborted,
+        attemptCount,
+        cancelled,
         acceptedAtMs,
         waited || readyAtMs > acceptedAtMs ? readyAtMs : 0);
   }
 
-  private static LiveRange range(LiveTask first, int end) {
-    return new LiveRange(
-        first.index, end - first.index, first.host.name, first.tenure, first.attempt);
+  private static AttemptRange range(TaskAttempt first, int end) {
+    return new AttemptRange(
+        first.index, end - first.index, first.host.name, first.incarnation, first.attempt);
   }
 }
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.Epoch;
@@ -24,15 +24,15 @@
 
 /** A machine lent to a part, as the part's owner sees it. */
 public final class Machine {
-  public record Ghost(Job job, int index) {}
+  public record UnrecordedTask(Job job, int index) {}
 
   public final MachineName name;
   public MachineInfo info;
   private MachineType type;
-  public boolean lent;
+  public boolean assigned;
 
   /** It is to be emptied and handed over: nothing new is placed on it. */
-  public boolean recall;
+  public boolean handoverRequested;
 
   /** The order under which it is to be handed over, or has come. */
   public MoveId move = MoveId.NONE;
@@ -46,10 +46,10 @@
   /** Under an epoch below this its worker may have been another shard's. */
   public Epoch term = Epoch.NONE;
 
-  public MonotonicTime lentSince = MonotonicTime.NEVER;
+  public MonotonicTime assignedSince = MonotonicTime.NEVER;
 
-  public Incarnation tenure = new Incarnation(0);
-  public long serial = -1;
+  public Incarnation incarnation = new Incarnation(0);
+  public long sequence = -1;
   public MonotonicTime lastHeard = MonotonicTime.NEVER;
   public MonotonicTime firstHeard = MonotonicTime.NEVER;
 
@@ -79,20 +79,20 @@
   /** What is on it is known: a report was taken in. */
   public boolean known;
 
-  public Incarnation deadTenure = new Incarnation(-1);
+  public Incarnation endedIncarnation = new Incarnation(-1);
 
   /** Its reports arrive, but it seems not to get our answers: nothing new is placed on it. */
-  public boolean deaf;
+  public boolean unresponsive;
 
-  public MonotonicTime deafFrom = MonotonicTime.NEVER;
+  public MonotonicTime unresponsiveSince = MonotonicTime.NEVER;
 
   /** Reports in a row that show that the answer before them was not taken. */
-  public int unheeded;
+  public int missedAnswers;
 
   /** The last report was answered with 200. */
   public boolean answered;
 
-  public boolean noticed;
+  public boolean preemptionNoticed;
   public boolean retiring;
 
   /** More than is needed: nothing new is placed on it, and it goes back once empty. */
@@ -107,12 +107,12 @@
   public WorkerHeartbeat report;
 
   /** The request whose answer waits for a commit; -1 if there is none. */
-  public long parked = -1;
+  public long deferredAnswer = -1;
 
-  public MonotonicTime parkedUntil = MonotonicTime.NEVER;
+  public MonotonicTime deferredUntil = MonotonicTime.NEVER;
 
-  public final Set<LiveTask> live = new ObjectLinkedOpenHashSet<>();
-  public final List<Ghost> ghosts = new ArrayList<>();
+  public final Set<TaskAttempt> live = new ObjectLinkedOpenHashSet<>();
+  public final List<UnrecordedTask> unrecordedTasks = new ArrayList<>();
 
   /** Images it should hold, by size, the most lately used last. */
   private final Object2DoubleLinkedOpenHashMap<String> images =
@@ -185,7 +185,7 @@
     return !address.isEmpty()
         && confirmed
         && shown.epoch().equals(epoch)
-        && parked < 0
+        && deferredAnswer < 0
         && !token(epoch).isLast();
   }
 
@@ -203,29 +203,29 @@
     return direct.containsKey(r);
   }
 
-  void add(LiveTask t) {
+  void add(TaskAttempt t) {
     if (live.add(t)) {
       wanted.addTo(t.job.spec.image(), 1);
       use(t.job.spec, 1);
     }
   }
 
-  void remove(LiveTask t) {
+  void remove(TaskAttempt t) {
     if (!live.remove(t)) {
       return;
     }
     if (wanted.addTo(t.job.spec.image(), -1) <= 1) {
       wanted.removeInt(t.job.spec.image());
     }
-    if (!t.yielded) {
+    if (!t.roomReassigned) {
       use(t.job.spec, -1);
     }
   }
 
   /** The task's room is given to another, which starts only after it has been stopped. */
-  public void yield(LiveTask t) {
-    if (!t.yielded) {
-      t.yielded = true;
+  public void reassignRoom(TaskAttempt t) {
+    if (!t.roomReassigned) {
+      t.roomReassigned = true;
       use(t.job.spec, -1);
     }
   }
@@ -252,25 +252,25 @@
 
   /** Seconds until it can be told something: in the answer to its next report. */
   public double toldInS(MonotonicTime now, double reportS) {
-    return parked >= 0 ? 0 : Math.max(0, reportS - now.since(lastHeard) / 1000.0);
+    return deferredAnswer >= 0 ? 0 : Math.max(0, reportS - now.since(lastHeard) / 1000.0);
   }
 
   public boolean holdsOrFetches(JobSpec s) {
     return images.containsKey(s.image()) || wanted.containsKey(s.image());
   }
 
-  public void addGhost(Job j, int index) {
-    ghosts.add(new Ghost(j, index));
-    j.ghost(index);
+  public void addUnrecordedTask(Job j, int index) {
+    unrecordedTasks.add(new UnrecordedTask(j, index));
+    j.markUnrecorded(index);
     use(j.spec, 1);
   }
 
-  public void clearGhosts() {
-    for (Ghost g : ghosts) {
-      g.job.unghost(g.index);
+  public void clearUnrecordedTasks() {
+    for (UnrecordedTask g : unrecordedTasks) {
+      g.job.unmarkUnrecorded(g.index);
       use(g.job.spec, -1);
     }
-    ghosts.clear();
+    unrecordedTasks.clear();
   }
 
   private void use(JobSpec s, int sign) {
@@ -293,7 +293,7 @@
   }
 
   public boolean empty() {
-    return live.isEmpty() && ghosts.isEmpty();
+    return live.isEmpty() && unrecordedTasks.isEmpty();
   }
 
   public double usedCpus() {
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -14,14 +14,14 @@
   /** A worker gives a report up after 4 s and tries the next controller 1 s later. */
   private static final long REDIRECT_MS = 5000;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Collection<Machine> hosts;
 
   /** When the part was granted: before it nobody could report here. */
   private final MonotonicTime grantedAt;
 
-  public WorkerLiveness(StepContext ports, Collection<Machine> hosts, MonotonicTime grantedAt) {
-    this.ports = ports;
+  public WorkerLiveness(StepContext context, Collection<Machine> hosts, MonotonicTime grantedAt) {
+    this.context = context;
     this.hosts = hosts;
     this.grantedAt = grantedAt;
   }
@@ -31,7 +31,7 @@
    * owner is better replaced soon; alone with a share of it, both are cut off together, and those
    * workers have nobody else.
    */
-  public boolean hearsFew() {
+  public boolean missesManyWorkers() {
     int heard = 0;
     int reported = 0;
     for (Machine h : hosts) {
@@ -49,7 +49,7 @@
     int unheard = 0;
     Map<String, int[]> byZone = new TreeMap<>();
     for (Machine h : hosts) {
-      if (h.info != null && h.lent && (h.reported() || !h.empty())) {
+      if (h.info != null && h.assigned && (h.reported() || !h.empty())) {
         int[] zone = byZone.computeIfAbsent(h.info.zone(), z -> new int[2]);
         expected++;
         zone[0]++;
@@ -59,14 +59,14 @@
         }
       }
     }
-    List<String> deafTo = new ArrayList<>();
+    List<String> unreachableZones = new ArrayList<>();
     byZone.forEach(
         (zone, n) -> {
           if (n[1] * 2 > n[0]) {
-            deafTo.add(zone);
+            unreachableZones.add(zone);
           }
         });
-    return new WorkerReachability(expected, unheard, deafTo);
+    return new WorkerReachability(expected, unheard, unreachableZones);
   }
 
   /**
@@ -75,7 +75,7 @@
    */
   private boolean overdue(Machine h) {
     long redirect = h.lastHeard.before(grantedAt) ? REDIRECT_MS : 0;
-    return silentMs(h) > ports.config.workers().reportS() * 1250 + 2000 + redirect;
+    return silentMs(h) > context.config.workers().reportS() * 1250 + 2000 + redirect;
   }
 
   /** When a silent machine's worker has surely killed its tasks. */
@@ -84,19 +84,19 @@
     if (!h.confirmed) {
       // An earlier owner may have gone on renewing it until its grace was over.
       MonotonicTime quiet =
-          grantedAt.plus(ports.tuning.graceMs() + ports.tuning.graceMs() / 500L + 1000L);
+          grantedAt.plus(context.tuning.graceMs() + context.tuning.graceMs() / 500L + 1000L);
       from = from.before(quiet) ? quiet : from;
     }
-    double lease = ports.config.workers().leaseS() * 1000;
-    return ports.now().since(from) > lease * 1.002 + 1000;
+    double lease = context.config.workers().leaseS() * 1000;
+    return context.now().since(from) > lease * 1.002 + 1000;
   }
 
   public long silentMs(Machine h) {
     MonotonicTime from = h.lastHeard.before(grantedAt) ? grantedAt : h.lastHeard;
-    return ports.now().since(from);
+    return context.now().since(from);
   }
 
   public boolean fresh(Machine h) {
-    return h.known && silentMs(h) < ports.config.workers().reportS() * 2500 + 1500;
+    return h.known && silentMs(h) < context.config.workers().reportS() * 2500 + 1500;
   }
 }
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -48,15 +48,15 @@
    */
   private static final int FRESH_MS = 5000;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final LookUp lookUp;
 
   /** Jobs seen in their records, and when. */
   private final Cache<JobId, MonotonicTime> unfinished =
       Caffeine.newBuilder().maximumSize(MAX_KEPT).executor(Runnable::run).build();
 
-  DependencyAdmission(StepContext ports, LookUp lookUp) {
-    this.ports = ports;
+  DependencyAdmission(StepContext context, LookUp lookUp) {
+    this.context = context;
     this.lookUp = lookUp;
   }
 
@@ -83,7 +83,7 @@
         if (seenLately(id)) {
           continue;
         }
-        if (!ports.requests.has(1, ports.now())) {
+        if (!context.requests.has(1, context.now())) {
           end(new Result.OutOfBudget());
           return;
         }
@@ -101,15 +101,15 @@
 
     private boolean seenLately(JobId id) {
       MonotonicTime at = unfinished.getIfPresent(id);
-      return at != null && ports.now().since(at) < FRESH_MS;
+      return at != null && context.now().since(at) < FRESH_MS;
     }
 
     private void found(JobId id, JobState phase) {
       underWay--;
-      if (phase == JobState.WITHDRAWN) {
+      if (phase == JobState.CANCELLED) {
         cancelled = true;
       } else if (phase != JobState.DONE) {
-        unfinished.put(id, ports.now());
+        unfinished.put(id, context.now());
       }
       next();
     }
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -16,7 +16,7 @@
 final class LeaderForwarder {
   private static final int FORWARD_MS = 3000;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Election election;
   private final String feature;
   private final String option;
@@ -25,8 +25,8 @@
    * @param feature what the requests are about, for those that have it not enabled
    * @param option the command-line option that enables it
    */
-  LeaderForwarder(StepContext ports, Election election, String feature, String option) {
-    this.ports = ports;
+  LeaderForwarder(StepContext context, Election election, String feature, String option) {
+    this.context = context;
     this.election = election;
     this.feature = feature;
     this.option = option;
@@ -46,17 +46,17 @@
     ControllerName leader = election.leader();
     if (election.holding()) {
       here.accept(request);
-    } else if (leader == null || leader.equals(ports.config.label())) {
+    } else if (leader == null || leader.equals(context.config.label())) {
       unknown(r, "no controller leads now");
     } else if (RolloutMessages.isForwarded(request)) {
-      unknown(r, ports.config.label() + " does not lead any more");
+      unknown(r, context.config.label() + " does not lead any more");
     } else {
       forward(r, path, leader, request);
     }
   }
 
   private void forward(Input.Request r, String path, ControllerName leader, JsonNode request) {
-    ports.peer(
+    context.peer(
         leader,
         path,
         RolloutMessages.forwarded(request),
@@ -67,19 +67,19 @@
           } else if (status == 404) {
             unknown(r, "the leader, " + leader + ", runs without " + feature);
           } else {
-            ports.reply(r.reply(), status, body);
+            context.reply(r.reply(), status, body);
           }
         });
   }
 
   /** Nobody can tell now: the client asks again. */
   void unknown(Input.Request r, String reason) {
-    ports.replyLater(r.reply(), 503, RolloutMessages.unknown(reason), 1);
+    context.replyLater(r.reply(), 503, RolloutMessages.unknown(reason), 1);
   }
 
   void notEnabled(Input.Request r) {
-    String label = ports.config.label().value();
-    ports.reply(
+    String label = context.config.label().value();
+    context.reply(
         r.reply(),
         404,
         Json.error("%s are not enabled on %s (%s)".formatted(feature, label, option)));
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -26,16 +26,16 @@
   /** What keys of the service are made of, so that none can change the request's path. */
   private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9/._-]+");
 
-  private final StepContext ports;
+  private final StepContext context;
   private final LeaderForwarder leader;
   private final RolloutCoordinator rollout;
 
   /**
    * @param rollout null if rollouts are not enabled here
    */
-  public RolloutRequestHandler(StepContext ports, Election election, RolloutCoordinator rollout) {
-    this.ports = ports;
-    this.leader = new LeaderForwarder(ports, election, "rollouts", "--rollout FILE");
+  public RolloutRequestHandler(StepContext context, Election election, RolloutCoordinator rollout) {
+    this.context = context;
+    this.leader = new LeaderForwarder(context, election, "rollouts", "--rollout FILE");
     this.rollout = rollout;
   }
 
@@ -47,9 +47,9 @@
         request -> {
           Status status = rollout.status();
           if (status == null) {
-            leader.unknown(r, "the leader, " + ports.config.label() + ", can't read the level");
+            leader.unknown(r, "the leader, " + context.config.label() + ", can't read the level");
           } else {
-            ports.reply(r.reply(), 200, RolloutMessages.write(status));
+            context.reply(r.reply(), 200, RolloutMessages.write(status));
           }
         });
   }
@@ -62,8 +62,8 @@
         request -> {
           Order order = RolloutMessages.readOrder(request);
           if (order == null) {
-            ports.refused("rollout.malformed", "malformed rollout order refused");
-            ports.reply(r.reply(), 400, Json.error("malformed order, or level out of range"));
+            context.refused("rollout.malformed", "malformed rollout order refused");
+            context.reply(r.reply(), 400, Json.error("malformed order, or level out of range"));
             return;
           }
           rollout.order(
@@ -74,7 +74,7 @@
                       r, "the leader is busy or got no answer: send the same order again");
                 } else {
                   int status = outcome.accepted() ? 200 : 409;
-                  ports.reply(r.reply(), status, RolloutMessages.write(outcome));
+                  context.reply(r.reply(), status, RolloutMessages.write(outcome));
                 }
               });
         });
@@ -95,19 +95,19 @@
     String after = RolloutMessages.keysAfter(request);
     boolean plain = PLAIN.matcher(prefix + after).matches();
     if (!plain || readable.stream().noneMatch(prefix::startsWith)) {
-      ports.reply(r.reply(), 400, Json.error("prefix must be one of " + readable));
+      context.reply(r.reply(), 400, Json.error("prefix must be one of " + readable));
       return;
     }
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.list(prefix, after, PAGE),
         null,
         READ_MS,
         (status, body) -> {
           if (status == 200) {
-            ports.reply(r.reply(), 200, body);
+            context.reply(r.reply(), 200, body);
           } else {
-            leader.unknown(r, ports.config.label() + " does not reach the state service");
+            leader.unknown(r, context.config.label() + " does not reach the state service");
           }
         });
   }
--- a/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
@@ -11,16 +11,16 @@
 
 /** Operators' requests about shares, taken by every controller and answered by the leader. */
 public final class ShareRequestHandler {
-  private final StepContext ports;
+  private final StepContext context;
   private final LeaderForwarder leader;
   private final MoveCoordinator moves;
 
   /**
    * @param moves null if shares are not enabled here
    */
-  public ShareRequestHandler(StepContext ports, Election election, MoveCoordinator moves) {
-    this.ports = ports;
-    this.leader = new LeaderForwarder(ports, election, "shares", "--shares FILE");
+  public ShareRequestHandler(StepContext context, Election election, MoveCoordinator moves) {
+    this.context = context;
+    this.leader = new LeaderForwarder(context, election, "shares", "--shares FILE");
     this.moves = moves;
   }
 
@@ -32,9 +32,9 @@
         request -> {
           SharesStatus status = moves.status();
           if (status == null) {
-            leader.unknown(r, "the leader, " + ports.config.label() + ", can't read the moves");
+            leader.unknown(r, "the leader, " + context.config.label() + ", can't read the moves");
           } else {
-            ports.reply(r.reply(), 200, ShareMessages.write(status));
+            context.reply(r.reply(), 200, ShareMessages.write(status));
           }
         });
   }
@@ -47,8 +47,8 @@
         request -> {
           ShareOrder order = ShareMessages.readOrder(request);
           if (order == null) {
-            ports.refused("shares.malformed", "malformed order of shares refused");
-            ports.reply(r.reply(), 400, Json.error("malformed order"));
+            context.refused("shares.malformed", "malformed order of shares refused");
+            context.reply(r.reply(), 400, Json.error("malformed order"));
             return;
           }
           moves.order(
@@ -59,7 +59,7 @@
                       r, "the leader is busy or got no answer: send the same order again");
                 } else {
                   int status = outcome.accepted() ? 200 : 409;
-                  ports.reply(r.reply(), status, ShareMessages.write(outcome));
+                  context.reply(r.reply(), status, ShareMessages.write(outcome));
                 }
               });
         });
--- a/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
@@ -25,7 +25,7 @@
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.protocol.UserMessages.JobStatus;
@@ -46,7 +46,7 @@
 
   private static final String TOO_LARGE = "its record is larger than the state service takes";
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Cache<JobId, Final> finals =
       Caffeine.newBuilder().maximumSize(5000).executor(Runnable::run).build();
 
@@ -71,20 +71,20 @@
 
   /** Asks the owner of a part, wherever it is. */
   public interface Owners {
-    void ask(ShardId part, JobId id, StatusQueries.OnStanding then);
+    void ask(ShardId shard, JobId id, StatusQueries.StatusCallback then);
   }
 
   public UserRequestHandler(
-      StepContext ports, CancellationLog cancellations, Owners owners, Relay relay) {
-    this.ports = ports;
+      StepContext context, CancellationLog cancellations, Owners owners, Relay relay) {
+    this.context = context;
     this.cancellations = cancellations;
     this.relay = relay;
     this.owners = owners;
     this.prerequisites =
         new DependencyAdmission(
-            ports,
+            context,
             (id, found, absent, unknown) ->
-                lookUp(id, f -> found.accept(f.standing().phase()), absent, unknown));
+                lookUp(id, f -> found.accept(f.jobStatus().phase()), absent, unknown));
   }
 
   public void catalog(Map<String, MachineType> c) {
@@ -92,8 +92,8 @@
   }
 
   private void later(Ask ask, String why) {
-    ports.count("user.refused." + why.replace(' ', '_'));
-    ports.replyLater(ask.reply(), 503, Json.error(why), 1);
+    context.count("user.refused." + why.replace(' ', '_'));
+    context.replyLater(ask.reply(), 503, Json.error(why), 1);
   }
 
   /** Another controller may still reach the state service; then it answers for this one. */
@@ -104,7 +104,7 @@
   }
 
   private boolean busy(Ask ask) {
-    if (ports.requests.has(1, ports.now())) {
+    if (context.requests.has(1, context.now())) {
       return false;
     }
     later(ask, "state requests are used up");
@@ -116,7 +116,7 @@
     try {
       spec = JobSpec.read(Json.parse(ask.body()));
     } catch (JobSpec.Malformed e) {
-      ports.reply(ask.reply(), 400, Json.error(e.getMessage()));
+      context.reply(ask.reply(), 400, Json.error(e.getMessage()));
       return;
     }
     if (catalog.isEmpty()) {
@@ -126,7 +126,7 @@
     String never = never(spec);
     if (never != null) {
       refuse(ask, spec, never);
-    } else if (!ports.stateOk()) {
+    } else if (!context.stateOk()) {
       unavailable(ask);
     } else {
       ObjectNode value = firstRecord(spec);
@@ -144,8 +144,8 @@
    */
   private void checked(Ask ask, JobSpec spec, ObjectNode value, DependencyAdmission.Result result) {
     if (result instanceof Result.Accepted accepted) {
-      if (ports.userWrites.tryTake(1, ports.now())) {
-        JobState phase = accepted.cancelled() ? JobState.WITHDRAWN : JobState.QUEUED;
+      if (context.userWrites.tryTake(1, context.now())) {
+        JobState phase = accepted.cancelled() ? JobState.CANCELLED : JobState.QUEUED;
         create(ask, spec, phase, value, CREATE_TRIES);
       } else {
         later(ask, "state changes are used up");
@@ -167,12 +167,12 @@
     lookUp(
         spec.id(),
         found -> answerKnown(ask, spec.id(), found),
-        () -> ports.reply(ask.reply(), 422, Json.error(reason)),
+        () -> context.reply(ask.reply(), 422, Json.error(reason)),
         () -> unavailable(ask));
   }
 
   private String never(JobSpec s) {
-    NodeConfig.Team team = ports.config.teams().get(s.team());
+    NodeConfig.Team team = context.config.teams().get(s.team());
     if (team == null) {
       return "unknown team " + s.team();
     }
@@ -202,9 +202,9 @@
             List.of(),
             0,
             false,
-            ports.wallMs(),
+            context.wallMs(),
             0);
-    double most = ports.config.state().valueKb() * 1024;
+    double most = context.config.state().valueKb() * 1024;
     ObjectNode value = record.write();
     int bytes = Json.bytes(value).length;
     if (spec.prerequisites().isEmpty()) {
@@ -217,12 +217,12 @@
     return Json.bytes(compact).length + OWNERS_BYTES <= most ? compact : null;
   }
 
-  private void create(Ask ask, JobSpec spec, JobState phase, ObjectNode value, int tries) {
-    partOf.put(spec.id(), ShardId.of(spec.team(), ports.tuning.parts()));
-    ports.state(
+  private void create(Ask ask, JobSpec spec, JobState phase, ObjectNode value, int attemptCount) {
+    partOf.put(spec.id(), ShardId.of(spec.team(), context.tuning.shards()));
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        new Txn()
+        new Transaction()
             .guard(JobRecord.liveKey(spec.id()), Revision.ABSENT)
             .guard(JobRecord.finalKey(spec.id()), Revision.ABSENT)
             .write(JobRecord.liveKey(spec.id()), value)
@@ -230,11 +230,11 @@
         CALL_MS,
         (status, body) -> {
           if (status == 200) {
-            ports.count("job.accepted");
-            if (phase == JobState.WITHDRAWN) {
+            context.count("job.accepted");
+            if (phase == JobState.CANCELLED) {
               cancellations.confirmed(spec.id());
             }
-            ports.reply(ask.reply(), 201, UserMessages.phase(spec.id(), phase));
+            context.reply(ask.reply(), 201, UserMessages.phase(spec.id(), phase));
           } else if (status == 409) {
             lookUp(
                 spec.id(),
@@ -244,9 +244,9 @@
           } else if (status == 400) {
             // The state service takes less than it has announced.
             refuse(ask, spec, TOO_LARGE);
-          } else if (status == 0 && tries > 1) {
+          } else if (status == 0 && attemptCount > 1) {
             // It may have been accepted, or be yet: the same guard settles that.
-            create(ask, spec, phase, value, tries - 1);
+            create(ask, spec, phase, value, attemptCount - 1);
           } else {
             unavailable(ask);
           }
@@ -255,34 +255,34 @@
 
   /** A job as the store has it. */
   private sealed interface Found {
-    JobStatus standing();
+    JobStatus jobStatus();
 
-    record Unfinished(JobRecord record, Revision stamp) implements Found {
+    record Unfinished(JobRecord record, Revision revision) implements Found {
       @Override
-      public JobStatus standing() {
-        return record.standing();
+      public JobStatus jobStatus() {
+        return record.jobStatus();
       }
     }
 
     /** Its record is as it was, but a job that it needs is cancelled, and so is this one. */
     record CancelledWithOthers(JobRecord record) implements Found {
       @Override
-      public JobStatus standing() {
-        return new JobStatus(JobState.WITHDRAWN, 0, 0);
+      public JobStatus jobStatus() {
+        return new JobStatus(JobState.CANCELLED, 0, 0);
       }
     }
 
     record Over(Final end) implements Found {
       @Override
-      public JobStatus standing() {
-        return end.standing();
+      public JobStatus jobStatus() {
+        return end.jobStatus();
       }
     }
   }
 
   /** Whoever is told that a job is cancelled counts on the end of its tasks from then on. */
   private void told(Found f) {
-    if (f instanceof Found.Unfinished u && u.record.aborted()) {
+    if (f instanceof Found.Unfinished u && u.record.cancelled()) {
       cancellations.confirmed(u.record.spec().id());
     } else if (f instanceof Found.CancelledWithOthers c) {
       cancellations.confirmed(c.record.spec().id());
@@ -291,7 +291,7 @@
 
   private void answerKnown(Ask ask, JobId id, Found f) {
     told(f);
-    ports.reply(ask.reply(), 200, UserMessages.phase(id, f.standing().phase()));
+    context.reply(ask.reply(), 200, UserMessages.phase(id, f.jobStatus().phase()));
   }
 
   /**
@@ -315,7 +315,7 @@
 
   /** Nothing of it was ever placed, so what it needs may not be done. */
   private static boolean mayWait(JobRecord r) {
-    return !r.aborted() && r.tries() == 0 && !r.spec().prerequisites().isEmpty();
+    return !r.cancelled() && r.attemptCount() == 0 && !r.spec().prerequisites().isEmpty();
   }
 
   /**
@@ -341,7 +341,7 @@
     lookUpRecord(
         id,
         f -> {
-          if (f.standing().phase() == JobState.WITHDRAWN) {
+          if (f.jobStatus().phase() == JobState.CANCELLED) {
             cancellations.learn(id);
             found.accept(new Found.CancelledWithOthers(waiting.record));
             return;
@@ -361,7 +361,7 @@
       found.accept(new Found.Over(f));
       return;
     }
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.liveKey(id)),
         null,
@@ -371,10 +371,10 @@
             StoreMessages.Entry e = StoreMessages.entry(body);
             JobRecord r = JobRecord.read(e.value());
             if (r == null) {
-              ports.unreadable(JobRecord.liveKey(id));
+              context.unreadable(JobRecord.liveKey(id));
               unknown.run();
             } else {
-              partOf.put(id, ShardId.of(r.spec().team(), ports.tuning.parts()));
+              partOf.put(id, ShardId.of(r.spec().team(), context.tuning.shards()));
               found.accept(new Found.Unfinished(r, e.revision()));
             }
           } else if (status == 404) {
@@ -386,7 +386,7 @@
   }
 
   private void lookUpFinal(JobId id, Consumer<Found> found, Runnable absent, Runnable unknown) {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.finalKey(id)),
         null,
@@ -395,7 +395,7 @@
           if (status == 200) {
             Final end = Final.read(StoreMessages.entry(body).value());
             if (end == null) {
-              ports.unreadable(JobRecord.finalKey(id));
+              context.unreadable(JobRecord.finalKey(id));
               unknown.run();
               return;
             }
@@ -411,33 +411,33 @@
 
   public void status(Ask ask, String name) {
     if (!JobSpec.idOk(name)) {
-      ports.reply(ask.reply(), 404, Json.error("no such job"));
+      context.reply(ask.reply(), 404, Json.error("no such job"));
       return;
     }
     JobId id = new JobId(name);
-    ShardId part = partOf.getIfPresent(id);
-    if (part == null || finals.getIfPresent(id) != null) {
+    ShardId shard = partOf.getIfPresent(id);
+    if (shard == null || finals.getIfPresent(id) != null) {
       statusFromStore(ask, id);
       return;
     }
     owners.ask(
-        part,
+        shard,
         id,
-        standing -> {
-          if (standing == null) {
+        jobStatus -> {
+          if (jobStatus == null) {
             statusFromStore(ask, id);
             return;
           }
-          if (standing.phase() == JobState.WITHDRAWN) {
+          if (jobStatus.phase() == JobState.CANCELLED) {
             cancellations.confirmed(id);
           }
-          ports.reply(ask.reply(), 200, UserMessages.status(id, standing));
+          context.reply(ask.reply(), 200, UserMessages.status(id, jobStatus));
         });
   }
 
   private void statusFromStore(Ask ask, JobId id) {
     if (finals.getIfPresent(id) == null) {
-      if (!ports.stateOk()) {
+      if (!context.stateOk()) {
         unavailable(ask);
         return;
       }
@@ -449,69 +449,69 @@
         id,
         found -> {
           told(found);
-          ports.reply(ask.reply(), 200, UserMessages.status(id, found.standing()));
+          context.reply(ask.reply(), 200, UserMessages.status(id, found.jobStatus()));
         },
-        () -> ports.reply(ask.reply(), 404, Json.error("no such job")),
+        () -> context.reply(ask.reply(), 404, Json.error("no such job")),
         () -> unavailable(ask));
   }
 
   public void cancel(Ask ask, String name) {
     if (!JobSpec.idOk(name)) {
-      ports.reply(ask.reply(), 404, Json.error("no such job"));
+      context.reply(ask.reply(), 404, Json.error("no such job"));
       return;
     }
-    if (!ports.stateOk()) {
+    if (!context.stateOk()) {
       unavailable(ask);
     } else if (!busy(ask)) {
       cancel(ask, new JobId(name), CANCEL_TRIES);
     }
   }
 
-  private void cancel(Ask ask, JobId id, int tries) {
-    if (tries == 0) {
+  private void cancel(Ask ask, JobId id, int attemptCount) {
+    if (attemptCount == 0) {
       later(ask, "busy");
       return;
     }
     lookUp(
         id,
         found -> {
-          if (found instanceof Found.Unfinished u && !u.record.aborted()) {
-            mark(ask, id, u, tries);
+          if (found instanceof Found.Unfinished u && !u.record.cancelled()) {
+            mark(ask, id, u, attemptCount);
           } else {
             answerKnown(ask, id, found);
           }
         },
-        () -> ports.reply(ask.reply(), 404, Json.error("no such job")),
+        () -> context.reply(ask.reply(), 404, Json.error("no such job")),
         () -> unavailable(ask));
   }
 
-  /** Epoch and writer stay the owner's; only the mark is ours, behind the record's stamp. */
-  private void mark(Ask ask, JobId id, Found.Unfinished u, int tries) {
-    if (!ports.userWrites.tryTake(1, ports.now())) {
+  /** Epoch and writer stay the owner's; only the mark is ours, behind the record's revision. */
+  private void mark(Ask ask, JobId id, Found.Unfinished u, int attemptCount) {
+    if (!context.userWrites.tryTake(1, context.now())) {
       later(ask, "state changes are used up");
       return;
     }
-    mark(ask, id, u, tries, u.record.marked().write(), false);
+    mark(ask, id, u, attemptCount, u.record.marked().write(), false);
   }
 
   private void mark(
-      Ask ask, JobId id, Found.Unfinished u, int tries, ObjectNode marked, boolean compact) {
-    ports.state(
+      Ask ask, JobId id, Found.Unfinished u, int attemptCount, ObjectNode marked, boolean compact) {
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        new Txn().guard(JobRecord.liveKey(id), u.stamp).write(JobRecord.liveKey(id), marked).body(),
+        new Transaction().guard(JobRecord.liveKey(id), u.revision).write(JobRecord.liveKey(id), marked).body(),
         CALL_MS,
         (status, body) -> {
           if (status == 200) {
-            ports.count("job.cancelled");
+            context.count("job.cancelled");
             cancellations.confirmed(id);
-            ports.reply(ask.reply(), 200, UserMessages.phase(id, JobState.WITHDRAWN));
+            context.reply(ask.reply(), 200, UserMessages.phase(id, JobState.CANCELLED));
           } else if (status == 409 || status == 0) {
             // Changed meanwhile, or not known: look again and write behind what is there now.
-            cancel(ask, id, tries - 1);
+            cancel(ask, id, attemptCount - 1);
           } else if (status == 400 && !compact) {
             // It was written under larger limits.
-            mark(ask, id, u, tries, u.record.marked().writeCompact(), true);
+            mark(ask, id, u, attemptCount, u.record.marked().writeCompact(), true);
           } else {
             unavailable(ask);
           }
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -10,7 +10,7 @@
 import shorecrank.coordination.model.MachineConstraints;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
@@ -43,7 +43,7 @@
   /** A start that is stopped sooner does not count as one (PROTOCOL: 30 s). */
   public static final double SETTLED_S = 32;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final ShardView owner;
   private final Map<Offer, MonotonicTime> blocked = new HashMap<>();
 
@@ -58,8 +58,8 @@
   /** Falling peaks of what was needed lately, the highest first. */
   private final ArrayDeque<Peak> peaks = new ArrayDeque<>();
 
-  public Autoscaler(StepContext ports, ShardView owner) {
-    this.ports = ports;
+  public Autoscaler(StepContext context, ShardView owner) {
+    this.context = context;
     this.owner = owner;
   }
 
@@ -67,16 +67,16 @@
     blocked.clear();
     l.forEach(
         b -> {
-          blocked.put(b.offer(), ports.now().plus(b.forMs()));
-          refusedAt.put(b.offer(), ports.now());
+          blocked.put(b.offer(), context.now().plus(b.forMs()));
+          refusedAt.put(b.offer(), context.now());
         });
   }
 
   /** Machines to be given back: broken, silent, or idle for a while. */
   public void review(List<MachineName> retire) {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     double report = reportS() * 1000;
-    double lease = ports.config.workers().leaseS() * 1000;
+    double lease = context.config.workers().leaseS() * 1000;
     Silence all = new Silence();
     Map<String, Silence> byZone = new HashMap<>();
     for (Machine h : owner.machines().values()) {
@@ -116,11 +116,11 @@
       if (!h.reported()) {
         double boot = h.type() == null ? 60 : h.type().bootS();
         boolean holds = !h.empty();
-        long here = now.since(h.lentSince);
+        long here = now.since(h.assignedSince);
         if (holds
             ? quiet > (wait ? patience : Math.max(15_000, early))
             : here > (h.hasRun ? patience : 1000 * (5 * boot + 120))) {
-          if (holds || h.lent) {
+          if (holds || h.assigned) {
             retire.add(h.name);
           }
         }
@@ -128,16 +128,16 @@
       }
       if (quiet > patience) {
         retire.add(h.name);
-      } else if (h.deaf
-          && h.unheeded > 1
+      } else if (h.unresponsive
+          && h.missedAnswers > 1
           && h.empty()
-          && now.since(h.deafFrom) > 3 * lease + 30_000) {
+          && now.since(h.unresponsiveSince) > 3 * lease + 30_000) {
         retire.add(h.name);
       } else if (h.quarantines > 1 && h.empty() && owner.liveness().fresh(h)) {
         h.retiring = true;
         retire.add(h.name);
       } else if (h.draining
-          && !h.recall
+          && !h.handoverRequested
           && h.empty()
           && h.listedTasks == 0
           && owner.liveness().fresh(h)
@@ -157,7 +157,7 @@
    * them back before anything is rented.
    */
   private void balance() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     double used = 0;
     double have = 0;
     List<Machine> running = new ArrayList<>();
@@ -168,7 +168,7 @@
       }
       // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
       used += h.usedShare() * h.type().cpus();
-      if (!h.reported() || !owner.liveness().fresh(h) || h.retiring || h.noticed || h.recall) {
+      if (!h.reported() || !owner.liveness().fresh(h) || h.retiring || h.preemptionNoticed || h.handoverRequested) {
         continue;
       }
       if (h.draining) {
@@ -185,9 +185,9 @@
       unfit += need(e.getKey(), e.getValue());
       mayRun += e.getValue() * e.getKey().spec.cpus();
     }
-    ports.gauge("cpus.waited_for.in_limit", mayRun);
+    context.gauge("cpus.waited_for.in_limit", mayRun);
     double need = used + unfit;
-    peaks.removeIf(p -> now.since(p.at) > ports.tuning.idleReturnS() * 1000L);
+    peaks.removeIf(p -> now.since(p.at) > context.tuning.idleReturnS() * 1000L);
     peaks.removeIf(p -> p.cpus <= need);
     peaks.add(new Peak(now, need));
     double keep = peaks.peekFirst().cpus * SPARE;
@@ -205,7 +205,7 @@
       have += h.type().cpus();
       unfit -= roomFor(waiting, h);
     }
-    if (now.since(owner.readyAt()) < ports.tuning.idleReturnS() * 1000L) {
+    if (now.since(owner.readyAt()) < context.tuning.idleReturnS() * 1000L) {
       return;
     }
     vacate(draining);
@@ -241,18 +241,18 @@
             .thenComparing(Machine::usedCpus)
             .thenComparing(h -> h.name));
     for (Machine h : draining) {
-      if (!h.draining || h.empty() || !owner.liveness().fresh(h) || h.deaf) {
+      if (!h.draining || h.empty() || !owner.liveness().fresh(h) || h.unresponsive) {
         continue;
       }
-      List<LiveTask> movable = new ArrayList<>();
+      List<TaskAttempt> movable = new ArrayList<>();
       double cpus = 0;
       double cost = 0;
       double staysS = 0;
       double leavesS = 0;
-      for (LiveTask t : h.live) {
-        double left = t.leftS(ports.now());
+      for (TaskAttempt t : h.live) {
+        double left = t.leftS(context.now());
         double move = t.job.spec.saveS() + h.fetchAnewS(t.job.spec) / 2 + reportS();
-        if (t.movable() && t.lost(ports.now()) > SETTLED_S) {
+        if (t.movable() && t.lost(context.now()) > SETTLED_S) {
           movable.add(t);
           cpus += t.job.spec.cpus();
           cost += t.job.spec.cpus() * move / h.type().cpus();
@@ -265,13 +265,13 @@
       if (cpus <= room && leavesS - staysS > MOVE_GAIN * cost && !movable.isEmpty()) {
         room -= cpus;
         movable.forEach(t -> t.revoked = true);
-        ports.count("task.moved", movable.size());
+        context.count("task.moved", movable.size());
       }
     }
   }
 
   private double reportS() {
-    return ports.config.workers().reportS();
+    return context.config.workers().reportS();
   }
 
   /** Of the machines that should be heard, how many are not. */
@@ -326,25 +326,25 @@
   /** Processors that would clear a job's queue in good time. */
   private double need(Job j, int n) {
     double parallel =
-        Math.min(n, Math.ceil(n * Math.max(1, j.spec.estimateS()) / ports.tuning.clearS()));
+        Math.min(n, Math.ceil(n * Math.max(1, j.spec.estimateS()) / context.tuning.clearS()));
     return parallel * size(j.spec, owner.catalog());
   }
 
   /** What the waiting work needs beyond what is there or on its way. */
-  public List<CapacityRequest> wants() {
-    List<CapacityRequest> wants = new ArrayList<>();
+  public List<CapacityRequest> capacityRequests() {
+    List<CapacityRequest> capacityRequests = new ArrayList<>();
     if (!owner.ready() || !owner.valid()) {
-      return wants;
+      return capacityRequests;
     }
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     Map<String, MachineType> catalog = owner.catalog();
     Map<Job, Integer> waiting = waiting();
     if (waiting.isEmpty()) {
-      return wants;
+      return capacityRequests;
     }
     double free = 0;
     for (Machine h : owner.machines().values()) {
-      if (h.type() == null || !h.lent || h.retiring || h.noticed) {
+      if (h.type() == null || !h.assigned || h.retiring || h.preemptionNoticed) {
         continue;
       }
       if (!h.reported()) {
@@ -364,7 +364,7 @@
     }
     double deficit = need - free;
     if (deficit <= 0) {
-      return wants;
+      return capacityRequests;
     }
     List<Offer> offers = new ArrayList<>();
     for (MachineType t : catalog.values()) {
@@ -385,7 +385,7 @@
     offers.removeIf(
         o -> {
           MonotonicTime until = blocked.get(o);
-          return until != null && ports.now().before(until);
+          return until != null && context.now().before(until);
         });
     for (int i = 0; i < offers.size() && deficit > 0; ) {
       // Zones at one price share alike: less is lost when one of them fails or is used up.
@@ -407,14 +407,14 @@
         int count = (int) Math.ceil(cover / t.cpus() - slack);
         if (count > 0 && now.since(refusedAt.getOrDefault(o, MonotonicTime.NEVER)) < SCARCE_MS) {
           // Most likely still used up: asked for again, but others are not put off for it.
-          wants.add(new CapacityRequest(o, Math.min(count, PROBE)));
+          capacityRequests.add(new CapacityRequest(o, Math.min(count, PROBE)));
         } else if (count > 0) {
-          wants.add(new CapacityRequest(o, count));
+          capacityRequests.add(new CapacityRequest(o, count));
           deficit -= count * t.cpus();
         }
       }
     }
-    return wants;
+    return capacityRequests;
   }
 
   /**
@@ -423,7 +423,7 @@
   private boolean mayComeUp(Machine h) {
     return !h.hasRun
         && h.type() != null
-        && ports.now().since(h.lentSince) < LONG_BOOT * 1000 * h.type().bootS();
+        && context.now().since(h.assignedSince) < LONG_BOOT * 1000 * h.type().bootS();
   }
 
   private double perCpu(Offer o) {
@@ -433,10 +433,10 @@
 
   private boolean served(Job j) {
     for (Machine h : owner.machines().values()) {
-      if (h.lent
+      if (h.assigned
           && !h.retiring
-          && !h.noticed
-          && !h.recall
+          && !h.preemptionNoticed
+          && !h.handoverRequested
           && (h.reported() || mayComeUp(h))
           && h.allowed(j.spec)) {
         return true;
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -46,7 +46,7 @@
   /** What those that need a job make of it. */
   private record Pressure(Priority priority, List<Due> dues) {}
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Map<JobId, Job> jobs;
   private final CancellationLog cancellations;
   private final Consumer<Job> cancel;
@@ -68,18 +68,18 @@
    * @param cancel what is to be done with a job that needs a cancelled one
    */
   public DependencyGraph(
-      StepContext ports,
+      StepContext context,
       Map<JobId, Job> jobs,
       CancellationLog cancellations,
       Consumer<Job> cancel) {
-    this.ports = ports;
+    this.context = context;
     this.jobs = jobs;
     this.cancellations = cancellations;
     this.cancel = cancel;
   }
 
   public void add(Job j) {
-    for (JobId p : List.copyOf(j.awaits)) {
+    for (JobId p : List.copyOf(j.unmetDependencies)) {
       if (cancellations.known(p)) {
         cancelled(j);
         return;
@@ -94,7 +94,7 @@
 
   public void forget(Job j) {
     changed |= pressures.remove(j) != null;
-    for (JobId p : j.awaits) {
+    for (JobId p : j.unmetDependencies) {
       Set<Job> s = dependents.get(p);
       if (s != null && s.remove(j) && s.isEmpty()) {
         dependents.remove(p);
@@ -121,10 +121,10 @@
     }
     changed = true;
     for (Job j : waiting) {
-      j.awaits.remove(id);
-      if (j.awaits.isEmpty()) {
-        j.readyAtMs = ports.wallMs();
-        ports.count("job.ready");
+      j.unmetDependencies.remove(id);
+      if (j.unmetDependencies.isEmpty()) {
+        j.readyAtMs = context.wallMs();
+        context.count("job.ready");
       }
     }
   }
@@ -133,7 +133,7 @@
   public void dropped(JobId id) {
     if (dependents.containsKey(id)) {
       unknown.add(id);
-      lookAt = ports.now();
+      lookAt = context.now();
     }
   }
 
@@ -146,7 +146,7 @@
   }
 
   private void cancelled(Job j) {
-    if (j.aborted) {
+    if (j.cancelled) {
       return;
     }
     // Its record names the other for good, so this is as final as the mark itself.
@@ -158,11 +158,11 @@
 
   /** Looks up what is not known, a few at a time. */
   public void tick() {
-    if (unknown.isEmpty() || ports.now().before(lookAt)) {
+    if (unknown.isEmpty() || context.now().before(lookAt)) {
       return;
     }
     ArrayDeque<JobId> next = new ArrayDeque<>(unknown);
-    while (!next.isEmpty() && looking.size() < MAX_LOOKS && ports.requests.has(1, ports.now())) {
+    while (!next.isEmpty() && looking.size() < MAX_LOOKS && context.requests.has(1, context.now())) {
       JobId id = next.poll();
       if (!dependents.containsKey(id)) {
         unknown.remove(id);
@@ -175,13 +175,13 @@
   private void again(JobId id) {
     looking.remove(id);
     unknown.add(id);
-    lookAt = ports.now().plus(AGAIN_MS);
+    lookAt = context.now().plus(AGAIN_MS);
   }
 
   /** In the order in which a job moves, so that one that ends meanwhile is not missed. */
   private void look(JobId id) {
     unknown.remove(id);
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.liveKey(id)),
         null,
@@ -203,7 +203,7 @@
   }
 
   private void lookAtEnd(JobId id) {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.finalKey(id)),
         null,
@@ -215,10 +215,10 @@
             ended(id, end.phase());
           } else {
             if (status == 200) {
-              ports.unreadable(JobRecord.finalKey(id));
+              context.unreadable(JobRecord.finalKey(id));
             }
             if (status == 404) {
-              ports.error("job %s is needed by others and has no record", id);
+              context.error("job %s is needed by others and has no record", id);
             }
             again(id);
           }
@@ -233,7 +233,7 @@
     Set<Job> all = new LinkedHashSet<>();
     ArrayDeque<Job> open = new ArrayDeque<>(List.of(j));
     while (!open.isEmpty()) {
-      for (JobId p : open.poll().awaits) {
+      for (JobId p : open.poll().unmetDependencies) {
         Job needed = jobs.get(p);
         if (needed == null) {
           return null;
@@ -286,7 +286,7 @@
     }
     if (!path.add(j)) {
       if (!cycleTold) {
-        ports.error("job %s needs itself, through others", j.id());
+        context.error("job %s needs itself, through others", j.id());
         cycleTold = true;
       }
       return new Pressure(j.spec.priority(), List.of());
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
@@ -19,12 +19,12 @@
   /** Others' work that may be thrown away for a task, as a share of its own. */
   private static final double WORTH = 0.5;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final ShardView owner;
   private final SchedulingQueue queue;
 
-  public Preemption(StepContext ports, ShardView owner, SchedulingQueue queue) {
-    this.ports = ports;
+  public Preemption(StepContext context, ShardView owner, SchedulingQueue queue) {
+    this.context = context;
     this.owner = owner;
     this.queue = queue;
   }
@@ -41,8 +41,8 @@
       return j.priority.compareTo(JobSpec.Priority.URGENT) <= 0;
     }
     double aim = Double.MAX_VALUE;
-    double age = j.readyS(ports.wallMs());
-    for (NodeConfig.Objective o : ports.config.objectives()) {
+    double age = j.readyS(context.wallMs());
+    for (NodeConfig.Objective o : context.config.objectives()) {
       if (o.kind().equals("wait") && o.jobClass().equals(j.spec.jobClass()) && o.withinS() > age) {
         aim = Math.min(aim, o.withinS());
       }
@@ -55,7 +55,7 @@
     for (MachineType t : owner.catalog().values()) {
       fetch = Math.max(fetch, j.spec.imageGb() / Math.max(0.01, t.fetchGbPerS()));
     }
-    return age > aim - fetch - 1.25 * ports.config.workers().reportS() - 2;
+    return age > aim - fetch - 1.25 * context.config.workers().reportS() - 2;
   }
 
   /**
@@ -69,7 +69,7 @@
     double mayCost = WORTH * j.spec.cpus() * Math.max(1, j.spec.estimateS());
     while (wanted > 0 && j.rangesLeft > 0) {
       Machine best = null;
-      List<LiveTask> victims = List.of();
+      List<TaskAttempt> victims = List.of();
       double bestCost = Double.MAX_VALUE;
       for (Machine h : owner.machines().values()) {
         if (!owner.usable(h)
@@ -78,17 +78,17 @@
             || (zone != null && !zone.equals(h.info.zone()))) {
           continue;
         }
-        List<LiveTask> v = victims(h, j);
+        List<TaskAttempt> v = victims(h, j);
         if (v.isEmpty()) {
           continue;
         }
         double thrownAway = 0;
-        for (LiveTask t : v) {
-          thrownAway += t.lost(ports.now()) * t.job.spec.cpus();
+        for (TaskAttempt t : v) {
+          thrownAway += t.lost(context.now()) * t.job.spec.cpus();
         }
         double c =
             h.fetchSeconds(j.spec)
-                + h.toldInS(ports.now(), ports.config.workers().reportS())
+                + h.toldInS(context.now(), context.config.workers().reportS())
                 + thrownAway / j.spec.cpus();
         if (c < bestCost && thrownAway <= mayCost) {
           best = h;
@@ -103,15 +103,15 @@
       if (index < 0) {
         return placed;
       }
-      for (LiveTask t : victims) {
+      for (TaskAttempt t : victims) {
         t.revoked = true;
-        best.yield(t);
+        best.reassignRoom(t);
       }
-      ports.count("task.preempted");
-      victims.forEach(t -> ports.count("task.preempted.ms", (long) (t.lost(ports.now()) * 1000)));
-      AttemptNumber attempt = new AttemptNumber(++j.tries);
+      context.count("task.preempted");
+      victims.forEach(t -> context.count("task.preempted.ms", (long) (t.lost(context.now()) * 1000)));
+      AttemptNumber attempt = new AttemptNumber(++j.attemptCount);
       j.rangesLeft--;
-      owner.attach(new LiveTask(j, index, best, best.tenure, attempt, j.seq + 1, ports.now()));
+      owner.attach(new TaskAttempt(j, index, best, best.incarnation, attempt, j.seq + 1, context.now()));
       placed = true;
       wanted--;
       if (j.spec.oneZone()) {
@@ -122,9 +122,9 @@
   }
 
   /** The cheapest tasks of lower priority whose end makes room for one task; empty if none do. */
-  private List<LiveTask> victims(Machine h, Job j) {
-    List<LiveTask> can = new ArrayList<>();
-    for (LiveTask t : h.live) {
+  private List<TaskAttempt> victims(Machine h, Job j) {
+    List<TaskAttempt> can = new ArrayList<>();
+    for (TaskAttempt t : h.live) {
       if (!t.revoked
           && t.committed()
           && t.job.claimed
@@ -134,13 +134,13 @@
         can.add(t);
       }
     }
-    MonotonicTime now = ports.now();
-    can.sort(Comparator.<LiveTask>comparingDouble(t -> t.lost(now)).thenComparingInt(t -> t.index));
-    List<LiveTask> take = new ArrayList<>();
+    MonotonicTime now = context.now();
+    can.sort(Comparator.<TaskAttempt>comparingDouble(t -> t.lost(now)).thenComparingInt(t -> t.index));
+    List<TaskAttempt> take = new ArrayList<>();
     double cpus = 0;
     double gpus = 0;
     double memory = 0;
-    for (LiveTask t : can) {
+    for (TaskAttempt t : can) {
       take.add(t);
       cpus += t.job.spec.cpus();
       gpus += t.job.spec.gpus();
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -58,7 +58,7 @@
   private record Entry(
       Job job, double latestStartS, double runS, double work, double weight, boolean owed) {}
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Map<String, List<Aim>> aims = new HashMap<>();
 
   /** How many jobs of a class there were; aims are shares of them. */
@@ -71,10 +71,10 @@
   /** How fast the fleet's machines fetch images, as last seen. */
   private double fetchGbPerS = 0.2;
 
-  public SchedulingQueue(StepContext ports, DependencyGraph dependencies) {
-    this.ports = ports;
+  public SchedulingQueue(StepContext context, DependencyGraph dependencies) {
+    this.context = context;
     this.dependencies = dependencies;
-    for (Objective o : ports.config.objectives()) {
+    for (Objective o : context.config.objectives()) {
       List<Aim> l = aims.computeIfAbsent(o.jobClass(), k -> new ArrayList<>());
       switch (o.kind()) {
         case "wait" -> l.add(new Aim(true, o.withinS(), 0));
@@ -95,7 +95,7 @@
   }
 
   public static boolean overdue(Job j, long wallMs) {
-    return j.tries == 0 && j.doneCount() == 0 && j.awaits.isEmpty() && j.readyS(wallMs) > BEGIN_S;
+    return j.attemptCount == 0 && j.doneCount() == 0 && j.unmetDependencies.isEmpty() && j.readyS(wallMs) > BEGIN_S;
   }
 
   /**
@@ -114,7 +114,7 @@
       double soonCpus,
       double soonS,
       double busyWork) {
-    long wall = ports.wallMs();
+    long wall = context.wallMs();
     this.fetchGbPerS = fetchGbPerS > 0 ? fetchGbPerS : this.fetchGbPerS;
     List<Job> first = new ArrayList<>();
     List<Entry> reachable = new ArrayList<>();
@@ -203,14 +203,14 @@
     Map<String, List<Job>> byTeam = new HashMap<>();
     for (Job j : jobs) {
       j.owed = false;
-      NodeConfig.Team t = ports.config.teams().get(j.spec.team());
-      if (t != null && (t.cpus() > 0 || t.gpus() > 0) && !j.aborted && j.awaits.isEmpty()) {
+      NodeConfig.Team t = context.config.teams().get(j.spec.team());
+      if (t != null && (t.cpus() > 0 || t.gpus() > 0) && !j.cancelled && j.unmetDependencies.isEmpty()) {
         byTeam.computeIfAbsent(j.spec.team(), k -> new ArrayList<>()).add(j);
       }
     }
     byTeam.forEach(
         (name, l) -> {
-          NodeConfig.Team t = ports.config.teams().get(name);
+          NodeConfig.Team t = context.config.teams().get(name);
           l.sort(Comparator.comparingLong((Job j) -> j.acceptedAtMs).thenComparing(Job::id));
           double cpus = 0;
           double gpus = 0;
@@ -229,7 +229,7 @@
     // But for deadlines, times count from when the last job that it needs was done.
     double waited = j.readyS(wall);
     double fetch = s.imageGb() / Math.max(0.01, fetchGbPerS);
-    double command = ports.config.workers().reportS() / 2;
+    double command = context.config.workers().reportS() / 2;
     double run = Math.max(0.5, s.estimateS());
     double best = Double.MAX_VALUE;
     for (Aim a : aims.getOrDefault(s.jobClass(), List.of())) {
@@ -299,7 +299,7 @@
 
   /** What a job takes from when it is ready, by its owner's estimate. */
   public double spanMs(Job j) {
-    double command = ports.config.workers().reportS() / 2;
+    double command = context.config.workers().reportS() / 2;
     double run = Math.max(0.5, j.spec.estimateS());
     return 1000 * (j.spec.imageGb() / Math.max(0.01, fetchGbPerS) + command + run * LAST_TASK);
   }
--- a/src/main/java/shorecrank/coordination/scheduling/ShardView.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ShardView.java
@@ -40,5 +40,5 @@
   Headroom headroom(String team);
 
   /** Adds an attempt to its job and machine; it is commanded once its record is committed. */
-  void attach(Job.LiveTask attempt);
+  void attach(Job.TaskAttempt attempt);
 }
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.shard.ShardOwner.Write;
 import shorecrank.coordination.step.StepContext;
@@ -20,14 +20,14 @@
   /** So long a worker may take to answer a command; what is not answered may yet be carried out. */
   private static final int DIRECT_MS = 1000;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final ShardOwner owner;
 
   /** Commands that went straight to workers and are not answered. */
   private int directOut;
 
-  DirectCommandSender(StepContext ports, ShardOwner owner) {
-    this.ports = ports;
+  DirectCommandSender(StepContext context, ShardOwner owner) {
+    this.context = context;
     this.owner = owner;
   }
 
@@ -43,7 +43,7 @@
       if (w.last() || !owner.owns(w.job())) {
         continue;
       }
-      for (LiveTask l : w.job().live.values()) {
+      for (TaskAttempt l : w.job().live.values()) {
         if (l.seq == w.seq() && !l.commanded && l.committed()) {
           to.add(l.host);
         }
@@ -54,7 +54,7 @@
           || directOut >= maxDirect()
           || !h.known
           || !h.takesDirect(owner.epoch())
-          || h.toldInS(ports.now(), ports.config.workers().reportS()) * 1000 < SOON_MS) {
+          || h.toldInS(context.now(), context.config.workers().reportS()) * 1000 < SOON_MS) {
         continue;
       }
       List<WorkerCommand> orders = owner.orders(h, true);
@@ -69,18 +69,18 @@
       }
       directOut++;
       h.directOut++;
-      ports.count("orders.direct");
-      ports.worker(
+      context.count("orders.direct");
+      context.worker(
           h.address,
           WorkerMessages.ORDERS,
-          WorkerMessages.direct(token, h.tenure, orders),
+          WorkerMessages.direct(token, h.incarnation, orders),
           DIRECT_MS,
           (status, body) -> {
             directOut--;
             h.directOut--;
             h.directAnswered++;
             if (status != 200) {
-              ports.count("orders.direct.failed");
+              context.count("orders.direct.failed");
             }
           });
     }
@@ -88,6 +88,6 @@
 
   /** Connections to workers come out of what is left beside those of users, workers and peers. */
   private int maxDirect() {
-    return Math.max(4, ports.config.limits().sockets() / 20);
+    return Math.max(4, context.config.limits().sockets() / 20);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.StoreMessages;
 import shorecrank.storage.JobRecord;
-import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
  * Tasks on a shard's machines that none of its jobs explains. Before such a task is stopped or its
@@ -51,12 +51,12 @@
     final Set<Named> named = new HashSet<>();
   }
 
-  private final StepContext ports;
+  private final StepContext context;
   private final ShardId shard;
   private final Map<JobId, Lookup> lookups = new HashMap<>();
 
-  ForeignTasks(StepContext ports, ShardId shard) {
-    this.ports = ports;
+  ForeignTasks(StepContext context, ShardId shard) {
+    this.context = context;
     this.shard = shard;
   }
 
@@ -70,7 +70,7 @@
       lookup = new Lookup();
       lookups.put(run.job(), lookup);
     }
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     boolean fresh = now.since(lookup.answeredAt) < FRESH_MS;
     if (!fresh) {
       ask(run.job(), lookup);
@@ -85,17 +85,17 @@
 
   /** Once a second: forgets what nobody asks for any more. */
   void tidy() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     lookups.values().removeIf(l -> !l.busy && now.since(l.answeredAt) > KEPT_MS);
   }
 
   private void ask(JobId job, Lookup lookup) {
-    if (lookup.busy || !ports.requests.has(1, ports.now())) {
+    if (lookup.busy || !context.requests.has(1, context.now())) {
       return;
     }
     lookup.busy = true;
-    ports.count("foreign.lookups");
-    ports.state(
+    context.count("foreign.lookups");
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.liveKey(job)),
         null,
@@ -103,7 +103,7 @@
         (status, body) -> {
           lookup.busy = false;
           if (status == 200 || status == 404) {
-            lookup.answeredAt = ports.now();
+            lookup.answeredAt = context.now();
             take(lookup, status == 200 ? StoreMessages.entry(body) : null);
           }
         });
@@ -121,8 +121,8 @@
       lookup.unreadable = true;
       return;
     }
-    lookup.elsewhere = !ShardId.of(record.spec().team(), ports.tuning.parts()).equals(shard);
-    for (LiveRange range : record.live()) {
+    lookup.elsewhere = !ShardId.of(record.spec().team(), context.tuning.shards()).equals(shard);
+    for (AttemptRange range : record.live()) {
       for (int i = range.first(); i < range.first() + range.count(); i++) {
         if (!record.done().get(i)) {
           TaskAttemptId run = new TaskAttemptId(record.spec().id(), i, range.attempt());
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -11,7 +11,7 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.storage.JobRecord;
-import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
  * Which machines the job records of a shard may name in the state service, counting every write
@@ -40,7 +40,7 @@
   /** The machines that a record's live ranges name. */
   static Set<MachineName> machinesOf(JobRecord record) {
     Set<MachineName> machines = new HashSet<>();
-    for (LiveRange range : record.live()) {
+    for (AttemptRange range : record.live()) {
       machines.add(range.host());
     }
     return machines;
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.coordination.scheduling.Autoscaler;
@@ -34,13 +34,13 @@
   /** What the owner does with the tasks of a machine, and with an answer that it waits for. */
   interface Tasks {
     /** The attempt is surely off its machine, without a result. */
-    void lost(LiveTask task);
+    void lost(TaskAttempt task);
 
     /** A report whose answer was held back gets none any more. */
     void supersede(Machine machine);
   }
 
-  private final StepContext ports;
+  private final StepContext context;
   private final ShardId shard;
   private final MachineReferences references;
   private final ForeignTasks foreign;
@@ -56,19 +56,19 @@
    * The orders under which machines were handed back: that holds until a machine may be used again,
    * also while the leader says that it is nobody's.
    */
-  private final Map<MachineName, MoveId> handedBack = new HashMap<>();
+  private final Map<MachineName, MoveId> handovers = new HashMap<>();
 
   /**
    * @param references machines that records may name; null where there is only one shard
    * @param foreign tasks of other shards; null where there is only one shard
    */
   MachineRegistry(
-      StepContext ports,
+      StepContext context,
       ShardId shard,
       MachineReferences references,
       ForeignTasks foreign,
       Tasks tasks) {
-    this.ports = ports;
+    this.context = context;
     this.shard = shard;
     this.references = references;
     this.foreign = foreign;
@@ -124,8 +124,8 @@
   /** An assignment is new or has changed. */
   public void assigned(MachineAssignment a) {
     MachineName name = a.host().name();
-    if (!a.part().equals(shard)) {
-      handedBack.remove(name);
+    if (!a.shard().equals(shard)) {
+      handovers.remove(name);
       unassigned(name);
       Machine kept = machines.get(name);
       if (kept != null) {
@@ -136,9 +136,9 @@
     Machine h = machine(name);
     describe(h, a.host());
     h.assignedElsewhere = false;
-    if (!h.lent) {
-      h.lent = true;
-      h.lentSince = ports.now().plus(-a.ageMs());
+    if (!h.assigned) {
+      h.assigned = true;
+      h.assignedSince = context.now().plus(-a.ageMs());
     }
     if (a.term().above(h.term)) {
       // It has been with another shard since: what its worker showed before proves nothing now.
@@ -146,21 +146,21 @@
       h.confirmed = false;
       h.known = false;
     }
-    h.recall = a.recall();
+    h.handoverRequested = a.handoverRequested();
     h.move = a.move();
-    if (!h.recall) {
-      handedBack.remove(name);
+    if (!h.handoverRequested) {
+      handovers.remove(name);
     }
-    h.hasRun |= a.move().isSet() && !a.recall();
+    h.hasRun |= a.move().isSet() && !a.handoverRequested();
   }
 
   /** The machine is not assigned to this shard. */
   public void unassigned(MachineName name) {
     Machine h = machines.get(name);
     if (h != null) {
-      h.lent = false;
+      h.assigned = false;
       h.known = false;
-      h.recall = false;
+      h.handoverRequested = false;
       h.move = MoveId.NONE;
       h.assignedElsewhere = false;
       if (h.empty()) {
@@ -173,12 +173,12 @@
   /** Machines that are surely gone, with all that ran on them. */
   public void gone(Collection<MachineName> names) {
     for (MachineName name : names) {
-      handedBack.remove(name);
+      handovers.remove(name);
       Machine h = machines.get(name);
       if (h != null) {
         loseAll(h, "released");
         tasks.supersede(h);
-        h.clearGhosts();
+        h.clearUnrecordedTasks();
         drop(h);
       }
     }
@@ -194,19 +194,19 @@
   /** All of a machine's tasks are surely off it. */
   void loseAll(Machine h, String why) {
     int n = h.live.size();
-    for (LiveTask t : new ArrayList<>(h.live)) {
+    for (TaskAttempt t : new ArrayList<>(h.live)) {
       tasks.lost(t);
     }
     if (n > 0) {
-      ports.info("machine %s: %s: %d tasks surely off it (part %s)", h.name, why, n, shard);
-      ports.count("machine.dead");
+      context.info("machine %s: %s: %d tasks surely off it (part %s)", h.name, why, n, shard);
+      context.count("machine.dead");
     }
   }
 
   /** Tasks of sessions before the one that has begun. */
   void loseOlder(Machine h) {
-    for (LiveTask t : new ArrayList<>(h.live)) {
-      if (t.tenure.compareTo(h.tenure) < 0) {
+    for (TaskAttempt t : new ArrayList<>(h.live)) {
+      if (t.incarnation.compareTo(h.incarnation) < 0) {
         tasks.lost(t);
       }
     }
@@ -218,10 +218,10 @@
       // The owner of another shard may renew the lease of one that is assigned there.
       if (!h.empty() && !h.assignedElsewhere && liveness.leaseOut(h)) {
         loseAll(h, "its worker's lease ran out");
-        h.clearGhosts();
+        h.clearUnrecordedTasks();
         h.known = false;
-        if (h.deadTenure.compareTo(h.tenure) < 0) {
-          h.deadTenure = h.tenure;
+        if (h.endedIncarnation.compareTo(h.incarnation) < 0) {
+          h.endedIncarnation = h.incarnation;
         }
       }
     }
@@ -236,13 +236,13 @@
    */
   void stopSavingTasks() {
     for (Machine h : machines.values()) {
-      if (!h.recall) {
+      if (!h.handoverRequested) {
         continue;
       }
-      for (LiveTask t : h.live) {
-        if (t.movable() && t.lost(ports.now()) > Autoscaler.SETTLED_S) {
+      for (TaskAttempt t : h.live) {
+        if (t.movable() && t.lost(context.now()) > Autoscaler.SETTLED_S) {
           t.revoked = true;
-          ports.count("task.moved");
+          context.count("task.moved");
         }
       }
     }
@@ -266,12 +266,12 @@
   // ---- handing over ----------------------------------------------------------------------------
 
   /** Machines that were to be handed over and have nothing of this shard left. */
-  List<MachineHandover> handedBack(WorkerLiveness liveness) {
+  List<MachineHandover> handovers(WorkerLiveness liveness) {
     List<MachineHandover> back = new ArrayList<>();
     for (Machine h : machines.values()) {
-      if (h.recall && isSettled(h, liveness)) {
+      if (h.handoverRequested && isSettled(h, liveness)) {
         back.add(new MachineHandover(h.name, h.move));
-        handedBack.put(h.name, h.move);
+        handovers.put(h.name, h.move);
       }
     }
     return back;
@@ -314,8 +314,8 @@
   public Set<MachineName> commanded() {
     Set<MachineName> names = new HashSet<>();
     for (Machine h : machines.values()) {
-      boolean isBack = h.recall && h.move.equals(handedBack.get(h.name));
-      if (h.lent && !isBack) {
+      boolean isBack = h.handoverRequested && h.move.equals(handovers.get(h.name));
+      if (h.assigned && !isBack) {
         names.add(h.name);
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.scheduling.Autoscaler;
@@ -32,11 +32,11 @@
   /** A machine that should be empty in more than this is not named. */
   private static final double MAX_EMPTY_S = 1e6;
 
-  private final StepContext ports;
+  private final StepContext context;
   private final ShardOwner owner;
 
-  ShardDemandReporter(StepContext ports, ShardOwner owner) {
-    this.ports = ports;
+  ShardDemandReporter(StepContext context, ShardOwner owner) {
+    this.context = context;
     this.owner = owner;
   }
 
@@ -52,9 +52,9 @@
     List<MoveId> arrived = new ArrayList<>();
     for (Machine h : owner.hosts.values()) {
       running += h.type() == null ? 0 : Math.min(h.usedCpus(), h.type().cpus());
-      if (h.recall) {
+      if (h.handoverRequested) {
         draining.add(progress(h));
-      } else if (h.lent && h.type() != null) {
+      } else if (h.assigned && h.type() != null) {
         capacity += h.type().cpus();
         if (h.move.isSet() && h.known) {
           arrived.add(h.move);
@@ -83,7 +83,7 @@
 
   private DrainProgress progress(Machine h) {
     DrainState state = DrainState.DRAINING;
-    if (h.noticed) {
+    if (h.preemptionNoticed) {
       state = DrainState.NOTICED;
     } else if (h.known && !owner.liveness.fresh(h)) {
       state = DrainState.SILENT;
@@ -94,10 +94,10 @@
   /** Seconds until the machine's tasks should have ended, or can be stopped with their progress. */
   private double emptyInS(Machine h) {
     double longest = 0;
-    for (LiveTask t : h.live) {
-      double left = t.leftS(ports.now());
+    for (TaskAttempt t : h.live) {
+      double left = t.leftS(context.now());
       if (t.job.spec.checkpointS() > 0) {
-        left = Math.min(left, Math.max(0, Autoscaler.SETTLED_S - t.lost(ports.now())));
+        left = Math.min(left, Math.max(0, Autoscaler.SETTLED_S - t.lost(context.now())));
       }
       longest = Math.max(longest, left);
     }
@@ -124,7 +124,7 @@
       headroom.take(j.spec, n);
       waiting[j.priority.ordinal()] += n * j.spec.cpus();
       if (j.live.isEmpty() && j.doneCount() == 0) {
-        oldestS = Math.max(oldestS, j.readyS(ports.wallMs()));
+        oldestS = Math.max(oldestS, j.readyS(context.wallMs()));
       }
       addKinds(j, kinds);
     }
@@ -157,7 +157,7 @@
     }
     double within = 0;
     for (Map.Entry<String, Double> e : asked.entrySet()) {
-      NodeConfig.Team team = ports.config.teams().get(e.getKey());
+      NodeConfig.Team team = context.config.teams().get(e.getKey());
       within += team == null ? 0 : Math.min(team.cpus(), e.getValue());
     }
     return within;
