--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -14,8 +14,8 @@
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.CancellationLog;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.LiveTask;
-import shorecrank.coordination.model.Job.Urgency;
+import shorecrank.coordination.model.Job.TaskAttempt;
+import shorecrank.coordination.model.Job.WriteUrgency;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.TeamQuotas;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
@@ -57,7 +57,7 @@
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.FeatureGate;
 import shorecrank.storage.JobRecord;
-import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.JobRecord.AttemptRange;
 import shorecrank.storage.RateLimiter;
 
 /** The owner of one part: its jobs, the machines lent to it, and every write to its records. */
@@ -96,8 +96,8 @@
     READY
   }
 
-  private final StepContext ports;
-  final ShardId part;
+  private final StepContext context;
+  final ShardId shard;
   private final Epoch firstEpoch;
   private Epoch epoch;
   private MonotonicTime validUntil = MonotonicTime.NEVER;
@@ -120,12 +120,12 @@
   private MonotonicTime watchRetryAt = new MonotonicTime(0);
 
   public final Map<JobId, Job> jobs = new TreeMap<>();
-  private final Set<JobId> latched = new HashSet<>();
+  private final Set<JobId> relinquishedJobs = new HashSet<>();
 
   /** Which machines our records may name; null where there is only one shard. */
   private final MachineReferences references;
 
-  private final MachineRegistry custody;
+  private final MachineRegistry machineRegistry;
 
   /** Finds out what became of writes that were refused or got no answer. */
   private final WriteOutcomeResolver settlement;
@@ -142,7 +142,7 @@
   private final Set<Job> dirty = new ObjectLinkedOpenHashSet<>();
 
   private MonotonicTime lookedAt = MonotonicTime.NEVER;
-  private boolean hearsFew;
+  private boolean missesManyWorkers;
   private final TeamQuotas quotas;
   private Map<String, MachineType> catalog = Map.of();
 
@@ -157,41 +157,41 @@
   private boolean closed;
 
   private final StatusQueries statusQueries;
-  private final Set<Machine> parked = new LinkedHashSet<>();
+  private final Set<Machine> deferredAnswer = new LinkedHashSet<>();
   private boolean kicked;
   private MonotonicTime readyAt = MonotonicTime.NEVER;
 
   public ShardOwner(
-      StepContext ports,
+      StepContext context,
       CancellationLog cancellations,
       FeatureGate gate,
-      ShardId part,
+      ShardId shard,
       Epoch epoch,
       MonotonicTime grantedAt,
       boolean shares) {
-    this.ports = ports;
+    this.context = context;
     this.cancellations = cancellations;
     this.gate = gate;
-    this.part = part;
+    this.shard = shard;
     this.epoch = epoch;
     this.firstEpoch = epoch;
-    boolean oneShard = ports.tuning.parts() == 1;
+    boolean oneShard = context.tuning.shards() == 1;
     this.references = oneShard ? null : new MachineReferences();
-    ForeignTasks foreign = oneShard ? null : new ForeignTasks(ports, part);
-    this.custody = new MachineRegistry(ports, part, references, foreign, new TasksOfMachines());
-    this.hosts = custody.machines();
-    this.quotas = new TeamQuotas(ports.config.teams(), hosts.values());
-    this.demands = shares ? new ShardDemandReporter(ports, this) : null;
-    this.liveness = new WorkerLiveness(ports, hosts.values(), grantedAt);
-    this.autoscaler = new Autoscaler(ports, this);
-    this.dependencies = new DependencyGraph(ports, jobs, cancellations, this::cancelWithOthers);
-    this.queue = new SchedulingQueue(ports, dependencies);
-    this.settlement = new WriteOutcomeResolver(ports, references, new JobsOfRecords());
-    this.preemption = new Preemption(ports, this, queue);
-    this.directStarts = new DirectCommandSender(ports, this);
-    this.statusQueries = new StatusQueries(ports, jobs, dependencies);
-    ports.info("part %s: taken over at epoch %s", part, epoch);
-    ports.count("part.takeover");
+    ForeignTasks foreign = oneShard ? null : new ForeignTasks(context, shard);
+    this.machineRegistry = new MachineRegistry(context, shard, references, foreign, new TasksOfMachines());
+    this.hosts = machineRegistry.machines();
+    this.quotas = new TeamQuotas(context.config.teams(), hosts.values());
+    this.demands = shares ? new ShardDemandReporter(context, this) : null;
+    this.liveness = new WorkerLiveness(context, hosts.values(), grantedAt);
+    this.autoscaler = new Autoscaler(context, this);
+    this.dependencies = new DependencyGraph(context, jobs, cancellations, this::cancelWithOthers);
+    this.queue = new SchedulingQueue(context, dependencies);
+    this.settlement = new WriteOutcomeResolver(context, references, new JobsOfRecords());
+    this.preemption = new Preemption(context, this, queue);
+    this.directStarts = new DirectCommandSender(context, this);
+    this.statusQueries = new StatusQueries(context, jobs, dependencies);
+    context.info("part %s: taken over at epoch %s", shard, epoch);
+    context.count("part.takeover");
   }
 
   public Epoch epoch() {
@@ -205,17 +205,17 @@
 
   public void catalog(Map<String, MachineType> c) {
     catalog = c;
-    custody.catalog(c);
+    machineRegistry.catalog(c);
   }
 
   /** The leader's lease: no other controller owns the part before it ends, by our own clock. */
   public void lease(Epoch e, MonotonicTime until) {
     if (e.above(epoch)) {
-      ports.info("part %s: raised from epoch %s to %s", part, epoch, e);
+      context.info("part %s: raised from epoch %s to %s", shard, epoch, e);
       epoch = e;
       fenced = Epoch.NONE;
       // What was given up may be ours again under the higher epoch.
-      reload |= !latched.isEmpty();
+      reload |= !relinquishedJobs.isEmpty();
     }
     if (validUntil.before(until)) {
       validUntil = until;
@@ -225,7 +225,7 @@
 
   @Override
   public boolean valid() {
-    return validAt(ports.now());
+    return validAt(context.now());
   }
 
   public boolean validAt(MonotonicTime at) {
@@ -256,10 +256,10 @@
     }
     relinquished = true;
     if (valid()) {
-      validUntil = ports.now();
+      validUntil = context.now();
     }
-    ports.info("part %s: epoch %s no longer commanded: %s", part, epoch, why);
-    ports.count("part.relinquished");
+    context.info("part %s: epoch %s no longer commanded: %s", shard, epoch, why);
+    context.count("part.relinquished");
     return true;
   }
 
@@ -272,17 +272,17 @@
    * work outlives an outage of the state service. Bounded: a new owner counts on silence after it.
    */
   public boolean inGrace(boolean alone) {
-    long over = ports.now().since(validUntil);
-    if (over < 0 || over >= ports.tuning.graceMs()) {
+    long over = context.now().since(validUntil);
+    if (over < 0 || over >= context.tuning.graceMs()) {
       return false;
     }
-    if (ports.stateOk()) {
+    if (context.stateOk()) {
       // The store is there, so a leader soon will be: as long as an election and a heartbeat take,
       // counted from the end of an outage.
-      long there = Math.min(over, ports.now().since(ports.stateOkSince()));
-      return there < ports.tuning.leaderTtlMs() + ELECTION_MS;
+      long there = Math.min(over, context.now().since(context.stateOkSince()));
+      return there < context.tuning.leaderTtlMs() + ELECTION_MS;
     }
-    return !alone || hearsFew || over < ports.tuning.leaseMs() * 2L;
+    return !alone || missesManyWorkers || over < context.tuning.leaseMs() * 2L;
   }
 
   @Override
@@ -315,12 +315,12 @@
    * does. Without that knowledge the lease has to take the tasks, also while the part is ours.
    */
   public boolean informed() {
-    return ports.now().since(cancellations.horizon(storeAsOf)) <= ports.evidenceMs();
+    return context.now().since(cancellations.horizon(storeAsOf)) <= context.evidenceMs();
   }
 
   private boolean cancelled(JobId id) {
     Job j = jobs.get(id);
-    return (j != null && j.aborted) || cancellations.known(id);
+    return (j != null && j.cancelled) || cancellations.known(id);
   }
 
   /**
@@ -332,7 +332,7 @@
     if (j == null) {
       dependencies.cancelled(id);
     }
-    if (j == null || j.aborted) {
+    if (j == null || j.cancelled) {
       return;
     }
     abort(j);
@@ -344,15 +344,15 @@
   /** A job that it needs is cancelled, so it is too; none of its tasks has ever been placed. */
   private void cancelWithOthers(Job j) {
     abort(j);
-    j.touch(Urgency.NOW, ports.now());
+    j.touch(WriteUrgency.NOW, context.now());
   }
 
   public void end(String why) {
     closed = true;
-    answerParked(true);
+    answerDeferred(true);
     statusQueries.close();
-    ports.info("part %s: epoch %s given up: %s", part, epoch, why);
-    ports.count("part.given_up");
+    context.info("part %s: epoch %s given up: %s", shard, epoch, why);
+    context.count("part.given_up");
   }
 
   // ---- loading -------------------------------------------------------------------------------
@@ -366,24 +366,24 @@
       startOver();
     }
     if (stage == Stage.LOADING) {
-      if (!loadBusy && !ports.now().before(loadRetryAt)) {
+      if (!loadBusy && !context.now().before(loadRetryAt)) {
         load();
       }
     } else {
       // An answer holds all changes since the last, whatever their number: after a cut, those of
       // the owner that has come in between, megabytes of them, which nobody here needs.
-      if (!watching && valid() && !ports.now().before(watchRetryAt)) {
+      if (!watching && valid() && !context.now().before(watchRetryAt)) {
         watch();
       }
-      if (ports.now().since(lookedAt) >= LOOK_MS) {
-        lookedAt = ports.now();
-        ports.count("round.looks", hosts.size());
-        custody.expireLeases(liveness);
+      if (context.now().since(lookedAt) >= LOOK_MS) {
+        lookedAt = context.now();
+        context.count("round.looks", hosts.size());
+        machineRegistry.expireLeases(liveness);
         if (references != null) {
-          custody.stopSavingTasks();
+          machineRegistry.stopSavingTasks();
         }
-        UtilizationGauges.tell(ports, hosts.values(), jobs.values(), liveness);
-        hearsFew = liveness.hearsFew();
+        UtilizationGauges.tell(context, hosts.values(), jobs.values(), liveness);
+        missesManyWorkers = liveness.missesManyWorkers();
         // Whatever became due without being touched.
         dirty.addAll(jobs.values());
       }
@@ -394,21 +394,21 @@
         flush();
       }
     }
-    answerParked(false);
+    answerDeferred(false);
     statusQueries.answer();
   }
 
   private void startOver() {
     for (Job j : new ArrayList<>(jobs.values())) {
-      if (j.aborted) {
+      if (j.cancelled) {
         cancellations.learn(j.id());
       }
       forget(j);
     }
-    latched.clear();
+    relinquishedJobs.clear();
     dependencies.clear();
     for (Machine h : hosts.values()) {
-      unpark(h);
+      supersedeDeferredAnswer(h);
       h.known = false;
     }
     if (references != null) {
@@ -422,11 +422,11 @@
   public void load() {
     loadBusy = true;
     watchFrom = -1;
-    loadPage("", ++loadRound, ports.now());
+    loadPage("", ++loadRound, context.now());
   }
 
   private void loadPage(String after, long round, MonotonicTime began) {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.list(JobRecord.LIVE, after, 200),
         null,
@@ -437,7 +437,7 @@
           }
           if (status != 200) {
             loadBusy = false;
-            loadRetryAt = ports.now().plus(200 + ports.random().nextInt(300));
+            loadRetryAt = context.now().plus(200 + context.random().nextInt(300));
             startOver();
             return;
           }
@@ -449,8 +449,8 @@
             last = e.key();
             JobRecord r = JobRecord.read(e.value());
             if (r == null) {
-              ports.unreadable(e.key());
-            } else if (ShardId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
+              context.unreadable(e.key());
+            } else if (ShardId.of(r.spec().team(), context.tuning.shards()).equals(shard)) {
               Job j = add(r, e.revision());
               boolean countsNow =
                   references != null || quotas.isLimited(r.spec().team());
@@ -458,7 +458,7 @@
                 // A write that the last owner sent in time may still place tasks of it: they would
                 // count for its team's limit, and hold their machine in this shard.
                 j.claimFirst = true;
-                j.touch(Urgency.NOW, ports.now());
+                j.touch(WriteUrgency.NOW, context.now());
               }
             }
           }
@@ -469,10 +469,10 @@
           loadBusy = false;
           shownUpTo(began);
           stage = Stage.READY;
-          readyAt = ports.now();
-          ports.info(
+          readyAt = context.now();
+          context.info(
               "part %s: %d jobs rebuilt at epoch %s, revision %d",
-              part, jobs.size(), epoch, watchFrom);
+              shard, jobs.size(), epoch, watchFrom);
         });
   }
 
@@ -482,28 +482,28 @@
     }
   }
 
-  private Job add(JobRecord r, Revision stamp) {
-    if (r.aborted()) {
+  private Job add(JobRecord r, Revision revision) {
+    if (r.cancelled()) {
       cancellations.learn(r.spec().id());
     }
-    Job j = new Job(r, stamp, ports.nextLife(), dirty);
+    Job j = new Job(r, revision, context.nextLife(), dirty);
     jobs.put(j.id(), j);
     j.claimed = false;
     if (references != null) {
-      references.read(j.id(), stamp, MachineReferences.machinesOf(r), stage == Stage.LOADING);
+      references.read(j.id(), revision, MachineReferences.machinesOf(r), stage == Stage.LOADING);
     }
     if (r.epoch().value() > 0) {
-      if (r.epoch().above(epoch) || (r.epoch().equals(epoch) && !r.writer().equals(ports.writer))) {
-        latch(j, r);
+      if (r.epoch().above(epoch) || (r.epoch().equals(epoch) && !r.writer().equals(context.writer))) {
+        relinquishJob(j, r);
         return j;
       }
       // The fence goes up before anything is made of the record.
-      j.touch(Urgency.NOW, ports.now());
+      j.touch(WriteUrgency.NOW, context.now());
     }
     adoptLive(j, r);
-    if (j.aborted) {
+    if (j.cancelled) {
       dependencies.cancelled(j.id());
-      j.touch(Urgency.NOW, ports.now());
+      j.touch(WriteUrgency.NOW, context.now());
     } else {
       dependencies.add(j);
     }
@@ -511,23 +511,23 @@
   }
 
   private void adoptLive(Job j, JobRecord r) {
-    for (LiveRange l : r.live()) {
-      Machine h = custody.machine(l.host());
+    for (AttemptRange l : r.live()) {
+      Machine h = machineRegistry.machine(l.host());
       for (int i = l.first(); i < l.first() + l.count(); i++) {
         if (!j.done.get(i) && !j.live.containsKey(i)) {
-          attach(new LiveTask(j, i, h, l.tenure(), l.attempt(), 0, ports.now()));
+          attach(new TaskAttempt(j, i, h, l.incarnation(), l.attempt(), 0, context.now()));
         }
       }
     }
   }
 
   @Override
-  public void attach(LiveTask t) {
+  public void attach(TaskAttempt t) {
     t.job.add(t);
     quotas.allocate(t.job.spec);
   }
 
-  private void detach(LiveTask t) {
+  private void detach(TaskAttempt t) {
     if (t.job.live.get(t.index) != t) {
       return;
     }
@@ -536,7 +536,7 @@
   }
 
   private void forget(Job j) {
-    for (LiveTask t : new ArrayList<>(j.live.values())) {
+    for (TaskAttempt t : new ArrayList<>(j.live.values())) {
       detach(t);
     }
     jobs.remove(j.id());
@@ -547,8 +547,8 @@
   private void watch() {
     watching = true;
     long round = loadRound;
-    MonotonicTime sent = ports.now();
-    ports.state(
+    MonotonicTime sent = context.now();
+    context.state(
         "GET",
         StoreMessages.watch(JobRecord.LIVE, watchFrom, WATCH_HOLD_MS),
         null,
@@ -563,7 +563,7 @@
             return;
           }
           if (status != 200) {
-            watchRetryAt = ports.now().plus(200 + ports.random().nextInt(200));
+            watchRetryAt = context.now().plus(200 + context.random().nextInt(200));
             return;
           }
           for (StoreMessages.Change c : StoreMessages.changes(body)) {
@@ -572,7 +572,7 @@
           watchFrom = Math.max(watchFrom, StoreMessages.revision(body));
           shownUpTo(sent);
           // Each opened watch is a request: a few a second carry as many changes as there are.
-          watchRetryAt = ports.now().plus(WATCH_PAUSE_MS);
+          watchRetryAt = context.now().plus(WATCH_PAUSE_MS);
         });
   }
 
@@ -584,7 +584,7 @@
     } else if (c.value() == null) {
       dependencies.dropped(id);
     }
-    if (latched.contains(id)) {
+    if (relinquishedJobs.contains(id)) {
       return;
     }
     Job j = jobs.get(id);
@@ -593,15 +593,15 @@
       JobRecord r = JobRecord.isUnclaimed(c.value()) ? JobRecord.read(c.value()) : null;
       if (r != null
           && r.spec().id().equals(id)
-          && ShardId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
+          && ShardId.of(r.spec().team(), context.tuning.shards()).equals(shard)) {
         add(r, c.revision());
       }
       return;
     }
-    if (c.revision().after(j.seenStamp)) {
-      j.seenStamp = c.revision();
+    if (c.revision().after(j.seenRevision)) {
+      j.seenRevision = c.revision();
     }
-    if (JobRecord.isMarked(c.value()) && !j.aborted) {
+    if (JobRecord.isMarked(c.value()) && !j.cancelled) {
       // What the watch shows is committed; reading the record again may fail for long.
       abort(j);
     }
@@ -611,18 +611,18 @@
   // ---- records -------------------------------------------------------------------------------
 
   /** A write of a job's record, as it was sent. */
-  record Write(Job job, long seq, boolean last, JobStatus standing) {}
+  record Write(Job job, long seq, boolean last, JobStatus jobStatus) {}
 
   private void flush() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (now.before(writeRetryAt) || inFlight >= MAX_IN_FLIGHT) {
       return;
     }
     List<Job> due = new ArrayList<>();
-    ports.count("round.looks", dirty.size());
+    context.count("round.looks", dirty.size());
     for (var i = dirty.iterator(); i.hasNext(); ) {
       Job j = i.next();
-      if (jobs.get(j.id()) != j || (j.dirty == Urgency.NONE && !over(j))) {
+      if (jobs.get(j.id()) != j || (j.dirty == WriteUrgency.NONE && !over(j))) {
         i.remove();
         continue;
       }
@@ -630,9 +630,9 @@
         continue;
       }
       boolean last = over(j);
-      if (j.dirty == Urgency.NOW
+      if (j.dirty == WriteUrgency.NOW
           || last
-          || (j.dirty == Urgency.LATER && now.since(j.dirtySince) >= ports.tuning.mergeMs())) {
+          || (j.dirty == WriteUrgency.LATER && now.since(j.dirtySince) >= context.tuning.mergeMs())) {
         due.add(j);
       }
     }
@@ -642,10 +642,10 @@
     due.sort(Comparator.comparingInt(this::rank).thenComparing(j -> j.dirtySince));
     int at = 0;
     while (at < due.size() && inFlight < MAX_IN_FLIGHT) {
-      StoreMessages.Txn txn = new StoreMessages.Txn();
+      StoreMessages.Transaction transaction = new StoreMessages.Transaction();
       boolean dense = gate.permits(Feature.DENSE_RECORDS);
       if (dense) {
-        gate.guard(txn);
+        gate.guard(transaction);
       }
       List<Write> batch = new ArrayList<>();
       int bytes = 0;
@@ -653,26 +653,26 @@
         Job j = due.get(at);
         int ops = ops(j);
         if (((j.alone || (!batch.isEmpty() && batch.get(0).job.alone)) && !batch.isEmpty())
-            || txn.ops() + ops > ports.config.state().txnOps()
+            || transaction.ops() + ops > context.config.state().txnOps()
             || (bytes > 0
-                && bytes + ports.config.state().valueKb() * 1024 > StoreMessages.TXN_FILL_BYTES)
+                && bytes + context.config.state().valueKb() * 1024 > StoreMessages.TXN_FILL_BYTES)
             || !budget(j).has(ops, now)) {
           break;
         }
         budget(j).take(ops, now);
-        bytes += put(txn, batch, j, dense && !j.compact);
+        bytes += put(transaction, batch, j, dense && !j.compact);
         at++;
       }
       if (batch.isEmpty()) {
         return;
       }
-      commit(txn, batch);
+      commit(transaction, batch);
     }
   }
 
   /** What a takeover has to claim comes before new placements, with all that the service takes. */
   private RateLimiter budget(Job j) {
-    return j.claimed || j.epoch.value() == 0 ? ports.writes : ports.userWrites;
+    return j.claimed || j.epoch.value() == 0 ? context.writes : context.userWrites;
   }
 
   /** Final states and placements go first, then claims, then completions that waited. */
@@ -680,7 +680,7 @@
     if (over(j)) {
       return 0;
     }
-    if (j.dirty == Urgency.NOW) {
+    if (j.dirty == WriteUrgency.NOW) {
       return !j.claimed && j.live.isEmpty() ? 3 : queue.waitsForStart(j.spec) ? 1 : 2;
     }
     return 4;
@@ -688,9 +688,9 @@
 
   private static boolean over(Job j) {
     return (j.claimed || j.epoch.value() == 0)
-        && (j.complete() || j.aborted)
+        && (j.complete() || j.cancelled)
         && j.live.isEmpty()
-        && !j.hasGhosts();
+        && !j.hasUnrecordedTasks();
   }
 
   private int ops(Job j) {
@@ -705,10 +705,10 @@
    * @param machines those that it names, where that is kept track of
    */
   private record EncodedRecord(
-      ObjectNode value, int bytes, int boundBytes, JobStatus standing, Set<MachineName> machines) {}
+      ObjectNode value, int bytes, int boundBytes, JobStatus jobStatus, Set<MachineName> machines) {}
 
   private EncodedRecord encode(Job j, boolean dense) {
-    JobRecord record = j.record(epoch, ports.writer);
+    JobRecord record = j.record(epoch, context.writer);
     ObjectNode value;
     if (dense) {
       value = record.writeDense();
@@ -720,50 +720,50 @@
     int boundBytes = bound ? Json.bytes(record.writeCompact()).length : bytes;
     Set<MachineName> machines =
         references == null ? Set.of() : MachineReferences.machinesOf(record);
-    return new EncodedRecord(value, bytes, boundBytes, record.standing(), machines);
+    return new EncodedRecord(value, bytes, boundBytes, record.jobStatus(), machines);
   }
 
-  private int put(StoreMessages.Txn txn, List<Write> batch, Job j, boolean dense) {
+  private int put(StoreMessages.Transaction transaction, List<Write> batch, Job j, boolean dense) {
     String key = JobRecord.liveKey(j.id());
-    txn.guard(key, j.stamp);
+    transaction.guard(key, j.revision);
     j.inFlight = true;
     j.seq++;
     boolean last = over(j);
-    JobStatus standing;
+    JobStatus jobStatus;
     int bytes;
     Set<MachineName> machines = Set.of();
     if (last) {
-      JobState phase = j.complete() && !j.aborted ? JobState.DONE : JobState.WITHDRAWN;
+      JobState phase = j.complete() && !j.cancelled ? JobState.DONE : JobState.CANCELLED;
       ObjectNode f = JobRecord.writeFinal(phase, j.doneCount());
-      txn.drop(key).write(JobRecord.finalKey(j.id()), f);
+      transaction.drop(key).write(JobRecord.finalKey(j.id()), f);
       bytes = 200;
-      standing = new JobStatus(phase, j.doneCount(), 0);
+      jobStatus = new JobStatus(phase, j.doneCount(), 0);
     } else {
       EncodedRecord record = encode(j, dense);
-      double max = ports.config.state().valueKb() * 1024;
+      double max = context.config.state().valueKb() * 1024;
       if (record.boundBytes() > max * 0.95) {
         shrink(j);
         record = encode(j, dense);
       }
       bytes = record.bytes();
-      standing = record.standing();
+      jobStatus = record.jobStatus();
       machines = record.machines();
       // A record without a live range always takes one: else its job would never run.
       int rangesLeft = (int) ((max * 0.9 - record.boundBytes()) / RANGE_BYTES);
       j.rangesLeft = Math.max(j.live.isEmpty() ? 1 : 0, rangesLeft);
-      txn.write(key, record.value());
+      transaction.write(key, record.value());
     }
     if (references != null) {
-      references.sent(j.id(), j.seq, j.stamp, machines);
+      references.sent(j.id(), j.seq, j.revision, machines);
     }
-    batch.add(new Write(j, j.seq, last, standing));
-    j.dirty = Urgency.NONE;
+    batch.add(new Write(j, j.seq, last, jobStatus));
+    j.dirty = WriteUrgency.NONE;
     return bytes + 300;
   }
 
   /** What was not yet written is taken back: no command has been given for it. */
   private void shrink(Job j) {
-    for (LiveTask t : new ArrayList<>(j.live.values())) {
+    for (TaskAttempt t : new ArrayList<>(j.live.values())) {
       if (!t.committed() && t.seq >= j.seq) {
         detach(t);
       }
@@ -771,19 +771,19 @@
     j.rangesLeft = 0;
   }
 
-  private void commit(StoreMessages.Txn txn, List<Write> batch) {
+  private void commit(StoreMessages.Transaction transaction, List<Write> batch) {
     inFlight++;
-    ports.state(
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         CALL_MS,
         (status, body) -> {
           inFlight--;
           if (closed) {
             return;
           }
-          MonotonicTime now = ports.now();
+          MonotonicTime now = context.now();
           Set<String> failed = status == 409 ? StoreMessages.failed(body) : Set.of();
           if (failed.contains(RolloutMessages.KEY)) {
             gate.guardFailed();
@@ -798,19 +798,19 @@
             if (status == 200) {
               committed(w, new Revision(StoreMessages.revision(body)));
             } else if (failed.contains(JobRecord.liveKey(j.id()))) {
-              j.touch(Urgency.NOW, now);
+              j.touch(WriteUrgency.NOW, now);
               settlement.reread(j);
             } else {
               // Not applied for another's sake, refused for the load, or not known: the next write
               // behind the same guard settles it.
-              j.touch(Urgency.NOW, now);
+              j.touch(WriteUrgency.NOW, now);
             }
           }
           if (status == 400) {
             // One of them is larger than the service takes now. Alone, each shows which; that one
             // is written in its shortest form, and if that is too long, shrinks as its tasks end.
-            ports.info("transaction of %d refused as too large: %s", batch.size(), body);
-            ports.count("txn.too_large");
+            context.info("transaction of %d refused as too large: %s", batch.size(), body);
+            context.count("txn.too_large");
             for (Write w : batch) {
               w.job.alone = true;
               if (batch.size() == 1) {
@@ -822,31 +822,31 @@
               }
             }
           } else if (status != 200 && status != 409) {
-            ports.count("txn.unanswered");
-            writeRetryAt = now.plus(80 + ports.random().nextInt(200));
+            context.count("txn.unanswered");
+            writeRetryAt = now.plus(80 + context.random().nextInt(200));
           }
-          answerParked(false);
+          answerDeferred(false);
           if (status == 200) {
             directStarts.send(batch);
           }
         });
   }
 
-  private void committed(Write w, Revision stamp) {
+  private void committed(Write w, Revision revision) {
     Job j = w.job;
-    j.stamp = stamp;
+    j.revision = revision;
     j.committedSeq = w.seq;
     j.epoch = epoch;
-    j.writer = ports.writer;
-    j.standing = w.standing;
+    j.writer = context.writer;
+    j.jobStatus = w.jobStatus;
     j.claimed = true;
     j.alone = false;
     if (w.last) {
-      statusQueries.ended(j.id(), w.standing);
+      statusQueries.ended(j.id(), w.jobStatus);
       forget(j);
-      dependencies.ended(j.id(), w.standing.phase());
-      ports.info("job %s %s at epoch %s", j.id(), j.aborted ? "withdrawn" : "done", epoch);
-      ports.count(j.aborted ? "job.withdrawn" : "job.done");
+      dependencies.ended(j.id(), w.jobStatus.phase());
+      context.info("job %s %s at epoch %s", j.id(), j.cancelled ? "withdrawn" : "done", epoch);
+      context.count(j.cancelled ? "job.withdrawn" : "job.done");
       return;
     }
     j.exits.values().removeIf(seq -> seq <= j.committedSeq);
@@ -867,7 +867,7 @@
 
     @Override
     public void refused(Job j, JobRecord record) {
-      latch(j, record);
+      relinquishJob(j, record);
     }
 
     @Override
@@ -883,7 +883,7 @@
 
     @Override
     public void replaced(Job j, JobRecord record, Revision revision) {
-      for (LiveTask t : new ArrayList<>(j.live.values())) {
+      for (TaskAttempt t : new ArrayList<>(j.live.values())) {
         detach(t);
       }
       j.claimed = false;
@@ -893,36 +893,36 @@
   }
 
   private void abort(Job j) {
-    j.aborted = true;
-    for (LiveTask t : new ArrayList<>(j.live.values())) {
+    j.cancelled = true;
+    for (TaskAttempt t : new ArrayList<>(j.live.values())) {
       if (!t.committed()) {
         detach(t);
       }
     }
-    ports.info("job %s: cancelled", j.id());
+    context.info("job %s: cancelled", j.id());
     dependencies.cancelled(j.id());
   }
 
   /** From the first refusal on nothing more is written or commanded for the job. */
-  private void latch(Job j, JobRecord r) {
+  private void relinquishJob(Job j, JobRecord r) {
     forget(j);
-    latched.add(j.id());
+    relinquishedJobs.add(j.id());
     if (references != null && r == null) {
       references.removed(j.id());
     } else if (references != null) {
       references.read(j.id(), Revision.ABSENT, Set.of(), true);
     }
     if (r == null) {
-      ports.info("job %s: part %s epoch %s: no record any more, given up", j.id(), part, epoch);
+      context.info("job %s: part %s epoch %s: no record any more, given up", j.id(), shard, epoch);
     } else {
-      ports.info(
+      context.info(
           "job %s: part %s: fenced at epoch %s by epoch %s of %s, given up",
-          j.id(), part, epoch, r.epoch(), r.writer());
+          j.id(), shard, epoch, r.epoch(), r.writer());
       if (r.epoch().compareTo(fenced) > 0) {
         fenced = r.epoch();
       }
     }
-    ports.count("job.fenced");
+    context.count("job.fenced");
   }
 
   // ---- machines ------------------------------------------------------------------------------
@@ -930,61 +930,61 @@
   /** What becomes of the tasks of a machine that goes. */
   private final class TasksOfMachines implements MachineRegistry.Tasks {
     @Override
-    public void lost(LiveTask task) {
+    public void lost(TaskAttempt task) {
       lose(task);
     }
 
     @Override
     public void supersede(Machine machine) {
-      unpark(machine);
+      supersedeDeferredAnswer(machine);
     }
   }
 
-  public MachineRegistry custody() {
-    return custody;
+  public MachineRegistry machineRegistry() {
+    return machineRegistry;
   }
 
   /** The attempt is surely off its machine, without a result. */
-  private void lose(LiveTask t) {
+  private void lose(TaskAttempt t) {
     Job j = t.job;
     detach(t);
-    j.touch(Urgency.LATER, ports.now());
+    j.touch(WriteUrgency.LATER, context.now());
   }
 
   /** Takes a worker's report in and answers it, now or after the next commit. */
   public void report(long reply, WorkerHeartbeat r, boolean commands) {
-    MonotonicTime now = ports.now();
-    Machine h = custody.machine(r.host());
-    custody.describe(h, new MachineInfo(r.host(), r.type(), r.zone(), r.spot()));
-    int cmp = r.tenure().compareTo(h.tenure);
-    boolean late = cmp < 0 || (cmp == 0 && r.serial() <= h.serial);
+    MonotonicTime now = context.now();
+    Machine h = machineRegistry.machine(r.host());
+    machineRegistry.describe(h, new MachineInfo(r.host(), r.type(), r.zone(), r.spot()));
+    int cmp = r.incarnation().compareTo(h.incarnation);
+    boolean late = cmp < 0 || (cmp == 0 && r.sequence() <= h.sequence);
     // Of a session whose tasks were given up as surely gone, a report can only be late.
-    if (late || r.tenure().compareTo(h.deadTenure) <= 0 || r.token().epoch().above(epoch)) {
-      ports.count("report.late");
-      ports.reply(reply, 503, Json.error("not entitled, or the report is late"));
+    if (late || r.incarnation().compareTo(h.endedIncarnation) <= 0 || r.token().epoch().above(epoch)) {
+      context.count("report.late");
+      context.reply(reply, 503, Json.error("not entitled, or the report is late"));
       return;
     }
     h.address = r.address();
     if (r.token().epoch().compareTo(MachineRegistry.required(h, firstEpoch)) < 0) {
       // The worker has not seen our epoch, or this is a copy of a report from before it did, which
       // may come a lease late. It gets the token; its next report shows it, and only that counts.
-      ports.count("report.unconfirmed");
-      h.tenure = r.tenure();
-      h.serial = r.serial();
+      context.count("report.unconfirmed");
+      h.incarnation = r.incarnation();
+      h.sequence = r.sequence();
       h.answered = true;
       // Copy or not: a session of this number has begun, so those before it have ended.
-      custody.loseOlder(h);
-      ports.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      machineRegistry.loseOlder(h);
+      context.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
       return;
     }
     // Answers to what went straight to it are numbered with its reports.
     boolean stayed =
         cmp == 0
-            && r.serial() <= h.serial + 1 + h.directAnswered + h.directOut
+            && r.sequence() <= h.sequence + 1 + h.directAnswered + h.directOut
             && h.answered
-            && h.parked < 0;
+            && h.deferredAnswer < 0;
     h.directAnswered = 0;
-    unpark(h);
+    supersedeDeferredAnswer(h);
     if (cmp > 0) {
       h.newSession();
     }
@@ -995,14 +995,14 @@
       h.idleSince = now;
     }
     h.confirmed = true;
-    h.tenure = r.tenure();
-    h.serial = r.serial();
+    h.incarnation = r.incarnation();
+    h.sequence = r.sequence();
     h.answered = true;
     if (stage != Stage.READY) {
-      ports.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      context.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
       return;
     }
-    h.noticed = r.noticed();
+    h.preemptionNoticed = r.preemptionNoticed();
     boolean freed = takeIn(h, r);
     hearing(h, stayed);
     h.report = r;
@@ -1011,18 +1011,18 @@
       h.idleSince = now;
     }
     if (!commands) {
-      ports.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      context.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
       return;
     }
-    if ((freed || awaitsCommit(h)) && ports.tuning.parkMs() > 0) {
+    if ((freed || awaitsCommit(h)) && context.tuning.parkMs() > 0) {
       // What has just come free can be used again in this very answer, once that is written; and
       // what is being written for this machine need not wait for its next report.
-      h.parked = reply;
-      h.parkedUntil = now.plus(ports.tuning.parkMs());
-      parked.add(h);
+      h.deferredAnswer = reply;
+      h.deferredUntil = now.plus(context.tuning.parkMs());
+      deferredAnswer.add(h);
       kicked = true;
     } else {
-      ports.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), orders(h, false)));
+      context.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), orders(h, false)));
     }
   }
 
@@ -1044,10 +1044,10 @@
   }
 
   private void stopUnlisted(Machine h, Set<TaskAttemptId> listed, List<WorkerCommand> orders) {
-    for (LiveTask l : h.live) {
-      if (l.job.aborted
+    for (TaskAttempt l : h.live) {
+      if (l.job.cancelled
           && l.committed()
-          && l.tenure.equals(h.tenure)
+          && l.incarnation.equals(h.incarnation)
           && !listed.contains(l.run())
           && (!h.confirmed || h.mayStart(l.run()))) {
         orders.add(new Stop(l.run(), 0));
@@ -1056,7 +1056,7 @@
   }
 
   private static boolean awaitsCommit(Machine h) {
-    for (LiveTask l : h.live) {
+    for (TaskAttempt l : h.live) {
       if (!l.committed()) {
         return true;
       }
@@ -1071,43 +1071,43 @@
    */
   private void hearing(Machine h, boolean stayed) {
     boolean followed = stayed;
-    for (LiveTask l : h.live) {
+    for (TaskAttempt l : h.live) {
       if (l.ordered) {
         followed &= l.seen;
         l.ordered = false;
       }
     }
     if (followed) {
-      if (h.deaf && h.unheeded > 1) {
-        ports.info("machine %s: gets our answers again", h.name);
+      if (h.unresponsive && h.missedAnswers > 1) {
+        context.info("machine %s: gets our answers again", h.name);
       }
-      h.deaf = false;
-      h.unheeded = 0;
+      h.unresponsive = false;
+      h.missedAnswers = 0;
       return;
     }
-    if (!h.deaf) {
-      h.deaf = true;
-      h.deafFrom = ports.now();
+    if (!h.unresponsive) {
+      h.unresponsive = true;
+      h.unresponsiveSince = context.now();
     }
-    if (++h.unheeded == 2) {
-      ports.info("machine %s: reports, but does not get our answers", h.name);
-      ports.count("machine.deaf");
+    if (++h.missedAnswers == 2) {
+      context.info("machine %s: reports, but does not get our answers", h.name);
+      context.count("machine.deaf");
     }
   }
 
   /** Answers what waited for a commit: because it has come, or because it takes too long. */
-  private void answerParked(boolean all) {
-    if (parked.isEmpty()) {
+  private void answerDeferred(boolean all) {
+    if (deferredAnswer.isEmpty()) {
       return;
     }
-    for (Machine h : new ArrayList<>(parked)) {
+    for (Machine h : new ArrayList<>(deferredAnswer)) {
       boolean settled = settled(h);
-      if (all || !ports.now().before(h.parkedUntil) || settled) {
-        ports.count(settled ? "report.parked.settled" : "report.parked.expired");
-        parked.remove(h);
-        long reply = h.parked;
-        h.parked = -1;
-        ports.reply(
+      if (all || !context.now().before(h.deferredUntil) || settled) {
+        context.count(settled ? "report.parked.settled" : "report.parked.expired");
+        deferredAnswer.remove(h);
+        long reply = h.deferredAnswer;
+        h.deferredAnswer = -1;
+        context.reply(
             reply,
             200,
             WorkerMessages.answer(
@@ -1134,11 +1134,11 @@
     return true;
   }
 
-  private void unpark(Machine h) {
-    if (h.parked >= 0) {
-      parked.remove(h);
-      ports.reply(h.parked, 503, Json.error("superseded by a later report"));
-      h.parked = -1;
+  private void supersedeDeferredAnswer(Machine h) {
+    if (h.deferredAnswer >= 0) {
+      deferredAnswer.remove(h);
+      context.reply(h.deferredAnswer, 503, Json.error("superseded by a later report"));
+      h.deferredAnswer = -1;
       h.answered = false;
     }
   }
@@ -1146,41 +1146,41 @@
   /** What a report says goes into the picture; true if it frees anything. */
   private boolean takeIn(Machine h, WorkerHeartbeat r) {
     boolean freed = false;
-    h.clearGhosts();
+    h.clearUnrecordedTasks();
     h.listedTasks = 0;
-    Set<LiveTask> unlisted = new LinkedHashSet<>(h.live);
+    Set<TaskAttempt> unlisted = new LinkedHashSet<>(h.live);
     for (TaskStatus t : r.tasks()) {
       JobId id = t.run().job();
       Job j = jobs.get(id);
-      LiveTask l = j == null ? null : j.live.get(t.run().index());
+      TaskAttempt l = j == null ? null : j.live.get(t.run().index());
       if (t.state() != TaskState.EXITED) {
         h.listedTasks++;
       }
       if (l != null
           && l.host == h
           && l.attempt.equals(t.run().attempt())
-          && l.tenure.equals(r.tenure())) {
+          && l.incarnation.equals(r.incarnation())) {
         unlisted.remove(l);
         freed |= t.state() == TaskState.EXITED;
         running(h, l, t);
       } else if (t.state() != TaskState.EXITED && j != null && t.run().index() < j.spec.tasks()) {
         // An attempt that no record of ours names: nothing of that task starts elsewhere meanwhile.
-        h.addGhost(j, t.run().index());
+        h.addUnrecordedTask(j, t.run().index());
       }
     }
-    for (LiveTask l : unlisted) {
-      if (l.tenure.compareTo(r.tenure()) < 0) {
+    for (TaskAttempt l : unlisted) {
+      if (l.incarnation.compareTo(r.incarnation()) < 0) {
         lose(l);
         freed = true;
       } else if (!l.committed() || !l.job.claimed) {
         continue;
       } else if (l.seen) {
         // It left the list without a reap of ours: only a new session does that.
-        ports.error("machine %s: %s vanished", h.name, l.run());
+        context.error("machine %s: %s vanished", h.name, l.run());
         lose(l);
       } else if (h.confirmed
           && !h.mayStart(l.run())
-          && (l.job.aborted || l.revoked || h.noticed || h.retiring || h.deaf)) {
+          && (l.job.cancelled || l.revoked || h.preemptionNoticed || h.retiring || h.unresponsive)) {
         // The worker executes what an answer says or drops it whole, and this report is younger
         // than all earlier answers: what it does not list was never started and never will be.
         lose(l);
@@ -1193,11 +1193,11 @@
   /** What the worker is told, from its last report and what is committed by now. */
   List<WorkerCommand> orders(Machine h, boolean direct) {
     List<WorkerCommand> orders = new ArrayList<>();
-    Set<LiveTask> listed = new HashSet<>();
+    Set<TaskAttempt> listed = new HashSet<>();
     for (TaskStatus t : h.report.tasks()) {
       JobId id = t.run().job();
       Job j = jobs.get(id);
-      if (latched.contains(id) || (j != null && !j.claimed && j.epoch.value() > 0)) {
+      if (relinquishedJobs.contains(id) || (j != null && !j.claimed && j.epoch.value() > 0)) {
         // Not ours, or not yet: nothing is commanded for it, but that a cancelled one ends.
         if (t.state() != TaskState.EXITED && cancelled(id)) {
           orders.add(new Stop(t.run(), 0));
@@ -1207,18 +1207,18 @@
         }
         continue;
       }
-      LiveTask l = j == null ? null : j.live.get(t.run().index());
+      TaskAttempt l = j == null ? null : j.live.get(t.run().index());
       if (l != null && l.host == h && l.attempt.equals(t.run().attempt())) {
         listed.add(l);
         stop(h, l, t, orders);
       } else if (j == null
           && (t.state() == TaskState.EXITED || !cancelled(id))
-          && !custody.mayClear(h, t.run())) {
+          && !machineRegistry.mayClear(h, t.run())) {
         // Its own shard's owner may not have taken its result yet.
-        ports.count("foreign.kept");
+        context.count("foreign.kept");
       } else if (t.state() != TaskState.EXITED) {
         orders.add(new Stop(t.run(), 0));
-        ports.info("machine %s: unexpected %s stopped", h.name, t.run());
+        context.info("machine %s: unexpected %s stopped", h.name, t.run());
       } else {
         Long recorded = j == null ? null : j.exits.get(t.run());
         if ((recorded == null || recorded <= j.committedSeq) && !direct && !h.mayStart(t.run())) {
@@ -1231,44 +1231,44 @@
     Set<TaskAttemptId> reported = new HashSet<>();
     h.report.tasks().forEach(t -> reported.add(t.run()));
     stopUnlisted(h, reported, orders);
-    for (LiveTask l : h.live) {
+    for (TaskAttempt l : h.live) {
       if (!l.seen
           && !listed.contains(l)
           && l.committed()
           && l.job.claimed
-          && l.tenure.equals(h.tenure)
-          && !l.job.aborted
+          && l.incarnation.equals(h.incarnation)
+          && !l.job.cancelled
           && !l.revoked
-          && !h.noticed
-          && !h.deaf
+          && !h.preemptionNoticed
+          && !h.unresponsive
           && !h.retiring) {
         orders.add(new Start(l.run()));
         l.ordered |= !direct;
         if (!l.commanded) {
           l.commanded = true;
-          ports.count("task.commanded");
-          ports.count("task.commanded.ms", ports.now().since(l.placedAt));
+          context.count("task.commanded");
+          context.count("task.commanded.ms", context.now().since(l.placedAt));
         }
       }
     }
     return orders;
   }
 
-  private void stop(Machine h, LiveTask l, TaskStatus t, List<WorkerCommand> orders) {
+  private void stop(Machine h, TaskAttempt l, TaskStatus t, List<WorkerCommand> orders) {
     Job j = l.job;
-    if (j.aborted) {
+    if (j.cancelled) {
       orders.add(new Stop(l.run(), 0));
     } else if (t.state() == TaskState.FLUSHING) {
       return;
     } else if (l.revoked || h.retiring) {
       orders.add(new Stop(l.run(), j.spec.saveS() + 1));
-    } else if (h.noticed && j.spec.checkpointS() > 0) {
+    } else if (h.preemptionNoticed && j.spec.checkpointS() > 0) {
       orders.add(new Stop(l.run(), Math.max(j.spec.saveS(), h.report.noticeS())));
     }
   }
 
-  private void running(Machine h, LiveTask l, TaskStatus t) {
-    MonotonicTime now = ports.now();
+  private void running(Machine h, TaskAttempt l, TaskStatus t) {
+    MonotonicTime now = context.now();
     Job j = l.job;
     l.seen = true;
     l.state = t.state();
@@ -1277,8 +1277,8 @@
       case RUNNING -> {
         if (l.runningSince == null) {
           l.runningSince = now;
-          ports.count("task.running");
-          ports.count("task.running.ms", now.since(l.placedAt));
+          context.count("task.running");
+          context.count("task.running.ms", now.since(l.placedAt));
         }
         h.holds(j.spec);
       }
@@ -1290,8 +1290,8 @@
     }
   }
 
-  private void exited(Machine h, LiveTask l, TaskStatus t) {
-    MonotonicTime now = ports.now();
+  private void exited(Machine h, TaskAttempt l, TaskStatus t) {
+    MonotonicTime now = context.now();
     Job j = l.job;
     switch (t.why()) {
       case DONE -> {
@@ -1311,18 +1311,18 @@
     }
     // The write in flight does not hold this exit; the one after it will.
     j.exits.put(t.run(), j.seq + 1);
-    j.touch(Urgency.LATER, now);
+    j.touch(WriteUrgency.LATER, now);
   }
 
   /** Tells faulty machines from faulty jobs: a job that fails on many machines is at fault. */
   private void failed(Machine h, Job j, ExitReason why) {
-    MonotonicTime now = ports.now();
-    ports.count("task.failed");
+    MonotonicTime now = context.now();
+    context.count("task.failed");
     j.failedOn.add(h.name);
     if (j.failedOn.size() > 2 || why == ExitReason.UNKNOWN) {
       j.backoff = Math.min(j.backoff + 1, 6);
       j.placeAfter = now.plus(1000L << j.backoff);
-      ports.info("job %s: fails on %d machines, held back", j.id(), j.failedOn.size());
+      context.info("job %s: fails on %d machines, held back", j.id(), j.failedOn.size());
       return;
     }
     j.placeAfter = now.plus(300);
@@ -1330,8 +1330,8 @@
     if (h.errors >= 2 && h.quarantinedUntil.before(now)) {
       h.quarantines++;
       h.quarantinedUntil = now.plus(30_000L << Math.min(h.quarantines - 1, 4));
-      ports.info("machine %s: fails what it starts, set aside", h.name);
-      ports.count("machine.quarantined");
+      context.info("machine %s: fails what it starts, set aside", h.name);
+      context.count("machine.quarantined");
     }
   }
 
@@ -1343,13 +1343,13 @@
   }
 
   private boolean sound(Machine h) {
-    MonotonicTime now = ports.now();
-    return h.lent
+    MonotonicTime now = context.now();
+    return h.assigned
         && h.type() != null
         && liveness.fresh(h)
-        && !h.recall
-        && !h.noticed
-        && !h.deaf
+        && !h.handoverRequested
+        && !h.preemptionNoticed
+        && !h.unresponsive
         && !h.retiring
         && h.quarantinedUntil.before(now)
         && h.noRoomUntil.before(now);
@@ -1357,7 +1357,7 @@
 
   private List<Job> waiting() {
     List<Job> l = new ArrayList<>();
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     for (Job j : jobs.values()) {
       if (j.queued() > 0
           && !j.inFlight
@@ -1380,7 +1380,7 @@
     double soonS = 0;
     double fetch = 0;
     for (Machine h : hosts.values()) {
-      if (h.type() == null || !h.lent || h.retiring || h.noticed) {
+      if (h.type() == null || !h.assigned || h.retiring || h.preemptionNoticed) {
         continue;
       }
       if (h.reported()) {
@@ -1388,7 +1388,7 @@
         fetch += h.type().cpus() * h.type().fetchGbPerS();
       } else {
         soon += h.type().cpus();
-        double left = h.type().bootS() - ports.now().since(h.lentSince) / 1000.0;
+        double left = h.type().bootS() - context.now().since(h.assignedSince) / 1000.0;
         soonS += h.type().cpus() * Math.max(1, left);
       }
     }
@@ -1403,15 +1403,15 @@
   }
 
   private void place(Input.RoundBudget budget) {
-    ports.count("round.looks", jobs.size());
+    context.count("round.looks", jobs.size());
     List<Job> waiting = waiting();
     if (waiting.isEmpty()) {
       return;
     }
     List<Machine> room = new ArrayList<>();
     List<Machine> reserve = new ArrayList<>();
-    ports.count("round.looks", custody.withRoom().size());
-    for (Machine h : custody.withRoom()) {
+    context.count("round.looks", machineRegistry.withRoom().size());
+    for (Machine h : machineRegistry.withRoom()) {
       if (sound(h)) {
         (h.draining ? reserve : room).add(h);
       }
@@ -1488,7 +1488,7 @@
     for (int i = 0; i < held.length; i++) {
       if (before.get(i).live.size() > held[i]) {
         before.get(i).draining = false;
-        ports.count("machine.taken_back");
+        context.count("machine.taken_back");
       }
     }
   }
@@ -1507,7 +1507,7 @@
 
   private void place(Job j, List<Machine> room) {
     int wanted = quotas.headroom(j.spec.team()).queuedTasksThatFit(j);
-    if (SchedulingQueue.overdue(j, ports.wallMs())) {
+    if (SchedulingQueue.overdue(j, context.wallMs())) {
       wanted = Math.min(wanted, 1 + j.spec.tasks() / SchedulingQueue.BEGIN_SHARE);
     }
     if (j.backoff > 0) {
@@ -1515,7 +1515,7 @@
     }
     Map<String, Integer> perZone = new HashMap<>();
     String zone = null;
-    for (LiveTask t : j.live.values()) {
+    for (TaskAttempt t : j.live.values()) {
       String z = t.host.info == null ? "" : t.host.info.zone();
       perZone.merge(z, 1, Integer::sum);
       zone = z;
@@ -1543,9 +1543,9 @@
               wanted,
               candidates,
               zone,
-              new BinPacking.Clock(ports.now(), ports.config.workers().reportS()),
-              ports.tuning.sampleSize(),
-              ports.random());
+              new BinPacking.Clock(context.now(), context.config.workers().reportS()),
+              context.tuning.sampleSize(),
+              context.random());
       if (h == null) {
         break;
       }
@@ -1559,19 +1559,19 @@
           continue;
         }
       }
-      AttemptNumber attempt = new AttemptNumber(j.tries + 1);
+      AttemptNumber attempt = new AttemptNumber(j.attemptCount + 1);
       for (int k = 0; k < n; k++) {
         index = j.nextQueued(index);
         if (index < 0) {
           n = k;
           break;
         }
-        attach(new LiveTask(j, index, h, h.tenure, attempt, j.seq + 1, ports.now()));
+        attach(new TaskAttempt(j, index, h, h.incarnation, attempt, j.seq + 1, context.now()));
       }
       if (n == 0) {
         break;
       }
-      j.tries++;
+      j.attemptCount++;
       j.rangesLeft--;
       placed = true;
       wanted -= n;
@@ -1590,47 +1590,47 @@
       placed |= preemption.makeRoom(j, wanted, index, zone);
     }
     if (placed) {
-      j.touch(Urgency.NOW, ports.now());
+      j.touch(WriteUrgency.NOW, context.now());
     }
   }
 
   // ---- for users -------------------------------------------------------------------------------
 
   /** Tells where a job stands, if this owner can. */
-  public void ask(JobId id, StatusQueries.OnStanding then) {
+  public void ask(JobId id, StatusQueries.StatusCallback then) {
     statusQueries.ask(id, ready() && valid(), then);
   }
 
   // ---- for the leader ------------------------------------------------------------------------
 
-  public ShardReport beat() {
+  public ShardReport heartbeat() {
     List<MachineName> retire = new ArrayList<>();
     List<MachineName> spare = new ArrayList<>();
     List<MachineHandover> back = List.of();
     if (ready() && valid()) {
       autoscaler.review(retire);
-      back = custody.handedBack(liveness);
+      back = machineRegistry.handovers(liveness);
       for (Machine h : hosts.values()) {
-        if (!h.recall
+        if (!h.handoverRequested
             && (usable(h) || h.draining)
             && h.empty()
-            && ports.now().since(h.idleSince) > SPARE_MS) {
+            && context.now().since(h.idleSince) > SPARE_MS) {
           spare.add(h.name);
         }
       }
     }
     boolean queued = !ready() || jobs.values().stream().anyMatch(j -> j.queued() > 0);
     return new ShardReport(
-        part,
+        shard,
         epoch,
         fenced,
         queued,
         liveness.hearing(),
-        autoscaler.wants(),
+        autoscaler.capacityRequests(),
         retire,
         spare,
         back,
-        custody.misplaced(),
+        machineRegistry.misplaced(),
         references != null,
         demands == null ? null : demands.now());
   }
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -28,11 +28,11 @@
   private static final int COMPARE_MS = 1000;
 
   /** Takes what the store holds of a job now; null if this owner can't tell. */
-  public interface OnStanding {
-    void told(JobStatus standing);
+  public interface StatusCallback {
+    void told(JobStatus jobStatus);
   }
 
-  private final StepContext ports;
+  private final StepContext context;
   private final Map<JobId, Job> jobs;
   private final DependencyGraph dependencies;
 
@@ -40,20 +40,20 @@
   private final Cache<JobId, JobStatus> ended =
       Caffeine.newBuilder().maximumSize(2000).executor(Runnable::run).build();
 
-  private final Map<JobId, List<OnStanding>> asked = new LinkedHashMap<>();
+  private final Map<JobId, List<StatusCallback>> asked = new LinkedHashMap<>();
   private boolean asking;
 
-  StatusQueries(StepContext ports, Map<JobId, Job> jobs, DependencyGraph dependencies) {
-    this.ports = ports;
+  StatusQueries(StepContext context, Map<JobId, Job> jobs, DependencyGraph dependencies) {
+    this.context = context;
     this.dependencies = dependencies;
     this.jobs = jobs;
   }
 
-  void ended(JobId id, JobStatus standing) {
-    ended.put(id, standing);
+  void ended(JobId id, JobStatus jobStatus) {
+    ended.put(id, jobStatus);
   }
 
-  void ask(JobId id, boolean owner, OnStanding then) {
+  void ask(JobId id, boolean owner, StatusCallback then) {
     JobStatus end = ended.getIfPresent(id);
     if (end != null) {
       then.told(end);
@@ -75,8 +75,8 @@
     if (asked.isEmpty() || asking) {
       return;
     }
-    Map<JobId, List<OnStanding>> batch = new LinkedHashMap<>();
-    int max = ports.config.state().txnOps() * 4;
+    Map<JobId, List<StatusCallback>> batch = new LinkedHashMap<>();
+    int max = context.config.state().txnOps() * 4;
     for (var i = asked.entrySet().iterator(); i.hasNext() && batch.size() < max; ) {
       var e = i.next();
       batch.put(e.getKey(), e.getValue());
@@ -85,15 +85,15 @@
     compare(batch, 2);
   }
 
-  private void compare(Map<JobId, List<OnStanding>> batch, int tries) {
-    StoreMessages.Txn txn = new StoreMessages.Txn();
+  private void compare(Map<JobId, List<StatusCallback>> batch, int attemptCount) {
+    StoreMessages.Transaction transaction = new StoreMessages.Transaction();
     Map<JobId, JobStatus> sent = new HashMap<>();
     Map<JobId, Set<String>> keys = new HashMap<>();
     Set<String> guarded = new HashSet<>();
-    int max = ports.config.state().txnOps() * 4;
+    int max = context.config.state().txnOps() * 4;
     for (JobId id : new ArrayList<>(batch.keySet())) {
       Job j = jobs.get(id);
-      if (j == null || j.standing == null) {
+      if (j == null || j.jobStatus == null) {
         batch.remove(id).forEach(t -> t.told(ended.getIfPresent(id)));
         continue;
       }
@@ -110,31 +110,31 @@
         String key = JobRecord.liveKey(one.id());
         mine.add(key);
         if (guarded.add(key)) {
-          txn.guard(key, one.stamp);
+          transaction.guard(key, one.revision);
         }
       }
       keys.put(id, mine);
-      sent.put(id, j.aborted && j.standing.phase() != JobState.WITHDRAWN ? null : j.standing);
+      sent.put(id, j.cancelled && j.jobStatus.phase() != JobState.CANCELLED ? null : j.jobStatus);
     }
     if (batch.isEmpty()) {
       return;
     }
     asking = true;
-    ports.state(
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         COMPARE_MS,
         (status, body) -> {
           asking = false;
           Set<String> failed = status == 409 ? StoreMessages.failed(body) : Set.of();
-          Map<JobId, List<OnStanding>> again = new LinkedHashMap<>();
+          Map<JobId, List<StatusCallback>> again = new LinkedHashMap<>();
           batch.forEach(
               (id, l) -> {
                 if (status == 200) {
                   l.forEach(t -> t.told(sent.get(id)));
                 } else if (status == 409
-                    && tries > 1
+                    && attemptCount > 1
                     && !failed.isEmpty()
                     && Collections.disjoint(failed, keys.get(id))) {
                   // Whether a refusal names all that differ is not said: what it does not name
@@ -145,7 +145,7 @@
                 }
               });
           if (!again.isEmpty()) {
-            compare(again, tries - 1);
+            compare(again, attemptCount - 1);
           }
         });
   }
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.LiveTask;
+import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.coordination.step.StepContext;
@@ -13,7 +13,7 @@
   private UtilizationGauges() {}
 
   static void tell(
-      StepContext ports, Collection<Machine> hosts, Collection<Job> jobs, WorkerLiveness liveness) {
+      StepContext context, Collection<Machine> hosts, Collection<Job> jobs, WorkerLiveness liveness) {
     double there = 0;
     double commanded = 0;
     double pulling = 0;
@@ -25,7 +25,7 @@
       }
       there += h.type().cpus();
       taken += h.usedCpus();
-      for (LiveTask t : h.live) {
+      for (TaskAttempt t : h.live) {
         double cpus = t.job.spec.cpus();
         if (t.state == null) {
           commanded += cpus;
@@ -40,11 +40,11 @@
     for (Job j : jobs) {
       waiting += j.queued() * j.spec.cpus();
     }
-    ports.gauge("cpus.heard", there);
-    ports.gauge("cpus.taken", taken);
-    ports.gauge("cpus.commanded", commanded);
-    ports.gauge("cpus.pulling", pulling);
-    ports.gauge("cpus.running", running);
-    ports.gauge("cpus.waited_for", waiting);
+    context.gauge("cpus.heard", there);
+    context.gauge("cpus.taken", taken);
+    context.gauge("cpus.commanded", commanded);
+    context.gauge("cpus.pulling", pulling);
+    context.gauge("cpus.running", running);
+    context.gauge("cpus.waited_for", waiting);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.Urgency;
+import shorecrank.coordination.model.Job.WriteUrgency;
 import shorecrank.coordination.shard.ShardOwner.Write;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.Epoch;
@@ -49,15 +49,15 @@
     void replaced(Job job, JobRecord record, Revision revision);
   }
 
-  private final StepContext ports;
+  private final StepContext context;
   private final MachineReferences references;
   private final Jobs jobs;
 
   /**
    * @param references machines that records may name; null where that is not kept track of
    */
-  WriteOutcomeResolver(StepContext ports, MachineReferences references, Jobs jobs) {
-    this.ports = ports;
+  WriteOutcomeResolver(StepContext context, MachineReferences references, Jobs jobs) {
+    this.context = context;
     this.references = references;
     this.jobs = jobs;
   }
@@ -81,7 +81,7 @@
 
   /** Something newer than what we know was seen, and no write of ours is out that explains it. */
   void lookAgain(Job j) {
-    if (j.seenStamp.after(j.stamp) && !j.inFlight) {
+    if (j.seenRevision.after(j.revision) && !j.inFlight) {
       reread(j);
     }
   }
@@ -92,7 +92,7 @@
       return;
     }
     j.rereading = true;
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.liveKey(j.id())),
         null,
@@ -107,7 +107,7 @@
           } else if (status == 404) {
             lookAtEnd(j);
           } else {
-            tryLater(j, RETRY_MS + ports.random().nextInt(RETRY_MS));
+            tryLater(j, RETRY_MS + context.random().nextInt(RETRY_MS));
           }
         });
   }
@@ -125,8 +125,8 @@
   }
 
   private void tryLater(Job j, int afterMs) {
-    j.writeAfter = ports.now().plus(afterMs);
-    j.touch(Urgency.NOW, ports.now());
+    j.writeAfter = context.now().plus(afterMs);
+    j.touch(WriteUrgency.NOW, context.now());
   }
 
   /**
@@ -135,7 +135,7 @@
    */
   private void lookAtEnd(Job j) {
     j.rereading = true;
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.finalKey(j.id())),
         null,
@@ -152,7 +152,7 @@
               references.removed(j.id());
             }
             jobs.ended(j, end.phase());
-            ports.info("job %s: over, as its final record has it", j.id());
+            context.info("job %s: over, as its final record has it", j.id());
           } else if (status == 404) {
             jobs.refused(j, null);
           } else {
@@ -162,12 +162,12 @@
   }
 
   private void reconcile(Job j, JobRecord r, Revision revision) {
-    boolean another = r.epoch().equals(jobs.epoch()) && !r.writer().equals(ports.writer);
+    boolean another = r.epoch().equals(jobs.epoch()) && !r.writer().equals(context.writer);
     if (r.epoch().above(jobs.epoch()) || another) {
       jobs.refused(j, r);
       return;
     }
-    boolean ours = j.wrote(r, ports.writer);
+    boolean ours = j.wrote(r, context.writer);
     if (references != null) {
       boolean othersMayWrite = !ours && (r.epoch().value() > 0 || j.claimFirst);
       references.read(j.id(), revision, MachineReferences.machinesOf(r), othersMayWrite);
@@ -183,18 +183,18 @@
       // Nobody has claimed it: only a request to cancel changes such a record.
       unchangedButMark(j, r, revision);
     } else {
-      ports.info(
+      context.info(
           "job %s: record of epoch %s found below ours %s, taken in",
           j.id(), r.epoch(), jobs.epoch());
       jobs.replaced(j, r, revision);
     }
-    j.touch(Urgency.NOW, ports.now());
+    j.touch(WriteUrgency.NOW, context.now());
   }
 
   private void unchangedButMark(Job j, JobRecord r, Revision revision) {
-    j.stamp = revision;
-    j.standing = r.standing();
-    if (r.aborted() && !j.aborted) {
+    j.revision = revision;
+    j.jobStatus = r.jobStatus();
+    if (r.cancelled() && !j.cancelled) {
       jobs.cancelled(j);
     }
   }
--- a/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
+++ b/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
@@ -22,9 +22,9 @@
   private ClassArchiveTraining() {}
 
   static void run() throws Exception {
-    int[] ports = start(TRIES);
-    int pub = ports[0];
-    int peer = ports[1];
+    int[] context = start(TRIES);
+    int pub = context[0];
+    int peer = context[1];
     HttpClient client = HttpClient.newHttpClient();
     String job =
         """
@@ -39,7 +39,7 @@
          "serial":1,"epoch":0,"reclaimInS":null,
          "pieces":[{"piece":"wk-1/0","try":1,"phase":"exited","cause":"done"}]}
         """;
-    String beat =
+    String heartbeat =
         """
         {"from":"b","writer":"w","stateOk":true,"ver":0,"parts":[],"seen":[]}
         """;
@@ -49,13 +49,13 @@
       send(client, pub, "/api/jobs/wk-1", null);
       send(client, pub, "/api/jobs/wk-1/abort", "{}");
       send(client, pub, "/v1/report", report);
-      send(client, peer, "/peer/beat", beat);
+      send(client, peer, "/peer/beat", heartbeat);
       Thread.sleep(200);
     }
   }
 
-  /** Starts a controller on two free ports, on others if somebody was quicker. */
-  private static int[] start(int tries) throws Exception {
+  /** Starts a controller on two free context, on others if somebody was quicker. */
+  private static int[] start(int attemptCount) throws Exception {
     int pub = freePort();
     int peer = freePort();
     String text =
@@ -71,10 +71,10 @@
       new ControllerProcess(config, SettingsFile.defaults(), null, null, "rehearsal").start();
       return new int[] {pub, peer};
     } catch (Exception e) {
-      if (tries <= 1) {
+      if (attemptCount <= 1) {
         throw e;
       }
-      return start(tries - 1);
+      return start(attemptCount - 1);
     }
   }
 
--- a/src/main/java/shorecrank/daemon/Main.java
+++ b/src/main/java/shorecrank/daemon/Main.java
@@ -149,7 +149,7 @@
       if (sharesFile != null) {
         reading = sharesFile;
         shares = ShareSettings.read(Files.readString(sharesFile));
-        shares.check(config, tuning.parts());
+        shares.check(config, tuning.shards());
       }
     } catch (NodeConfig.Invalid e) {
       return complain(reading + ": " + e.getMessage());
--- a/src/main/java/shorecrank/leadership/Leadership.java
+++ b/src/main/java/shorecrank/leadership/Leadership.java
@@ -2,7 +2,7 @@
 
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
  * What a state machine of the leader needs of the election: its term, and the keys that show it.
@@ -15,10 +15,10 @@
   Revision term();
 
   /** Makes a transaction fail unless this process still leads under the term. */
-  void guard(Txn transaction);
+  void guard(Transaction transaction);
 
   /** Adds what has to change in the leader's keys together with the level in force. */
-  void addLevelSwitch(Txn transaction, FeatureLevel to);
+  void addLevelSwitch(Transaction transaction, FeatureLevel to);
 
   /** Such a transaction was carried out, at that revision. */
   void levelSwitched(FeatureLevel to, Revision revision);
--- a/src/main/java/shorecrank/protocol/Ids.java
+++ b/src/main/java/shorecrank/protocol/Ids.java
@@ -56,8 +56,8 @@
   /** A share of the teams, served by one owner at a time. */
   public record ShardId(int value) implements Comparable<ShardId> {
     /** The same on every controller and in every Java release: String.hashCode is specified. */
-    public static ShardId of(String team, int parts) {
-      return new ShardId(Math.floorMod(team.hashCode() * 0x9E3779B1, parts));
+    public static ShardId of(String team, int shards) {
+      return new ShardId(Math.floorMod(team.hashCode() * 0x9E3779B1, shards));
     }
 
     @Override
--- a/src/main/java/shorecrank/protocol/PeerMessages.java
+++ b/src/main/java/shorecrank/protocol/PeerMessages.java
@@ -29,8 +29,8 @@
 public final class PeerMessages {
   private PeerMessages() {}
 
-  public static final String BEAT = "/peer/beat";
-  public static final String NUDGE = "/peer/nudge";
+  public static final String HEARTBEAT = "/peer/beat";
+  public static final String HEARTBEAT_NOW = "/peer/nudge";
   public static final String ASK = "/peer/ask";
   public static final String RELAY = "/peer/relay";
 
@@ -58,7 +58,7 @@
   public record CapacityRequest(Offer offer, int count) {}
 
   /** Of the machines that an owner should hear, how many it does not, and where they are most. */
-  public record WorkerReachability(int expected, int unheard, List<String> deafTo) {}
+  public record WorkerReachability(int expected, int unheard, List<String> unreachableZones) {}
 
   /**
    * A machine that its owner has emptied on an order.
@@ -75,22 +75,22 @@
    * @param demand what the shard needs and could give up; null where shares are not enabled
    */
   public record ShardReport(
-      ShardId part,
+      ShardId shard,
       Epoch epoch,
       Epoch fenced,
       boolean queued,
       WorkerReachability hearing,
-      List<CapacityRequest> wants,
+      List<CapacityRequest> capacityRequests,
       List<MachineName> retire,
       List<MachineName> spare,
-      List<MachineHandover> handedBack,
+      List<MachineHandover> handovers,
       List<MachineName> misplaced,
       boolean repeatsMoves,
       ShardDemand demand) {
     /** Of an owner that can't take the part under its present epoch. */
-    public static ShardReport refused(ShardId part, Epoch epoch) {
+    public static ShardReport refused(ShardId shard, Epoch epoch) {
       return new ShardReport(
-          part,
+          shard,
           epoch,
           epoch,
           true,
@@ -106,7 +106,7 @@
   }
 
   /**
-   * {@code strays} counts, by part, workers that lately came here and were sent to its owner.
+   * {@code misroutedWorkers} counts, by part, workers that lately came here and were sent to its owner.
    *
    * @param announcement what the sender supports; null if it says nothing
    */
@@ -114,30 +114,30 @@
       ControllerName from,
       WriterId writer,
       boolean stateOk,
-      long lendVersion,
-      List<ShardReport> parts,
+      long assignmentVersion,
+      List<ShardReport> shards,
       List<MachineInfo> seen,
-      Map<ShardId, Integer> strays,
+      Map<ShardId, Integer> misroutedWorkers,
       Announcement announcement) {}
 
-  public record Lease(ShardId part, Epoch epoch, long ttlMs) {}
+  public record Lease(ShardId shard, Epoch epoch, long ttlMs) {}
 
-  public record OwnerInfo(ShardId part, ControllerName label, Epoch epoch) {}
+  public record OwnerInfo(ShardId shard, ControllerName label, Epoch epoch) {}
 
   /**
    * A machine's shard.
    *
    * @param term the lowest epoch under which its worker's reports count; NONE where there is only
    *     one shard
-   * @param move the order under which it is to be handed over ({@code recall}) or has just come
+   * @param move the order under which it is to be handed over ({@code handoverRequested}) or has just come
    */
   public record MachineAssignment(
-      MachineInfo host, ShardId part, long ageMs, Epoch term, boolean recall, MoveId move) {}
+      MachineInfo host, ShardId shard, long ageMs, Epoch term, boolean handoverRequested, MoveId move) {}
 
   public record UnavailableOffer(Offer offer, long forMs) {}
 
   /**
-   * {@code lent} is all that is lent if {@code whole}, else what changed since the asker's version.
+   * {@code assigned} is all that is lent if {@code whole}, else what changed since the asker's version.
    *
    * @param rollout the feature level as the leader knows it; null if it says nothing
    */
@@ -146,10 +146,10 @@
       boolean othersStateOk,
       List<Lease> leases,
       List<OwnerInfo> owners,
-      long lendVersion,
+      long assignmentVersion,
       boolean whole,
-      List<MachineAssignment> lent,
-      List<MachineName> off,
+      List<MachineAssignment> assigned,
+      List<MachineName> unassigned,
       List<MachineName> gone,
       List<UnavailableOffer> blocked,
       Notice rollout) {}
@@ -157,17 +157,17 @@
   public static ObjectNode write(Heartbeat b) {
     ObjectNode n = Json.object();
     n.put("from", b.from.value()).put("writer", b.writer.value()).put("stateOk", b.stateOk);
-    n.put("ver", b.lendVersion);
+    n.put("ver", b.assignmentVersion);
     ArrayNode ps = n.putArray("parts");
-    for (ShardReport p : b.parts) {
+    for (ShardReport p : b.shards) {
       ObjectNode o = ps.addObject();
-      o.put("part", p.part.value()).put("epoch", p.epoch.value()).put("fenced", p.fenced.value());
+      o.put("part", p.shard.value()).put("epoch", p.epoch.value()).put("fenced", p.fenced.value());
       o.put("queued", p.queued);
       o.put("expected", p.hearing.expected).put("unheard", p.hearing.unheard);
-      ArrayNode deaf = o.putArray("deafTo");
-      p.hearing.deafTo.forEach(deaf::add);
+      ArrayNode unresponsive = o.putArray("deafTo");
+      p.hearing.unreachableZones.forEach(unresponsive::add);
       ArrayNode ws = o.putArray("wants");
-      for (CapacityRequest w : p.wants) {
+      for (CapacityRequest w : p.capacityRequests) {
         offer(ws.addObject(), w.offer).put("count", w.count);
       }
       names(o.putArray("retire"), p.retire);
@@ -176,8 +176,8 @@
     }
     ArrayNode seen = n.putArray("seen");
     b.seen.forEach(h -> host(seen.addObject(), h));
-    ArrayNode strays = n.putArray("strays");
-    b.strays.forEach((p, count) -> strays.addArray().add(p.value()).add(count));
+    ArrayNode misroutedWorkers = n.putArray("strays");
+    b.misroutedWorkers.forEach((p, count) -> misroutedWorkers.addArray().add(p.value()).add(count));
     if (b.announcement != null) {
       n.set(RolloutMessages.HEARTBEAT_FIELD, RolloutMessages.write(b.announcement));
     }
@@ -189,10 +189,10 @@
    */
   private static void writeMoves(ObjectNode o, ShardReport p) {
     ArrayNode back = o.putArray("back");
-    p.handedBack.forEach(h -> back.add(h.machine.value()));
+    p.handovers.forEach(h -> back.add(h.machine.value()));
     if (p.repeatsMoves) {
       ArrayNode moves = o.putArray(MOVES);
-      p.handedBack.forEach(h -> moves.add(h.move.value()));
+      p.handovers.forEach(h -> moves.add(h.move.value()));
     }
     if (!p.misplaced.isEmpty()) {
       names(o.putArray(MISPLACED), p.misplaced);
@@ -202,7 +202,7 @@
     }
   }
 
-  private static List<MachineHandover> handedBack(JsonNode p) {
+  private static List<MachineHandover> handovers(JsonNode p) {
     List<MachineName> machines = names(p.path("back"));
     JsonNode moves = p.path(MOVES);
     if (moves.isArray() && moves.size() != machines.size()) {
@@ -228,29 +228,29 @@
   /** Null if malformed. */
   public static Heartbeat readHeartbeat(JsonNode n) {
     try {
-      return beat(n);
+      return heartbeat(n);
     } catch (Malformed e) {
       return null;
     }
   }
 
-  private static Heartbeat beat(JsonNode n) {
+  private static Heartbeat heartbeat(JsonNode n) {
     String from = Json.text(n.path("from"));
     String writer = Json.text(n.path("writer"));
     if (from.isEmpty() || writer.isEmpty()) {
       return null;
     }
-    List<ShardReport> parts = new ArrayList<>();
+    List<ShardReport> shards = new ArrayList<>();
     for (JsonNode p : n.path("parts")) {
-      List<CapacityRequest> wants = new ArrayList<>();
+      List<CapacityRequest> capacityRequests = new ArrayList<>();
       p.path("wants")
           .forEach(
-              w -> wants.add(new CapacityRequest(offer(w), (int) count(w, "count", MAX_COUNT))));
-      List<String> deafTo = new ArrayList<>();
-      p.path("deafTo").forEach(z -> deafTo.add(z.asText()));
-      parts.add(
+              w -> capacityRequests.add(new CapacityRequest(offer(w), (int) count(w, "count", MAX_COUNT))));
+      List<String> unreachableZones = new ArrayList<>();
+      p.path("deafTo").forEach(z -> unreachableZones.add(z.asText()));
+      shards.add(
           new ShardReport(
-              part(p),
+              shard(p),
               epoch(p, "epoch"),
               // What a record held that refused the owner, whatever it was.
               new Epoch(count(p, "fenced", Long.MAX_VALUE)),
@@ -258,47 +258,47 @@
               new WorkerReachability(
                   (int) count(p, "expected", MAX_COUNT),
                   (int) count(p, "unheard", MAX_COUNT),
-                  deafTo),
-              wants,
+                  unreachableZones),
+              capacityRequests,
               names(p.path("retire")),
               names(p.path("spare")),
-              handedBack(p),
+              handovers(p),
               names(p.path(MISPLACED)),
               p.path(MOVES).isArray(),
               ShareMessages.readDemand(p.path(DEMAND))));
     }
     List<MachineInfo> seen = new ArrayList<>();
     n.path("seen").forEach(h -> seen.add(host(h)));
-    Map<ShardId, Integer> strays = new HashMap<>();
+    Map<ShardId, Integer> misroutedWorkers = new HashMap<>();
     n.path("strays")
-        .forEach(s -> strays.put(new ShardId(s.path(0).asInt()), Math.max(0, s.path(1).asInt())));
+        .forEach(s -> misroutedWorkers.put(new ShardId(s.path(0).asInt()), Math.max(0, s.path(1).asInt())));
     return new Heartbeat(
         new ControllerName(from),
         new WriterId(writer),
         n.path("stateOk").asBoolean(),
         n.path("ver").asLong(-1),
-        parts,
+        shards,
         seen,
-        strays,
+        misroutedWorkers,
         RolloutMessages.readAnnouncement(n.path(RolloutMessages.HEARTBEAT_FIELD)));
   }
 
   public static ObjectNode write(HeartbeatAnswer a) {
     ObjectNode n = Json.object();
-    n.put("term", a.term).put("othersOk", a.othersStateOk).put("ver", a.lendVersion);
+    n.put("term", a.term).put("othersOk", a.othersStateOk).put("ver", a.assignmentVersion);
     ArrayNode ls = n.putArray("leases");
     for (Lease l : a.leases) {
       ls.addObject()
-          .put("part", l.part.value())
+          .put("part", l.shard.value())
           .put("epoch", l.epoch.value())
           .put("ttlMs", l.ttlMs);
     }
     owners(n.putArray("owners"), a.owners);
     n.put("whole", a.whole);
     ArrayNode hs = n.putArray("lent");
-    for (MachineAssignment l : a.lent) {
+    for (MachineAssignment l : a.assigned) {
       ObjectNode o = host(hs.addObject(), l.host);
-      o.put("part", l.part.value()).put("age", l.ageMs).put("recall", l.recall);
+      o.put("part", l.shard.value()).put("age", l.ageMs).put("recall", l.handoverRequested);
       if (l.term.value() > 0) {
         o.put(TERM, l.term.value());
       }
@@ -306,7 +306,7 @@
         o.put(MOVE, l.move.value());
       }
     }
-    names(n.putArray("off"), a.off);
+    names(n.putArray("off"), a.unassigned);
     names(n.putArray("gone"), a.gone);
     ArrayNode bs = n.putArray("blocked");
     for (UnavailableOffer b : a.blocked) {
@@ -331,14 +331,14 @@
     long term = count(n, "term", Long.MAX_VALUE);
     List<Lease> leases = new ArrayList<>();
     for (JsonNode l : n.path("leases")) {
-      leases.add(new Lease(part(l), epoch(l, "epoch"), count(l, "ttlMs", MAX_LEASE_MS)));
+      leases.add(new Lease(shard(l), epoch(l, "epoch"), count(l, "ttlMs", MAX_LEASE_MS)));
     }
-    List<MachineAssignment> lent = new ArrayList<>();
+    List<MachineAssignment> assigned = new ArrayList<>();
     for (JsonNode h : n.path("lent")) {
-      lent.add(
+      assigned.add(
           new MachineAssignment(
               host(h),
-              part(h),
+              shard(h),
               h.path("age").asLong(),
               new Epoch(Math.max(0, Json.count(h.path(TERM)))),
               h.path("recall").asBoolean(),
@@ -354,7 +354,7 @@
         owners(n.path("owners")),
         n.path("ver").asLong(),
         n.path("whole").asBoolean(),
-        lent,
+        assigned,
         names(n.path("off")),
         names(n.path("gone")),
         blocked,
@@ -431,8 +431,8 @@
   }
 
   /** Asks a part's owner where jobs stand now. */
-  public static ObjectNode ask(ShardId part, Collection<JobId> ids) {
-    ObjectNode n = Json.object().put("part", part.value());
+  public static ObjectNode ask(ShardId shard, Collection<JobId> ids) {
+    ObjectNode n = Json.object().put("part", shard.value());
     ArrayNode a = n.putArray("ids");
     ids.forEach(id -> a.add(id.value()));
     return n;
@@ -482,7 +482,7 @@
   private static void owners(ArrayNode a, Collection<OwnerInfo> owners) {
     for (OwnerInfo o : owners) {
       a.addObject()
-          .put("part", o.part.value())
+          .put("part", o.shard.value())
           .put("label", o.label.value())
           .put("epoch", o.epoch.value());
     }
@@ -492,7 +492,7 @@
     List<OwnerInfo> owners = new ArrayList<>();
     for (JsonNode o : a) {
       owners.add(
-          new OwnerInfo(part(o), new ControllerName(name(o.path("label"))), epoch(o, "epoch")));
+          new OwnerInfo(shard(o), new ControllerName(name(o.path("label"))), epoch(o, "epoch")));
     }
     return owners;
   }
@@ -528,7 +528,7 @@
     return l;
   }
 
-  private static ShardId part(JsonNode n) {
+  private static ShardId shard(JsonNode n) {
     return new ShardId((int) count(n, "part", MAX_PARTS));
   }
 
--- a/src/main/java/shorecrank/protocol/ShareMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareMessages.java
@@ -223,7 +223,7 @@
    * @param term the term of the machine's assignment when the move began: its fencing token
    * @param order the operator's order that asked for it; empty if it was need
    * @param beganMs the time of day at which it was written down, in milliseconds
-   * @param reason why it ended, if it was aborted; else empty
+   * @param reason why it ended, if it was cancelled; else empty
    */
   public record Move(
       MoveId id,
@@ -242,7 +242,7 @@
     }
 
     /** Ended before its machine was handed over, or heard. */
-    public Move aborted(String why) {
+    public Move cancelled(String why) {
       return new Move(id, machine, from, to, term, MovePhase.ABORTED, order, beganMs, why);
     }
   }
--- a/src/main/java/shorecrank/protocol/StoreMessages.java
+++ b/src/main/java/shorecrank/protocol/StoreMessages.java
@@ -62,28 +62,28 @@
   }
 
   /** A transaction being put together. */
-  public static final class Txn {
+  public static final class Transaction {
     private final ObjectNode body = Json.object();
     private final ArrayNode guards = body.putArray("guards");
     private final ArrayNode apply = body.putArray("apply");
 
-    public Txn guard(String key, Revision revision) {
+    public Transaction guard(String key, Revision revision) {
       guards.addObject().put("k", key).put("stamp", revision.value());
       return this;
     }
 
-    public Txn write(String key, JsonNode value) {
+    public Transaction write(String key, JsonNode value) {
       apply.addObject().put("write", key).set("data", value);
       return this;
     }
 
-    public Txn write(String key, JsonNode value, long hold) {
+    public Transaction write(String key, JsonNode value, long hold) {
       ObjectNode o = apply.addObject().put("write", key).put("hold", hold);
       o.set("data", value);
       return this;
     }
 
-    public Txn drop(String key) {
+    public Transaction drop(String key) {
       apply.addObject().put("drop", key);
       return this;
     }
--- a/src/main/java/shorecrank/protocol/UserMessages.java
+++ b/src/main/java/shorecrank/protocol/UserMessages.java
@@ -12,7 +12,7 @@
     QUEUED("queued"),
     RUNNING("running"),
     DONE("done"),
-    WITHDRAWN("withdrawn");
+    CANCELLED("withdrawn");
 
     final String wire;
 
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -49,13 +49,13 @@
       String type,
       String zone,
       boolean spot,
-      Incarnation tenure,
-      long serial,
+      Incarnation incarnation,
+      long sequence,
       FencingToken token,
       String address,
       double noticeS,
       List<TaskStatus> tasks) {
-    public boolean noticed() {
+    public boolean preemptionNoticed() {
       return noticeS >= 0;
     }
   }
@@ -73,16 +73,16 @@
   /** Null if the report is malformed. */
   public static WorkerHeartbeat read(JsonNode n) {
     String host = Json.text(n.path("host"));
-    long tenure = Json.count(n.path("tenure"));
-    long serial = Json.count(n.path("serial"));
+    long incarnation = Json.count(n.path("tenure"));
+    long sequence = Json.count(n.path("serial"));
     long token = Json.count(n.path("epoch"));
     JsonNode pieces = n.path("pieces");
     if (host.isEmpty()
         || host.length() > 150
         || host.indexOf(' ') >= 0
         || host.indexOf('/') >= 0
-        || tenure < 0
-        || serial < 0
+        || incarnation < 0
+        || sequence < 0
         || token < 0
         || !(pieces.isArray() || pieces.isMissingNode() || pieces.isNull())) {
       return null;
@@ -101,8 +101,8 @@
         Json.text(n.path("hosttype")),
         Json.text(n.path("site")),
         n.path("loaner").asBoolean(false),
-        new Incarnation(tenure),
-        serial,
+        new Incarnation(incarnation),
+        sequence,
         new FencingToken(token),
         address(Json.text(n.path("addr"))),
         notice.isNumber() ? Math.max(0, notice.doubleValue()) : -1,
@@ -170,8 +170,8 @@
 
   /** What goes straight to a worker, which takes it only in this session and under this token. */
   public static ObjectNode direct(
-      FencingToken token, Incarnation tenure, List<WorkerCommand> orders) {
-    return write(Json.object().put("epoch", token.value()).put("tenure", tenure.value()), orders);
+      FencingToken token, Incarnation incarnation, List<WorkerCommand> orders) {
+    return write(Json.object().put("epoch", token.value()).put("tenure", incarnation.value()), orders);
   }
 
   private static ObjectNode write(ObjectNode n, List<WorkerCommand> orders) {
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -28,7 +28,7 @@
 import shorecrank.protocol.ShareMessages.ShareOutcome;
 import shorecrank.protocol.ShareMessages.SharesState;
 import shorecrank.protocol.ShareMessages.SharesStatus;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rebalance.MoveRules.Observation;
 import shorecrank.rebalance.MoveRules.Reason;
 import shorecrank.rebalance.MoveRules.Step;
@@ -89,7 +89,7 @@
   private final Supplier<List<String>> reasonsAgainstMoves;
 
   private final Map<ShardId, Report> reports = new HashMap<>();
-  private final Set<MoveId> handedBack = new HashSet<>();
+  private final Set<MoveId> handovers = new HashSet<>();
   private final Set<MoveId> arrived = new HashSet<>();
   private final Map<ShardId, MonotonicTime> lackingSince = new HashMap<>();
   private final Map<MachineName, MonotonicTime> restingUntil = new HashMap<>();
@@ -147,7 +147,7 @@
   public void began() {
     handover = null;
     reports.clear();
-    handedBack.clear();
+    handovers.clear();
     arrived.clear();
     misplaced.clear();
     toldRevision = null;
@@ -187,15 +187,15 @@
       arrived.addAll(report.demand().arrived());
     }
     reports.put(
-        report.part(),
+        report.shard(),
         new Report(report.demand(), report.repeatsMoves(), draining, environment.now()));
-    for (MachineHandover back : report.handedBack()) {
+    for (MachineHandover back : report.handovers()) {
       Move move = store.state().moveOf(back.machine());
-      if (move != null && move.id().equals(back.move()) && move.from().equals(report.part())) {
-        handedBack.add(move.id());
+      if (move != null && move.id().equals(back.move()) && move.from().equals(report.shard())) {
+        handovers.add(move.id());
       }
     }
-    report.misplaced().forEach(name -> misplaced.put(name, report.part()));
+    report.misplaced().forEach(name -> misplaced.put(name, report.shard()));
   }
 
   /**
@@ -206,7 +206,7 @@
     reports.remove(shard);
     for (Move move : store.state().active()) {
       if (move.from().equals(shard)) {
-        handedBack.remove(move.id());
+        handovers.remove(move.id());
       }
     }
   }
@@ -242,7 +242,7 @@
         continue;
       }
       if (move.phase() != MovePhase.HANDED_OVER && machine.shard().equals(move.from())) {
-        fleet.recall(machine.name(), move.id());
+        fleet.handoverRequested(machine.name(), move.id());
       } else if (move.phase() == MovePhase.HANDED_OVER && machine.shard().equals(move.to())) {
         fleet.awaitArrival(machine.name(), move.id());
       }
@@ -265,7 +265,7 @@
         machine == null ? Epoch.NONE : machine.term(),
         owner == null ? null : owner.draining.get(move.id()),
         owner == null || owner.knowsMoves,
-        handedBack.contains(move.id()),
+        handovers.contains(move.id()),
         arrived.contains(move.id()),
         ageS(move));
   }
@@ -291,7 +291,7 @@
           }
         }
         case FINISH -> next = next.withChanged(move.in(MovePhase.DONE), KEPT_ENDED);
-        case ABORT -> next = next.withChanged(aborted(move, step.reason()), KEPT_ENDED);
+        case ABORT -> next = next.withChanged(cancelled(move, step.reason()), KEPT_ENDED);
       }
     }
     boolean affordable = environment.hasWrites(1 + handovers.size());
@@ -310,12 +310,12 @@
     return true;
   }
 
-  private Move aborted(Move move, Reason reason) {
+  private Move cancelled(Move move, Reason reason) {
     environment.info(
         "move aborted id=%s machine=%s from=%s to=%s reason=\"%s\"",
         move.id(), move.machine(), move.from(), move.to(), reason.text());
     environment.count("shares.moves.aborted", 1);
-    return move.aborted(reason.text());
+    return move.cancelled(reason.text());
   }
 
   /** The new owner's token must be above any that the machine's worker may have been shown. */
@@ -350,7 +350,7 @@
     SharesState before = store.state();
     store.write(
         next,
-        txn -> addHandover(txn, prepared),
+        transaction -> addHandover(transaction, prepared),
         (result, at) -> {
           switch (result) {
             case COMMITTED -> {
@@ -371,9 +371,9 @@
         });
   }
 
-  private static void addHandover(Txn txn, Handover prepared) {
+  private static void addHandover(Transaction transaction, Handover prepared) {
     if (prepared != null) {
-      prepared.addTo(txn);
+      prepared.addTo(transaction);
     }
   }
 
@@ -399,7 +399,7 @@
     for (MachineName machine : prepared.machines()) {
       Move move = store.state().moveOf(machine);
       if (move != null) {
-        handedBack.remove(move.id());
+        handovers.remove(move.id());
       }
     }
   }
@@ -424,7 +424,7 @@
   private void ended(Move move) {
     MonotonicTime rest = environment.now().plus((long) (settings.restS() * 1000));
     restingUntil.put(move.machine(), rest);
-    handedBack.remove(move.id());
+    handovers.remove(move.id());
     arrived.remove(move.id());
     if (move.phase() == MovePhase.DONE) {
       long ms = (long) (ageS(move) * 1000);
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -47,7 +47,7 @@
    * @param term the term of its assignment
    * @param progress what its owner says of the order; null if it has said nothing
    * @param ownerKnowsMoves false if the owner's last report is of an earlier version
-   * @param handedBack whether the owner has said, under this order, that nothing is left on it
+   * @param handovers whether the owner has said, under this order, that nothing is left on it
    * @param arrived whether the new owner has said that it hears the machine
    */
   record Observation(
@@ -55,7 +55,7 @@
       Epoch term,
       DrainProgress progress,
       boolean ownerKnowsMoves,
-      boolean handedBack,
+      boolean handovers,
       boolean arrived,
       double ageS) {}
 
@@ -103,7 +103,7 @@
     if (!seen.ownerKnowsMoves) {
       return Step.abort(Reason.EARLIER_VERSION);
     }
-    if (seen.handedBack) {
+    if (seen.handovers) {
       return Step.of(Action.HAND_OVER);
     }
     if (seen.progress != null && seen.progress.state() == DrainState.NOTICED) {
--- a/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
@@ -47,7 +47,7 @@
       jobsAreGone = false;
       store.write(
           store.state().withShards(configured).withActive(List.of()),
-          txn -> {},
+          transaction -> {},
           (result, at) -> {});
       return;
     }
--- a/src/main/java/shorecrank/rebalance/ShareFleet.java
+++ b/src/main/java/shorecrank/rebalance/ShareFleet.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.Move;
 import shorecrank.protocol.ShareMessages.MovePhase;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 
 /** Shards and machines as the leader knows them, and what shares may change of them. */
 public interface ShareFleet {
@@ -56,7 +56,7 @@
   void raiseAbove(ShardId shard, Epoch least);
 
   /** The owner is to empty the machine and hand it back. */
-  void recall(MachineName machine, MoveId order);
+  void handoverRequested(MachineName machine, MoveId order);
 
   /** The owner may use the machine; the order that concerned it is over. */
   void keep(MachineName machine);
@@ -73,7 +73,7 @@
     int operations();
 
     /** Adds what assigns the machines. */
-    void addTo(Txn transaction);
+    void addTo(Transaction transaction);
 
     /** The transaction was carried out. */
     void committed(Revision at);
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -276,8 +276,8 @@
       if (meant && move.phase() == MovePhase.HANDED_OVER) {
         late = true;
       } else if (meant) {
-        Move aborted = move.aborted(MoveRules.Reason.ORDERED.text());
-        next = next.withChanged(aborted, MoveCoordinator.KEPT_ENDED);
+        Move cancelled = move.cancelled(MoveRules.Reason.ORDERED.text());
+        next = next.withChanged(cancelled, MoveCoordinator.KEPT_ENDED);
         ended.add(move.id());
       }
     }
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -122,9 +122,9 @@
     double given = 0;
     List<ShardId> shards = List.copyOf(lacking.keySet());
     for (ShardId shard : shards) {
-      double part = weights > EPSILON ? weight(claims.get(shard)) / weights : 1.0 / shards.size();
+      double fraction = weights > EPSILON ? weight(claims.get(shard)) / weights : 1.0 / shards.size();
       double lack = lacking.get(shard);
-      double gets = Math.min(lack, left * part);
+      double gets = Math.min(lack, left * fraction);
       targets.merge(shard, gets, Double::sum);
       given += gets;
       if (lack - gets <= EPSILON) {
@@ -155,9 +155,9 @@
     }
     double weights = claims.values().stream().mapToDouble(c -> c.share().weight()).sum();
     for (Map.Entry<ShardId, Claim> e : claims.entrySet()) {
-      double part =
+      double shard =
           weights > EPSILON ? e.getValue().share().weight() / weights : 1.0 / claims.size();
-      targets.merge(e.getKey(), left * part, Double::sum);
+      targets.merge(e.getKey(), left * shard, Double::sum);
     }
   }
 
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -9,7 +9,7 @@
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.SharesState;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.FeatureGate;
 
@@ -172,7 +172,7 @@
    *
    * @param more adds guards and changes that are to be carried out with it, or not at all
    */
-  void write(SharesState next, Consumer<Txn> more, OnWritten then) {
+  void write(SharesState next, Consumer<Transaction> more, OnWritten then) {
     send(
         next,
         more,
@@ -186,7 +186,7 @@
   private void settle() {
     send(
         state,
-        txn -> {},
+        transaction -> {},
         (result, at) -> {
           if (result == Result.COMMITTED) {
             inDoubt = false;
@@ -195,18 +195,18 @@
         });
   }
 
-  private void send(SharesState next, Consumer<Txn> more, OnWritten then) {
+  private void send(SharesState next, Consumer<Transaction> more, OnWritten then) {
     busy = true;
     Revision term = loadedTerm;
-    Txn txn = new Txn();
-    leadership.guard(txn);
-    gate.guard(txn);
-    txn.guard(ShareMessages.KEY, revision).write(ShareMessages.KEY, ShareMessages.write(next));
-    more.accept(txn);
+    Transaction transaction = new Transaction();
+    leadership.guard(transaction);
+    gate.guard(transaction);
+    transaction.guard(ShareMessages.KEY, revision).write(ShareMessages.KEY, ShareMessages.write(next));
+    more.accept(transaction);
     environment.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         (status, body) -> {
           busy = false;
           if (!loadedTerm.equals(term)) {
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -7,7 +7,7 @@
 import shorecrank.leadership.Leadership;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
  * Removes archives that are no longer kept, and what was left of those that were never completed.
@@ -112,18 +112,18 @@
     if (!environment.takeWrites(count)) {
       return;
     }
-    Txn txn = new Txn();
-    leadership.guard(txn);
+    Transaction transaction = new Transaction();
+    leadership.guard(transaction);
     List<String> batch = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       batch.add(toDrop.poll());
     }
-    batch.forEach(txn::drop);
+    batch.forEach(transaction::drop);
     busy = true;
     environment.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         (status, body) -> {
           busy = false;
           if (status != 200) {
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -11,7 +11,7 @@
 import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Change;
 import shorecrank.protocol.StoreMessages.Entry;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
  * Makes one archive of the service's keys, and keeps it in the state service.
@@ -209,12 +209,12 @@
       chunk = writer.take(chunkBytes());
     }
     String key = ArchiveKeys.chunk(id, chunks);
-    Txn txn = new Txn().guard(key, Revision.ABSENT).write(key, ArchiveKeys.writeChunk(chunk));
-    leadership.guard(txn);
+    Transaction transaction = new Transaction().guard(key, Revision.ABSENT).write(key, ArchiveKeys.writeChunk(chunk));
+    leadership.guard(transaction);
     call(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         (status, body) -> {
           // Nobody else writes under this id: a chunk that is there is ours, without an answer.
           boolean there = status == 409 && StoreMessages.failed(body).contains(key);
@@ -234,16 +234,16 @@
     if (!environment.takeWrites(1)) {
       return;
     }
-    Txn txn =
-        new Txn()
+    Transaction transaction =
+        new Transaction()
             .write(
                 ArchiveKeys.index(id),
                 new ArchiveKeys.IndexEntry(id, complete, chunks, bytes).write());
-    leadership.guard(txn);
+    leadership.guard(transaction);
     call(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         (status, body) -> {
           if (status == 200) {
             step = then;
--- a/src/main/java/shorecrank/rollout/FeatureGate.java
+++ b/src/main/java/shorecrank/rollout/FeatureGate.java
@@ -4,7 +4,7 @@
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.Notice;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
  * The one place that says whether a feature may be used now.
@@ -32,7 +32,7 @@
   }
 
   /** Makes a transaction fail unless the level is still what {@link #permits} went by. */
-  public void guard(Txn transaction) {
+  public void guard(Transaction transaction) {
     transaction.guard(RolloutMessages.KEY, known.revision());
   }
 
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -9,7 +9,7 @@
 import shorecrank.protocol.RolloutMessages.Notice;
 import shorecrank.protocol.RolloutMessages.RolloutState;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
  * The level's key, as its only writer, the leader, reads and changes it: by compare-and-set under
@@ -186,18 +186,18 @@
   private void send(RolloutState next, OnWritten then) {
     busy = true;
     Revision term = loadedTerm;
-    Txn txn = new Txn();
-    leadership.guard(txn);
-    txn.guard(RolloutMessages.KEY, revision)
+    Transaction transaction = new Transaction();
+    leadership.guard(transaction);
+    transaction.guard(RolloutMessages.KEY, revision)
         .write(RolloutMessages.KEY, RolloutMessages.write(next));
     boolean switches = !next.level().equals(state.level());
     if (switches) {
-      leadership.addLevelSwitch(txn, next.level());
+      leadership.addLevelSwitch(transaction, next.level());
     }
     environment.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         (status, body) -> {
           busy = false;
           if (!loadedTerm.equals(term)) {
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -14,7 +14,7 @@
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Entry;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.RateLimiter;
 
 /**
@@ -175,8 +175,8 @@
 
   /** One transaction: as many values as fit, and as the rate allows. */
   private void rewrite() {
-    Txn txn = new Txn();
-    leadership.guard(txn);
+    Transaction transaction = new Transaction();
+    leadership.guard(transaction);
     List<Pending> batch = new ArrayList<>();
     int bytes = 0;
     int most = oneByOne ? 1 : environment.transactionOperations();
@@ -188,7 +188,7 @@
         break;
       }
       batch.add(pending.poll());
-      txn.guard(next.entry().key(), next.entry().revision())
+      transaction.guard(next.entry().key(), next.entry().revision())
           .write(next.entry().key(), next.value());
     }
     if (batch.isEmpty()) {
@@ -198,7 +198,7 @@
     environment.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         (status, body) -> {
           busy = false;
           answered(batch, status, status == 409 ? StoreMessages.failed(body) : Set.of());
--- a/src/main/java/shorecrank/rollout/SettingsDigest.java
+++ b/src/main/java/shorecrank/rollout/SettingsDigest.java
@@ -12,7 +12,7 @@
   public static String of(Settings tuning) {
     String shared =
         "parts=%d lease_ms=%d leader_ttl_ms=%d grace_ms=%d"
-            .formatted(tuning.parts(), tuning.leaseMs(), tuning.leaderTtlMs(), tuning.graceMs());
+            .formatted(tuning.shards(), tuning.leaseMs(), tuning.leaderTtlMs(), tuning.graceMs());
     long[] hash = MurmurHash3.hash128x64(shared.getBytes(StandardCharsets.UTF_8));
     return "%016x%016x".formatted(hash[0], hash[1]);
   }
--- a/src/main/java/shorecrank/storage/DenseRecordBody.java
+++ b/src/main/java/shorecrank/storage/DenseRecordBody.java
@@ -19,13 +19,13 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
-import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
  * The body of a job record in its dense form: ended tasks as a Roaring bitmap, live ranges by
  * column with machines as numbers, all deflated. Versions before feature level 1 can't read it.
  */
-record DenseRecordBody(JobSpec spec, BitSet done, List<LiveRange> live) {
+record DenseRecordBody(JobSpec spec, BitSet done, List<AttemptRange> live) {
   /** The columns of the body, in the order in which they stand. */
   private enum Column {
     SPEC,
@@ -59,10 +59,10 @@
     ArrayNode attempts = body.addArray();
     int end = 0;
     long lastAttempt = 0;
-    for (LiveRange r : live) {
+    for (AttemptRange r : live) {
       gaps.add(r.first() - end);
       counts.add(r.count());
-      sessions.add(r.tenure().value());
+      sessions.add(r.incarnation().value());
       attempts.add(r.attempt().value() - lastAttempt);
       end = r.first() + r.count();
       lastAttempt = r.attempt().value();
@@ -78,7 +78,7 @@
     int digits = numbered ? first.group(2).length() : 0;
     body.add(prefix).add(digits);
     ArrayNode hosts = body.addArray();
-    for (LiveRange r : live) {
+    for (AttemptRange r : live) {
       String name = r.host().value();
       Matcher m = NUMBERED.matcher(name);
       boolean alike = m.matches() && m.group(1).equals(prefix) && m.group(2).length() == digits;
@@ -108,7 +108,7 @@
     try {
       JobSpec spec = JobSpec.read(Column.SPEC.of(n));
       BitSet done = readDone(Column.DONE.of(n), spec);
-      List<LiveRange> live = readLive(n, spec);
+      List<AttemptRange> live = readLive(n, spec);
       return done == null || live == null ? null : new DenseRecordBody(spec, done, live);
     } catch (JobSpec.Malformed e) {
       return null;
@@ -136,14 +136,14 @@
     return done;
   }
 
-  private static List<LiveRange> readLive(JsonNode n, JobSpec spec) {
+  private static List<AttemptRange> readLive(JsonNode n, JobSpec spec) {
     int size = Column.GAPS.of(n).size();
     for (Column column : List.of(Column.COUNTS, Column.HOSTS, Column.SESSIONS, Column.ATTEMPTS)) {
       if (column.of(n).size() != size) {
         return null;
       }
     }
-    List<LiveRange> live = new ArrayList<>();
+    List<AttemptRange> live = new ArrayList<>();
     long end = 0;
     long attempt = 0;
     for (int i = 0; i < size; i++) {
@@ -155,7 +155,7 @@
         return null;
       }
       live.add(
-          new LiveRange(
+          new AttemptRange(
               (int) first,
               (int) count,
               new MachineName(host),
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -33,15 +33,15 @@
     WriterId writer,
     long seq,
     BitSet done,
-    List<LiveRange> live,
-    long tries,
-    boolean aborted,
+    List<AttemptRange> live,
+    long attemptCount,
+    boolean cancelled,
     long acceptedAtMs,
     long readyAtMs) {
 
   /** Tasks placed on one machine in one round. Those already done do not count as live. */
-  public record LiveRange(
-      int first, int count, MachineName host, Incarnation tenure, AttemptNumber attempt) {}
+  public record AttemptRange(
+      int first, int count, MachineName host, Incarnation incarnation, AttemptNumber attempt) {}
 
   /** With more live ranges than this a record is packed, to fit the value the store takes. */
   private static final int PACK_ABOVE = 24;
@@ -65,21 +65,21 @@
 
   public int running() {
     int n = 0;
-    for (LiveRange r : live) {
+    for (AttemptRange r : live) {
       n += r.count - done.get(r.first, r.first + r.count).cardinality();
     }
     return n;
   }
 
   public JobState phase() {
-    if (aborted) {
-      return JobState.WITHDRAWN;
+    if (cancelled) {
+      return JobState.CANCELLED;
     }
     return running() > 0 ? JobState.RUNNING : JobState.QUEUED;
   }
 
-  public JobStatus standing() {
-    return new JobStatus(phase(), done.cardinality(), aborted ? 0 : running());
+  public JobStatus jobStatus() {
+    return new JobStatus(phase(), done.cardinality(), cancelled ? 0 : running());
   }
 
   /** In the form that every version reads. */
@@ -91,12 +91,12 @@
     } else {
       n.set("d", d);
       ArrayNode l = n.putArray("l");
-      for (LiveRange r : live) {
+      for (AttemptRange r : live) {
         l.addArray()
             .add(r.first)
             .add(r.count)
             .add(r.host.value())
-            .add(r.tenure.value())
+            .add(r.incarnation.value())
             .add(r.attempt.value());
       }
     }
@@ -107,14 +107,14 @@
   /** The same record with the mark of a cancellation. */
   public JobRecord marked() {
     return new JobRecord(
-        spec, epoch, writer, seq, done, live, tries, true, acceptedAtMs, readyAtMs);
+        spec, epoch, writer, seq, done, live, attemptCount, true, acceptedAtMs, readyAtMs);
   }
 
   private ObjectNode head() {
     ObjectNode n = Json.object();
-    n.put("e", epoch.value()).put("w", writer.value()).put("q", seq).put("t", tries);
+    n.put("e", epoch.value()).put("w", writer.value()).put("q", seq).put("t", attemptCount);
     n.put("at", acceptedAtMs);
-    if (aborted) {
+    if (cancelled) {
       n.put("x", true);
     }
     if (readyAtMs > 0) {
@@ -176,11 +176,11 @@
     ArrayNode tenures = columns.addArray();
     ArrayNode attempts = columns.addArray();
     int end = 0;
-    for (LiveRange r : live) {
+    for (AttemptRange r : live) {
       gaps.add(r.first - end);
       counts.add(r.count);
       hosts.add(r.host.value());
-      tenures.add(r.tenure.value());
+      tenures.add(r.incarnation.value());
       attempts.add(r.attempt.value());
       end = r.first + r.count;
     }
@@ -237,7 +237,7 @@
       }
       done.set(first, first + many);
     }
-    List<LiveRange> live = new ArrayList<>();
+    List<AttemptRange> live = new ArrayList<>();
     int count = columns == null ? n.path("l").size() : columns.path(1).size();
     int end = 0;
     for (int i = 0; i < count; i++) {
@@ -245,8 +245,8 @@
       IntFunction<JsonNode> field =
           columns == null ? f -> n.path("l").path(at).path(f) : f -> columns.path(f + 1).path(at);
       int first = field.apply(0).asInt(-1) + (columns == null ? 0 : end);
-      LiveRange lr =
-          new LiveRange(
+      AttemptRange lr =
+          new AttemptRange(
               first,
               field.apply(1).asInt(-1),
               new MachineName(field.apply(2).asText()),
@@ -261,7 +261,7 @@
     return withHead(n, spec, done, live);
   }
 
-  private static JobRecord withHead(JsonNode n, JobSpec spec, BitSet done, List<LiveRange> live) {
+  private static JobRecord withHead(JsonNode n, JobSpec spec, BitSet done, List<AttemptRange> live) {
     return new JobRecord(
         spec,
         new Epoch(n.path("e").asLong()),
@@ -296,7 +296,7 @@
 
   /** How a job ended. */
   public record Final(JobState phase, int done) {
-    public JobStatus standing() {
+    public JobStatus jobStatus() {
       return new JobStatus(phase, done, 0);
     }
 
@@ -308,7 +308,7 @@
       }
       return switch (Json.text(n.path("p"))) {
         case "done" -> new Final(JobState.DONE, (int) done);
-        case "withdrawn" -> new Final(JobState.WITHDRAWN, (int) done);
+        case "withdrawn" -> new Final(JobState.CANCELLED, (int) done);
         default -> null;
       };
     }
--- a/src/test/java/shorecrank/config/SettingsTest.java
+++ b/src/test/java/shorecrank/config/SettingsTest.java
@@ -28,9 +28,9 @@
     "colour: 3, colour",
     "parts: many, parts"
   })
-  void badSettingsNameTheField(String text, String part) {
+  void badSettingsNameTheField(String text, String shard) {
     NodeConfig.Invalid e = assertThrows(NodeConfig.Invalid.class, () -> SettingsFile.read(text));
-    assertTrue(e.getMessage().contains(part) || text.startsWith("parts: many"), e.getMessage());
+    assertTrue(e.getMessage().contains(shard) || text.startsWith("parts: many"), e.getMessage());
   }
 
   private static NodeConfig platform(String state) throws Exception {
--- a/src/test/java/shorecrank/daemon/ProcessTest.java
+++ b/src/test/java/shorecrank/daemon/ProcessTest.java
@@ -105,10 +105,10 @@
     assertEquals(200, send("POST", pub, "/api/jobs", good).statusCode());
 
     // A worker by hand: report until told to start, then report the end.
-    int serial = 1;
+    int sequence = 1;
     JsonNode start = null;
     for (int i = 0; i < 60 && start == null; i++) {
-      JsonNode orders = body(report(pub, serial++, "")).path("orders");
+      JsonNode orders = body(report(pub, sequence++, "")).path("orders");
       if (orders.size() > 0) {
         start = orders.get(0);
       }
@@ -120,7 +120,7 @@
             .formatted(start.path("try").asLong());
     boolean reaped = false;
     for (int i = 0; i < 60 && !reaped; i++) {
-      for (JsonNode o : body(report(pub, serial++, done)).path("orders")) {
+      for (JsonNode o : body(report(pub, sequence++, done)).path("orders")) {
         reaped |= o.path("verb").asText().equals("reap");
       }
       Thread.sleep(200);
@@ -192,7 +192,7 @@
     return Json.parse(r.body().getBytes(StandardCharsets.UTF_8));
   }
 
-  private HttpResponse<String> report(int pub, int serial, String pieces) throws Exception {
+  private HttpResponse<String> report(int pub, int sequence, String pieces) throws Exception {
     HttpResponse<String> r =
         send(
             "POST",
@@ -202,7 +202,7 @@
             {"host":"n-1","addr":"127.0.0.1:9","hosttype":"big","site":"z","loaner":false,
              "tenure":1,"serial":%d,"epoch":%d,"reclaimInS":null,"pieces":[%s]}
             """
-                .formatted(serial, shown, pieces));
+                .formatted(sequence, shown, pieces));
     shown = Math.max(shown, body(r).path("epoch").asLong());
     return r;
   }
@@ -259,7 +259,7 @@
 
   // ---- a small state service and cloud ---------------------------------------------------------
 
-  private record Item(JsonNode data, long stamp) {}
+  private record Item(JsonNode data, long revision) {}
 
   private final TreeMap<String, Item> items = new TreeMap<>();
   private long revision;
@@ -303,7 +303,7 @@
     } else if (path.equals("/multi")) {
       for (JsonNode g : body.path("guards")) {
         Item i = items.get(g.path("k").asText());
-        if ((i == null ? 0 : i.stamp) != g.path("stamp").asLong()) {
+        if ((i == null ? 0 : i.revision) != g.path("stamp").asLong()) {
           status[0] = 409;
           n.withArray("failed").add(g.path("k").asText());
         }
@@ -325,7 +325,7 @@
         status[0] = 404;
         n.put("ledgerRev", revision);
       } else {
-        n.put("k", path.substring(7)).put("stamp", i.stamp).set("data", i.data);
+        n.put("k", path.substring(7)).put("stamp", i.revision).set("data", i.data);
       }
     } else if (path.equals("/store") || path.equals("/changes")) {
       Map<String, String> q = new TreeMap<>();
@@ -335,9 +335,9 @@
       boolean list = path.equals("/store");
       long from = list ? -1 : Long.parseLong(q.get("from"));
       for (Map.Entry<String, Item> e : items.entrySet()) {
-        if (e.getKey().startsWith(q.get("prefix")) && e.getValue().stamp > from) {
+        if (e.getKey().startsWith(q.get("prefix")) && e.getValue().revision > from) {
           ObjectNode o = n.withArray(list ? "entries" : "news").addObject();
-          o.put(list ? "k" : "write", e.getKey()).put("stamp", e.getValue().stamp);
+          o.put(list ? "k" : "write", e.getKey()).put("stamp", e.getValue().revision);
           o.set("data", e.getValue().data);
         }
       }
--- a/src/test/java/shorecrank/rebalance/MoveModel.java
+++ b/src/test/java/shorecrank/rebalance/MoveModel.java
@@ -93,10 +93,10 @@
       int knownRevision,
       Open open,
       MovePhase writing,
-      boolean handedBack,
+      boolean handovers,
       boolean arrived) {
     Leader reads(MovePhase phase, int revision) {
-      return new Leader(number, true, phase, revision, Open.NONE, null, handedBack, arrived);
+      return new Leader(number, true, phase, revision, Open.NONE, null, handovers, arrived);
     }
 
     Leader unread() {
@@ -104,7 +104,7 @@
     }
 
     Leader writes(Open state, MovePhase phase) {
-      return new Leader(number, true, known, knownRevision, state, phase, handedBack, arrived);
+      return new Leader(number, true, known, knownRevision, state, phase, handovers, arrived);
     }
 
     Leader hears(boolean back, boolean hasArrived) {
@@ -112,7 +112,7 @@
     }
 
     Leader revised(int revision) {
-      return new Leader(number, loaded, known, revision, open, writing, handedBack, arrived);
+      return new Leader(number, loaded, known, revision, open, writing, handovers, arrived);
     }
   }
 
@@ -284,7 +284,7 @@
       return;
     }
     if (s.source.owner < MOST_OWNERS) {
-      boolean kept = without(Fault.HANDED_BACK_KEPT_OVER_MINT) && l.handedBack;
+      boolean kept = without(Fault.HANDED_BACK_KEPT_OVER_MINT) && l.handovers;
       State minted =
           s.with(s.source.successor(told(s))).with(new Messages(s.messages.heartbeat, null));
       to.accept("a new owner", minted.with(l.hears(kept, l.arrived)));
@@ -295,7 +295,7 @@
       // Only the present owner's word counts, under its own epoch.
       boolean counts = s.messages.heartbeat == s.source.owner && isBefore(l.known);
       State heard = s.with(new Messages(0, s.messages.answer));
-      to.accept("the heartbeat arrives", heard.with(l.hears(l.handedBack || counts, l.arrived)));
+      to.accept("the heartbeat arrives", heard.with(l.hears(l.handovers || counts, l.arrived)));
     }
     if (l.open == Open.NONE) {
       decide(s, to);
@@ -314,7 +314,7 @@
       to.accept("the target is told", s.with(new Target(true, false)));
     }
     if (s.target.heard && !s.leader.arrived) {
-      to.accept("the target reports", s.with(s.leader.hears(s.leader.handedBack, true)));
+      to.accept("the target reports", s.with(s.leader.hears(s.leader.handovers, true)));
     }
   }
 
@@ -371,7 +371,7 @@
   private static Observation seen(State s, DrainProgress progress, double ageS) {
     ShardId assigned = isOver(s.leader.known) ? TARGET : SOURCE;
     return new Observation(
-        assigned, TERM, progress, true, s.leader.handedBack, s.leader.arrived, ageS);
+        assigned, TERM, progress, true, s.leader.handovers, s.leader.arrived, ageS);
   }
 
   private static Move move(MovePhase phase) {
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -99,9 +99,9 @@
     "automatic: perhaps, perhaps",
     "colour: 3, colour"
   })
-  void badSettingsNameTheField(String text, String part) {
+  void badSettingsNameTheField(String text, String shard) {
     NodeConfig.Invalid e = assertThrows(NodeConfig.Invalid.class, () -> RolloutSettings.read(text));
-    assertTrue(e.getMessage().contains(part), e.getMessage());
+    assertTrue(e.getMessage().contains(shard), e.getMessage());
   }
 
   @Test
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -244,11 +244,11 @@
       return;
     }
     boolean named = false;
-    for (JobRecord.LiveRange l : r.live()) {
+    for (JobRecord.AttemptRange l : r.live()) {
       named |=
           l.host().value().equals(w.name)
               && l.attempt().value() == attempt
-              && l.tenure().value() == w.tenure
+              && l.incarnation().value() == w.incarnation
               && index >= l.first()
               && index < l.first() + l.count()
               && !r.done().get(index);
--- a/src/test/java/shorecrank/sim/SharesMix.java
+++ b/src/test/java/shorecrank/sim/SharesMix.java
@@ -66,7 +66,7 @@
   }
 
   private void orderTo(String names) {
-    int to = random.nextInt(world.tuning.parts());
+    int to = random.nextInt(world.tuning.shards());
     String order = "share-order %s o%d move machines=%s to=%d";
     scenario.act(world, order.formatted(node(), ++orders, names, to));
   }
@@ -78,7 +78,7 @@
   private String who() {
     return switch (random.nextInt(5)) {
       case 0 -> "leader";
-      case 1, 2, 3 -> "owner-of-" + random.nextInt(world.tuning.parts());
+      case 1, 2, 3 -> "owner-of-" + random.nextInt(world.tuning.shards());
       default -> node();
     };
   }
--- a/src/test/java/shorecrank/sim/Store.java
+++ b/src/test/java/shorecrank/sim/Store.java
@@ -16,9 +16,9 @@
 
 /** A stand-in for the state service, made from its page. */
 final class Store {
-  private record Item(JsonNode data, long stamp, long hold) {}
+  private record Item(JsonNode data, long revision, long hold) {}
 
-  private record Change(String key, JsonNode data, long stamp) {}
+  private record Change(String key, JsonNode data, long revision) {}
 
   private static final class Watch {
     String prefix;
@@ -115,7 +115,7 @@
 
   private Iterator<Change> news(Watch w) {
     int from = log.size();
-    while (from > 0 && log.get(from - 1).stamp > w.from) {
+    while (from > 0 && log.get(from - 1).revision > w.from) {
       from--;
     }
     return log.subList(from, log.size()).stream()
@@ -136,7 +136,7 @@
               } else {
                 o.put("write", c.key).set("data", c.data);
               }
-              o.put("stamp", c.stamp);
+              o.put("stamp", c.revision);
             });
     w.answer.accept(200, n);
   }
@@ -145,15 +145,15 @@
   void handle(String method, String path, JsonNode body, BiConsumer<Integer, JsonNode> answer) {
     requests++;
     count(body == null ? 0 : body.path("apply").size());
-    String[] parts = path.split("\\?", 2);
+    String[] shards = path.split("\\?", 2);
     Map<String, String> q = new HashMap<>();
-    if (parts.length > 1) {
-      for (String kv : parts[1].split("&")) {
+    if (shards.length > 1) {
+      for (String kv : shards[1].split("&")) {
         String[] p = kv.split("=", 2);
         q.put(p[0], p[1]);
       }
     }
-    if (parts[0].equals("/changes")) {
+    if (shards[0].equals("/changes")) {
       Watch w = new Watch();
       w.prefix = q.get("prefix");
       w.from = Long.parseLong(q.get("from"));
@@ -167,26 +167,26 @@
     }
     if (out()) {
       answer.accept(503, Json.error("trouble"));
-    } else if (parts[0].equals("/store")) {
+    } else if (shards[0].equals("/store")) {
       list(q, answer);
-    } else if (parts[0].startsWith("/store/")) {
-      String k = parts[0].substring(7);
+    } else if (shards[0].startsWith("/store/")) {
+      String k = shards[0].substring(7);
       Item i = items.get(k);
       if (i == null) {
         answer.accept(404, Json.object().put("ledgerRev", revision));
       } else {
         answer.accept(200, entry(k, i));
       }
-    } else if (parts[0].equals("/multi")) {
+    } else if (shards[0].equals("/multi")) {
       multi(body, answer);
-    } else if (parts[0].equals("/grants")) {
+    } else if (shards[0].equals("/grants")) {
       long g = nextGrant++;
       long ttl = body.path("ttlMs").asLong();
       grants.put(g, sim.now + ttl);
       ttls.put(g, ttl);
       answer.accept(200, Json.object().put("hold", g));
-    } else if (parts[0].startsWith("/grants/")) {
-      long g = Long.parseLong(parts[0].split("/")[2]);
+    } else if (shards[0].startsWith("/grants/")) {
+      long g = Long.parseLong(shards[0].split("/")[2]);
       if (!grants.containsKey(g)) {
         answer.accept(404, Json.object());
       } else if (method.equals("DELETE")) {
@@ -215,7 +215,7 @@
   private static ObjectNode entry(String k, Item i) {
     ObjectNode n = Json.object().put("k", k);
     n.set("data", i.data);
-    return n.put("stamp", i.stamp).put("hold", i.hold);
+    return n.put("stamp", i.revision).put("hold", i.hold);
   }
 
   private void list(Map<String, String> q, BiConsumer<Integer, JsonNode> answer) {
@@ -261,7 +261,7 @@
     ArrayNode failed = refused.putArray("failed");
     for (JsonNode g : body.path("guards")) {
       Item i = items.get(g.path("k").asText());
-      if ((i == null ? 0 : i.stamp) != g.path("stamp").asLong()) {
+      if ((i == null ? 0 : i.revision) != g.path("stamp").asLong()) {
         failed.add(g.path("k").asText());
       }
     }
@@ -298,13 +298,13 @@
   Map<String, Version> at(long then) {
     Map<String, Version> all = new TreeMap<>();
     for (Change c : log) {
-      if (c.stamp > then) {
+      if (c.revision > then) {
         break;
       }
       if (c.data == null) {
         all.remove(c.key);
       } else {
-        all.put(c.key, new Version(c.data, c.stamp));
+        all.put(c.key, new Version(c.data, c.revision));
       }
     }
     return all;
--- a/src/test/java/shorecrank/sim/Worker.java
+++ b/src/test/java/shorecrank/sim/Worker.java
@@ -40,8 +40,8 @@
   private final Set<String> images = new HashSet<>();
   private final Set<String> results = new HashSet<>();
   private final double clock;
-  long tenure = 1;
-  long serial;
+  long incarnation = 1;
+  long sequence;
   long epoch;
   double notice = -1;
   boolean sick;
@@ -100,19 +100,19 @@
   private void lease() {
     if ((now() - lastAnsweredSent) * clock > world.leaseS * 1000) {
       for (Task t : tasks.values()) {
-        off(t);
+        unassigned(t);
       }
       if (!tasks.isEmpty()) {
         world.leaseKills++;
       }
       tasks.clear();
-      tenure++;
+      incarnation++;
       lastAnsweredSent = now();
       changed = true;
     }
   }
 
-  private void off(Task t) {
+  private void unassigned(Task t) {
     if (t.onMachine) {
       t.onMachine = false;
       world.checker.stopped(this, t);
@@ -154,7 +154,7 @@
   }
 
   private void exit(Task t, String cause) {
-    off(t);
+    unassigned(t);
     t.phase = "exited";
     t.cause = cause;
     changed = true;
@@ -175,7 +175,7 @@
     }
     lease();
     long token = body.path("epoch").asLong(-1);
-    if (token < epoch || body.path("tenure").asLong(-1) != tenure) {
+    if (token < epoch || body.path("tenure").asLong(-1) != incarnation) {
       answer.accept(409, report());
       return;
     }
@@ -199,7 +199,7 @@
   ObjectNode report() {
     ObjectNode n = Json.object().put("host", name).put("addr", address());
     n.put("hosttype", type).put("site", zone).put("loaner", spot);
-    n.put("tenure", tenure).put("serial", ++serial).put("epoch", epoch);
+    n.put("tenure", incarnation).put("serial", ++sequence).put("epoch", epoch);
     if (notice >= 0) {
       n.put("reclaimInS", notice);
     } else {
@@ -226,7 +226,7 @@
     nextReport =
         now() + (long) (world.reportS * 1000 * (0.75 + world.sim.random.nextDouble() * 0.5));
     long sent = now();
-    long sentTenure = tenure;
+    long sentTenure = incarnation;
     long generation = ++reportGeneration;
     int to = node;
     ObjectNode body = report();
@@ -288,7 +288,7 @@
       return;
     }
     long token = answer.path("epoch").asLong(-1);
-    if (token < epoch || sentTenure != tenure) {
+    if (token < epoch || sentTenure != incarnation) {
       return;
     }
     sees(token);
@@ -373,7 +373,7 @@
   void gone() {
     dead = true;
     for (Task t : new ArrayList<>(tasks.values())) {
-      off(t);
+      unassigned(t);
     }
     tasks.clear();
   }
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -140,7 +140,7 @@
       }
       step(new Input.Tick(() -> false));
       checker.oneOwner(this);
-      if (tuning.parts() > 1) {
+      if (tuning.shards() > 1) {
         checker.oneCommander(this);
       }
       rollouts.check(this);
@@ -363,13 +363,13 @@
       String key = o.path("write").asText();
       if (key.startsWith("part/")) {
         history.minted(o.path("data").path("epoch").asLong(), o.path("data").path("part").asInt());
-      } else if (key.startsWith("hosts/") && tuning.parts() > 1) {
+      } else if (key.startsWith("hosts/") && tuning.shards() > 1) {
         o.path("data")
             .path("m")
             .forEach(m -> history.assigned(m.path(0).asText(), m.path(4).asInt()));
       }
     }
-    if (tuning.parts() > 1) {
+    if (tuning.shards() > 1) {
       operations.forEach(this::checkNames);
     }
   }
@@ -389,9 +389,9 @@
     if (record == null) {
       return;
     }
-    int shards = rollouts.tuning(nodes.get(0)).parts();
+    int shards = rollouts.tuning(nodes.get(0)).shards();
     int shard = ShardId.of(record.spec().team(), shards).value();
-    for (JobRecord.LiveRange range : record.live()) {
+    for (JobRecord.AttemptRange range : record.live()) {
       Worker worker = workers.get(range.host().value());
       boolean there = worker != null && !worker.dead;
       if (there && !history.belongs(range.host().value(), shard)) {
@@ -782,12 +782,12 @@
     return i < 0 ? null : nodes.get(i);
   }
 
-  Node owner(int part) {
+  Node owner(int shard) {
     Node best = null;
     long top = -1;
     for (Node n : nodes) {
       if (n.up) {
-        Epoch e = n.owned().get(new ShardId(part));
+        Epoch e = n.owned().get(new ShardId(shard));
         if (e != null && e.value() > top) {
           top = e.value();
           best = n;
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -19,7 +19,7 @@
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
-import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.JobRecord.AttemptRange;
 
 /** The dense form says the same as the others; damaged it is not read. */
 class DenseRecordTest {
@@ -42,10 +42,10 @@
   private static JobRecord scattered(int ranges, String machine) throws JobSpec.Malformed {
     Random random = new Random(7);
     BitSet done = new BitSet();
-    List<LiveRange> live = new ArrayList<>();
+    List<AttemptRange> live = new ArrayList<>();
     for (int i = 0; i < ranges; i++) {
       MachineName host = new MachineName(machine.formatted(random.nextInt(MACHINES)));
-      live.add(new LiveRange(2 * i, 1, host, new Incarnation(1 + i % 3), new AttemptNumber(i + 1)));
+      live.add(new AttemptRange(2 * i, 1, host, new Incarnation(1 + i % 3), new AttemptNumber(i + 1)));
       if (i % 4 == 0) {
         done.set(2 * i + 1);
       }
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/ProductionFormsTest.java
@@ -86,7 +86,7 @@
     assertNotNull(r, n.toString());
     ObjectNode ours = r.write();
     assertEquals(r, JobRecord.read(Json.parse(Json.bytes(ours))));
-    assertEquals(n.path("x").asBoolean(false), r.aborted());
+    assertEquals(n.path("x").asBoolean(false), r.cancelled());
     if (!n.has("z")) {
       assertEquals(n, Json.parse(Json.bytes(ours)));
     }
@@ -154,7 +154,7 @@
   /** A message with a number or name missing or out of range is refused as a whole. */
   @Test
   void damagedMessages() throws Exception {
-    ObjectNode beat =
+    ObjectNode heartbeat =
         of(PRODUCTION, "ask /peer/beat").stream()
             .filter(n -> !n.path("parts").isEmpty())
             .findFirst()
@@ -163,7 +163,7 @@
     for (String field : List.of("part", "epoch", "fenced", "expected", "unheard")) {
       for (JsonNode value :
           List.of(IntNode.valueOf(-1), TextNode.valueOf("x"), NullNode.instance)) {
-        ObjectNode n = beat.deepCopy();
+        ObjectNode n = heartbeat.deepCopy();
         ((ObjectNode) n.path("parts").path(0)).set(field, value);
         assertNull(PeerMessages.readHeartbeat(n), field + " " + value);
       }
@@ -217,7 +217,7 @@
       }
       JobRecord scattered =
           new JobRecord(
-              r.spec(), r.epoch(), r.writer(), r.seq(), done, r.live(), r.tries(), true, 7, 0);
+              r.spec(), r.epoch(), r.writer(), r.seq(), done, r.live(), r.attemptCount(), true, 7, 0);
       ObjectNode compact = scattered.writeCompact();
       assertEquals(scattered, JobRecord.read(Json.parse(Json.bytes(compact))));
       assertTrue(Json.bytes(compact).length < Json.bytes(scattered.write()).length);
