--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -83,10 +83,10 @@
 
   private static void fetch(ControllerClient client, String archive, Path file)
       throws Unknown, IOException {
-    Path shard = file.resolveSibling(file.getFileName() + ".part");
+    Path partial = file.resolveSibling(file.getFileName() + ".part");
     String first = ArchiveKeys.chunk(archive, 0);
     String prefix = first.substring(0, first.lastIndexOf('/') + 1);
-    try (OutputStream out = Files.newOutputStream(shard)) {
+    try (OutputStream out = Files.newOutputStream(partial)) {
       IOException[] failure = new IOException[1];
       keys(
           client,
@@ -103,7 +103,7 @@
         throw failure[0];
       }
     }
-    Files.move(shard, file, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(partial, file, StandardCopyOption.REPLACE_EXISTING);
   }
 
   /** All keys with a prefix, as the controllers read them from the state service now. */
--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -528,7 +528,10 @@
     }
     if (known == null) {
       seen.put(w.host(), new MachineInfo(w.host(), w.type(), w.zone(), w.spot()));
-      nextHeartbeatAt = context.now().plus(100).before(nextHeartbeatAt) ? context.now().plus(100) : nextHeartbeatAt;
+      nextHeartbeatAt =
+          context.now().plus(100).before(nextHeartbeatAt)
+              ? context.now().plus(100)
+              : nextHeartbeatAt;
       ControllerName l = election.leader();
       context.reply(
           reply,
@@ -574,7 +577,9 @@
     int renew = context.tuning.renewMs();
     nextHeartbeatAt = now.plus(renew - renew / 10 + context.random().nextInt(renew / 5 + 1));
     List<ShardReport> shards = new ArrayList<>();
-    shardOwners.values().stream().filter(s -> !s.relinquished()).forEach(s -> shards.add(s.heartbeat()));
+    shardOwners.values().stream()
+        .filter(s -> !s.relinquished())
+        .forEach(s -> shards.add(s.heartbeat()));
     refused.forEach((shard, epoch) -> shards.add(ShardReport.refused(shard, epoch)));
     List<MachineInfo> met = someSeen();
     if (!seen.isEmpty()) {
@@ -740,7 +745,9 @@
       s.machineRegistry().gone(a.gone());
       s.autoscaler.blocked(a.blocked());
     }
-    if (news && shardOwners.values().stream().anyMatch(s -> !s.autoscaler.capacityRequests().isEmpty())) {
+    if (news
+        && shardOwners.values().stream()
+            .anyMatch(s -> !s.autoscaler.capacityRequests().isEmpty())) {
       // The leader takes wants only from an owner that knows the last lending: say so at once.
       nextHeartbeatAt = context.now().plus(100);
     }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -14,8 +14,8 @@
 import shorecrank.rollout.Feature;
 
 /**
- * Who leads: the process whose key hangs on a living grant. The key's revision is the leader's term;
- * whatever the leader writes is guarded by it.
+ * Who leads: the process whose key hangs on a living grant. The key's revision is the leader's
+ * term; whatever the leader writes is guarded by it.
  */
 public final class Election implements Leadership {
   public static final String KEY = "leader";
@@ -281,9 +281,11 @@
   }
 
   private void take(long h, MonotonicTime grantSent) {
-    StoreMessages.Transaction transaction = new StoreMessages.Transaction().guard(key(), Revision.ABSENT);
+    StoreMessages.Transaction transaction =
+        new StoreMessages.Transaction().guard(key(), Revision.ABSENT);
     if (isProtected()) {
-      transaction.guard(KEY, namingRevision)
+      transaction
+          .guard(KEY, namingRevision)
           .write(KEY, ownName().put(MOVED_TO, PROTECTED_KEY).put(LEVEL, level.value()));
     }
     transaction.write(key(), ownName(), h);
@@ -314,7 +316,9 @@
   }
 
   private ObjectNode ownName() {
-    return Json.object().put(LABEL, context.config.label().value()).put(WRITER, context.writer.value());
+    return Json.object()
+        .put(LABEL, context.config.label().value())
+        .put(WRITER, context.writer.value());
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -111,8 +111,8 @@
 
   /**
    * Shards for which a new owner may yet be written down by a transaction without an answer. The
-   * next committed mint settles it, since all are guarded by the counter's revision; before that the
-   * last owner gets no lease.
+   * next committed mint settles it, since all are guarded by the counter's revision; before that
+   * the last owner gets no lease.
    */
   private final Set<ShardId> ownerInDoubt = new TreeSet<>();
 
@@ -153,7 +153,8 @@
             : new ShareAssigner(context, election, rollout, gate, shares, machines, this);
     this.assigner =
         shares == null ? new SpareMachineAssigner(context, machines, this) : shareAssigner;
-    this.cloud = new CloudProvisioner(context, machines, () -> loadedTerm, this::assign, this::meet);
+    this.cloud =
+        new CloudProvisioner(context, machines, () -> loadedTerm, this::assign, this::meet);
   }
 
   public void catalog(Map<String, MachineType> c) {
@@ -524,7 +525,8 @@
             owners.add(new OwnerInfo(id, p.owner, p.epoch));
           }
         });
-    MachineDirectory.Changes changes = machines.changesSince(b.assignmentVersion(), shards.size() == 1);
+    MachineDirectory.Changes changes =
+        machines.changesSince(b.assignmentVersion(), shards.size() == 1);
     List<MachineName> gone =
         changes.whole()
             ? cloud.releasedLately()
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -223,7 +223,8 @@
       if (mayTell(m, oneShard) && (whole || m.version > known)) {
         long ageMs = context.now().since(m.since);
         Epoch term = oneShard ? Epoch.NONE : m.term;
-        assigned.add(new MachineAssignment(m.info, m.shard, ageMs, term, m.handoverRequested, m.move));
+        assigned.add(
+            new MachineAssignment(m.info, m.shard, ageMs, term, m.handoverRequested, m.move));
       }
     }
     if (!whole) {
@@ -494,8 +495,10 @@
     return other;
   }
 
-  private void guardedWrite(StoreMessages.Transaction transaction, String key, ArrayNode machinesOfKey) {
-    transaction.guard(key, revisions.getOrDefault(key, Revision.ABSENT))
+  private void guardedWrite(
+      StoreMessages.Transaction transaction, String key, ArrayNode machinesOfKey) {
+    transaction
+        .guard(key, revisions.getOrDefault(key, Revision.ABSENT))
         .write(key, Json.object().set(MACHINES, machinesOfKey));
   }
 
@@ -527,7 +530,8 @@
     saveAt = now.plus(SAVE_PAUSE_MS);
     unsaved.removeAll(batch.buckets.keySet());
     Revision term = loadedTerm.get();
-    StoreMessages.Transaction transaction = new StoreMessages.Transaction().guard(election.key(), term);
+    StoreMessages.Transaction transaction =
+        new StoreMessages.Transaction().guard(election.key(), term);
     batch.values.forEach((key, machinesOfKey) -> guardedWrite(transaction, key, machinesOfKey));
     context.state(
         "POST",
@@ -551,7 +555,8 @@
         inBucket.add(m);
       }
     }
-    int most = (int) Math.max(1, Math.min(context.config.state().txnOps(), context.writes.rate() / 2));
+    int most =
+        (int) Math.max(1, Math.min(context.config.state().txnOps(), context.writes.rate() / 2));
     Batch batch = new Batch(new TreeMap<>(), new TreeMap<>());
     int bytes = 0;
     for (Map.Entry<Integer, List<Machine>> e : byBucket.entrySet()) {
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -88,7 +88,8 @@
     }
     for (MachineHandover back : report.handovers()) {
       Machine machine = machines.get(back.machine());
-      boolean asOrdered = machine != null && machine.handoverRequested && machine.move.equals(back.move());
+      boolean asOrdered =
+          machine != null && machine.handoverRequested && machine.move.equals(back.move());
       if (asOrdered && machine.shard.equals(report.shard())) {
         handOver(machine, report.shard());
       }
@@ -115,7 +116,8 @@
   /** A machine on which tasks of a shard may run goes back to that shard. */
   private void reclaim(MachineName name, ShardId shard) {
     Machine machine = machines.get(name);
-    boolean known = machine != null && machine.handoverRequested && shard.equals(machine.reclaimedBy);
+    boolean known =
+        machine != null && machine.handoverRequested && shard.equals(machine.reclaimedBy);
     if (machine == null || machine.shard.equals(shard) || known) {
       return;
     }
--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -222,7 +222,9 @@
   }
 
   public int queued() {
-    return cancelled || !unmetDependencies.isEmpty() ? 0 : Math.max(0, spec.tasks() - taken.cardinality());
+    return cancelled || !unmetDependencies.isEmpty()
+        ? 0
+        : Math.max(0, spec.tasks() - taken.cardinality());
   }
 
   public int nextQueued(int from) {
--- a/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/UserRequestHandler.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.CancellationLog;
-import shorecrank.coordination.request.DependencyAdmission.Result;
 import shorecrank.coordination.model.MachineConstraints;
+import shorecrank.coordination.request.DependencyAdmission.Result;
 import shorecrank.coordination.shard.StatusQueries;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
@@ -499,7 +499,10 @@
     context.state(
         "POST",
         StoreMessages.MULTI,
-        new Transaction().guard(JobRecord.liveKey(id), u.revision).write(JobRecord.liveKey(id), marked).body(),
+        new Transaction()
+            .guard(JobRecord.liveKey(id), u.revision)
+            .write(JobRecord.liveKey(id), marked)
+            .body(),
         CALL_MS,
         (status, body) -> {
           if (status == 200) {
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -7,11 +7,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import shorecrank.coordination.model.MachineConstraints;
-import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.MachineConstraints;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
@@ -168,7 +168,11 @@
       }
       // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
       used += h.usedShare() * h.type().cpus();
-      if (!h.reported() || !owner.liveness().fresh(h) || h.retiring || h.preemptionNoticed || h.handoverRequested) {
+      if (!h.reported()
+          || !owner.liveness().fresh(h)
+          || h.retiring
+          || h.preemptionNoticed
+          || h.handoverRequested) {
         continue;
       }
       if (h.draining) {
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -162,7 +162,9 @@
       return;
     }
     ArrayDeque<JobId> next = new ArrayDeque<>(unknown);
-    while (!next.isEmpty() && looking.size() < MAX_LOOKS && context.requests.has(1, context.now())) {
+    while (!next.isEmpty()
+        && looking.size() < MAX_LOOKS
+        && context.requests.has(1, context.now())) {
       JobId id = next.poll();
       if (!dependents.containsKey(id)) {
         unknown.remove(id);
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -108,10 +108,12 @@
         best.reassignRoom(t);
       }
       context.count("task.preempted");
-      victims.forEach(t -> context.count("task.preempted.ms", (long) (t.lost(context.now()) * 1000)));
+      victims.forEach(
+          t -> context.count("task.preempted.ms", (long) (t.lost(context.now()) * 1000)));
       AttemptNumber attempt = new AttemptNumber(++j.attemptCount);
       j.rangesLeft--;
-      owner.attach(new TaskAttempt(j, index, best, best.incarnation, attempt, j.seq + 1, context.now()));
+      owner.attach(
+          new TaskAttempt(j, index, best, best.incarnation, attempt, j.seq + 1, context.now()));
       placed = true;
       wanted--;
       if (j.spec.oneZone()) {
@@ -135,7 +137,8 @@
       }
     }
     MonotonicTime now = context.now();
-    can.sort(Comparator.<TaskAttempt>comparingDouble(t -> t.lost(now)).thenComparingInt(t -> t.index));
+    can.sort(
+        Comparator.<TaskAttempt>comparingDouble(t -> t.lost(now)).thenComparingInt(t -> t.index));
     List<TaskAttempt> take = new ArrayList<>();
     double cpus = 0;
     double gpus = 0;
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -95,7 +95,10 @@
   }
 
   public static boolean overdue(Job j, long wallMs) {
-    return j.attemptCount == 0 && j.doneCount() == 0 && j.unmetDependencies.isEmpty() && j.readyS(wallMs) > BEGIN_S;
+    return j.attemptCount == 0
+        && j.doneCount() == 0
+        && j.unmetDependencies.isEmpty()
+        && j.readyS(wallMs) > BEGIN_S;
   }
 
   /**
@@ -204,7 +207,10 @@
     for (Job j : jobs) {
       j.owed = false;
       NodeConfig.Team t = context.config.teams().get(j.spec.team());
-      if (t != null && (t.cpus() > 0 || t.gpus() > 0) && !j.cancelled && j.unmetDependencies.isEmpty()) {
+      if (t != null
+          && (t.cpus() > 0 || t.gpus() > 0)
+          && !j.cancelled
+          && j.unmetDependencies.isEmpty()) {
         byTeam.computeIfAbsent(j.spec.team(), k -> new ArrayList<>()).add(j);
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -11,7 +11,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.CancellationLog;
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Job.TaskAttempt;
@@ -19,13 +18,13 @@
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.TeamQuotas;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
-import shorecrank.coordination.scheduling.ShardView;
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.scheduling.BinPacking;
 import shorecrank.coordination.scheduling.DependencyGraph;
 import shorecrank.coordination.scheduling.Preemption;
 import shorecrank.coordination.scheduling.SchedulingQueue;
+import shorecrank.coordination.scheduling.ShardView;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
@@ -178,7 +177,8 @@
     boolean oneShard = context.tuning.shards() == 1;
     this.references = oneShard ? null : new MachineReferences();
     ForeignTasks foreign = oneShard ? null : new ForeignTasks(context, shard);
-    this.machineRegistry = new MachineRegistry(context, shard, references, foreign, new TasksOfMachines());
+    this.machineRegistry =
+        new MachineRegistry(context, shard, references, foreign, new TasksOfMachines());
     this.hosts = machineRegistry.machines();
     this.quotas = new TeamQuotas(context.config.teams(), hosts.values());
     this.demands = shares ? new ShardDemandReporter(context, this) : null;
@@ -452,8 +452,7 @@
               context.unreadable(e.key());
             } else if (ShardId.of(r.spec().team(), context.tuning.shards()).equals(shard)) {
               Job j = add(r, e.revision());
-              boolean countsNow =
-                  references != null || quotas.isLimited(r.spec().team());
+              boolean countsNow = references != null || quotas.isLimited(r.spec().team());
               if (countsNow && !j.claimed) {
                 // A write that the last owner sent in time may still place tasks of it: they would
                 // count for its team's limit, and hold their machine in this shard.
@@ -493,7 +492,8 @@
       references.read(j.id(), revision, MachineReferences.machinesOf(r), stage == Stage.LOADING);
     }
     if (r.epoch().value() > 0) {
-      if (r.epoch().above(epoch) || (r.epoch().equals(epoch) && !r.writer().equals(context.writer))) {
+      if (r.epoch().above(epoch)
+          || (r.epoch().equals(epoch) && !r.writer().equals(context.writer))) {
         relinquishJob(j, r);
         return j;
       }
@@ -632,7 +632,8 @@
       boolean last = over(j);
       if (j.dirty == WriteUrgency.NOW
           || last
-          || (j.dirty == WriteUrgency.LATER && now.since(j.dirtySince) >= context.tuning.mergeMs())) {
+          || (j.dirty == WriteUrgency.LATER
+              && now.since(j.dirtySince) >= context.tuning.mergeMs())) {
         due.add(j);
       }
     }
@@ -705,7 +706,11 @@
    * @param machines those that it names, where that is kept track of
    */
   private record EncodedRecord(
-      ObjectNode value, int bytes, int boundBytes, JobStatus jobStatus, Set<MachineName> machines) {}
+      ObjectNode value,
+      int bytes,
+      int boundBytes,
+      JobStatus jobStatus,
+      Set<MachineName> machines) {}
 
   private EncodedRecord encode(Job j, boolean dense) {
     JobRecord record = j.record(epoch, context.writer);
@@ -959,7 +964,9 @@
     int cmp = r.incarnation().compareTo(h.incarnation);
     boolean late = cmp < 0 || (cmp == 0 && r.sequence() <= h.sequence);
     // Of a session whose tasks were given up as surely gone, a report can only be late.
-    if (late || r.incarnation().compareTo(h.endedIncarnation) <= 0 || r.token().epoch().above(epoch)) {
+    if (late
+        || r.incarnation().compareTo(h.endedIncarnation) <= 0
+        || r.token().epoch().above(epoch)) {
       context.count("report.late");
       context.reply(reply, 503, Json.error("not entitled, or the report is late"));
       return;
@@ -1180,7 +1187,11 @@
         lose(l);
       } else if (h.confirmed
           && !h.mayStart(l.run())
-          && (l.job.cancelled || l.revoked || h.preemptionNoticed || h.retiring || h.unresponsive)) {
+          && (l.job.cancelled
+              || l.revoked
+              || h.preemptionNoticed
+              || h.retiring
+              || h.unresponsive)) {
         // The worker executes what an answer says or drops it whole, and this report is younger
         // than all earlier answers: what it does not list was never started and never will be.
         lose(l);
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -13,7 +13,10 @@
   private UtilizationGauges() {}
 
   static void tell(
-      StepContext context, Collection<Machine> hosts, Collection<Job> jobs, WorkerLiveness liveness) {
+      StepContext context,
+      Collection<Machine> hosts,
+      Collection<Job> jobs,
+      WorkerLiveness liveness) {
     double there = 0;
     double commanded = 0;
     double pulling = 0;
--- a/src/main/java/shorecrank/protocol/PeerMessages.java
+++ b/src/main/java/shorecrank/protocol/PeerMessages.java
@@ -106,7 +106,8 @@
   }
 
   /**
-   * {@code misroutedWorkers} counts, by part, workers that lately came here and were sent to its owner.
+   * {@code misroutedWorkers} counts, by part, workers that lately came here and were sent to its
+   * owner.
    *
    * @param announcement what the sender supports; null if it says nothing
    */
@@ -129,15 +130,22 @@
    *
    * @param term the lowest epoch under which its worker's reports count; NONE where there is only
    *     one shard
-   * @param move the order under which it is to be handed over ({@code handoverRequested}) or has just come
+   * @param move the order under which it is to be handed over ({@code handoverRequested}) or has
+   *     just come
    */
   public record MachineAssignment(
-      MachineInfo host, ShardId shard, long ageMs, Epoch term, boolean handoverRequested, MoveId move) {}
+      MachineInfo host,
+      ShardId shard,
+      long ageMs,
+      Epoch term,
+      boolean handoverRequested,
+      MoveId move) {}
 
   public record UnavailableOffer(Offer offer, long forMs) {}
 
   /**
-   * {@code assigned} is all that is lent if {@code whole}, else what changed since the asker's version.
+   * {@code assigned} is all that is lent if {@code whole}, else what changed since the asker's
+   * version.
    *
    * @param rollout the feature level as the leader knows it; null if it says nothing
    */
@@ -245,7 +253,9 @@
       List<CapacityRequest> capacityRequests = new ArrayList<>();
       p.path("wants")
           .forEach(
-              w -> capacityRequests.add(new CapacityRequest(offer(w), (int) count(w, "count", MAX_COUNT))));
+              w ->
+                  capacityRequests.add(
+                      new CapacityRequest(offer(w), (int) count(w, "count", MAX_COUNT))));
       List<String> unreachableZones = new ArrayList<>();
       p.path("deafTo").forEach(z -> unreachableZones.add(z.asText()));
       shards.add(
@@ -271,7 +281,10 @@
     n.path("seen").forEach(h -> seen.add(host(h)));
     Map<ShardId, Integer> misroutedWorkers = new HashMap<>();
     n.path("strays")
-        .forEach(s -> misroutedWorkers.put(new ShardId(s.path(0).asInt()), Math.max(0, s.path(1).asInt())));
+        .forEach(
+            s ->
+                misroutedWorkers.put(
+                    new ShardId(s.path(0).asInt()), Math.max(0, s.path(1).asInt())));
     return new Heartbeat(
         new ControllerName(from),
         new WriterId(writer),
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -171,7 +171,8 @@
   /** What goes straight to a worker, which takes it only in this session and under this token. */
   public static ObjectNode direct(
       FencingToken token, Incarnation incarnation, List<WorkerCommand> orders) {
-    return write(Json.object().put("epoch", token.value()).put("tenure", incarnation.value()), orders);
+    return write(
+        Json.object().put("epoch", token.value()).put("tenure", incarnation.value()), orders);
   }
 
   private static ObjectNode write(ObjectNode n, List<WorkerCommand> orders) {
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -122,7 +122,8 @@
     double given = 0;
     List<ShardId> shards = List.copyOf(lacking.keySet());
     for (ShardId shard : shards) {
-      double fraction = weights > EPSILON ? weight(claims.get(shard)) / weights : 1.0 / shards.size();
+      double fraction =
+          weights > EPSILON ? weight(claims.get(shard)) / weights : 1.0 / shards.size();
       double lack = lacking.get(shard);
       double gets = Math.min(lack, left * fraction);
       targets.merge(shard, gets, Double::sum);
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -201,7 +201,9 @@
     Transaction transaction = new Transaction();
     leadership.guard(transaction);
     gate.guard(transaction);
-    transaction.guard(ShareMessages.KEY, revision).write(ShareMessages.KEY, ShareMessages.write(next));
+    transaction
+        .guard(ShareMessages.KEY, revision)
+        .write(ShareMessages.KEY, ShareMessages.write(next));
     more.accept(transaction);
     environment.state(
         "POST",
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -209,7 +209,8 @@
       chunk = writer.take(chunkBytes());
     }
     String key = ArchiveKeys.chunk(id, chunks);
-    Transaction transaction = new Transaction().guard(key, Revision.ABSENT).write(key, ArchiveKeys.writeChunk(chunk));
+    Transaction transaction =
+        new Transaction().guard(key, Revision.ABSENT).write(key, ArchiveKeys.writeChunk(chunk));
     leadership.guard(transaction);
     call(
         "POST",
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -188,7 +188,8 @@
     Revision term = loadedTerm;
     Transaction transaction = new Transaction();
     leadership.guard(transaction);
-    transaction.guard(RolloutMessages.KEY, revision)
+    transaction
+        .guard(RolloutMessages.KEY, revision)
         .write(RolloutMessages.KEY, RolloutMessages.write(next));
     boolean switches = !next.level().equals(state.level());
     if (switches) {
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -188,7 +188,8 @@
         break;
       }
       batch.add(pending.poll());
-      transaction.guard(next.entry().key(), next.entry().revision())
+      transaction
+          .guard(next.entry().key(), next.entry().revision())
           .write(next.entry().key(), next.value());
     }
     if (batch.isEmpty()) {
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -261,7 +261,8 @@
     return withHead(n, spec, done, live);
   }
 
-  private static JobRecord withHead(JsonNode n, JobSpec spec, BitSet done, List<AttemptRange> live) {
+  private static JobRecord withHead(
+      JsonNode n, JobSpec spec, BitSet done, List<AttemptRange> live) {
     return new JobRecord(
         spec,
         new Epoch(n.path("e").asLong()),
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -163,10 +163,10 @@
     Map<ShardId, Epoch> owned() {
       Map<ShardId, Epoch> owned = new HashMap<>();
       for (String key : store.keys("part/")) {
-        JsonNode shard = store.peek(key);
-        if (shard.path("label").asText().equals(label)) {
-          ShardId shard = new ShardId(shard.path("part").asInt());
-          owned.put(shard, new Epoch(shard.path("epoch").asLong()));
+        JsonNode owner = store.peek(key);
+        if (owner.path("label").asText().equals(label)) {
+          ShardId shard = new ShardId(owner.path("part").asInt());
+          owned.put(shard, new Epoch(owner.path("epoch").asLong()));
         }
       }
       return owned;
--- a/src/test/java/shorecrank/sim/Scenario.java
+++ b/src/test/java/shorecrank/sim/Scenario.java
@@ -533,11 +533,11 @@
           case "full-below" -> w.refusedFull < Integer.parseInt(a[2]);
           case "log" -> {
             String text = line.substring(line.indexOf(" log ") + 5).trim();
-            reassignRoom w.logs.stream().anyMatch(l -> l.contains(text));
+            yield w.logs.stream().anyMatch(l -> l.contains(text));
           }
           case "nolog" -> {
             String text = line.substring(line.indexOf(" nolog ") + 7).trim();
-            reassignRoom w.logs.stream().noneMatch(l -> l.contains(text));
+            yield w.logs.stream().noneMatch(l -> l.contains(text));
           }
           case "owner-known" -> w.owner(0) != null;
           default -> throw new IllegalArgumentException(name + ": " + line);
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -205,7 +205,7 @@
                 : List.of();
         ShardId from = o.containsKey("from") ? shard(o.get("from")) : null;
         int count = Integer.parseInt(o.getOrDefault("count", "0"));
-        reassignRoom new MoveMachines(id, dryRun, machines, from, count, shard(o.get("to")));
+        yield new MoveMachines(id, dryRun, machines, from, count, shard(o.get("to")));
       }
       default ->
           new AbortMoves(
@@ -231,12 +231,12 @@
       // share SHARD LEAST MOST: machines.
       case "share" -> {
         int n = assigned().getOrDefault(Integer.parseInt(a[2]), List.of()).size();
-        reassignRoom n >= Integer.parseInt(a[3]) && n <= Integer.parseInt(a[4]);
+        yield n >= Integer.parseInt(a[3]) && n <= Integer.parseInt(a[4]);
       }
       // counted METRIC LEAST MOST, by all controllers together.
       case "counted" -> {
         long n = counts.getOrDefault(a[2], 0L);
-        reassignRoom n >= Long.parseLong(a[3]) && n <= Long.parseLong(a[4]);
+        yield n >= Long.parseLong(a[3]) && n <= Long.parseLong(a[4]);
       }
       case "moving" -> state().active().size() == Integer.parseInt(a[2]);
       case "share-order" -> orderIs(a);
@@ -247,7 +247,7 @@
           answers.addAll(orders.outcomes.getOrDefault(id, List.of()));
         }
         long accepted = answers.stream().filter(n -> n.path("accepted").asBoolean()).count();
-        reassignRoom accepted == Long.parseLong(a[3]) && answers.size() - accepted == Long.parseLong(a[4]);
+        yield accepted == Long.parseLong(a[3]) && answers.size() - accepted == Long.parseLong(a[4]);
       }
       default -> null;
     };
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -45,7 +45,8 @@
     List<AttemptRange> live = new ArrayList<>();
     for (int i = 0; i < ranges; i++) {
       MachineName host = new MachineName(machine.formatted(random.nextInt(MACHINES)));
-      live.add(new AttemptRange(2 * i, 1, host, new Incarnation(1 + i % 3), new AttemptNumber(i + 1)));
+      live.add(
+          new AttemptRange(2 * i, 1, host, new Incarnation(1 + i % 3), new AttemptNumber(i + 1)));
       if (i % 4 == 0) {
         done.set(2 * i + 1);
       }
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/ProductionFormsTest.java
@@ -217,7 +217,16 @@
       }
       JobRecord scattered =
           new JobRecord(
-              r.spec(), r.epoch(), r.writer(), r.seq(), done, r.live(), r.attemptCount(), true, 7, 0);
+              r.spec(),
+              r.epoch(),
+              r.writer(),
+              r.seq(),
+              done,
+              r.live(),
+              r.attemptCount(),
+              true,
+              7,
+              0);
       ObjectNode compact = scattered.writeCompact();
       assertEquals(scattered, JobRecord.read(Json.parse(Json.bytes(compact))));
       assertTrue(Json.bytes(compact).length < Json.bytes(scattered.write()).length);
