--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -333,6 +333,6 @@
 
   private static AttemptRange range(TaskAttempt first, int end) {
     return new AttemptRange(
-        first.index, end - first.index, first.host.name, first.incarnation, first.attempt);
+        first.index, end - first.index, first.host.name(), first.incarnation, first.attempt);
   }
 }
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -101,7 +101,7 @@
       headroom.gpus -= usage.gpus;
     }
     for (Machine machine : machines) {
-      for (Machine.UnrecordedTask markUnrecorded : machine.unrecordedTasks) {
+      for (Machine.UnrecordedTask markUnrecorded : machine.unrecordedTasks()) {
         if (markUnrecorded.job().spec.team().equals(name)) {
           headroom.take(markUnrecorded.job().spec, 1);
         }
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -35,7 +35,7 @@
     int heard = 0;
     int reported = 0;
     for (Machine h : hosts) {
-      if (h.reported()) {
+      if (h.session().isReported()) {
         reported++;
         heard += overdue(h) ? 0 : 1;
       }
@@ -49,8 +49,10 @@
     int unheard = 0;
     Map<String, int[]> byZone = new TreeMap<>();
     for (Machine h : hosts) {
-      if (h.info != null && h.assigned && (h.reported() || !h.empty())) {
-        int[] zone = byZone.computeIfAbsent(h.info.zone(), z -> new int[2]);
+      if (h.info() != null
+          && h.assignment().isAssigned()
+          && (h.session().isReported() || !h.isEmpty())) {
+        int[] zone = byZone.computeIfAbsent(h.info().zone(), z -> new int[2]);
         expected++;
         zone[0]++;
         if (overdue(h)) {
@@ -74,14 +76,14 @@
    * gives it up and turns to another controller first, so a new owner waits for that too.
    */
   private boolean overdue(Machine h) {
-    long redirect = h.lastHeard.before(grantedAt) ? REDIRECT_MS : 0;
+    long redirect = h.session().lastHeard().before(grantedAt) ? REDIRECT_MS : 0;
     return silentMs(h) > context.config.workers().reportS() * 1250 + 2000 + redirect;
   }
 
   /** When a silent machine's worker has surely killed its tasks. */
   public boolean leaseOut(Machine h) {
-    MonotonicTime from = h.lastHeard;
-    if (!h.confirmed) {
+    MonotonicTime from = h.session().lastHeard();
+    if (!h.session().isConfirmed()) {
       // An earlier owner may have gone on renewing it until its grace was over.
       MonotonicTime quiet =
           grantedAt.plus(context.tuning.graceMs() + context.tuning.graceMs() / 500L + 1000L);
@@ -92,11 +94,13 @@
   }
 
   public long silentMs(Machine h) {
-    MonotonicTime from = h.lastHeard.before(grantedAt) ? grantedAt : h.lastHeard;
+    MonotonicTime from =
+        h.session().lastHeard().before(grantedAt) ? grantedAt : h.session().lastHeard();
     return context.now().since(from);
   }
 
   public boolean fresh(Machine h) {
-    return h.known && silentMs(h) < context.config.workers().reportS() * 2500 + 1500;
+    return h.session().isReconciled()
+        && silentMs(h) < context.config.workers().reportS() * 2500 + 1500;
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -81,10 +81,10 @@
     Map<String, Silence> byZone = new HashMap<>();
     for (Machine h : owner.machines().values()) {
       // One that holds tasks has run before, whether or not this owner has heard it.
-      if (h.info != null && (h.reported() || !h.empty())) {
+      if (h.info() != null && (h.session().isReported() || !h.isEmpty())) {
         boolean silent = !owner.liveness().fresh(h);
         all.add(silent);
-        byZone.computeIfAbsent(h.info.zone(), z -> new Silence()).add(silent);
+        byZone.computeIfAbsent(h.info().zone(), z -> new Silence()).add(silent);
       }
     }
     // Many silent at once: more likely it is we who are cut off, or they have not found us yet.
@@ -108,45 +108,45 @@
       long quiet = owner.liveness().silentMs(h);
       // When it is over the last of them have a lease's time to find their way.
       MonotonicTime cutAt =
-          h.info == null
+          h.info() == null
               ? MonotonicTime.NEVER
-              : zoneSilentAt.getOrDefault(h.info.zone(), MonotonicTime.NEVER);
+              : zoneSilentAt.getOrDefault(h.info().zone(), MonotonicTime.NEVER);
       boolean wait = now.since(manySilentAt) <= lease || now.since(cutAt) <= lease;
       double patience = wait ? patient : soon;
-      if (!h.reported()) {
+      if (!h.session().isReported()) {
         double boot = h.type() == null ? 60 : h.type().bootS();
-        boolean holds = !h.empty();
-        long here = now.since(h.assignedSince);
+        boolean holds = !h.isEmpty();
+        long here = now.since(h.assignment().since());
         if (holds
             ? quiet > (wait ? patience : Math.max(15_000, early))
-            : here > (h.hasRun ? patience : 1000 * (5 * boot + 120))) {
-          if (holds || h.assigned) {
-            retire.add(h.name);
+            : here > (h.assignment().hasArrivedFromShard() ? patience : 1000 * (5 * boot + 120))) {
+          if (holds || h.assignment().isAssigned()) {
+            retire.add(h.name());
           }
         }
         continue;
       }
       if (quiet > patience) {
-        retire.add(h.name);
-      } else if (h.unresponsive
-          && h.missedAnswers > 1
-          && h.empty()
-          && now.since(h.unresponsiveSince) > 3 * lease + 30_000) {
-        retire.add(h.name);
-      } else if (h.quarantines > 1 && h.empty() && owner.liveness().fresh(h)) {
-        h.retiring = true;
-        retire.add(h.name);
-      } else if (h.draining
-          && !h.handoverRequested
-          && h.empty()
-          && h.listedTasks == 0
+        retire.add(h.name());
+      } else if (h.session().isUnresponsive()
+          && h.session().missedAnswers() > 1
+          && h.isEmpty()
+          && now.since(h.session().unresponsiveSince()) > 3 * lease + 30_000) {
+        retire.add(h.name());
+      } else if (h.health().quarantines() > 1 && h.isEmpty() && owner.liveness().fresh(h)) {
+        h.release();
+        retire.add(h.name());
+      } else if (h.isDraining()
+          && !h.assignment().isHandoverRequested()
+          && h.isEmpty()
+          && h.session().listedTasks() == 0
           && owner.liveness().fresh(h)
-          && now.since(h.idleSince) > 2000) {
-        h.retiring = true;
-        retire.add(h.name);
-      } else if (h.retiring) {
-        if (h.empty() && h.listedTasks == 0) {
-          retire.add(h.name);
+          && now.since(h.idleSince()) > 2000) {
+        h.release();
+        retire.add(h.name());
+      } else if (h.isReleasing()) {
+        if (h.isEmpty() && h.session().listedTasks() == 0) {
+          retire.add(h.name());
         }
       }
     }
@@ -168,14 +168,14 @@
       }
       // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
       used += h.usedShare() * h.type().cpus();
-      if (!h.reported()
+      if (!h.session().isReported()
           || !owner.liveness().fresh(h)
-          || h.retiring
-          || h.preemptionNoticed
-          || h.handoverRequested) {
+          || h.isReleasing()
+          || h.isPreemptionNoticed()
+          || h.assignment().isHandoverRequested()) {
         continue;
       }
-      if (h.draining) {
+      if (h.isDraining()) {
         draining.add(h);
       } else {
         have += h.type().cpus();
@@ -196,8 +196,8 @@
     peaks.add(new Peak(now, need));
     double keep = peaks.peekFirst().cpus * SPARE;
     Comparator<Machine> dear =
-        Comparator.<Machine>comparingDouble(h -> h.type().price(h.info.spot()) / h.type().cpus());
-    draining.sort(dear.thenComparing(h -> h.name));
+        Comparator.<Machine>comparingDouble(h -> h.type().price(h.info().spot()) / h.type().cpus());
+    draining.sort(dear.thenComparing(h -> h.name()));
     for (Machine h : running) {
       unfit -= owner.usable(h) ? roomFor(waiting, h) : 0;
     }
@@ -205,7 +205,7 @@
       if (have >= keep && unfit <= 0) {
         break;
       }
-      h.draining = false;
+      h.cancelDrain();
       have += h.type().cpus();
       unfit -= roomFor(waiting, h);
     }
@@ -216,12 +216,12 @@
     if (unfit > 0) {
       return;
     }
-    running.sort(dear.reversed().thenComparing(Machine::usedCpus).thenComparing(h -> h.name));
+    running.sort(dear.reversed().thenComparing(Machine::usedCpus).thenComparing(h -> h.name()));
     for (Machine h : running) {
       if (have - h.type().cpus() < keep) {
         break;
       }
-      h.draining = true;
+      h.drain();
       have -= h.type().cpus();
     }
   }
@@ -241,11 +241,14 @@
     }
     room *= MOVE_SHARE;
     draining.sort(
-        Comparator.<Machine>comparingDouble(h -> -h.type().price(h.info.spot()) / h.type().cpus())
+        Comparator.<Machine>comparingDouble(h -> -h.type().price(h.info().spot()) / h.type().cpus())
             .thenComparing(Machine::usedCpus)
-            .thenComparing(h -> h.name));
+            .thenComparing(h -> h.name()));
     for (Machine h : draining) {
-      if (!h.draining || h.empty() || !owner.liveness().fresh(h) || h.unresponsive) {
+      if (!h.isDraining()
+          || h.isEmpty()
+          || !owner.liveness().fresh(h)
+          || h.session().isUnresponsive()) {
         continue;
       }
       List<TaskAttempt> movable = new ArrayList<>();
@@ -253,9 +256,9 @@
       double cost = 0;
       double staysS = 0;
       double leavesS = 0;
-      for (TaskAttempt t : h.live) {
+      for (TaskAttempt t : h.attempts()) {
         double left = t.leftS(context.now());
-        double move = t.job.spec.saveS() + h.fetchAnewS(t.job.spec) / 2 + reportS();
+        double move = t.job.spec.saveS() + h.fullFetchSeconds(t.job.spec) / 2 + reportS();
         if (t.movable() && t.lost(context.now()) > SETTLED_S) {
           movable.add(t);
           cpus += t.job.spec.cpus();
@@ -319,7 +322,7 @@
       for (Map.Entry<Job, Integer> e : waiting.entrySet()) {
         JobSpec s = e.getKey().spec;
         int n = Math.min(h.fits(s), e.getValue());
-        if (n > 0 && h.allowed(s)) {
+        if (n > 0 && h.isAllowedFor(s)) {
           best = Math.max(best, n * size(s, owner.catalog()));
         }
       }
@@ -348,10 +351,13 @@
     }
     double free = 0;
     for (Machine h : owner.machines().values()) {
-      if (h.type() == null || !h.assigned || h.retiring || h.preemptionNoticed) {
+      if (h.type() == null
+          || !h.assignment().isAssigned()
+          || h.isReleasing()
+          || h.isPreemptionNoticed()) {
         continue;
       }
-      if (!h.reported()) {
+      if (!h.session().isReported()) {
         if (mayComeUp(h)) {
           free += roomFor(waiting, h);
         }
@@ -379,8 +385,8 @@
     }
     Map<String, Integer> perZone = new HashMap<>();
     owner.machines().values().stream()
-        .filter(h -> h.info != null)
-        .forEach(h -> perZone.merge(h.info.zone(), 1, Integer::sum));
+        .filter(h -> h.info() != null)
+        .forEach(h -> perZone.merge(h.info().zone(), 1, Integer::sum));
     offers.sort(
         Comparator.<Offer>comparingDouble(this::perCpu)
             .thenComparing(o -> perZone.getOrDefault(o.zone(), 0))
@@ -425,9 +431,9 @@
    * One that takes far longer than usual to boot may never come up, or was gone when it was met.
    */
   private boolean mayComeUp(Machine h) {
-    return !h.hasRun
+    return !h.assignment().hasArrivedFromShard()
         && h.type() != null
-        && context.now().since(h.assignedSince) < LONG_BOOT * 1000 * h.type().bootS();
+        && context.now().since(h.assignment().since()) < LONG_BOOT * 1000 * h.type().bootS();
   }
 
   private double perCpu(Offer o) {
@@ -437,12 +443,12 @@
 
   private boolean served(Job j) {
     for (Machine h : owner.machines().values()) {
-      if (h.assigned
-          && !h.retiring
-          && !h.preemptionNoticed
-          && !h.handoverRequested
-          && (h.reported() || mayComeUp(h))
-          && h.allowed(j.spec)) {
+      if (h.assignment().isAssigned()
+          && !h.isReleasing()
+          && !h.isPreemptionNoticed()
+          && !h.assignment().isHandoverRequested()
+          && (h.session().isReported() || mayComeUp(h))
+          && h.isAllowedFor(j.spec)) {
         return true;
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -15,7 +15,7 @@
 
   /** What a placement there costs, in seconds; less is better. */
   private static double cost(JobSpec s, Machine h, int wanted, Clock clock) {
-    double c = h.fetchSeconds(s) + h.toldInS(clock.now, clock.reportS);
+    double c = h.fetchSeconds(s) + h.session().secondsToNextAnswer(clock.now, clock.reportS);
     int n = Math.min(wanted, h.fits(s));
     double left = h.freeCpus() - n * s.cpus();
     // Best fit: little left over, so that large tasks find room elsewhere.
@@ -62,6 +62,6 @@
   }
 
   private static boolean fitting(JobSpec s, Machine h, String zone) {
-    return (zone == null || zone.equals(h.info.zone())) && h.fits(s) > 0 && h.allowed(s);
+    return (zone == null || zone.equals(h.info().zone())) && h.fits(s) > 0 && h.isAllowedFor(s);
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -73,9 +73,9 @@
       double bestCost = Double.MAX_VALUE;
       for (Machine h : owner.machines().values()) {
         if (!owner.usable(h)
-            || !h.allowed(j.spec)
-            || j.failedOn.contains(h.name)
-            || (zone != null && !zone.equals(h.info.zone()))) {
+            || !h.isAllowedFor(j.spec)
+            || j.failedOn.contains(h.name())
+            || (zone != null && !zone.equals(h.info().zone()))) {
           continue;
         }
         List<TaskAttempt> v = victims(h, j);
@@ -88,7 +88,7 @@
         }
         double c =
             h.fetchSeconds(j.spec)
-                + h.toldInS(context.now(), context.config.workers().reportS())
+                + h.session().secondsToNextAnswer(context.now(), context.config.workers().reportS())
                 + thrownAway / j.spec.cpus();
         if (c < bestCost && thrownAway <= mayCost) {
           best = h;
@@ -113,11 +113,12 @@
       AttemptNumber attempt = new AttemptNumber(++j.attemptCount);
       j.rangesLeft--;
       owner.attach(
-          new TaskAttempt(j, index, best, best.incarnation, attempt, j.seq + 1, context.now()));
+          new TaskAttempt(
+              j, index, best, best.session().incarnation(), attempt, j.seq + 1, context.now()));
       placed = true;
       wanted--;
       if (j.spec.oneZone()) {
-        zone = best.info.zone();
+        zone = best.info().zone();
       }
     }
     return placed;
@@ -126,7 +127,7 @@
   /** The cheapest tasks of lower priority whose end makes room for one task; empty if none do. */
   private List<TaskAttempt> victims(Machine h, Job j) {
     List<TaskAttempt> can = new ArrayList<>();
-    for (TaskAttempt t : h.live) {
+    for (TaskAttempt t : h.attempts()) {
       if (!t.revoked
           && t.committed()
           && t.job.claimed
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -52,33 +52,34 @@
     for (Machine h : to) {
       if (!owner.valid()
           || directOut >= maxDirect()
-          || !h.known
-          || !h.takesDirect(owner.epoch())
-          || h.toldInS(context.now(), context.config.workers().reportS()) * 1000 < SOON_MS) {
+          || !h.session().isReconciled()
+          || !h.session().acceptsDirectCommands(owner.epoch())
+          || h.session().secondsToNextAnswer(context.now(), context.config.workers().reportS())
+                  * 1000
+              < SOON_MS) {
         continue;
       }
       List<WorkerCommand> orders = owner.orders(h, true);
       if (orders.stream().noneMatch(Start.class::isInstance)) {
         continue;
       }
-      FencingToken token = h.token(owner.epoch());
+      FencingToken token = h.session().tokens().current(owner.epoch());
       for (WorkerCommand o : orders) {
         if (o instanceof Start) {
-          h.sentDirectly(o.run(), token);
+          h.session().tokens().directStartSent(o.run(), token);
         }
       }
       directOut++;
-      h.directOut++;
+      h.session().tokens().directCommandSent();
       context.count("orders.direct");
       context.worker(
-          h.address,
+          h.session().address(),
           WorkerMessages.ORDERS,
-          WorkerMessages.direct(token, h.incarnation, orders),
+          WorkerMessages.direct(token, h.session().incarnation(), orders),
           DIRECT_MS,
           (status, body) -> {
             directOut--;
-            h.directOut--;
-            h.directAnswered++;
+            h.session().tokens().directCommandAnswered();
             if (status != 200) {
               context.count("orders.direct.failed");
             }
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -91,17 +91,17 @@
   void catalog(Map<String, MachineType> types) {
     catalog = types;
     for (Machine h : machines.values()) {
-      if (h.info != null) {
-        h.type(types.get(h.info.type()));
+      if (h.info() != null) {
+        h.setType(types.get(h.info().type()));
       }
     }
   }
 
   /** What kind of machine it is. */
   void describe(Machine h, MachineInfo info) {
-    if (h.info == null) {
-      h.info = info;
-      h.type(catalog.get(info.type()));
+    if (h.info() == null) {
+      h.describe(info);
+      h.setType(catalog.get(info.type()));
     }
   }
 
@@ -129,41 +129,27 @@
       unassigned(name);
       Machine kept = machines.get(name);
       if (kept != null) {
-        kept.assignedElsewhere = true;
+        kept.assignment().assignElsewhere();
       }
       return;
     }
     Machine h = machine(name);
     describe(h, a.host());
-    h.assignedElsewhere = false;
-    if (!h.assigned) {
-      h.assigned = true;
-      h.assignedSince = context.now().plus(-a.ageMs());
+    if (h.assignment().assign(a, context.now())) {
+      h.session().forgetConfirmation();
     }
-    if (a.term().above(h.term)) {
-      // It has been with another shard since: what its worker showed before proves nothing now.
-      h.term = a.term();
-      h.confirmed = false;
-      h.known = false;
-    }
-    h.handoverRequested = a.handoverRequested();
-    h.move = a.move();
-    if (!h.handoverRequested) {
+    if (!h.assignment().isHandoverRequested()) {
       handovers.remove(name);
     }
-    h.hasRun |= a.move().isSet() && !a.handoverRequested();
   }
 
   /** The machine is not assigned to this shard. */
   public void unassigned(MachineName name) {
     Machine h = machines.get(name);
     if (h != null) {
-      h.assigned = false;
-      h.known = false;
-      h.handoverRequested = false;
-      h.move = MoveId.NONE;
-      h.assignedElsewhere = false;
-      if (h.empty()) {
+      h.assignment().unassign();
+      h.session().forgetReconciliation();
+      if (h.isEmpty()) {
         tasks.supersede(h);
         drop(h);
       }
@@ -185,7 +171,7 @@
   }
 
   private void drop(Machine h) {
-    machines.remove(h.name);
+    machines.remove(h.name());
     withRoom.remove(h);
   }
 
@@ -193,20 +179,20 @@
 
   /** All of a machine's tasks are surely off it. */
   void loseAll(Machine h, String why) {
-    int n = h.live.size();
-    for (TaskAttempt t : new ArrayList<>(h.live)) {
+    int n = h.attempts().size();
+    for (TaskAttempt t : new ArrayList<>(h.attempts())) {
       tasks.lost(t);
     }
     if (n > 0) {
-      context.info("machine %s: %s: %d tasks surely off it (part %s)", h.name, why, n, shard);
+      context.info("machine %s: %s: %d tasks surely off it (part %s)", h.name(), why, n, shard);
       context.count("machine.dead");
     }
   }
 
   /** Tasks of sessions before the one that has begun. */
   void loseOlder(Machine h) {
-    for (TaskAttempt t : new ArrayList<>(h.live)) {
-      if (t.incarnation.compareTo(h.incarnation) < 0) {
+    for (TaskAttempt t : new ArrayList<>(h.attempts())) {
+      if (t.incarnation.compareTo(h.session().incarnation()) < 0) {
         tasks.lost(t);
       }
     }
@@ -216,13 +202,10 @@
   void expireLeases(WorkerLiveness liveness) {
     for (Machine h : machines.values()) {
       // The owner of another shard may renew the lease of one that is assigned there.
-      if (!h.empty() && !h.assignedElsewhere && liveness.leaseOut(h)) {
+      if (!h.isEmpty() && !h.assignment().isElsewhere() && liveness.leaseOut(h)) {
         loseAll(h, "its worker's lease ran out");
         h.clearUnrecordedTasks();
-        h.known = false;
-        if (h.endedIncarnation.compareTo(h.incarnation) < 0) {
-          h.endedIncarnation = h.incarnation;
-        }
+        h.session().endIncarnation();
       }
     }
     if (foreign != null) {
@@ -236,10 +219,10 @@
    */
   void stopSavingTasks() {
     for (Machine h : machines.values()) {
-      if (!h.handoverRequested) {
+      if (!h.assignment().isHandoverRequested()) {
         continue;
       }
-      for (TaskAttempt t : h.live) {
+      for (TaskAttempt t : h.attempts()) {
         if (t.movable() && t.lost(context.now()) > Autoscaler.SETTLED_S) {
           t.revoked = true;
           context.count("task.moved");
@@ -252,7 +235,7 @@
 
   /** The epoch that a worker must have shown before its reports count. */
   static Epoch required(Machine h, Epoch ownersFirst) {
-    return Epoch.higher(h.term, ownersFirst);
+    return Epoch.higher(h.assignment().term(), ownersFirst);
   }
 
   /**
@@ -260,7 +243,7 @@
    * never while the record of another shard names it, nor before that is known.
    */
   boolean mayClear(Machine h, TaskAttemptId run) {
-    return foreign == null || foreign.verdict(h.name, run) == ForeignTasks.Verdict.UNCLAIMED;
+    return foreign == null || foreign.verdict(h.name(), run) == ForeignTasks.Verdict.UNCLAIMED;
   }
 
   // ---- handing over ----------------------------------------------------------------------------
@@ -269,9 +252,9 @@
   List<MachineHandover> handovers(WorkerLiveness liveness) {
     List<MachineHandover> back = new ArrayList<>();
     for (Machine h : machines.values()) {
-      if (h.handoverRequested && isSettled(h, liveness)) {
-        back.add(new MachineHandover(h.name, h.move));
-        handovers.put(h.name, h.move);
+      if (h.assignment().isHandoverRequested() && isSettled(h, liveness)) {
+        back.add(new MachineHandover(h.name(), h.assignment().move()));
+        handovers.put(h.name(), h.assignment().move());
       }
     }
     return back;
@@ -283,23 +266,23 @@
    * under way to it, and no record names it, not even by a write that is carried out late.
    */
   private boolean isSettled(Machine h, WorkerLiveness liveness) {
-    return h.empty()
-        && h.confirmed
+    return h.isEmpty()
+        && h.session().isConfirmed()
         && liveness.fresh(h)
-        && !h.awaitsDirect()
-        && (references == null || !references.mayName(h.name))
+        && !h.session().tokens().mayDirectCommandAct()
+        && (references == null || !references.mayName(h.name()))
         && listsOnlyForeign(h);
   }
 
   private boolean listsOnlyForeign(Machine h) {
-    WorkerHeartbeat report = h.report;
+    WorkerHeartbeat report = h.session().lastHeartbeat();
     if (report == null) {
       return false;
     }
     for (TaskStatus t : report.tasks()) {
       boolean elsewhere =
           foreign != null
-              && foreign.verdict(h.name, t.run()) == ForeignTasks.Verdict.NAMED_ELSEWHERE;
+              && foreign.verdict(h.name(), t.run()) == ForeignTasks.Verdict.NAMED_ELSEWHERE;
       if (!elsewhere) {
         return false;
       }
@@ -314,9 +297,11 @@
   public Set<MachineName> commanded() {
     Set<MachineName> names = new HashSet<>();
     for (Machine h : machines.values()) {
-      boolean isBack = h.handoverRequested && h.move.equals(handovers.get(h.name));
-      if (h.assigned && !isBack) {
-        names.add(h.name);
+      boolean isBack =
+          h.assignment().isHandoverRequested()
+              && h.assignment().move().equals(handovers.get(h.name()));
+      if (h.assignment().isAssigned() && !isBack) {
+        names.add(h.name());
       }
     }
     return names;
@@ -326,8 +311,8 @@
   List<MachineName> misplaced() {
     List<MachineName> names = new ArrayList<>();
     for (Machine h : machines.values()) {
-      if (h.assignedElsewhere && !h.empty()) {
-        names.add(h.name);
+      if (h.assignment().isElsewhere() && !h.isEmpty()) {
+        names.add(h.name());
       }
     }
     return names;
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -52,15 +52,15 @@
     List<MoveId> arrived = new ArrayList<>();
     for (Machine h : owner.hosts.values()) {
       running += h.type() == null ? 0 : Math.min(h.usedCpus(), h.type().cpus());
-      if (h.handoverRequested) {
+      if (h.assignment().isHandoverRequested()) {
         draining.add(progress(h));
-      } else if (h.assigned && h.type() != null) {
+      } else if (h.assignment().isAssigned() && h.type() != null) {
         capacity += h.type().cpus();
-        if (h.move.isSet() && h.known) {
-          arrived.add(h.move);
+        if (h.assignment().move().isSet() && h.session().isReconciled()) {
+          arrived.add(h.assignment().move());
         }
-        if (owner.usable(h) || h.draining) {
-          candidates.add(new Candidate(h.name, h.type().cpus(), emptyInS(h)));
+        if (owner.usable(h) || h.isDraining()) {
+          candidates.add(new Candidate(h.name(), h.type().cpus(), emptyInS(h)));
         }
       }
     }
@@ -83,18 +83,18 @@
 
   private DrainProgress progress(Machine h) {
     DrainState state = DrainState.DRAINING;
-    if (h.preemptionNoticed) {
+    if (h.isPreemptionNoticed()) {
       state = DrainState.NOTICED;
-    } else if (h.known && !owner.liveness.fresh(h)) {
+    } else if (h.session().isReconciled() && !owner.liveness.fresh(h)) {
       state = DrainState.SILENT;
     }
-    return new DrainProgress(h.move, state, h.live.size(), emptyInS(h));
+    return new DrainProgress(h.assignment().move(), state, h.attempts().size(), emptyInS(h));
   }
 
   /** Seconds until the machine's tasks should have ended, or can be stopped with their progress. */
   private double emptyInS(Machine h) {
     double longest = 0;
-    for (TaskAttempt t : h.live) {
+    for (TaskAttempt t : h.attempts()) {
       double left = t.leftS(context.now());
       if (t.job.spec.checkpointS() > 0) {
         left = Math.min(left, Math.max(0, Autoscaler.SETTLED_S - t.lost(context.now())));
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -19,6 +19,7 @@
 import shorecrank.coordination.model.TeamQuotas;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.coordination.model.WorkerSession;
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.scheduling.BinPacking;
 import shorecrank.coordination.scheduling.DependencyGraph;
@@ -409,7 +410,7 @@
     dependencies.clear();
     for (Machine h : hosts.values()) {
       supersedeDeferredAnswer(h);
-      h.known = false;
+      h.session().forgetReconciliation();
     }
     if (references != null) {
       references.clear();
@@ -961,75 +962,67 @@
     MonotonicTime now = context.now();
     Machine h = machineRegistry.machine(r.host());
     machineRegistry.describe(h, new MachineInfo(r.host(), r.type(), r.zone(), r.spot()));
-    int cmp = r.incarnation().compareTo(h.incarnation);
-    boolean late = cmp < 0 || (cmp == 0 && r.sequence() <= h.sequence);
-    // Of a session whose tasks were given up as surely gone, a report can only be late.
-    if (late
-        || r.incarnation().compareTo(h.endedIncarnation) <= 0
-        || r.token().epoch().above(epoch)) {
+    WorkerSession session = h.session();
+    if (session.isStale(r) || r.token().epoch().above(epoch)) {
       context.count("report.late");
       context.reply(reply, 503, Json.error("not entitled, or the report is late"));
       return;
     }
-    h.address = r.address();
+    session.setAddress(r.address());
     if (r.token().epoch().compareTo(MachineRegistry.required(h, firstEpoch)) < 0) {
       // The worker has not seen our epoch, or this is a copy of a report from before it did, which
       // may come a lease late. It gets the token; its next report shows it, and only that counts.
       context.count("report.unconfirmed");
-      h.incarnation = r.incarnation();
-      h.sequence = r.sequence();
-      h.answered = true;
+      session.recordUnconfirmed(r);
       // Copy or not: a session of this number has begun, so those before it have ended.
       machineRegistry.loseOlder(h);
-      context.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      context.reply(
+          reply,
+          200,
+          WorkerMessages.answer(h.session().tokens().aboveDirectStarts(epoch), cancelledOn(h, r)));
       return;
     }
-    // Answers to what went straight to it are numbered with its reports.
-    boolean stayed =
-        cmp == 0
-            && r.sequence() <= h.sequence + 1 + h.directAnswered + h.directOut
-            && h.answered
-            && h.deferredAnswer < 0;
-    h.directAnswered = 0;
+    boolean stayed = session.isConsecutive(r);
     supersedeDeferredAnswer(h);
-    if (cmp > 0) {
-      h.newSession();
-    }
-    h.shows(r.token());
-    h.lastHeard = now;
-    if (h.firstHeard == MonotonicTime.NEVER) {
-      h.firstHeard = now;
-      h.idleSince = now;
-    }
-    h.confirmed = true;
-    h.incarnation = r.incarnation();
-    h.sequence = r.sequence();
-    h.answered = true;
+    if (session.isNewIncarnation(r)) {
+      h.forgetImages();
+    }
+    if (!session.isReported()) {
+      h.setIdleSince(now);
+    }
+    session.recordConfirmed(r, now);
     if (stage != Stage.READY) {
-      context.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      context.reply(
+          reply,
+          200,
+          WorkerMessages.answer(h.session().tokens().aboveDirectStarts(epoch), cancelledOn(h, r)));
       return;
     }
-    h.preemptionNoticed = r.preemptionNoticed();
+    h.setPreemptionNoticed(r.preemptionNoticed());
     boolean freed = takeIn(h, r);
     hearing(h, stayed);
-    h.report = r;
-    h.known = true;
-    if (!h.empty() || h.listedTasks > 0) {
-      h.idleSince = now;
+    session.recordReconciled(r);
+    if (!h.isEmpty() || h.session().listedTasks() > 0) {
+      h.setIdleSince(now);
     }
     if (!commands) {
-      context.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      context.reply(
+          reply,
+          200,
+          WorkerMessages.answer(h.session().tokens().aboveDirectStarts(epoch), cancelledOn(h, r)));
       return;
     }
     if ((freed || awaitsCommit(h)) && context.tuning.parkMs() > 0) {
       // What has just come free can be used again in this very answer, once that is written; and
       // what is being written for this machine need not wait for its next report.
-      h.deferredAnswer = reply;
-      h.deferredUntil = now.plus(context.tuning.parkMs());
+      session.deferReply(reply, now.plus(context.tuning.parkMs()));
       deferredAnswer.add(h);
       kicked = true;
     } else {
-      context.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), orders(h, false)));
+      context.reply(
+          reply,
+          200,
+          WorkerMessages.answer(h.session().tokens().aboveDirectStarts(epoch), orders(h, false)));
     }
   }
 
@@ -1051,19 +1044,19 @@
   }
 
   private void stopUnlisted(Machine h, Set<TaskAttemptId> listed, List<WorkerCommand> orders) {
-    for (TaskAttempt l : h.live) {
+    for (TaskAttempt l : h.attempts()) {
       if (l.job.cancelled
           && l.committed()
-          && l.incarnation.equals(h.incarnation)
+          && l.incarnation.equals(h.session().incarnation())
           && !listed.contains(l.run())
-          && (!h.confirmed || h.mayStart(l.run()))) {
+          && (!h.session().isConfirmed() || h.session().tokens().mayDirectCommandStart(l.run()))) {
         orders.add(new Stop(l.run(), 0));
       }
     }
   }
 
   private static boolean awaitsCommit(Machine h) {
-    for (TaskAttempt l : h.live) {
+    for (TaskAttempt l : h.attempts()) {
       if (!l.committed()) {
         return true;
       }
@@ -1078,27 +1071,19 @@
    */
   private void hearing(Machine h, boolean stayed) {
     boolean followed = stayed;
-    for (TaskAttempt l : h.live) {
+    for (TaskAttempt l : h.attempts()) {
       if (l.ordered) {
         followed &= l.seen;
         l.ordered = false;
       }
     }
-    if (followed) {
-      if (h.unresponsive && h.missedAnswers > 1) {
-        context.info("machine %s: gets our answers again", h.name);
+    switch (h.session().recordAnswerTaken(followed, context.now())) {
+      case REGAINED -> context.info("machine %s: gets our answers again", h.name());
+      case LOST -> {
+        context.info("machine %s: reports, but does not get our answers", h.name());
+        context.count("machine.deaf");
       }
-      h.unresponsive = false;
-      h.missedAnswers = 0;
-      return;
-    }
-    if (!h.unresponsive) {
-      h.unresponsive = true;
-      h.unresponsiveSince = context.now();
-    }
-    if (++h.missedAnswers == 2) {
-      context.info("machine %s: reports, but does not get our answers", h.name);
-      context.count("machine.deaf");
+      case UNCHANGED -> {}
     }
   }
 
@@ -1109,17 +1094,18 @@
     }
     for (Machine h : new ArrayList<>(deferredAnswer)) {
       boolean settled = settled(h);
-      if (all || !context.now().before(h.deferredUntil) || settled) {
+      if (all || !context.now().before(h.session().deferredUntil()) || settled) {
         context.count(settled ? "report.parked.settled" : "report.parked.expired");
         deferredAnswer.remove(h);
-        long reply = h.deferredAnswer;
-        h.deferredAnswer = -1;
+        long reply = h.session().takeDeferredReply();
         context.reply(
             reply,
             200,
             WorkerMessages.answer(
-                h.tokenAbove(epoch),
-                valid() && !closed ? orders(h, false) : cancelledOn(h, h.report)));
+                h.session().tokens().aboveDirectStarts(epoch),
+                valid() && !closed
+                    ? orders(h, false)
+                    : cancelledOn(h, h.session().lastHeartbeat())));
       }
     }
   }
@@ -1132,7 +1118,7 @@
     if (awaitsCommit(h)) {
       return false;
     }
-    for (TaskStatus t : h.report.tasks()) {
+    for (TaskStatus t : h.session().lastHeartbeat().tasks()) {
       Job j = t.state() == TaskState.EXITED ? jobs.get(t.run().job()) : null;
       if (j != null && j.inFlight && j.exits.containsKey(t.run())) {
         return false;
@@ -1142,11 +1128,10 @@
   }
 
   private void supersedeDeferredAnswer(Machine h) {
-    if (h.deferredAnswer >= 0) {
+    if (h.session().hasDeferredReply()) {
       deferredAnswer.remove(h);
-      context.reply(h.deferredAnswer, 503, Json.error("superseded by a later report"));
-      h.deferredAnswer = -1;
-      h.answered = false;
+      context.reply(
+          h.session().refuseDeferredReply(), 503, Json.error("superseded by a later report"));
     }
   }
 
@@ -1154,15 +1139,11 @@
   private boolean takeIn(Machine h, WorkerHeartbeat r) {
     boolean freed = false;
     h.clearUnrecordedTasks();
-    h.listedTasks = 0;
-    Set<TaskAttempt> unlisted = new LinkedHashSet<>(h.live);
+    Set<TaskAttempt> unlisted = new LinkedHashSet<>(h.attempts());
     for (TaskStatus t : r.tasks()) {
       JobId id = t.run().job();
       Job j = jobs.get(id);
       TaskAttempt l = j == null ? null : j.live.get(t.run().index());
-      if (t.state() != TaskState.EXITED) {
-        h.listedTasks++;
-      }
       if (l != null
           && l.host == h
           && l.attempt.equals(t.run().attempt())
@@ -1183,15 +1164,15 @@
         continue;
       } else if (l.seen) {
         // It left the list without a reap of ours: only a new session does that.
-        context.error("machine %s: %s vanished", h.name, l.run());
+        context.error("machine %s: %s vanished", h.name(), l.run());
         lose(l);
-      } else if (h.confirmed
-          && !h.mayStart(l.run())
+      } else if (h.session().isConfirmed()
+          && !h.session().tokens().mayDirectCommandStart(l.run())
           && (l.job.cancelled
               || l.revoked
-              || h.preemptionNoticed
-              || h.retiring
-              || h.unresponsive)) {
+              || h.isPreemptionNoticed()
+              || h.isReleasing()
+              || h.session().isUnresponsive())) {
         // The worker executes what an answer says or drops it whole, and this report is younger
         // than all earlier answers: what it does not list was never started and never will be.
         lose(l);
@@ -1205,7 +1186,7 @@
   List<WorkerCommand> orders(Machine h, boolean direct) {
     List<WorkerCommand> orders = new ArrayList<>();
     Set<TaskAttempt> listed = new HashSet<>();
-    for (TaskStatus t : h.report.tasks()) {
+    for (TaskStatus t : h.session().lastHeartbeat().tasks()) {
       JobId id = t.run().job();
       Job j = jobs.get(id);
       if (relinquishedJobs.contains(id) || (j != null && !j.claimed && j.epoch.value() > 0)) {
@@ -1229,10 +1210,12 @@
         context.count("foreign.kept");
       } else if (t.state() != TaskState.EXITED) {
         orders.add(new Stop(t.run(), 0));
-        context.info("machine %s: unexpected %s stopped", h.name, t.run());
+        context.info("machine %s: unexpected %s stopped", h.name(), t.run());
       } else {
         Long recorded = j == null ? null : j.exits.get(t.run());
-        if ((recorded == null || recorded <= j.committedSeq) && !direct && !h.mayStart(t.run())) {
+        if ((recorded == null || recorded <= j.committedSeq)
+            && !direct
+            && !h.session().tokens().mayDirectCommandStart(t.run())) {
           // Reaped only once no record names it and no start of it is under way: a repeated start
           // would run it anew.
           orders.add(new Reap(t.run()));
@@ -1240,19 +1223,19 @@
       }
     }
     Set<TaskAttemptId> reported = new HashSet<>();
-    h.report.tasks().forEach(t -> reported.add(t.run()));
+    h.session().lastHeartbeat().tasks().forEach(t -> reported.add(t.run()));
     stopUnlisted(h, reported, orders);
-    for (TaskAttempt l : h.live) {
+    for (TaskAttempt l : h.attempts()) {
       if (!l.seen
           && !listed.contains(l)
           && l.committed()
           && l.job.claimed
-          && l.incarnation.equals(h.incarnation)
+          && l.incarnation.equals(h.session().incarnation())
           && !l.job.cancelled
           && !l.revoked
-          && !h.preemptionNoticed
-          && !h.unresponsive
-          && !h.retiring) {
+          && !h.isPreemptionNoticed()
+          && !h.session().isUnresponsive()
+          && !h.isReleasing()) {
         orders.add(new Start(l.run()));
         l.ordered |= !direct;
         if (!l.commanded) {
@@ -1271,10 +1254,11 @@
       orders.add(new Stop(l.run(), 0));
     } else if (t.state() == TaskState.FLUSHING) {
       return;
-    } else if (l.revoked || h.retiring) {
+    } else if (l.revoked || h.isReleasing()) {
       orders.add(new Stop(l.run(), j.spec.saveS() + 1));
-    } else if (h.preemptionNoticed && j.spec.checkpointS() > 0) {
-      orders.add(new Stop(l.run(), Math.max(j.spec.saveS(), h.report.noticeS())));
+    } else if (h.isPreemptionNoticed() && j.spec.checkpointS() > 0) {
+      orders.add(
+          new Stop(l.run(), Math.max(j.spec.saveS(), h.session().lastHeartbeat().noticeS())));
     }
   }
 
@@ -1291,7 +1275,7 @@
           context.count("task.running");
           context.count("task.running.ms", now.since(l.placedAt));
         }
-        h.holds(j.spec);
+        h.imageInUse(j.spec);
       }
       case FLUSHING -> {}
       case EXITED -> {
@@ -1309,11 +1293,11 @@
         j.done.set(l.index);
         j.failedOn.clear();
         j.backoff = 0;
-        h.errors = 0;
+        h.health().taskSucceeded();
       }
       case HALTED -> {}
-      case FULL -> h.noRoomUntil = now.plus(2000);
-      case BUSY -> h.noRoomUntil = now.plus(1000);
+      case FULL -> h.health().pauseUntil(now.plus(2000));
+      case BUSY -> h.health().pauseUntil(now.plus(1000));
       case ERROR, UNKNOWN -> failed(h, j, t.why());
     }
     detach(l);
@@ -1329,7 +1313,7 @@
   private void failed(Machine h, Job j, ExitReason why) {
     MonotonicTime now = context.now();
     context.count("task.failed");
-    j.failedOn.add(h.name);
+    j.failedOn.add(h.name());
     if (j.failedOn.size() > 2 || why == ExitReason.UNKNOWN) {
       j.backoff = Math.min(j.backoff + 1, 6);
       j.placeAfter = now.plus(1000L << j.backoff);
@@ -1337,11 +1321,8 @@
       return;
     }
     j.placeAfter = now.plus(300);
-    h.errors++;
-    if (h.errors >= 2 && h.quarantinedUntil.before(now)) {
-      h.quarantines++;
-      h.quarantinedUntil = now.plus(30_000L << Math.min(h.quarantines - 1, 4));
-      context.info("machine %s: fails what it starts, set aside", h.name);
+    if (h.health().taskFailed(now)) {
+      context.info("machine %s: fails what it starts, set aside", h.name());
       context.count("machine.quarantined");
     }
   }
@@ -1350,20 +1331,19 @@
 
   @Override
   public boolean usable(Machine h) {
-    return !h.draining && sound(h);
+    return !h.isDraining() && sound(h);
   }
 
   private boolean sound(Machine h) {
     MonotonicTime now = context.now();
-    return h.assigned
+    return h.assignment().isAssigned()
         && h.type() != null
         && liveness.fresh(h)
-        && !h.handoverRequested
-        && !h.preemptionNoticed
-        && !h.unresponsive
-        && !h.retiring
-        && h.quarantinedUntil.before(now)
-        && h.noRoomUntil.before(now);
+        && !h.assignment().isHandoverRequested()
+        && !h.isPreemptionNoticed()
+        && !h.session().isUnresponsive()
+        && !h.isReleasing()
+        && h.health().acceptsTasks(now);
   }
 
   private List<Job> waiting() {
@@ -1391,15 +1371,18 @@
     double soonS = 0;
     double fetch = 0;
     for (Machine h : hosts.values()) {
-      if (h.type() == null || !h.assigned || h.retiring || h.preemptionNoticed) {
+      if (h.type() == null
+          || !h.assignment().isAssigned()
+          || h.isReleasing()
+          || h.isPreemptionNoticed()) {
         continue;
       }
-      if (h.reported()) {
+      if (h.session().isReported()) {
         cpus += h.type().cpus();
         fetch += h.type().cpus() * h.type().fetchGbPerS();
       } else {
         soon += h.type().cpus();
-        double left = h.type().bootS() - context.now().since(h.assignedSince) / 1000.0;
+        double left = h.type().bootS() - context.now().since(h.assignment().since()) / 1000.0;
         soonS += h.type().cpus() * Math.max(1, left);
       }
     }
@@ -1424,7 +1407,7 @@
     context.count("round.looks", machineRegistry.withRoom().size());
     for (Machine h : machineRegistry.withRoom()) {
       if (sound(h)) {
-        (h.draining ? reserve : room).add(h);
+        (h.isDraining() ? reserve : room).add(h);
       }
     }
     // In a full fleet nobody needs an order, unless there is one who makes room for himself.
@@ -1463,7 +1446,7 @@
         } else {
           List<Machine> holders = new ArrayList<>();
           for (Machine h : room) {
-            if (h.holdsOrFetches(j.spec)) {
+            if (h.holdsOrFetchesImage(j.spec)) {
               holders.add(h);
             }
           }
@@ -1487,7 +1470,7 @@
   /** What found no room takes machines back into use that were to run empty. */
   private void takeBack(List<Job> waiting, boolean allClaimed, List<Machine> reserve) {
     List<Machine> before = List.copyOf(reserve);
-    int[] held = before.stream().mapToInt(h -> h.live.size()).toArray();
+    int[] held = before.stream().mapToInt(h -> h.attempts().size()).toArray();
     for (Job j : waiting) {
       if (reserve.isEmpty()) {
         break;
@@ -1497,8 +1480,8 @@
       }
     }
     for (int i = 0; i < held.length; i++) {
-      if (before.get(i).live.size() > held[i]) {
-        before.get(i).draining = false;
+      if (before.get(i).attempts().size() > held[i]) {
+        before.get(i).cancelDrain();
         context.count("machine.taken_back");
       }
     }
@@ -1527,7 +1510,7 @@
     Map<String, Integer> perZone = new HashMap<>();
     String zone = null;
     for (TaskAttempt t : j.live.values()) {
-      String z = t.host.info == null ? "" : t.host.info.zone();
+      String z = t.host.info() == null ? "" : t.host.info().zone();
       perZone.merge(z, 1, Integer::sum);
       zone = z;
     }
@@ -1539,7 +1522,7 @@
     List<Machine> candidates = room;
     if (!j.failedOn.isEmpty()) {
       candidates = new ArrayList<>(room);
-      candidates.removeIf(h -> j.failedOn.contains(h.name));
+      candidates.removeIf(h -> j.failedOn.contains(h.name()));
       if (candidates.isEmpty()) {
         candidates = room;
       }
@@ -1562,11 +1545,11 @@
       }
       int n = Math.min(wanted, h.fits(j.spec));
       if (j.spec.spread()) {
-        int left = j.spec.zoneCap() - perZone.getOrDefault(h.info.zone(), 0);
+        int left = j.spec.zoneCap() - perZone.getOrDefault(h.info().zone(), 0);
         n = Math.min(n, left);
         if (n <= 0) {
-          String z = h.info.zone();
-          candidates.removeIf(x -> x.info.zone().equals(z));
+          String z = h.info().zone();
+          candidates.removeIf(x -> x.info().zone().equals(z));
           continue;
         }
       }
@@ -1577,7 +1560,9 @@
           n = k;
           break;
         }
-        attach(new TaskAttempt(j, index, h, h.incarnation, attempt, j.seq + 1, context.now()));
+        attach(
+            new TaskAttempt(
+                j, index, h, h.session().incarnation(), attempt, j.seq + 1, context.now()));
       }
       if (n == 0) {
         break;
@@ -1586,9 +1571,9 @@
       j.rangesLeft--;
       placed = true;
       wanted -= n;
-      perZone.merge(h.info.zone(), n, Integer::sum);
+      perZone.merge(h.info().zone(), n, Integer::sum);
       if (j.spec.oneZone()) {
-        zone = h.info.zone();
+        zone = h.info().zone();
       }
       if (h.freeCpus() <= 1e-9) {
         room.remove(h);
@@ -1622,11 +1607,11 @@
       autoscaler.review(retire);
       back = machineRegistry.handovers(liveness);
       for (Machine h : hosts.values()) {
-        if (!h.handoverRequested
-            && (usable(h) || h.draining)
-            && h.empty()
-            && context.now().since(h.idleSince) > SPARE_MS) {
-          spare.add(h.name);
+        if (!h.assignment().isHandoverRequested()
+            && (usable(h) || h.isDraining())
+            && h.isEmpty()
+            && context.now().since(h.idleSince()) > SPARE_MS) {
+          spare.add(h.name());
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -28,7 +28,7 @@
       }
       there += h.type().cpus();
       taken += h.usedCpus();
-      for (TaskAttempt t : h.live) {
+      for (TaskAttempt t : h.attempts()) {
         double cpus = t.job.spec.cpus();
         if (t.state == null) {
           commanded += cpus;
--- a/src/test/java/shorecrank/ArchitectureTest.java
+++ b/src/test/java/shorecrank/ArchitectureTest.java
@@ -41,6 +41,7 @@
           .withImportOption(new DoNotIncludeTests())
           .importPackages("shorecrank");
 
+  /** The floors, each once. */
   static List<String> floors() {
     return FLOORS;
   }
