--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -10,9 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.Incarnation;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
@@ -21,89 +19,11 @@
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.UserMessages.JobStatus;
-import shorecrank.protocol.WorkerMessages.TaskState;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /** An unfinished job as its owner sees it: the record plus what is not yet written. */
 public final class Job {
-  /** One attempt placed on a machine, from before its record is written until it is surely off. */
-  public static final class TaskAttempt {
-    public final Job job;
-    public final int index;
-    public final Machine host;
-    public final Incarnation incarnation;
-    public final AttemptNumber attempt;
-
-    /** The write that holds this placement; commands wait until it is committed. */
-    public final long seq;
-
-    public boolean seen;
-
-    /** Its start went out in the answer to the machine's last report. */
-    public boolean ordered;
-
-    /** Its start went out at least once. */
-    public boolean commanded;
-
-    public TaskState state;
-    public boolean revoked;
-    boolean roomReassigned;
-    public final MonotonicTime placedAt;
-    public MonotonicTime runningSince;
-
-    public TaskAttempt(
-        Job job,
-        int index,
-        Machine host,
-        Incarnation incarnation,
-        AttemptNumber attempt,
-        long seq,
-        MonotonicTime at) {
-      this.job = job;
-      this.index = index;
-      this.host = host;
-      this.incarnation = incarnation;
-      this.attempt = attempt;
-      this.seq = seq;
-      this.placedAt = at;
-    }
-
-    public TaskAttemptId run() {
-      return new TaskAttemptId(job.spec.id(), index, attempt);
-    }
-
-    /** Seconds of work that stopping it now throws away. */
-    public double lost(MonotonicTime now) {
-      return runningSince == null ? 0 : now.since(runningSince) / 1000.0;
-    }
-
-    /** What it has done is kept when it is stopped, and it is not stopped yet. */
-    public boolean movable() {
-      return job.spec.checkpointS() > 0
-          && state == TaskState.RUNNING
-          && !revoked
-          && committed()
-          && job.claimed;
-    }
-
-    /** Seconds until it ends, by its owner's estimate; of what runs over that a quarter more. */
-    public double leftS(MonotonicTime now) {
-      double estimate = Math.max(1, job.spec.estimateS());
-      return Math.max(estimate / 4, estimate - lost(now));
-    }
-
-    public boolean committed() {
-      return seq <= job.committedSeq;
-    }
-  }
-
-  public enum WriteUrgency {
-    NONE,
-    LATER,
-    NOW
-  }
-
   public final JobSpec spec;
   public final long acceptedAtMs;
   public Revision revision;
@@ -233,17 +153,17 @@
   }
 
   public void add(TaskAttempt t) {
-    live.put(t.index, t);
-    taken.set(t.index);
-    t.host.add(t);
+    live.put(t.index(), t);
+    taken.set(t.index());
+    t.machine().add(t);
   }
 
   public void remove(TaskAttempt t) {
-    if (live.get(t.index) == t) {
-      live.remove(t.index);
-      release(t.index);
+    if (live.get(t.index()) == t) {
+      live.remove(t.index());
+      release(t.index());
     }
-    t.host.remove(t);
+    t.machine().remove(t);
   }
 
   /** An attempt that no record names is on a machine: the task must not start elsewhere. */
@@ -300,18 +220,18 @@
     for (TaskAttempt t : live.values()) {
       // A range may span tasks that are done: they do not count as live.
       if (first != null
-          && t.host == first.host
-          && t.incarnation.equals(first.incarnation)
-          && t.attempt.equals(first.attempt)
-          && done.nextClearBit(end) >= t.index) {
-        end = t.index + 1;
+          && t.machine() == first.machine()
+          && t.incarnation().equals(first.incarnation())
+          && t.number().equals(first.number())
+          && done.nextClearBit(end) >= t.index()) {
+        end = t.index() + 1;
         continue;
       }
       if (first != null) {
         ranges.add(range(first, end));
       }
       first = t;
-      end = t.index + 1;
+      end = t.index() + 1;
     }
     if (first != null) {
       ranges.add(range(first, end));
@@ -333,6 +253,10 @@
 
   private static AttemptRange range(TaskAttempt first, int end) {
     return new AttemptRange(
-        first.index, end - first.index, first.host.name(), first.incarnation, first.attempt);
+        first.index(),
+        end - first.index(),
+        first.machine().name(),
+        first.incarnation(),
+        first.number());
   }
 }
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MachineName;
@@ -165,8 +164,8 @@
 
   void add(TaskAttempt attempt) {
     if (attempts.add(attempt)) {
-      images.taskAdded(attempt.job.spec.image());
-      use(attempt.job.spec, 1);
+      images.taskAdded(attempt.job().spec.image());
+      use(attempt.job().spec, 1);
     }
   }
 
@@ -174,17 +173,17 @@
     if (!attempts.remove(attempt)) {
       return;
     }
-    images.taskRemoved(attempt.job.spec.image());
-    if (!attempt.roomReassigned) {
-      use(attempt.job.spec, -1);
+    images.taskRemoved(attempt.job().spec.image());
+    if (!attempt.isRoomReassigned()) {
+      use(attempt.job().spec, -1);
     }
   }
 
   /** The attempt's room is given to another, which starts only after it has been stopped. */
   public void reassignRoom(TaskAttempt attempt) {
-    if (!attempt.roomReassigned) {
-      attempt.roomReassigned = true;
-      use(attempt.job.spec, -1);
+    if (!attempt.isRoomReassigned()) {
+      attempt.setRoomReassigned();
+      use(attempt.job().spec, -1);
     }
   }
 
@@ -198,8 +197,8 @@
   /** Nothing is known any more of tasks that no record names. */
   public void clearUnrecordedTasks() {
     for (UnrecordedTask task : unrecordedTasks) {
-      task.job.unmarkUnrecorded(task.index);
-      use(task.job.spec, -1);
+      task.job().unmarkUnrecorded(task.index());
+      use(task.job().spec, -1);
     }
     unrecordedTasks.clear();
   }
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.MachineConstraints;
+import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
@@ -257,12 +257,12 @@
       double staysS = 0;
       double leavesS = 0;
       for (TaskAttempt t : h.attempts()) {
-        double left = t.leftS(context.now());
-        double move = t.job.spec.saveS() + h.fullFetchSeconds(t.job.spec) / 2 + reportS();
-        if (t.movable() && t.lost(context.now()) > SETTLED_S) {
+        double left = t.remainingSeconds(context.now());
+        double move = t.job().spec.saveS() + h.fullFetchSeconds(t.job().spec) / 2 + reportS();
+        if (t.canMoveByCheckpoint() && t.runSeconds(context.now()) > SETTLED_S) {
           movable.add(t);
-          cpus += t.job.spec.cpus();
-          cost += t.job.spec.cpus() * move / h.type().cpus();
+          cpus += t.job().spec.cpus();
+          cost += t.job().spec.cpus() * move / h.type().cpus();
           leavesS = Math.max(leavesS, left);
           staysS = Math.max(staysS, move);
         } else {
@@ -271,7 +271,7 @@
       }
       if (cpus <= room && leavesS - staysS > MOVE_GAIN * cost && !movable.isEmpty()) {
         room -= cpus;
-        movable.forEach(t -> t.revoked = true);
+        movable.forEach(t -> t.revoke());
         context.count("task.moved", movable.size());
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Ids.AttemptNumber;
@@ -84,7 +84,7 @@
         }
         double thrownAway = 0;
         for (TaskAttempt t : v) {
-          thrownAway += t.lost(context.now()) * t.job.spec.cpus();
+          thrownAway += t.runSeconds(context.now()) * t.job().spec.cpus();
         }
         double c =
             h.fetchSeconds(j.spec)
@@ -104,12 +104,12 @@
         return placed;
       }
       for (TaskAttempt t : victims) {
-        t.revoked = true;
+        t.revoke();
         best.reassignRoom(t);
       }
       context.count("task.preempted");
       victims.forEach(
-          t -> context.count("task.preempted.ms", (long) (t.lost(context.now()) * 1000)));
+          t -> context.count("task.preempted.ms", (long) (t.runSeconds(context.now()) * 1000)));
       AttemptNumber attempt = new AttemptNumber(++j.attemptCount);
       j.rangesLeft--;
       owner.attach(
@@ -128,27 +128,28 @@
   private List<TaskAttempt> victims(Machine h, Job j) {
     List<TaskAttempt> can = new ArrayList<>();
     for (TaskAttempt t : h.attempts()) {
-      if (!t.revoked
-          && t.committed()
-          && t.job.claimed
-          && t.state != TaskState.FLUSHING
-          && t.job.spec.checkpointS() <= 0
-          && t.job.priority.compareTo(j.priority) > 0) {
+      if (!t.isRevoked()
+          && t.isCommitted()
+          && t.job().claimed
+          && t.state() != TaskState.FLUSHING
+          && t.job().spec.checkpointS() <= 0
+          && t.job().priority.compareTo(j.priority) > 0) {
         can.add(t);
       }
     }
     MonotonicTime now = context.now();
     can.sort(
-        Comparator.<TaskAttempt>comparingDouble(t -> t.lost(now)).thenComparingInt(t -> t.index));
+        Comparator.<TaskAttempt>comparingDouble(t -> t.runSeconds(now))
+            .thenComparingInt(t -> t.index()));
     List<TaskAttempt> take = new ArrayList<>();
     double cpus = 0;
     double gpus = 0;
     double memory = 0;
     for (TaskAttempt t : can) {
       take.add(t);
-      cpus += t.job.spec.cpus();
-      gpus += t.job.spec.gpus();
-      memory += t.job.spec.memoryGb();
+      cpus += t.job().spec.cpus();
+      gpus += t.job().spec.gpus();
+      memory += t.job().spec.memoryGb();
       if (h.fitsWith(j.spec, cpus, gpus, memory)) {
         return take;
       }
--- a/src/main/java/shorecrank/coordination/scheduling/ShardView.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ShardView.java
@@ -3,6 +3,7 @@
 import java.util.Map;
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.protocol.CloudMessages.MachineType;
@@ -40,5 +41,5 @@
   Headroom headroom(String team);
 
   /** Adds an attempt to its job and machine; it is commanded once its record is committed. */
-  void attach(Job.TaskAttempt attempt);
+  void attach(TaskAttempt attempt);
 }
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.shard.ShardOwner.Write;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.FencingToken;
@@ -44,8 +44,8 @@
         continue;
       }
       for (TaskAttempt l : w.job().live.values()) {
-        if (l.seq == w.seq() && !l.commanded && l.committed()) {
-          to.add(l.host);
+        if (l.writeSequence() == w.seq() && !l.isCommanded() && l.isCommitted()) {
+          to.add(l.machine());
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.step.StepContext;
@@ -192,7 +192,7 @@
   /** Tasks of sessions before the one that has begun. */
   void loseOlder(Machine h) {
     for (TaskAttempt t : new ArrayList<>(h.attempts())) {
-      if (t.incarnation.compareTo(h.session().incarnation()) < 0) {
+      if (t.incarnation().compareTo(h.session().incarnation()) < 0) {
         tasks.lost(t);
       }
     }
@@ -223,8 +223,8 @@
         continue;
       }
       for (TaskAttempt t : h.attempts()) {
-        if (t.movable() && t.lost(context.now()) > Autoscaler.SETTLED_S) {
-          t.revoked = true;
+        if (t.canMoveByCheckpoint() && t.runSeconds(context.now()) > Autoscaler.SETTLED_S) {
+          t.revoke();
           context.count("task.moved");
         }
       }
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.MachineConstraints;
+import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.step.StepContext;
@@ -95,9 +95,9 @@
   private double emptyInS(Machine h) {
     double longest = 0;
     for (TaskAttempt t : h.attempts()) {
-      double left = t.leftS(context.now());
-      if (t.job.spec.checkpointS() > 0) {
-        left = Math.min(left, Math.max(0, Autoscaler.SETTLED_S - t.lost(context.now())));
+      double left = t.remainingSeconds(context.now());
+      if (t.job().spec.checkpointS() > 0) {
+        left = Math.min(left, Math.max(0, Autoscaler.SETTLED_S - t.runSeconds(context.now())));
       }
       longest = Math.max(longest, left);
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -13,13 +13,13 @@
 import java.util.TreeMap;
 import shorecrank.coordination.model.CancellationLog;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.TaskAttempt;
-import shorecrank.coordination.model.Job.WriteUrgency;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.TeamQuotas;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.coordination.model.WorkerSession;
+import shorecrank.coordination.model.WriteUrgency;
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.scheduling.BinPacking;
 import shorecrank.coordination.scheduling.DependencyGraph;
@@ -524,16 +524,16 @@
 
   @Override
   public void attach(TaskAttempt t) {
-    t.job.add(t);
-    quotas.allocate(t.job.spec);
+    t.job().add(t);
+    quotas.allocate(t.job().spec);
   }
 
   private void detach(TaskAttempt t) {
-    if (t.job.live.get(t.index) != t) {
+    if (t.job().live.get(t.index()) != t) {
       return;
     }
-    t.job.remove(t);
-    quotas.release(t.job.spec);
+    t.job().remove(t);
+    quotas.release(t.job().spec);
   }
 
   private void forget(Job j) {
@@ -770,7 +770,7 @@
   /** What was not yet written is taken back: no command has been given for it. */
   private void shrink(Job j) {
     for (TaskAttempt t : new ArrayList<>(j.live.values())) {
-      if (!t.committed() && t.seq >= j.seq) {
+      if (!t.isCommitted() && t.writeSequence() >= j.seq) {
         detach(t);
       }
     }
@@ -901,7 +901,7 @@
   private void abort(Job j) {
     j.cancelled = true;
     for (TaskAttempt t : new ArrayList<>(j.live.values())) {
-      if (!t.committed()) {
+      if (!t.isCommitted()) {
         detach(t);
       }
     }
@@ -952,7 +952,7 @@
 
   /** The attempt is surely off its machine, without a result. */
   private void lose(TaskAttempt t) {
-    Job j = t.job;
+    Job j = t.job();
     detach(t);
     j.touch(WriteUrgency.LATER, context.now());
   }
@@ -1045,19 +1045,19 @@
 
   private void stopUnlisted(Machine h, Set<TaskAttemptId> listed, List<WorkerCommand> orders) {
     for (TaskAttempt l : h.attempts()) {
-      if (l.job.cancelled
-          && l.committed()
-          && l.incarnation.equals(h.session().incarnation())
-          && !listed.contains(l.run())
-          && (!h.session().isConfirmed() || h.session().tokens().mayDirectCommandStart(l.run()))) {
-        orders.add(new Stop(l.run(), 0));
+      if (l.job().cancelled
+          && l.isCommitted()
+          && l.incarnation().equals(h.session().incarnation())
+          && !listed.contains(l.id())
+          && (!h.session().isConfirmed() || h.session().tokens().mayDirectCommandStart(l.id()))) {
+        orders.add(new Stop(l.id(), 0));
       }
     }
   }
 
   private static boolean awaitsCommit(Machine h) {
     for (TaskAttempt l : h.attempts()) {
-      if (!l.committed()) {
+      if (!l.isCommitted()) {
         return true;
       }
     }
@@ -1072,9 +1072,8 @@
   private void hearing(Machine h, boolean stayed) {
     boolean followed = stayed;
     for (TaskAttempt l : h.attempts()) {
-      if (l.ordered) {
-        followed &= l.seen;
-        l.ordered = false;
+      if (l.takeStartInLastAnswer()) {
+        followed &= l.isSeen();
       }
     }
     switch (h.session().recordAnswerTaken(followed, context.now())) {
@@ -1145,9 +1144,9 @@
       Job j = jobs.get(id);
       TaskAttempt l = j == null ? null : j.live.get(t.run().index());
       if (l != null
-          && l.host == h
-          && l.attempt.equals(t.run().attempt())
-          && l.incarnation.equals(r.incarnation())) {
+          && l.machine() == h
+          && l.number().equals(t.run().attempt())
+          && l.incarnation().equals(r.incarnation())) {
         unlisted.remove(l);
         freed |= t.state() == TaskState.EXITED;
         running(h, l, t);
@@ -1157,19 +1156,19 @@
       }
     }
     for (TaskAttempt l : unlisted) {
-      if (l.incarnation.compareTo(r.incarnation()) < 0) {
+      if (l.incarnation().compareTo(r.incarnation()) < 0) {
         lose(l);
         freed = true;
-      } else if (!l.committed() || !l.job.claimed) {
+      } else if (!l.isCommitted() || !l.job().claimed) {
         continue;
-      } else if (l.seen) {
+      } else if (l.isSeen()) {
         // It left the list without a reap of ours: only a new session does that.
-        context.error("machine %s: %s vanished", h.name(), l.run());
+        context.error("machine %s: %s vanished", h.name(), l.id());
         lose(l);
       } else if (h.session().isConfirmed()
-          && !h.session().tokens().mayDirectCommandStart(l.run())
-          && (l.job.cancelled
-              || l.revoked
+          && !h.session().tokens().mayDirectCommandStart(l.id())
+          && (l.job().cancelled
+              || l.isRevoked()
               || h.isPreemptionNoticed()
               || h.isReleasing()
               || h.session().isUnresponsive())) {
@@ -1200,7 +1199,7 @@
         continue;
       }
       TaskAttempt l = j == null ? null : j.live.get(t.run().index());
-      if (l != null && l.host == h && l.attempt.equals(t.run().attempt())) {
+      if (l != null && l.machine() == h && l.number().equals(t.run().attempt())) {
         listed.add(l);
         stop(h, l, t, orders);
       } else if (j == null
@@ -1226,22 +1225,20 @@
     h.session().lastHeartbeat().tasks().forEach(t -> reported.add(t.run()));
     stopUnlisted(h, reported, orders);
     for (TaskAttempt l : h.attempts()) {
-      if (!l.seen
+      if (!l.isSeen()
           && !listed.contains(l)
-          && l.committed()
-          && l.job.claimed
-          && l.incarnation.equals(h.session().incarnation())
-          && !l.job.cancelled
-          && !l.revoked
+          && l.isCommitted()
+          && l.job().claimed
+          && l.incarnation().equals(h.session().incarnation())
+          && !l.job().cancelled
+          && !l.isRevoked()
           && !h.isPreemptionNoticed()
           && !h.session().isUnresponsive()
           && !h.isReleasing()) {
-        orders.add(new Start(l.run()));
-        l.ordered |= !direct;
-        if (!l.commanded) {
-          l.commanded = true;
+        orders.add(new Start(l.id()));
+        if (l.commandStart(direct)) {
           context.count("task.commanded");
-          context.count("task.commanded.ms", context.now().since(l.placedAt));
+          context.count("task.commanded.ms", context.now().since(l.placedAt()));
         }
       }
     }
@@ -1249,48 +1246,38 @@
   }
 
   private void stop(Machine h, TaskAttempt l, TaskStatus t, List<WorkerCommand> orders) {
-    Job j = l.job;
+    Job j = l.job();
     if (j.cancelled) {
-      orders.add(new Stop(l.run(), 0));
+      orders.add(new Stop(l.id(), 0));
     } else if (t.state() == TaskState.FLUSHING) {
       return;
-    } else if (l.revoked || h.isReleasing()) {
-      orders.add(new Stop(l.run(), j.spec.saveS() + 1));
+    } else if (l.isRevoked() || h.isReleasing()) {
+      orders.add(new Stop(l.id(), j.spec.saveS() + 1));
     } else if (h.isPreemptionNoticed() && j.spec.checkpointS() > 0) {
-      orders.add(
-          new Stop(l.run(), Math.max(j.spec.saveS(), h.session().lastHeartbeat().noticeS())));
+      orders.add(new Stop(l.id(), Math.max(j.spec.saveS(), h.session().lastHeartbeat().noticeS())));
     }
   }
 
   private void running(Machine h, TaskAttempt l, TaskStatus t) {
     MonotonicTime now = context.now();
-    Job j = l.job;
-    l.seen = true;
-    l.state = t.state();
-    switch (t.state()) {
-      case PULLING -> {}
-      case RUNNING -> {
-        if (l.runningSince == null) {
-          l.runningSince = now;
-          context.count("task.running");
-          context.count("task.running.ms", now.since(l.placedAt));
-        }
-        h.imageInUse(j.spec);
-      }
-      case FLUSHING -> {}
-      case EXITED -> {
-        exited(h, l, t);
-        return;
-      }
+    Job j = l.job();
+    if (l.observe(t.state(), now)) {
+      context.count("task.running");
+      context.count("task.running.ms", now.since(l.placedAt()));
+    }
+    if (t.state() == TaskState.RUNNING) {
+      h.imageInUse(j.spec);
+    } else if (t.state() == TaskState.EXITED) {
+      exited(h, l, t);
     }
   }
 
   private void exited(Machine h, TaskAttempt l, TaskStatus t) {
     MonotonicTime now = context.now();
-    Job j = l.job;
+    Job j = l.job();
     switch (t.why()) {
       case DONE -> {
-        j.done.set(l.index);
+        j.done.set(l.index());
         j.failedOn.clear();
         j.backoff = 0;
         h.health().taskSucceeded();
@@ -1301,8 +1288,8 @@
       case ERROR, UNKNOWN -> failed(h, j, t.why());
     }
     detach(l);
-    if (j.done.get(l.index)) {
-      j.taken.set(l.index);
+    if (j.done.get(l.index())) {
+      j.taken.set(l.index());
     }
     // The write in flight does not hold this exit; the one after it will.
     j.exits.put(t.run(), j.seq + 1);
@@ -1510,7 +1497,7 @@
     Map<String, Integer> perZone = new HashMap<>();
     String zone = null;
     for (TaskAttempt t : j.live.values()) {
-      String z = t.host.info() == null ? "" : t.host.info().zone();
+      String z = t.machine().info() == null ? "" : t.machine().info().zone();
       perZone.merge(z, 1, Integer::sum);
       zone = z;
     }
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -2,8 +2,8 @@
 
 import java.util.Collection;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.TaskAttempt;
 import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.WorkerLiveness;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.WorkerMessages.TaskState;
@@ -29,10 +29,10 @@
       there += h.type().cpus();
       taken += h.usedCpus();
       for (TaskAttempt t : h.attempts()) {
-        double cpus = t.job.spec.cpus();
-        if (t.state == null) {
+        double cpus = t.job().spec.cpus();
+        if (t.state() == null) {
           commanded += cpus;
-        } else if (t.state == TaskState.PULLING) {
+        } else if (t.state() == TaskState.PULLING) {
           pulling += cpus;
         } else {
           running += cpus;
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.Job.WriteUrgency;
+import shorecrank.coordination.model.WriteUrgency;
 import shorecrank.coordination.shard.ShardOwner.Write;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.Epoch;
