--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -4,6 +4,7 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.storage.StateStore;
 
 /** What a rollout sees of the core: its time, its calls of the state service, its log. */
 public final class StepLeaderEnvironment implements LeaderEnvironment {
@@ -25,6 +26,11 @@
     return context.wallMs();
   }
 
+  @Override
+  public StateStore store() {
+    return context.store();
+  }
+
   @Override
   public void state(String method, String path, JsonNode body, OnAnswer then) {
     context.state(method, path, body, CALL_MS, then::answer);
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -13,6 +13,7 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.storage.RateLimiter;
+import shorecrank.storage.StateStore;
 
 /** One step's view of the world for the parts of the core: time in, effects out. */
 public final class StepContext {
@@ -52,6 +53,7 @@
   private MonotonicTime stateOkAt = MonotonicTime.NEVER;
   private MonotonicTime stateOkSince = MonotonicTime.NEVER;
   private MonotonicTime peerHeardAt = MonotonicTime.NEVER;
+  private final StateStore store = new StepStateStore(this);
   private final Map<String, MonotonicTime> refusalToldAt = new HashMap<>();
 
   public StepContext(NodeConfig config, Settings tuning, WriterId writer) {
@@ -127,6 +129,12 @@
     return random;
   }
 
+  /** The state service. */
+  public StateStore store() {
+    return store;
+  }
+
+  /** Calls the state service by method and path; callers go over to {@link #store()}. */
   public void state(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
     requests.take(1, now);
     count("state.requests");
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -0,0 +1,107 @@
+package shorecrank.coordination.step;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.function.Consumer;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.ListResult;
+import shorecrank.storage.ReadResult;
+import shorecrank.storage.StateStore;
+import shorecrank.storage.WatchResult;
+
+/** The state service as the steps of the state machine call it. */
+final class StepStateStore implements StateStore {
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+  private static final int NOT_FOUND = 404;
+  private static final int CONFLICT = 409;
+  private static final int GONE = 410;
+
+  /** How much longer than the service may hold a watch its answer is waited for. */
+  private static final int WATCH_MARGIN_MS = 3000;
+
+  private final StepContext context;
+
+  StepStateStore(StepContext context) {
+    this.context = context;
+  }
+
+  @Override
+  public void read(String key, int timeoutMs, Consumer<ReadResult> then) {
+    context.state(
+        "GET",
+        StoreMessages.key(key),
+        null,
+        timeoutMs,
+        (status, body) -> then.accept(readResult(status, body)));
+  }
+
+  private static ReadResult readResult(int status, JsonNode body) {
+    return switch (status) {
+      case OK -> new ReadResult.Found(StoreMessages.entry(body));
+      case NOT_FOUND -> new ReadResult.Absent();
+      default -> new ReadResult.Unavailable(status);
+    };
+  }
+
+  @Override
+  public void list(
+      String prefix, String after, int limit, int timeoutMs, Consumer<ListResult> then) {
+    context.state(
+        "GET",
+        StoreMessages.list(prefix, after, limit),
+        null,
+        timeoutMs,
+        (status, body) -> then.accept(listResult(status, body)));
+  }
+
+  private static ListResult listResult(int status, JsonNode body) {
+    if (status != OK) {
+      return new ListResult.Unavailable(status);
+    }
+    return new ListResult.Page(
+        StoreMessages.entries(body), StoreMessages.revision(body), StoreMessages.more(body));
+  }
+
+  @Override
+  public void watch(String prefix, long afterRevision, int holdMs, Consumer<WatchResult> then) {
+    context.state(
+        "GET",
+        StoreMessages.watch(prefix, afterRevision, holdMs),
+        null,
+        holdMs + WATCH_MARGIN_MS,
+        (status, body) -> then.accept(watchResult(status, body)));
+  }
+
+  private static WatchResult watchResult(int status, JsonNode body) {
+    return switch (status) {
+      case OK -> new WatchResult.Changes(StoreMessages.changes(body), StoreMessages.revision(body));
+      case GONE -> new WatchResult.Compacted();
+      default -> new WatchResult.Unavailable(status);
+    };
+  }
+
+  @Override
+  public void commit(Transaction transaction, int timeoutMs, Consumer<CommitResult> then) {
+    context.state(
+        "POST",
+        StoreMessages.MULTI,
+        transaction.body(),
+        timeoutMs,
+        (status, body) -> then.accept(commitResult(status, body)));
+  }
+
+  private static CommitResult commitResult(int status, JsonNode body) {
+    return switch (status) {
+      case OK -> new CommitResult.Committed(new Revision(StoreMessages.revision(body)));
+      case CONFLICT -> new CommitResult.Conflict(StoreMessages.failed(body));
+      case BAD_REQUEST -> new CommitResult.TooLarge(body.toString());
+      default ->
+          StoreMessages.notCarriedOut(status)
+              ? new CommitResult.Refused(status)
+              : new CommitResult.Unknown(status);
+    };
+  }
+}
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.storage.StateStore;
 
 /** Time, the state service and the log, as a state machine of the leader sees them. */
 public interface LeaderEnvironment {
@@ -17,7 +18,10 @@
   /** This step's time of day. */
   long wallMs();
 
-  /** Calls the state service. */
+  /** The state service. */
+  StateStore store();
+
+  /** Calls the state service by method and path; callers go over to {@link #store()}. */
   void state(String method, String path, JsonNode body, OnAnswer then);
 
   /** Whether that many changes are left of this controller's share. */
