--- a/src/main/java/shorecrank/config/Tuning.java
+++ b/src/main/java/shorecrank/config/Settings.java
@@ -1,8 +1,8 @@
 package shorecrank.config;
 
-/** The operators' own settings; {@link TuningFile} reads them and knows ranges and defaults. */
-public record Tuning(
-    int parts,
+/** The operators' own settings; {@link SettingsFile} reads them and knows ranges and defaults. */
+public record Settings(
+    int shards,
     int leaseMs,
     int renewMs,
     int leaderTtlMs,
--- a/src/main/java/shorecrank/coordination/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
@@ -13,20 +13,21 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import shorecrank.coordination.MachineDirectory.Machine;
+import shorecrank.coordination.leader.MachineDirectory.Machine;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages;
-import shorecrank.protocol.CloudMessages.HostType;
-import shorecrank.protocol.CloudMessages.Listed;
+import shorecrank.protocol.CloudMessages.ListedMachine;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.Blocked;
 import shorecrank.protocol.PeerMessages.CapacityRequest;
-import shorecrank.protocol.PeerMessages.HostInfo;
-import shorecrank.storage.Budget;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.PeerMessages.UnavailableOffer;
+import shorecrank.storage.RateLimiter;
 
 /** The leader's dealings with the cloud: renting, giving back, and reading the machine list. */
 final class CloudProvisioner {
@@ -71,26 +72,26 @@
   private static final long BACK_AGAIN_MS = 10_000;
 
   /** A request to rent, under a name that is never used for another. */
-  private record Claim(String name, Offer offer, int count, PartId part) {}
+  private record Claim(String name, Offer offer, int count, ShardId shard) {}
 
   /** The machine list as read up to a name; each page is a call of its own. */
-  private record PartialList(String after, Map<HostName, Listed> found) {
+  private record PartialList(String after, Map<MachineName, ListedMachine> found) {
     int pages() {
       return 1 + found.size() / CloudMessages.MAX_PAGE;
     }
   }
 
-  private final Ports ports;
+  private final StepContext context;
   private final MachineDirectory machines;
   private final Supplier<Revision> loadedTerm;
-  private final BiConsumer<HostInfo, PartId> rented;
-  private final BiConsumer<HostInfo, String> met;
-  private final Budget calls;
-  private final Map<HostName, MonotonicTime> released = new HashMap<>();
+  private final BiConsumer<MachineInfo, ShardId> rented;
+  private final BiConsumer<MachineInfo, String> met;
+  private final RateLimiter calls;
+  private final Map<MachineName, MonotonicTime> released = new HashMap<>();
   private final Map<Offer, MonotonicTime> blockedUntil = new LinkedHashMap<>();
   private final Map<Offer, Integer> refusals = new HashMap<>();
-  private final Set<HostName> toRelease = new LinkedHashSet<>();
-  private final Set<HostName> releasing = new LinkedHashSet<>();
+  private final Set<MachineName> toRelease = new LinkedHashSet<>();
+  private final Set<MachineName> releasing = new LinkedHashSet<>();
   private final ArrayDeque<Claim> claims = new ArrayDeque<>();
 
   /** Names of claims that may have been carried out. */
@@ -106,7 +107,7 @@
 
   private MonotonicTime listAt = new MonotonicTime(0);
   private MonotonicTime retryAt = new MonotonicTime(0);
-  private Map<String, HostType> catalog = Map.of();
+  private Map<String, MachineType> catalog = Map.of();
 
   /**
    * @param loadedTerm the term under which the leader works now; answers of another are ignored
@@ -114,20 +115,20 @@
    * @param met takes a machine that the list shows, and how it was found
    */
   CloudProvisioner(
-      Ports ports,
+      StepContext context,
       MachineDirectory machines,
       Supplier<Revision> loadedTerm,
-      BiConsumer<HostInfo, PartId> rented,
-      BiConsumer<HostInfo, String> met) {
-    this.ports = ports;
+      BiConsumer<MachineInfo, ShardId> rented,
+      BiConsumer<MachineInfo, String> met) {
+    this.context = context;
     this.machines = machines;
     this.loadedTerm = loadedTerm;
     this.rented = rented;
     this.met = met;
-    this.calls = new Budget(ports.config.cloud().rps() * RATE_SHARE);
+    this.calls = new RateLimiter(context.config.cloud().rps() * RATE_SHARE);
   }
 
-  void catalog(Map<String, HostType> types) {
+  void catalog(Map<String, MachineType> types) {
     catalog = types;
   }
 
@@ -142,12 +143,12 @@
     listing = false;
     nextPage = null;
     releasingNow = false;
-    listAt = ports.now();
+    listAt = context.now();
   }
 
   /** Once a round. */
   void tick() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (now.before(retryAt)) {
       return;
     }
@@ -174,30 +175,30 @@
   }
 
   /** Rents what an owner asks for, but kinds that were refused lately. */
-  void request(PartId part, List<CapacityRequest> requests) {
+  void request(ShardId shard, List<CapacityRequest> requests) {
     for (CapacityRequest r : requests) {
       MonotonicTime until = blockedUntil.get(r.offer());
-      if (r.count() <= 0 || (until != null && !until.before(ports.now()))) {
+      if (r.count() <= 0 || (until != null && !until.before(context.now()))) {
         continue;
       }
       for (int left = Math.min(r.count(), mostRequested()); left > 0; ) {
         int count = Math.min(left, CloudMessages.MAX_RENT);
         String name = "sc-" + loadedTerm.get() + "-" + ++claimCount;
-        claims.add(new Claim(name, r.offer(), count, part));
+        claims.add(new Claim(name, r.offer(), count, shard));
         left -= count;
       }
     }
   }
 
   private int mostRequested() {
-    double most = ports.config.cloud().rps() * REQUEST_HORIZON_S;
+    double most = context.config.cloud().rps() * REQUEST_HORIZON_S;
     return (int) Math.max(1, most) * CloudMessages.MAX_RENT;
   }
 
   private void claim(Claim c) {
     claiming++;
     Revision term = loadedTerm.get();
-    ports.cloud(
+    context.cloud(
         "POST",
         CloudMessages.RENT,
         CloudMessages.rent(c.name(), c.offer(), c.count()),
@@ -212,14 +213,14 @@
 
   private void claimed(Claim c, int status, JsonNode body) {
     if (status == 200) {
-      List<HostName> got = CloudMessages.rented(body);
-      for (HostName name : got) {
+      List<MachineName> got = CloudMessages.rented(body);
+      for (MachineName name : got) {
         if (!machines.contains(name)) {
           Offer offer = c.offer();
-          rented.accept(new HostInfo(name, offer.type(), offer.zone(), offer.spot()), c.part());
+          rented.accept(new MachineInfo(name, offer.type(), offer.zone(), offer.spot()), c.shard());
         }
       }
-      ports.info("claim %s: %d of %d %s", c.name(), got.size(), c.count(), c.offer());
+      context.info("claim %s: %d of %d %s", c.name(), got.size(), c.count(), c.offer());
       if (got.size() < c.count()) {
         block(c.offer());
       } else {
@@ -228,35 +229,35 @@
     } else if (status == 503 && "no capacity".equals(Json.text(body.path("error")))) {
       block(c.offer());
     } else if (status == 400) {
-      ports.error("claim %s: refused as malformed: %s", c.name(), c.offer());
+      context.error("claim %s: refused as malformed: %s", c.name(), c.offer());
       block(c.offer());
     } else {
       // It may have been carried out: the same name again, and never another for it.
       claims.addFirst(c);
       tried.add(c.name());
-      retryAt = ports.now().plus(CALL_RETRY_MS);
+      retryAt = context.now().plus(CALL_RETRY_MS);
     }
   }
 
   private void block(Offer o) {
     // Those not yet sent would be refused too; their owners ask for something else.
     claims.removeIf(c -> c.offer().equals(o) && !tried.contains(c.name()));
-    if (ports.now().before(blockedUntil.getOrDefault(o, MonotonicTime.NEVER))) {
+    if (context.now().before(blockedUntil.getOrDefault(o, MonotonicTime.NEVER))) {
       return;
     }
     int n = refusals.merge(o, 1, Integer::sum);
     long ms = Math.min(BLOCK_MAX_MS, BLOCK_MS << Math.min(n - 1, MAX_DOUBLINGS));
-    blockedUntil.put(o, ports.now().plus(ms));
-    ports.info("no capacity for %s, again in %d ms", o, ms);
+    blockedUntil.put(o, context.now().plus(ms));
+    context.info("no capacity for %s, again in %d ms", o, ms);
   }
 
   /** Kinds that were refused, and for how long they are not asked for. */
-  List<Blocked> blocked() {
-    List<Blocked> blocked = new ArrayList<>();
+  List<UnavailableOffer> blocked() {
+    List<UnavailableOffer> blocked = new ArrayList<>();
     blockedUntil.forEach(
         (offer, until) -> {
-          if (ports.now().before(until)) {
-            blocked.add(new Blocked(offer, until.since(ports.now())));
+          if (context.now().before(until)) {
+            blocked.add(new UnavailableOffer(offer, until.since(context.now())));
           }
         });
     return blocked;
@@ -265,26 +266,26 @@
   // ---- giving back -----------------------------------------------------------------------------
 
   /** The machine is to be given back. */
-  void giveBack(HostName name) {
+  void giveBack(MachineName name) {
     if (!releasing.contains(name)) {
       toRelease.add(name);
     }
   }
 
-  boolean isReleasing(HostName name) {
+  boolean isReleasing(MachineName name) {
     return releasing.contains(name);
   }
 
   /** Whether its release was answered: it is gone, with all that ran on it. */
-  boolean wasReleased(HostName name) {
+  boolean wasReleased(MachineName name) {
     return released.containsKey(name);
   }
 
-  List<HostName> releasedLately() {
-    List<HostName> lately = new ArrayList<>();
+  List<MachineName> releasedLately() {
+    List<MachineName> lately = new ArrayList<>();
     released.forEach(
         (name, at) -> {
-          if (ports.now().since(at) < TELL_RELEASED_MS) {
+          if (context.now().since(at) < TELL_RELEASED_MS) {
             lately.add(name);
           }
         });
@@ -293,11 +294,11 @@
 
   private void release() {
     releasingNow = true;
-    List<HostName> batch = toRelease.stream().limit(CloudMessages.MAX_RELEASE).toList();
+    List<MachineName> batch = toRelease.stream().limit(CloudMessages.MAX_RELEASE).toList();
     batch.forEach(toRelease::remove);
     releasing.addAll(batch);
     Revision term = loadedTerm.get();
-    ports.cloud(
+    context.cloud(
         "POST",
         CloudMessages.RELEASE,
         CloudMessages.release(batch),
@@ -310,18 +311,18 @@
           batch.forEach(releasing::remove);
           if (status == 200) {
             batch.forEach(this::gone);
-            ports.count("machine.released");
+            context.count("machine.released");
           } else {
             toRelease.addAll(batch);
-            retryAt = ports.now().plus(CALL_RETRY_MS);
+            retryAt = context.now().plus(CALL_RETRY_MS);
           }
         });
   }
 
-  private void gone(HostName name) {
-    released.put(name, ports.now());
+  private void gone(MachineName name) {
+    released.put(name, context.now());
     machines.remove(name);
-    ports.info("machine %s: released", name);
+    context.info("machine %s: released", name);
   }
 
   // ---- the machine list ------------------------------------------------------------------------
@@ -329,7 +330,7 @@
   private void list(PartialList soFar) {
     Revision term = loadedTerm.get();
     nextPage = null;
-    ports.cloud(
+    context.cloud(
         "GET",
         CloudMessages.list(soFar.after()),
         null,
@@ -344,23 +345,23 @@
   private void listedPage(PartialList soFar, int status, JsonNode body) {
     if (status != 200) {
       listing = false;
-      listAt = ports.now().plus(LIST_RETRY_MS);
+      listAt = context.now().plus(LIST_RETRY_MS);
       return;
     }
-    Map<HostName, Listed> found = soFar.found();
-    List<Listed> page = CloudMessages.listed(body);
+    Map<MachineName, ListedMachine> found = soFar.found();
+    List<ListedMachine> page = CloudMessages.listed(body);
     page.forEach(l -> found.put(l.name(), l));
     if (CloudMessages.more(body) && !page.isEmpty()) {
       nextPage = new PartialList(page.get(page.size() - 1).name().value(), found);
-      if (calls.tryTake(1, ports.now())) {
+      if (calls.tryTake(1, context.now())) {
         list(nextPage);
       } else {
-        listAt = ports.now().plus(PAGE_RETRY_MS);
+        listAt = context.now().plus(PAGE_RETRY_MS);
       }
       return;
     }
     listing = false;
-    listAt = ports.now().plus(listPauseMs(soFar.pages()));
+    listAt = context.now().plus(listPauseMs(soFar.pages()));
     listed(found.values());
   }
 
@@ -369,14 +370,14 @@
     if (machines.size() == 0) {
       return EMPTY_LIST_PAUSE_MS;
     }
-    double callsPerMs = ports.config.cloud().rps() * LISTING_SHARE / 1000;
+    double callsPerMs = context.config.cloud().rps() * LISTING_SHARE / 1000;
     return Math.max(LIST_PAUSE_MS, (long) (pages / callsPerMs));
   }
 
-  private void listed(Collection<Listed> found) {
-    MonotonicTime now = ports.now();
-    long lag = (long) (ports.config.cloud().listLagS() * 2000) + 2000;
-    for (Listed l : found) {
+  private void listed(Collection<ListedMachine> found) {
+    MonotonicTime now = context.now();
+    long lag = (long) (context.config.cloud().listLagS() * 2000) + 2000;
+    for (ListedMachine l : found) {
       MonotonicTime at = released.get(l.name());
       if (at != null) {
         if (now.since(at) > lag + BACK_AGAIN_MS) {
@@ -389,11 +390,11 @@
       }
       if (isLost(l)) {
         if (!releasing.contains(l.name()) && toRelease.add(l.name())) {
-          ports.info("machine %s: %s for %.0f s, returned", l.name(), l.state(), l.ageS());
+          context.info("machine %s: %s for %.0f s, returned", l.name(), l.state(), l.ageS());
         }
         continue;
       }
-      met.accept(new HostInfo(l.name(), l.type(), l.zone(), l.spot()), "listed as " + l.state());
+      met.accept(new MachineInfo(l.name(), l.type(), l.zone(), l.spot()), "listed as " + l.state());
       Machine machine = machines.get(l.name());
       if (machine != null) {
         machine.listedAt = now;
@@ -401,12 +402,12 @@
     }
     returnUnlisted(lag);
     released.values().removeIf(at -> now.since(at) > KEEP_RELEASED_MS);
-    ports.gauge("machines", machines.size());
+    context.gauge("machines", machines.size());
   }
 
   /** It has failed, or will never come up. */
-  private boolean isLost(Listed l) {
-    HostType type = catalog.get(l.type());
+  private boolean isLost(ListedMachine l) {
+    MachineType type = catalog.get(l.type());
     double boot = type == null ? 60 : type.bootS();
     return l.state().equals("failed") || (l.state().equals("starting") && l.ageS() > 4 * boot + 60);
   }
@@ -417,12 +418,12 @@
    */
   private void returnUnlisted(long lag) {
     for (Machine machine : machines.all()) {
-      HostName name = machine.info.name();
+      MachineName name = machine.info.name();
       if (machine.listedAt != MonotonicTime.NEVER
-          && ports.now().since(machine.listedAt) > lag
+          && context.now().since(machine.listedAt) > lag
           && !releasing.contains(name)
           && toRelease.add(name)) {
-        ports.info("machine %s: no longer listed", name);
+        context.info("machine %s: no longer listed", name);
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,15 +12,16 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.HostInfo;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
+import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.StoreMessages;
 
 /**
@@ -52,8 +53,8 @@
 
   /** A machine and its assignment. */
   static final class Machine {
-    HostInfo info;
-    PartId part;
+    MachineInfo info;
+    ShardId shard;
     Epoch term;
     MonotonicTime since;
 
@@ -61,10 +62,10 @@
     MoveId move = MoveId.NONE;
 
     /** It is to be emptied for another shard. */
-    boolean recall;
+    boolean handoverRequested;
 
     /** A shard whose records name it, although it is assigned to another; null if there is none. */
-    PartId reclaimedBy;
+    ShardId reclaimedBy;
 
     MonotonicTime listedAt = MonotonicTime.NEVER;
 
@@ -79,15 +80,15 @@
   }
 
   /** A machine that is no longer assigned. */
-  private record Removal(long version, HostName name) {}
+  private record Removal(long version, MachineName name) {}
 
   /** What has changed since a controller's version; all assignments if {@code whole}. */
-  record Changes(boolean whole, List<MachineAssignment> assigned, List<HostName> removed) {}
+  record Changes(boolean whole, List<MachineAssignment> assigned, List<MachineName> removed) {}
 
-  private final Ports ports;
+  private final StepContext context;
   private final Election election;
   private final Supplier<Revision> loadedTerm;
-  private final Map<HostName, Machine> machines = new TreeMap<>();
+  private final Map<MachineName, Machine> machines = new TreeMap<>();
   private final Set<Integer> unsaved = new TreeSet<>();
 
   /**
@@ -105,18 +106,18 @@
   /**
    * @param loadedTerm the term under which the leader works now; answers of another are ignored
    */
-  MachineDirectory(Ports ports, Election election, Supplier<Revision> loadedTerm) {
-    this.ports = ports;
+  MachineDirectory(StepContext context, Election election, Supplier<Revision> loadedTerm) {
+    this.context = context;
     this.election = election;
     this.loadedTerm = loadedTerm;
   }
 
-  boolean contains(HostName name) {
+  boolean contains(MachineName name) {
     return machines.containsKey(name);
   }
 
   /** Null if it is not known. */
-  Machine get(HostName name) {
+  Machine get(MachineName name) {
     return machines.get(name);
   }
 
@@ -129,8 +130,8 @@
   }
 
   /** How many machines a shard has. */
-  long count(PartId part) {
-    return machines.values().stream().filter(m -> m.part.equals(part)).count();
+  long count(ShardId shard) {
+    return machines.values().stream().filter(m -> m.shard.equals(shard)).count();
   }
 
   /** The term under which the assignments were read. */
@@ -151,59 +152,59 @@
   // ---- changes ---------------------------------------------------------------------------------
 
   /** A machine belongs to a shard from now on, under the shard's epoch. */
-  void assign(HostInfo info, PartId part, Epoch term) {
-    put(info, part, term);
+  void assign(MachineInfo info, ShardId shard, Epoch term) {
+    put(info, shard, term);
     unsaved.add(bucket(info.name()));
   }
 
   private void reassign(Machine machine, NextAssignment next) {
-    Machine again = put(machine.info, next.part, next.term);
+    Machine again = put(machine.info, next.shard, next.term);
     again.recorded = true;
   }
 
-  private Machine put(HostInfo info, PartId part, Epoch term) {
+  private Machine put(MachineInfo info, ShardId shard, Epoch term) {
     Machine machine = new Machine();
     machine.info = info;
-    machine.part = part;
+    machine.shard = shard;
     machine.term = term;
-    machine.since = ports.now();
+    machine.since = context.now();
     machines.put(info.name(), machine);
     machine.version = ++version;
-    ports.info("machine %s: lent to part %s under epoch %s", info.name(), part, machine.term);
-    ports.count("machine.lent");
+    context.info("machine %s: lent to part %s under epoch %s", info.name(), shard, machine.term);
+    context.count("machine.lent");
     return machine;
   }
 
   /** The owner is to let the machine run empty and hand it back, under an order's id. */
-  void recall(Machine machine, MoveId move) {
-    machine.recall = true;
+  void handoverRequested(Machine machine, MoveId move) {
+    machine.handoverRequested = true;
     machine.move = move;
     machine.version = ++version;
   }
 
   /** The owner is to say when it hears the machine. */
   void awaitArrival(Machine machine, MoveId move) {
-    machine.recall = false;
+    machine.handoverRequested = false;
     machine.move = move;
     machine.version = ++version;
   }
 
   /** The owner may use the machine; the order that concerned it is over. */
   void keep(Machine machine) {
-    machine.recall = false;
+    machine.handoverRequested = false;
     machine.move = MoveId.NONE;
     machine.version = ++version;
   }
 
   /** A machine is no longer assigned as owners know. */
-  void remove(HostName name) {
+  void remove(MachineName name) {
     if (machines.remove(name) != null) {
       unsaved.add(bucket(name));
     }
     tellRemoved(name);
   }
 
-  private void tellRemoved(HostName name) {
+  private void tellRemoved(MachineName name) {
     removals.add(new Removal(++version, name));
     while (removals.size() > Math.max(MIN_KEPT_REMOVALS, machines.size())) {
       removalsFrom = removals.poll().version;
@@ -214,15 +215,16 @@
   Changes changesSince(long known, boolean oneShard) {
     boolean whole = known < removalsFrom || known > version;
     List<MachineAssignment> assigned = new ArrayList<>();
-    List<HostName> removed = new ArrayList<>();
+    List<MachineName> removed = new ArrayList<>();
     if (known == version) {
       return new Changes(whole, assigned, removed);
     }
     for (Machine m : machines.values()) {
       if (mayTell(m, oneShard) && (whole || m.version > known)) {
-        long ageMs = ports.now().since(m.since);
+        long ageMs = context.now().since(m.since);
         Epoch term = oneShard ? Epoch.NONE : m.term;
-        assigned.add(new MachineAssignment(m.info, m.part, ageMs, term, m.recall, m.move));
+        assigned.add(
+            new MachineAssignment(m.info, m.shard, ageMs, term, m.handoverRequested, m.move));
       }
     }
     if (!whole) {
@@ -266,7 +268,7 @@
   /** Reads all keys, page by page; {@code then} takes null if one page could not be read. */
   private void readPages(
       String after, List<StoreMessages.Entry> read, Consumer<List<StoreMessages.Entry>> then) {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.list(PREFIX, after, PAGE),
         null,
@@ -292,7 +294,7 @@
       Machine machine = read(one);
       if (machine == null) {
         // Met again, it is assigned anew.
-        ports.unreadable(entry.key());
+        context.unreadable(entry.key());
       } else {
         machines.put(machine.info.name(), machine);
       }
@@ -302,18 +304,21 @@
   /** Null if the value is no machine's. */
   private Machine read(JsonNode n) {
     String name = Json.text(n.path(0));
-    long part = Json.count(n.path(4));
+    long shard = Json.count(n.path(4));
     long term = Json.count(n.path(5));
-    if (name.isEmpty() || part < 0 || part >= ports.tuning.parts() || term < 0) {
+    if (name.isEmpty() || shard < 0 || shard >= context.tuning.shards() || term < 0) {
       return null;
     }
     Machine machine = new Machine();
     machine.info =
-        new HostInfo(
-            new HostName(name), Json.text(n.path(1)), Json.text(n.path(2)), n.path(3).asBoolean());
-    machine.part = new PartId((int) part);
+        new MachineInfo(
+            new MachineName(name),
+            Json.text(n.path(1)),
+            Json.text(n.path(2)),
+            n.path(3).asBoolean());
+    machine.shard = new ShardId((int) shard);
     machine.term = new Epoch(term);
-    machine.since = ports.now();
+    machine.since = context.now();
     machine.recorded = true;
     return machine;
   }
@@ -331,7 +336,7 @@
 
   // ---- writing ---------------------------------------------------------------------------------
 
-  private static int bucket(HostName name) {
+  private static int bucket(MachineName name) {
     return Math.floorMod(name.value().hashCode(), BUCKETS);
   }
 
@@ -345,7 +350,7 @@
   private BucketValues values(int bucket, List<Machine> inBucket) {
     Map<String, ArrayNode> values = new TreeMap<>();
     int allBytes = 0;
-    double max = ports.config.state().valueKb() * 1024 * VALUE_FILL;
+    double max = context.config.state().valueKb() * 1024 * VALUE_FILL;
     String key = PREFIX + bucket;
     ArrayNode value = Json.array();
     values.put(key, value);
@@ -371,18 +376,18 @@
   }
 
   /** A machine's next shard, and the term under which it is assigned there. */
-  record NextAssignment(PartId part, Epoch term) {}
+  record NextAssignment(ShardId shard, Epoch term) {}
 
   /**
    * New assignments that are written in a transaction of somebody else's. Until that is over no
    * other assignment is written.
    */
   final class Transfer {
-    private final Map<HostName, NextAssignment> moved = new TreeMap<>();
+    private final Map<MachineName, NextAssignment> moved = new TreeMap<>();
     private final Map<String, ArrayNode> values = new TreeMap<>();
     private final Map<Integer, List<Machine>> buckets = new TreeMap<>();
 
-    Set<HostName> machines() {
+    Set<MachineName> machines() {
       return moved.keySet();
     }
 
@@ -390,8 +395,8 @@
       return values.size();
     }
 
-    void addTo(StoreMessages.Txn txn) {
-      values.forEach((key, value) -> guardedWrite(txn, key, value));
+    void addTo(StoreMessages.Transaction transaction) {
+      values.forEach((key, value) -> guardedWrite(transaction, key, value));
     }
 
     void committed(Revision at) {
@@ -415,7 +420,7 @@
     void refused(boolean conflict) {
       saving = false;
       unsaved.addAll(buckets.keySet());
-      for (HostName name : moved.keySet()) {
+      for (MachineName name : moved.keySet()) {
         Machine machine = machines.get(name);
         if (machine != null) {
           machine.inTransfer = false;
@@ -432,18 +437,19 @@
    * Prepares new assignments, as many as fit beside {@code otherOperations} and {@code otherBytes};
    * null if none can be written now.
    */
-  Transfer prepare(Map<HostName, NextAssignment> assignments, int otherOperations, int otherBytes) {
+  Transfer prepare(
+      Map<MachineName, NextAssignment> assignments, int otherOperations, int otherBytes) {
     if (saving) {
       return null;
     }
     Transfer transfer = new Transfer();
     int bytes = otherBytes;
-    for (Map.Entry<HostName, NextAssignment> e : assignments.entrySet()) {
+    for (Map.Entry<MachineName, NextAssignment> e : assignments.entrySet()) {
       if (!machines.containsKey(e.getKey())) {
         continue;
       }
       int bucket = bucket(e.getKey());
-      Map<HostName, NextAssignment> moved = new TreeMap<>(transfer.moved);
+      Map<MachineName, NextAssignment> moved = new TreeMap<>(transfer.moved);
       moved.put(e.getKey(), e.getValue());
       List<Machine> inBucket = machinesIn(bucket);
       BucketValues next = values(bucket, inBucket.stream().map(m -> as(m, moved)).toList());
@@ -451,7 +457,7 @@
       int operations = transfer.values.size() + (another ? next.byKey.size() : 0);
       int more = another ? next.bytes : 0;
       boolean full =
-          operations + otherOperations > ports.config.state().txnOps()
+          operations + otherOperations > context.config.state().txnOps()
               || bytes + more > StoreMessages.TXN_FILL_BYTES;
       if (full) {
         continue;
@@ -466,7 +472,7 @@
     }
     saving = true;
     unsaved.removeAll(transfer.buckets.keySet());
-    for (HostName name : transfer.moved.keySet()) {
+    for (MachineName name : transfer.moved.keySet()) {
       machines.get(name).inTransfer = true;
       tellRemoved(name);
     }
@@ -477,20 +483,22 @@
     return machines.values().stream().filter(m -> bucket(m.info.name()) == bucket).toList();
   }
 
-  private static Machine as(Machine machine, Map<HostName, NextAssignment> moved) {
+  private static Machine as(Machine machine, Map<MachineName, NextAssignment> moved) {
     NextAssignment next = moved.get(machine.info.name());
     if (next == null) {
       return machine;
     }
     Machine other = new Machine();
     other.info = machine.info;
-    other.part = next.part;
+    other.shard = next.shard;
     other.term = next.term;
     return other;
   }
 
-  private void guardedWrite(StoreMessages.Txn txn, String key, ArrayNode machinesOfKey) {
-    txn.guard(key, revisions.getOrDefault(key, Revision.ABSENT))
+  private void guardedWrite(
+      StoreMessages.Transaction transaction, String key, ArrayNode machinesOfKey) {
+    transaction
+        .guard(key, revisions.getOrDefault(key, Revision.ABSENT))
         .write(key, Json.object().set(MACHINES, machinesOfKey));
   }
 
@@ -500,7 +508,7 @@
         .add(m.info.type())
         .add(m.info.zone())
         .add(m.info.spot())
-        .add(m.part.value())
+        .add(m.shard.value())
         .add(m.term.value());
   }
 
@@ -509,25 +517,26 @@
 
   /** Writes what is not yet written, as the budget allows. */
   void save() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (saving || unsaved.isEmpty() || now.before(saveAt)) {
       return;
     }
     Batch batch = nextBatch();
-    if (!ports.writes.has(batch.values.size(), now)) {
+    if (!context.writes.has(batch.values.size(), now)) {
       return;
     }
-    ports.writes.take(batch.values.size(), now);
+    context.writes.take(batch.values.size(), now);
     saving = true;
     saveAt = now.plus(SAVE_PAUSE_MS);
     unsaved.removeAll(batch.buckets.keySet());
     Revision term = loadedTerm.get();
-    StoreMessages.Txn txn = new StoreMessages.Txn().guard(election.key(), term);
-    batch.values.forEach((key, machinesOfKey) -> guardedWrite(txn, key, machinesOfKey));
-    ports.state(
+    StoreMessages.Transaction transaction =
+        new StoreMessages.Transaction().guard(election.key(), term);
+    batch.values.forEach((key, machinesOfKey) -> guardedWrite(transaction, key, machinesOfKey));
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         CALL_MS,
         (status, body) -> {
           saving = false;
@@ -546,7 +555,8 @@
         inBucket.add(m);
       }
     }
-    int most = (int) Math.max(1, Math.min(ports.config.state().txnOps(), ports.writes.rate() / 2));
+    int most =
+        (int) Math.max(1, Math.min(context.config.state().txnOps(), context.writes.rate() / 2));
     Batch batch = new Batch(new TreeMap<>(), new TreeMap<>());
     int bytes = 0;
     for (Map.Entry<Integer, List<Machine>> e : byBucket.entrySet()) {
@@ -572,7 +582,7 @@
       return;
     }
     unsaved.addAll(batch.buckets.keySet());
-    saveAt = ports.now().plus(SAVE_PAUSE_MS);
+    saveAt = context.now().plus(SAVE_PAUSE_MS);
     if (status == 409) {
       // Something else is there than we wrote last: a write of ours that came late.
       readRevisions();
@@ -601,7 +611,7 @@
             revisions.clear();
             entries.forEach(e -> revisions.put(e.key(), e.revision()));
           }
-          saveAt = ports.now().plus(SAVE_PAUSE_MS);
+          saveAt = context.now().plus(SAVE_PAUSE_MS);
         });
   }
 }
--- a/src/main/java/shorecrank/coordination/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -1,12 +1,13 @@
-package shorecrank.coordination;
+package shorecrank.coordination.leader;
 
-import shorecrank.coordination.MachineDirectory.Machine;
+import shorecrank.coordination.leader.MachineDirectory.Machine;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages.HandedBack;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineHandover;
 import shorecrank.protocol.PeerMessages.ShardReport;
 
 /**
@@ -18,14 +19,14 @@
   /** So many orders of one term have ids of their own. */
   private static final int ORDER_BITS = 20;
 
-  private final Ports ports;
+  private final StepContext context;
   private final MachineDirectory machines;
   private final ShardTable shards;
   private Revision term = Revision.ABSENT;
   private long orders;
 
-  SpareMachineAssigner(Ports ports, MachineDirectory machines, ShardTable shards) {
-    this.ports = ports;
+  SpareMachineAssigner(StepContext context, MachineDirectory machines, ShardTable shards) {
+    this.context = context;
     this.machines = machines;
     this.shards = shards;
   }
@@ -52,23 +53,23 @@
   }
 
   @Override
-  public void minted(PartId shard) {}
+  public void minted(ShardId shard) {}
 
   @Override
   public void tick() {}
 
   @Override
-  public PartId shardOfNewcomer() {
+  public ShardId shardOfNewcomer() {
     return neediest();
   }
 
-  private PartId neediest() {
-    PartId best = new PartId(0);
+  private ShardId neediest() {
+    ShardId best = new ShardId(0);
     if (shards.shards().size() == 1) {
       return best;
     }
     long most = Long.MIN_VALUE;
-    for (PartId shard : shards.shards()) {
+    for (ShardId shard : shards.shards()) {
       long need = (shards.hasQueue(shard) ? 1000 : 0) - machines.count(shard);
       if (need > most) {
         most = need;
@@ -82,47 +83,49 @@
   public void reported(ShardReport report) {
     if (!report.repeatsMoves()) {
       // An earlier version may hand a machine back too early, and under an order that is over.
-      keepAll(report.part());
+      keepAll(report.shard());
       return;
     }
-    for (HandedBack back : report.handedBack()) {
+    for (MachineHandover back : report.handovers()) {
       Machine machine = machines.get(back.machine());
-      boolean asOrdered = machine != null && machine.recall && machine.move.equals(back.move());
-      if (asOrdered && machine.part.equals(report.part())) {
-        handOver(machine, report.part());
+      boolean asOrdered =
+          machine != null && machine.handoverRequested && machine.move.equals(back.move());
+      if (asOrdered && machine.shard.equals(report.shard())) {
+        handOver(machine, report.shard());
       }
     }
-    for (HostName name : report.misplaced()) {
-      reclaim(name, report.part());
+    for (MachineName name : report.misplaced()) {
+      reclaim(name, report.shard());
     }
-    if (!report.spare().isEmpty() && anotherQueues(report.part())) {
+    if (!report.spare().isEmpty() && anotherQueues(report.shard())) {
       Machine machine = machines.get(report.spare().get(0));
-      if (machine != null && machine.part.equals(report.part()) && !machine.recall) {
-        machines.recall(machine, nextOrder());
+      if (machine != null && machine.shard.equals(report.shard()) && !machine.handoverRequested) {
+        machines.handoverRequested(machine, nextOrder());
       }
     }
   }
 
-  private void keepAll(PartId shard) {
+  private void keepAll(ShardId shard) {
     for (Machine machine : machines.all()) {
-      if (machine.recall && machine.part.equals(shard)) {
+      if (machine.handoverRequested && machine.shard.equals(shard)) {
         machines.keep(machine);
       }
     }
   }
 
   /** A machine on which tasks of a shard may run goes back to that shard. */
-  private void reclaim(HostName name, PartId shard) {
+  private void reclaim(MachineName name, ShardId shard) {
     Machine machine = machines.get(name);
-    boolean known = machine != null && machine.recall && shard.equals(machine.reclaimedBy);
-    if (machine == null || machine.part.equals(shard) || known) {
+    boolean known =
+        machine != null && machine.handoverRequested && shard.equals(machine.reclaimedBy);
+    if (machine == null || machine.shard.equals(shard) || known) {
       return;
     }
-    ports.info("machine %s: claimed by part %s, assigned to %s", name, shard, machine.part);
-    ports.count("machine.reclaimed");
+    context.info("machine %s: claimed by part %s, assigned to %s", name, shard, machine.shard);
+    context.count("machine.reclaimed");
     machine.reclaimedBy = shard;
-    if (!machine.recall) {
-      machines.recall(machine, nextOrder());
+    if (!machine.handoverRequested) {
+      machines.handoverRequested(machine, nextOrder());
     }
   }
 
@@ -130,13 +133,13 @@
     return new MoveId((term.value() << ORDER_BITS) + ++orders);
   }
 
-  private boolean anotherQueues(PartId but) {
+  private boolean anotherQueues(ShardId but) {
     return shards.shards().stream().anyMatch(s -> !s.equals(but) && shards.hasQueue(s));
   }
 
   /** Empty of the last shard's tasks, and assigned anew only above its term. */
-  private void handOver(Machine machine, PartId from) {
-    PartId to = machine.reclaimedBy != null ? machine.reclaimedBy : neediest();
+  private void handOver(Machine machine, ShardId from) {
+    ShardId to = machine.reclaimedBy != null ? machine.reclaimedBy : neediest();
     if (to.equals(from)) {
       machines.keep(machine);
       return;
--- a/src/main/java/shorecrank/coordination/Cancellations.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.model;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
@@ -9,11 +9,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.NodeLabel;
 import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerMessages.Confirmed;
+import shorecrank.protocol.PeerMessages.ConfirmedCancellations;
 import shorecrank.protocol.PeerMessages.OwnerInfo;
 
 /**
@@ -24,7 +25,7 @@
  * While it shows nothing, the other controllers can say which cancellations they have confirmed
  * since; one that is not heard, or that has begun anew since, says nothing.
  */
-final class Cancellations {
+public final class CancellationLog {
   private static final int CALL_MS = 900;
   private static final int PULL_MS = 1000;
 
@@ -55,8 +56,8 @@
     MonotonicTime askAt = new MonotonicTime(0);
   }
 
-  private final Ports ports;
-  private final Map<NodeLabel, Member> members = new LinkedHashMap<>();
+  private final StepContext context;
+  private final Map<ControllerName, Member> members = new LinkedHashMap<>();
   private final Consumer<JobId> learned;
   private final Consumer<OwnerInfo> ownerSeen;
 
@@ -79,34 +80,35 @@
    * @param learned takes each job that another controller reports as cancelled
    * @param ownerSeen takes the owners that another controller knows of
    */
-  Cancellations(Ports ports, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
-    this.ports = ports;
+  public CancellationLog(
+      StepContext context, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
+    this.context = context;
     this.learned = learned;
     this.ownerSeen = ownerSeen;
-    double changesPerS = ports.config.state().writeRps();
+    double changesPerS = context.config.state().writeRps();
     this.mostKept = (int) Math.max(MIN_KEPT, changesPerS * KEPT_S);
     this.mostAsked =
         (int)
             Math.max(
-                PeerMessages.DEFAULT_CONFIRMED, changesPerS * (ports.evidenceMs() / 1000.0 + 2));
+                PeerMessages.DEFAULT_CONFIRMED, changesPerS * (context.evidenceMs() / 1000.0 + 2));
     this.known = Caffeine.newBuilder().maximumSize(mostKept).executor(Runnable::run).build();
-    for (NodeConfig.Member m : ports.config.members()) {
+    for (NodeConfig.Member m : context.config.members()) {
       members.put(m.label(), new Member());
     }
   }
 
-  boolean known(JobId id) {
+  public boolean known(JobId id) {
     return known.getIfPresent(id) != null;
   }
 
   /** A committed mark was seen. */
-  void learn(JobId id) {
+  public void learn(JobId id) {
     known.put(id, true);
   }
 
   /** A user is being told that the job is cancelled. */
-  void confirmed(JobId id) {
-    if (own.putIfAbsent(id, ports.now()) != null) {
+  public void confirmed(JobId id) {
+    if (own.putIfAbsent(id, context.now()) != null) {
       return;
     }
     if (own.size() > mostKept) {
@@ -126,11 +128,11 @@
    *
    * @param storeAsOf up to when the state service has shown them; NEVER if it has not
    */
-  MonotonicTime horizon(MonotonicTime storeAsOf) {
+  public MonotonicTime horizon(MonotonicTime storeAsOf) {
     if (storeAsOf == MonotonicTime.NEVER) {
       return storeAsOf;
     }
-    MonotonicTime all = ports.now();
+    MonotonicTime all = context.now();
     for (Member m : members.values()) {
       MonotonicTime one = storeAsOf;
       one = later(one, m.before, storeAsOf);
@@ -145,8 +147,8 @@
   }
 
   /** Once a round; {@code blindSince} is what the owner here that knows least knows. */
-  void tick(MonotonicTime blindSince) {
-    MonotonicTime now = ports.now();
+  public void tick(MonotonicTime blindSince) {
+    MonotonicTime now = context.now();
     if (ownFrom == MonotonicTime.NEVER) {
       ownFrom = now;
     }
@@ -162,22 +164,23 @@
         });
   }
 
-  private void pull(NodeLabel label, Member m, MonotonicTime since) {
+  private void pull(ControllerName label, Member m, MonotonicTime since) {
     m.asking = true;
-    MonotonicTime sent = ports.now();
+    MonotonicTime sent = context.now();
     m.askAt = sent.plus(PULL_MS);
-    ports.count("cancellations.asked");
-    ports.peer(
+    context.count("cancellations.asked");
+    context.peer(
         label,
         PeerMessages.CONFIRMED,
         PeerMessages.confirmedWithin(sent.since(since) + 2000, mostAsked),
         CALL_MS,
         (status, body) -> {
           m.asking = false;
-          Confirmed c = status == 200 ? PeerMessages.readConfirmed(body, mostAsked) : null;
+          ConfirmedCancellations c =
+              status == 200 ? PeerMessages.readConfirmed(body, mostAsked) : null;
           if (c == null) {
             if (status == 200) {
-              ports.refused("peer.malformed", "malformed cancellations of " + label + " refused");
+              context.refused("peer.malformed", "malformed cancellations of " + label + " refused");
             }
             return;
           }
@@ -185,7 +188,7 @@
           c.owners().forEach(ownerSeen);
           // What it says holds up to some moment after the question, and back from the answer at
           // the most.
-          MonotonicTime from = ports.now().plus(-(long) (c.spanMs() * (1 - DRIFT)) + 20);
+          MonotonicTime from = context.now().plus(-(long) (c.spanMs() * (1 - DRIFT)) + 20);
           heard(m, new Span(from, sent));
         });
   }
@@ -215,8 +218,8 @@
    * What was confirmed here in so many milliseconds, for another controller. It asks because it
    * does not reach the state service, so it is also told who owns what.
    */
-  Confirmed answer(long within, int most, Collection<OwnerInfo> owners) {
-    MonotonicTime now = ports.now();
+  public ConfirmedCancellations answer(long within, int most, Collection<OwnerInfo> owners) {
+    MonotonicTime now = context.now();
     long span = Math.min(within, ownFrom == MonotonicTime.NEVER ? 0 : now.since(ownFrom));
     List<JobId> ids = new ArrayList<>();
     List<Map.Entry<JobId, MonotonicTime>> all =
@@ -228,6 +231,6 @@
       }
       ids.add(all.get(i).getKey());
     }
-    return new Confirmed(span, ids, List.copyOf(owners));
+    return new ConfirmedCancellations(span, ids, List.copyOf(owners));
   }
 }
--- a/src/main/java/shorecrank/coordination/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -1,26 +1,27 @@
-package shorecrank.coordination;
+package shorecrank.coordination.model;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /** Which of a part's machines its owner hears, and what their silence proves. */
-final class WorkerLiveness {
+public final class WorkerLiveness {
   /** A worker gives a report up after 4 s and tries the next controller 1 s later. */
   private static final long REDIRECT_MS = 5000;
 
-  private final Ports ports;
-  private final Collection<Host> hosts;
+  private final StepContext context;
+  private final Collection<Machine> hosts;
 
   /** When the part was granted: before it nobody could report here. */
   private final MonotonicTime grantedAt;
 
-  WorkerLiveness(Ports ports, Collection<Host> hosts, MonotonicTime grantedAt) {
-    this.ports = ports;
+  public WorkerLiveness(StepContext context, Collection<Machine> hosts, MonotonicTime grantedAt) {
+    this.context = context;
     this.hosts = hosts;
     this.grantedAt = grantedAt;
   }
@@ -30,11 +31,11 @@
    * owner is better replaced soon; alone with a share of it, both are cut off together, and those
    * workers have nobody else.
    */
-  boolean hearsFew() {
+  public boolean missesManyWorkers() {
     int heard = 0;
     int reported = 0;
-    for (Host h : hosts) {
-      if (h.reported()) {
+    for (Machine h : hosts) {
+      if (h.session().isReported()) {
         reported++;
         heard += overdue(h) ? 0 : 1;
       }
@@ -43,13 +44,15 @@
   }
 
   /** Whom this owner should hear and does not, for the leader to compare with what others hear. */
-  WorkerReachability hearing() {
+  public WorkerReachability hearing() {
     int expected = 0;
     int unheard = 0;
     Map<String, int[]> byZone = new TreeMap<>();
-    for (Host h : hosts) {
-      if (h.info != null && h.lent && (h.reported() || !h.empty())) {
-        int[] zone = byZone.computeIfAbsent(h.info.zone(), z -> new int[2]);
+    for (Machine h : hosts) {
+      if (h.info() != null
+          && h.assignment().isAssigned()
+          && (h.session().isReported() || !h.isEmpty())) {
+        int[] zone = byZone.computeIfAbsent(h.info().zone(), z -> new int[2]);
         expected++;
         zone[0]++;
         if (overdue(h)) {
@@ -58,44 +61,46 @@
         }
       }
     }
-    List<String> deafTo = new ArrayList<>();
+    List<String> unreachableZones = new ArrayList<>();
     byZone.forEach(
         (zone, n) -> {
           if (n[1] * 2 > n[0]) {
-            deafTo.add(zone);
+            unreachableZones.add(zone);
           }
         });
-    return new WorkerReachability(expected, unheard, deafTo);
+    return new WorkerReachability(expected, unheard, unreachableZones);
   }
 
   /**
    * Its next report should have come by now. A worker whose report was lost with the last owner
    * gives it up and turns to another controller first, so a new owner waits for that too.
    */
-  private boolean overdue(Host h) {
-    long redirect = h.lastHeard.before(grantedAt) ? REDIRECT_MS : 0;
-    return silentMs(h) > ports.config.workers().reportS() * 1250 + 2000 + redirect;
+  private boolean overdue(Machine h) {
+    long redirect = h.session().lastHeard().before(grantedAt) ? REDIRECT_MS : 0;
+    return silentMs(h) > context.config.workers().reportS() * 1250 + 2000 + redirect;
   }
 
   /** When a silent machine's worker has surely killed its tasks. */
-  boolean leaseOut(Host h) {
-    MonotonicTime from = h.lastHeard;
-    if (!h.confirmed) {
+  public boolean leaseOut(Machine h) {
+    MonotonicTime from = h.session().lastHeard();
+    if (!h.session().isConfirmed()) {
       // An earlier owner may have gone on renewing it until its grace was over.
       MonotonicTime quiet =
-          grantedAt.plus(ports.tuning.graceMs() + ports.tuning.graceMs() / 500L + 1000L);
+          grantedAt.plus(context.tuning.graceMs() + context.tuning.graceMs() / 500L + 1000L);
       from = from.before(quiet) ? quiet : from;
     }
-    double lease = ports.config.workers().leaseS() * 1000;
-    return ports.now().since(from) > lease * 1.002 + 1000;
+    double lease = context.config.workers().leaseS() * 1000;
+    return context.now().since(from) > lease * 1.002 + 1000;
   }
 
-  long silentMs(Host h) {
-    MonotonicTime from = h.lastHeard.before(grantedAt) ? grantedAt : h.lastHeard;
-    return ports.now().since(from);
+  public long silentMs(Machine h) {
+    MonotonicTime from =
+        h.session().lastHeard().before(grantedAt) ? grantedAt : h.session().lastHeard();
+    return context.now().since(from);
   }
 
-  boolean fresh(Host h) {
-    return h.known && silentMs(h) < ports.config.workers().reportS() * 2500 + 1500;
+  public boolean fresh(Machine h) {
+    return h.session().isReconciled()
+        && silentMs(h) < context.config.workers().reportS() * 2500 + 1500;
   }
 }
--- a/src/main/java/shorecrank/coordination/PrerequisiteCheck.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -1,13 +1,14 @@
-package shorecrank.coordination;
+package shorecrank.coordination.request;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.function.Consumer;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.UserMessages.Phase;
+import shorecrank.protocol.UserMessages.JobState;
 
 /**
  * Looks up the jobs that a submission names as its prerequisites.
@@ -15,7 +16,7 @@
  * <p>What was found is kept for a while: a submission that names more jobs than the budget of state
  * requests allows at once is answered "later", and goes on where it stopped when it is repeated.
  */
-final class PrerequisiteCheck {
+final class DependencyAdmission {
   /** What is known of the named jobs. */
   sealed interface Result {
     /** All were accepted; one of them may be cancelled. */
@@ -33,7 +34,7 @@
 
   /** Looks one job up in the state service. */
   interface LookUp {
-    void lookUp(JobId id, Consumer<Phase> found, Runnable absent, Runnable unknown);
+    void lookUp(JobId id, Consumer<JobState> found, Runnable absent, Runnable unknown);
   }
 
   private static final int MAX_KEPT = 10_000;
@@ -47,15 +48,15 @@
    */
   private static final int FRESH_MS = 5000;
 
-  private final Ports ports;
+  private final StepContext context;
   private final LookUp lookUp;
 
   /** Jobs seen in their records, and when. */
   private final Cache<JobId, MonotonicTime> unfinished =
       Caffeine.newBuilder().maximumSize(MAX_KEPT).executor(Runnable::run).build();
 
-  PrerequisiteCheck(Ports ports, LookUp lookUp) {
-    this.ports = ports;
+  DependencyAdmission(StepContext context, LookUp lookUp) {
+    this.context = context;
     this.lookUp = lookUp;
   }
 
@@ -82,7 +83,7 @@
         if (seenLately(id)) {
           continue;
         }
-        if (!ports.requests.has(1, ports.now())) {
+        if (!context.requests.has(1, context.now())) {
           end(new Result.OutOfBudget());
           return;
         }
@@ -100,15 +101,15 @@
 
     private boolean seenLately(JobId id) {
       MonotonicTime at = unfinished.getIfPresent(id);
-      return at != null && ports.now().since(at) < FRESH_MS;
+      return at != null && context.now().since(at) < FRESH_MS;
     }
 
-    private void found(JobId id, Phase phase) {
+    private void found(JobId id, JobState phase) {
       underWay--;
-      if (phase == Phase.WITHDRAWN) {
+      if (phase == JobState.CANCELLED) {
         cancelled = true;
-      } else if (phase != Phase.DONE) {
-        unfinished.put(id, ports.now());
+      } else if (phase != JobState.DONE) {
+        unfinished.put(id, context.now());
       }
       next();
     }
--- a/src/main/java/shorecrank/coordination/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -1,9 +1,12 @@
-package shorecrank.coordination;
+package shorecrank.coordination.request;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.Order;
@@ -16,27 +19,27 @@
  * Operators' requests about rollouts, taken by every controller. The leader answers; the others
  * pass the request on, so that the answer is the same wherever it is asked for.
  */
-final class RolloutRequestHandler {
+public final class RolloutRequestHandler {
   private static final int READ_MS = 2000;
   private static final int PAGE = 200;
 
   /** What keys of the service are made of, so that none can change the request's path. */
   private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9/._-]+");
 
-  private final Ports ports;
+  private final StepContext context;
   private final LeaderForwarder leader;
   private final RolloutCoordinator rollout;
 
   /**
    * @param rollout null if rollouts are not enabled here
    */
-  RolloutRequestHandler(Ports ports, Election election, RolloutCoordinator rollout) {
-    this.ports = ports;
-    this.leader = new LeaderForwarder(ports, election, "rollouts", "--rollout FILE");
+  public RolloutRequestHandler(StepContext context, Election election, RolloutCoordinator rollout) {
+    this.context = context;
+    this.leader = new LeaderForwarder(context, election, "rollouts", "--rollout FILE");
     this.rollout = rollout;
   }
 
-  void status(Input.Request r) {
+  public void status(Input.Request r) {
     leader.answer(
         r,
         RolloutMessages.STATUS,
@@ -44,14 +47,14 @@
         request -> {
           Status status = rollout.status();
           if (status == null) {
-            leader.unknown(r, "the leader, " + ports.config.label() + ", can't read the level");
+            leader.unknown(r, "the leader, " + context.config.label() + ", can't read the level");
           } else {
-            ports.reply(r.reply(), 200, RolloutMessages.write(status));
+            context.reply(r.reply(), 200, RolloutMessages.write(status));
           }
         });
   }
 
-  void order(Input.Request r) {
+  public void order(Input.Request r) {
     leader.answer(
         r,
         RolloutMessages.ORDERS,
@@ -59,8 +62,8 @@
         request -> {
           Order order = RolloutMessages.readOrder(request);
           if (order == null) {
-            ports.refused("rollout.malformed", "malformed rollout order refused");
-            ports.reply(r.reply(), 400, Json.error("malformed order, or level out of range"));
+            context.refused("rollout.malformed", "malformed rollout order refused");
+            context.reply(r.reply(), 400, Json.error("malformed order, or level out of range"));
             return;
           }
           rollout.order(
@@ -71,14 +74,14 @@
                       r, "the leader is busy or got no answer: send the same order again");
                 } else {
                   int status = outcome.accepted() ? 200 : 409;
-                  ports.reply(r.reply(), status, RolloutMessages.write(outcome));
+                  context.reply(r.reply(), status, RolloutMessages.write(outcome));
                 }
               });
         });
   }
 
   /** Only keys of the service, and its archives. */
-  void keys(Input.Request r) {
+  public void keys(Input.Request r) {
     if (rollout == null) {
       leader.notEnabled(r);
       return;
@@ -92,19 +95,19 @@
     String after = RolloutMessages.keysAfter(request);
     boolean plain = PLAIN.matcher(prefix + after).matches();
     if (!plain || readable.stream().noneMatch(prefix::startsWith)) {
-      ports.reply(r.reply(), 400, Json.error("prefix must be one of " + readable));
+      context.reply(r.reply(), 400, Json.error("prefix must be one of " + readable));
       return;
     }
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.list(prefix, after, PAGE),
         null,
         READ_MS,
         (status, body) -> {
           if (status == 200) {
-            ports.reply(r.reply(), 200, body);
+            context.reply(r.reply(), 200, body);
           } else {
-            leader.unknown(r, ports.config.label() + " does not reach the state service");
+            leader.unknown(r, context.config.label() + " does not reach the state service");
           }
         });
   }
--- a/src/main/java/shorecrank/coordination/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.scheduling;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,17 +7,22 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.MachineConstraints;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
-import shorecrank.protocol.PeerMessages.Blocked;
 import shorecrank.protocol.PeerMessages.CapacityRequest;
+import shorecrank.protocol.PeerMessages.UnavailableOffer;
 
 /** Which machines a part asks the leader to rent and to return. */
-final class Autoscaler {
+public final class Autoscaler {
   /** Arrivals come in bursts: somewhat more than the last peak stays. */
   private static final double SPARE = 1.05;
 
@@ -36,10 +41,10 @@
   private static final double MOVE_GAIN = 2;
 
   /** A start that is stopped sooner does not count as one (PROTOCOL: 30 s). */
-  static final double SETTLED_S = 32;
+  public static final double SETTLED_S = 32;
 
-  private final Ports ports;
-  private final ShardOwner owner;
+  private final StepContext context;
+  private final ShardView owner;
   private final Map<Offer, MonotonicTime> blocked = new HashMap<>();
 
   /** When a kind was last known to be used up. */
@@ -53,33 +58,33 @@
   /** Falling peaks of what was needed lately, the highest first. */
   private final ArrayDeque<Peak> peaks = new ArrayDeque<>();
 
-  Autoscaler(Ports ports, ShardOwner owner) {
-    this.ports = ports;
+  public Autoscaler(StepContext context, ShardView owner) {
+    this.context = context;
     this.owner = owner;
   }
 
-  void blocked(List<Blocked> l) {
+  public void blocked(List<UnavailableOffer> l) {
     blocked.clear();
     l.forEach(
         b -> {
-          blocked.put(b.offer(), ports.now().plus(b.forMs()));
-          refusedAt.put(b.offer(), ports.now());
+          blocked.put(b.offer(), context.now().plus(b.forMs()));
+          refusedAt.put(b.offer(), context.now());
         });
   }
 
   /** Machines to be given back: broken, silent, or idle for a while. */
-  void review(List<HostName> retire) {
-    MonotonicTime now = ports.now();
+  public void review(List<MachineName> retire) {
+    MonotonicTime now = context.now();
     double report = reportS() * 1000;
-    double lease = ports.config.workers().leaseS() * 1000;
+    double lease = context.config.workers().leaseS() * 1000;
     Silence all = new Silence();
     Map<String, Silence> byZone = new HashMap<>();
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.machines().values()) {
       // One that holds tasks has run before, whether or not this owner has heard it.
-      if (h.info != null && (h.reported() || !h.empty())) {
-        boolean silent = !owner.liveness.fresh(h);
+      if (h.info() != null && (h.session().isReported() || !h.isEmpty())) {
+        boolean silent = !owner.liveness().fresh(h);
         all.add(silent);
-        byZone.computeIfAbsent(h.info.zone(), z -> new Silence()).add(silent);
+        byZone.computeIfAbsent(h.info().zone(), z -> new Silence()).add(silent);
       }
     }
     // Many silent at once: more likely it is we who are cut off, or they have not found us yet.
@@ -99,49 +104,49 @@
     double soon = lease - early > 10_000 ? early : lease + 30_000;
     double patient = lease + 60_000;
     balance();
-    for (Host h : owner.hosts.values()) {
-      long quiet = owner.liveness.silentMs(h);
+    for (Machine h : owner.machines().values()) {
+      long quiet = owner.liveness().silentMs(h);
       // When it is over the last of them have a lease's time to find their way.
       MonotonicTime cutAt =
-          h.info == null
+          h.info() == null
               ? MonotonicTime.NEVER
-              : zoneSilentAt.getOrDefault(h.info.zone(), MonotonicTime.NEVER);
+              : zoneSilentAt.getOrDefault(h.info().zone(), MonotonicTime.NEVER);
       boolean wait = now.since(manySilentAt) <= lease || now.since(cutAt) <= lease;
       double patience = wait ? patient : soon;
-      if (!h.reported()) {
+      if (!h.session().isReported()) {
         double boot = h.type() == null ? 60 : h.type().bootS();
-        boolean holds = !h.empty();
-        long here = now.since(h.lentSince);
+        boolean holds = !h.isEmpty();
+        long here = now.since(h.assignment().since());
         if (holds
             ? quiet > (wait ? patience : Math.max(15_000, early))
-            : here > (h.hasRun ? patience : 1000 * (5 * boot + 120))) {
-          if (holds || h.lent) {
-            retire.add(h.name);
+            : here > (h.assignment().hasArrivedFromShard() ? patience : 1000 * (5 * boot + 120))) {
+          if (holds || h.assignment().isAssigned()) {
+            retire.add(h.name());
           }
         }
         continue;
       }
       if (quiet > patience) {
-        retire.add(h.name);
-      } else if (h.deaf
-          && h.unheeded > 1
-          && h.empty()
-          && now.since(h.deafFrom) > 3 * lease + 30_000) {
-        retire.add(h.name);
-      } else if (h.quarantines > 1 && h.empty() && owner.liveness.fresh(h)) {
-        h.retiring = true;
-        retire.add(h.name);
-      } else if (h.draining
-          && !h.recall
-          && h.empty()
-          && h.listedTasks == 0
-          && owner.liveness.fresh(h)
-          && now.since(h.idleSince) > 2000) {
-        h.retiring = true;
-        retire.add(h.name);
-      } else if (h.retiring) {
-        if (h.empty() && h.listedTasks == 0) {
-          retire.add(h.name);
+        retire.add(h.name());
+      } else if (h.session().isUnresponsive()
+          && h.session().missedAnswers() > 1
+          && h.isEmpty()
+          && now.since(h.session().unresponsiveSince()) > 3 * lease + 30_000) {
+        retire.add(h.name());
+      } else if (h.health().quarantines() > 1 && h.isEmpty() && owner.liveness().fresh(h)) {
+        h.release();
+        retire.add(h.name());
+      } else if (h.isDraining()
+          && !h.assignment().isHandoverRequested()
+          && h.isEmpty()
+          && h.session().listedTasks() == 0
+          && owner.liveness().fresh(h)
+          && now.since(h.idleSince()) > 2000) {
+        h.release();
+        retire.add(h.name());
+      } else if (h.isReleasing()) {
+        if (h.isEmpty() && h.session().listedTasks() == 0) {
+          retire.add(h.name());
         }
       }
     }
@@ -152,21 +157,25 @@
    * them back before anything is rented.
    */
   private void balance() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     double used = 0;
     double have = 0;
-    List<Host> running = new ArrayList<>();
-    List<Host> draining = new ArrayList<>();
-    for (Host h : owner.hosts.values()) {
+    List<Machine> running = new ArrayList<>();
+    List<Machine> draining = new ArrayList<>();
+    for (Machine h : owner.machines().values()) {
       if (h.type() == null) {
         continue;
       }
       // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
       used += h.usedShare() * h.type().cpus();
-      if (!h.reported() || !owner.liveness.fresh(h) || h.retiring || h.noticed || h.recall) {
+      if (!h.session().isReported()
+          || !owner.liveness().fresh(h)
+          || h.isReleasing()
+          || h.isPreemptionNoticed()
+          || h.assignment().isHandoverRequested()) {
         continue;
       }
-      if (h.draining) {
+      if (h.isDraining()) {
         draining.add(h);
       } else {
         have += h.type().cpus();
@@ -180,39 +189,39 @@
       unfit += need(e.getKey(), e.getValue());
       mayRun += e.getValue() * e.getKey().spec.cpus();
     }
-    ports.gauge("cpus.waited_for.in_limit", mayRun);
+    context.gauge("cpus.waited_for.in_limit", mayRun);
     double need = used + unfit;
-    peaks.removeIf(p -> now.since(p.at) > ports.tuning.idleReturnS() * 1000L);
+    peaks.removeIf(p -> now.since(p.at) > context.tuning.idleReturnS() * 1000L);
     peaks.removeIf(p -> p.cpus <= need);
     peaks.add(new Peak(now, need));
     double keep = peaks.peekFirst().cpus * SPARE;
-    Comparator<Host> dear =
-        Comparator.<Host>comparingDouble(h -> h.type().price(h.info.spot()) / h.type().cpus());
-    draining.sort(dear.thenComparing(h -> h.name));
-    for (Host h : running) {
+    Comparator<Machine> dear =
+        Comparator.<Machine>comparingDouble(h -> h.type().price(h.info().spot()) / h.type().cpus());
+    draining.sort(dear.thenComparing(h -> h.name()));
+    for (Machine h : running) {
       unfit -= owner.usable(h) ? roomFor(waiting, h) : 0;
     }
-    for (Host h : draining) {
+    for (Machine h : draining) {
       if (have >= keep && unfit <= 0) {
         break;
       }
-      h.draining = false;
+      h.cancelDrain();
       have += h.type().cpus();
       unfit -= roomFor(waiting, h);
     }
-    if (now.since(owner.readyAt()) < ports.tuning.idleReturnS() * 1000L) {
+    if (now.since(owner.readyAt()) < context.tuning.idleReturnS() * 1000L) {
       return;
     }
     vacate(draining);
     if (unfit > 0) {
       return;
     }
-    running.sort(dear.reversed().thenComparing(Host::usedCpus).thenComparing(h -> h.name));
-    for (Host h : running) {
+    running.sort(dear.reversed().thenComparing(Machine::usedCpus).thenComparing(h -> h.name()));
+    for (Machine h : running) {
       if (have - h.type().cpus() < keep) {
         break;
       }
-      h.draining = true;
+      h.drain();
       have -= h.type().cpus();
     }
   }
@@ -222,35 +231,38 @@
    * save move to where there is room, if their machine goes back so much sooner that it is worth
    * the saving, the new start and perhaps another fetch.
    */
-  private void vacate(List<Host> draining) {
+  private void vacate(List<Machine> draining) {
     double room = 0;
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.machines().values()) {
       room += owner.usable(h) ? h.freeCpus() : 0;
     }
-    for (Job j : owner.jobs.values()) {
+    for (Job j : owner.jobs().values()) {
       room -= j.queued() * j.spec.cpus();
     }
     room *= MOVE_SHARE;
     draining.sort(
-        Comparator.<Host>comparingDouble(h -> -h.type().price(h.info.spot()) / h.type().cpus())
-            .thenComparing(Host::usedCpus)
-            .thenComparing(h -> h.name));
-    for (Host h : draining) {
-      if (!h.draining || h.empty() || !owner.liveness.fresh(h) || h.deaf) {
+        Comparator.<Machine>comparingDouble(h -> -h.type().price(h.info().spot()) / h.type().cpus())
+            .thenComparing(Machine::usedCpus)
+            .thenComparing(h -> h.name()));
+    for (Machine h : draining) {
+      if (!h.isDraining()
+          || h.isEmpty()
+          || !owner.liveness().fresh(h)
+          || h.session().isUnresponsive()) {
         continue;
       }
-      List<LiveTask> movable = new ArrayList<>();
+      List<TaskAttempt> movable = new ArrayList<>();
       double cpus = 0;
       double cost = 0;
       double staysS = 0;
       double leavesS = 0;
-      for (LiveTask t : h.live) {
-        double left = t.leftS(ports.now());
-        double move = t.job.spec.saveS() + h.fetchAnewS(t.job.spec) / 2 + reportS();
-        if (t.movable() && t.lost(ports.now()) > SETTLED_S) {
+      for (TaskAttempt t : h.attempts()) {
+        double left = t.remainingSeconds(context.now());
+        double move = t.job().spec.saveS() + h.fullFetchSeconds(t.job().spec) / 2 + reportS();
+        if (t.canMoveByCheckpoint() && t.runSeconds(context.now()) > SETTLED_S) {
           movable.add(t);
-          cpus += t.job.spec.cpus();
-          cost += t.job.spec.cpus() * move / h.type().cpus();
+          cpus += t.job().spec.cpus();
+          cost += t.job().spec.cpus() * move / h.type().cpus();
           leavesS = Math.max(leavesS, left);
           staysS = Math.max(staysS, move);
         } else {
@@ -259,14 +271,14 @@
       }
       if (cpus <= room && leavesS - staysS > MOVE_GAIN * cost && !movable.isEmpty()) {
         room -= cpus;
-        movable.forEach(t -> t.revoked = true);
-        ports.count("task.moved", movable.size());
+        movable.forEach(t -> t.revoke());
+        context.count("task.moved", movable.size());
       }
     }
   }
 
   private double reportS() {
-    return ports.config.workers().reportS();
+    return context.config.workers().reportS();
   }
 
   /** Of the machines that should be heard, how many are not. */
@@ -285,17 +297,16 @@
   /** Tasks that wait for machines, by job; what waits for its team's limit needs none. */
   private Map<Job, Integer> waiting() {
     Map<Job, Integer> waiting = new LinkedHashMap<>();
-    Map<String, double[]> left = new HashMap<>();
-    for (Job j : owner.jobs.values()) {
+    Map<String, Headroom> headrooms = new HashMap<>();
+    for (Job j : owner.jobs().values()) {
       if (j.queued() == 0 || j.backoff > 0) {
         continue;
       }
-      double[] l = left.computeIfAbsent(j.spec.team(), owner::limitLeft);
-      int n = ShardOwner.within(l, j);
+      Headroom headroom = headrooms.computeIfAbsent(j.spec.team(), owner::headroom);
+      int n = headroom.queuedTasksThatFit(j);
       if (n > 0) {
         waiting.put(j, n);
-        l[0] -= n * j.spec.cpus();
-        l[1] -= n * j.spec.gpus();
+        headroom.take(j.spec, n);
       }
     }
     return waiting;
@@ -305,13 +316,13 @@
    * Processors of a machine that waiting jobs can use. What is free is not always of use: a task
    * may need more memory, or more processors, than any machine has left.
    */
-  private double roomFor(Map<Job, Integer> waiting, Host h) {
+  private double roomFor(Map<Job, Integer> waiting, Machine h) {
     double best = 0;
     if (h.freeCpus() > 1e-9) {
       for (Map.Entry<Job, Integer> e : waiting.entrySet()) {
         JobSpec s = e.getKey().spec;
         int n = Math.min(h.fits(s), e.getValue());
-        if (n > 0 && h.allowed(s)) {
+        if (n > 0 && h.isAllowedFor(s)) {
           best = Math.max(best, n * size(s, owner.catalog()));
         }
       }
@@ -322,28 +333,31 @@
   /** Processors that would clear a job's queue in good time. */
   private double need(Job j, int n) {
     double parallel =
-        Math.min(n, Math.ceil(n * Math.max(1, j.spec.estimateS()) / ports.tuning.clearS()));
+        Math.min(n, Math.ceil(n * Math.max(1, j.spec.estimateS()) / context.tuning.clearS()));
     return parallel * size(j.spec, owner.catalog());
   }
 
   /** What the waiting work needs beyond what is there or on its way. */
-  List<CapacityRequest> wants() {
-    List<CapacityRequest> wants = new ArrayList<>();
+  public List<CapacityRequest> capacityRequests() {
+    List<CapacityRequest> capacityRequests = new ArrayList<>();
     if (!owner.ready() || !owner.valid()) {
-      return wants;
+      return capacityRequests;
     }
-    MonotonicTime now = ports.now();
-    Map<String, HostType> catalog = owner.catalog();
+    MonotonicTime now = context.now();
+    Map<String, MachineType> catalog = owner.catalog();
     Map<Job, Integer> waiting = waiting();
     if (waiting.isEmpty()) {
-      return wants;
+      return capacityRequests;
     }
     double free = 0;
-    for (Host h : owner.hosts.values()) {
-      if (h.type() == null || !h.lent || h.retiring || h.noticed) {
+    for (Machine h : owner.machines().values()) {
+      if (h.type() == null
+          || !h.assignment().isAssigned()
+          || h.isReleasing()
+          || h.isPreemptionNoticed()) {
         continue;
       }
-      if (!h.reported()) {
+      if (!h.session().isReported()) {
         if (mayComeUp(h)) {
           free += roomFor(waiting, h);
         }
@@ -360,19 +374,19 @@
     }
     double deficit = need - free;
     if (deficit <= 0) {
-      return wants;
+      return capacityRequests;
     }
     List<Offer> offers = new ArrayList<>();
-    for (HostType t : catalog.values()) {
+    for (MachineType t : catalog.values()) {
       for (String z : t.zones()) {
         offers.add(new Offer(t.name(), z, true));
         offers.add(new Offer(t.name(), z, false));
       }
     }
     Map<String, Integer> perZone = new HashMap<>();
-    owner.hosts.values().stream()
-        .filter(h -> h.info != null)
-        .forEach(h -> perZone.merge(h.info.zone(), 1, Integer::sum));
+    owner.machines().values().stream()
+        .filter(h -> h.info() != null)
+        .forEach(h -> perZone.merge(h.info().zone(), 1, Integer::sum));
     offers.sort(
         Comparator.<Offer>comparingDouble(this::perCpu)
             .thenComparing(o -> perZone.getOrDefault(o.zone(), 0))
@@ -381,7 +395,7 @@
     offers.removeIf(
         o -> {
           MonotonicTime until = blocked.get(o);
-          return until != null && ports.now().before(until);
+          return until != null && context.now().before(until);
         });
     for (int i = 0; i < offers.size() && deficit > 0; ) {
       // Zones at one price share alike: less is lost when one of them fails or is used up.
@@ -391,10 +405,10 @@
       }
       for (; i < alike; i++) {
         Offer o = offers.get(i);
-        HostType t = catalog.get(o.type());
+        MachineType t = catalog.get(o.type());
         double eligible = 0;
         for (Map.Entry<Job, Double> e : needs.entrySet()) {
-          if (Placement.allowed(e.getKey().spec, o, t)) {
+          if (MachineConstraints.allows(e.getKey().spec, o, t)) {
             eligible += e.getValue();
           }
         }
@@ -403,38 +417,38 @@
         int count = (int) Math.ceil(cover / t.cpus() - slack);
         if (count > 0 && now.since(refusedAt.getOrDefault(o, MonotonicTime.NEVER)) < SCARCE_MS) {
           // Most likely still used up: asked for again, but others are not put off for it.
-          wants.add(new CapacityRequest(o, Math.min(count, PROBE)));
+          capacityRequests.add(new CapacityRequest(o, Math.min(count, PROBE)));
         } else if (count > 0) {
-          wants.add(new CapacityRequest(o, count));
+          capacityRequests.add(new CapacityRequest(o, count));
           deficit -= count * t.cpus();
         }
       }
     }
-    return wants;
+    return capacityRequests;
   }
 
   /**
    * One that takes far longer than usual to boot may never come up, or was gone when it was met.
    */
-  private boolean mayComeUp(Host h) {
-    return !h.hasRun
+  private boolean mayComeUp(Machine h) {
+    return !h.assignment().hasArrivedFromShard()
         && h.type() != null
-        && ports.now().since(h.lentSince) < LONG_BOOT * 1000 * h.type().bootS();
+        && context.now().since(h.assignment().since()) < LONG_BOOT * 1000 * h.type().bootS();
   }
 
   private double perCpu(Offer o) {
-    HostType t = owner.catalog().get(o.type());
+    MachineType t = owner.catalog().get(o.type());
     return t.price(o.spot()) / t.cpus();
   }
 
   private boolean served(Job j) {
-    for (Host h : owner.hosts.values()) {
-      if (h.lent
-          && !h.retiring
-          && !h.noticed
-          && !h.recall
-          && (h.reported() || mayComeUp(h))
-          && h.allowed(j.spec)) {
+    for (Machine h : owner.machines().values()) {
+      if (h.assignment().isAssigned()
+          && !h.isReleasing()
+          && !h.isPreemptionNoticed()
+          && !h.assignment().isHandoverRequested()
+          && (h.session().isReported() || mayComeUp(h))
+          && h.isAllowedFor(j.spec)) {
         return true;
       }
     }
@@ -442,9 +456,9 @@
   }
 
   /** A task's share of a machine in processors, where memory or accelerators may be what counts. */
-  private static double size(JobSpec s, Map<String, HostType> catalog) {
+  private static double size(JobSpec s, Map<String, MachineType> catalog) {
     double best = Double.MAX_VALUE;
-    for (HostType t : catalog.values()) {
+    for (MachineType t : catalog.values()) {
       double share = s.cpus() / t.cpus();
       share = Math.max(share, s.memoryGb() / Math.max(1e-9, t.memoryGb()));
       if (s.gpus() > 0) {
--- a/src/main/java/shorecrank/coordination/Dependencies.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.scheduling;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,11 +11,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec.Priority;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages.Phase;
+import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.Final;
 
@@ -27,7 +30,7 @@
  * so is the job. Prerequisites may be any other owner's: their marks and ends are seen in the
  * store.
  */
-final class Dependencies {
+public final class DependencyGraph {
   private static final int CALL_MS = 1500;
   private static final int MAX_LOOKS = 4;
 
@@ -38,14 +41,14 @@
   private static final int MAX_DUES = 4;
 
   /** When a job must have ended for the sake of one that needs it, on the wall clock. */
-  record Due(double byMs, String jobClass) {}
+  public record Due(double byMs, String jobClass) {}
 
   /** What those that need a job make of it. */
   private record Pressure(Priority priority, List<Due> dues) {}
 
-  private final Ports ports;
+  private final StepContext context;
   private final Map<JobId, Job> jobs;
-  private final Cancellations cancellations;
+  private final CancellationLog cancellations;
   private final Consumer<Job> cancel;
 
   /** Jobs that wait, by what they wait for. */
@@ -64,16 +67,19 @@
   /**
    * @param cancel what is to be done with a job that needs a cancelled one
    */
-  Dependencies(
-      Ports ports, Map<JobId, Job> jobs, Cancellations cancellations, Consumer<Job> cancel) {
-    this.ports = ports;
+  public DependencyGraph(
+      StepContext context,
+      Map<JobId, Job> jobs,
+      CancellationLog cancellations,
+      Consumer<Job> cancel) {
+    this.context = context;
     this.jobs = jobs;
     this.cancellations = cancellations;
     this.cancel = cancel;
   }
 
-  void add(Job j) {
-    for (JobId p : List.copyOf(j.awaits)) {
+  public void add(Job j) {
+    for (JobId p : List.copyOf(j.unmetDependencies)) {
       if (cancellations.known(p)) {
         cancelled(j);
         return;
@@ -86,9 +92,9 @@
     }
   }
 
-  void forget(Job j) {
+  public void forget(Job j) {
     changed |= pressures.remove(j) != null;
-    for (JobId p : j.awaits) {
+    for (JobId p : j.unmetDependencies) {
       Set<Job> s = dependents.get(p);
       if (s != null && s.remove(j) && s.isEmpty()) {
         dependents.remove(p);
@@ -96,16 +102,16 @@
     }
   }
 
-  void clear() {
+  public void clear() {
     dependents.clear();
     unknown.clear();
     pressures.clear();
   }
 
   /** A final record is there. */
-  void ended(JobId id, Phase phase) {
+  public void ended(JobId id, JobState phase) {
     unknown.remove(id);
-    if (phase != Phase.DONE) {
+    if (phase != JobState.DONE) {
       cancelled(id);
       return;
     }
@@ -115,24 +121,24 @@
     }
     changed = true;
     for (Job j : waiting) {
-      j.awaits.remove(id);
-      if (j.awaits.isEmpty()) {
-        j.readyAtMs = ports.wallMs();
-        ports.count("job.ready");
+      j.unmetDependencies.remove(id);
+      if (j.unmetDependencies.isEmpty()) {
+        j.readyAtMs = context.wallMs();
+        context.count("job.ready");
       }
     }
   }
 
   /** The record of a job that may be another owner's is no more. */
-  void dropped(JobId id) {
+  public void dropped(JobId id) {
     if (dependents.containsKey(id)) {
       unknown.add(id);
-      lookAt = ports.now();
+      lookAt = context.now();
     }
   }
 
   /** A committed mark of a cancellation was seen, or follows from one. */
-  void cancelled(JobId id) {
+  public void cancelled(JobId id) {
     Set<Job> waiting = dependents.remove(id);
     if (waiting != null) {
       List.copyOf(waiting).forEach(this::cancelled);
@@ -140,7 +146,7 @@
   }
 
   private void cancelled(Job j) {
-    if (j.aborted) {
+    if (j.cancelled) {
       return;
     }
     // Its record names the other for good, so this is as final as the mark itself.
@@ -151,12 +157,14 @@
   }
 
   /** Looks up what is not known, a few at a time. */
-  void tick() {
-    if (unknown.isEmpty() || ports.now().before(lookAt)) {
+  public void tick() {
+    if (unknown.isEmpty() || context.now().before(lookAt)) {
       return;
     }
     ArrayDeque<JobId> next = new ArrayDeque<>(unknown);
-    while (!next.isEmpty() && looking.size() < MAX_LOOKS && ports.requests.has(1, ports.now())) {
+    while (!next.isEmpty()
+        && looking.size() < MAX_LOOKS
+        && context.requests.has(1, context.now())) {
       JobId id = next.poll();
       if (!dependents.containsKey(id)) {
         unknown.remove(id);
@@ -169,13 +177,13 @@
   private void again(JobId id) {
     looking.remove(id);
     unknown.add(id);
-    lookAt = ports.now().plus(AGAIN_MS);
+    lookAt = context.now().plus(AGAIN_MS);
   }
 
   /** In the order in which a job moves, so that one that ends meanwhile is not missed. */
   private void look(JobId id) {
     unknown.remove(id);
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.liveKey(id)),
         null,
@@ -197,7 +205,7 @@
   }
 
   private void lookAtEnd(JobId id) {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.finalKey(id)),
         null,
@@ -209,10 +217,10 @@
             ended(id, end.phase());
           } else {
             if (status == 200) {
-              ports.unreadable(JobRecord.finalKey(id));
+              context.unreadable(JobRecord.finalKey(id));
             }
             if (status == 404) {
-              ports.error("job %s is needed by others and has no record", id);
+              context.error("job %s is needed by others and has no record", id);
             }
             again(id);
           }
@@ -223,11 +231,11 @@
    * All jobs whose cancellation would be this job's too. Null if one of them is not of this part,
    * or if there are too many to compare.
    */
-  Collection<Job> allNeeded(Job j, int most) {
+  public Collection<Job> allNeeded(Job j, int most) {
     Set<Job> all = new LinkedHashSet<>();
     ArrayDeque<Job> open = new ArrayDeque<>(List.of(j));
     while (!open.isEmpty()) {
-      for (JobId p : open.poll().awaits) {
+      for (JobId p : open.poll().unmetDependencies) {
         Job needed = jobs.get(p);
         if (needed == null) {
           return null;
@@ -251,7 +259,7 @@
    * @param own the deadlines of a job's own
    * @param spanMs what a job takes once it is ready
    */
-  void refresh(Function<Job, List<Due>> own, Function<Job, Double> spanMs) {
+  public void refresh(Function<Job, List<Due>> own, Function<Job, Double> spanMs) {
     if (!changed) {
       return;
     }
@@ -280,7 +288,7 @@
     }
     if (!path.add(j)) {
       if (!cycleTold) {
-        ports.error("job %s needs itself, through others", j.id());
+        context.error("job %s needs itself, through others", j.id());
         cycleTold = true;
       }
       return new Pressure(j.spec.priority(), List.of());
--- a/src/main/java/shorecrank/coordination/DirectStarts.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -1,31 +1,33 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.coordination.ShardOwner.Write;
-import shorecrank.protocol.Ids.Token;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.shard.ShardOwner.Write;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.WorkerMessages;
-import shorecrank.protocol.WorkerMessages.Order;
 import shorecrank.protocol.WorkerMessages.Start;
+import shorecrank.protocol.WorkerMessages.WorkerCommand;
 
 /** Starts that go straight to their machines, without waiting for the next report. */
-final class DirectStarts {
+final class DirectCommandSender {
   /** A machine that reports so soon is told then. */
   private static final int SOON_MS = 100;
 
   /** So long a worker may take to answer a command; what is not answered may yet be carried out. */
   private static final int DIRECT_MS = 1000;
 
-  private final Ports ports;
+  private final StepContext context;
   private final ShardOwner owner;
 
   /** Commands that went straight to workers and are not answered. */
   private int directOut;
 
-  DirectStarts(Ports ports, ShardOwner owner) {
-    this.ports = ports;
+  DirectCommandSender(StepContext context, ShardOwner owner) {
+    this.context = context;
     this.owner = owner;
   }
 
@@ -36,49 +38,50 @@
    * it has done is not reaped.
    */
   void send(List<Write> batch) {
-    Set<Host> to = new LinkedHashSet<>();
+    Set<Machine> to = new LinkedHashSet<>();
     for (Write w : batch) {
       if (w.last() || !owner.owns(w.job())) {
         continue;
       }
-      for (LiveTask l : w.job().live.values()) {
-        if (l.seq == w.seq() && !l.commanded && l.committed()) {
-          to.add(l.host);
+      for (TaskAttempt l : w.job().live.values()) {
+        if (l.writeSequence() == w.seq() && !l.isCommanded() && l.isCommitted()) {
+          to.add(l.machine());
         }
       }
     }
-    for (Host h : to) {
+    for (Machine h : to) {
       if (!owner.valid()
           || directOut >= maxDirect()
-          || !h.known
-          || !h.takesDirect(owner.epoch())
-          || h.toldInS(ports.now(), ports.config.workers().reportS()) * 1000 < SOON_MS) {
+          || !h.session().isReconciled()
+          || !h.session().acceptsDirectCommands(owner.epoch())
+          || h.session().secondsToNextAnswer(context.now(), context.config.workers().reportS())
+                  * 1000
+              < SOON_MS) {
         continue;
       }
-      List<Order> orders = owner.orders(h, true);
+      List<WorkerCommand> orders = owner.orders(h, true);
       if (orders.stream().noneMatch(Start.class::isInstance)) {
         continue;
       }
-      Token token = h.token(owner.epoch());
-      for (Order o : orders) {
+      FencingToken token = h.session().tokens().current(owner.epoch());
+      for (WorkerCommand o : orders) {
         if (o instanceof Start) {
-          h.sentDirectly(o.run(), token);
+          h.session().tokens().directStartSent(o.run(), token);
         }
       }
       directOut++;
-      h.directOut++;
-      ports.count("orders.direct");
-      ports.worker(
-          h.address,
+      h.session().tokens().directCommandSent();
+      context.count("orders.direct");
+      context.worker(
+          h.session().address(),
           WorkerMessages.ORDERS,
-          WorkerMessages.direct(token, h.tenure, orders),
+          WorkerMessages.direct(token, h.session().incarnation(), orders),
           DIRECT_MS,
           (status, body) -> {
             directOut--;
-            h.directOut--;
-            h.directAnswered++;
+            h.session().tokens().directCommandAnswered();
             if (status != 200) {
-              ports.count("orders.direct.failed");
+              context.count("orders.direct.failed");
             }
           });
     }
@@ -86,6 +89,6 @@
 
   /** Connections to workers come out of what is left beside those of users, workers and peers. */
   private int maxDirect() {
-    return Math.max(4, ports.config.limits().sockets() / 20);
+    return Math.max(4, context.config.limits().sockets() / 20);
   }
 }
--- a/src/main/java/shorecrank/coordination/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -1,17 +1,18 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.PartId;
-import shorecrank.protocol.Ids.TaskRun;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.StoreMessages;
 import shorecrank.storage.JobRecord;
-import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
  * Tasks on a shard's machines that none of its jobs explains. Before such a task is stopped or its
@@ -39,7 +40,7 @@
     UNCLAIMED
   }
 
-  private record Named(HostName machine, TaskRun run) {}
+  private record Named(MachineName machine, TaskAttemptId run) {}
 
   /** A job's record as it was read. */
   private static final class Lookup {
@@ -50,17 +51,17 @@
     final Set<Named> named = new HashSet<>();
   }
 
-  private final Ports ports;
-  private final PartId shard;
+  private final StepContext context;
+  private final ShardId shard;
   private final Map<JobId, Lookup> lookups = new HashMap<>();
 
-  ForeignTasks(Ports ports, PartId shard) {
-    this.ports = ports;
+  ForeignTasks(StepContext context, ShardId shard) {
+    this.context = context;
     this.shard = shard;
   }
 
   /** What is known of a task now; asks for what is not. */
-  Verdict verdict(HostName machine, TaskRun run) {
+  Verdict verdict(MachineName machine, TaskAttemptId run) {
     Lookup lookup = lookups.get(run.job());
     if (lookup == null) {
       if (lookups.size() >= MAX_KEPT) {
@@ -69,7 +70,7 @@
       lookup = new Lookup();
       lookups.put(run.job(), lookup);
     }
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     boolean fresh = now.since(lookup.answeredAt) < FRESH_MS;
     if (!fresh) {
       ask(run.job(), lookup);
@@ -84,17 +85,17 @@
 
   /** Once a second: forgets what nobody asks for any more. */
   void tidy() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     lookups.values().removeIf(l -> !l.busy && now.since(l.answeredAt) > KEPT_MS);
   }
 
   private void ask(JobId job, Lookup lookup) {
-    if (lookup.busy || !ports.requests.has(1, ports.now())) {
+    if (lookup.busy || !context.requests.has(1, context.now())) {
       return;
     }
     lookup.busy = true;
-    ports.count("foreign.lookups");
-    ports.state(
+    context.count("foreign.lookups");
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.liveKey(job)),
         null,
@@ -102,7 +103,7 @@
         (status, body) -> {
           lookup.busy = false;
           if (status == 200 || status == 404) {
-            lookup.answeredAt = ports.now();
+            lookup.answeredAt = context.now();
             take(lookup, status == 200 ? StoreMessages.entry(body) : null);
           }
         });
@@ -120,11 +121,11 @@
       lookup.unreadable = true;
       return;
     }
-    lookup.elsewhere = !PartId.of(record.spec().team(), ports.tuning.parts()).equals(shard);
-    for (LiveRange range : record.live()) {
+    lookup.elsewhere = !ShardId.of(record.spec().team(), context.tuning.shards()).equals(shard);
+    for (AttemptRange range : record.live()) {
       for (int i = range.first(); i < range.first() + range.count(); i++) {
         if (!record.done().get(i)) {
-          TaskRun run = new TaskRun(record.spec().id(), i, range.attempt());
+          TaskAttemptId run = new TaskAttemptId(record.spec().id(), i, range.attempt());
           lookup.named.add(new Named(range.host(), run));
         }
       }
--- a/src/main/java/shorecrank/coordination/ShardDemands.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,8 +8,14 @@
 import java.util.Map;
 import java.util.Set;
 import shorecrank.config.NodeConfig;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.protocol.CloudMessages.HostType;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.MachineConstraints;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
+import shorecrank.coordination.scheduling.Autoscaler;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.JobSpec.Priority;
@@ -19,18 +25,18 @@
 import shorecrank.protocol.ShareMessages.ShardDemand;
 
 /** What a shard's owner tells the leader of its share: what it has, needs and could give up. */
-final class ShardDemands {
+final class ShardDemandReporter {
   /** So many machines are named that the shard could give up. */
   private static final int MOST_CANDIDATES = 32;
 
   /** A machine that should be empty in more than this is not named. */
   private static final double MAX_EMPTY_S = 1e6;
 
-  private final Ports ports;
+  private final StepContext context;
   private final ShardOwner owner;
 
-  ShardDemands(Ports ports, ShardOwner owner) {
-    this.ports = ports;
+  ShardDemandReporter(StepContext context, ShardOwner owner) {
+    this.context = context;
     this.owner = owner;
   }
 
@@ -44,17 +50,17 @@
     List<Candidate> candidates = new ArrayList<>();
     List<DrainProgress> draining = new ArrayList<>();
     List<MoveId> arrived = new ArrayList<>();
-    for (Host h : owner.hosts.values()) {
+    for (Machine h : owner.hosts.values()) {
       running += h.type() == null ? 0 : Math.min(h.usedCpus(), h.type().cpus());
-      if (h.recall) {
+      if (h.assignment().isHandoverRequested()) {
         draining.add(progress(h));
-      } else if (h.lent && h.type() != null) {
+      } else if (h.assignment().isAssigned() && h.type() != null) {
         capacity += h.type().cpus();
-        if (h.move.isSet() && h.known) {
-          arrived.add(h.move);
+        if (h.assignment().move().isSet() && h.session().isReconciled()) {
+          arrived.add(h.assignment().move());
         }
-        if (owner.usable(h) || h.draining) {
-          candidates.add(new Candidate(h.name, h.type().cpus(), emptyInS(h)));
+        if (owner.usable(h) || h.isDraining()) {
+          candidates.add(new Candidate(h.name(), h.type().cpus(), emptyInS(h)));
         }
       }
     }
@@ -75,23 +81,23 @@
         arrived);
   }
 
-  private DrainProgress progress(Host h) {
+  private DrainProgress progress(Machine h) {
     DrainState state = DrainState.DRAINING;
-    if (h.noticed) {
+    if (h.isPreemptionNoticed()) {
       state = DrainState.NOTICED;
-    } else if (h.known && !owner.liveness.fresh(h)) {
+    } else if (h.session().isReconciled() && !owner.liveness.fresh(h)) {
       state = DrainState.SILENT;
     }
-    return new DrainProgress(h.move, state, h.live.size(), emptyInS(h));
+    return new DrainProgress(h.assignment().move(), state, h.attempts().size(), emptyInS(h));
   }
 
   /** Seconds until the machine's tasks should have ended, or can be stopped with their progress. */
-  private double emptyInS(Host h) {
+  private double emptyInS(Machine h) {
     double longest = 0;
-    for (LiveTask t : h.live) {
-      double left = t.leftS(ports.now());
-      if (t.job.spec.checkpointS() > 0) {
-        left = Math.min(left, Math.max(0, Autoscaler.SETTLED_S - t.lost(ports.now())));
+    for (TaskAttempt t : h.attempts()) {
+      double left = t.remainingSeconds(context.now());
+      if (t.job().spec.checkpointS() > 0) {
+        left = Math.min(left, Math.max(0, Autoscaler.SETTLED_S - t.runSeconds(context.now())));
       }
       longest = Math.max(longest, left);
     }
@@ -105,21 +111,20 @@
     double[] waiting = new double[Priority.values().length];
     double oldestS = 0;
     Set<Offer> kinds = new LinkedHashSet<>();
-    Map<String, double[]> left = new HashMap<>();
+    Map<String, Headroom> headrooms = new HashMap<>();
     for (Job j : owner.jobs.values()) {
       if (j.queued() == 0 || j.backoff > 0) {
         continue;
       }
-      double[] ofTeam = left.computeIfAbsent(j.spec.team(), owner::limitLeft);
-      int n = ShardOwner.within(ofTeam, j);
+      Headroom headroom = headrooms.computeIfAbsent(j.spec.team(), owner::headroom);
+      int n = headroom.queuedTasksThatFit(j);
       if (n == 0) {
         continue;
       }
-      ofTeam[0] -= n * j.spec.cpus();
-      ofTeam[1] -= n * j.spec.gpus();
+      headroom.take(j.spec, n);
       waiting[j.priority.ordinal()] += n * j.spec.cpus();
       if (j.live.isEmpty() && j.doneCount() == 0) {
-        oldestS = Math.max(oldestS, j.readyS(ports.wallMs()));
+        oldestS = Math.max(oldestS, j.readyS(context.wallMs()));
       }
       addKinds(j, kinds);
     }
@@ -131,11 +136,11 @@
   }
 
   private void addKinds(Job j, Set<Offer> kinds) {
-    for (HostType type : owner.catalog().values()) {
+    for (MachineType type : owner.catalog().values()) {
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
           Offer offer = new Offer(type.name(), zone, spot);
-          if (!kinds.contains(offer) && Placement.allowed(j.spec, offer, type)) {
+          if (!kinds.contains(offer) && MachineConstraints.allows(j.spec, offer, type)) {
             kinds.add(offer);
           }
         }
@@ -152,7 +157,7 @@
     }
     double within = 0;
     for (Map.Entry<String, Double> e : asked.entrySet()) {
-      NodeConfig.Team team = ports.config.teams().get(e.getKey());
+      NodeConfig.Team team = context.config.teams().get(e.getKey());
       within += team == null ? 0 : Math.min(team.cpus(), e.getValue());
     }
     return within;
--- a/src/main/java/shorecrank/coordination/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -1,4 +1,4 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
@@ -11,43 +11,57 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import shorecrank.config.NodeConfig;
-import shorecrank.coordination.Job.LiveTask;
-import shorecrank.coordination.Job.Urgency;
-import shorecrank.protocol.CloudMessages.HostType;
-import shorecrank.protocol.Ids.Attempt;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.model.TeamQuotas;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
+import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.coordination.model.WorkerSession;
+import shorecrank.coordination.model.WriteUrgency;
+import shorecrank.coordination.scheduling.Autoscaler;
+import shorecrank.coordination.scheduling.BinPacking;
+import shorecrank.coordination.scheduling.DependencyGraph;
+import shorecrank.coordination.scheduling.Preemption;
+import shorecrank.coordination.scheduling.SchedulingQueue;
+import shorecrank.coordination.scheduling.ShardView;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.Ids.TaskRun;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.HandedBack;
-import shorecrank.protocol.PeerMessages.HostInfo;
+import shorecrank.protocol.PeerMessages.MachineHandover;
+import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages.Phase;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 import shorecrank.protocol.WorkerMessages;
-import shorecrank.protocol.WorkerMessages.Forget;
-import shorecrank.protocol.WorkerMessages.Order;
-import shorecrank.protocol.WorkerMessages.Report;
+import shorecrank.protocol.WorkerMessages.ExitReason;
+import shorecrank.protocol.WorkerMessages.Reap;
 import shorecrank.protocol.WorkerMessages.Start;
 import shorecrank.protocol.WorkerMessages.Stop;
-import shorecrank.protocol.WorkerMessages.TaskReport;
 import shorecrank.protocol.WorkerMessages.TaskState;
-import shorecrank.protocol.WorkerMessages.Why;
+import shorecrank.protocol.WorkerMessages.TaskStatus;
+import shorecrank.protocol.WorkerMessages.WorkerCommand;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.FeatureGate;
-import shorecrank.storage.Budget;
 import shorecrank.storage.JobRecord;
-import shorecrank.storage.JobRecord.LiveRange;
+import shorecrank.storage.JobRecord.AttemptRange;
+import shorecrank.storage.RateLimiter;
 
 /** The owner of one part: its jobs, the machines lent to it, and every write to its records. */
-final class ShardOwner {
+public final class ShardOwner implements ShardView {
   private static final int CALL_MS = 2000;
   private static final int MAX_IN_FLIGHT = 3;
 
@@ -82,8 +96,8 @@
     READY
   }
 
-  private final Ports ports;
-  final PartId part;
+  private final StepContext context;
+  final ShardId shard;
   private final Epoch firstEpoch;
   private Epoch epoch;
   private MonotonicTime validUntil = MonotonicTime.NEVER;
@@ -101,105 +115,108 @@
   /** Up to when the state service has shown all changes of records, cancellations among them. */
   private MonotonicTime storeAsOf = MonotonicTime.NEVER;
 
-  private final Cancellations cancellations;
+  private final CancellationLog cancellations;
   private final FeatureGate gate;
   private MonotonicTime watchRetryAt = new MonotonicTime(0);
 
-  final Map<JobId, Job> jobs = new TreeMap<>();
-  private final Set<JobId> latched = new HashSet<>();
+  public final Map<JobId, Job> jobs = new TreeMap<>();
+  private final Set<JobId> relinquishedJobs = new HashSet<>();
 
   /** Which machines our records may name; null where there is only one shard. */
-  private final RecordReferences references;
+  private final MachineReferences references;
 
-  private final MachineCustody custody;
+  private final MachineRegistry machineRegistry;
 
   /** Finds out what became of writes that were refused or got no answer. */
-  private final WriteSettlement settlement;
+  private final WriteOutcomeResolver settlement;
 
   private final Preemption preemption;
-  private final DirectStarts directStarts;
+  private final DirectCommandSender directStarts;
 
   /** Says what the shard needs; null where shares are not enabled. */
-  private final ShardDemands demands;
+  private final ShardDemandReporter demands;
 
-  final Map<HostName, Host> hosts;
+  public final Map<MachineName, Machine> hosts;
 
   /** Jobs with something to write. */
   private final Set<Job> dirty = new ObjectLinkedOpenHashSet<>();
 
   private MonotonicTime lookedAt = MonotonicTime.NEVER;
-  private boolean hearsFew;
-  private final Map<String, double[]> teamUse = new HashMap<>();
-  private Map<String, HostType> catalog = Map.of();
+  private boolean missesManyWorkers;
+  private final TeamQuotas quotas;
+  private Map<String, MachineType> catalog = Map.of();
 
   private int inFlight;
 
   private MonotonicTime writeRetryAt = MonotonicTime.NEVER;
   private JobId cursor;
-  final WorkerLiveness liveness;
-  final Autoscaler autoscaler;
+  public final WorkerLiveness liveness;
+  public final Autoscaler autoscaler;
   private final SchedulingQueue queue;
-  private final Dependencies dependencies;
+  private final DependencyGraph dependencies;
   private boolean closed;
 
   private final StatusQueries statusQueries;
-  private final Set<Host> parked = new LinkedHashSet<>();
+  private final Set<Machine> deferredAnswer = new LinkedHashSet<>();
   private boolean kicked;
   private MonotonicTime readyAt = MonotonicTime.NEVER;
 
-  ShardOwner(
-      Ports ports,
-      Cancellations cancellations,
+  public ShardOwner(
+      StepContext context,
+      CancellationLog cancellations,
       FeatureGate gate,
-      PartId part,
+      ShardId shard,
       Epoch epoch,
       MonotonicTime grantedAt,
       boolean shares) {
-    this.ports = ports;
+    this.context = context;
     this.cancellations = cancellations;
     this.gate = gate;
-    this.part = part;
+    this.shard = shard;
     this.epoch = epoch;
     this.firstEpoch = epoch;
-    boolean oneShard = ports.tuning.parts() == 1;
-    this.references = oneShard ? null : new RecordReferences();
-    ForeignTasks foreign = oneShard ? null : new ForeignTasks(ports, part);
-    this.custody = new MachineCustody(ports, part, references, foreign, new TasksOfMachines());
-    this.hosts = custody.machines();
-    this.demands = shares ? new ShardDemands(ports, this) : null;
-    this.liveness = new WorkerLiveness(ports, hosts.values(), grantedAt);
-    this.autoscaler = new Autoscaler(ports, this);
-    this.dependencies = new Dependencies(ports, jobs, cancellations, this::cancelWithOthers);
-    this.queue = new SchedulingQueue(ports, dependencies);
-    this.settlement = new WriteSettlement(ports, references, new JobsOfRecords());
-    this.preemption = new Preemption(ports, this, queue);
-    this.directStarts = new DirectStarts(ports, this);
-    this.statusQueries = new StatusQueries(ports, jobs, dependencies);
-    ports.info("part %s: taken over at epoch %s", part, epoch);
-    ports.count("part.takeover");
-  }
-
-  Epoch epoch() {
+    boolean oneShard = context.tuning.shards() == 1;
+    this.references = oneShard ? null : new MachineReferences();
+    ForeignTasks foreign = oneShard ? null : new ForeignTasks(context, shard);
+    this.machineRegistry =
+        new MachineRegistry(context, shard, references, foreign, new TasksOfMachines());
+    this.hosts = machineRegistry.machines();
+    this.quotas = new TeamQuotas(context.config.teams(), hosts.values());
+    this.demands = shares ? new ShardDemandReporter(context, this) : null;
+    this.liveness = new WorkerLiveness(context, hosts.values(), grantedAt);
+    this.autoscaler = new Autoscaler(context, this);
+    this.dependencies = new DependencyGraph(context, jobs, cancellations, this::cancelWithOthers);
+    this.queue = new SchedulingQueue(context, dependencies);
+    this.settlement = new WriteOutcomeResolver(context, references, new JobsOfRecords());
+    this.preemption = new Preemption(context, this, queue);
+    this.directStarts = new DirectCommandSender(context, this);
+    this.statusQueries = new StatusQueries(context, jobs, dependencies);
+    context.info("part %s: taken over at epoch %s", shard, epoch);
+    context.count("part.takeover");
+  }
+
+  public Epoch epoch() {
     return epoch;
   }
 
-  Map<String, HostType> catalog() {
+  @Override
+  public Map<String, MachineType> catalog() {
     return catalog;
   }
 
-  void catalog(Map<String, HostType> c) {
+  public void catalog(Map<String, MachineType> c) {
     catalog = c;
-    custody.catalog(c);
+    machineRegistry.catalog(c);
   }
 
   /** The leader's lease: no other controller owns the part before it ends, by our own clock. */
-  void lease(Epoch e, MonotonicTime until) {
+  public void lease(Epoch e, MonotonicTime until) {
     if (e.above(epoch)) {
-      ports.info("part %s: raised from epoch %s to %s", part, epoch, e);
+      context.info("part %s: raised from epoch %s to %s", shard, epoch, e);
       epoch = e;
       fenced = Epoch.NONE;
       // What was given up may be ours again under the higher epoch.
-      reload |= !latched.isEmpty();
+      reload |= !relinquishedJobs.isEmpty();
     }
     if (validUntil.before(until)) {
       validUntil = until;
@@ -207,20 +224,23 @@
     relinquished = false;
   }
 
-  boolean valid() {
-    return validAt(ports.now());
+  @Override
+  public boolean valid() {
+    return validAt(context.now());
   }
 
-  boolean validAt(MonotonicTime at) {
+  public boolean validAt(MonotonicTime at) {
     return at.before(validUntil);
   }
 
   /** Since when the picture is whole. */
-  MonotonicTime readyAt() {
+  @Override
+  public MonotonicTime readyAt() {
     return readyAt;
   }
 
-  boolean ready() {
+  @Override
+  public boolean ready() {
     return stage == Stage.READY;
   }
 
@@ -231,20 +251,20 @@
    *
    * @return whether this is news
    */
-  boolean relinquish(String why) {
+  public boolean relinquish(String why) {
     if (relinquished) {
       return false;
     }
     relinquished = true;
     if (valid()) {
-      validUntil = ports.now();
+      validUntil = context.now();
     }
-    ports.info("part %s: epoch %s no longer commanded: %s", part, epoch, why);
-    ports.count("part.relinquished");
+    context.info("part %s: epoch %s no longer commanded: %s", shard, epoch, why);
+    context.count("part.relinquished");
     return true;
   }
 
-  boolean relinquished() {
+  public boolean relinquished() {
     return relinquished;
   }
 
@@ -252,18 +272,33 @@
    * After the lease a worker's own lease may still be renewed, without commands, so that running
    * work outlives an outage of the state service. Bounded: a new owner counts on silence after it.
    */
-  boolean inGrace(boolean alone) {
-    long over = ports.now().since(validUntil);
-    if (over < 0 || over >= ports.tuning.graceMs()) {
+  public boolean inGrace(boolean alone) {
+    long over = context.now().since(validUntil);
+    if (over < 0 || over >= context.tuning.graceMs()) {
       return false;
     }
-    if (ports.stateOk()) {
+    if (context.stateOk()) {
       // The store is there, so a leader soon will be: as long as an election and a heartbeat take,
       // counted from the end of an outage.
-      long there = Math.min(over, ports.now().since(ports.stateOkSince()));
-      return there < ports.tuning.leaderTtlMs() + ELECTION_MS;
+      long there = Math.min(over, context.now().since(context.stateOkSince()));
+      return there < context.tuning.leaderTtlMs() + ELECTION_MS;
     }
-    return !alone || hearsFew || over < ports.tuning.leaseMs() * 2L;
+    return !alone || missesManyWorkers || over < context.tuning.leaseMs() * 2L;
+  }
+
+  @Override
+  public Map<MachineName, Machine> machines() {
+    return hosts;
+  }
+
+  @Override
+  public Map<JobId, Job> jobs() {
+    return jobs;
+  }
+
+  @Override
+  public WorkerLiveness liveness() {
+    return liveness;
   }
 
   /** Whether this very object is the shard's job of that id. */
@@ -272,7 +307,7 @@
   }
 
   /** Up to when the state service has shown this owner all cancellations. */
-  MonotonicTime storeAsOf() {
+  public MonotonicTime storeAsOf() {
     return storeAsOf;
   }
 
@@ -280,25 +315,25 @@
    * Whether this owner knows of all cancellations that must end before the lease it would renew
    * does. Without that knowledge the lease has to take the tasks, also while the part is ours.
    */
-  boolean informed() {
-    return ports.now().since(cancellations.horizon(storeAsOf)) <= ports.evidenceMs();
+  public boolean informed() {
+    return context.now().since(cancellations.horizon(storeAsOf)) <= context.evidenceMs();
   }
 
   private boolean cancelled(JobId id) {
     Job j = jobs.get(id);
-    return (j != null && j.aborted) || cancellations.known(id);
+    return (j != null && j.cancelled) || cancellations.known(id);
   }
 
   /**
    * A user has been told that the job is cancelled. The mark is committed and final, so its tasks
    * may be stopped by whoever the workers still listen to, also in the grace.
    */
-  void learnCancelled(JobId id) {
+  public void learnCancelled(JobId id) {
     Job j = jobs.get(id);
     if (j == null) {
       dependencies.cancelled(id);
     }
-    if (j == null || j.aborted) {
+    if (j == null || j.cancelled) {
       return;
     }
     abort(j);
@@ -310,20 +345,20 @@
   /** A job that it needs is cancelled, so it is too; none of its tasks has ever been placed. */
   private void cancelWithOthers(Job j) {
     abort(j);
-    j.touch(Urgency.NOW, ports.now());
+    j.touch(WriteUrgency.NOW, context.now());
   }
 
-  void end(String why) {
+  public void end(String why) {
     closed = true;
-    answerParked(true);
+    answerDeferred(true);
     statusQueries.close();
-    ports.info("part %s: epoch %s given up: %s", part, epoch, why);
-    ports.count("part.given_up");
+    context.info("part %s: epoch %s given up: %s", shard, epoch, why);
+    context.count("part.given_up");
   }
 
   // ---- loading -------------------------------------------------------------------------------
 
-  void tick(Input.RoundBudget budget) {
+  public void tick(Input.RoundBudget budget) {
     if (closed) {
       return;
     }
@@ -332,24 +367,24 @@
       startOver();
     }
     if (stage == Stage.LOADING) {
-      if (!loadBusy && !ports.now().before(loadRetryAt)) {
+      if (!loadBusy && !context.now().before(loadRetryAt)) {
         load();
       }
     } else {
       // An answer holds all changes since the last, whatever their number: after a cut, those of
       // the owner that has come in between, megabytes of them, which nobody here needs.
-      if (!watching && valid() && !ports.now().before(watchRetryAt)) {
+      if (!watching && valid() && !context.now().before(watchRetryAt)) {
         watch();
       }
-      if (ports.now().since(lookedAt) >= LOOK_MS) {
-        lookedAt = ports.now();
-        ports.count("round.looks", hosts.size());
-        custody.expireLeases(liveness);
+      if (context.now().since(lookedAt) >= LOOK_MS) {
+        lookedAt = context.now();
+        context.count("round.looks", hosts.size());
+        machineRegistry.expireLeases(liveness);
         if (references != null) {
-          custody.stopSavingTasks();
+          machineRegistry.stopSavingTasks();
         }
-        UtilizationGauges.tell(ports, hosts.values(), jobs.values(), liveness);
-        hearsFew = liveness.hearsFew();
+        UtilizationGauges.tell(context, hosts.values(), jobs.values(), liveness);
+        missesManyWorkers = liveness.missesManyWorkers();
         // Whatever became due without being touched.
         dirty.addAll(jobs.values());
       }
@@ -360,22 +395,22 @@
         flush();
       }
     }
-    answerParked(false);
+    answerDeferred(false);
     statusQueries.answer();
   }
 
   private void startOver() {
     for (Job j : new ArrayList<>(jobs.values())) {
-      if (j.aborted) {
+      if (j.cancelled) {
         cancellations.learn(j.id());
       }
       forget(j);
     }
-    latched.clear();
+    relinquishedJobs.clear();
     dependencies.clear();
-    for (Host h : hosts.values()) {
-      unpark(h);
-      h.known = false;
+    for (Machine h : hosts.values()) {
+      supersedeDeferredAnswer(h);
+      h.session().forgetReconciliation();
     }
     if (references != null) {
       references.clear();
@@ -385,14 +420,14 @@
     loadRound++;
   }
 
-  void load() {
+  public void load() {
     loadBusy = true;
     watchFrom = -1;
-    loadPage("", ++loadRound, ports.now());
+    loadPage("", ++loadRound, context.now());
   }
 
   private void loadPage(String after, long round, MonotonicTime began) {
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.list(JobRecord.LIVE, after, 200),
         null,
@@ -403,7 +438,7 @@
           }
           if (status != 200) {
             loadBusy = false;
-            loadRetryAt = ports.now().plus(200 + ports.random().nextInt(300));
+            loadRetryAt = context.now().plus(200 + context.random().nextInt(300));
             startOver();
             return;
           }
@@ -415,16 +450,15 @@
             last = e.key();
             JobRecord r = JobRecord.read(e.value());
             if (r == null) {
-              ports.unreadable(e.key());
-            } else if (PartId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
+              context.unreadable(e.key());
+            } else if (ShardId.of(r.spec().team(), context.tuning.shards()).equals(shard)) {
               Job j = add(r, e.revision());
-              boolean countsNow =
-                  references != null || limited(ports.config.teams().get(r.spec().team()));
+              boolean countsNow = references != null || quotas.isLimited(r.spec().team());
               if (countsNow && !j.claimed) {
                 // A write that the last owner sent in time may still place tasks of it: they would
                 // count for its team's limit, and hold their machine in this shard.
                 j.claimFirst = true;
-                j.touch(Urgency.NOW, ports.now());
+                j.touch(WriteUrgency.NOW, context.now());
               }
             }
           }
@@ -435,10 +469,10 @@
           loadBusy = false;
           shownUpTo(began);
           stage = Stage.READY;
-          readyAt = ports.now();
-          ports.info(
+          readyAt = context.now();
+          context.info(
               "part %s: %d jobs rebuilt at epoch %s, revision %d",
-              part, jobs.size(), epoch, watchFrom);
+              shard, jobs.size(), epoch, watchFrom);
         });
   }
 
@@ -448,28 +482,29 @@
     }
   }
 
-  private Job add(JobRecord r, Revision stamp) {
-    if (r.aborted()) {
+  private Job add(JobRecord r, Revision revision) {
+    if (r.cancelled()) {
       cancellations.learn(r.spec().id());
     }
-    Job j = new Job(r, stamp, ports.nextLife(), dirty);
+    Job j = new Job(r, revision, context.nextLife(), dirty);
     jobs.put(j.id(), j);
     j.claimed = false;
     if (references != null) {
-      references.read(j.id(), stamp, RecordReferences.machinesOf(r), stage == Stage.LOADING);
+      references.read(j.id(), revision, MachineReferences.machinesOf(r), stage == Stage.LOADING);
     }
     if (r.epoch().value() > 0) {
-      if (r.epoch().above(epoch) || (r.epoch().equals(epoch) && !r.writer().equals(ports.writer))) {
-        latch(j, r);
+      if (r.epoch().above(epoch)
+          || (r.epoch().equals(epoch) && !r.writer().equals(context.writer))) {
+        relinquishJob(j, r);
         return j;
       }
       // The fence goes up before anything is made of the record.
-      j.touch(Urgency.NOW, ports.now());
+      j.touch(WriteUrgency.NOW, context.now());
     }
     adoptLive(j, r);
-    if (j.aborted) {
+    if (j.cancelled) {
       dependencies.cancelled(j.id());
-      j.touch(Urgency.NOW, ports.now());
+      j.touch(WriteUrgency.NOW, context.now());
     } else {
       dependencies.add(j);
     }
@@ -477,35 +512,32 @@
   }
 
   private void adoptLive(Job j, JobRecord r) {
-    for (LiveRange l : r.live()) {
-      Host h = custody.machine(l.host());
+    for (AttemptRange l : r.live()) {
+      Machine h = machineRegistry.machine(l.host());
       for (int i = l.first(); i < l.first() + l.count(); i++) {
         if (!j.done.get(i) && !j.live.containsKey(i)) {
-          attach(new LiveTask(j, i, h, l.tenure(), l.attempt(), 0, ports.now()));
+          attach(new TaskAttempt(j, i, h, l.incarnation(), l.attempt(), 0, context.now()));
         }
       }
     }
   }
 
-  void attach(LiveTask t) {
-    t.job.add(t);
-    double[] u = teamUse.computeIfAbsent(t.job.spec.team(), k -> new double[2]);
-    u[0] += t.job.spec.cpus();
-    u[1] += t.job.spec.gpus();
+  @Override
+  public void attach(TaskAttempt t) {
+    t.job().add(t);
+    quotas.allocate(t.job().spec);
   }
 
-  private void detach(LiveTask t) {
-    if (t.job.live.get(t.index) != t) {
+  private void detach(TaskAttempt t) {
+    if (t.job().live.get(t.index()) != t) {
       return;
     }
-    t.job.remove(t);
-    double[] u = teamUse.get(t.job.spec.team());
-    u[0] -= t.job.spec.cpus();
-    u[1] -= t.job.spec.gpus();
+    t.job().remove(t);
+    quotas.release(t.job().spec);
   }
 
   private void forget(Job j) {
-    for (LiveTask t : new ArrayList<>(j.live.values())) {
+    for (TaskAttempt t : new ArrayList<>(j.live.values())) {
       detach(t);
     }
     jobs.remove(j.id());
@@ -516,8 +548,8 @@
   private void watch() {
     watching = true;
     long round = loadRound;
-    MonotonicTime sent = ports.now();
-    ports.state(
+    MonotonicTime sent = context.now();
+    context.state(
         "GET",
         StoreMessages.watch(JobRecord.LIVE, watchFrom, WATCH_HOLD_MS),
         null,
@@ -532,7 +564,7 @@
             return;
           }
           if (status != 200) {
-            watchRetryAt = ports.now().plus(200 + ports.random().nextInt(200));
+            watchRetryAt = context.now().plus(200 + context.random().nextInt(200));
             return;
           }
           for (StoreMessages.Change c : StoreMessages.changes(body)) {
@@ -541,7 +573,7 @@
           watchFrom = Math.max(watchFrom, StoreMessages.revision(body));
           shownUpTo(sent);
           // Each opened watch is a request: a few a second carry as many changes as there are.
-          watchRetryAt = ports.now().plus(WATCH_PAUSE_MS);
+          watchRetryAt = context.now().plus(WATCH_PAUSE_MS);
         });
   }
 
@@ -553,7 +585,7 @@
     } else if (c.value() == null) {
       dependencies.dropped(id);
     }
-    if (latched.contains(id)) {
+    if (relinquishedJobs.contains(id)) {
       return;
     }
     Job j = jobs.get(id);
@@ -562,15 +594,15 @@
       JobRecord r = JobRecord.isUnclaimed(c.value()) ? JobRecord.read(c.value()) : null;
       if (r != null
           && r.spec().id().equals(id)
-          && PartId.of(r.spec().team(), ports.tuning.parts()).equals(part)) {
+          && ShardId.of(r.spec().team(), context.tuning.shards()).equals(shard)) {
         add(r, c.revision());
       }
       return;
     }
-    if (c.revision().after(j.seenStamp)) {
-      j.seenStamp = c.revision();
+    if (c.revision().after(j.seenRevision)) {
+      j.seenRevision = c.revision();
     }
-    if (JobRecord.isMarked(c.value()) && !j.aborted) {
+    if (JobRecord.isMarked(c.value()) && !j.cancelled) {
       // What the watch shows is committed; reading the record again may fail for long.
       abort(j);
     }
@@ -580,18 +612,18 @@
   // ---- records -------------------------------------------------------------------------------
 
   /** A write of a job's record, as it was sent. */
-  record Write(Job job, long seq, boolean last, Standing standing) {}
+  record Write(Job job, long seq, boolean last, JobStatus jobStatus) {}
 
   private void flush() {
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     if (now.before(writeRetryAt) || inFlight >= MAX_IN_FLIGHT) {
       return;
     }
     List<Job> due = new ArrayList<>();
-    ports.count("round.looks", dirty.size());
+    context.count("round.looks", dirty.size());
     for (var i = dirty.iterator(); i.hasNext(); ) {
       Job j = i.next();
-      if (jobs.get(j.id()) != j || (j.dirty == Urgency.NONE && !over(j))) {
+      if (jobs.get(j.id()) != j || (j.dirty == WriteUrgency.NONE && !over(j))) {
         i.remove();
         continue;
       }
@@ -599,9 +631,10 @@
         continue;
       }
       boolean last = over(j);
-      if (j.dirty == Urgency.NOW
+      if (j.dirty == WriteUrgency.NOW
           || last
-          || (j.dirty == Urgency.LATER && now.since(j.dirtySince) >= ports.tuning.mergeMs())) {
+          || (j.dirty == WriteUrgency.LATER
+              && now.since(j.dirtySince) >= context.tuning.mergeMs())) {
         due.add(j);
       }
     }
@@ -611,10 +644,10 @@
     due.sort(Comparator.comparingInt(this::rank).thenComparing(j -> j.dirtySince));
     int at = 0;
     while (at < due.size() && inFlight < MAX_IN_FLIGHT) {
-      StoreMessages.Txn txn = new StoreMessages.Txn();
+      StoreMessages.Transaction transaction = new StoreMessages.Transaction();
       boolean dense = gate.permits(Feature.DENSE_RECORDS);
       if (dense) {
-        gate.guard(txn);
+        gate.guard(transaction);
       }
       List<Write> batch = new ArrayList<>();
       int bytes = 0;
@@ -622,26 +655,26 @@
         Job j = due.get(at);
         int ops = ops(j);
         if (((j.alone || (!batch.isEmpty() && batch.get(0).job.alone)) && !batch.isEmpty())
-            || txn.ops() + ops > ports.config.state().txnOps()
+            || transaction.ops() + ops > context.config.state().txnOps()
             || (bytes > 0
-                && bytes + ports.config.state().valueKb() * 1024 > StoreMessages.TXN_FILL_BYTES)
+                && bytes + context.config.state().valueKb() * 1024 > StoreMessages.TXN_FILL_BYTES)
             || !budget(j).has(ops, now)) {
           break;
         }
         budget(j).take(ops, now);
-        bytes += put(txn, batch, j, dense && !j.compact);
+        bytes += put(transaction, batch, j, dense && !j.compact);
         at++;
       }
       if (batch.isEmpty()) {
         return;
       }
-      commit(txn, batch);
+      commit(transaction, batch);
     }
   }
 
   /** What a takeover has to claim comes before new placements, with all that the service takes. */
-  private Budget budget(Job j) {
-    return j.claimed || j.epoch.value() == 0 ? ports.writes : ports.userWrites;
+  private RateLimiter budget(Job j) {
+    return j.claimed || j.epoch.value() == 0 ? context.writes : context.userWrites;
   }
 
   /** Final states and placements go first, then claims, then completions that waited. */
@@ -649,7 +682,7 @@
     if (over(j)) {
       return 0;
     }
-    if (j.dirty == Urgency.NOW) {
+    if (j.dirty == WriteUrgency.NOW) {
       return !j.claimed && j.live.isEmpty() ? 3 : queue.waitsForStart(j.spec) ? 1 : 2;
     }
     return 4;
@@ -657,9 +690,9 @@
 
   private static boolean over(Job j) {
     return (j.claimed || j.epoch.value() == 0)
-        && (j.complete() || j.aborted)
+        && (j.complete() || j.cancelled)
         && j.live.isEmpty()
-        && !j.hasGhosts();
+        && !j.hasUnrecordedTasks();
   }
 
   private int ops(Job j) {
@@ -674,10 +707,14 @@
    * @param machines those that it names, where that is kept track of
    */
   private record EncodedRecord(
-      ObjectNode value, int bytes, int boundBytes, Standing standing, Set<HostName> machines) {}
+      ObjectNode value,
+      int bytes,
+      int boundBytes,
+      JobStatus jobStatus,
+      Set<MachineName> machines) {}
 
   private EncodedRecord encode(Job j, boolean dense) {
-    JobRecord record = j.record(epoch, ports.writer);
+    JobRecord record = j.record(epoch, context.writer);
     ObjectNode value;
     if (dense) {
       value = record.writeDense();
@@ -687,71 +724,72 @@
     int bytes = Json.bytes(value).length;
     boolean bound = dense && record.isLarge();
     int boundBytes = bound ? Json.bytes(record.writeCompact()).length : bytes;
-    Set<HostName> machines = references == null ? Set.of() : RecordReferences.machinesOf(record);
-    return new EncodedRecord(value, bytes, boundBytes, record.standing(), machines);
+    Set<MachineName> machines =
+        references == null ? Set.of() : MachineReferences.machinesOf(record);
+    return new EncodedRecord(value, bytes, boundBytes, record.jobStatus(), machines);
   }
 
-  private int put(StoreMessages.Txn txn, List<Write> batch, Job j, boolean dense) {
+  private int put(StoreMessages.Transaction transaction, List<Write> batch, Job j, boolean dense) {
     String key = JobRecord.liveKey(j.id());
-    txn.guard(key, j.stamp);
+    transaction.guard(key, j.revision);
     j.inFlight = true;
     j.seq++;
     boolean last = over(j);
-    Standing standing;
+    JobStatus jobStatus;
     int bytes;
-    Set<HostName> machines = Set.of();
+    Set<MachineName> machines = Set.of();
     if (last) {
-      Phase phase = j.complete() && !j.aborted ? Phase.DONE : Phase.WITHDRAWN;
+      JobState phase = j.complete() && !j.cancelled ? JobState.DONE : JobState.CANCELLED;
       ObjectNode f = JobRecord.writeFinal(phase, j.doneCount());
-      txn.drop(key).write(JobRecord.finalKey(j.id()), f);
+      transaction.drop(key).write(JobRecord.finalKey(j.id()), f);
       bytes = 200;
-      standing = new Standing(phase, j.doneCount(), 0);
+      jobStatus = new JobStatus(phase, j.doneCount(), 0);
     } else {
       EncodedRecord record = encode(j, dense);
-      double max = ports.config.state().valueKb() * 1024;
+      double max = context.config.state().valueKb() * 1024;
       if (record.boundBytes() > max * 0.95) {
         shrink(j);
         record = encode(j, dense);
       }
       bytes = record.bytes();
-      standing = record.standing();
+      jobStatus = record.jobStatus();
       machines = record.machines();
       // A record without a live range always takes one: else its job would never run.
       int rangesLeft = (int) ((max * 0.9 - record.boundBytes()) / RANGE_BYTES);
       j.rangesLeft = Math.max(j.live.isEmpty() ? 1 : 0, rangesLeft);
-      txn.write(key, record.value());
+      transaction.write(key, record.value());
     }
     if (references != null) {
-      references.sent(j.id(), j.seq, j.stamp, machines);
+      references.sent(j.id(), j.seq, j.revision, machines);
     }
-    batch.add(new Write(j, j.seq, last, standing));
-    j.dirty = Urgency.NONE;
+    batch.add(new Write(j, j.seq, last, jobStatus));
+    j.dirty = WriteUrgency.NONE;
     return bytes + 300;
   }
 
   /** What was not yet written is taken back: no command has been given for it. */
   private void shrink(Job j) {
-    for (LiveTask t : new ArrayList<>(j.live.values())) {
-      if (!t.committed() && t.seq >= j.seq) {
+    for (TaskAttempt t : new ArrayList<>(j.live.values())) {
+      if (!t.isCommitted() && t.writeSequence() >= j.seq) {
         detach(t);
       }
     }
     j.rangesLeft = 0;
   }
 
-  private void commit(StoreMessages.Txn txn, List<Write> batch) {
+  private void commit(StoreMessages.Transaction transaction, List<Write> batch) {
     inFlight++;
-    ports.state(
+    context.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         CALL_MS,
         (status, body) -> {
           inFlight--;
           if (closed) {
             return;
           }
-          MonotonicTime now = ports.now();
+          MonotonicTime now = context.now();
           Set<String> failed = status == 409 ? StoreMessages.failed(body) : Set.of();
           if (failed.contains(RolloutMessages.KEY)) {
             gate.guardFailed();
@@ -766,19 +804,19 @@
             if (status == 200) {
               committed(w, new Revision(StoreMessages.revision(body)));
             } else if (failed.contains(JobRecord.liveKey(j.id()))) {
-              j.touch(Urgency.NOW, now);
+              j.touch(WriteUrgency.NOW, now);
               settlement.reread(j);
             } else {
               // Not applied for another's sake, refused for the load, or not known: the next write
               // behind the same guard settles it.
-              j.touch(Urgency.NOW, now);
+              j.touch(WriteUrgency.NOW, now);
             }
           }
           if (status == 400) {
             // One of them is larger than the service takes now. Alone, each shows which; that one
             // is written in its shortest form, and if that is too long, shrinks as its tasks end.
-            ports.info("transaction of %d refused as too large: %s", batch.size(), body);
-            ports.count("txn.too_large");
+            context.info("transaction of %d refused as too large: %s", batch.size(), body);
+            context.count("txn.too_large");
             for (Write w : batch) {
               w.job.alone = true;
               if (batch.size() == 1) {
@@ -790,31 +828,31 @@
               }
             }
           } else if (status != 200 && status != 409) {
-            ports.count("txn.unanswered");
-            writeRetryAt = now.plus(80 + ports.random().nextInt(200));
+            context.count("txn.unanswered");
+            writeRetryAt = now.plus(80 + context.random().nextInt(200));
           }
-          answerParked(false);
+          answerDeferred(false);
           if (status == 200) {
             directStarts.send(batch);
           }
         });
   }
 
-  private void committed(Write w, Revision stamp) {
+  private void committed(Write w, Revision revision) {
     Job j = w.job;
-    j.stamp = stamp;
+    j.revision = revision;
     j.committedSeq = w.seq;
     j.epoch = epoch;
-    j.writer = ports.writer;
-    j.standing = w.standing;
+    j.writer = context.writer;
+    j.jobStatus = w.jobStatus;
     j.claimed = true;
     j.alone = false;
     if (w.last) {
-      statusQueries.ended(j.id(), w.standing);
+      statusQueries.ended(j.id(), w.jobStatus);
       forget(j);
-      dependencies.ended(j.id(), w.standing.phase());
-      ports.info("job %s %s at epoch %s", j.id(), j.aborted ? "withdrawn" : "done", epoch);
-      ports.count(j.aborted ? "job.withdrawn" : "job.done");
+      dependencies.ended(j.id(), w.jobStatus.phase());
+      context.info("job %s %s at epoch %s", j.id(), j.cancelled ? "withdrawn" : "done", epoch);
+      context.count(j.cancelled ? "job.withdrawn" : "job.done");
       return;
     }
     j.exits.values().removeIf(seq -> seq <= j.committedSeq);
@@ -822,7 +860,7 @@
   }
 
   /** What becomes of a job, by what its record says. */
-  private final class JobsOfRecords implements WriteSettlement.Jobs {
+  private final class JobsOfRecords implements WriteOutcomeResolver.Jobs {
     @Override
     public boolean isCurrent(Job j) {
       return !closed && jobs.get(j.id()) == j;
@@ -835,7 +873,7 @@
 
     @Override
     public void refused(Job j, JobRecord record) {
-      latch(j, record);
+      relinquishJob(j, record);
     }
 
     @Override
@@ -844,14 +882,14 @@
     }
 
     @Override
-    public void ended(Job j, Phase phase) {
+    public void ended(Job j, JobState phase) {
       forget(j);
       dependencies.ended(j.id(), phase);
     }
 
     @Override
     public void replaced(Job j, JobRecord record, Revision revision) {
-      for (LiveTask t : new ArrayList<>(j.live.values())) {
+      for (TaskAttempt t : new ArrayList<>(j.live.values())) {
         detach(t);
       }
       j.claimed = false;
@@ -861,136 +899,130 @@
   }
 
   private void abort(Job j) {
-    j.aborted = true;
-    for (LiveTask t : new ArrayList<>(j.live.values())) {
-      if (!t.committed()) {
+    j.cancelled = true;
+    for (TaskAttempt t : new ArrayList<>(j.live.values())) {
+      if (!t.isCommitted()) {
         detach(t);
       }
     }
-    ports.info("job %s: cancelled", j.id());
+    context.info("job %s: cancelled", j.id());
     dependencies.cancelled(j.id());
   }
 
   /** From the first refusal on nothing more is written or commanded for the job. */
-  private void latch(Job j, JobRecord r) {
+  private void relinquishJob(Job j, JobRecord r) {
     forget(j);
-    latched.add(j.id());
+    relinquishedJobs.add(j.id());
     if (references != null && r == null) {
       references.removed(j.id());
     } else if (references != null) {
       references.read(j.id(), Revision.ABSENT, Set.of(), true);
     }
     if (r == null) {
-      ports.info("job %s: part %s epoch %s: no record any more, given up", j.id(), part, epoch);
+      context.info("job %s: part %s epoch %s: no record any more, given up", j.id(), shard, epoch);
     } else {
-      ports.info(
+      context.info(
           "job %s: part %s: fenced at epoch %s by epoch %s of %s, given up",
-          j.id(), part, epoch, r.epoch(), r.writer());
+          j.id(), shard, epoch, r.epoch(), r.writer());
       if (r.epoch().compareTo(fenced) > 0) {
         fenced = r.epoch();
       }
     }
-    ports.count("job.fenced");
+    context.count("job.fenced");
   }
 
   // ---- machines ------------------------------------------------------------------------------
 
   /** What becomes of the tasks of a machine that goes. */
-  private final class TasksOfMachines implements MachineCustody.Tasks {
+  private final class TasksOfMachines implements MachineRegistry.Tasks {
     @Override
-    public void lost(LiveTask task) {
+    public void lost(TaskAttempt task) {
       lose(task);
     }
 
     @Override
-    public void supersede(Host machine) {
-      unpark(machine);
+    public void supersede(Machine machine) {
+      supersedeDeferredAnswer(machine);
     }
   }
 
-  MachineCustody custody() {
-    return custody;
+  public MachineRegistry machineRegistry() {
+    return machineRegistry;
   }
 
   /** The attempt is surely off its machine, without a result. */
-  private void lose(LiveTask t) {
-    Job j = t.job;
+  private void lose(TaskAttempt t) {
+    Job j = t.job();
     detach(t);
-    j.touch(Urgency.LATER, ports.now());
+    j.touch(WriteUrgency.LATER, context.now());
   }
 
   /** Takes a worker's report in and answers it, now or after the next commit. */
-  void report(long reply, Report r, boolean commands) {
-    MonotonicTime now = ports.now();
-    Host h = custody.machine(r.host());
-    custody.describe(h, new HostInfo(r.host(), r.type(), r.zone(), r.spot()));
-    int cmp = r.tenure().compareTo(h.tenure);
-    boolean late = cmp < 0 || (cmp == 0 && r.serial() <= h.serial);
-    // Of a session whose tasks were given up as surely gone, a report can only be late.
-    if (late || r.tenure().compareTo(h.deadTenure) <= 0 || r.token().epoch().above(epoch)) {
-      ports.count("report.late");
-      ports.reply(reply, 503, Json.error("not entitled, or the report is late"));
+  public void report(long reply, WorkerHeartbeat r, boolean commands) {
+    MonotonicTime now = context.now();
+    Machine h = machineRegistry.machine(r.host());
+    machineRegistry.describe(h, new MachineInfo(r.host(), r.type(), r.zone(), r.spot()));
+    WorkerSession session = h.session();
+    if (session.isStale(r) || r.token().epoch().above(epoch)) {
+      context.count("report.late");
+      context.reply(reply, 503, Json.error("not entitled, or the report is late"));
       return;
     }
-    h.address = r.address();
-    if (r.token().epoch().compareTo(MachineCustody.required(h, firstEpoch)) < 0) {
+    session.setAddress(r.address());
+    if (r.token().epoch().compareTo(MachineRegistry.required(h, firstEpoch)) < 0) {
       // The worker has not seen our epoch, or this is a copy of a report from before it did, which
       // may come a lease late. It gets the token; its next report shows it, and only that counts.
-      ports.count("report.unconfirmed");
-      h.tenure = r.tenure();
-      h.serial = r.serial();
-      h.answered = true;
+      context.count("report.unconfirmed");
+      session.recordUnconfirmed(r);
       // Copy or not: a session of this number has begun, so those before it have ended.
-      custody.loseOlder(h);
-      ports.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      machineRegistry.loseOlder(h);
+      context.reply(
+          reply,
+          200,
+          WorkerMessages.answer(h.session().tokens().aboveDirectStarts(epoch), cancelledOn(h, r)));
       return;
     }
-    // Answers to what went straight to it are numbered with its reports.
-    boolean stayed =
-        cmp == 0
-            && r.serial() <= h.serial + 1 + h.directAnswered + h.directOut
-            && h.answered
-            && h.parked < 0;
-    h.directAnswered = 0;
-    unpark(h);
-    if (cmp > 0) {
-      h.newSession();
-    }
-    h.shows(r.token());
-    h.lastHeard = now;
-    if (h.firstHeard == MonotonicTime.NEVER) {
-      h.firstHeard = now;
-      h.idleSince = now;
-    }
-    h.confirmed = true;
-    h.tenure = r.tenure();
-    h.serial = r.serial();
-    h.answered = true;
+    boolean stayed = session.isConsecutive(r);
+    supersedeDeferredAnswer(h);
+    if (session.isNewIncarnation(r)) {
+      h.forgetImages();
+    }
+    if (!session.isReported()) {
+      h.setIdleSince(now);
+    }
+    session.recordConfirmed(r, now);
     if (stage != Stage.READY) {
-      ports.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      context.reply(
+          reply,
+          200,
+          WorkerMessages.answer(h.session().tokens().aboveDirectStarts(epoch), cancelledOn(h, r)));
       return;
     }
-    h.noticed = r.noticed();
+    h.setPreemptionNoticed(r.preemptionNoticed());
     boolean freed = takeIn(h, r);
     hearing(h, stayed);
-    h.report = r;
-    h.known = true;
-    if (!h.empty() || h.listedTasks > 0) {
-      h.idleSince = now;
+    session.recordReconciled(r);
+    if (!h.isEmpty() || h.session().listedTasks() > 0) {
+      h.setIdleSince(now);
     }
     if (!commands) {
-      ports.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), cancelledOn(h, r)));
+      context.reply(
+          reply,
+          200,
+          WorkerMessages.answer(h.session().tokens().aboveDirectStarts(epoch), cancelledOn(h, r)));
       return;
     }
-    if ((freed || awaitsCommit(h)) && ports.tuning.parkMs() > 0) {
+    if ((freed || awaitsCommit(h)) && context.tuning.parkMs() > 0) {
       // What has just come free can be used again in this very answer, once that is written; and
       // what is being written for this machine need not wait for its next report.
-      h.parked = reply;
-      h.parkedUntil = now.plus(ports.tuning.parkMs());
-      parked.add(h);
+      session.deferReply(reply, now.plus(context.tuning.parkMs()));
+      deferredAnswer.add(h);
       kicked = true;
     } else {
-      ports.reply(reply, 200, WorkerMessages.answer(h.tokenAbove(epoch), orders(h, false)));
+      context.reply(
+          reply,
+          200,
+          WorkerMessages.answer(h.session().tokens().aboveDirectStarts(epoch), orders(h, false)));
     }
   }
 
@@ -998,10 +1030,10 @@
    * Every answer that renews a lease ends what is cancelled, whatever else it may not command: the
    * lease would keep it running. A start on its way straight to the machine may come before it.
    */
-  private List<Order> cancelledOn(Host h, Report r) {
-    List<Order> stops = new ArrayList<>();
-    Set<TaskRun> listed = new HashSet<>();
-    for (TaskReport t : r.tasks()) {
+  private List<WorkerCommand> cancelledOn(Machine h, WorkerHeartbeat r) {
+    List<WorkerCommand> stops = new ArrayList<>();
+    Set<TaskAttemptId> listed = new HashSet<>();
+    for (TaskStatus t : r.tasks()) {
       listed.add(t.run());
       if (t.state() != TaskState.EXITED && cancelled(t.run().job())) {
         stops.add(new Stop(t.run(), 0));
@@ -1011,21 +1043,21 @@
     return stops;
   }
 
-  private void stopUnlisted(Host h, Set<TaskRun> listed, List<Order> orders) {
-    for (LiveTask l : h.live) {
-      if (l.job.aborted
-          && l.committed()
-          && l.tenure.equals(h.tenure)
-          && !listed.contains(l.run())
-          && (!h.confirmed || h.mayStart(l.run()))) {
-        orders.add(new Stop(l.run(), 0));
+  private void stopUnlisted(Machine h, Set<TaskAttemptId> listed, List<WorkerCommand> orders) {
+    for (TaskAttempt l : h.attempts()) {
+      if (l.job().cancelled
+          && l.isCommitted()
+          && l.incarnation().equals(h.session().incarnation())
+          && !listed.contains(l.id())
+          && (!h.session().isConfirmed() || h.session().tokens().mayDirectCommandStart(l.id()))) {
+        orders.add(new Stop(l.id(), 0));
       }
     }
   }
 
-  private static boolean awaitsCommit(Host h) {
-    for (LiveTask l : h.live) {
-      if (!l.committed()) {
+  private static boolean awaitsCommit(Machine h) {
+    for (TaskAttempt l : h.attempts()) {
+      if (!l.isCommitted()) {
         return true;
       }
     }
@@ -1037,63 +1069,55 @@
    * stays here and takes the next number for its next report; one that does not asks other
    * controllers in between. And what it was told to start, it lists.
    */
-  private void hearing(Host h, boolean stayed) {
+  private void hearing(Machine h, boolean stayed) {
     boolean followed = stayed;
-    for (LiveTask l : h.live) {
-      if (l.ordered) {
-        followed &= l.seen;
-        l.ordered = false;
+    for (TaskAttempt l : h.attempts()) {
+      if (l.takeStartInLastAnswer()) {
+        followed &= l.isSeen();
       }
     }
-    if (followed) {
-      if (h.deaf && h.unheeded > 1) {
-        ports.info("machine %s: gets our answers again", h.name);
+    switch (h.session().recordAnswerTaken(followed, context.now())) {
+      case REGAINED -> context.info("machine %s: gets our answers again", h.name());
+      case LOST -> {
+        context.info("machine %s: reports, but does not get our answers", h.name());
+        context.count("machine.deaf");
       }
-      h.deaf = false;
-      h.unheeded = 0;
-      return;
-    }
-    if (!h.deaf) {
-      h.deaf = true;
-      h.deafFrom = ports.now();
-    }
-    if (++h.unheeded == 2) {
-      ports.info("machine %s: reports, but does not get our answers", h.name);
-      ports.count("machine.deaf");
+      case UNCHANGED -> {}
     }
   }
 
   /** Answers what waited for a commit: because it has come, or because it takes too long. */
-  private void answerParked(boolean all) {
-    if (parked.isEmpty()) {
+  private void answerDeferred(boolean all) {
+    if (deferredAnswer.isEmpty()) {
       return;
     }
-    for (Host h : new ArrayList<>(parked)) {
+    for (Machine h : new ArrayList<>(deferredAnswer)) {
       boolean settled = settled(h);
-      if (all || !ports.now().before(h.parkedUntil) || settled) {
-        ports.count(settled ? "report.parked.settled" : "report.parked.expired");
-        parked.remove(h);
-        long reply = h.parked;
-        h.parked = -1;
-        ports.reply(
+      if (all || !context.now().before(h.session().deferredUntil()) || settled) {
+        context.count(settled ? "report.parked.settled" : "report.parked.expired");
+        deferredAnswer.remove(h);
+        long reply = h.session().takeDeferredReply();
+        context.reply(
             reply,
             200,
             WorkerMessages.answer(
-                h.tokenAbove(epoch),
-                valid() && !closed ? orders(h, false) : cancelledOn(h, h.report)));
+                h.session().tokens().aboveDirectStarts(epoch),
+                valid() && !closed
+                    ? orders(h, false)
+                    : cancelledOn(h, h.session().lastHeartbeat())));
       }
     }
   }
 
   /** Nothing about the machine waits for a write. */
-  private boolean settled(Host h) {
+  private boolean settled(Machine h) {
     if (kicked) {
       return false;
     }
     if (awaitsCommit(h)) {
       return false;
     }
-    for (TaskReport t : h.report.tasks()) {
+    for (TaskStatus t : h.session().lastHeartbeat().tasks()) {
       Job j = t.state() == TaskState.EXITED ? jobs.get(t.run().job()) : null;
       if (j != null && j.inFlight && j.exits.containsKey(t.run())) {
         return false;
@@ -1102,53 +1126,52 @@
     return true;
   }
 
-  private void unpark(Host h) {
-    if (h.parked >= 0) {
-      parked.remove(h);
-      ports.reply(h.parked, 503, Json.error("superseded by a later report"));
-      h.parked = -1;
-      h.answered = false;
+  private void supersedeDeferredAnswer(Machine h) {
+    if (h.session().hasDeferredReply()) {
+      deferredAnswer.remove(h);
+      context.reply(
+          h.session().refuseDeferredReply(), 503, Json.error("superseded by a later report"));
     }
   }
 
   /** What a report says goes into the picture; true if it frees anything. */
-  private boolean takeIn(Host h, Report r) {
+  private boolean takeIn(Machine h, WorkerHeartbeat r) {
     boolean freed = false;
-    h.clearGhosts();
-    h.listedTasks = 0;
-    Set<LiveTask> unlisted = new LinkedHashSet<>(h.live);
-    for (TaskReport t : r.tasks()) {
+    h.clearUnrecordedTasks();
+    Set<TaskAttempt> unlisted = new LinkedHashSet<>(h.attempts());
+    for (TaskStatus t : r.tasks()) {
       JobId id = t.run().job();
       Job j = jobs.get(id);
-      LiveTask l = j == null ? null : j.live.get(t.run().index());
-      if (t.state() != TaskState.EXITED) {
-        h.listedTasks++;
-      }
+      TaskAttempt l = j == null ? null : j.live.get(t.run().index());
       if (l != null
-          && l.host == h
-          && l.attempt.equals(t.run().attempt())
-          && l.tenure.equals(r.tenure())) {
+          && l.machine() == h
+          && l.number().equals(t.run().attempt())
+          && l.incarnation().equals(r.incarnation())) {
         unlisted.remove(l);
         freed |= t.state() == TaskState.EXITED;
         running(h, l, t);
       } else if (t.state() != TaskState.EXITED && j != null && t.run().index() < j.spec.tasks()) {
         // An attempt that no record of ours names: nothing of that task starts elsewhere meanwhile.
-        h.addGhost(j, t.run().index());
+        h.addUnrecordedTask(j, t.run().index());
       }
     }
-    for (LiveTask l : unlisted) {
-      if (l.tenure.compareTo(r.tenure()) < 0) {
+    for (TaskAttempt l : unlisted) {
+      if (l.incarnation().compareTo(r.incarnation()) < 0) {
         lose(l);
         freed = true;
-      } else if (!l.committed() || !l.job.claimed) {
+      } else if (!l.isCommitted() || !l.job().claimed) {
         continue;
-      } else if (l.seen) {
+      } else if (l.isSeen()) {
         // It left the list without a reap of ours: only a new session does that.
-        ports.error("machine %s: %s vanished", h.name, l.run());
+        context.error("machine %s: %s vanished", h.name(), l.id());
         lose(l);
-      } else if (h.confirmed
-          && !h.mayStart(l.run())
-          && (l.job.aborted || l.revoked || h.noticed || h.retiring || h.deaf)) {
+      } else if (h.session().isConfirmed()
+          && !h.session().tokens().mayDirectCommandStart(l.id())
+          && (l.job().cancelled
+              || l.isRevoked()
+              || h.isPreemptionNoticed()
+              || h.isReleasing()
+              || h.session().isUnresponsive())) {
         // The worker executes what an answer says or drops it whole, and this report is younger
         // than all earlier answers: what it does not list was never started and never will be.
         lose(l);
@@ -1159,13 +1182,13 @@
   }
 
   /** What the worker is told, from its last report and what is committed by now. */
-  List<Order> orders(Host h, boolean direct) {
-    List<Order> orders = new ArrayList<>();
-    Set<LiveTask> listed = new HashSet<>();
-    for (TaskReport t : h.report.tasks()) {
+  List<WorkerCommand> orders(Machine h, boolean direct) {
+    List<WorkerCommand> orders = new ArrayList<>();
+    Set<TaskAttempt> listed = new HashSet<>();
+    for (TaskStatus t : h.session().lastHeartbeat().tasks()) {
       JobId id = t.run().job();
       Job j = jobs.get(id);
-      if (latched.contains(id) || (j != null && !j.claimed && j.epoch.value() > 0)) {
+      if (relinquishedJobs.contains(id) || (j != null && !j.claimed && j.epoch.value() > 0)) {
         // Not ours, or not yet: nothing is commanded for it, but that a cancelled one ends.
         if (t.state() != TaskState.EXITED && cancelled(id)) {
           orders.add(new Stop(t.run(), 0));
@@ -1175,156 +1198,144 @@
         }
         continue;
       }
-      LiveTask l = j == null ? null : j.live.get(t.run().index());
-      if (l != null && l.host == h && l.attempt.equals(t.run().attempt())) {
+      TaskAttempt l = j == null ? null : j.live.get(t.run().index());
+      if (l != null && l.machine() == h && l.number().equals(t.run().attempt())) {
         listed.add(l);
         stop(h, l, t, orders);
       } else if (j == null
           && (t.state() == TaskState.EXITED || !cancelled(id))
-          && !custody.mayClear(h, t.run())) {
+          && !machineRegistry.mayClear(h, t.run())) {
         // Its own shard's owner may not have taken its result yet.
-        ports.count("foreign.kept");
+        context.count("foreign.kept");
       } else if (t.state() != TaskState.EXITED) {
         orders.add(new Stop(t.run(), 0));
-        ports.info("machine %s: unexpected %s stopped", h.name, t.run());
+        context.info("machine %s: unexpected %s stopped", h.name(), t.run());
       } else {
         Long recorded = j == null ? null : j.exits.get(t.run());
-        if ((recorded == null || recorded <= j.committedSeq) && !direct && !h.mayStart(t.run())) {
+        if ((recorded == null || recorded <= j.committedSeq)
+            && !direct
+            && !h.session().tokens().mayDirectCommandStart(t.run())) {
           // Reaped only once no record names it and no start of it is under way: a repeated start
           // would run it anew.
-          orders.add(new Forget(t.run()));
+          orders.add(new Reap(t.run()));
         }
       }
     }
-    Set<TaskRun> reported = new HashSet<>();
-    h.report.tasks().forEach(t -> reported.add(t.run()));
+    Set<TaskAttemptId> reported = new HashSet<>();
+    h.session().lastHeartbeat().tasks().forEach(t -> reported.add(t.run()));
     stopUnlisted(h, reported, orders);
-    for (LiveTask l : h.live) {
-      if (!l.seen
+    for (TaskAttempt l : h.attempts()) {
+      if (!l.isSeen()
           && !listed.contains(l)
-          && l.committed()
-          && l.job.claimed
-          && l.tenure.equals(h.tenure)
-          && !l.job.aborted
-          && !l.revoked
-          && !h.noticed
-          && !h.deaf
-          && !h.retiring) {
-        orders.add(new Start(l.run()));
-        l.ordered |= !direct;
-        if (!l.commanded) {
-          l.commanded = true;
-          ports.count("task.commanded");
-          ports.count("task.commanded.ms", ports.now().since(l.placedAt));
+          && l.isCommitted()
+          && l.job().claimed
+          && l.incarnation().equals(h.session().incarnation())
+          && !l.job().cancelled
+          && !l.isRevoked()
+          && !h.isPreemptionNoticed()
+          && !h.session().isUnresponsive()
+          && !h.isReleasing()) {
+        orders.add(new Start(l.id()));
+        if (l.commandStart(direct)) {
+          context.count("task.commanded");
+          context.count("task.commanded.ms", context.now().since(l.placedAt()));
         }
       }
     }
     return orders;
   }
 
-  private void stop(Host h, LiveTask l, TaskReport t, List<Order> orders) {
-    Job j = l.job;
-    if (j.aborted) {
-      orders.add(new Stop(l.run(), 0));
+  private void stop(Machine h, TaskAttempt l, TaskStatus t, List<WorkerCommand> orders) {
+    Job j = l.job();
+    if (j.cancelled) {
+      orders.add(new Stop(l.id(), 0));
     } else if (t.state() == TaskState.FLUSHING) {
       return;
-    } else if (l.revoked || h.retiring) {
-      orders.add(new Stop(l.run(), j.spec.saveS() + 1));
-    } else if (h.noticed && j.spec.checkpointS() > 0) {
-      orders.add(new Stop(l.run(), Math.max(j.spec.saveS(), h.report.noticeS())));
-    }
-  }
-
-  private void running(Host h, LiveTask l, TaskReport t) {
-    MonotonicTime now = ports.now();
-    Job j = l.job;
-    l.seen = true;
-    l.state = t.state();
-    switch (t.state()) {
-      case PULLING -> {}
-      case RUNNING -> {
-        if (l.runningSince == null) {
-          l.runningSince = now;
-          ports.count("task.running");
-          ports.count("task.running.ms", now.since(l.placedAt));
-        }
-        h.holds(j.spec);
-      }
-      case FLUSHING -> {}
-      case EXITED -> {
-        exited(h, l, t);
-        return;
-      }
+    } else if (l.isRevoked() || h.isReleasing()) {
+      orders.add(new Stop(l.id(), j.spec.saveS() + 1));
+    } else if (h.isPreemptionNoticed() && j.spec.checkpointS() > 0) {
+      orders.add(new Stop(l.id(), Math.max(j.spec.saveS(), h.session().lastHeartbeat().noticeS())));
     }
   }
 
-  private void exited(Host h, LiveTask l, TaskReport t) {
-    MonotonicTime now = ports.now();
-    Job j = l.job;
+  private void running(Machine h, TaskAttempt l, TaskStatus t) {
+    MonotonicTime now = context.now();
+    Job j = l.job();
+    if (l.observe(t.state(), now)) {
+      context.count("task.running");
+      context.count("task.running.ms", now.since(l.placedAt()));
+    }
+    if (t.state() == TaskState.RUNNING) {
+      h.imageInUse(j.spec);
+    } else if (t.state() == TaskState.EXITED) {
+      exited(h, l, t);
+    }
+  }
+
+  private void exited(Machine h, TaskAttempt l, TaskStatus t) {
+    MonotonicTime now = context.now();
+    Job j = l.job();
     switch (t.why()) {
       case DONE -> {
-        j.done.set(l.index);
+        j.done.set(l.index());
         j.failedOn.clear();
         j.backoff = 0;
-        h.errors = 0;
+        h.health().taskSucceeded();
       }
       case HALTED -> {}
-      case FULL -> h.noRoomUntil = now.plus(2000);
-      case BUSY -> h.noRoomUntil = now.plus(1000);
+      case FULL -> h.health().pauseUntil(now.plus(2000));
+      case BUSY -> h.health().pauseUntil(now.plus(1000));
       case ERROR, UNKNOWN -> failed(h, j, t.why());
     }
     detach(l);
-    if (j.done.get(l.index)) {
-      j.taken.set(l.index);
+    if (j.done.get(l.index())) {
+      j.taken.set(l.index());
     }
     // The write in flight does not hold this exit; the one after it will.
     j.exits.put(t.run(), j.seq + 1);
-    j.touch(Urgency.LATER, now);
+    j.touch(WriteUrgency.LATER, now);
   }
 
   /** Tells faulty machines from faulty jobs: a job that fails on many machines is at fault. */
-  private void failed(Host h, Job j, Why why) {
-    MonotonicTime now = ports.now();
-    ports.count("task.failed");
-    j.failedOn.add(h.name);
-    if (j.failedOn.size() > 2 || why == Why.UNKNOWN) {
+  private void failed(Machine h, Job j, ExitReason why) {
+    MonotonicTime now = context.now();
+    context.count("task.failed");
+    j.failedOn.add(h.name());
+    if (j.failedOn.size() > 2 || why == ExitReason.UNKNOWN) {
       j.backoff = Math.min(j.backoff + 1, 6);
       j.placeAfter = now.plus(1000L << j.backoff);
-      ports.info("job %s: fails on %d machines, held back", j.id(), j.failedOn.size());
+      context.info("job %s: fails on %d machines, held back", j.id(), j.failedOn.size());
       return;
     }
     j.placeAfter = now.plus(300);
-    h.errors++;
-    if (h.errors >= 2 && h.quarantinedUntil.before(now)) {
-      h.quarantines++;
-      h.quarantinedUntil = now.plus(30_000L << Math.min(h.quarantines - 1, 4));
-      ports.info("machine %s: fails what it starts, set aside", h.name);
-      ports.count("machine.quarantined");
+    if (h.health().taskFailed(now)) {
+      context.info("machine %s: fails what it starts, set aside", h.name());
+      context.count("machine.quarantined");
     }
   }
 
   // ---- placing -------------------------------------------------------------------------------
 
-  boolean usable(Host h) {
-    return !h.draining && sound(h);
+  @Override
+  public boolean usable(Machine h) {
+    return !h.isDraining() && sound(h);
   }
 
-  private boolean sound(Host h) {
-    MonotonicTime now = ports.now();
-    return h.lent
+  private boolean sound(Machine h) {
+    MonotonicTime now = context.now();
+    return h.assignment().isAssigned()
         && h.type() != null
         && liveness.fresh(h)
-        && !h.recall
-        && !h.noticed
-        && !h.deaf
-        && !h.retiring
-        && h.quarantinedUntil.before(now)
-        && h.noRoomUntil.before(now);
+        && !h.assignment().isHandoverRequested()
+        && !h.isPreemptionNoticed()
+        && !h.session().isUnresponsive()
+        && !h.isReleasing()
+        && h.health().acceptsTasks(now);
   }
 
   private List<Job> waiting() {
     List<Job> l = new ArrayList<>();
-    MonotonicTime now = ports.now();
+    MonotonicTime now = context.now();
     for (Job j : jobs.values()) {
       if (j.queued() > 0
           && !j.inFlight
@@ -1346,16 +1357,19 @@
     double soon = 0;
     double soonS = 0;
     double fetch = 0;
-    for (Host h : hosts.values()) {
-      if (h.type() == null || !h.lent || h.retiring || h.noticed) {
+    for (Machine h : hosts.values()) {
+      if (h.type() == null
+          || !h.assignment().isAssigned()
+          || h.isReleasing()
+          || h.isPreemptionNoticed()) {
         continue;
       }
-      if (h.reported()) {
+      if (h.session().isReported()) {
         cpus += h.type().cpus();
         fetch += h.type().cpus() * h.type().fetchGbPerS();
       } else {
         soon += h.type().cpus();
-        double left = h.type().bootS() - ports.now().since(h.lentSince) / 1000.0;
+        double left = h.type().bootS() - context.now().since(h.assignment().since()) / 1000.0;
         soonS += h.type().cpus() * Math.max(1, left);
       }
     }
@@ -1370,17 +1384,17 @@
   }
 
   private void place(Input.RoundBudget budget) {
-    ports.count("round.looks", jobs.size());
+    context.count("round.looks", jobs.size());
     List<Job> waiting = waiting();
     if (waiting.isEmpty()) {
       return;
     }
-    List<Host> room = new ArrayList<>();
-    List<Host> reserve = new ArrayList<>();
-    ports.count("round.looks", custody.withRoom().size());
-    for (Host h : custody.withRoom()) {
+    List<Machine> room = new ArrayList<>();
+    List<Machine> reserve = new ArrayList<>();
+    context.count("round.looks", machineRegistry.withRoom().size());
+    for (Machine h : machineRegistry.withRoom()) {
       if (sound(h)) {
-        (h.draining ? reserve : room).add(h);
+        (h.isDraining() ? reserve : room).add(h);
       }
     }
     // In a full fleet nobody needs an order, unless there is one who makes room for himself.
@@ -1417,9 +1431,9 @@
           placeIfSure(j, allClaimed, room);
           start = i + 1;
         } else {
-          List<Host> holders = new ArrayList<>();
-          for (Host h : room) {
-            if (h.holdsOrFetches(j.spec)) {
+          List<Machine> holders = new ArrayList<>();
+          for (Machine h : room) {
+            if (h.holdsOrFetchesImage(j.spec)) {
               holders.add(h);
             }
           }
@@ -1441,9 +1455,9 @@
   }
 
   /** What found no room takes machines back into use that were to run empty. */
-  private void takeBack(List<Job> waiting, boolean allClaimed, List<Host> reserve) {
-    List<Host> before = List.copyOf(reserve);
-    int[] held = before.stream().mapToInt(h -> h.live.size()).toArray();
+  private void takeBack(List<Job> waiting, boolean allClaimed, List<Machine> reserve) {
+    List<Machine> before = List.copyOf(reserve);
+    int[] held = before.stream().mapToInt(h -> h.attempts().size()).toArray();
     for (Job j : waiting) {
       if (reserve.isEmpty()) {
         break;
@@ -1453,67 +1467,28 @@
       }
     }
     for (int i = 0; i < held.length; i++) {
-      if (before.get(i).live.size() > held[i]) {
-        before.get(i).draining = false;
-        ports.count("machine.taken_back");
+      if (before.get(i).attempts().size() > held[i]) {
+        before.get(i).cancelDrain();
+        context.count("machine.taken_back");
       }
     }
   }
 
-  private void placeIfSure(Job j, boolean allClaimed, List<Host> room) {
-    NodeConfig.Team team = ports.config.teams().get(j.spec.team());
+  private void placeIfSure(Job j, boolean allClaimed, List<Machine> room) {
     // Until every record is claimed, a late write of the last owner may add to the team's use.
-    if (allClaimed || !limited(team)) {
+    if (allClaimed || !quotas.isLimited(j.spec.team())) {
       place(j, room);
     }
   }
 
-  private static boolean limited(NodeConfig.Team team) {
-    return team != null && (team.cpusMax() > 0 || team.gpusMax() > 0);
-  }
-
-  /** What a team may still take: processors and accelerators. */
-  double[] limitLeft(String name) {
-    NodeConfig.Team team = ports.config.teams().get(name);
-    if (team == null) {
-      return new double[2];
-    }
-    double[] left = {
-      team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE,
-      team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE
-    };
-    if (!limited(team)) {
-      return left;
-    }
-    double[] u = teamUse.getOrDefault(name, new double[2]);
-    left[0] -= u[0];
-    left[1] -= u[1];
-    for (Host h : hosts.values()) {
-      for (Host.Ghost g : h.ghosts) {
-        if (g.job().spec.team().equals(name)) {
-          left[0] -= g.job().spec.cpus();
-          left[1] -= g.job().spec.gpus();
-        }
-      }
-    }
-    return left;
-  }
-
-  /** How many of a job's waiting tasks what is left of its team's limit allows. */
-  static int within(double[] left, Job j) {
-    double n = j.queued();
-    if (j.spec.cpus() > 0) {
-      n = Math.min(n, Math.floor(left[0] / j.spec.cpus() + 1e-9));
-    }
-    if (j.spec.gpus() > 0) {
-      n = Math.min(n, Math.floor(left[1] / j.spec.gpus() + 1e-9));
-    }
-    return (int) Math.max(0, n);
+  @Override
+  public Headroom headroom(String team) {
+    return quotas.headroom(team);
   }
 
-  private void place(Job j, List<Host> room) {
-    int wanted = within(limitLeft(j.spec.team()), j);
-    if (SchedulingQueue.overdue(j, ports.wallMs())) {
+  private void place(Job j, List<Machine> room) {
+    int wanted = quotas.headroom(j.spec.team()).queuedTasksThatFit(j);
+    if (SchedulingQueue.overdue(j, context.wallMs())) {
       wanted = Math.min(wanted, 1 + j.spec.tasks() / SchedulingQueue.BEGIN_SHARE);
     }
     if (j.backoff > 0) {
@@ -1521,8 +1496,8 @@
     }
     Map<String, Integer> perZone = new HashMap<>();
     String zone = null;
-    for (LiveTask t : j.live.values()) {
-      String z = t.host.info == null ? "" : t.host.info.zone();
+    for (TaskAttempt t : j.live.values()) {
+      String z = t.machine().info() == null ? "" : t.machine().info().zone();
       perZone.merge(z, 1, Integer::sum);
       zone = z;
     }
@@ -1531,10 +1506,10 @@
     }
     int index = 0;
     boolean placed = false;
-    List<Host> candidates = room;
+    List<Machine> candidates = room;
     if (!j.failedOn.isEmpty()) {
       candidates = new ArrayList<>(room);
-      candidates.removeIf(h -> j.failedOn.contains(h.name));
+      candidates.removeIf(h -> j.failedOn.contains(h.name()));
       if (candidates.isEmpty()) {
         candidates = room;
       }
@@ -1543,47 +1518,49 @@
       candidates = new ArrayList<>(candidates);
     }
     while (wanted > 0 && j.rangesLeft > 0 && !candidates.isEmpty()) {
-      Host h =
-          Placement.choose(
+      Machine h =
+          BinPacking.choose(
               j.spec,
               wanted,
               candidates,
               zone,
-              new Placement.Clock(ports.now(), ports.config.workers().reportS()),
-              ports.tuning.sampleSize(),
-              ports.random());
+              new BinPacking.Clock(context.now(), context.config.workers().reportS()),
+              context.tuning.sampleSize(),
+              context.random());
       if (h == null) {
         break;
       }
       int n = Math.min(wanted, h.fits(j.spec));
       if (j.spec.spread()) {
-        int left = j.spec.zoneCap() - perZone.getOrDefault(h.info.zone(), 0);
+        int left = j.spec.zoneCap() - perZone.getOrDefault(h.info().zone(), 0);
         n = Math.min(n, left);
         if (n <= 0) {
-          String z = h.info.zone();
-          candidates.removeIf(x -> x.info.zone().equals(z));
+          String z = h.info().zone();
+          candidates.removeIf(x -> x.info().zone().equals(z));
           continue;
         }
       }
-      Attempt attempt = new Attempt(j.tries + 1);
+      AttemptNumber attempt = new AttemptNumber(j.attemptCount + 1);
       for (int k = 0; k < n; k++) {
         index = j.nextQueued(index);
         if (index < 0) {
           n = k;
           break;
         }
-        attach(new LiveTask(j, index, h, h.tenure, attempt, j.seq + 1, ports.now()));
+        attach(
+            new TaskAttempt(
+                j, index, h, h.session().incarnation(), attempt, j.seq + 1, context.now()));
       }
       if (n == 0) {
         break;
       }
-      j.tries++;
+      j.attemptCount++;
       j.rangesLeft--;
       placed = true;
       wanted -= n;
-      perZone.merge(h.info.zone(), n, Integer::sum);
+      perZone.merge(h.info().zone(), n, Integer::sum);
       if (j.spec.oneZone()) {
-        zone = h.info.zone();
+        zone = h.info().zone();
       }
       if (h.freeCpus() <= 1e-9) {
         room.remove(h);
@@ -1596,47 +1573,47 @@
       placed |= preemption.makeRoom(j, wanted, index, zone);
     }
     if (placed) {
-      j.touch(Urgency.NOW, ports.now());
+      j.touch(WriteUrgency.NOW, context.now());
     }
   }
 
   // ---- for users -------------------------------------------------------------------------------
 
   /** Tells where a job stands, if this owner can. */
-  void ask(JobId id, StatusQueries.OnStanding then) {
+  public void ask(JobId id, StatusQueries.StatusCallback then) {
     statusQueries.ask(id, ready() && valid(), then);
   }
 
   // ---- for the leader ------------------------------------------------------------------------
 
-  ShardReport beat() {
-    List<HostName> retire = new ArrayList<>();
-    List<HostName> spare = new ArrayList<>();
-    List<HandedBack> back = List.of();
+  public ShardReport heartbeat() {
+    List<MachineName> retire = new ArrayList<>();
+    List<MachineName> spare = new ArrayList<>();
+    List<MachineHandover> back = List.of();
     if (ready() && valid()) {
       autoscaler.review(retire);
-      back = custody.handedBack(liveness);
-      for (Host h : hosts.values()) {
-        if (!h.recall
-            && (usable(h) || h.draining)
-            && h.empty()
-            && ports.now().since(h.idleSince) > SPARE_MS) {
-          spare.add(h.name);
+      back = machineRegistry.handovers(liveness);
+      for (Machine h : hosts.values()) {
+        if (!h.assignment().isHandoverRequested()
+            && (usable(h) || h.isDraining())
+            && h.isEmpty()
+            && context.now().since(h.idleSince()) > SPARE_MS) {
+          spare.add(h.name());
         }
       }
     }
     boolean queued = !ready() || jobs.values().stream().anyMatch(j -> j.queued() > 0);
     return new ShardReport(
-        part,
+        shard,
         epoch,
         fenced,
         queued,
         liveness.hearing(),
-        autoscaler.wants(),
+        autoscaler.capacityRequests(),
         retire,
         spare,
         back,
-        custody.misplaced(),
+        machineRegistry.misplaced(),
         references != null,
         demands == null ? null : demands.now());
   }
--- a/src/main/java/shorecrank/coordination/WriteSettlement.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -1,20 +1,22 @@
-package shorecrank.coordination;
+package shorecrank.coordination.shard;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import shorecrank.coordination.Job.Urgency;
-import shorecrank.coordination.ShardOwner.Write;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.WriteUrgency;
+import shorecrank.coordination.shard.ShardOwner.Write;
+import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.StoreMessages;
-import shorecrank.protocol.UserMessages.Phase;
+import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.JobRecord;
 
 /**
  * Finds out what became of writes that were refused or got no answer: what the record says now
  * decides whether the job is still this owner's.
  */
-final class WriteSettlement {
+final class WriteOutcomeResolver {
   private static final int CALL_MS = 2000;
 
   /** A record that could not be read is read again after so long, and up to as much again. */
@@ -41,21 +43,21 @@
     void cancelled(Job job);
 
     /** The job is over. */
-    void ended(Job job, Phase phase);
+    void ended(Job job, JobState phase);
 
     /** An earlier owner's write came in before ours: its record is what counts. */
     void replaced(Job job, JobRecord record, Revision revision);
   }
 
-  private final Ports ports;
-  private final RecordReferences references;
+  private final StepContext context;
+  private final MachineReferences references;
   private final Jobs jobs;
 
   /**
    * @param references machines that records may name; null where that is not kept track of
    */
-  WriteSettlement(Ports ports, RecordReferences references, Jobs jobs) {
-    this.ports = ports;
+  WriteOutcomeResolver(StepContext context, MachineReferences references, Jobs jobs) {
+    this.context = context;
     this.references = references;
     this.jobs = jobs;
   }
@@ -79,7 +81,7 @@
 
   /** Something newer than what we know was seen, and no write of ours is out that explains it. */
   void lookAgain(Job j) {
-    if (j.seenStamp.after(j.stamp) && !j.inFlight) {
+    if (j.seenRevision.after(j.revision) && !j.inFlight) {
       reread(j);
     }
   }
@@ -90,7 +92,7 @@
       return;
     }
     j.rereading = true;
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.liveKey(j.id())),
         null,
@@ -105,7 +107,7 @@
           } else if (status == 404) {
             lookAtEnd(j);
           } else {
-            tryLater(j, RETRY_MS + ports.random().nextInt(RETRY_MS));
+            tryLater(j, RETRY_MS + context.random().nextInt(RETRY_MS));
           }
         });
   }
@@ -123,8 +125,8 @@
   }
 
   private void tryLater(Job j, int afterMs) {
-    j.writeAfter = ports.now().plus(afterMs);
-    j.touch(Urgency.NOW, ports.now());
+    j.writeAfter = context.now().plus(afterMs);
+    j.touch(WriteUrgency.NOW, context.now());
   }
 
   /**
@@ -133,7 +135,7 @@
    */
   private void lookAtEnd(Job j) {
     j.rereading = true;
-    ports.state(
+    context.state(
         "GET",
         StoreMessages.key(JobRecord.finalKey(j.id())),
         null,
@@ -150,7 +152,7 @@
               references.removed(j.id());
             }
             jobs.ended(j, end.phase());
-            ports.info("job %s: over, as its final record has it", j.id());
+            context.info("job %s: over, as its final record has it", j.id());
           } else if (status == 404) {
             jobs.refused(j, null);
           } else {
@@ -160,15 +162,15 @@
   }
 
   private void reconcile(Job j, JobRecord r, Revision revision) {
-    boolean another = r.epoch().equals(jobs.epoch()) && !r.writer().equals(ports.writer);
+    boolean another = r.epoch().equals(jobs.epoch()) && !r.writer().equals(context.writer);
     if (r.epoch().above(jobs.epoch()) || another) {
       jobs.refused(j, r);
       return;
     }
-    boolean ours = j.wrote(r, ports.writer);
+    boolean ours = j.wrote(r, context.writer);
     if (references != null) {
       boolean othersMayWrite = !ours && (r.epoch().value() > 0 || j.claimFirst);
-      references.read(j.id(), revision, RecordReferences.machinesOf(r), othersMayWrite);
+      references.read(j.id(), revision, MachineReferences.machinesOf(r), othersMayWrite);
     }
     if (ours) {
       // One of our own writes, by its number; memory already holds all of it. Somebody may have
@@ -181,18 +183,18 @@
       // Nobody has claimed it: only a request to cancel changes such a record.
       unchangedButMark(j, r, revision);
     } else {
-      ports.info(
+      context.info(
           "job %s: record of epoch %s found below ours %s, taken in",
           j.id(), r.epoch(), jobs.epoch());
       jobs.replaced(j, r, revision);
     }
-    j.touch(Urgency.NOW, ports.now());
+    j.touch(WriteUrgency.NOW, context.now());
   }
 
   private void unchangedButMark(Job j, JobRecord r, Revision revision) {
-    j.stamp = revision;
-    j.standing = r.standing();
-    if (r.aborted() && !j.aborted) {
+    j.revision = revision;
+    j.jobStatus = r.jobStatus();
+    if (r.cancelled() && !j.cancelled) {
       jobs.cancelled(j);
     }
   }
