--- a/src/main/java/shorecrank/protocol/PeerMessages.java
+++ b/src/main/java/shorecrank/protocol/PeerMessages.java
@@ -9,19 +9,19 @@
 import java.util.List;
 import java.util.Map;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.NodeLabel;
-import shorecrank.protocol.Ids.PartId;
-import shorecrank.protocol.Ids.Token;
+import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.Notice;
 import shorecrank.protocol.ShareMessages.ShardDemand;
-import shorecrank.protocol.UserMessages.Phase;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
  * Messages between controllers: every controller beats to the leader, which answers with leases.
@@ -29,8 +29,8 @@
 public final class PeerMessages {
   private PeerMessages() {}
 
-  public static final String BEAT = "/peer/beat";
-  public static final String NUDGE = "/peer/nudge";
+  public static final String HEARTBEAT = "/peer/beat";
+  public static final String HEARTBEAT_NOW = "/peer/nudge";
   public static final String ASK = "/peer/ask";
   public static final String RELAY = "/peer/relay";
 
@@ -53,19 +53,19 @@
   public static final int MAX_ASKED = 400;
 
   /** A machine somebody saw, or that is lent. */
-  public record HostInfo(HostName name, String type, String zone, boolean spot) {}
+  public record MachineInfo(MachineName name, String type, String zone, boolean spot) {}
 
   public record CapacityRequest(Offer offer, int count) {}
 
   /** Of the machines that an owner should hear, how many it does not, and where they are most. */
-  public record WorkerReachability(int expected, int unheard, List<String> deafTo) {}
+  public record WorkerReachability(int expected, int unheard, List<String> unreachableZones) {}
 
   /**
    * A machine that its owner has emptied on an order.
    *
    * @param move the order; {@link MoveId#NONE} from versions that don't repeat it
    */
-  public record HandedBack(HostName machine, MoveId move) {}
+  public record MachineHandover(MachineName machine, MoveId move) {}
 
   /**
    * What an owner says of one part. {@code fenced} is an epoch that refused it, or NONE.
@@ -75,22 +75,22 @@
    * @param demand what the shard needs and could give up; null where shares are not enabled
    */
   public record ShardReport(
-      PartId part,
+      ShardId shard,
       Epoch epoch,
       Epoch fenced,
       boolean queued,
       WorkerReachability hearing,
-      List<CapacityRequest> wants,
-      List<HostName> retire,
-      List<HostName> spare,
-      List<HandedBack> handedBack,
-      List<HostName> misplaced,
+      List<CapacityRequest> capacityRequests,
+      List<MachineName> retire,
+      List<MachineName> spare,
+      List<MachineHandover> handovers,
+      List<MachineName> misplaced,
       boolean repeatsMoves,
       ShardDemand demand) {
     /** Of an owner that can't take the part under its present epoch. */
-    public static ShardReport refused(PartId part, Epoch epoch) {
+    public static ShardReport refused(ShardId shard, Epoch epoch) {
       return new ShardReport(
-          part,
+          shard,
           epoch,
           epoch,
           true,
@@ -106,38 +106,46 @@
   }
 
   /**
-   * {@code strays} counts, by part, workers that lately came here and were sent to its owner.
+   * {@code misroutedWorkers} counts, by part, workers that lately came here and were sent to its
+   * owner.
    *
    * @param announcement what the sender supports; null if it says nothing
    */
   public record Heartbeat(
-      NodeLabel from,
+      ControllerName from,
       WriterId writer,
       boolean stateOk,
-      long lendVersion,
-      List<ShardReport> parts,
-      List<HostInfo> seen,
-      Map<PartId, Integer> strays,
+      long assignmentVersion,
+      List<ShardReport> shards,
+      List<MachineInfo> seen,
+      Map<ShardId, Integer> misroutedWorkers,
       Announcement announcement) {}
 
-  public record Lease(PartId part, Epoch epoch, long ttlMs) {}
+  public record Lease(ShardId shard, Epoch epoch, long ttlMs) {}
 
-  public record OwnerInfo(PartId part, NodeLabel label, Epoch epoch) {}
+  public record OwnerInfo(ShardId shard, ControllerName label, Epoch epoch) {}
 
   /**
    * A machine's shard.
    *
    * @param term the lowest epoch under which its worker's reports count; NONE where there is only
    *     one shard
-   * @param move the order under which it is to be handed over ({@code recall}) or has just come
+   * @param move the order under which it is to be handed over ({@code handoverRequested}) or has
+   *     just come
    */
   public record MachineAssignment(
-      HostInfo host, PartId part, long ageMs, Epoch term, boolean recall, MoveId move) {}
+      MachineInfo host,
+      ShardId shard,
+      long ageMs,
+      Epoch term,
+      boolean handoverRequested,
+      MoveId move) {}
 
-  public record Blocked(Offer offer, long forMs) {}
+  public record UnavailableOffer(Offer offer, long forMs) {}
 
   /**
-   * {@code lent} is all that is lent if {@code whole}, else what changed since the asker's version.
+   * {@code assigned} is all that is lent if {@code whole}, else what changed since the asker's
+   * version.
    *
    * @param rollout the feature level as the leader knows it; null if it says nothing
    */
@@ -146,28 +154,28 @@
       boolean othersStateOk,
       List<Lease> leases,
       List<OwnerInfo> owners,
-      long lendVersion,
+      long assignmentVersion,
       boolean whole,
-      List<MachineAssignment> lent,
-      List<HostName> off,
-      List<HostName> gone,
-      List<Blocked> blocked,
+      List<MachineAssignment> assigned,
+      List<MachineName> unassigned,
+      List<MachineName> gone,
+      List<UnavailableOffer> blocked,
       Notice rollout) {}
 
   public static ObjectNode write(Heartbeat b) {
     ObjectNode n = Json.object();
     n.put("from", b.from.value()).put("writer", b.writer.value()).put("stateOk", b.stateOk);
-    n.put("ver", b.lendVersion);
+    n.put("ver", b.assignmentVersion);
     ArrayNode ps = n.putArray("parts");
-    for (ShardReport p : b.parts) {
+    for (ShardReport p : b.shards) {
       ObjectNode o = ps.addObject();
-      o.put("part", p.part.value()).put("epoch", p.epoch.value()).put("fenced", p.fenced.value());
+      o.put("part", p.shard.value()).put("epoch", p.epoch.value()).put("fenced", p.fenced.value());
       o.put("queued", p.queued);
       o.put("expected", p.hearing.expected).put("unheard", p.hearing.unheard);
-      ArrayNode deaf = o.putArray("deafTo");
-      p.hearing.deafTo.forEach(deaf::add);
+      ArrayNode unresponsive = o.putArray("deafTo");
+      p.hearing.unreachableZones.forEach(unresponsive::add);
       ArrayNode ws = o.putArray("wants");
-      for (CapacityRequest w : p.wants) {
+      for (CapacityRequest w : p.capacityRequests) {
         offer(ws.addObject(), w.offer).put("count", w.count);
       }
       names(o.putArray("retire"), p.retire);
@@ -176,8 +184,8 @@
     }
     ArrayNode seen = n.putArray("seen");
     b.seen.forEach(h -> host(seen.addObject(), h));
-    ArrayNode strays = n.putArray("strays");
-    b.strays.forEach((p, count) -> strays.addArray().add(p.value()).add(count));
+    ArrayNode misroutedWorkers = n.putArray("strays");
+    b.misroutedWorkers.forEach((p, count) -> misroutedWorkers.addArray().add(p.value()).add(count));
     if (b.announcement != null) {
       n.set(RolloutMessages.HEARTBEAT_FIELD, RolloutMessages.write(b.announcement));
     }
@@ -189,10 +197,10 @@
    */
   private static void writeMoves(ObjectNode o, ShardReport p) {
     ArrayNode back = o.putArray("back");
-    p.handedBack.forEach(h -> back.add(h.machine.value()));
+    p.handovers.forEach(h -> back.add(h.machine.value()));
     if (p.repeatsMoves) {
       ArrayNode moves = o.putArray(MOVES);
-      p.handedBack.forEach(h -> moves.add(h.move.value()));
+      p.handovers.forEach(h -> moves.add(h.move.value()));
     }
     if (!p.misplaced.isEmpty()) {
       names(o.putArray(MISPLACED), p.misplaced);
@@ -202,16 +210,16 @@
     }
   }
 
-  private static List<HandedBack> handedBack(JsonNode p) {
-    List<HostName> machines = names(p.path("back"));
+  private static List<MachineHandover> handovers(JsonNode p) {
+    List<MachineName> machines = names(p.path("back"));
     JsonNode moves = p.path(MOVES);
     if (moves.isArray() && moves.size() != machines.size()) {
       throw new Malformed(MOVES);
     }
-    List<HandedBack> all = new ArrayList<>();
+    List<MachineHandover> all = new ArrayList<>();
     for (int i = 0; i < machines.size(); i++) {
       long move = moves.isArray() ? Json.count(moves.path(i)) : 0;
-      all.add(new HandedBack(machines.get(i), new MoveId(Math.max(0, move))));
+      all.add(new MachineHandover(machines.get(i), new MoveId(Math.max(0, move))));
     }
     return all;
   }
@@ -228,29 +236,31 @@
   /** Null if malformed. */
   public static Heartbeat readHeartbeat(JsonNode n) {
     try {
-      return beat(n);
+      return heartbeat(n);
     } catch (Malformed e) {
       return null;
     }
   }
 
-  private static Heartbeat beat(JsonNode n) {
+  private static Heartbeat heartbeat(JsonNode n) {
     String from = Json.text(n.path("from"));
     String writer = Json.text(n.path("writer"));
     if (from.isEmpty() || writer.isEmpty()) {
       return null;
     }
-    List<ShardReport> parts = new ArrayList<>();
+    List<ShardReport> shards = new ArrayList<>();
     for (JsonNode p : n.path("parts")) {
-      List<CapacityRequest> wants = new ArrayList<>();
+      List<CapacityRequest> capacityRequests = new ArrayList<>();
       p.path("wants")
           .forEach(
-              w -> wants.add(new CapacityRequest(offer(w), (int) count(w, "count", MAX_COUNT))));
-      List<String> deafTo = new ArrayList<>();
-      p.path("deafTo").forEach(z -> deafTo.add(z.asText()));
-      parts.add(
+              w ->
+                  capacityRequests.add(
+                      new CapacityRequest(offer(w), (int) count(w, "count", MAX_COUNT))));
+      List<String> unreachableZones = new ArrayList<>();
+      p.path("deafTo").forEach(z -> unreachableZones.add(z.asText()));
+      shards.add(
           new ShardReport(
-              part(p),
+              shard(p),
               epoch(p, "epoch"),
               // What a record held that refused the owner, whatever it was.
               new Epoch(count(p, "fenced", Long.MAX_VALUE)),
@@ -258,47 +268,50 @@
               new WorkerReachability(
                   (int) count(p, "expected", MAX_COUNT),
                   (int) count(p, "unheard", MAX_COUNT),
-                  deafTo),
-              wants,
+                  unreachableZones),
+              capacityRequests,
               names(p.path("retire")),
               names(p.path("spare")),
-              handedBack(p),
+              handovers(p),
               names(p.path(MISPLACED)),
               p.path(MOVES).isArray(),
               ShareMessages.readDemand(p.path(DEMAND))));
     }
-    List<HostInfo> seen = new ArrayList<>();
+    List<MachineInfo> seen = new ArrayList<>();
     n.path("seen").forEach(h -> seen.add(host(h)));
-    Map<PartId, Integer> strays = new HashMap<>();
+    Map<ShardId, Integer> misroutedWorkers = new HashMap<>();
     n.path("strays")
-        .forEach(s -> strays.put(new PartId(s.path(0).asInt()), Math.max(0, s.path(1).asInt())));
+        .forEach(
+            s ->
+                misroutedWorkers.put(
+                    new ShardId(s.path(0).asInt()), Math.max(0, s.path(1).asInt())));
     return new Heartbeat(
-        new NodeLabel(from),
+        new ControllerName(from),
         new WriterId(writer),
         n.path("stateOk").asBoolean(),
         n.path("ver").asLong(-1),
-        parts,
+        shards,
         seen,
-        strays,
+        misroutedWorkers,
         RolloutMessages.readAnnouncement(n.path(RolloutMessages.HEARTBEAT_FIELD)));
   }
 
   public static ObjectNode write(HeartbeatAnswer a) {
     ObjectNode n = Json.object();
-    n.put("term", a.term).put("othersOk", a.othersStateOk).put("ver", a.lendVersion);
+    n.put("term", a.term).put("othersOk", a.othersStateOk).put("ver", a.assignmentVersion);
     ArrayNode ls = n.putArray("leases");
     for (Lease l : a.leases) {
       ls.addObject()
-          .put("part", l.part.value())
+          .put("part", l.shard.value())
           .put("epoch", l.epoch.value())
           .put("ttlMs", l.ttlMs);
     }
     owners(n.putArray("owners"), a.owners);
     n.put("whole", a.whole);
     ArrayNode hs = n.putArray("lent");
-    for (MachineAssignment l : a.lent) {
+    for (MachineAssignment l : a.assigned) {
       ObjectNode o = host(hs.addObject(), l.host);
-      o.put("part", l.part.value()).put("age", l.ageMs).put("recall", l.recall);
+      o.put("part", l.shard.value()).put("age", l.ageMs).put("recall", l.handoverRequested);
       if (l.term.value() > 0) {
         o.put(TERM, l.term.value());
       }
@@ -306,10 +319,10 @@
         o.put(MOVE, l.move.value());
       }
     }
-    names(n.putArray("off"), a.off);
+    names(n.putArray("off"), a.unassigned);
     names(n.putArray("gone"), a.gone);
     ArrayNode bs = n.putArray("blocked");
-    for (Blocked b : a.blocked) {
+    for (UnavailableOffer b : a.blocked) {
       offer(bs.addObject(), b.offer).put("ms", b.forMs);
     }
     if (a.rollout != null) {
@@ -331,21 +344,22 @@
     long term = count(n, "term", Long.MAX_VALUE);
     List<Lease> leases = new ArrayList<>();
     for (JsonNode l : n.path("leases")) {
-      leases.add(new Lease(part(l), epoch(l, "epoch"), count(l, "ttlMs", MAX_LEASE_MS)));
+      leases.add(new Lease(shard(l), epoch(l, "epoch"), count(l, "ttlMs", MAX_LEASE_MS)));
     }
-    List<MachineAssignment> lent = new ArrayList<>();
+    List<MachineAssignment> assigned = new ArrayList<>();
     for (JsonNode h : n.path("lent")) {
-      lent.add(
+      assigned.add(
           new MachineAssignment(
               host(h),
-              part(h),
+              shard(h),
               h.path("age").asLong(),
               new Epoch(Math.max(0, Json.count(h.path(TERM)))),
               h.path("recall").asBoolean(),
               new MoveId(Math.max(0, Json.count(h.path(MOVE))))));
     }
-    List<Blocked> blocked = new ArrayList<>();
-    n.path("blocked").forEach(b -> blocked.add(new Blocked(offer(b), b.path("ms").asLong())));
+    List<UnavailableOffer> blocked = new ArrayList<>();
+    n.path("blocked")
+        .forEach(b -> blocked.add(new UnavailableOffer(offer(b), b.path("ms").asLong())));
     return new HeartbeatAnswer(
         term,
         n.path("othersOk").asBoolean(),
@@ -353,7 +367,7 @@
         owners(n.path("owners")),
         n.path("ver").asLong(),
         n.path("whole").asBoolean(),
-        lent,
+        assigned,
         names(n.path("off")),
         names(n.path("gone")),
         blocked,
@@ -364,7 +378,7 @@
    * All cancellations that a controller has confirmed to users in the last {@code spanMs}, and the
    * shard owners it knows of.
    */
-  public record Confirmed(long spanMs, List<JobId> ids, List<OwnerInfo> owners) {}
+  public record ConfirmedCancellations(long spanMs, List<JobId> ids, List<OwnerInfo> owners) {}
 
   /** Asks for what the other has confirmed lately, and no more jobs than {@code most}. */
   public static ObjectNode confirmedWithin(long ms, int most) {
@@ -382,7 +396,7 @@
     return Json.count(n.path("withinMs"));
   }
 
-  public static ObjectNode write(Confirmed c) {
+  public static ObjectNode write(ConfirmedCancellations c) {
     ObjectNode n = Json.object().put("spanMs", c.spanMs);
     ArrayNode a = n.putArray("ids");
     c.ids.forEach(id -> a.add(id.value()));
@@ -391,7 +405,7 @@
   }
 
   /** Null if malformed, or with more jobs than were asked for. */
-  public static Confirmed readConfirmed(JsonNode n, int most) {
+  public static ConfirmedCancellations readConfirmed(JsonNode n, int most) {
     long span = Json.count(n.path("spanMs"));
     if (span < 0 || !n.path("ids").isArray() || n.path("ids").size() > most) {
       return null;
@@ -404,7 +418,7 @@
       l.add(new JobId(id.textValue()));
     }
     try {
-      return new Confirmed(span, l, owners(n.path("owners")));
+      return new ConfirmedCancellations(span, l, owners(n.path("owners")));
     } catch (Malformed e) {
       return null;
     }
@@ -430,15 +444,15 @@
   }
 
   /** Asks a part's owner where jobs stand now. */
-  public static ObjectNode ask(PartId part, Collection<JobId> ids) {
-    ObjectNode n = Json.object().put("part", part.value());
+  public static ObjectNode ask(ShardId shard, Collection<JobId> ids) {
+    ObjectNode n = Json.object().put("part", shard.value());
     ArrayNode a = n.putArray("ids");
     ids.forEach(id -> a.add(id.value()));
     return n;
   }
 
-  public static PartId askedPart(JsonNode n) {
-    return new PartId(n.path("part").asInt(-1));
+  public static ShardId askedPart(JsonNode n) {
+    return new ShardId(n.path("part").asInt(-1));
   }
 
   public static List<JobId> asked(JsonNode n) {
@@ -452,7 +466,7 @@
   }
 
   /** Only what was found current in the store while the question was open. */
-  public static ObjectNode told(Map<JobId, Standing> standings) {
+  public static ObjectNode told(Map<JobId, JobStatus> standings) {
     ObjectNode n = Json.object();
     ArrayNode a = n.putArray("told");
     standings.forEach(
@@ -465,14 +479,14 @@
     return n;
   }
 
-  public static Map<JobId, Standing> told(JsonNode n) {
-    Map<JobId, Standing> m = new HashMap<>();
+  public static Map<JobId, JobStatus> told(JsonNode n) {
+    Map<JobId, JobStatus> m = new HashMap<>();
     for (JsonNode t : n.path("told")) {
-      Phase p = Phase.of(t.path("phase").asText());
+      JobState p = JobState.of(t.path("phase").asText());
       if (p != null) {
         m.put(
             new JobId(t.path("id").asText()),
-            new Standing(p, t.path("done").asInt(), t.path("running").asInt()));
+            new JobStatus(p, t.path("done").asInt(), t.path("running").asInt()));
       }
     }
     return m;
@@ -481,7 +495,7 @@
   private static void owners(ArrayNode a, Collection<OwnerInfo> owners) {
     for (OwnerInfo o : owners) {
       a.addObject()
-          .put("part", o.part.value())
+          .put("part", o.shard.value())
           .put("label", o.label.value())
           .put("epoch", o.epoch.value());
     }
@@ -490,18 +504,19 @@
   private static List<OwnerInfo> owners(JsonNode a) {
     List<OwnerInfo> owners = new ArrayList<>();
     for (JsonNode o : a) {
-      owners.add(new OwnerInfo(part(o), new NodeLabel(name(o.path("label"))), epoch(o, "epoch")));
+      owners.add(
+          new OwnerInfo(shard(o), new ControllerName(name(o.path("label"))), epoch(o, "epoch")));
     }
     return owners;
   }
 
-  private static ObjectNode host(ObjectNode o, HostInfo h) {
+  private static ObjectNode host(ObjectNode o, MachineInfo h) {
     return o.put("h", h.name.value()).put("type", h.type).put("zone", h.zone).put("spot", h.spot);
   }
 
-  private static HostInfo host(JsonNode n) {
-    return new HostInfo(
-        new HostName(name(n.path("h"))),
+  private static MachineInfo host(JsonNode n) {
+    return new MachineInfo(
+        new MachineName(name(n.path("h"))),
         Json.text(n.path("type")),
         Json.text(n.path("zone")),
         n.path("spot").asBoolean());
@@ -516,22 +531,22 @@
         Json.text(n.path("type")), Json.text(n.path("zone")), n.path("spot").asBoolean());
   }
 
-  private static void names(ArrayNode a, Collection<HostName> l) {
+  private static void names(ArrayNode a, Collection<MachineName> l) {
     l.forEach(h -> a.add(h.value()));
   }
 
-  private static List<HostName> names(JsonNode a) {
-    List<HostName> l = new ArrayList<>();
-    a.forEach(h -> l.add(new HostName(name(h))));
+  private static List<MachineName> names(JsonNode a) {
+    List<MachineName> l = new ArrayList<>();
+    a.forEach(h -> l.add(new MachineName(name(h))));
     return l;
   }
 
-  private static PartId part(JsonNode n) {
-    return new PartId((int) count(n, "part", MAX_PARTS));
+  private static ShardId shard(JsonNode n) {
+    return new ShardId((int) count(n, "part", MAX_PARTS));
   }
 
   private static Epoch epoch(JsonNode n, String field) {
-    return new Epoch(count(n, field, Token.MAX_EPOCH));
+    return new Epoch(count(n, field, FencingToken.MAX_EPOCH));
   }
 
   private static long count(JsonNode n, String field, long most) {
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -13,12 +13,12 @@
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.Leadership;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.PartId;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages.HandedBack;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineHandover;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.ShareMessages.DrainProgress;
 import shorecrank.protocol.ShareMessages.Move;
@@ -28,7 +28,7 @@
 import shorecrank.protocol.ShareMessages.ShareOutcome;
 import shorecrank.protocol.ShareMessages.SharesState;
 import shorecrank.protocol.ShareMessages.SharesStatus;
-import shorecrank.protocol.StoreMessages.Txn;
+import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rebalance.MoveRules.Observation;
 import shorecrank.rebalance.MoveRules.Reason;
 import shorecrank.rebalance.MoveRules.Step;
@@ -88,14 +88,14 @@
   private final ShareOrders orders;
   private final Supplier<List<String>> reasonsAgainstMoves;
 
-  private final Map<PartId, Report> reports = new HashMap<>();
-  private final Set<MoveId> handedBack = new HashSet<>();
+  private final Map<ShardId, Report> reports = new HashMap<>();
+  private final Set<MoveId> handovers = new HashSet<>();
   private final Set<MoveId> arrived = new HashSet<>();
-  private final Map<PartId, MonotonicTime> lackingSince = new HashMap<>();
-  private final Map<HostName, MonotonicTime> restingUntil = new HashMap<>();
-  private final Map<HostName, PartId> misplaced = new TreeMap<>();
+  private final Map<ShardId, MonotonicTime> lackingSince = new HashMap<>();
+  private final Map<MachineName, MonotonicTime> restingUntil = new HashMap<>();
+  private final Map<MachineName, ShardId> misplaced = new TreeMap<>();
   private final Histogram moveTimes = new Histogram(LONGEST_MOVE_MS, HISTOGRAM_DIGITS);
-  private Map<PartId, Double> targets = new TreeMap<>();
+  private Map<ShardId, Double> targets = new TreeMap<>();
 
   /** The key's revision as of which owners are told of moves; null before the first. */
   private Revision toldRevision;
@@ -147,7 +147,7 @@
   public void began() {
     handover = null;
     reports.clear();
-    handedBack.clear();
+    handovers.clear();
     arrived.clear();
     misplaced.clear();
     toldRevision = null;
@@ -187,39 +187,39 @@
       arrived.addAll(report.demand().arrived());
     }
     reports.put(
-        report.part(),
+        report.shard(),
         new Report(report.demand(), report.repeatsMoves(), draining, environment.now()));
-    for (HandedBack back : report.handedBack()) {
+    for (MachineHandover back : report.handovers()) {
       Move move = store.state().moveOf(back.machine());
-      if (move != null && move.id().equals(back.move()) && move.from().equals(report.part())) {
-        handedBack.add(move.id());
+      if (move != null && move.id().equals(back.move()) && move.from().equals(report.shard())) {
+        handovers.add(move.id());
       }
     }
-    report.misplaced().forEach(name -> misplaced.put(name, report.part()));
+    report.misplaced().forEach(name -> misplaced.put(name, report.shard()));
   }
 
   /**
    * A shard has a new owner, or its owner a new epoch. What was handed back before is asked for
    * again: the new owner was told that the machine is still its own.
    */
-  public void minted(PartId shard) {
+  public void minted(ShardId shard) {
     reports.remove(shard);
     for (Move move : store.state().active()) {
       if (move.from().equals(shard)) {
-        handedBack.remove(move.id());
+        handovers.remove(move.id());
       }
     }
   }
 
   /** The shard that lacks the most; of equals, that with the fewest machines. */
-  public PartId shardOfNewcomer() {
-    Map<PartId, Double> present = present();
+  public ShardId shardOfNewcomer() {
+    Map<ShardId, Double> present = present();
     // While machine types are not known, machines have no processors, but still count.
     fleet.machines().forEach(m -> present.merge(m.shard(), MACHINE_TIE_BREAK, Double::sum));
-    PartId best = new PartId(0);
+    ShardId best = new ShardId(0);
     double most = Double.NEGATIVE_INFINITY;
     for (int i = 0; i < fleet.shards(); i++) {
-      PartId shard = new PartId(i);
+      ShardId shard = new ShardId(i);
       double lack = targets.getOrDefault(shard, 0.0) - present.getOrDefault(shard, 0.0);
       if (lack > most) {
         most = lack;
@@ -242,12 +242,12 @@
         continue;
       }
       if (move.phase() != MovePhase.HANDED_OVER && machine.shard().equals(move.from())) {
-        fleet.recall(machine.name(), move.id());
+        fleet.handoverRequested(machine.name(), move.id());
       } else if (move.phase() == MovePhase.HANDED_OVER && machine.shard().equals(move.to())) {
         fleet.awaitArrival(machine.name(), move.id());
       }
     }
-    for (HostName machine : fleet.ordered()) {
+    for (MachineName machine : fleet.ordered()) {
       if (store.state().moveOf(machine) == null) {
         fleet.keep(machine);
       }
@@ -265,7 +265,7 @@
         machine == null ? Epoch.NONE : machine.term(),
         owner == null ? null : owner.draining.get(move.id()),
         owner == null || owner.knowsMoves,
-        handedBack.contains(move.id()),
+        handovers.contains(move.id()),
         arrived.contains(move.id()),
         ageS(move));
   }
@@ -277,7 +277,7 @@
   /** Writes down the next steps of all moves; false if there is none. */
   private boolean takeSteps() {
     SharesState next = store.state();
-    Map<HostName, PartId> handovers = new LinkedHashMap<>();
+    Map<MachineName, ShardId> handovers = new LinkedHashMap<>();
     List<Move> toHandOver = new ArrayList<>();
     for (Move move : store.state().active()) {
       Step step = MoveRules.next(move, observe(move), settings.timeoutS());
@@ -291,7 +291,7 @@
           }
         }
         case FINISH -> next = next.withChanged(move.in(MovePhase.DONE), KEPT_ENDED);
-        case ABORT -> next = next.withChanged(aborted(move, step.reason()), KEPT_ENDED);
+        case ABORT -> next = next.withChanged(cancelled(move, step.reason()), KEPT_ENDED);
       }
     }
     boolean affordable = environment.hasWrites(1 + handovers.size());
@@ -310,12 +310,12 @@
     return true;
   }
 
-  private Move aborted(Move move, Reason reason) {
+  private Move cancelled(Move move, Reason reason) {
     environment.info(
         "move aborted id=%s machine=%s from=%s to=%s reason=\"%s\"",
         move.id(), move.machine(), move.from(), move.to(), reason.text());
     environment.count("shares.moves.aborted", 1);
-    return move.aborted(reason.text());
+    return move.cancelled(reason.text());
   }
 
   /** The new owner's token must be above any that the machine's worker may have been shown. */
@@ -350,7 +350,7 @@
     SharesState before = store.state();
     store.write(
         next,
-        txn -> addHandover(txn, prepared),
+        transaction -> addHandover(transaction, prepared),
         (result, at) -> {
           switch (result) {
             case COMMITTED -> {
@@ -371,9 +371,9 @@
         });
   }
 
-  private static void addHandover(Txn txn, Handover prepared) {
+  private static void addHandover(Transaction transaction, Handover prepared) {
     if (prepared != null) {
-      prepared.addTo(txn);
+      prepared.addTo(transaction);
     }
   }
 
@@ -396,10 +396,10 @@
       return;
     }
     prepared.refused(conflict);
-    for (HostName machine : prepared.machines()) {
+    for (MachineName machine : prepared.machines()) {
       Move move = store.state().moveOf(machine);
       if (move != null) {
-        handedBack.remove(move.id());
+        handovers.remove(move.id());
       }
     }
   }
@@ -424,7 +424,7 @@
   private void ended(Move move) {
     MonotonicTime rest = environment.now().plus((long) (settings.restS() * 1000));
     restingUntil.put(move.machine(), rest);
-    handedBack.remove(move.id());
+    handovers.remove(move.id());
     arrived.remove(move.id());
     if (move.phase() == MovePhase.DONE) {
       long ms = (long) (ageS(move) * 1000);
@@ -438,29 +438,29 @@
   // ---- planning --------------------------------------------------------------------------------
 
   /** Processors by shard, with moves under way counted where they lead. */
-  private Map<PartId, Double> present() {
-    Map<PartId, Double> present = new TreeMap<>();
+  private Map<ShardId, Double> present() {
+    Map<ShardId, Double> present = new TreeMap<>();
     for (int i = 0; i < fleet.shards(); i++) {
-      present.put(new PartId(i), 0.0);
+      present.put(new ShardId(i), 0.0);
     }
     for (FleetMachine machine : fleet.machines()) {
       Move move = store.state().moveOf(machine.name());
-      PartId shard = move == null ? machine.shard() : move.to();
+      ShardId shard = move == null ? machine.shard() : move.to();
       present.merge(shard, machine.cpus(), Double::sum);
     }
     return present;
   }
 
-  private ShardDemand freshDemand(PartId shard) {
+  private ShardDemand freshDemand(ShardId shard) {
     Report report = reports.get(shard);
     boolean fresh = report != null && environment.now().since(report.at) <= FRESH_MS;
     return fresh ? report.demand : null;
   }
 
   private void plan() {
-    Map<PartId, Double> present = present();
-    Map<PartId, Claim> claims = new TreeMap<>();
-    Map<PartId, ShardDemand> demands = new TreeMap<>();
+    Map<ShardId, Double> present = present();
+    Map<ShardId, Claim> claims = new TreeMap<>();
+    Map<ShardId, ShardDemand> demands = new TreeMap<>();
     teams
         .byShard(store.state().teams())
         .forEach(
@@ -483,7 +483,7 @@
     }
   }
 
-  private void tell(Map<PartId, Double> present) {
+  private void tell(Map<ShardId, Double> present) {
     targets.forEach((shard, cpus) -> environment.gauge("shares.target." + shard, cpus));
     present.forEach((shard, cpus) -> environment.gauge("shares.present." + shard, cpus));
     environment.gauge("shares.moves.active", store.state().active().size());
@@ -492,7 +492,7 @@
   }
 
   /** A move by need; {@code offset} counts those that begin with it. */
-  private Move begin(int offset, HostName machine, PartId to) {
+  private Move begin(int offset, MachineName machine, ShardId to) {
     MoveId id = new MoveId(store.state().nextMove() + offset);
     return fleet.machine(machine).moveTo(to, id, "", environment.wallMs());
   }
@@ -514,7 +514,7 @@
     return moves;
   }
 
-  private List<Move> byNeed(Map<PartId, Double> present, Map<PartId, ShardDemand> demands) {
+  private List<Move> byNeed(Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands) {
     int most = Math.min(settings.movesAtOnce() - store.state().active().size(), room());
     if (most <= 0) {
       return List.of();
@@ -533,9 +533,9 @@
   }
 
   /** Shards that have lacked machines for long enough, and have tasks waiting. */
-  private Set<PartId> receiving(Map<PartId, Double> present, Map<PartId, ShardDemand> demands) {
+  private Set<ShardId> receiving(Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands) {
     MonotonicTime now = environment.now();
-    Set<PartId> receiving = new HashSet<>();
+    Set<ShardId> receiving = new HashSet<>();
     targets.forEach(
         (shard, target) -> {
           ShardDemand demand = demands.get(shard);
@@ -552,7 +552,7 @@
     return receiving;
   }
 
-  private boolean mayMove(HostName machine) {
+  private boolean mayMove(MachineName machine) {
     MonotonicTime until = restingUntil.get(machine);
     if (until != null && until.before(environment.now())) {
       restingUntil.remove(machine);
@@ -572,7 +572,7 @@
   }
 
   /** Machines that a shard's owner would give up first. */
-  private List<HostName> candidates(PartId shard) {
+  private List<MachineName> candidates(ShardId shard) {
     ShardDemand demand = freshDemand(shard);
     return demand == null ? List.of() : demand.candidates().stream().map(c -> c.machine()).toList();
   }
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -14,8 +14,8 @@
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Entry;
-import shorecrank.protocol.StoreMessages.Txn;
-import shorecrank.storage.Budget;
+import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.storage.RateLimiter;
 
 /**
  * Puts what stands in newer forms back into those of a lower level, in one pass over the keys.
@@ -50,7 +50,7 @@
   private final Leadership leadership;
   private final List<Feature> features;
   private final List<String> prefixes;
-  private final Budget budget;
+  private final RateLimiter budget;
   private final ArrayDeque<Pending> pending = new ArrayDeque<>();
   private String cursor;
   private String pageEnd;
@@ -82,7 +82,7 @@
     this.prefixes = List.copyOf(sorted);
     // Its own share: what the leader writes otherwise needs little.
     double most = environment.changesPerSecond() * SHARE;
-    this.budget = new Budget(Math.min(rewritesPerS, most));
+    this.budget = new RateLimiter(Math.min(rewritesPerS, most));
     this.cursor = cursor;
     this.done = prefixes.isEmpty();
   }
@@ -175,8 +175,8 @@
 
   /** One transaction: as many values as fit, and as the rate allows. */
   private void rewrite() {
-    Txn txn = new Txn();
-    leadership.guard(txn);
+    Transaction transaction = new Transaction();
+    leadership.guard(transaction);
     List<Pending> batch = new ArrayList<>();
     int bytes = 0;
     int most = oneByOne ? 1 : environment.transactionOperations();
@@ -188,7 +188,8 @@
         break;
       }
       batch.add(pending.poll());
-      txn.guard(next.entry().key(), next.entry().revision())
+      transaction
+          .guard(next.entry().key(), next.entry().revision())
           .write(next.entry().key(), next.value());
     }
     if (batch.isEmpty()) {
@@ -198,7 +199,7 @@
     environment.state(
         "POST",
         StoreMessages.MULTI,
-        txn.body(),
+        transaction.body(),
         (status, body) -> {
           busy = false;
           answered(batch, status, status == 409 ? StoreMessages.failed(body) : Set.of());
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -9,16 +9,16 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.function.IntFunction;
-import shorecrank.protocol.Ids.Attempt;
+import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.Ids.Epoch;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.Incarnation;
 import shorecrank.protocol.Ids.JobId;
-import shorecrank.protocol.Ids.Tenure;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.UserMessages.Phase;
-import shorecrank.protocol.UserMessages.Standing;
+import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
  * The record of an unfinished job, as it stands in the store.
@@ -33,14 +33,15 @@
     WriterId writer,
     long seq,
     BitSet done,
-    List<LiveRange> live,
-    long tries,
-    boolean aborted,
+    List<AttemptRange> live,
+    long attemptCount,
+    boolean cancelled,
     long acceptedAtMs,
     long readyAtMs) {
 
   /** Tasks placed on one machine in one round. Those already done do not count as live. */
-  public record LiveRange(int first, int count, HostName host, Tenure tenure, Attempt attempt) {}
+  public record AttemptRange(
+      int first, int count, MachineName host, Incarnation incarnation, AttemptNumber attempt) {}
 
   /** With more live ranges than this a record is packed, to fit the value the store takes. */
   private static final int PACK_ABOVE = 24;
@@ -64,21 +65,21 @@
 
   public int running() {
     int n = 0;
-    for (LiveRange r : live) {
+    for (AttemptRange r : live) {
       n += r.count - done.get(r.first, r.first + r.count).cardinality();
     }
     return n;
   }
 
-  public Phase phase() {
-    if (aborted) {
-      return Phase.WITHDRAWN;
+  public JobState phase() {
+    if (cancelled) {
+      return JobState.CANCELLED;
     }
-    return running() > 0 ? Phase.RUNNING : Phase.QUEUED;
+    return running() > 0 ? JobState.RUNNING : JobState.QUEUED;
   }
 
-  public Standing standing() {
-    return new Standing(phase(), done.cardinality(), aborted ? 0 : running());
+  public JobStatus jobStatus() {
+    return new JobStatus(phase(), done.cardinality(), cancelled ? 0 : running());
   }
 
   /** In the form that every version reads. */
@@ -90,12 +91,12 @@
     } else {
       n.set("d", d);
       ArrayNode l = n.putArray("l");
-      for (LiveRange r : live) {
+      for (AttemptRange r : live) {
         l.addArray()
             .add(r.first)
             .add(r.count)
             .add(r.host.value())
-            .add(r.tenure.value())
+            .add(r.incarnation.value())
             .add(r.attempt.value());
       }
     }
@@ -106,14 +107,14 @@
   /** The same record with the mark of a cancellation. */
   public JobRecord marked() {
     return new JobRecord(
-        spec, epoch, writer, seq, done, live, tries, true, acceptedAtMs, readyAtMs);
+        spec, epoch, writer, seq, done, live, attemptCount, true, acceptedAtMs, readyAtMs);
   }
 
   private ObjectNode head() {
     ObjectNode n = Json.object();
-    n.put("e", epoch.value()).put("w", writer.value()).put("q", seq).put("t", tries);
+    n.put("e", epoch.value()).put("w", writer.value()).put("q", seq).put("t", attemptCount);
     n.put("at", acceptedAtMs);
-    if (aborted) {
+    if (cancelled) {
       n.put("x", true);
     }
     if (readyAtMs > 0) {
@@ -175,11 +176,11 @@
     ArrayNode tenures = columns.addArray();
     ArrayNode attempts = columns.addArray();
     int end = 0;
-    for (LiveRange r : live) {
+    for (AttemptRange r : live) {
       gaps.add(r.first - end);
       counts.add(r.count);
       hosts.add(r.host.value());
-      tenures.add(r.tenure.value());
+      tenures.add(r.incarnation.value());
       attempts.add(r.attempt.value());
       end = r.first + r.count;
     }
@@ -236,7 +237,7 @@
       }
       done.set(first, first + many);
     }
-    List<LiveRange> live = new ArrayList<>();
+    List<AttemptRange> live = new ArrayList<>();
     int count = columns == null ? n.path("l").size() : columns.path(1).size();
     int end = 0;
     for (int i = 0; i < count; i++) {
@@ -244,13 +245,13 @@
       IntFunction<JsonNode> field =
           columns == null ? f -> n.path("l").path(at).path(f) : f -> columns.path(f + 1).path(at);
       int first = field.apply(0).asInt(-1) + (columns == null ? 0 : end);
-      LiveRange lr =
-          new LiveRange(
+      AttemptRange lr =
+          new AttemptRange(
               first,
               field.apply(1).asInt(-1),
-              new HostName(field.apply(2).asText()),
-              new Tenure(field.apply(3).asLong()),
-              new Attempt(field.apply(4).asLong()));
+              new MachineName(field.apply(2).asText()),
+              new Incarnation(field.apply(3).asLong()),
+              new AttemptNumber(field.apply(4).asLong()));
       end = lr.first + lr.count;
       if (outside(lr.first, lr.count, spec)) {
         return null;
@@ -260,7 +261,8 @@
     return withHead(n, spec, done, live);
   }
 
-  private static JobRecord withHead(JsonNode n, JobSpec spec, BitSet done, List<LiveRange> live) {
+  private static JobRecord withHead(
+      JsonNode n, JobSpec spec, BitSet done, List<AttemptRange> live) {
     return new JobRecord(
         spec,
         new Epoch(n.path("e").asLong()),
@@ -289,14 +291,14 @@
   }
 
   /** The short record that is kept for ever once a job is over. */
-  public static ObjectNode writeFinal(Phase phase, int done) {
-    return Json.object().put("p", phase == Phase.DONE ? "done" : "withdrawn").put("n", done);
+  public static ObjectNode writeFinal(JobState phase, int done) {
+    return Json.object().put("p", phase == JobState.DONE ? "done" : "withdrawn").put("n", done);
   }
 
   /** How a job ended. */
-  public record Final(Phase phase, int done) {
-    public Standing standing() {
-      return new Standing(phase, done, 0);
+  public record Final(JobState phase, int done) {
+    public JobStatus jobStatus() {
+      return new JobStatus(phase, done, 0);
     }
 
     /** Null if it is not such a record. */
@@ -306,8 +308,8 @@
         return null;
       }
       return switch (Json.text(n.path("p"))) {
-        case "done" -> new Final(Phase.DONE, (int) done);
-        case "withdrawn" -> new Final(Phase.WITHDRAWN, (int) done);
+        case "done" -> new Final(JobState.DONE, (int) done);
+        case "withdrawn" -> new Final(JobState.CANCELLED, (int) done);
         default -> null;
       };
     }
--- a/src/test/java/shorecrank/config/SettingsTest.java
+++ b/src/test/java/shorecrank/config/SettingsTest.java
@@ -15,8 +15,8 @@
   @Test
   void shippedExampleHoldsTheDefaults() throws Exception {
     assertEquals(
-        TuningFile.defaults(),
-        TuningFile.read(Files.readString(Path.of("deploy/settings.textproto"))));
+        SettingsFile.defaults(),
+        SettingsFile.read(Files.readString(Path.of("deploy/settings.textproto"))));
   }
 
   @ParameterizedTest
@@ -28,9 +28,9 @@
     "colour: 3, colour",
     "parts: many, parts"
   })
-  void badSettingsNameTheField(String text, String part) {
-    NodeConfig.Invalid e = assertThrows(NodeConfig.Invalid.class, () -> TuningFile.read(text));
-    assertTrue(e.getMessage().contains(part) || text.startsWith("parts: many"), e.getMessage());
+  void badSettingsNameTheField(String text, String shard) {
+    NodeConfig.Invalid e = assertThrows(NodeConfig.Invalid.class, () -> SettingsFile.read(text));
+    assertTrue(e.getMessage().contains(shard) || text.startsWith("parts: many"), e.getMessage());
   }
 
   private static NodeConfig platform(String state) throws Exception {
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shorecrank.protocol.Ids.HostName;
+import shorecrank.protocol.Ids.MachineName;
 import shorecrank.storage.JobRecord;
 
 /** Watches the rules at every step, from outside the service. */
@@ -97,7 +97,7 @@
 
   /** Never may two processes command the same machine, as owners of whichever shards. */
   void oneCommander(World.Node node) {
-    for (HostName machine : node.commandedMachines()) {
+    for (MachineName machine : node.commandedMachines()) {
       Worker worker = world.workers.get(machine.value());
       if (worker == null || worker.dead) {
         // Gone: a list that lags may bring its name back.
@@ -244,11 +244,11 @@
       return;
     }
     boolean named = false;
-    for (JobRecord.LiveRange l : r.live()) {
+    for (JobRecord.AttemptRange l : r.live()) {
       named |=
           l.host().value().equals(w.name)
               && l.attempt().value() == attempt
-              && l.tenure().value() == w.tenure
+              && l.incarnation().value() == w.incarnation
               && index >= l.first()
               && index < l.first() + l.count()
               && !r.done().get(index);
