--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -743,11 +743,11 @@
         a.unassigned().forEach(s.machineRegistry()::unassigned);
       }
       s.machineRegistry().gone(a.gone());
-      s.autoscaler.blocked(a.blocked());
+      s.autoscaler().blocked(a.blocked());
     }
     if (news
         && shardOwners.values().stream()
-            .anyMatch(s -> !s.autoscaler.capacityRequests().isEmpty())) {
+            .anyMatch(s -> !s.autoscaler().capacityRequests().isEmpty())) {
       // The leader takes wants only from an owner that knows the last lending: say so at once.
       nextHeartbeatAt = context.now().plus(100);
     }
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -130,6 +130,19 @@
     return releasing || preemptionNoticed;
   }
 
+  /**
+   * Whether tasks may be placed on it, as far as is known of the machine itself; whether its worker
+   * is heard is not looked at, nor whether it is draining.
+   */
+  public boolean acceptsTasks(MonotonicTime now) {
+    return assignment.isAssigned()
+        && type != null
+        && !assignment.isHandoverRequested()
+        && !isLeaving()
+        && !session.isUnresponsive()
+        && health.acceptsTasks(now);
+  }
+
   /** Whether it is more than is needed: nothing new is placed, and it is returned once empty. */
   public boolean isDraining() {
     return draining;
@@ -164,8 +177,8 @@
 
   void add(TaskAttempt attempt) {
     if (attempts.add(attempt)) {
-      images.taskAdded(attempt.job().spec.image());
-      use(attempt.job().spec, 1);
+      images.taskAdded(attempt.job().spec().image());
+      use(attempt.job().spec(), 1);
     }
   }
 
@@ -173,9 +186,9 @@
     if (!attempts.remove(attempt)) {
       return;
     }
-    images.taskRemoved(attempt.job().spec.image());
+    images.taskRemoved(attempt.job().spec().image());
     if (!attempt.isRoomReassigned()) {
-      use(attempt.job().spec, -1);
+      use(attempt.job().spec(), -1);
     }
   }
 
@@ -183,22 +196,22 @@
   public void reassignRoom(TaskAttempt attempt) {
     if (!attempt.isRoomReassigned()) {
       attempt.setRoomReassigned();
-      use(attempt.job().spec, -1);
+      use(attempt.job().spec(), -1);
     }
   }
 
   /** A task of the job runs here although no record names the attempt. */
   public void addUnrecordedTask(Job job, int index) {
     unrecordedTasks.add(new UnrecordedTask(job, index));
-    job.markUnrecorded(index);
-    use(job.spec, 1);
+    job.tasks().markUnrecorded(index);
+    use(job.spec(), 1);
   }
 
   /** Nothing is known any more of tasks that no record names. */
   public void clearUnrecordedTasks() {
     for (UnrecordedTask task : unrecordedTasks) {
-      task.job().unmarkUnrecorded(task.index());
-      use(task.job().spec, -1);
+      task.job().tasks().unmarkUnrecorded(task.index());
+      use(task.job().spec(), -1);
     }
     unrecordedTasks.clear();
   }
--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -72,7 +72,7 @@
 
   /** The attempt's id. */
   public TaskAttemptId id() {
-    return new TaskAttemptId(job.spec.id(), index, number);
+    return new TaskAttemptId(job.spec().id(), index, number);
   }
 
   /** The write of the job's record that holds this placement. */
@@ -82,7 +82,7 @@
 
   /** Whether a record names the attempt, so that it may be commanded. */
   public boolean isCommitted() {
-    return writeSequence <= job.committedSeq;
+    return writeSequence <= job.record().committedSequence();
   }
 
   /** When it was placed. */
@@ -166,16 +166,16 @@
 
   /** Whether its progress is kept in a checkpoint when it is stopped, and it is not stopped yet. */
   public boolean canMoveByCheckpoint() {
-    return job.spec.checkpointS() > 0
+    return job.spec().checkpointS() > 0
         && state == TaskState.RUNNING
         && !revoked
         && isCommitted()
-        && job.claimed;
+        && job.record().isClaimed();
   }
 
   /** Seconds until it ends by its owner's estimate; of one that runs over it a quarter more. */
   public double remainingSeconds(MonotonicTime now) {
-    double estimate = Math.max(1, job.spec.estimateS());
+    double estimate = Math.max(1, job.spec().estimateS());
     return Math.max(estimate / 4, estimate - runSeconds(now));
   }
 }
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -24,11 +24,11 @@
     /** How many of a job's queued tasks fit. */
     public int queuedTasksThatFit(Job job) {
       double tasks = job.queued();
-      if (job.spec.cpus() > 0) {
-        tasks = Math.min(tasks, Math.floor(cpus / job.spec.cpus() + EPSILON));
+      if (job.spec().cpus() > 0) {
+        tasks = Math.min(tasks, Math.floor(cpus / job.spec().cpus() + EPSILON));
       }
-      if (job.spec.gpus() > 0) {
-        tasks = Math.min(tasks, Math.floor(gpus / job.spec.gpus() + EPSILON));
+      if (job.spec().gpus() > 0) {
+        tasks = Math.min(tasks, Math.floor(gpus / job.spec().gpus() + EPSILON));
       }
       return (int) Math.max(0, tasks);
     }
@@ -102,8 +102,8 @@
     }
     for (Machine machine : machines) {
       for (Machine.UnrecordedTask markUnrecorded : machine.unrecordedTasks()) {
-        if (markUnrecorded.job().spec.team().equals(name)) {
-          headroom.take(markUnrecorded.job().spec, 1);
+        if (markUnrecorded.job().spec().team().equals(name)) {
+          headroom.take(markUnrecorded.job().spec(), 1);
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -9,20 +9,53 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.PeerMessages.WorkerReachability;
 
-/** Which of a part's machines its owner hears, and what their silence proves. */
+/**
+ * The failure detector for the workers of one shard: which of them its owner hears, and what the
+ * silence of the others proves.
+ */
 public final class WorkerLiveness {
-  /** A worker gives a report up after 4 s and tries the next controller 1 s later. */
+  /** A worker gives a heartbeat up after 4 s and tries the next controller 1 s later. */
   private static final long REDIRECT_MS = 5000;
 
+  /** Heartbeats come this much later than their interval at the most, in milliseconds per s. */
+  private static final double OVERDUE_MS_PER_S = 1250;
+
+  private static final long OVERDUE_MARGIN_MS = 2000;
+
+  /** A machine is fresh for two and a half heartbeat intervals, in milliseconds per s. */
+  private static final double FRESH_MS_PER_S = 2500;
+
+  private static final long FRESH_MARGIN_MS = 1500;
+
+  /** A worker's lease is at most so many times longer on this clock than on its own. */
+  private static final double LEASE_DRIFT_FACTOR = 1.002;
+
+  /** The grace period of an earlier owner is longer by this part on its clock, as a divisor. */
+  private static final long GRACE_DRIFT_DIVISOR = 500;
+
+  private static final long TIMER_MARGIN_MS = 1000;
+  private static final double MS_PER_S = 1000;
+
+  /** Machines of one zone, and how many of them are not heard. */
+  private static final class ZoneCount {
+    int expected;
+    int unheard;
+  }
+
   private final StepContext context;
-  private final Collection<Machine> hosts;
+  private final Collection<Machine> machines;
 
-  /** When the part was granted: before it nobody could report here. */
+  /** When the shard was granted: before it no worker could send its heartbeats here. */
   private final MonotonicTime grantedAt;
 
-  public WorkerLiveness(StepContext context, Collection<Machine> hosts, MonotonicTime grantedAt) {
+  /**
+   * @param machines a live view of the machines of the shard
+   * @param grantedAt when the shard was granted to this owner
+   */
+  public WorkerLiveness(
+      StepContext context, Collection<Machine> machines, MonotonicTime grantedAt) {
     this.context = context;
-    this.hosts = hosts;
+    this.machines = machines;
     this.grantedAt = grantedAt;
   }
 
@@ -34,37 +67,37 @@
   public boolean missesManyWorkers() {
     int heard = 0;
     int reported = 0;
-    for (Machine h : hosts) {
-      if (h.session().isReported()) {
+    for (Machine machine : machines) {
+      if (machine.session().isReported()) {
         reported++;
-        heard += overdue(h) ? 0 : 1;
+        heard += isOverdue(machine) ? 0 : 1;
       }
     }
     return heard * 3 < reported * 2;
   }
 
-  /** Whom this owner should hear and does not, for the leader to compare with what others hear. */
-  public WorkerReachability hearing() {
+  /** Which workers this owner should hear and does not, for the leader to compare with others. */
+  public WorkerReachability reachability() {
     int expected = 0;
     int unheard = 0;
-    Map<String, int[]> byZone = new TreeMap<>();
-    for (Machine h : hosts) {
-      if (h.info() != null
-          && h.assignment().isAssigned()
-          && (h.session().isReported() || !h.isEmpty())) {
-        int[] zone = byZone.computeIfAbsent(h.info().zone(), z -> new int[2]);
+    Map<String, ZoneCount> byZone = new TreeMap<>();
+    for (Machine machine : machines) {
+      if (machine.info() != null
+          && machine.assignment().isAssigned()
+          && (machine.session().isReported() || !machine.isEmpty())) {
+        ZoneCount zone = byZone.computeIfAbsent(machine.info().zone(), absent -> new ZoneCount());
         expected++;
-        zone[0]++;
-        if (overdue(h)) {
+        zone.expected++;
+        if (isOverdue(machine)) {
           unheard++;
-          zone[1]++;
+          zone.unheard++;
         }
       }
     }
     List<String> unreachableZones = new ArrayList<>();
     byZone.forEach(
-        (zone, n) -> {
-          if (n[1] * 2 > n[0]) {
+        (zone, count) -> {
+          if (count.unheard * 2 > count.expected) {
             unreachableZones.add(zone);
           }
         });
@@ -72,35 +105,39 @@
   }
 
   /**
-   * Its next report should have come by now. A worker whose report was lost with the last owner
-   * gives it up and turns to another controller first, so a new owner waits for that too.
+   * Whether its next heartbeat should have come by now. A worker whose heartbeat was lost with the
+   * last owner gives it up and turns to another controller first, so a new owner waits for that.
    */
-  private boolean overdue(Machine h) {
-    long redirect = h.session().lastHeard().before(grantedAt) ? REDIRECT_MS : 0;
-    return silentMs(h) > context.config.workers().reportS() * 1250 + 2000 + redirect;
+  private boolean isOverdue(Machine machine) {
+    long redirectMs = machine.session().lastHeard().before(grantedAt) ? REDIRECT_MS : 0;
+    return silentMs(machine)
+        > context.config.workers().reportS() * OVERDUE_MS_PER_S + OVERDUE_MARGIN_MS + redirectMs;
   }
 
-  /** When a silent machine's worker has surely killed its tasks. */
-  public boolean leaseOut(Machine h) {
-    MonotonicTime from = h.session().lastHeard();
-    if (!h.session().isConfirmed()) {
-      // An earlier owner may have gone on renewing it until its grace was over.
-      MonotonicTime quiet =
-          grantedAt.plus(context.tuning.graceMs() + context.tuning.graceMs() / 500L + 1000L);
-      from = from.before(quiet) ? quiet : from;
+  /** Whether a silent machine's worker has surely killed its tasks, since its lease ran out. */
+  public boolean isLeaseExpired(Machine machine) {
+    MonotonicTime from = machine.session().lastHeard();
+    if (!machine.session().isConfirmed()) {
+      // An earlier owner may have gone on renewing it until its grace period was over.
+      long graceMs = context.tuning.graceMs();
+      MonotonicTime graceEnd =
+          grantedAt.plus(graceMs + graceMs / GRACE_DRIFT_DIVISOR + TIMER_MARGIN_MS);
+      from = from.before(graceEnd) ? graceEnd : from;
     }
-    double lease = context.config.workers().leaseS() * 1000;
-    return context.now().since(from) > lease * 1.002 + 1000;
+    double leaseMs = context.config.workers().leaseS() * MS_PER_S;
+    return context.now().since(from) > leaseMs * LEASE_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
 
-  public long silentMs(Machine h) {
-    MonotonicTime from =
-        h.session().lastHeard().before(grantedAt) ? grantedAt : h.session().lastHeard();
-    return context.now().since(from);
+  /** Milliseconds since the last confirmed heartbeat, or since this owner could have heard one. */
+  public long silentMs(Machine machine) {
+    MonotonicTime lastHeard = machine.session().lastHeard();
+    return context.now().since(lastHeard.before(grantedAt) ? grantedAt : lastHeard);
   }
 
-  public boolean fresh(Machine h) {
-    return h.session().isReconciled()
-        && silentMs(h) < context.config.workers().reportS() * 2500 + 1500;
+  /** Whether what is on the machine is known from a heartbeat of late. */
+  public boolean isFresh(Machine machine) {
+    return machine.session().isReconciled()
+        && silentMs(machine)
+            < context.config.workers().reportS() * FRESH_MS_PER_S + FRESH_MARGIN_MS;
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -82,7 +82,7 @@
     for (Machine h : owner.machines().values()) {
       // One that holds tasks has run before, whether or not this owner has heard it.
       if (h.info() != null && (h.session().isReported() || !h.isEmpty())) {
-        boolean silent = !owner.liveness().fresh(h);
+        boolean silent = !owner.liveness().isFresh(h);
         all.add(silent);
         byZone.computeIfAbsent(h.info().zone(), z -> new Silence()).add(silent);
       }
@@ -133,14 +133,14 @@
           && h.isEmpty()
           && now.since(h.session().unresponsiveSince()) > 3 * lease + 30_000) {
         retire.add(h.name());
-      } else if (h.health().quarantines() > 1 && h.isEmpty() && owner.liveness().fresh(h)) {
+      } else if (h.health().quarantines() > 1 && h.isEmpty() && owner.liveness().isFresh(h)) {
         h.release();
         retire.add(h.name());
       } else if (h.isDraining()
           && !h.assignment().isHandoverRequested()
           && h.isEmpty()
           && h.session().listedTasks() == 0
-          && owner.liveness().fresh(h)
+          && owner.liveness().isFresh(h)
           && now.since(h.idleSince()) > 2000) {
         h.release();
         retire.add(h.name());
@@ -169,7 +169,7 @@
       // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
       used += h.usedShare() * h.type().cpus();
       if (!h.session().isReported()
-          || !owner.liveness().fresh(h)
+          || !owner.liveness().isFresh(h)
           || h.isReleasing()
           || h.isPreemptionNoticed()
           || h.assignment().isHandoverRequested()) {
@@ -187,7 +187,7 @@
     double mayRun = 0;
     for (Map.Entry<Job, Integer> e : waiting.entrySet()) {
       unfit += need(e.getKey(), e.getValue());
-      mayRun += e.getValue() * e.getKey().spec.cpus();
+      mayRun += e.getValue() * e.getKey().spec().cpus();
     }
     context.gauge("cpus.waited_for.in_limit", mayRun);
     double need = used + unfit;
@@ -237,7 +237,7 @@
       room += owner.usable(h) ? h.freeCpus() : 0;
     }
     for (Job j : owner.jobs().values()) {
-      room -= j.queued() * j.spec.cpus();
+      room -= j.queued() * j.spec().cpus();
     }
     room *= MOVE_SHARE;
     draining.sort(
@@ -247,7 +247,7 @@
     for (Machine h : draining) {
       if (!h.isDraining()
           || h.isEmpty()
-          || !owner.liveness().fresh(h)
+          || !owner.liveness().isFresh(h)
           || h.session().isUnresponsive()) {
         continue;
       }
@@ -258,11 +258,11 @@
       double leavesS = 0;
       for (TaskAttempt t : h.attempts()) {
         double left = t.remainingSeconds(context.now());
-        double move = t.job().spec.saveS() + h.fullFetchSeconds(t.job().spec) / 2 + reportS();
+        double move = t.job().spec().saveS() + h.fullFetchSeconds(t.job().spec()) / 2 + reportS();
         if (t.canMoveByCheckpoint() && t.runSeconds(context.now()) > SETTLED_S) {
           movable.add(t);
-          cpus += t.job().spec.cpus();
-          cost += t.job().spec.cpus() * move / h.type().cpus();
+          cpus += t.job().spec().cpus();
+          cost += t.job().spec().cpus() * move / h.type().cpus();
           leavesS = Math.max(leavesS, left);
           staysS = Math.max(staysS, move);
         } else {
@@ -299,14 +299,14 @@
     Map<Job, Integer> waiting = new LinkedHashMap<>();
     Map<String, Headroom> headrooms = new HashMap<>();
     for (Job j : owner.jobs().values()) {
-      if (j.queued() == 0 || j.backoff > 0) {
+      if (j.queued() == 0 || j.scheduling().isBackingOff()) {
         continue;
       }
-      Headroom headroom = headrooms.computeIfAbsent(j.spec.team(), owner::headroom);
+      Headroom headroom = headrooms.computeIfAbsent(j.spec().team(), owner::headroom);
       int n = headroom.queuedTasksThatFit(j);
       if (n > 0) {
         waiting.put(j, n);
-        headroom.take(j.spec, n);
+        headroom.take(j.spec(), n);
       }
     }
     return waiting;
@@ -320,7 +320,7 @@
     double best = 0;
     if (h.freeCpus() > 1e-9) {
       for (Map.Entry<Job, Integer> e : waiting.entrySet()) {
-        JobSpec s = e.getKey().spec;
+        JobSpec s = e.getKey().spec();
         int n = Math.min(h.fits(s), e.getValue());
         if (n > 0 && h.isAllowedFor(s)) {
           best = Math.max(best, n * size(s, owner.catalog()));
@@ -333,8 +333,8 @@
   /** Processors that would clear a job's queue in good time. */
   private double need(Job j, int n) {
     double parallel =
-        Math.min(n, Math.ceil(n * Math.max(1, j.spec.estimateS()) / context.tuning.clearS()));
-    return parallel * size(j.spec, owner.catalog());
+        Math.min(n, Math.ceil(n * Math.max(1, j.spec().estimateS()) / context.tuning.clearS()));
+    return parallel * size(j.spec(), owner.catalog());
   }
 
   /** What the waiting work needs beyond what is there or on its way. */
@@ -408,7 +408,7 @@
         MachineType t = catalog.get(o.type());
         double eligible = 0;
         for (Map.Entry<Job, Double> e : needs.entrySet()) {
-          if (MachineConstraints.allows(e.getKey().spec, o, t)) {
+          if (MachineConstraints.allows(e.getKey().spec(), o, t)) {
             eligible += e.getValue();
           }
         }
@@ -448,7 +448,7 @@
           && !h.isPreemptionNoticed()
           && !h.assignment().isHandoverRequested()
           && (h.session().isReported() || mayComeUp(h))
-          && h.isAllowedFor(j.spec)) {
+          && h.isAllowedFor(j.spec())) {
         return true;
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -79,7 +79,7 @@
   }
 
   public void add(Job j) {
-    for (JobId p : List.copyOf(j.unmetDependencies)) {
+    for (JobId p : List.copyOf(j.scheduling().unmetDependencies())) {
       if (cancellations.known(p)) {
         cancelled(j);
         return;
@@ -94,7 +94,7 @@
 
   public void forget(Job j) {
     changed |= pressures.remove(j) != null;
-    for (JobId p : j.unmetDependencies) {
+    for (JobId p : j.scheduling().unmetDependencies()) {
       Set<Job> s = dependents.get(p);
       if (s != null && s.remove(j) && s.isEmpty()) {
         dependents.remove(p);
@@ -121,9 +121,7 @@
     }
     changed = true;
     for (Job j : waiting) {
-      j.unmetDependencies.remove(id);
-      if (j.unmetDependencies.isEmpty()) {
-        j.readyAtMs = context.wallMs();
+      if (j.scheduling().dependencyMet(id, context.wallMs())) {
         context.count("job.ready");
       }
     }
@@ -146,7 +144,7 @@
   }
 
   private void cancelled(Job j) {
-    if (j.cancelled) {
+    if (j.isCancelled()) {
       return;
     }
     // Its record names the other for good, so this is as final as the mark itself.
@@ -235,7 +233,7 @@
     Set<Job> all = new LinkedHashSet<>();
     ArrayDeque<Job> open = new ArrayDeque<>(List.of(j));
     while (!open.isEmpty()) {
-      for (JobId p : open.poll().unmetDependencies) {
+      for (JobId p : open.poll().scheduling().unmetDependencies()) {
         Job needed = jobs.get(p);
         if (needed == null) {
           return null;
@@ -271,12 +269,12 @@
         pressure(j, own, spanMs, new HashSet<>());
       }
     }
-    jobs.values().forEach(j -> j.priority = priority(j));
+    jobs.values().forEach(j -> j.scheduling().setPriority(priority(j)));
   }
 
   private Priority priority(Job j) {
     Pressure p = pressures.get(j);
-    return p == null ? j.spec.priority() : p.priority;
+    return p == null ? j.spec().priority() : p.priority;
   }
 
   /** Along the critical path of each chain: what follows has to fit in before its deadline. */
@@ -291,9 +289,9 @@
         context.error("job %s needs itself, through others", j.id());
         cycleTold = true;
       }
-      return new Pressure(j.spec.priority(), List.of());
+      return new Pressure(j.spec().priority(), List.of());
     }
-    Priority first = j.spec.priority();
+    Priority first = j.spec().priority();
     List<Due> dues = new ArrayList<>();
     for (Job d : dependents.getOrDefault(j.id(), Set.of())) {
       Pressure behind = pressure(d, own, spanMs, path);
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -34,16 +34,18 @@
    * leaves time for the command and the image, room may yet come free by itself.
    */
   public boolean wanted(Job j) {
-    if (queue.hasAims(j.spec) && !queue.waitsForStart(j.spec)) {
+    if (queue.hasAims(j.spec()) && !queue.waitsForStart(j.spec())) {
       return false;
     }
-    if (!queue.hasAims(j.spec)) {
-      return j.priority.compareTo(JobSpec.Priority.URGENT) <= 0;
+    if (!queue.hasAims(j.spec())) {
+      return j.scheduling().priority().compareTo(JobSpec.Priority.URGENT) <= 0;
     }
     double aim = Double.MAX_VALUE;
     double age = j.readyS(context.wallMs());
     for (NodeConfig.Objective o : context.config.objectives()) {
-      if (o.kind().equals("wait") && o.jobClass().equals(j.spec.jobClass()) && o.withinS() > age) {
+      if (o.kind().equals("wait")
+          && o.jobClass().equals(j.spec().jobClass())
+          && o.withinS() > age) {
         aim = Math.min(aim, o.withinS());
       }
     }
@@ -53,7 +55,7 @@
     }
     double fetch = 0;
     for (MachineType t : owner.catalog().values()) {
-      fetch = Math.max(fetch, j.spec.imageGb() / Math.max(0.01, t.fetchGbPerS()));
+      fetch = Math.max(fetch, j.spec().imageGb() / Math.max(0.01, t.fetchGbPerS()));
     }
     return age > aim - fetch - 1.25 * context.config.workers().reportS() - 2;
   }
@@ -66,15 +68,15 @@
     boolean placed = false;
     String zone = onlyZone;
     int index = from;
-    double mayCost = WORTH * j.spec.cpus() * Math.max(1, j.spec.estimateS());
-    while (wanted > 0 && j.rangesLeft > 0) {
+    double mayCost = WORTH * j.spec().cpus() * Math.max(1, j.spec().estimateS());
+    while (wanted > 0 && j.record().hasRoomForRange()) {
       Machine best = null;
       List<TaskAttempt> victims = List.of();
       double bestCost = Double.MAX_VALUE;
       for (Machine h : owner.machines().values()) {
         if (!owner.usable(h)
-            || !h.isAllowedFor(j.spec)
-            || j.failedOn.contains(h.name())
+            || !h.isAllowedFor(j.spec())
+            || j.scheduling().hasFailedOn(h.name())
             || (zone != null && !zone.equals(h.info().zone()))) {
           continue;
         }
@@ -84,12 +86,12 @@
         }
         double thrownAway = 0;
         for (TaskAttempt t : v) {
-          thrownAway += t.runSeconds(context.now()) * t.job().spec.cpus();
+          thrownAway += t.runSeconds(context.now()) * t.job().spec().cpus();
         }
         double c =
-            h.fetchSeconds(j.spec)
+            h.fetchSeconds(j.spec())
                 + h.session().secondsToNextAnswer(context.now(), context.config.workers().reportS())
-                + thrownAway / j.spec.cpus();
+                + thrownAway / j.spec().cpus();
         if (c < bestCost && thrownAway <= mayCost) {
           best = h;
           bestCost = c;
@@ -99,7 +101,7 @@
       if (best == null) {
         return placed;
       }
-      index = j.nextQueued(index);
+      index = j.tasks().nextFree(index);
       if (index < 0) {
         return placed;
       }
@@ -110,14 +112,21 @@
       context.count("task.preempted");
       victims.forEach(
           t -> context.count("task.preempted.ms", (long) (t.runSeconds(context.now()) * 1000)));
-      AttemptNumber attempt = new AttemptNumber(++j.attemptCount);
-      j.rangesLeft--;
+      AttemptNumber attempt = j.tasks().nextAttemptNumber();
+      j.tasks().takeAttemptNumber();
+      j.record().takeRange();
       owner.attach(
           new TaskAttempt(
-              j, index, best, best.session().incarnation(), attempt, j.seq + 1, context.now()));
+              j,
+              index,
+              best,
+              best.session().incarnation(),
+              attempt,
+              j.record().nextSequence(),
+              context.now()));
       placed = true;
       wanted--;
-      if (j.spec.oneZone()) {
+      if (j.spec().oneZone()) {
         zone = best.info().zone();
       }
     }
@@ -130,10 +139,10 @@
     for (TaskAttempt t : h.attempts()) {
       if (!t.isRevoked()
           && t.isCommitted()
-          && t.job().claimed
+          && t.job().record().isClaimed()
           && t.state() != TaskState.FLUSHING
-          && t.job().spec.checkpointS() <= 0
-          && t.job().priority.compareTo(j.priority) > 0) {
+          && t.job().spec().checkpointS() <= 0
+          && t.job().scheduling().priority().compareTo(j.scheduling().priority()) > 0) {
         can.add(t);
       }
     }
@@ -147,10 +156,10 @@
     double memory = 0;
     for (TaskAttempt t : can) {
       take.add(t);
-      cpus += t.job().spec.cpus();
-      gpus += t.job().spec.gpus();
-      memory += t.job().spec.memoryGb();
-      if (h.fitsWith(j.spec, cpus, gpus, memory)) {
+      cpus += t.job().spec().cpus();
+      gpus += t.job().spec().gpus();
+      memory += t.job().spec().memoryGb();
+      if (h.fitsWith(j.spec(), cpus, gpus, memory)) {
         return take;
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -95,9 +95,9 @@
   }
 
   public static boolean overdue(Job j, long wallMs) {
-    return j.attemptCount == 0
-        && j.doneCount() == 0
-        && j.unmetDependencies.isEmpty()
+    return !j.tasks().wasPlaced()
+        && j.tasks().doneCount() == 0
+        && j.scheduling().isReady()
         && j.readyS(wallMs) > BEGIN_S;
   }
 
@@ -126,19 +126,19 @@
       learn(j);
       if (overdue(j, wall)) {
         first.add(j);
-        j.slackS = 0;
+        j.scheduling().setSlackS(0);
         continue;
       }
       Entry e = entry(j, fetchGbPerS, wall);
       if (e == null) {
         rest.add(j);
-        j.slackS = Double.MAX_VALUE;
+        j.scheduling().setSlackS(Double.MAX_VALUE);
       } else {
         reachable.add(e);
-        j.slackS = e.latestStartS();
+        j.scheduling().setSlackS(e.latestStartS());
       }
     }
-    first.sort(Comparator.comparingLong((Job j) -> j.acceptedAtMs).thenComparing(Job::id));
+    first.sort(Comparator.comparingLong((Job j) -> j.acceptedAtMs()).thenComparing(Job::id));
     reachable.sort(
         Comparator.comparingDouble(Entry::latestStartS).thenComparing(e -> e.job().id()));
     // Moore and Hodgson: whenever the jobs so far can't all be in time, the largest steps back.
@@ -174,7 +174,7 @@
     for (Entry e : reachable) {
       if (back.contains(e.job())) {
         rest.add(e.job());
-        e.job().slackS = Double.MAX_VALUE;
+        e.job().scheduling().setSlackS(Double.MAX_VALUE);
       } else if (e.work() / e.weight() * SMALL < most) {
         order.add(e.job());
       } else {
@@ -183,7 +183,7 @@
     }
     order.addAll(large);
     rest.sort(
-        Comparator.<Job, JobSpec.Priority>comparing(j -> j.priority)
+        Comparator.<Job, JobSpec.Priority>comparing(j -> j.scheduling().priority())
             .thenComparingDouble(Job::workLeft)
             .thenComparing(Job::id));
     order.addAll(rest);
@@ -205,32 +205,32 @@
   public void owe(Collection<Job> jobs) {
     Map<String, List<Job>> byTeam = new HashMap<>();
     for (Job j : jobs) {
-      j.owed = false;
-      NodeConfig.Team t = context.config.teams().get(j.spec.team());
+      j.scheduling().setWithinGuarantee(false);
+      NodeConfig.Team t = context.config.teams().get(j.spec().team());
       if (t != null
           && (t.cpus() > 0 || t.gpus() > 0)
-          && !j.cancelled
-          && j.unmetDependencies.isEmpty()) {
-        byTeam.computeIfAbsent(j.spec.team(), k -> new ArrayList<>()).add(j);
+          && !j.isCancelled()
+          && j.scheduling().isReady()) {
+        byTeam.computeIfAbsent(j.spec().team(), k -> new ArrayList<>()).add(j);
       }
     }
     byTeam.forEach(
         (name, l) -> {
           NodeConfig.Team t = context.config.teams().get(name);
-          l.sort(Comparator.comparingLong((Job j) -> j.acceptedAtMs).thenComparing(Job::id));
+          l.sort(Comparator.comparingLong((Job j) -> j.acceptedAtMs()).thenComparing(Job::id));
           double cpus = 0;
           double gpus = 0;
           for (Job j : l) {
-            cpus += j.spec.tasks() * j.spec.cpus();
-            gpus += j.spec.tasks() * j.spec.gpus();
-            j.owed = cpus <= t.cpus() + 1e-9 && gpus <= t.gpus() + 1e-9;
+            cpus += j.spec().tasks() * j.spec().cpus();
+            gpus += j.spec().tasks() * j.spec().gpus();
+            j.scheduling().setWithinGuarantee(cpus <= t.cpus() + 1e-9 && gpus <= t.gpus() + 1e-9);
           }
         });
   }
 
   /** Null if no aim can be reached any more, or there is none. */
   private Entry entry(Job j, double fetchGbPerS, long wall) {
-    JobSpec s = j.spec;
+    JobSpec s = j.spec();
     double age = j.ageS(wall);
     // But for deadlines, times count from when the last job that it needs was done.
     double waited = j.readyS(wall);
@@ -266,21 +266,27 @@
         weight = Math.max(weight, weight(d.jobClass()));
       }
     }
-    if (j.owed) {
+    if (j.scheduling().isWithinGuarantee()) {
       best = Math.min(best, OWED_S - waited);
     }
     if (best == Double.MAX_VALUE) {
       return null;
     }
     weight *=
-        switch (j.priority) {
+        switch (j.scheduling().priority()) {
           case PROD -> 4;
           case URGENT -> 2;
           case NORMAL -> 1.4;
           case LOW -> 1;
         };
     double queuedWork = j.queued() * Math.max(0.1, s.cpus()) * (run + fetch);
-    return new Entry(j, best, run * LAST_TASK + fetch + command, queuedWork, weight, j.owed);
+    return new Entry(
+        j,
+        best,
+        run * LAST_TASK + fetch + command,
+        queuedWork,
+        weight,
+        j.scheduling().isWithinGuarantee());
   }
 
   /** What a job of the class counts for: aims are shares of a class's jobs. */
@@ -292,11 +298,11 @@
   /** The deadlines of a job's own, on the wall clock. */
   public List<DependencyGraph.Due> ownDues(Job j) {
     List<DependencyGraph.Due> l = new ArrayList<>();
-    if (j.spec.hasDeadline()) {
-      for (Aim a : aims.getOrDefault(j.spec.jobClass(), List.of())) {
+    if (j.spec().hasDeadline()) {
+      for (Aim a : aims.getOrDefault(j.spec().jobClass(), List.of())) {
         if (!a.start() && a.withinS() <= 0) {
-          double s = j.spec.deadlineS() * a.times();
-          l.add(new DependencyGraph.Due(j.acceptedAtMs + s * 1000, j.spec.jobClass()));
+          double s = j.spec().deadlineS() * a.times();
+          l.add(new DependencyGraph.Due(j.acceptedAtMs() + s * 1000, j.spec().jobClass()));
         }
       }
     }
@@ -306,13 +312,13 @@
   /** What a job takes from when it is ready, by its owner's estimate. */
   public double spanMs(Job j) {
     double command = context.config.workers().reportS() / 2;
-    double run = Math.max(0.5, j.spec.estimateS());
-    return 1000 * (j.spec.imageGb() / Math.max(0.01, fetchGbPerS) + command + run * LAST_TASK);
+    double run = Math.max(0.5, j.spec().estimateS());
+    return 1000 * (j.spec().imageGb() / Math.max(0.01, fetchGbPerS) + command + run * LAST_TASK);
   }
 
   private void learn(Job j) {
     if (known.add(j)) {
-      seen.merge(j.spec.jobClass(), 1, Integer::sum);
+      seen.merge(j.spec().jobClass(), 1, Integer::sum);
     }
   }
 
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -3,92 +3,119 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import shorecrank.coordination.model.CommandTokens;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.TaskAttempt;
-import shorecrank.coordination.shard.ShardOwner.Write;
+import shorecrank.coordination.model.WorkerSession;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.WorkerMessages;
 import shorecrank.protocol.WorkerMessages.Start;
 import shorecrank.protocol.WorkerMessages.WorkerCommand;
 
-/** Starts that go straight to their machines, without waiting for the next report. */
+/** Sends starts straight to their machines, without waiting for the next heartbeat. */
 final class DirectCommandSender {
-  /** A machine that reports so soon is told then. */
+  private static final int OK = 200;
+
+  /** A machine whose heartbeat is due so soon is told in the answer. */
   private static final int SOON_MS = 100;
 
-  /** So long a worker may take to answer a command; what is not answered may yet be carried out. */
-  private static final int DIRECT_MS = 1000;
+  /** So long a worker may take to answer; what is not answered may yet be carried out. */
+  private static final int TIMEOUT_MS = 1000;
 
-  private final StepContext context;
-  private final ShardOwner owner;
+  private static final int LEAST_CONNECTIONS = 4;
+
+  /** The part of all sockets that direct commands may use, as a divisor. */
+  private static final int SOCKET_DIVISOR = 20;
 
-  /** Commands that went straight to workers and are not answered. */
-  private int directOut;
+  private static final int MS_PER_S = 1000;
+
+  private final StepContext context;
+  private final ShardLease lease;
+  private final ShardJobs jobs;
+  private final CommandPlanner planner;
+  private int unanswered;
 
-  DirectCommandSender(StepContext context, ShardOwner owner) {
+  DirectCommandSender(
+      StepContext context, ShardLease lease, ShardJobs jobs, CommandPlanner planner) {
     this.context = context;
-    this.owner = owner;
+    this.lease = lease;
+    this.jobs = jobs;
+    this.planner = planner;
   }
 
   /**
-   * A start need not wait for its machine's next report. What goes straight to a worker may be held
-   * back or come twice, so it is under a token of its own: the next answer carries a higher one,
-   * and until the worker has shown that, nothing is concluded from what it does not list, and what
-   * it has done is not reaped.
+   * Sends the starts that committed writes have placed. A start need not wait for its machine's
+   * next heartbeat. What goes straight to a worker may be held back or come twice, so it is under a
+   * token of its own: the next answer carries a higher one, and until the worker has shown that,
+   * nothing is concluded from what it does not list, and what it has done is not reaped.
    */
-  void send(List<Write> batch) {
-    Set<Machine> to = new LinkedHashSet<>();
-    for (Write w : batch) {
-      if (w.last() || !owner.owns(w.job())) {
-        continue;
-      }
-      for (TaskAttempt l : w.job().live.values()) {
-        if (l.writeSequence() == w.seq() && !l.isCommanded() && l.isCommitted()) {
-          to.add(l.machine());
+  void sendStarts(List<RecordWrite> committed) {
+    for (Machine machine : machinesOfStarts(committed)) {
+      if (mayCommand(machine)) {
+        List<WorkerCommand> commands = planner.commands(machine, true);
+        if (commands.stream().anyMatch(Start.class::isInstance)) {
+          send(machine, commands);
         }
       }
     }
-    for (Machine h : to) {
-      if (!owner.valid()
-          || directOut >= maxDirect()
-          || !h.session().isReconciled()
-          || !h.session().acceptsDirectCommands(owner.epoch())
-          || h.session().secondsToNextAnswer(context.now(), context.config.workers().reportS())
-                  * 1000
-              < SOON_MS) {
-        continue;
-      }
-      List<WorkerCommand> orders = owner.orders(h, true);
-      if (orders.stream().noneMatch(Start.class::isInstance)) {
+  }
+
+  private Set<Machine> machinesOfStarts(List<RecordWrite> committed) {
+    Set<Machine> machines = new LinkedHashSet<>();
+    for (RecordWrite write : committed) {
+      if (write.isFinal() || !jobs.isCurrent(write.job())) {
         continue;
       }
-      FencingToken token = h.session().tokens().current(owner.epoch());
-      for (WorkerCommand o : orders) {
-        if (o instanceof Start) {
-          h.session().tokens().directStartSent(o.run(), token);
+      for (TaskAttempt attempt : write.job().tasks().attempts()) {
+        if (attempt.writeSequence() == write.sequence()
+            && !attempt.isCommanded()
+            && attempt.isCommitted()) {
+          machines.add(attempt.machine());
         }
       }
-      directOut++;
-      h.session().tokens().directCommandSent();
-      context.count("orders.direct");
-      context.worker(
-          h.session().address(),
-          WorkerMessages.ORDERS,
-          WorkerMessages.direct(token, h.session().incarnation(), orders),
-          DIRECT_MS,
-          (status, body) -> {
-            directOut--;
-            h.session().tokens().directCommandAnswered();
-            if (status != 200) {
-              context.count("orders.direct.failed");
-            }
-          });
     }
+    return machines;
+  }
+
+  private boolean mayCommand(Machine machine) {
+    WorkerSession session = machine.session();
+    return lease.isValid()
+        && unanswered < mostUnanswered()
+        && session.isReconciled()
+        && session.acceptsDirectCommands(lease.epoch())
+        && session.secondsToNextAnswer(context.now(), context.config.workers().reportS()) * MS_PER_S
+            >= SOON_MS;
+  }
+
+  private void send(Machine machine, List<WorkerCommand> commands) {
+    WorkerSession session = machine.session();
+    CommandTokens tokens = session.tokens();
+    FencingToken token = tokens.current(lease.epoch());
+    for (WorkerCommand command : commands) {
+      if (command instanceof Start) {
+        tokens.directStartSent(command.run(), token);
+      }
+    }
+    unanswered++;
+    tokens.directCommandSent();
+    context.count("orders.direct");
+    context.worker(
+        session.address(),
+        WorkerMessages.ORDERS,
+        WorkerMessages.direct(token, session.incarnation(), commands),
+        TIMEOUT_MS,
+        (status, body) -> {
+          unanswered--;
+          tokens.directCommandAnswered();
+          if (status != OK) {
+            context.count("orders.direct.failed");
+          }
+        });
   }
 
   /** Connections to workers come out of what is left beside those of users, workers and peers. */
-  private int maxDirect() {
-    return Math.max(4, context.config.limits().sockets() / 20);
+  private int mostUnanswered() {
+    return Math.max(LEAST_CONNECTIONS, context.config.limits().sockets() / SOCKET_DIVISOR);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -8,11 +8,10 @@
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.TaskAttemptId;
-import shorecrank.protocol.StoreMessages;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.AttemptRange;
+import shorecrank.storage.ReadResult;
 
 /**
  * Tasks on a shard's machines that none of its jobs explains. Before such a task is stopped or its
@@ -20,7 +19,7 @@
  * that shard's owner has not taken its result yet.
  */
 final class ForeignTasks {
-  private static final int CALL_MS = 2000;
+  private static final int READ_TIMEOUT_MS = 2000;
 
   /** What was found is asked for again after so long. */
   private static final long FRESH_MS = 2000;
@@ -46,18 +45,18 @@
   private static final class Lookup {
     MonotonicTime answeredAt = MonotonicTime.NEVER;
     boolean busy;
-    boolean elsewhere;
+    boolean isOfOtherShard;
     boolean unreadable;
     final Set<Named> named = new HashSet<>();
   }
 
   private final StepContext context;
-  private final ShardId shard;
+  private final ShardLease lease;
   private final Map<JobId, Lookup> lookups = new HashMap<>();
 
-  ForeignTasks(StepContext context, ShardId shard) {
+  ForeignTasks(StepContext context, ShardLease lease) {
     this.context = context;
-    this.shard = shard;
+    this.lease = lease;
   }
 
   /** What is known of a task now; asks for what is not. */
@@ -79,14 +78,14 @@
     if (lookup.unreadable) {
       return Verdict.UNKNOWN;
     }
-    boolean named = lookup.elsewhere && lookup.named.contains(new Named(machine, run));
+    boolean named = lookup.isOfOtherShard && lookup.named.contains(new Named(machine, run));
     return named ? Verdict.NAMED_ELSEWHERE : Verdict.UNCLAIMED;
   }
 
   /** Once a second: forgets what nobody asks for any more. */
   void tidy() {
     MonotonicTime now = context.now();
-    lookups.values().removeIf(l -> !l.busy && now.since(l.answeredAt) > KEPT_MS);
+    lookups.values().removeIf(lookup -> !lookup.busy && now.since(lookup.answeredAt) > KEPT_MS);
   }
 
   private void ask(JobId job, Lookup lookup) {
@@ -95,33 +94,33 @@
     }
     lookup.busy = true;
     context.count("foreign.lookups");
-    context.state(
-        "GET",
-        StoreMessages.key(JobRecord.liveKey(job)),
-        null,
-        CALL_MS,
-        (status, body) -> {
-          lookup.busy = false;
-          if (status == 200 || status == 404) {
-            lookup.answeredAt = context.now();
-            take(lookup, status == 200 ? StoreMessages.entry(body) : null);
-          }
-        });
+    context
+        .store()
+        .read(
+            JobRecord.liveKey(job),
+            READ_TIMEOUT_MS,
+            result -> {
+              lookup.busy = false;
+              if (!(result instanceof ReadResult.Unavailable)) {
+                lookup.answeredAt = context.now();
+                take(lookup, result);
+              }
+            });
   }
 
-  private void take(Lookup lookup, StoreMessages.Entry entry) {
+  private void take(Lookup lookup, ReadResult result) {
     lookup.named.clear();
-    lookup.elsewhere = false;
+    lookup.isOfOtherShard = false;
     lookup.unreadable = false;
-    if (entry == null) {
+    if (!(result instanceof ReadResult.Found found)) {
       return;
     }
-    JobRecord record = JobRecord.read(entry.value());
+    JobRecord record = JobRecord.read(found.entry().value());
     if (record == null) {
       lookup.unreadable = true;
       return;
     }
-    lookup.elsewhere = !ShardId.of(record.spec().team(), context.tuning.shards()).equals(shard);
+    lookup.isOfOtherShard = !lease.isOfShard(record.spec().team());
     for (AttemptRange range : record.live()) {
       for (int i = range.first(); i < range.first() + range.count(); i++) {
         if (!record.done().get(i)) {
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -0,0 +1,141 @@
+package shorecrank.coordination.shard;
+
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.model.WorkerSession;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
+
+/**
+ * Takes workers' heartbeats in: refuses late ones, has workers confirm the shard's epoch, records
+ * that they live, and has the rest reconciled and answered.
+ */
+final class HeartbeatHandler {
+  private final StepContext context;
+  private final ShardLease lease;
+  private final ShardRecovery recovery;
+  private final MachineRegistry machines;
+  private final HeartbeatReconciler reconciler;
+  private final HeartbeatReplies replies;
+
+  HeartbeatHandler(
+      StepContext context,
+      ShardLease lease,
+      ShardRecovery recovery,
+      MachineRegistry machines,
+      HeartbeatReconciler reconciler,
+      HeartbeatReplies replies) {
+    this.context = context;
+    this.lease = lease;
+    this.recovery = recovery;
+    this.machines = machines;
+    this.reconciler = reconciler;
+    this.replies = replies;
+  }
+
+  /**
+   * Takes a heartbeat in and answers it, now or after the next commit.
+   *
+   * @param reply the request to be answered
+   * @param mayCommand whether the lease is valid; if not, only workers' leases are renewed
+   */
+  void handle(long reply, WorkerHeartbeat heartbeat, boolean mayCommand) {
+    Machine machine = machines.machine(heartbeat.host());
+    machines.describe(
+        machine,
+        new MachineInfo(heartbeat.host(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
+    WorkerSession session = machine.session();
+    if (session.isStale(heartbeat) || heartbeat.token().epoch().above(lease.epoch())) {
+      context.count("report.late");
+      replies.refuse(reply, "not entitled, or the report is late");
+      return;
+    }
+    session.setAddress(heartbeat.address());
+    if (!machines.isConfirmedBy(machine, heartbeat, lease.firstEpoch())) {
+      takeUnconfirmed(machine, heartbeat);
+      replies.renewOnly(reply, machine, heartbeat);
+      return;
+    }
+    boolean isConsecutive = takeConfirmed(machine, heartbeat);
+    if (!recovery.isReady()) {
+      replies.renewOnly(reply, machine, heartbeat);
+      return;
+    }
+    boolean freed = reconcile(machine, heartbeat, isConsecutive);
+    if (!mayCommand) {
+      replies.renewOnly(reply, machine, heartbeat);
+    } else if ((freed || HeartbeatReplies.awaitsCommit(machine)) && context.tuning.parkMs() > 0) {
+      // What has just come free can be used again in this very answer, once that is written; and
+      // what is being written for this machine need not wait for its next heartbeat.
+      replies.defer(reply, machine);
+    } else {
+      replies.command(reply, machine);
+    }
+  }
+
+  /**
+   * The worker has not seen the epoch, or this is a copy of a heartbeat from before it did, which
+   * may come a lease late. It gets the token; its next heartbeat shows it, and only that counts.
+   */
+  private void takeUnconfirmed(Machine machine, WorkerHeartbeat heartbeat) {
+    context.count("report.unconfirmed");
+    machine.session().recordUnconfirmed(heartbeat);
+    // Copy or not: an incarnation of this number has begun, so those before it have ended.
+    machines.loseEarlierIncarnations(machine);
+  }
+
+  /**
+   * Records that the worker lives.
+   *
+   * @return whether it has stayed with this owner since its last heartbeat
+   */
+  private boolean takeConfirmed(Machine machine, WorkerHeartbeat heartbeat) {
+    MonotonicTime now = context.now();
+    WorkerSession session = machine.session();
+    boolean isConsecutive = session.isConsecutive(heartbeat);
+    replies.supersede(machine);
+    if (session.isNewIncarnation(heartbeat)) {
+      machine.forgetImages();
+    }
+    if (!session.isReported()) {
+      machine.setIdleSince(now);
+    }
+    session.recordConfirmed(heartbeat, now);
+    return isConsecutive;
+  }
+
+  private boolean reconcile(Machine machine, WorkerHeartbeat heartbeat, boolean isConsecutive) {
+    machine.setPreemptionNoticed(heartbeat.preemptionNoticed());
+    boolean freed = reconciler.reconcile(machine, heartbeat);
+    recordResponsiveness(machine, isConsecutive);
+    machine.session().recordReconciled(heartbeat);
+    if (!machine.isEmpty() || machine.session().listedTasks() > 0) {
+      machine.setIdleSince(context.now());
+    }
+    return freed;
+  }
+
+  /**
+   * Records whether the machine gets the answers, as far as its heartbeats show. A worker that gets
+   * a 200 stays here and takes the next number for its next heartbeat; one that does not asks other
+   * controllers in between. And what it was told to start, it lists.
+   */
+  private void recordResponsiveness(Machine machine, boolean isConsecutive) {
+    boolean taken = isConsecutive;
+    for (TaskAttempt attempt : machine.attempts()) {
+      if (attempt.takeStartInLastAnswer()) {
+        taken &= attempt.isSeen();
+      }
+    }
+    switch (machine.session().recordAnswerTaken(taken, context.now())) {
+      case REGAINED -> context.info("machine.responsive machine=%s", machine.name());
+      case LOST -> {
+        context.info("machine.unresponsive machine=%s", machine.name());
+        context.count("machine.deaf");
+      }
+      case UNCHANGED -> {}
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -0,0 +1,144 @@
+package shorecrank.coordination.shard;
+
+import java.util.LinkedHashSet;
+import java.util.Set;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.model.WriteUrgency;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.WorkerMessages.ExitReason;
+import shorecrank.protocol.WorkerMessages.TaskState;
+import shorecrank.protocol.WorkerMessages.TaskStatus;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
+
+/** Squares what a worker's heartbeat lists with what the records of the shard say. */
+final class HeartbeatReconciler {
+  /** A machine that has no room left for a task gets nothing for so long. */
+  private static final long FULL_PAUSE_MS = 2000;
+
+  /** A machine that is too busy for a task gets nothing for so long. */
+  private static final long BUSY_PAUSE_MS = 1000;
+
+  private final StepContext context;
+  private final ShardJobs jobs;
+
+  HeartbeatReconciler(StepContext context, ShardJobs jobs) {
+    this.context = context;
+    this.jobs = jobs;
+  }
+
+  /**
+   * Takes in what a heartbeat lists, and what it does not list.
+   *
+   * @return whether room has come free on the machine
+   */
+  boolean reconcile(Machine machine, WorkerHeartbeat heartbeat) {
+    boolean freed = false;
+    machine.clearUnrecordedTasks();
+    Set<TaskAttempt> unlisted = new LinkedHashSet<>(machine.attempts());
+    for (TaskStatus status : heartbeat.tasks()) {
+      Job job = jobs.find(status.run().job());
+      int index = status.run().index();
+      TaskAttempt attempt = job == null ? null : job.tasks().attempt(index);
+      boolean exited = status.state() == TaskState.EXITED;
+      if (attempt != null
+          && attempt.machine() == machine
+          && attempt.number().equals(status.run().attempt())
+          && attempt.incarnation().equals(heartbeat.incarnation())) {
+        unlisted.remove(attempt);
+        freed |= exited;
+        observed(machine, attempt, status);
+      } else if (!exited && job != null && index < job.spec().tasks()) {
+        // An attempt that no record names: nothing of that task starts elsewhere meanwhile.
+        machine.addUnrecordedTask(job, index);
+      }
+    }
+    for (TaskAttempt attempt : unlisted) {
+      freed |= reconcileUnlisted(machine, attempt, heartbeat);
+    }
+    return freed;
+  }
+
+  private boolean reconcileUnlisted(
+      Machine machine, TaskAttempt attempt, WorkerHeartbeat heartbeat) {
+    if (attempt.incarnation().compareTo(heartbeat.incarnation()) < 0) {
+      jobs.lose(attempt);
+      return true;
+    }
+    if (!attempt.isCommitted() || !attempt.job().record().isClaimed()) {
+      return false;
+    }
+    if (attempt.isSeen()) {
+      // It left the list without a reap: only a new incarnation does that.
+      context.error("task.vanished machine=%s task=%s", machine.name(), attempt.id());
+      jobs.lose(attempt);
+      return false;
+    }
+    if (isStartExcluded(machine, attempt)) {
+      // The worker executes what an answer says or drops it whole, and this heartbeat is younger
+      // than all earlier answers: what it does not list was never started and never will be.
+      jobs.lose(attempt);
+      return true;
+    }
+    return false;
+  }
+
+  /** Whether no command that may yet act, and none that is to come, starts the attempt. */
+  private static boolean isStartExcluded(Machine machine, TaskAttempt attempt) {
+    return machine.session().isConfirmed()
+        && !machine.session().tokens().mayDirectCommandStart(attempt.id())
+        && (attempt.job().isCancelled()
+            || attempt.isRevoked()
+            || machine.isLeaving()
+            || machine.session().isUnresponsive());
+  }
+
+  private void observed(Machine machine, TaskAttempt attempt, TaskStatus status) {
+    MonotonicTime now = context.now();
+    if (attempt.observe(status.state(), now)) {
+      context.count("task.running");
+      context.count("task.running.ms", now.since(attempt.placedAt()));
+    }
+    if (status.state() == TaskState.RUNNING) {
+      machine.imageInUse(attempt.job().spec());
+    } else if (status.state() == TaskState.EXITED) {
+      exited(machine, attempt, status);
+    }
+  }
+
+  private void exited(Machine machine, TaskAttempt attempt, TaskStatus status) {
+    MonotonicTime now = context.now();
+    Job job = attempt.job();
+    switch (status.why()) {
+      case DONE -> {
+        job.tasks().markDone(attempt.index());
+        job.scheduling().taskSucceeded();
+        machine.health().taskSucceeded();
+      }
+      case HALTED -> {}
+      case FULL -> machine.health().pauseUntil(now.plus(FULL_PAUSE_MS));
+      case BUSY -> machine.health().pauseUntil(now.plus(BUSY_PAUSE_MS));
+      case ERROR, UNKNOWN -> failed(machine, job, status.why());
+    }
+    jobs.detach(attempt);
+    // The write in flight does not hold this exit; the one after it will.
+    job.tasks().recordExit(status.run(), job.record().nextSequence());
+    job.requestWrite(WriteUrgency.LATER, now);
+  }
+
+  /** Tells faulty machines from faulty jobs: a job that fails on many machines is at fault. */
+  private void failed(Machine machine, Job job, ExitReason reason) {
+    MonotonicTime now = context.now();
+    context.count("task.failed");
+    boolean isJobAtFault = reason == ExitReason.UNKNOWN;
+    if (job.scheduling().taskFailed(machine.name(), isJobAtFault, now)) {
+      context.info(
+          "job.held_back job=%s failed_machines=%d", job.id(), job.scheduling().failedMachines());
+    } else if (machine.health().taskFailed(now)) {
+      context.info("machine.quarantined machine=%s", machine.name());
+      context.count("machine.quarantined");
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -0,0 +1,141 @@
+package shorecrank.coordination.shard;
+
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Json;
+import shorecrank.protocol.WorkerMessages;
+import shorecrank.protocol.WorkerMessages.TaskState;
+import shorecrank.protocol.WorkerMessages.TaskStatus;
+import shorecrank.protocol.WorkerMessages.WorkerCommand;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
+
+/**
+ * Replies to workers' heartbeats: at once, or deferred until what is being written for the machine
+ * is committed, so that its commands go out in this answer and not in the next.
+ */
+final class HeartbeatReplies {
+  private static final int OK = 200;
+  private static final int UNAVAILABLE = 503;
+
+  private final StepContext context;
+  private final ShardLease lease;
+  private final ShardJobs jobs;
+  private final CommandPlanner planner;
+
+  /** Machines whose worker waits for its answer. */
+  private final Set<Machine> deferred = new LinkedHashSet<>();
+
+  /** Whether a reply was deferred since the last round: what came free is not placed yet. */
+  private boolean roundPending;
+
+  HeartbeatReplies(StepContext context, ShardLease lease, ShardJobs jobs, CommandPlanner planner) {
+    this.context = context;
+    this.lease = lease;
+    this.jobs = jobs;
+    this.planner = planner;
+  }
+
+  /** Refuses a heartbeat; the worker's lease is not renewed. */
+  void refuse(long reply, String reason) {
+    context.reply(reply, UNAVAILABLE, Json.error(reason));
+  }
+
+  /** Renews the worker's lease and gives it all commands. */
+  void command(long reply, Machine machine) {
+    renew(reply, machine, planner.commands(machine, false));
+  }
+
+  /** Renews the worker's lease without commands, but for the stops of cancelled tasks. */
+  void renewOnly(long reply, Machine machine, WorkerHeartbeat heartbeat) {
+    renew(reply, machine, planner.stopsOfCancelled(machine, heartbeat));
+  }
+
+  private void renew(long reply, Machine machine, List<WorkerCommand> commands) {
+    context.reply(
+        reply,
+        OK,
+        WorkerMessages.answer(
+            machine.session().tokens().aboveDirectStarts(lease.epoch()), commands));
+  }
+
+  // ---- deferred replies ------------------------------------------------------------------------
+
+  /** Defers a reply until the next commits, or so long at the most as settings allow. */
+  void defer(long reply, Machine machine) {
+    machine.session().deferReply(reply, context.now().plus(context.tuning.parkMs()));
+    deferred.add(machine);
+    roundPending = true;
+  }
+
+  /** A round places what has come free. */
+  void beginRound() {
+    roundPending = false;
+  }
+
+  /** Whether a placement on the machine is not committed yet. */
+  static boolean awaitsCommit(Machine machine) {
+    for (TaskAttempt attempt : machine.attempts()) {
+      if (!attempt.isCommitted()) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Gives the deferred replies that wait for nothing any more, or have waited too long. */
+  void sendDue() {
+    sendDeferred(false);
+  }
+
+  /** Gives all deferred replies. */
+  void sendAll() {
+    sendDeferred(true);
+  }
+
+  private void sendDeferred(boolean all) {
+    if (deferred.isEmpty()) {
+      return;
+    }
+    for (Machine machine : new ArrayList<>(deferred)) {
+      boolean settled = isSettled(machine);
+      if (all || settled || !context.now().before(machine.session().deferredUntil())) {
+        context.count(settled ? "report.parked.settled" : "report.parked.expired");
+        deferred.remove(machine);
+        long reply = machine.session().takeDeferredReply();
+        if (lease.isValid() && !lease.isEnded()) {
+          command(reply, machine);
+        } else {
+          renewOnly(reply, machine, machine.session().lastHeartbeat());
+        }
+      }
+    }
+  }
+
+  /** Whether nothing about the machine waits for a write. */
+  private boolean isSettled(Machine machine) {
+    if (roundPending || awaitsCommit(machine)) {
+      return false;
+    }
+    for (TaskStatus status : machine.session().lastHeartbeat().tasks()) {
+      Job job = status.state() == TaskState.EXITED ? jobs.find(status.run().job()) : null;
+      if (job != null && job.record().isInFlight() && job.tasks().hasPendingExit(status.run())) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /** A later heartbeat of the machine has come, or it has gone: a deferred reply is refused. */
+  void supersede(Machine machine) {
+    if (machine.session().hasDeferredReply()) {
+      deferred.remove(machine);
+      refuse(machine.session().refuseDeferredReply(), "superseded by a later report");
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -0,0 +1,192 @@
+package shorecrank.coordination.shard;
+
+import java.util.ArrayList;
+import java.util.Set;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.model.WriteUrgency;
+import shorecrank.coordination.scheduling.DependencyGraph;
+import shorecrank.coordination.scheduling.SchedulingQueue;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.storage.JobRecord;
+import shorecrank.storage.JobRecord.AttemptRange;
+
+/**
+ * How a job comes to a shard's owner and how it leaves it: taken over from its record, cancelled,
+ * replaced, ended, or relinquished to another owner.
+ */
+final class JobLifecycle implements WriteOutcomeResolver.Jobs {
+  private final StepContext context;
+  private final ShardLease lease;
+  private final ShardJobs jobs;
+  private final MachineRegistry machines;
+  private final DependencyGraph dependencies;
+  private final SchedulingQueue queue;
+  private final CancellationLog cancellations;
+
+  JobLifecycle(
+      StepContext context,
+      ShardLease lease,
+      ShardJobs jobs,
+      MachineRegistry machines,
+      DependencyGraph dependencies,
+      SchedulingQueue queue,
+      CancellationLog cancellations) {
+    this.context = context;
+    this.lease = lease;
+    this.jobs = jobs;
+    this.machines = machines;
+    this.dependencies = dependencies;
+    this.queue = queue;
+    this.cancellations = cancellations;
+  }
+
+  // ---- taking over -----------------------------------------------------------------------------
+
+  /**
+   * Takes over a record that was listed when the ownership began. A write that the last owner sent
+   * in time may still place tasks of it: they would count for its team's limit, and hold their
+   * machine in this shard, so the record is claimed first where that matters.
+   */
+  void addListed(JobRecord record, Revision revision) {
+    Job job = add(record, revision, true);
+    boolean useMatters = machines.references().isTracking() || jobs.isLimited(record.spec().team());
+    if (useMatters && !job.record().isClaimed()) {
+      job.record().requireClaim();
+      job.requestWrite(WriteUrgency.NOW, context.now());
+    }
+  }
+
+  /** Takes over a record that was written since. */
+  void addWatched(JobRecord record, Revision revision) {
+    add(record, revision, false);
+  }
+
+  private Job add(JobRecord record, Revision revision, boolean othersMayWrite) {
+    if (record.cancelled()) {
+      cancellations.learn(record.spec().id());
+    }
+    Job job = jobs.add(record, revision);
+    machines.references().read(job.id(), revision, record, othersMayWrite);
+    if (record.epoch().value() > 0) {
+      if (lease.isRefusedBy(record)) {
+        relinquish(job, record);
+        return job;
+      }
+      // The fence goes up before anything is made of the record.
+      job.requestWrite(WriteUrgency.NOW, context.now());
+    }
+    adoptAttempts(job, record);
+    if (job.isCancelled()) {
+      dependencies.cancelled(job.id());
+      job.requestWrite(WriteUrgency.NOW, context.now());
+    } else {
+      dependencies.add(job);
+    }
+    return job;
+  }
+
+  private void adoptAttempts(Job job, JobRecord record) {
+    for (AttemptRange range : record.live()) {
+      Machine machine = machines.machine(range.host());
+      for (int i = range.first(); i < range.first() + range.count(); i++) {
+        if (!job.tasks().isDone(i) && job.tasks().attempt(i) == null) {
+          jobs.attach(
+              new TaskAttempt(
+                  job, i, machine, range.incarnation(), range.attempt(), 0, context.now()));
+        }
+      }
+    }
+  }
+
+  // ---- leaving ---------------------------------------------------------------------------------
+
+  private void forget(Job job) {
+    jobs.remove(job);
+    queue.forget(job);
+    dependencies.forget(job);
+  }
+
+  /** Forgets all jobs, to read their records anew. */
+  void forgetAll() {
+    for (Job job : new ArrayList<>(jobs.all().values())) {
+      if (job.isCancelled()) {
+        cancellations.learn(job.id());
+      }
+      forget(job);
+    }
+    jobs.forgetRelinquished();
+    dependencies.clear();
+    machines.forgetReconciliation();
+    machines.references().clear();
+  }
+
+  /** A mark of a cancellation is committed, or follows from another job's. */
+  @Override
+  public void cancelled(Job job) {
+    job.cancel();
+    jobs.detachUncommitted(job);
+    context.info("job.cancelled job=%s", job.id());
+    dependencies.cancelled(job.id());
+  }
+
+  /** A job that it needs is cancelled, so it is too; none of its tasks has ever been placed. */
+  void cancelWithDependency(Job job) {
+    cancelled(job);
+    job.requestWrite(WriteUrgency.NOW, context.now());
+  }
+
+  @Override
+  public void ended(Job job, JobState state) {
+    forget(job);
+    dependencies.ended(job.id(), state);
+  }
+
+  @Override
+  public void recordMissing(Job job) {
+    relinquish(job, null);
+  }
+
+  @Override
+  public void refused(Job job, JobRecord record) {
+    relinquish(job, record);
+  }
+
+  /** From the first refusal on nothing more is written or commanded for the job. */
+  private void relinquish(Job job, JobRecord record) {
+    JobId id = job.id();
+    forget(job);
+    jobs.relinquish(id);
+    if (record == null) {
+      machines.references().removed(id);
+      context.info(
+          "job.relinquished job=%s shard=%s epoch=%s reason=\"no record any more\"",
+          id, lease.shard(), lease.epoch());
+    } else {
+      machines.references().read(id, Revision.ABSENT, Set.of(), true);
+      context.info(
+          "job.relinquished job=%s shard=%s epoch=%s record_epoch=%s record_writer=%s",
+          id, lease.shard(), lease.epoch(), record.epoch(), record.writer());
+      lease.recordRefusal(record.epoch());
+    }
+    context.count("job.fenced");
+  }
+
+  @Override
+  public boolean isCurrent(Job job) {
+    return !lease.isEnded() && jobs.isCurrent(job);
+  }
+
+  @Override
+  public void replaced(Job job, JobRecord record, Revision revision) {
+    jobs.detachAll(job);
+    job.record().unclaim();
+    job.adopt(record, revision);
+    adoptAttempts(job, record);
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -0,0 +1,344 @@
+package shorecrank.coordination.shard;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Set;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.JobRecordState;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.model.WriteUrgency;
+import shorecrank.coordination.scheduling.SchedulingQueue;
+import shorecrank.coordination.shard.JobRecordCodec.EncodedRecord;
+import shorecrank.coordination.shard.JobRecordCodec.Form;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
+import shorecrank.rollout.Feature;
+import shorecrank.rollout.FeatureGate;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.JobRecord;
+import shorecrank.storage.RateLimiter;
+
+/**
+ * Writes the records of a shard's jobs in batches, each behind a compare-and-swap guard of the
+ * revision known here, so that a stale owner can write nothing.
+ */
+final class JobRecordWriter {
+  private static final int COMMIT_TIMEOUT_MS = 2000;
+  private static final int MAX_IN_FLIGHT = 3;
+
+  /** What an attempt range takes of a packed record, at the most. */
+  private static final int RANGE_BYTES = 12;
+
+  /** What a final record takes of a transaction, at the most. */
+  private static final int FINAL_RECORD_BYTES = 200;
+
+  /** What a write takes of a transaction beside the value. */
+  private static final int WRITE_OVERHEAD_BYTES = 300;
+
+  private static final int BYTES_PER_KB = 1024;
+
+  /** A record that takes more than this share of the largest value places nothing more. */
+  private static final double FULL_SHARE = 0.95;
+
+  /** Attempt ranges are added up to this share of the largest value. */
+  private static final double FILL_SHARE = 0.9;
+
+  /** A record larger than the state service takes is tried again after so long. */
+  private static final int TOO_LARGE_PAUSE_MS = 2000;
+
+  /** After an unknown outcome nothing is written for so long, and up to the spread more. */
+  private static final int UNKNOWN_PAUSE_MS = 80;
+
+  private static final int UNKNOWN_PAUSE_SPREAD_MS = 200;
+
+  /** In which order records are written that have something to write. */
+  private enum Rank {
+    FINAL,
+    PLACEMENT_FOR_WAITING_USER,
+    PLACEMENT,
+    CLAIM,
+    DEFERRED
+  }
+
+  /** Learns what became of writes. */
+  interface Listener {
+    /** The final record of a job is committed. */
+    void ended(Job job, JobStatus status);
+
+    /** A transaction has its answer, or none in time; all of its jobs know what that means. */
+    void answered(List<RecordWrite> writes, boolean isCommitted);
+  }
+
+  private final StepContext context;
+  private final ShardLease lease;
+  private final FeatureGate gate;
+  private final ShardJobs jobs;
+  private final SchedulingQueue queue;
+  private final WriteOutcomeResolver resolver;
+  private final Listener listener;
+  private int inFlight;
+  private MonotonicTime pausedUntil = MonotonicTime.NEVER;
+
+  JobRecordWriter(
+      StepContext context,
+      ShardLease lease,
+      FeatureGate gate,
+      ShardJobs jobs,
+      SchedulingQueue queue,
+      WriteOutcomeResolver resolver,
+      Listener listener) {
+    this.context = context;
+    this.lease = lease;
+    this.gate = gate;
+    this.jobs = jobs;
+    this.queue = queue;
+    this.resolver = resolver;
+    this.listener = listener;
+  }
+
+  /** Whether a transaction has no answer yet. */
+  boolean isWriteInFlight() {
+    return inFlight > 0;
+  }
+
+  // ---- what is due -----------------------------------------------------------------------------
+
+  /** Writes the records that are due, as far as rate limits and transactions in flight allow. */
+  void writeDue() {
+    MonotonicTime now = context.now();
+    if (now.before(pausedUntil) || inFlight >= MAX_IN_FLIGHT) {
+      return;
+    }
+    List<Job> due = dueJobs(now);
+    if (due.isEmpty()) {
+      return;
+    }
+    due.sort(Comparator.comparing(this::rank).thenComparing(job -> job.record().urgentSince()));
+    int written = 0;
+    while (written < due.size() && inFlight < MAX_IN_FLIGHT) {
+      boolean dense = gate.permits(Feature.DENSE_RECORDS);
+      Batch batch = new Batch(dense);
+      if (dense) {
+        gate.guard(batch.transaction);
+      }
+      while (written < due.size() && batch.hasRoomFor(due.get(written), now)) {
+        batch.add(due.get(written), now);
+        written++;
+      }
+      if (batch.writes.isEmpty()) {
+        return;
+      }
+      commit(batch);
+    }
+  }
+
+  private List<Job> dueJobs(MonotonicTime now) {
+    List<Job> due = new ArrayList<>();
+    Set<Job> candidates = jobs.jobsToWrite();
+    context.count("round.looks", candidates.size());
+    for (Iterator<Job> i = candidates.iterator(); i.hasNext(); ) {
+      Job job = i.next();
+      WriteUrgency urgency = job.record().urgency();
+      if (!jobs.isCurrent(job) || (urgency == WriteUrgency.NONE && !job.isOver())) {
+        i.remove();
+      } else if (job.record().isWritable(now)
+          && (urgency == WriteUrgency.NOW
+              || job.isOver()
+              || now.since(job.record().urgentSince()) >= context.tuning.mergeMs())) {
+        due.add(job);
+      }
+    }
+    return due;
+  }
+
+  private Rank rank(Job job) {
+    if (job.isOver()) {
+      return Rank.FINAL;
+    }
+    if (job.record().urgency() != WriteUrgency.NOW) {
+      return Rank.DEFERRED;
+    }
+    if (!job.record().isClaimed() && !job.tasks().hasAttempts()) {
+      return Rank.CLAIM;
+    }
+    return queue.waitsForStart(job.spec()) ? Rank.PLACEMENT_FOR_WAITING_USER : Rank.PLACEMENT;
+  }
+
+  /** What a failover has to claim comes before new placements, with all that the service takes. */
+  private RateLimiter limiter(Job job) {
+    return job.record().isFreeOfEarlierOwner() ? context.writes : context.userWrites;
+  }
+
+  // ---- transactions ----------------------------------------------------------------------------
+
+  /** A transaction that is being put together. */
+  private final class Batch {
+    private final StoreMessages.Transaction transaction = new Transaction();
+    private final List<RecordWrite> writes = new ArrayList<>();
+    private final boolean dense;
+    private int bytes;
+
+    Batch(boolean dense) {
+      this.dense = dense;
+    }
+
+    boolean hasRoomFor(Job job, MonotonicTime now) {
+      boolean mustStandAlone =
+          !writes.isEmpty()
+              && (job.record().isSeparate() || writes.get(0).job().record().isSeparate());
+      int operations = operations(job);
+      return !mustStandAlone
+          && transaction.ops() + operations <= context.config.state().txnOps()
+          && (bytes == 0 || bytes + maxValueBytes() <= StoreMessages.TXN_FILL_BYTES)
+          && limiter(job).has(operations, now);
+    }
+
+    /** Adds the write of a job's record, behind the guard of its revision. */
+    void add(Job job, MonotonicTime now) {
+      limiter(job).take(operations(job), now);
+      String key = JobRecord.liveKey(job.id());
+      transaction.guard(key, job.record().revision());
+      job.record().beginWrite();
+      bytes += WRITE_OVERHEAD_BYTES + (job.isOver() ? addFinal(job, key) : addRecord(job, key));
+    }
+
+    private int addFinal(Job job, String key) {
+      int done = job.tasks().doneCount();
+      JobState state =
+          job.tasks().isComplete() && !job.isCancelled() ? JobState.DONE : JobState.CANCELLED;
+      transaction.drop(key).write(JobRecord.finalKey(job.id()), JobRecord.writeFinal(state, done));
+      resolver.sentFinal(job);
+      writes.add(
+          new RecordWrite(job, job.record().sequence(), true, new JobStatus(state, done, 0)));
+      return FINAL_RECORD_BYTES;
+    }
+
+    private int addRecord(Job job, String key) {
+      Form form = job.record().isCompact() ? Form.COMPACT : dense ? Form.DENSE : Form.ORDINARY;
+      double maxBytes = maxValueBytes();
+      JobRecord record = job.toRecord(lease.epoch(), context.writer);
+      EncodedRecord encoded = JobRecordCodec.encode(record, form);
+      if (encoded.boundBytes() > maxBytes * FULL_SHARE) {
+        shrink(job);
+        record = job.toRecord(lease.epoch(), context.writer);
+        encoded = JobRecordCodec.encode(record, form);
+      }
+      // A record without an attempt range always takes one: else its job would never run.
+      int rangesLeft = (int) ((maxBytes * FILL_SHARE - encoded.boundBytes()) / RANGE_BYTES);
+      job.record().setRangesLeft(Math.max(job.tasks().hasAttempts() ? 0 : 1, rangesLeft));
+      encoded.addTo(transaction, key);
+      resolver.sent(job, record);
+      writes.add(new RecordWrite(job, job.record().sequence(), false, record.jobStatus()));
+      return encoded.bytes();
+    }
+  }
+
+  private static int operations(Job job) {
+    return job.isOver() ? 2 : 1;
+  }
+
+  private double maxValueBytes() {
+    return context.config.state().valueKb() * BYTES_PER_KB;
+  }
+
+  /** What was not yet written is taken back: no command has been given for it. */
+  private void shrink(Job job) {
+    for (TaskAttempt attempt : job.tasks().copyOfAttempts()) {
+      if (!attempt.isCommitted() && attempt.writeSequence() >= job.record().sequence()) {
+        jobs.detach(attempt);
+      }
+    }
+    job.record().setRangesLeft(0);
+  }
+
+  // ---- outcomes --------------------------------------------------------------------------------
+
+  private void commit(Batch batch) {
+    inFlight++;
+    context
+        .store()
+        .commit(
+            batch.transaction,
+            COMMIT_TIMEOUT_MS,
+            result -> {
+              inFlight--;
+              if (!lease.isEnded()) {
+                answered(batch.writes, result);
+              }
+            });
+  }
+
+  private void answered(List<RecordWrite> writes, CommitResult result) {
+    MonotonicTime now = context.now();
+    Set<String> failedKeys =
+        result instanceof CommitResult.Conflict conflict ? conflict.failedKeys() : Set.of();
+    if (failedKeys.contains(RolloutMessages.KEY)) {
+      gate.guardFailed();
+    }
+    for (RecordWrite write : writes) {
+      Job job = write.job();
+      job.record().endWrite();
+      resolver.answered(write, result);
+      if (!jobs.isCurrent(job)) {
+        continue;
+      }
+      if (result instanceof CommitResult.Committed committed) {
+        committed(write, committed.revision());
+      } else {
+        // Not applied for another's sake, refused for the load, or not known: the next write
+        // behind the same guard settles it.
+        job.requestWrite(WriteUrgency.NOW, now);
+        if (failedKeys.contains(JobRecord.liveKey(job.id()))) {
+          resolver.reread(job);
+        }
+      }
+    }
+    if (result instanceof CommitResult.TooLarge tooLarge) {
+      tooLarge(writes, tooLarge.answer(), now);
+    } else if (!result.isCommitted() && !(result instanceof CommitResult.Conflict)) {
+      context.count("txn.unanswered");
+      pausedUntil = now.plus(UNKNOWN_PAUSE_MS + context.random().nextInt(UNKNOWN_PAUSE_SPREAD_MS));
+    }
+    listener.answered(writes, result.isCommitted());
+  }
+
+  private void committed(RecordWrite write, Revision revision) {
+    Job job = write.job();
+    job.recordCommitted(write.sequence(), revision, lease.epoch(), write.status());
+    if (write.isFinal()) {
+      listener.ended(job, write.status());
+    } else {
+      resolver.rereadIfOutdated(job);
+    }
+  }
+
+  /**
+   * One of the records is larger than the service takes now. Alone, each shows which; that one is
+   * written in its shortest form, and if that is too long, shrinks as its tasks end.
+   */
+  private void tooLarge(List<RecordWrite> writes, String answer, MonotonicTime now) {
+    context.info(
+        "store.transaction.too_large shard=%s writes=%d answer=%s",
+        lease.shard(), writes.size(), answer);
+    context.count("txn.too_large");
+    for (RecordWrite write : writes) {
+      JobRecordState record = write.job().record();
+      record.separate();
+      if (writes.size() == 1) {
+        if (record.isCompact()) {
+          record.pauseUntil(now.plus(TOO_LARGE_PAUSE_MS));
+        }
+        record.compact();
+        shrink(write.job());
+      }
+    }
+  }
+}
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -33,12 +33,31 @@
     boolean writableByOthers;
   }
 
+  private final boolean tracking;
   private final Map<JobId, Reference> references = new HashMap<>();
   private final Object2IntOpenHashMap<MachineName> counts = new Object2IntOpenHashMap<>();
   private int writableByOthers;
 
-  /** The machines that a record's live ranges name. */
-  static Set<MachineName> machinesOf(JobRecord record) {
+  /** Keeps track of the machines that records name. */
+  MachineReferences() {
+    this(true);
+  }
+
+  private MachineReferences(boolean tracking) {
+    this.tracking = tracking;
+  }
+
+  /** Keeps track of nothing: where there is only one shard, no machine is ever handed over. */
+  static MachineReferences disabled() {
+    return new MachineReferences(false);
+  }
+
+  /** Whether machines are kept track of; if not, any call is without effect. */
+  boolean isTracking() {
+    return tracking;
+  }
+
+  private static Set<MachineName> machinesOf(JobRecord record) {
     Set<MachineName> machines = new HashSet<>();
     for (AttemptRange range : record.live()) {
       machines.add(range.host());
@@ -46,6 +65,13 @@
     return machines;
   }
 
+  /** A record was read, as {@link #read(JobId, Revision, Set, boolean)} takes it. */
+  void read(JobId job, Revision at, JobRecord record, boolean othersMayWrite) {
+    if (tracking) {
+      read(job, at, machinesOf(record), othersMayWrite);
+    }
+  }
+
   /**
    * A record was read.
    *
@@ -53,6 +79,9 @@
    *     not written it yet, or has been refused by a higher epoch
    */
   void read(JobId job, Revision at, Set<MachineName> machines, boolean othersMayWrite) {
+    if (!tracking) {
+      return;
+    }
     Reference reference = references.computeIfAbsent(job, k -> new Reference());
     if (at.after(reference.revision)) {
       settle(reference, at, machines);
@@ -60,8 +89,18 @@
     writableByOthers(reference, othersMayWrite);
   }
 
+  /** A write was sent that replaces the record, guarded by its revision. */
+  void sent(JobId job, long sequence, Revision guard, JobRecord record) {
+    if (tracking) {
+      sent(job, sequence, guard, machinesOf(record));
+    }
+  }
+
   /** A write was sent, guarded by the record's revision. */
   void sent(JobId job, long sequence, Revision guard, Set<MachineName> machines) {
+    if (!tracking) {
+      return;
+    }
     Reference reference = references.computeIfAbsent(job, k -> new Reference());
     reference.pending.add(new PendingWrite(sequence, guard, machines));
     count(machines, 1);
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -18,7 +18,6 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
 import shorecrank.protocol.PeerMessages.MachineHandover;
@@ -34,14 +33,14 @@
   /** What the owner does with the tasks of a machine, and with an answer that it waits for. */
   interface Tasks {
     /** The attempt is surely off its machine, without a result. */
-    void lost(TaskAttempt task);
+    void lost(TaskAttempt attempt);
 
     /** A report whose answer was held back gets none any more. */
     void supersede(Machine machine);
   }
 
   private final StepContext context;
-  private final ShardId shard;
+  private final ShardLease lease;
   private final MachineReferences references;
   private final ForeignTasks foreign;
   private final Tasks tasks;
@@ -59,49 +58,62 @@
   private final Map<MachineName, MoveId> handovers = new HashMap<>();
 
   /**
-   * @param references machines that records may name; null where there is only one shard
+   * @param references machines that records may name
    * @param foreign tasks of other shards; null where there is only one shard
    */
   MachineRegistry(
       StepContext context,
-      ShardId shard,
+      ShardLease lease,
       MachineReferences references,
       ForeignTasks foreign,
       Tasks tasks) {
     this.context = context;
-    this.shard = shard;
+    this.lease = lease;
     this.references = references;
     this.foreign = foreign;
     this.tasks = tasks;
   }
 
+  /** All machines in the order of their names; not to be changed by the caller. */
   Map<MachineName, Machine> machines() {
     return machines;
   }
 
+  /** A live view of the machines with free processors. */
   Set<Machine> withRoom() {
     return withRoom;
   }
 
   /** The machine of that name, which is known from now on. */
   Machine machine(MachineName name) {
-    return machines.computeIfAbsent(name, n -> new Machine(n, withRoom));
+    return machines.computeIfAbsent(name, absent -> new Machine(absent, withRoom));
   }
 
-  void catalog(Map<String, MachineType> types) {
+  /** Which machines the shard's records may name. */
+  MachineReferences references() {
+    return references;
+  }
+
+  /** The machine types that can be rented, by name. */
+  Map<String, MachineType> catalog() {
+    return catalog;
+  }
+
+  /** The machine types that can be rented have changed. */
+  void updateCatalog(Map<String, MachineType> types) {
     catalog = types;
-    for (Machine h : machines.values()) {
-      if (h.info() != null) {
-        h.setType(types.get(h.info().type()));
+    for (Machine machine : machines.values()) {
+      if (machine.info() != null) {
+        machine.setType(types.get(machine.info().type()));
       }
     }
   }
 
   /** What kind of machine it is. */
-  void describe(Machine h, MachineInfo info) {
-    if (h.info() == null) {
-      h.describe(info);
-      h.setType(catalog.get(info.type()));
+  void describe(Machine machine, MachineInfo info) {
+    if (machine.info() == null) {
+      machine.describe(info);
+      machine.setType(catalog.get(info.type()));
     }
   }
 
@@ -110,9 +122,9 @@
   /** All assignments, to whichever shard. */
   public void assignedAll(Collection<MachineAssignment> all) {
     Set<MachineName> named = new HashSet<>();
-    for (MachineAssignment a : all) {
-      assigned(a);
-      named.add(a.host().name());
+    for (MachineAssignment assignment : all) {
+      assigned(assignment);
+      named.add(assignment.host().name());
     }
     for (MachineName name : new ArrayList<>(machines.keySet())) {
       if (!named.contains(name)) {
@@ -122,9 +134,9 @@
   }
 
   /** An assignment is new or has changed. */
-  public void assigned(MachineAssignment a) {
-    MachineName name = a.host().name();
-    if (!a.shard().equals(shard)) {
+  public void assigned(MachineAssignment assignment) {
+    MachineName name = assignment.host().name();
+    if (!assignment.shard().equals(lease.shard())) {
       handovers.remove(name);
       unassigned(name);
       Machine kept = machines.get(name);
@@ -133,25 +145,25 @@
       }
       return;
     }
-    Machine h = machine(name);
-    describe(h, a.host());
-    if (h.assignment().assign(a, context.now())) {
-      h.session().forgetConfirmation();
+    Machine machine = machine(name);
+    describe(machine, assignment.host());
+    if (machine.assignment().assign(assignment, context.now())) {
+      machine.session().forgetConfirmation();
     }
-    if (!h.assignment().isHandoverRequested()) {
+    if (!machine.assignment().isHandoverRequested()) {
       handovers.remove(name);
     }
   }
 
   /** The machine is not assigned to this shard. */
   public void unassigned(MachineName name) {
-    Machine h = machines.get(name);
-    if (h != null) {
-      h.assignment().unassign();
-      h.session().forgetReconciliation();
-      if (h.isEmpty()) {
-        tasks.supersede(h);
-        drop(h);
+    Machine machine = machines.get(name);
+    if (machine != null) {
+      machine.assignment().unassign();
+      machine.session().forgetReconciliation();
+      if (machine.isEmpty()) {
+        tasks.supersede(machine);
+        drop(machine);
       }
     }
   }
@@ -160,52 +172,64 @@
   public void gone(Collection<MachineName> names) {
     for (MachineName name : names) {
       handovers.remove(name);
-      Machine h = machines.get(name);
-      if (h != null) {
-        loseAll(h, "released");
-        tasks.supersede(h);
-        h.clearUnrecordedTasks();
-        drop(h);
+      Machine machine = machines.get(name);
+      if (machine != null) {
+        loseAll(machine, "released");
+        tasks.supersede(machine);
+        machine.clearUnrecordedTasks();
+        drop(machine);
       }
     }
   }
 
-  private void drop(Machine h) {
-    machines.remove(h.name());
-    withRoom.remove(h);
+  private void drop(Machine machine) {
+    machines.remove(machine.name());
+    withRoom.remove(machine);
   }
 
   // ---- tasks that are surely off ---------------------------------------------------------------
 
   /** All of a machine's tasks are surely off it. */
-  void loseAll(Machine h, String why) {
-    int n = h.attempts().size();
-    for (TaskAttempt t : new ArrayList<>(h.attempts())) {
-      tasks.lost(t);
+  void loseAll(Machine machine, String reason) {
+    int count = machine.attempts().size();
+    for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
+      tasks.lost(attempt);
     }
-    if (n > 0) {
-      context.info("machine %s: %s: %d tasks surely off it (part %s)", h.name(), why, n, shard);
+    if (count > 0) {
+      context.info(
+          "machine.tasks_lost machine=%s shard=%s tasks=%d reason=\"%s\"",
+          machine.name(), lease.shard(), count, reason);
       context.count("machine.dead");
     }
   }
 
-  /** Tasks of sessions before the one that has begun. */
-  void loseOlder(Machine h) {
-    for (TaskAttempt t : new ArrayList<>(h.attempts())) {
-      if (t.incarnation().compareTo(h.session().incarnation()) < 0) {
-        tasks.lost(t);
+  /** Gives the tasks of incarnations before the one that has begun up. */
+  void loseEarlierIncarnations(Machine machine) {
+    for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
+      if (attempt.incarnation().compareTo(machine.session().incarnation()) < 0) {
+        tasks.lost(attempt);
       }
     }
   }
 
+  /** What the workers run is no longer known: the records are read anew. */
+  void forgetReconciliation() {
+    for (Machine machine : machines.values()) {
+      tasks.supersede(machine);
+      machine.session().forgetReconciliation();
+    }
+  }
+
   /** Takes the tasks of machines whose worker's lease has surely run out. */
   void expireLeases(WorkerLiveness liveness) {
-    for (Machine h : machines.values()) {
+    for (Machine machine : machines.values()) {
       // The owner of another shard may renew the lease of one that is assigned there.
-      if (!h.isEmpty() && !h.assignment().isElsewhere() && liveness.leaseOut(h)) {
-        loseAll(h, "its worker's lease ran out");
-        h.clearUnrecordedTasks();
-        h.session().endIncarnation();
+      if (!machine.isEmpty()
+          && !machine.assignment().isElsewhere()
+          && liveness.isLeaseExpired(machine)) {
+        loseAll(machine, "its worker's lease ran out");
+        machine.clearUnrecordedTasks();
+        machine.session().endIncarnation();
       }
     }
     if (foreign != null) {
@@ -218,13 +242,17 @@
    * their start counts; all others run to their end.
    */
   void stopSavingTasks() {
-    for (Machine h : machines.values()) {
-      if (!h.assignment().isHandoverRequested()) {
+    if (!references.isTracking()) {
+      return;
+    }
+    for (Machine machine : machines.values()) {
+      if (!machine.assignment().isHandoverRequested()) {
         continue;
       }
-      for (TaskAttempt t : h.attempts()) {
-        if (t.canMoveByCheckpoint() && t.runSeconds(context.now()) > Autoscaler.SETTLED_S) {
-          t.revoke();
+      for (TaskAttempt attempt : machine.attempts()) {
+        if (attempt.canMoveByCheckpoint()
+            && attempt.runSeconds(context.now()) > Autoscaler.SETTLED_S) {
+          attempt.revoke();
           context.count("task.moved");
         }
       }
@@ -233,17 +261,22 @@
 
   // ---- reports ---------------------------------------------------------------------------------
 
-  /** The epoch that a worker must have shown before its reports count. */
-  static Epoch required(Machine h, Epoch ownersFirst) {
-    return Epoch.higher(h.assignment().term(), ownersFirst);
+  /**
+   * Whether a heartbeat shows an epoch of this ownership, so that no earlier owner's answers reach
+   * the worker and the heartbeat is no copy from before it.
+   */
+  boolean isConfirmedBy(Machine machine, WorkerHeartbeat heartbeat, Epoch firstOfOwnership) {
+    Epoch required = Epoch.higher(machine.assignment().term(), firstOfOwnership);
+    return heartbeat.token().epoch().compareTo(required) >= 0;
   }
 
   /**
    * Whether a task that no job of this shard explains may be stopped, or its result discarded:
    * never while the record of another shard names it, nor before that is known.
    */
-  boolean mayClear(Machine h, TaskAttemptId run) {
-    return foreign == null || foreign.verdict(h.name(), run) == ForeignTasks.Verdict.UNCLAIMED;
+  boolean mayClear(Machine machine, TaskAttemptId run) {
+    return foreign == null
+        || foreign.verdict(machine.name(), run) == ForeignTasks.Verdict.UNCLAIMED;
   }
 
   // ---- handing over ----------------------------------------------------------------------------
@@ -251,10 +284,10 @@
   /** Machines that were to be handed over and have nothing of this shard left. */
   List<MachineHandover> handovers(WorkerLiveness liveness) {
     List<MachineHandover> back = new ArrayList<>();
-    for (Machine h : machines.values()) {
-      if (h.assignment().isHandoverRequested() && isSettled(h, liveness)) {
-        back.add(new MachineHandover(h.name(), h.assignment().move()));
-        handovers.put(h.name(), h.assignment().move());
+    for (Machine machine : machines.values()) {
+      if (machine.assignment().isHandoverRequested() && isSettled(machine, liveness)) {
+        back.add(new MachineHandover(machine.name(), machine.assignment().move()));
+        handovers.put(machine.name(), machine.assignment().move());
       }
     }
     return back;
@@ -265,24 +298,25 @@
    * the worker has shown our token and lists nothing of ours in its last report, no command is
    * under way to it, and no record names it, not even by a write that is carried out late.
    */
-  private boolean isSettled(Machine h, WorkerLiveness liveness) {
-    return h.isEmpty()
-        && h.session().isConfirmed()
-        && liveness.fresh(h)
-        && !h.session().tokens().mayDirectCommandAct()
-        && (references == null || !references.mayName(h.name()))
-        && listsOnlyForeign(h);
+  private boolean isSettled(Machine machine, WorkerLiveness liveness) {
+    return machine.isEmpty()
+        && machine.session().isConfirmed()
+        && liveness.isFresh(machine)
+        && !machine.session().tokens().mayDirectCommandAct()
+        && !references.mayName(machine.name())
+        && listsOnlyForeign(machine);
   }
 
-  private boolean listsOnlyForeign(Machine h) {
-    WorkerHeartbeat report = h.session().lastHeartbeat();
+  private boolean listsOnlyForeign(Machine machine) {
+    WorkerHeartbeat report = machine.session().lastHeartbeat();
     if (report == null) {
       return false;
     }
-    for (TaskStatus t : report.tasks()) {
+    for (TaskStatus status : report.tasks()) {
       boolean elsewhere =
           foreign != null
-              && foreign.verdict(h.name(), t.run()) == ForeignTasks.Verdict.NAMED_ELSEWHERE;
+              && foreign.verdict(machine.name(), status.run())
+                  == ForeignTasks.Verdict.NAMED_ELSEWHERE;
       if (!elsewhere) {
         return false;
       }
@@ -296,12 +330,12 @@
    */
   public Set<MachineName> commanded() {
     Set<MachineName> names = new HashSet<>();
-    for (Machine h : machines.values()) {
+    for (Machine machine : machines.values()) {
       boolean isBack =
-          h.assignment().isHandoverRequested()
-              && h.assignment().move().equals(handovers.get(h.name()));
-      if (h.assignment().isAssigned() && !isBack) {
-        names.add(h.name());
+          machine.assignment().isHandoverRequested()
+              && machine.assignment().move().equals(handovers.get(machine.name()));
+      if (machine.assignment().isAssigned() && !isBack) {
+        names.add(machine.name());
       }
     }
     return names;
@@ -310,9 +344,9 @@
   /** Machines that records of this shard name although they are assigned to another. */
   List<MachineName> misplaced() {
     List<MachineName> names = new ArrayList<>();
-    for (Machine h : machines.values()) {
-      if (h.assignment().isElsewhere() && !h.isEmpty()) {
-        names.add(h.name());
+    for (Machine machine : machines.values()) {
+      if (machine.assignment().isElsewhere() && !machine.isEmpty()) {
+        names.add(machine.name());
       }
     }
     return names;
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -14,6 +14,7 @@
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.scheduling.Autoscaler;
+import shorecrank.coordination.scheduling.ShardView;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
@@ -33,16 +34,16 @@
   private static final double MAX_EMPTY_S = 1e6;
 
   private final StepContext context;
-  private final ShardOwner owner;
+  private final ShardView shard;
 
-  ShardDemandReporter(StepContext context, ShardOwner owner) {
+  ShardDemandReporter(StepContext context, ShardView shard) {
     this.context = context;
-    this.owner = owner;
+    this.shard = shard;
   }
 
   /** As of now; null while the picture is not whole. */
   ShardDemand now() {
-    if (!owner.ready() || !owner.valid()) {
+    if (!shard.ready() || !shard.valid()) {
       return null;
     }
     double capacity = 0;
@@ -50,17 +51,17 @@
     List<Candidate> candidates = new ArrayList<>();
     List<DrainProgress> draining = new ArrayList<>();
     List<MoveId> arrived = new ArrayList<>();
-    for (Machine h : owner.hosts.values()) {
-      running += h.type() == null ? 0 : Math.min(h.usedCpus(), h.type().cpus());
-      if (h.assignment().isHandoverRequested()) {
-        draining.add(progress(h));
-      } else if (h.assignment().isAssigned() && h.type() != null) {
-        capacity += h.type().cpus();
-        if (h.assignment().move().isSet() && h.session().isReconciled()) {
-          arrived.add(h.assignment().move());
+    for (Machine machine : shard.machines().values()) {
+      running += machine.type() == null ? 0 : Math.min(machine.usedCpus(), machine.type().cpus());
+      if (machine.assignment().isHandoverRequested()) {
+        draining.add(progress(machine));
+      } else if (machine.assignment().isAssigned() && machine.type() != null) {
+        capacity += machine.type().cpus();
+        if (machine.assignment().move().isSet() && machine.session().isReconciled()) {
+          arrived.add(machine.assignment().move());
         }
-        if (owner.usable(h) || h.isDraining()) {
-          candidates.add(new Candidate(h.name(), h.type().cpus(), emptyInS(h)));
+        if (shard.usable(machine) || machine.isDraining()) {
+          candidates.add(new Candidate(machine.name(), machine.type().cpus(), emptyInS(machine)));
         }
       }
     }
@@ -81,23 +82,25 @@
         arrived);
   }
 
-  private DrainProgress progress(Machine h) {
+  private DrainProgress progress(Machine machine) {
     DrainState state = DrainState.DRAINING;
-    if (h.isPreemptionNoticed()) {
+    if (machine.isPreemptionNoticed()) {
       state = DrainState.NOTICED;
-    } else if (h.session().isReconciled() && !owner.liveness.fresh(h)) {
+    } else if (machine.session().isReconciled() && !shard.liveness().isFresh(machine)) {
       state = DrainState.SILENT;
     }
-    return new DrainProgress(h.assignment().move(), state, h.attempts().size(), emptyInS(h));
+    return new DrainProgress(
+        machine.assignment().move(), state, machine.attempts().size(), emptyInS(machine));
   }
 
   /** Seconds until the machine's tasks should have ended, or can be stopped with their progress. */
-  private double emptyInS(Machine h) {
+  private double emptyInS(Machine machine) {
     double longest = 0;
-    for (TaskAttempt t : h.attempts()) {
-      double left = t.remainingSeconds(context.now());
-      if (t.job().spec.checkpointS() > 0) {
-        left = Math.min(left, Math.max(0, Autoscaler.SETTLED_S - t.runSeconds(context.now())));
+    for (TaskAttempt attempt : machine.attempts()) {
+      double left = attempt.remainingSeconds(context.now());
+      if (attempt.job().spec().checkpointS() > 0) {
+        left =
+            Math.min(left, Math.max(0, Autoscaler.SETTLED_S - attempt.runSeconds(context.now())));
       }
       longest = Math.max(longest, left);
     }
@@ -112,21 +115,21 @@
     double oldestS = 0;
     Set<Offer> kinds = new LinkedHashSet<>();
     Map<String, Headroom> headrooms = new HashMap<>();
-    for (Job j : owner.jobs.values()) {
-      if (j.queued() == 0 || j.backoff > 0) {
+    for (Job job : shard.jobs().values()) {
+      if (job.queued() == 0 || job.scheduling().isBackingOff()) {
         continue;
       }
-      Headroom headroom = headrooms.computeIfAbsent(j.spec.team(), owner::headroom);
-      int n = headroom.queuedTasksThatFit(j);
-      if (n == 0) {
+      Headroom headroom = headrooms.computeIfAbsent(job.spec().team(), shard::headroom);
+      int tasks = headroom.queuedTasksThatFit(job);
+      if (tasks == 0) {
         continue;
       }
-      headroom.take(j.spec, n);
-      waiting[j.priority.ordinal()] += n * j.spec.cpus();
-      if (j.live.isEmpty() && j.doneCount() == 0) {
-        oldestS = Math.max(oldestS, j.readyS(context.wallMs()));
+      headroom.take(job.spec(), tasks);
+      waiting[job.scheduling().priority().ordinal()] += tasks * job.spec().cpus();
+      if (!job.tasks().hasAttempts() && job.tasks().doneCount() == 0) {
+        oldestS = Math.max(oldestS, job.readyS(context.wallMs()));
       }
-      addKinds(j, kinds);
+      addKinds(job, kinds);
     }
     List<Double> byPriority = new ArrayList<>();
     for (double cpus : waiting) {
@@ -135,12 +138,12 @@
     return new Queue(byPriority, oldestS, List.copyOf(kinds));
   }
 
-  private void addKinds(Job j, Set<Offer> kinds) {
-    for (MachineType type : owner.catalog().values()) {
+  private void addKinds(Job job, Set<Offer> kinds) {
+    for (MachineType type : shard.catalog().values()) {
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
           Offer offer = new Offer(type.name(), zone, spot);
-          if (!kinds.contains(offer) && MachineConstraints.allows(j.spec, offer, type)) {
+          if (!kinds.contains(offer) && MachineConstraints.allows(job.spec(), offer, type)) {
             kinds.add(offer);
           }
         }
@@ -151,9 +154,9 @@
   /** Of what each team has and asks for, what is within its guarantee. */
   private double guaranteed() {
     Map<String, Double> asked = new HashMap<>();
-    for (Job j : owner.jobs.values()) {
-      double cpus = (j.live.size() + j.queued()) * j.spec.cpus();
-      asked.merge(j.spec.team(), cpus, Double::sum);
+    for (Job job : shard.jobs().values()) {
+      double cpus = (job.tasks().attemptCount() + job.queued()) * job.spec().cpus();
+      asked.merge(job.spec().team(), cpus, Double::sum);
     }
     double within = 0;
     for (Map.Entry<String, Double> e : asked.entrySet()) {
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -0,0 +1,270 @@
+package shorecrank.coordination.shard;
+
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.scheduling.DependencyGraph;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.StoreMessages.Change;
+import shorecrank.protocol.StoreMessages.Entry;
+import shorecrank.storage.JobRecord;
+import shorecrank.storage.ListResult;
+import shorecrank.storage.WatchResult;
+
+/**
+ * Reads a shard's records from the state service: all of them when the ownership begins, then their
+ * changes from that revision on. Where changes were missed, it begins anew.
+ */
+final class ShardRecovery {
+  private static final int PAGE_ENTRIES = 200;
+  private static final int LIST_TIMEOUT_MS = 4000;
+
+  /** A page that could not be read is read again after so long, and up to that much more. */
+  private static final int LIST_RETRY_MS = 200;
+
+  private static final int LIST_RETRY_SPREAD_MS = 300;
+  private static final int WATCH_RETRY_MS = 200;
+
+  /** Each opened watch is a request: a few a second carry as many changes as there are. */
+  private static final int WATCH_PAUSE_MS = 250;
+
+  /** A watch is answered after so long at the latest: so fresh is what it proves at least. */
+  private static final int WATCH_HOLD_MS = 2000;
+
+  private final StepContext context;
+  private final ShardLease lease;
+  private final ShardJobs jobs;
+  private final JobLifecycle lifecycle;
+  private final WriteOutcomeResolver resolver;
+  private final DependencyGraph dependencies;
+  private final CancellationLog cancellations;
+
+  private boolean ready;
+  private MonotonicTime readyAt = MonotonicTime.NEVER;
+  private boolean restartRequested;
+
+  /** Rises with each listing, so that answers to an earlier one are told apart. */
+  private long listing;
+
+  private boolean listingUnderWay;
+  private MonotonicTime listRetryAt = new MonotonicTime(0);
+  private boolean watching;
+  private MonotonicTime watchRetryAt = new MonotonicTime(0);
+
+  /** The revision of the store up to which all changes are known. */
+  private long knownRevision;
+
+  /** Up to when the state service has shown all changes of records, cancellations among them. */
+  private MonotonicTime knownUpTo = MonotonicTime.NEVER;
+
+  ShardRecovery(
+      StepContext context,
+      ShardLease lease,
+      ShardJobs jobs,
+      JobLifecycle lifecycle,
+      WriteOutcomeResolver resolver,
+      DependencyGraph dependencies,
+      CancellationLog cancellations) {
+    this.context = context;
+    this.lease = lease;
+    this.jobs = jobs;
+    this.lifecycle = lifecycle;
+    this.resolver = resolver;
+    this.dependencies = dependencies;
+    this.cancellations = cancellations;
+  }
+
+  /** Whether all records have been read. */
+  boolean isReady() {
+    return ready;
+  }
+
+  /** Since when all records have been read. */
+  MonotonicTime readyAt() {
+    return readyAt;
+  }
+
+  /** Up to when the state service has shown all changes; NEVER before all records were read. */
+  MonotonicTime knownUpTo() {
+    return knownUpTo;
+  }
+
+  /** The epoch has risen: what was relinquished may be this owner's again. */
+  void epochRaised() {
+    restartRequested |= jobs.hasRelinquished();
+  }
+
+  /** Reads all records anew if the epoch has risen for it and no write is in flight. */
+  void restartIfRequested(boolean isWriteInFlight) {
+    if (restartRequested && !isWriteInFlight) {
+      restartRequested = false;
+      restart();
+    }
+  }
+
+  /** Forgets all jobs, to read all records anew. */
+  private void restart() {
+    lifecycle.forgetAll();
+    ready = false;
+    listingUnderWay = false;
+    listing++;
+  }
+
+  // ---- listing ---------------------------------------------------------------------------------
+
+  /** Begins to read all records, unless that is under way or it is too soon to try again. */
+  void listIfDue() {
+    if (!listingUnderWay && !context.now().before(listRetryAt)) {
+      list();
+    }
+  }
+
+  /** Begins to read all records. */
+  void list() {
+    listingUnderWay = true;
+    knownRevision = -1;
+    listPage("", ++listing, context.now());
+  }
+
+  private void listPage(String after, long ofListing, MonotonicTime began) {
+    context
+        .store()
+        .list(
+            JobRecord.LIVE,
+            after,
+            PAGE_ENTRIES,
+            LIST_TIMEOUT_MS,
+            result -> {
+              if (ofListing != listing || lease.isEnded()) {
+                return;
+              }
+              if (result instanceof ListResult.Page page) {
+                listed(page, ofListing, began);
+              } else {
+                listRetryAt =
+                    context
+                        .now()
+                        .plus(LIST_RETRY_MS + context.random().nextInt(LIST_RETRY_SPREAD_MS));
+                restart();
+              }
+            });
+  }
+
+  private void listed(ListResult.Page page, long ofListing, MonotonicTime began) {
+    if (knownRevision < 0) {
+      knownRevision = page.revision();
+    }
+    String last = "";
+    for (Entry entry : page.entries()) {
+      last = entry.key();
+      JobRecord record = JobRecord.read(entry.value());
+      if (record == null) {
+        context.unreadable(entry.key());
+      } else if (isOfShard(record)) {
+        lifecycle.addListed(record, entry.revision());
+      }
+    }
+    if (page.more() && !last.isEmpty()) {
+      listPage(last, ofListing, began);
+      return;
+    }
+    listingUnderWay = false;
+    shownUpTo(began);
+    ready = true;
+    readyAt = context.now();
+    context.info(
+        "shard.recovered shard=%s epoch=%s jobs=%d revision=%d",
+        lease.shard(), lease.epoch(), jobs.all().size(), knownRevision);
+  }
+
+  private boolean isOfShard(JobRecord record) {
+    return lease.isOfShard(record.spec().team());
+  }
+
+  private void shownUpTo(MonotonicTime sent) {
+    if (knownUpTo.before(sent)) {
+      knownUpTo = sent;
+    }
+  }
+
+  // ---- watch -----------------------------------------------------------------------------------
+
+  /**
+   * Waits for further changes. An answer holds all changes since the last, whatever their number:
+   * after a cut, those of the owner that has come in between, megabytes of them, which nobody here
+   * needs. So there is no watch without a lease.
+   */
+  void watchIfDue() {
+    if (!watching && lease.isValid() && !context.now().before(watchRetryAt)) {
+      watch();
+    }
+  }
+
+  private void watch() {
+    watching = true;
+    long ofListing = listing;
+    MonotonicTime sent = context.now();
+    context
+        .store()
+        .watch(
+            JobRecord.LIVE,
+            knownRevision,
+            WATCH_HOLD_MS,
+            result -> {
+              watching = false;
+              if (!lease.isEnded() && ofListing == listing) {
+                watched(result, sent);
+              }
+            });
+  }
+
+  private void watched(WatchResult result, MonotonicTime sent) {
+    if (result instanceof WatchResult.Compacted) {
+      restart();
+    } else if (result instanceof WatchResult.Changes changes) {
+      for (Change change : changes.changes()) {
+        changed(new JobId(change.key().substring(JobRecord.LIVE.length())), change);
+      }
+      knownRevision = Math.max(knownRevision, changes.revision());
+      shownUpTo(sent);
+      watchRetryAt = context.now().plus(WATCH_PAUSE_MS);
+    } else {
+      watchRetryAt = context.now().plus(WATCH_RETRY_MS + context.random().nextInt(WATCH_RETRY_MS));
+    }
+  }
+
+  /** A record has changed: a new job, a mark of a user, one of our writes, or a stranger's. */
+  private void changed(JobId id, Change change) {
+    boolean marked = JobRecord.isMarked(change.value());
+    if (marked) {
+      cancellations.learn(id);
+      dependencies.cancelled(id);
+    } else if (change.value() == null) {
+      dependencies.dropped(id);
+    }
+    if (jobs.isRelinquished(id)) {
+      return;
+    }
+    Job job = jobs.find(id);
+    if (job == null) {
+      appeared(id, change);
+      return;
+    }
+    job.record().recordSeen(change.revision());
+    if (marked && !job.isCancelled()) {
+      // What the watch shows is committed; reading the record again may fail for long.
+      lifecycle.cancelled(job);
+    }
+    resolver.rereadIfOutdated(job);
+  }
+
+  private void appeared(JobId id, Change change) {
+    // Later changes of a job that is over may still come; only an acceptance begins one.
+    JobRecord record =
+        JobRecord.isUnclaimed(change.value()) ? JobRecord.read(change.value()) : null;
+    if (record != null && record.spec().id().equals(id) && isOfShard(record)) {
+      lifecycle.addWatched(record, change.revision());
+    }
+  }
+}
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -3,9 +3,11 @@
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -14,139 +16,206 @@
 import shorecrank.coordination.scheduling.DependencyGraph;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
-import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.protocol.UserMessages.JobStatus;
+import shorecrank.storage.CommitResult;
 import shorecrank.storage.JobRecord;
 
 /**
- * Answers where a part's jobs stand. One transaction that only compares finds all records in
+ * Answers where a shard's jobs stand. One transaction that only compares finds all records in
  * question unchanged, so no answer is older than one given elsewhere, and a burst of questions
  * costs the state service few requests.
  */
 public final class StatusQueries {
-  private static final int COMPARE_MS = 1000;
+  private static final int COMPARE_TIMEOUT_MS = 1000;
 
-  /** Takes what the store holds of a job now; null if this owner can't tell. */
+  /** How often a query is compared at the most. */
+  private static final int COMPARISONS = 2;
+
+  /** Guards in a transaction that only compares, for each write that one may hold. */
+  private static final int GUARDS_PER_OPERATION = 4;
+
+  /** A query compares at most this part of the guards of a transaction, as a divisor. */
+  private static final int SHARE_OF_QUERY = 4;
+
+  /** How many ended jobs are remembered. */
+  private static final int MOST_ENDED = 2000;
+
+  /** Takes what the store holds of a job now. */
   public interface StatusCallback {
+    /**
+     * A query has its answer.
+     *
+     * @param jobStatus null if this owner can't tell
+     */
     void told(JobStatus jobStatus);
   }
 
+  /** The queries that one transaction answers. */
+  private static final class Comparison {
+    final Map<JobId, List<StatusCallback>> queries;
+    final Transaction transaction = new Transaction();
+
+    /** What is told of each job if all its records are unchanged; null if it can't be told. */
+    final Map<JobId, JobStatus> statuses = new HashMap<>();
+
+    /** The keys that have to be unchanged, by job. */
+    final Map<JobId, Set<String>> keysByJob = new HashMap<>();
+
+    final Set<String> guardedKeys = new HashSet<>();
+
+    Comparison(Map<JobId, List<StatusCallback>> queries) {
+      this.queries = queries;
+    }
+
+    /** Guards the records of a job and of all that it needs. */
+    void guard(Job job, Collection<Job> needed) {
+      Set<String> keys = new HashSet<>();
+      for (Job each : needed) {
+        guard(each, keys);
+      }
+      guard(job, keys);
+      keysByJob.put(job.id(), keys);
+      JobStatus status = job.record().status();
+      boolean cancelledSince = job.isCancelled() && status.phase() != JobState.CANCELLED;
+      statuses.put(job.id(), cancelledSince ? null : status);
+    }
+
+    private void guard(Job job, Set<String> keys) {
+      String key = JobRecord.liveKey(job.id());
+      keys.add(key);
+      if (guardedKeys.add(key)) {
+        transaction.guard(key, job.record().revision());
+      }
+    }
+  }
+
   private final StepContext context;
-  private final Map<JobId, Job> jobs;
+  private final ShardJobs jobs;
   private final DependencyGraph dependencies;
 
-  /** Jobs that ended here: what never changes again needs no look at the store. */
+  /** Jobs that ended here: what never changes again needs no comparison. */
   private final Cache<JobId, JobStatus> ended =
-      Caffeine.newBuilder().maximumSize(2000).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(MOST_ENDED).executor(Runnable::run).build();
 
-  private final Map<JobId, List<StatusCallback>> asked = new LinkedHashMap<>();
-  private boolean asking;
+  private final Map<JobId, List<StatusCallback>> waiting = new LinkedHashMap<>();
+  private boolean comparing;
 
-  StatusQueries(StepContext context, Map<JobId, Job> jobs, DependencyGraph dependencies) {
+  StatusQueries(StepContext context, ShardJobs jobs, DependencyGraph dependencies) {
     this.context = context;
-    this.dependencies = dependencies;
     this.jobs = jobs;
+    this.dependencies = dependencies;
   }
 
-  void ended(JobId id, JobStatus jobStatus) {
-    ended.put(id, jobStatus);
+  /** A job's final record is committed. */
+  void ended(JobId id, JobStatus status) {
+    ended.put(id, status);
   }
 
-  void ask(JobId id, boolean owner, StatusCallback then) {
+  /**
+   * Takes a query, to be answered now or by the next comparison.
+   *
+   * @param isOwner whether this process owns the shard and knows its records
+   */
+  void ask(JobId id, boolean isOwner, StatusCallback callback) {
     JobStatus end = ended.getIfPresent(id);
     if (end != null) {
-      then.told(end);
-    } else if (!owner || !jobs.containsKey(id)) {
-      then.told(null);
+      callback.told(end);
+    } else if (!isOwner || jobs.find(id) == null) {
+      callback.told(null);
     } else {
-      asked.computeIfAbsent(id, k -> new ArrayList<>(1)).add(then);
+      waiting.computeIfAbsent(id, absent -> new ArrayList<>(1)).add(callback);
     }
   }
 
-  /** The part is given up: others have to be asked. */
+  /** The ownership is over: others have to be asked. */
   void close() {
-    asked.values().forEach(l -> l.forEach(t -> t.told(null)));
-    asked.clear();
+    waiting.values().forEach(callbacks -> tell(callbacks, null));
+    waiting.clear();
+  }
+
+  private static void tell(List<StatusCallback> callbacks, JobStatus status) {
+    callbacks.forEach(callback -> callback.told(status));
   }
 
-  /** Once a round. */
+  /** Answers what waits, unless a comparison is under way; once a round. */
   void answer() {
-    if (asked.isEmpty() || asking) {
+    if (waiting.isEmpty() || comparing) {
       return;
     }
     Map<JobId, List<StatusCallback>> batch = new LinkedHashMap<>();
-    int max = context.config.state().txnOps() * 4;
-    for (var i = asked.entrySet().iterator(); i.hasNext() && batch.size() < max; ) {
-      var e = i.next();
-      batch.put(e.getKey(), e.getValue());
+    int most = mostGuards();
+    for (Iterator<Map.Entry<JobId, List<StatusCallback>>> i = waiting.entrySet().iterator();
+        i.hasNext() && batch.size() < most; ) {
+      Map.Entry<JobId, List<StatusCallback>> query = i.next();
+      batch.put(query.getKey(), query.getValue());
       i.remove();
     }
-    compare(batch, 2);
+    compare(batch, COMPARISONS);
   }
 
-  private void compare(Map<JobId, List<StatusCallback>> batch, int attemptCount) {
-    StoreMessages.Transaction transaction = new StoreMessages.Transaction();
-    Map<JobId, JobStatus> sent = new HashMap<>();
-    Map<JobId, Set<String>> keys = new HashMap<>();
-    Set<String> guarded = new HashSet<>();
-    int max = context.config.state().txnOps() * 4;
-    for (JobId id : new ArrayList<>(batch.keySet())) {
-      Job j = jobs.get(id);
-      if (j == null || j.jobStatus == null) {
-        batch.remove(id).forEach(t -> t.told(ended.getIfPresent(id)));
-        continue;
-      }
-      // A job that waits is cancelled with any that it needs: those must be as they were, too.
-      var needed = dependencies.allNeeded(j, max / 4);
-      if (needed == null || guarded.size() + needed.size() + 1 > max) {
-        batch.remove(id).forEach(t -> t.told(null));
-        continue;
-      }
-      Set<String> mine = new HashSet<>();
-      List<Job> compared = new ArrayList<>(needed);
-      compared.add(j);
-      for (Job one : compared) {
-        String key = JobRecord.liveKey(one.id());
-        mine.add(key);
-        if (guarded.add(key)) {
-          transaction.guard(key, one.revision);
-        }
-      }
-      keys.put(id, mine);
-      sent.put(id, j.cancelled && j.jobStatus.phase() != JobState.CANCELLED ? null : j.jobStatus);
+  private int mostGuards() {
+    return context.config.state().txnOps() * GUARDS_PER_OPERATION;
+  }
+
+  private void compare(Map<JobId, List<StatusCallback>> queries, int comparisonsLeft) {
+    Comparison comparison = new Comparison(queries);
+    for (JobId id : new ArrayList<>(queries.keySet())) {
+      prepare(comparison, id);
     }
-    if (batch.isEmpty()) {
+    if (queries.isEmpty()) {
       return;
     }
-    asking = true;
-    context.state(
-        "POST",
-        StoreMessages.MULTI,
-        transaction.body(),
-        COMPARE_MS,
-        (status, body) -> {
-          asking = false;
-          Set<String> failed = status == 409 ? StoreMessages.failed(body) : Set.of();
-          Map<JobId, List<StatusCallback>> again = new LinkedHashMap<>();
-          batch.forEach(
-              (id, l) -> {
-                if (status == 200) {
-                  l.forEach(t -> t.told(sent.get(id)));
-                } else if (status == 409
-                    && attemptCount > 1
-                    && !failed.isEmpty()
-                    && Collections.disjoint(failed, keys.get(id))) {
-                  // Whether a refusal names all that differ is not said: what it does not name
-                  // is compared once more.
-                  again.put(id, l);
-                } else {
-                  l.forEach(t -> t.told(ended.getIfPresent(id)));
-                }
-              });
-          if (!again.isEmpty()) {
-            compare(again, attemptCount - 1);
+    comparing = true;
+    context
+        .store()
+        .commit(
+            comparison.transaction,
+            COMPARE_TIMEOUT_MS,
+            result -> {
+              comparing = false;
+              compared(comparison, result, comparisonsLeft);
+            });
+  }
+
+  /** Adds a query to a comparison, or answers it if it can't be compared. */
+  private void prepare(Comparison comparison, JobId id) {
+    Job job = jobs.find(id);
+    if (job == null || job.record().status() == null) {
+      tell(comparison.queries.remove(id), ended.getIfPresent(id));
+      return;
+    }
+    // A job that waits is cancelled with any that it needs: those must be as they were, too.
+    int most = mostGuards();
+    Collection<Job> needed = dependencies.allNeeded(job, most / SHARE_OF_QUERY);
+    if (needed == null || comparison.guardedKeys.size() + needed.size() + 1 > most) {
+      tell(comparison.queries.remove(id), null);
+    } else {
+      comparison.guard(job, needed);
+    }
+  }
+
+  private void compared(Comparison comparison, CommitResult result, int comparisonsLeft) {
+    Set<String> failedKeys =
+        result instanceof CommitResult.Conflict conflict ? conflict.failedKeys() : Set.of();
+    Map<JobId, List<StatusCallback>> again = new LinkedHashMap<>();
+    comparison.queries.forEach(
+        (id, callbacks) -> {
+          if (result.isCommitted()) {
+            tell(callbacks, comparison.statuses.get(id));
+          } else if (comparisonsLeft > 1
+              && !failedKeys.isEmpty()
+              && Collections.disjoint(failedKeys, comparison.keysByJob.get(id))) {
+            // Whether a refusal names all that differ is not said: what it does not name is
+            // compared once more.
+            again.put(id, callbacks);
+          } else {
+            tell(callbacks, ended.getIfPresent(id));
           }
         });
+    if (!again.isEmpty()) {
+      compare(again, comparisonsLeft - 1);
+    }
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -1,38 +1,34 @@
 package shorecrank.coordination.shard;
 
-import java.util.Collection;
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.TaskAttempt;
-import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.coordination.scheduling.ShardView;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.WorkerMessages.TaskState;
 
-/** What a part's processors do: where time goes while jobs wait. */
+/** Gauges of what a shard's processors do: where time goes while jobs wait. */
 final class UtilizationGauges {
   private UtilizationGauges() {}
 
-  static void tell(
-      StepContext context,
-      Collection<Machine> hosts,
-      Collection<Job> jobs,
-      WorkerLiveness liveness) {
-    double there = 0;
+  /** Sets the gauges to what is known now. */
+  static void update(StepContext context, ShardView shard) {
+    double heard = 0;
     double commanded = 0;
     double pulling = 0;
     double running = 0;
     double taken = 0;
-    for (Machine h : hosts) {
-      if (h.type() == null || !liveness.fresh(h)) {
+    for (Machine machine : shard.machines().values()) {
+      if (machine.type() == null || !shard.liveness().isFresh(machine)) {
         continue;
       }
-      there += h.type().cpus();
-      taken += h.usedCpus();
-      for (TaskAttempt t : h.attempts()) {
-        double cpus = t.job().spec.cpus();
-        if (t.state() == null) {
+      heard += machine.type().cpus();
+      taken += machine.usedCpus();
+      for (TaskAttempt attempt : machine.attempts()) {
+        double cpus = attempt.job().spec().cpus();
+        if (attempt.state() == null) {
           commanded += cpus;
-        } else if (t.state() == TaskState.PULLING) {
+        } else if (attempt.state() == TaskState.PULLING) {
           pulling += cpus;
         } else {
           running += cpus;
@@ -40,10 +36,10 @@
       }
     }
     double waiting = 0;
-    for (Job j : jobs) {
-      waiting += j.queued() * j.spec.cpus();
+    for (Job job : shard.jobs().values()) {
+      waiting += job.queued() * job.spec().cpus();
     }
-    context.gauge("cpus.heard", there);
+    context.gauge("cpus.heard", heard);
     context.gauge("cpus.taken", taken);
     context.gauge("cpus.commanded", commanded);
     context.gauge("cpus.pulling", pulling);
