--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -2,7 +2,6 @@
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,211 +25,204 @@
  * since; one that is not heard, or that has begun anew since, says nothing.
  */
 public final class CancellationLog {
-  private static final int CALL_MS = 900;
-  private static final int PULL_MS = 1000;
+  private static final int OK = 200;
+  private static final int CALL_TIMEOUT_MS = 900;
+  private static final int CALL_INTERVAL_MS = 1000;
 
-  /** A watch shows something every two seconds; after this the others are asked. */
+  /** A watch shows something every two seconds; after this the other controllers are asked. */
   private static final int BLIND_MS = 3000;
 
-  /** So long the own confirmations are kept to be told; a grace is never that long. */
-  private static final int KEEP_MS = 900_000;
-
-  /** At least so many are kept, and as many as can be confirmed in {@link #KEPT_S}. */
-  private static final int MIN_KEPT = 10_000;
+  /** At least so many confirmations are kept, and as many as can be made in {@link #KEPT_S}. */
+  private static final int LEAST_KEPT = 10_000;
 
   /** An owner that is without the state service for longer does not renew leases anyway. */
   private static final int KEPT_S = 120;
 
-  /** Steady clocks of two machines may drift apart by 0.05%. */
+  /** Another controller is asked for this much more than is not known. */
+  private static final int OVERLAP_MS = 2000;
+
+  /** Seconds beyond the evidence's age for which an answer may name confirmations. */
+  private static final int OVERLAP_S = 2;
+
+  /** Steady clocks of two machines may drift apart by 0.05%; twice that is allowed for. */
   private static final double DRIFT = 0.001;
 
-  /** A span within which a controller has told all that it confirmed, by our clock. */
+  /** What clocks that count in milliseconds may leave out. */
+  private static final int ROUNDING_MS = 20;
+
+  private static final double MS_PER_S = 1000.0;
+
+  /** A span within which a controller has told all that it confirmed, by this process's clock. */
   private record Span(MonotonicTime from, MonotonicTime to) {}
 
-  private static final class Member {
-    /** The latest span, and the one before it where they don't meet. */
-    Span last;
+  /** What another controller has told. */
+  private static final class Peer {
+    private Span last;
 
-    Span before;
-    boolean asking;
-    MonotonicTime askAt = new MonotonicTime(0);
-  }
+    /** The span before the last, if the two don't meet. */
+    private Span previous;
 
-  private final StepContext context;
-  private final Map<ControllerName, Member> members = new LinkedHashMap<>();
-  private final Consumer<JobId> learned;
-  private final Consumer<OwnerInfo> ownerSeen;
+    private boolean asking;
+    private MonotonicTime askAt = new MonotonicTime(0);
 
-  /** What this controller has confirmed itself, and when first. */
-  private final Map<JobId, MonotonicTime> own = new LinkedHashMap<>();
+    void add(Span span) {
+      if (span.to.before(span.from)) {
+        return;
+      }
+      if (last == null || last.to.before(span.from)) {
+        // It has begun anew: what its predecessor confirmed last is not known.
+        previous = last;
+        last = span;
+      } else {
+        last = new Span(last.from.before(span.from) ? last.from : span.from, span.to);
+      }
+    }
 
-  /** From when on {@link #own} is complete: this process's start, or what was dropped for room. */
-  private MonotonicTime ownFrom = MonotonicTime.NEVER;
+    /** Up to when all that it confirmed is known, if all is known up to a time. */
+    MonotonicTime horizon(MonotonicTime known) {
+      return extend(extend(known, previous, known), last, known);
+    }
+
+    private static MonotonicTime extend(MonotonicTime horizon, Span span, MonotonicTime known) {
+      boolean reaches = span != null && !known.before(span.from) && horizon.before(span.to);
+      return reaches ? span.to : horizon;
+    }
+  }
+
+  private final StepContext context;
+  private final Map<ControllerName, Peer> peers = new LinkedHashMap<>();
+  private final Consumer<JobId> jobListener;
+  private final Consumer<OwnerInfo> ownerListener;
+  private final ConfirmationHistory history;
 
   /** Jobs known to be cancelled, whoever told it. */
   private final Cache<JobId, Boolean> known;
 
-  /** Each confirmation is a change in the state service, which takes so many a second. */
-  private final int mostKept;
-
   /** So many jobs an answer of another controller may name: all within the evidence's age. */
   private final int mostAsked;
 
   /**
-   * @param learned takes each job that another controller reports as cancelled
-   * @param ownerSeen takes the owners that another controller knows of
+   * @param jobListener takes each job that a controller has confirmed as cancelled
+   * @param ownerListener takes the owners that another controller knows of
    */
   public CancellationLog(
-      StepContext context, Consumer<JobId> learned, Consumer<OwnerInfo> ownerSeen) {
+      StepContext context, Consumer<JobId> jobListener, Consumer<OwnerInfo> ownerListener) {
     this.context = context;
-    this.learned = learned;
-    this.ownerSeen = ownerSeen;
+    this.jobListener = jobListener;
+    this.ownerListener = ownerListener;
+    // Each confirmation is a change in the state service, which takes so many a second.
     double changesPerS = context.config.state().writeRps();
-    this.mostKept = (int) Math.max(MIN_KEPT, changesPerS * KEPT_S);
-    this.mostAsked =
-        (int)
-            Math.max(
-                PeerMessages.DEFAULT_CONFIRMED, changesPerS * (context.evidenceMs() / 1000.0 + 2));
+    int mostKept = (int) Math.max(LEAST_KEPT, changesPerS * KEPT_S);
+    double evidenceS = context.evidenceMs() / MS_PER_S + OVERLAP_S;
+    this.mostAsked = (int) Math.max(PeerMessages.DEFAULT_CONFIRMED, changesPerS * evidenceS);
+    this.history = new ConfirmationHistory(mostKept);
     this.known = Caffeine.newBuilder().maximumSize(mostKept).executor(Runnable::run).build();
-    for (NodeConfig.Member m : context.config.members()) {
-      members.put(m.label(), new Member());
+    for (NodeConfig.Member member : context.config.members()) {
+      peers.put(member.label(), new Peer());
     }
   }
 
+  /** Whether the job is known to be cancelled. */
   public boolean known(JobId id) {
     return known.getIfPresent(id) != null;
   }
 
-  /** A committed mark was seen. */
+  /** A committed mark of a cancellation was seen. */
   public void learn(JobId id) {
     known.put(id, true);
   }
 
   /** A user is being told that the job is cancelled. */
   public void confirmed(JobId id) {
-    if (own.putIfAbsent(id, context.now()) != null) {
-      return;
+    if (history.add(id, context.now())) {
+      learnConfirmed(id);
     }
-    if (own.size() > mostKept) {
-      dropOldest();
-    }
-    told(id);
   }
 
-  private void dropOldest() {
-    var first = own.entrySet().iterator();
-    ownFrom = first.next().getValue();
-    first.remove();
+  /** A user was told that the job is cancelled, here or by another controller. */
+  private void learnConfirmed(JobId id) {
+    if (!known(id)) {
+      learn(id);
+      jobListener.accept(id);
+    }
   }
 
   /**
    * The moment up to which all confirmed cancellations are known here.
    *
-   * @param storeAsOf up to when the state service has shown them; NEVER if it has not
+   * @param knownUpTo up to when the state service has shown them; NEVER if it has not
    */
-  public MonotonicTime horizon(MonotonicTime storeAsOf) {
-    if (storeAsOf == MonotonicTime.NEVER) {
-      return storeAsOf;
+  public MonotonicTime horizon(MonotonicTime knownUpTo) {
+    if (knownUpTo == MonotonicTime.NEVER) {
+      return knownUpTo;
     }
     MonotonicTime all = context.now();
-    for (Member m : members.values()) {
-      MonotonicTime one = storeAsOf;
-      one = later(one, m.before, storeAsOf);
-      one = later(one, m.last, storeAsOf);
-      all = one.before(all) ? one : all;
+    for (Peer peer : peers.values()) {
+      MonotonicTime ofPeer = peer.horizon(knownUpTo);
+      all = ofPeer.before(all) ? ofPeer : all;
     }
     return all;
   }
 
-  private static MonotonicTime later(MonotonicTime one, Span s, MonotonicTime from) {
-    return s != null && !from.before(s.from) && one.before(s.to) ? s.to : one;
-  }
+  // ---- other controllers -----------------------------------------------------------------------
 
-  /** Once a round; {@code blindSince} is what the owner here that knows least knows. */
+  /**
+   * Asks the other controllers if the state service shows nothing; once a round.
+   *
+   * @param blindSince up to when the owner here that knows least knows all cancellations; NEVER if
+   *     there is none
+   */
   public void tick(MonotonicTime blindSince) {
     MonotonicTime now = context.now();
-    if (ownFrom == MonotonicTime.NEVER) {
-      ownFrom = now;
-    }
-    while (!own.isEmpty() && now.since(own.values().iterator().next()) > KEEP_MS) {
-      dropOldest();
-    }
+    history.tick(now);
     boolean blind = blindSince != MonotonicTime.NEVER && now.since(blindSince) > BLIND_MS;
-    members.forEach(
-        (label, m) -> {
-          if (blind && !m.asking && !now.before(m.askAt)) {
-            pull(label, m, blindSince);
+    peers.forEach(
+        (name, peer) -> {
+          if (blind && !peer.asking && !now.before(peer.askAt)) {
+            ask(name, peer, blindSince);
           }
         });
   }
 
-  private void pull(ControllerName label, Member m, MonotonicTime since) {
-    m.asking = true;
+  private void ask(ControllerName name, Peer peer, MonotonicTime since) {
+    peer.asking = true;
     MonotonicTime sent = context.now();
-    m.askAt = sent.plus(PULL_MS);
+    peer.askAt = sent.plus(CALL_INTERVAL_MS);
     context.count("cancellations.asked");
     context.peer(
-        label,
+        name,
         PeerMessages.CONFIRMED,
-        PeerMessages.confirmedWithin(sent.since(since) + 2000, mostAsked),
-        CALL_MS,
+        PeerMessages.confirmedWithin(sent.since(since) + OVERLAP_MS, mostAsked),
+        CALL_TIMEOUT_MS,
         (status, body) -> {
-          m.asking = false;
-          ConfirmedCancellations c =
-              status == 200 ? PeerMessages.readConfirmed(body, mostAsked) : null;
-          if (c == null) {
-            if (status == 200) {
-              context.refused("peer.malformed", "malformed cancellations of " + label + " refused");
-            }
+          peer.asking = false;
+          if (status != OK) {
             return;
           }
-          c.ids().forEach(this::told);
-          c.owners().forEach(ownerSeen);
-          // What it says holds up to some moment after the question, and back from the answer at
-          // the most.
-          MonotonicTime from = context.now().plus(-(long) (c.spanMs() * (1 - DRIFT)) + 20);
-          heard(m, new Span(from, sent));
+          ConfirmedCancellations confirmed = PeerMessages.readConfirmed(body, mostAsked);
+          if (confirmed == null) {
+            context.refused("peer.malformed", "malformed cancellations of " + name + " refused");
+          } else {
+            answered(peer, confirmed, sent);
+          }
         });
   }
 
-  private void heard(Member m, Span s) {
-    if (s.to.before(s.from)) {
-      return;
-    }
-    if (m.last == null || m.last.to.before(s.from)) {
-      // It has begun anew: what its predecessor confirmed last is not known.
-      m.before = m.last;
-      m.last = s;
-    } else {
-      m.last = new Span(m.last.from.before(s.from) ? m.last.from : s.from, s.to);
-    }
-  }
-
-  /** Another controller has told a user that the job is cancelled. */
-  private void told(JobId id) {
-    if (!known(id)) {
-      learn(id);
-      learned.accept(id);
-    }
+  private void answered(Peer peer, ConfirmedCancellations confirmed, MonotonicTime sent) {
+    confirmed.ids().forEach(this::learnConfirmed);
+    confirmed.owners().forEach(ownerListener);
+    // What it says holds up to some moment after the question, and back from the answer at the
+    // most.
+    long spanMs = (long) (confirmed.spanMs() * (1 - DRIFT));
+    peer.add(new Span(context.now().plus(-spanMs + ROUNDING_MS), sent));
   }
 
   /**
    * What was confirmed here in so many milliseconds, for another controller. It asks because it
    * does not reach the state service, so it is also told who owns what.
    */
-  public ConfirmedCancellations answer(long within, int most, Collection<OwnerInfo> owners) {
-    MonotonicTime now = context.now();
-    long span = Math.min(within, ownFrom == MonotonicTime.NEVER ? 0 : now.since(ownFrom));
-    List<JobId> ids = new ArrayList<>();
-    List<Map.Entry<JobId, MonotonicTime>> all =
-        new ArrayList<>(within > 0 ? own.entrySet() : List.of());
-    for (int i = all.size() - 1; i >= 0 && now.since(all.get(i).getValue()) <= span; i--) {
-      if (ids.size() == most) {
-        span = now.since(all.get(i).getValue());
-        break;
-      }
-      ids.add(all.get(i).getKey());
-    }
-    return new ConfirmedCancellations(span, ids, List.copyOf(owners));
+  public ConfirmedCancellations answer(long withinMs, int most, Collection<OwnerInfo> owners) {
+    ConfirmationHistory.Recent recent = history.recent(withinMs, most, context.now());
+    return new ConfirmedCancellations(recent.spanMs(), recent.jobs(), List.copyOf(owners));
   }
 }
--- a/src/main/java/shorecrank/coordination/model/ImageCache.java
+++ b/src/main/java/shorecrank/coordination/model/ImageCache.java
@@ -17,10 +17,12 @@
   /** Tasks on the machine by their image: one of them fetches it for all. */
   private final Object2IntOpenHashMap<String> tasksByImage = new Object2IntOpenHashMap<>();
 
+  /** A task with this image is placed on the machine, which fetches it if it is not there. */
   void taskAdded(String image) {
     tasksByImage.addTo(image, 1);
   }
 
+  /** A task with this image is off the machine. */
   void taskRemoved(String image) {
     if (tasksByImage.addTo(image, -1) <= 1) {
       tasksByImage.removeInt(image);
@@ -30,19 +32,21 @@
   /** A task with this image runs, so the machine holds it; others may have been evicted for it. */
   void store(JobSpec spec, MachineType type) {
     images.putAndMoveToLast(spec.image(), spec.imageGb());
-    double sum = 0;
+    double sumGb = 0;
     for (double gb : images.values()) {
-      sum += gb;
+      sumGb += gb;
     }
-    while (type != null && sum > type.cacheGb() && images.size() > 1) {
-      sum -= images.removeFirstDouble();
+    while (type != null && sumGb > type.cacheGb() && images.size() > 1) {
+      sumGb -= images.removeFirstDouble();
     }
   }
 
+  /** The worker has begun anew, without images. */
   void clear() {
     images.clear();
   }
 
+  /** Whether the image is there or on its way. */
   boolean holdsOrFetches(String image) {
     return images.containsKey(image) || tasksByImage.containsKey(image);
   }
@@ -52,8 +56,9 @@
     if (images.containsKey(spec.image())) {
       return 0;
     }
-    double all = fullFetchSeconds(spec, type);
-    return tasksByImage.containsKey(spec.image()) ? all / 2 : all;
+    double full = fullFetchSeconds(spec, type);
+    // A fetch that is under way has done half of it on average.
+    return tasksByImage.containsKey(spec.image()) ? full / 2 : full;
   }
 
   /** Seconds that a fetch takes from its beginning. */
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -200,6 +200,7 @@
     return urgentSince;
   }
 
+  /** There is something to write; an urgency asked for before is not lowered. */
   void raiseUrgency(WriteUrgency least, MonotonicTime now) {
     if (urgency == WriteUrgency.NONE) {
       urgentSince = now;
--- a/src/main/java/shorecrank/coordination/model/JobTasks.java
+++ b/src/main/java/shorecrank/coordination/model/JobTasks.java
@@ -73,6 +73,7 @@
     taken.set(index);
   }
 
+  /** The tasks that have succeeded, as of now. */
   BitSet copyOfDone() {
     return (BitSet) done.clone();
   }
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -175,6 +175,7 @@
 
   // ---- attempts --------------------------------------------------------------------------------
 
+  /** An attempt is placed here. */
   void add(TaskAttempt attempt) {
     if (attempts.add(attempt)) {
       images.taskAdded(attempt.job().spec().image());
@@ -182,6 +183,7 @@
     }
   }
 
+  /** An attempt is surely off the machine, or its placement is taken back. */
   void remove(TaskAttempt attempt) {
     if (!attempts.remove(attempt)) {
       return;
--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -155,6 +155,7 @@
     return roomReassigned;
   }
 
+  /** Its room is given to another attempt. */
   void setRoomReassigned() {
     roomReassigned = true;
   }
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -39,6 +39,7 @@
     UNCLAIMED
   }
 
+  /** An attempt that a record names on a machine. */
   private record Named(MachineName machine, TaskAttemptId run) {}
 
   /** A job's record as it was read. */
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.model.Job;
@@ -41,10 +42,10 @@
     this.shard = shard;
   }
 
-  /** As of now; null while the picture is not whole. */
-  ShardDemand now() {
+  /** The demand as of now; empty while the records are not read or the lease is not valid. */
+  Optional<ShardDemand> current() {
     if (!shard.ready() || !shard.valid()) {
-      return null;
+      return Optional.empty();
     }
     double capacity = 0;
     double running = 0;
@@ -70,16 +71,17 @@
     List<Candidate> soonest =
         List.copyOf(candidates.subList(0, Math.min(MOST_CANDIDATES, candidates.size())));
     Queue queue = queue();
-    return new ShardDemand(
-        capacity,
-        running,
-        queue.waiting,
-        guaranteed(),
-        queue.oldestS,
-        queue.kinds,
-        soonest,
-        draining,
-        arrived);
+    return Optional.of(
+        new ShardDemand(
+            capacity,
+            running,
+            queue.waiting,
+            guaranteed(),
+            queue.oldestS,
+            queue.kinds,
+            soonest,
+            draining,
+            arrived));
   }
 
   private DrainProgress progress(Machine machine) {
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -336,7 +336,7 @@
         handovers,
         machines.misplaced(),
         machines.references().isTracking(),
-        demand == null ? null : demand.now());
+        demand == null ? null : demand.current().orElse(null));
   }
 
   private void addSpareMachines(List<MachineName> spare) {
