--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -743,7 +743,7 @@
         a.unassigned().forEach(s.machineRegistry()::unassigned);
       }
       s.machineRegistry().gone(a.gone());
-      s.autoscaler.blocked(a.blocked());
+      s.autoscaler.updateUnavailableOffers(a.blocked());
     }
     if (news
         && shardOwners.values().stream()
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
@@ -0,0 +1,38 @@
+package shorecrank.coordination.scheduling;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
+
+/**
+ * Queued tasks of one job that wait for machines.
+ *
+ * @param tasks how many, at least one; what waits for its team's quota needs no machine
+ */
+public record QueuedDemand(Job job, int tasks) {
+  /** The demand of all queued jobs of a shard, in the order of its jobs. */
+  public static List<QueuedDemand> of(ShardView shard) {
+    List<QueuedDemand> demands = new ArrayList<>();
+    Map<String, Headroom> headrooms = new HashMap<>();
+    for (Job job : shard.jobs().values()) {
+      if (job.queued() == 0 || job.backoff > 0) {
+        continue;
+      }
+      Headroom headroom = headrooms.computeIfAbsent(job.spec.team(), shard::headroom);
+      int tasks = headroom.queuedTasksThatFit(job);
+      if (tasks > 0) {
+        demands.add(new QueuedDemand(job, tasks));
+        headroom.take(job.spec, tasks);
+      }
+    }
+    return demands;
+  }
+
+  /** The processors that all of the tasks take at once. */
+  public double cpus() {
+    return tasks * job.spec.cpus();
+  }
+}
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -1591,7 +1591,7 @@
     List<MachineName> spare = new ArrayList<>();
     List<MachineHandover> back = List.of();
     if (ready() && valid()) {
-      autoscaler.review(retire);
+      retire.addAll(autoscaler.scaleIn());
       back = machineRegistry.handovers(liveness);
       for (Machine h : hosts.values()) {
         if (!h.assignment().isHandoverRequested()
