--- a/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -6,62 +6,88 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
 
-/** Where a job's tasks may go, and where they go best. */
+/** Chooses the machine where tasks of a job start soonest and leave the least room unused. */
 public final class BinPacking {
+  /** Seconds that leaving a whole machine free counts: large tasks then find room elsewhere. */
+  private static final double FREE_MACHINE_COST_S = 2.0;
+
   private BinPacking() {}
 
-  /** When it is, and how often workers report: a start goes in the answer to a report. */
-  public record Clock(MonotonicTime now, double reportS) {}
+  /**
+   * When it is, and how often workers send heartbeats: a start goes in the answer to one.
+   *
+   * @param heartbeatIntervalS in seconds
+   */
+  public record Clock(MonotonicTime now, double heartbeatIntervalS) {}
 
-  /** What a placement there costs, in seconds; less is better. */
-  private static double cost(JobSpec s, Machine h, int wanted, Clock clock) {
-    double c = h.fetchSeconds(s) + h.session().secondsToNextAnswer(clock.now, clock.reportS);
-    int n = Math.min(wanted, h.fits(s));
-    double left = h.freeCpus() - n * s.cpus();
-    // Best fit: little left over, so that large tasks find room elsewhere.
-    c += 2.0 * left / Math.max(1, h.type().cpus());
-    return c;
-  }
+  /**
+   * Tasks that look for a machine.
+   *
+   * @param tasks how many of the job's tasks should start
+   * @param zone the only zone where they may; null for any
+   */
+  public record Request(JobSpec spec, int tasks, String zone, Clock clock) {}
 
   /**
-   * Looks at a few machines that have room and takes the best fit; if none of them fits, at all of
-   * them.
+   * Samples a few machines that have room and takes the best fit; if none of them fits, looks at
+   * all of them.
+   *
+   * @param sampleSize draws of a sample; no sample is taken of as few machines or fewer
+   * @return null if no machine fits
    */
   public static Machine choose(
-      JobSpec s,
-      int wanted,
-      List<Machine> hosts,
-      String zone,
-      Clock clock,
-      int sample,
-      SplittableRandom random) {
-    Machine best = null;
-    double bestCost = Double.MAX_VALUE;
-    int n = hosts.size();
-    if (n > sample) {
-      for (int i = 0; i < sample; i++) {
-        Machine h = hosts.get(random.nextInt(n));
-        double c = fitting(s, h, zone) ? cost(s, h, wanted, clock) : Double.MAX_VALUE;
-        if (c < bestCost) {
-          best = h;
-          bestCost = c;
-        }
-      }
+      Request request, List<Machine> machines, int sampleSize, SplittableRandom random) {
+    if (machines.size() > sampleSize) {
+      Machine best = bestOfSample(request, machines, sampleSize, random);
       if (best != null) {
         return best;
       }
     }
-    for (Machine h : hosts) {
-      double c = fitting(s, h, zone) ? cost(s, h, wanted, clock) : Double.MAX_VALUE;
-      if (c < bestCost) {
-        best = h;
-        bestCost = c;
+    Machine best = null;
+    double bestCost = Double.MAX_VALUE;
+    for (Machine machine : machines) {
+      double cost = cost(request, machine);
+      if (cost < bestCost) {
+        best = machine;
+        bestCost = cost;
       }
     }
     return best;
   }
 
-  private static boolean fitting(JobSpec s, Machine h, String zone) {
-    return (zone == null || zone.equals(h.info().zone())) && h.fits(s) > 0 && h.isAllowedFor(s);
+  private static Machine bestOfSample(
+      Request request, List<Machine> machines, int sampleSize, SplittableRandom random) {
+    Machine best = null;
+    double bestCost = Double.MAX_VALUE;
+    for (int draw = 0; draw < sampleSize; draw++) {
+      Machine machine = machines.get(random.nextInt(machines.size()));
+      double cost = cost(request, machine);
+      if (cost < bestCost) {
+        best = machine;
+        bestCost = cost;
+      }
+    }
+    return best;
+  }
+
+  /** What a placement there costs, in seconds; the highest number if it does not fit. */
+  private static double cost(Request request, Machine machine) {
+    JobSpec spec = request.spec;
+    if (!fits(request, machine)) {
+      return Double.MAX_VALUE;
+    }
+    Clock clock = request.clock;
+    double startS =
+        machine.fetchSeconds(spec)
+            + machine.session().secondsToNextAnswer(clock.now, clock.heartbeatIntervalS);
+    int tasks = Math.min(request.tasks, machine.fits(spec));
+    double leftCpus = machine.freeCpus() - tasks * spec.cpus();
+    return startS + FREE_MACHINE_COST_S * leftCpus / Math.max(1, machine.type().cpus());
+  }
+
+  private static boolean fits(Request request, Machine machine) {
+    return (request.zone == null || request.zone.equals(machine.info().zone()))
+        && machine.fits(request.spec) > 0
+        && machine.isAllowedFor(request.spec);
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/DemandPeaks.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DemandPeaks.java
@@ -5,6 +5,7 @@
 
 /** The highest demand of a sliding window of time, in processors. */
 final class DemandPeaks {
+  /** A demand at some time. */
   private record Peak(MonotonicTime at, double cpus) {}
 
   /** Peaks in the order of time; each is higher than all after it. */
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -9,314 +9,340 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import shorecrank.config.NodeConfig;
-import shorecrank.config.NodeConfig.Objective;
 import shorecrank.coordination.model.Job;
+import shorecrank.coordination.scheduling.ServiceObjectives.Target;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.JobSpec.Priority;
 
 /**
- * In which order waiting jobs get room.
+ * The order in which queued jobs get room.
  *
  * <p>First come jobs that have waited long without a first task. Then those that can still reach an
- * aim of their class, by the latest start that reaches it; but where the fleet can't serve them all
- * in time, the job that asks for the most work for what it counts is put back until the others can
- * be served. Aims are shares of a class's jobs, so a job counts for the less the more jobs its
- * class has, and for more by the number of its class's aims and by its priority. The rest follows
- * by priority and least work left.
+ * objective of their class, by the latest start that reaches it; but where the fleet can't serve
+ * them all in time, the job that asks for the most work for what it counts is deferred until the
+ * others can be served. Objectives are shares of a class's jobs, so a job counts for the less the
+ * more jobs its class has, and for more by the number of its class's objectives and by its
+ * priority. The rest follows by priority and least work left.
  */
 public final class SchedulingQueue {
-  /** A job without a single task after this long goes first, whatever its size. */
-  static final double BEGIN_S = 120;
+  /** A job without a single task after so many seconds goes first, whatever its size. */
+  static final double OVERDUE_AFTER_S = 120;
 
-  /** Of such a job only a share goes first, so that one large job does not stop all others. */
-  public static final int BEGIN_SHARE = 8;
+  /**
+   * Of an overdue job only one task in so many goes first, so that one large job does not stop all
+   * others.
+   */
+  public static final int OVERDUE_FRACTION = 8;
 
-  /** Estimates are often wrong by half: a job is given up on only when half of it is too long. */
-  private static final double DOUBT = 0.5;
+  /**
+   * Estimates are often wrong by half: a job is given up on only when this share of its run is too
+   * long.
+   */
+  private static final double LEAST_RUN_SHARE = 0.5;
 
-  /** Tasks of a job differ, and its last one counts. */
-  private static final double LAST_TASK = 1.3;
+  /** Tasks of a job differ, and its last one counts: it takes so many times the estimate. */
+  private static final double LAST_TASK_FACTOR = 1.3;
 
   /**
-   * Work within its team's guarantee waits for nobody, but lets closer aims go first for so long.
+   * Work within its team's guarantee waits for nobody, but lets closer objectives go first for so
+   * many seconds.
    */
-  private static final double OWED_S = 2;
+  private static final double GUARANTEED_START_S = 2;
 
   /**
    * A job that asks for so many times less than others do for what it counts goes before them: it
    * hardly delays them.
    */
-  private static final double SMALL = 8;
+  private static final double SMALL_JOB_FACTOR = 8;
 
-  /** Machines are never all busy with what was placed best: room is lost to shapes and images. */
-  private static final double USABLE = 0.75;
+  /** The least values that estimates and rates are taken for. */
+  private static final double LEAST_FETCH_GB_PER_S = 0.01;
 
-  private record Aim(boolean start, double withinS, double times) {}
+  private static final double LEAST_RUN_S = 0.5;
+  private static final double LEAST_CPUS = 0.1;
 
-  /** One job in one round. */
-  private record Entry(
-      Job job, double latestStartS, double runS, double work, double weight, boolean owed) {}
+  /** How fast machines fetch images until one has been seen. */
+  private static final double DEFAULT_FETCH_GB_PER_S = 0.2;
 
-  private final StepContext context;
-  private final Map<String, List<Aim>> aims = new HashMap<>();
+  /** The latest start of a job that can't reach any objective, or has none. */
+  private static final double NO_START = Double.MAX_VALUE;
+
+  private static final Comparator<Job> OLDEST_FIRST =
+      Comparator.comparingLong((Job job) -> job.acceptedAtMs).thenComparing(Job::id);
+
+  private static final Comparator<Candidate> EARLIEST_START_FIRST =
+      Comparator.comparingDouble(Candidate::latestStartS)
+          .thenComparing(candidate -> candidate.job().id());
+
+  private static final Comparator<Candidate> MOST_WORK_FIRST =
+      Comparator.comparingDouble(candidate -> -candidate.workByWeight());
 
-  /** How many jobs of a class there were; aims are shares of them. */
-  private final Map<String, Integer> seen = new HashMap<>();
+  private static final Comparator<Job> BY_PRIORITY_AND_WORK =
+      Comparator.<Job, Priority>comparing(job -> job.priority)
+          .thenComparingDouble(Job::workLeft)
+          .thenComparing(Job::id);
 
-  private final Set<Job> known = new HashSet<>();
+  /**
+   * A job that can reach an objective, in one sorting.
+   *
+   * @param latestStartS the latest start that reaches it, in seconds from now
+   * @param durationS seconds from its start to its end
+   * @param work processor seconds of its queued tasks
+   * @param weight what it counts
+   * @param guaranteed whether it is within its team's guarantee
+   */
+  private record Candidate(
+      Job job,
+      double latestStartS,
+      double durationS,
+      double work,
+      double weight,
+      boolean guaranteed) {
+    double workByWeight() {
+      return work / weight;
+    }
+  }
+
+  /** What goes before the end of a job, in seconds: fetch of the image, command, run. */
+  private record Duration(double fetchS, double commandS, double runS) {
+    double latestStart(double leftS) {
+      return leftS - fetchS - commandS - runS * LAST_TASK_FACTOR;
+    }
 
+    boolean mayEndWithin(double leftS) {
+      return leftS >= fetchS + commandS + runS * LEAST_RUN_SHARE;
+    }
+
+    double totalS() {
+      return runS * LAST_TASK_FACTOR + fetchS + commandS;
+    }
+  }
+
+  private final StepContext context;
+  private final ServiceObjectives objectives;
+  private final TeamGuarantees guarantees;
   private final DependencyGraph dependencies;
 
+  /** How many jobs of a class there were; objectives are shares of them. */
+  private final Map<String, Integer> jobsByClass = new HashMap<>();
+
+  private final Set<Job> countedJobs = new HashSet<>();
+
   /** How fast the fleet's machines fetch images, as last seen. */
-  private double fetchGbPerS = 0.2;
+  private double lastFetchGbPerS = DEFAULT_FETCH_GB_PER_S;
 
+  /** A queue of the jobs whose dependencies {@code dependencies} holds. */
   public SchedulingQueue(StepContext context, DependencyGraph dependencies) {
     this.context = context;
     this.dependencies = dependencies;
-    for (Objective o : context.config.objectives()) {
-      List<Aim> l = aims.computeIfAbsent(o.jobClass(), k -> new ArrayList<>());
-      switch (o.kind()) {
-        case "wait" -> l.add(new Aim(true, o.withinS(), 0));
-        case "finished" -> l.add(new Aim(false, o.withinS(), 0));
-        case "deadline" -> l.add(new Aim(false, 0, o.times()));
-        default -> {}
-      }
-    }
+    this.objectives = new ServiceObjectives(context.config.objectives());
+    this.guarantees = new TeamGuarantees(context.config.teams());
   }
 
-  /** Whether users of the class wait for the start of its tasks. */
-  public boolean waitsForStart(JobSpec s) {
-    return aims.getOrDefault(s.jobClass(), List.of()).stream().anyMatch(Aim::start);
+  /** Whether users of the job's class wait for the start of its tasks. */
+  public boolean waitsForStart(JobSpec spec) {
+    return objectives.hasStartTarget(spec);
   }
 
-  boolean hasAims(JobSpec s) {
-    return !aims.getOrDefault(s.jobClass(), List.of()).isEmpty() || s.hasDeadline();
+  /** The service-level objectives that the order follows. */
+  ServiceObjectives objectives() {
+    return objectives;
   }
 
-  public static boolean overdue(Job j, long wallMs) {
-    return j.attemptCount == 0
-        && j.doneCount() == 0
-        && j.unmetDependencies.isEmpty()
-        && j.readyS(wallMs) > BEGIN_S;
+  /** Whether a job has waited so long without a single task that it goes first. */
+  public static boolean isOverdue(Job job, long wallMs) {
+    return job.attemptCount == 0
+        && job.doneCount() == 0
+        && job.unmetDependencies.isEmpty()
+        && job.readyS(wallMs) > OVERDUE_AFTER_S;
   }
 
   /**
-   * Sorts jobs by who gets room first.
+   * Brings up to date what the order follows beside the jobs' own objectives: the guarantees of
+   * teams, and the priorities and deadlines of dependent jobs.
    *
-   * @param fetchGbPerS how fast machines fetch images
-   * @param cpus the fleet's processors
-   * @param soonCpus those on their way
-   * @param soonS when they will be there
-   * @param busyWork processor seconds left of what runs
+   * @param jobs all unfinished jobs of the shard
    */
-  public List<Job> sort(
-      Collection<Job> waiting,
-      double fetchGbPerS,
-      double cpus,
-      double soonCpus,
-      double soonS,
-      double busyWork) {
-    long wall = context.wallMs();
-    this.fetchGbPerS = fetchGbPerS > 0 ? fetchGbPerS : this.fetchGbPerS;
-    List<Job> first = new ArrayList<>();
-    List<Entry> reachable = new ArrayList<>();
+  public void updateUrgency(Collection<Job> jobs) {
+    guarantees.mark(jobs);
+    dependencies.updateUrgency(this::ownDeadlines, this::durationMs);
+  }
+
+  /** Sorts jobs by who gets room first, and notes on each how soon it must get it. */
+  public List<Job> sort(Collection<Job> queued, FleetCapacity capacity) {
+    long wallMs = context.wallMs();
+    if (capacity.fetchGbPerS() > 0) {
+      lastFetchGbPerS = capacity.fetchGbPerS();
+    }
+    List<Job> overdue = new ArrayList<>();
+    List<Candidate> candidates = new ArrayList<>();
     List<Job> rest = new ArrayList<>();
-    for (Job j : waiting) {
-      learn(j);
-      if (overdue(j, wall)) {
-        first.add(j);
-        j.slackS = 0;
+    for (Job job : queued) {
+      countInClass(job);
+      if (isOverdue(job, wallMs)) {
+        overdue.add(job);
+        job.slackS = 0;
         continue;
       }
-      Entry e = entry(j, fetchGbPerS, wall);
-      if (e == null) {
-        rest.add(j);
-        j.slackS = Double.MAX_VALUE;
+      Candidate candidate = candidate(job, capacity.fetchGbPerS(), wallMs);
+      if (candidate == null) {
+        rest.add(job);
+        job.slackS = NO_START;
       } else {
-        reachable.add(e);
-        j.slackS = e.latestStartS();
+        candidates.add(candidate);
+        job.slackS = candidate.latestStartS();
       }
     }
-    first.sort(Comparator.comparingLong((Job j) -> j.acceptedAtMs).thenComparing(Job::id));
-    reachable.sort(
-        Comparator.comparingDouble(Entry::latestStartS).thenComparing(e -> e.job().id()));
-    // Moore and Hodgson: whenever the jobs so far can't all be in time, the largest steps back.
-    PriorityQueue<Entry> kept =
-        new PriorityQueue<>(Comparator.comparingDouble(e -> -e.work() / e.weight()));
-    Set<Job> back = new HashSet<>();
-    double work = busyWork;
-    double there = cpus * USABLE;
-    double coming = soonCpus * USABLE;
-    for (Entry e : reachable) {
-      work += e.work();
-      if (e.owed()) {
+    overdue.sort(OLDEST_FIRST);
+    candidates.sort(EARLIEST_START_FIRST);
+    List<Job> order = new ArrayList<>(queued.size());
+    order.addAll(overdue);
+    addInTime(candidates, deferred(candidates, capacity), order, rest);
+    rest.sort(BY_PRIORITY_AND_WORK);
+    order.addAll(rest);
+    return order;
+  }
+
+  /**
+   * The jobs that step back for others, by Moore and Hodgson's rule: whenever the jobs so far can't
+   * all be in time, the one with the most work steps back. Guaranteed ones never do.
+   */
+  private static Set<Job> deferred(List<Candidate> byStart, FleetCapacity capacity) {
+    PriorityQueue<Candidate> kept = new PriorityQueue<>(MOST_WORK_FIRST);
+    Set<Job> deferred = new HashSet<>();
+    double work = capacity.runningWork();
+    for (Candidate candidate : byStart) {
+      work += candidate.work();
+      if (candidate.guaranteed()) {
         continue;
       }
-      kept.add(e);
-      while (!kept.isEmpty()
-          && clearS(work, there, coming, soonS) > Math.max(0, e.latestStartS()) + e.runS()) {
-        Entry largest = kept.poll();
+      kept.add(candidate);
+      double endS = Math.max(0, candidate.latestStartS()) + candidate.durationS();
+      while (!kept.isEmpty() && capacity.secondsToClear(work) > endS) {
+        Candidate largest = kept.poll();
         work -= largest.work();
-        back.add(largest.job());
-        if (largest == e) {
+        deferred.add(largest.job());
+        if (largest == candidate) {
           break;
         }
       }
     }
-    List<Job> order = new ArrayList<>(waiting.size());
-    order.addAll(first);
+    return deferred;
+  }
+
+  /** Adds candidates to the order, small ones first; deferred ones go to the rest. */
+  private static void addInTime(
+      List<Candidate> byStart, Set<Job> deferred, List<Job> order, List<Job> rest) {
     double most = 0;
-    for (Entry e : reachable) {
-      most = Math.max(most, e.work() / e.weight());
+    for (Candidate candidate : byStart) {
+      most = Math.max(most, candidate.workByWeight());
     }
     List<Job> large = new ArrayList<>();
-    for (Entry e : reachable) {
-      if (back.contains(e.job())) {
-        rest.add(e.job());
-        e.job().slackS = Double.MAX_VALUE;
-      } else if (e.work() / e.weight() * SMALL < most) {
-        order.add(e.job());
+    for (Candidate candidate : byStart) {
+      Job job = candidate.job();
+      if (deferred.contains(job)) {
+        rest.add(job);
+        job.slackS = NO_START;
+      } else if (candidate.workByWeight() * SMALL_JOB_FACTOR < most) {
+        order.add(job);
       } else {
-        large.add(e.job());
+        large.add(job);
       }
     }
     order.addAll(large);
-    rest.sort(
-        Comparator.<Job, JobSpec.Priority>comparing(j -> j.priority)
-            .thenComparingDouble(Job::workLeft)
-            .thenComparing(Job::id));
-    order.addAll(rest);
-    return order;
   }
 
-  /** When so much work is done, with what is there and what comes. */
-  private static double clearS(double work, double cpus, double soonCpus, double soonS) {
-    if (work <= cpus * soonS || soonCpus <= 0) {
-      return work / Math.max(1, cpus);
+  /** Null if the job can't reach an objective any more, or has none. */
+  private Candidate candidate(Job job, double fetchGbPerS, long wallMs) {
+    Duration duration = duration(job, fetchGbPerS);
+    double latestStartS = NO_START;
+    for (Target target : objectives.targets(job.spec.jobClass())) {
+      latestStartS = Math.min(latestStartS, latestStartS(target, job, duration, wallMs));
     }
-    return soonS + (work - cpus * soonS) / (cpus + soonCpus);
-  }
-
-  /**
-   * Marks the jobs within their team's guarantee: those that fit into it together with all of the
-   * team's earlier ones.
-   */
-  public void owe(Collection<Job> jobs) {
-    Map<String, List<Job>> byTeam = new HashMap<>();
-    for (Job j : jobs) {
-      j.owed = false;
-      NodeConfig.Team t = context.config.teams().get(j.spec.team());
-      if (t != null
-          && (t.cpus() > 0 || t.gpus() > 0)
-          && !j.cancelled
-          && j.unmetDependencies.isEmpty()) {
-        byTeam.computeIfAbsent(j.spec.team(), k -> new ArrayList<>()).add(j);
+    double weight = weight(job.spec.jobClass());
+    for (Deadline deadline : dependencies.inheritedDeadlines(job)) {
+      double leftS = (deadline.atMs() - wallMs) / 1000;
+      if (duration.mayEndWithin(leftS)) {
+        latestStartS = Math.min(latestStartS, duration.latestStart(leftS));
+        weight = Math.max(weight, weight(deadline.jobClass()));
       }
     }
-    byTeam.forEach(
-        (name, l) -> {
-          NodeConfig.Team t = context.config.teams().get(name);
-          l.sort(Comparator.comparingLong((Job j) -> j.acceptedAtMs).thenComparing(Job::id));
-          double cpus = 0;
-          double gpus = 0;
-          for (Job j : l) {
-            cpus += j.spec.tasks() * j.spec.cpus();
-            gpus += j.spec.tasks() * j.spec.gpus();
-            j.owed = cpus <= t.cpus() + 1e-9 && gpus <= t.gpus() + 1e-9;
-          }
-        });
-  }
-
-  /** Null if no aim can be reached any more, or there is none. */
-  private Entry entry(Job j, double fetchGbPerS, long wall) {
-    JobSpec s = j.spec;
-    double age = j.ageS(wall);
-    // But for deadlines, times count from when the last job that it needs was done.
-    double waited = j.readyS(wall);
-    double fetch = s.imageGb() / Math.max(0.01, fetchGbPerS);
-    double command = context.config.workers().reportS() / 2;
-    double run = Math.max(0.5, s.estimateS());
-    double best = Double.MAX_VALUE;
-    for (Aim a : aims.getOrDefault(s.jobClass(), List.of())) {
-      double latest;
-      if (a.start()) {
-        // The image may be there and the machine's report about to come: given up only once past.
-        latest = a.withinS() - fetch - command - waited;
-        if (waited >= a.withinS()) {
-          continue;
-        }
-      } else {
-        if (a.withinS() <= 0 && !s.hasDeadline()) {
-          continue;
-        }
-        double left = a.withinS() > 0 ? a.withinS() - waited : s.deadlineS() * a.times() - age;
-        latest = left - fetch - command - run * LAST_TASK;
-        if (left < fetch + command + run * DOUBT) {
-          continue;
-        }
-      }
-      best = Math.min(best, latest);
+    if (job.owed) {
+      latestStartS = Math.min(latestStartS, GUARANTEED_START_S - job.readyS(wallMs));
     }
-    double weight = weight(s.jobClass());
-    for (DependencyGraph.Due d : dependencies.dues(j)) {
-      double left = (d.byMs() - wall) / 1000;
-      if (left >= fetch + command + run * DOUBT) {
-        best = Math.min(best, left - fetch - command - run * LAST_TASK);
-        weight = Math.max(weight, weight(d.jobClass()));
-      }
+    if (latestStartS == NO_START) {
+      return null;
     }
-    if (j.owed) {
-      best = Math.min(best, OWED_S - waited);
+    weight *= priorityWeight(job.priority);
+    double taskS = duration.runS() + duration.fetchS();
+    double work = job.queued() * Math.max(LEAST_CPUS, job.spec.cpus()) * taskS;
+    return new Candidate(job, latestStartS, duration.totalS(), work, weight, job.owed);
+  }
+
+  /** The latest start that reaches the target, in seconds from now; NO_START if none does. */
+  private static double latestStartS(Target target, Job job, Duration duration, long wallMs) {
+    // But for deadlines, times count from when the last job that it depends on was done.
+    double waitedS = job.readyS(wallMs);
+    if (target instanceof Target.Start start) {
+      // The image may be there and the machine's heartbeat about to come: given up only once past.
+      return waitedS >= start.withinS()
+          ? NO_START
+          : start.withinS() - duration.fetchS() - duration.commandS() - waitedS;
     }
-    if (best == Double.MAX_VALUE) {
-      return null;
+    Target.End end = (Target.End) target;
+    if (end.isRelativeToDeadline() && !job.spec.hasDeadline()) {
+      return NO_START;
     }
-    weight *=
-        switch (j.priority) {
-          case PROD -> 4;
-          case URGENT -> 2;
-          case NORMAL -> 1.4;
-          case LOW -> 1;
-        };
-    double queuedWork = j.queued() * Math.max(0.1, s.cpus()) * (run + fetch);
-    return new Entry(j, best, run * LAST_TASK + fetch + command, queuedWork, weight, j.owed);
+    double leftS =
+        end.isRelativeToDeadline()
+            ? job.spec.deadlineS() * end.deadlineFactor() - job.ageS(wallMs)
+            : end.withinS() - waitedS;
+    return duration.mayEndWithin(leftS) ? duration.latestStart(leftS) : NO_START;
   }
 
-  /** What a job of the class counts for: aims are shares of a class's jobs. */
+  private Duration duration(Job job, double fetchGbPerS) {
+    return new Duration(
+        job.spec.imageGb() / Math.max(LEAST_FETCH_GB_PER_S, fetchGbPerS),
+        // On average a command waits for half the time between two heartbeats.
+        context.config.workers().reportS() / 2,
+        Math.max(LEAST_RUN_S, job.spec.estimateS()));
+  }
+
+  /** What a job of the class counts for: objectives are shares of a class's jobs. */
   private double weight(String jobClass) {
-    return (double) Math.max(1, aims.getOrDefault(jobClass, List.of()).size())
-        / Math.max(1, seen.getOrDefault(jobClass, 1));
+    return (double) Math.max(1, objectives.targets(jobClass).size())
+        / Math.max(1, jobsByClass.getOrDefault(jobClass, 1));
   }
 
-  /** The deadlines of a job's own, on the wall clock. */
-  public List<DependencyGraph.Due> ownDues(Job j) {
-    List<DependencyGraph.Due> l = new ArrayList<>();
-    if (j.spec.hasDeadline()) {
-      for (Aim a : aims.getOrDefault(j.spec.jobClass(), List.of())) {
-        if (!a.start() && a.withinS() <= 0) {
-          double s = j.spec.deadlineS() * a.times();
-          l.add(new DependencyGraph.Due(j.acceptedAtMs + s * 1000, j.spec.jobClass()));
-        }
-      }
-    }
-    return l;
+  private static double priorityWeight(Priority priority) {
+    return switch (priority) {
+      case PROD -> 4;
+      case URGENT -> 2;
+      case NORMAL -> 1.4;
+      case LOW -> 1;
+    };
+  }
+
+  /** The deadlines of the job's own, on the wall clock. */
+  private List<Deadline> ownDeadlines(Job job) {
+    return objectives.deadlines(job.spec, job.acceptedAtMs);
   }
 
-  /** What a job takes from when it is ready, by its owner's estimate. */
-  public double spanMs(Job j) {
-    double command = context.config.workers().reportS() / 2;
-    double run = Math.max(0.5, j.spec.estimateS());
-    return 1000 * (j.spec.imageGb() / Math.max(0.01, fetchGbPerS) + command + run * LAST_TASK);
+  /** Milliseconds that a job takes from when it is ready, by its owner's estimate. */
+  private double durationMs(Job job) {
+    Duration duration = duration(job, lastFetchGbPerS);
+    return 1000 * (duration.fetchS() + duration.commandS() + duration.runS() * LAST_TASK_FACTOR);
   }
 
-  private void learn(Job j) {
-    if (known.add(j)) {
-      seen.merge(j.spec.jobClass(), 1, Integer::sum);
+  private void countInClass(Job job) {
+    if (countedJobs.add(job)) {
+      jobsByClass.merge(job.spec.jobClass(), 1, Integer::sum);
     }
   }
 
-  public void forget(Job j) {
-    known.remove(j);
+  /** The job has ended or left the shard. */
+  public void forget(Job job) {
+    countedJobs.remove(job);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -23,6 +23,7 @@
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.scheduling.BinPacking;
 import shorecrank.coordination.scheduling.DependencyGraph;
+import shorecrank.coordination.scheduling.FleetCapacity;
 import shorecrank.coordination.scheduling.Preemption;
 import shorecrank.coordination.scheduling.SchedulingQueue;
 import shorecrank.coordination.scheduling.ShardView;
@@ -583,7 +584,7 @@
       cancellations.learn(id);
       dependencies.cancelled(id);
     } else if (c.value() == null) {
-      dependencies.dropped(id);
+      dependencies.recordDeleted(id);
     }
     if (relinquishedJobs.contains(id)) {
       return;
@@ -1377,10 +1378,10 @@
     for (Job j : jobs.values()) {
       busy += j.live.size() * j.spec.cpus() * j.spec.estimateS() / 2;
     }
-    queue.owe(jobs.values());
-    dependencies.refresh(queue::ownDues, queue::spanMs);
+    queue.updateUrgency(jobs.values());
     return queue.sort(
-        waiting, fetch / Math.max(1, cpus), cpus, soon, soonS / Math.max(1, soon), busy);
+        waiting,
+        new FleetCapacity(fetch / Math.max(1, cpus), cpus, soon, soonS / Math.max(1, soon), busy));
   }
 
   private void place(Input.RoundBudget budget) {
@@ -1398,7 +1399,7 @@
       }
     }
     // In a full fleet nobody needs an order, unless there is one who makes room for himself.
-    if (room.isEmpty() && reserve.isEmpty() && waiting.stream().noneMatch(preemption::wanted)) {
+    if (room.isEmpty() && reserve.isEmpty() && waiting.stream().noneMatch(preemption::mayPreempt)) {
       return;
     }
     waiting = sorted(waiting);
@@ -1488,8 +1489,8 @@
 
   private void place(Job j, List<Machine> room) {
     int wanted = quotas.headroom(j.spec.team()).queuedTasksThatFit(j);
-    if (SchedulingQueue.overdue(j, context.wallMs())) {
-      wanted = Math.min(wanted, 1 + j.spec.tasks() / SchedulingQueue.BEGIN_SHARE);
+    if (SchedulingQueue.isOverdue(j, context.wallMs())) {
+      wanted = Math.min(wanted, 1 + j.spec.tasks() / SchedulingQueue.OVERDUE_FRACTION);
     }
     if (j.backoff > 0) {
       wanted = Math.min(wanted, 1);
@@ -1520,11 +1521,12 @@
     while (wanted > 0 && j.rangesLeft > 0 && !candidates.isEmpty()) {
       Machine h =
           BinPacking.choose(
-              j.spec,
-              wanted,
+              new BinPacking.Request(
+                  j.spec,
+                  wanted,
+                  zone,
+                  new BinPacking.Clock(context.now(), context.config.workers().reportS())),
               candidates,
-              zone,
-              new BinPacking.Clock(context.now(), context.config.workers().reportS()),
               context.tuning.sampleSize(),
               context.random());
       if (h == null) {
@@ -1569,7 +1571,7 @@
         }
       }
     }
-    if (wanted > 0 && !j.spec.spread() && j.backoff == 0 && preemption.wanted(j)) {
+    if (wanted > 0 && !j.spec.spread() && j.backoff == 0 && preemption.mayPreempt(j)) {
       placed |= preemption.makeRoom(j, wanted, index, zone);
     }
     if (placed) {
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -98,7 +98,7 @@
         continue;
       }
       // A job that waits is cancelled with any that it needs: those must be as they were, too.
-      var needed = dependencies.allNeeded(j, max / 4);
+      var needed = dependencies.transitiveDependencies(j, max / 4).orElse(null);
       if (needed == null || guarded.size() + needed.size() + 1 > max) {
         batch.remove(id).forEach(t -> t.told(null));
         continue;
