--- /dev/null
+++ b/src/test/java/shorecrank/coordination/model/MachineBuilder.java
@@ -0,0 +1,102 @@
+package shorecrank.coordination.model;
+
+import java.util.HashSet;
+import java.util.List;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineAssignment;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
+
+/** Puts together machines for tests: assigned to the shard, in zone "a", not heard yet. */
+public final class MachineBuilder {
+  private static final Epoch TERM = new Epoch(1);
+
+  private final MachineName name;
+  private String zone = "a";
+  private double cpus = 8;
+  private double gpus;
+  private MonotonicTime heardAt;
+  private boolean confirmed = true;
+
+  private MachineBuilder(MachineName name) {
+    this.name = name;
+  }
+
+  /** A machine named by a number. */
+  public static MachineBuilder machine(int number) {
+    return new MachineBuilder(new MachineName("m-" + number));
+  }
+
+  /** Sets its zone. */
+  public MachineBuilder inZone(String value) {
+    zone = value;
+    return this;
+  }
+
+  /** Sets its processors and accelerators. */
+  public MachineBuilder with(double cpuCount, double gpuCount) {
+    cpus = cpuCount;
+    gpus = gpuCount;
+    return this;
+  }
+
+  /** Its worker sent an empty heartbeat, which was reconciled. */
+  public MachineBuilder heardAt(MonotonicTime time) {
+    heardAt = time;
+    return this;
+  }
+
+  /** Its worker has been heard under another owner's epoch only. */
+  public MachineBuilder unconfirmed() {
+    confirmed = false;
+    return this;
+  }
+
+  /** A machine type of so many processors and accelerators, which fetches 0.5 GB in a second. */
+  public static MachineType type(double cpus, double gpus) {
+    return new MachineType(
+        "t" + (int) cpus, cpus, gpus, 1000, 50, 0.5, cpus, cpus / 4, 60, List.of("a", "b"));
+  }
+
+  /** The machine. */
+  public Machine build() {
+    MachineType type = type(cpus, gpus);
+    MachineInfo info = new MachineInfo(name, type.name(), zone, false);
+    Machine machine = new Machine(name, new HashSet<>());
+    machine.describe(info);
+    machine.setType(type);
+    MachineAssignment assignment =
+        new MachineAssignment(info, new ShardId(0), 0, TERM, false, MoveId.NONE);
+    machine.assignment().assign(assignment, new MonotonicTime(0));
+    if (heardAt != null) {
+      WorkerHeartbeat heartbeat = heartbeat(info);
+      machine.session().recordConfirmed(heartbeat, heardAt);
+      machine.session().recordReconciled(heartbeat);
+      if (!confirmed) {
+        machine.session().forgetConfirmation();
+      }
+    }
+    return machine;
+  }
+
+  private WorkerHeartbeat heartbeat(MachineInfo info) {
+    return new WorkerHeartbeat(
+        name,
+        info.type(),
+        zone,
+        info.spot(),
+        new Incarnation(1),
+        1,
+        FencingToken.of(TERM),
+        "",
+        -1,
+        List.of());
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
@@ -0,0 +1,85 @@
+package shorecrank.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static shorecrank.coordination.model.JobBuilder.job;
+import static shorecrank.coordination.model.MachineBuilder.machine;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.config.NodeConfig.Team;
+import shorecrank.protocol.JobSpec;
+
+/** How many more tasks a team's limits let run. */
+class TeamQuotasTest {
+  private static final Map<String, Team> TEAMS =
+      Map.of(
+          "limited", new Team("limited", 4, 10, 0, 2),
+          "unlimited", new Team("unlimited", 4, 0, 4, 0));
+
+  private final List<Machine> machines = new ArrayList<>();
+  private final TeamQuotas quotas = new TeamQuotas(TEAMS, machines);
+
+  private int fitting(String team, int tasks, double cpus, double gpus) {
+    Job job = job(1).ofTeam(team).tasks(tasks, cpus, gpus).build();
+    return quotas.headroom(team).queuedTasksThatFit(job);
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // team, tasks, processors and accelerators of each, tasks that fit
+    "limited, 5, 2, 0, 5",
+    "limited, 6, 2, 0, 5",
+    "limited, 6, 2, 1, 2",
+    "limited, 9, 0, 1, 2",
+    "limited, 1, 11, 0, 0",
+    "limited, 200, 0.1, 0, 100",
+    "unlimited, 5000, 64, 8, 5000",
+    "unknown, 1, 1, 0, 0",
+  })
+  void asManyTasksFitAsTheScarcerLimitAllows(
+      String team, int tasks, double cpus, double gpus, int expected) {
+    assertEquals(expected, fitting(team, tasks, cpus, gpus));
+  }
+
+  @Test
+  void onlyTeamsWithALimitAreLimited() {
+    assertTrue(quotas.isLimited("limited"));
+    assertFalse(quotas.isLimited("unlimited"));
+    assertFalse(quotas.isLimited("unknown"));
+  }
+
+  @Test
+  void attemptsCountUntilTheyAreReleased() {
+    JobSpec spec = job(2).ofTeam("limited").tasks(1, 6, 0).spec();
+    quotas.allocate(spec);
+    assertEquals(2, fitting("limited", 5, 2, 0));
+    quotas.release(spec);
+    assertEquals(5, fitting("limited", 5, 2, 0));
+  }
+
+  @Test
+  void tasksThatNoRecordNamesCountForTheirOwnTeam() {
+    Machine machine = machine(1).build();
+    machines.add(machine);
+    machine.addUnrecordedTask(job(2).ofTeam("limited").tasks(1, 6, 0).build(), 0);
+    machine.addUnrecordedTask(job(3).ofTeam("unlimited").tasks(1, 2, 0).build(), 0);
+    assertEquals(2, fitting("limited", 5, 2, 0));
+    machine.clearUnrecordedTasks();
+    assertEquals(5, fitting("limited", 5, 2, 0));
+  }
+
+  @Test
+  void headroomCountsDownWithWhatIsTakenFromIt() {
+    Job first = job(2).ofTeam("limited").tasks(3, 2, 0).build();
+    Job second = job(3).ofTeam("limited").tasks(9, 1, 0).build();
+    TeamQuotas.Headroom headroom = quotas.headroom("limited");
+    headroom.take(first.spec, headroom.queuedTasksThatFit(first));
+    assertEquals(4, headroom.queuedTasksThatFit(second));
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -0,0 +1,128 @@
+package shorecrank.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static shorecrank.coordination.model.JobBuilder.job;
+import static shorecrank.coordination.model.MachineBuilder.machine;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.PeerMessages.WorkerReachability;
+
+/**
+ * What the silence of workers proves: heartbeats come every 4 s, leases last 30 s, and an earlier
+ * owner may renew them for a grace period of 60 s.
+ */
+class WorkerLivenessTest {
+  private static final MonotonicTime GRANTED_AT = new MonotonicTime(1_000_000);
+
+  private final StepContext context = new StepContextBuilder().build();
+  private final List<Machine> machines = new ArrayList<>();
+  private final WorkerLiveness liveness = new WorkerLiveness(context, machines, GRANTED_AT);
+
+  private void msAfterGrant(long ms) {
+    context.begin(GRANTED_AT.plus(ms), 0, 1);
+  }
+
+  private void add(MachineBuilder builder) {
+    machines.add(builder.build());
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // ms since the last heartbeat, fresh, lease surely out
+    "0, true, false",
+    "11499, true, false",
+    "11500, false, false",
+    "31060, false, false",
+    "31061, false, true",
+  })
+  void verdictsOnAWorkerThatHasShownThisOwnersEpoch(long silentMs, boolean fresh, boolean out) {
+    Machine machine = machine(1).heardAt(GRANTED_AT).build();
+    msAfterGrant(silentMs);
+    assertEquals(fresh, liveness.fresh(machine), "fresh");
+    assertEquals(out, liveness.leaseOut(machine), "lease out");
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // ms since the shard was granted, lease surely out: a lease after the grace period and a margin
+    "31061, false",
+    "92180, false",
+    "92181, true",
+  })
+  void anEarlierOwnerMayHaveRenewedAnUnconfirmedWorkersLease(long ms, boolean out) {
+    Machine unheard = machine(1).build();
+    Machine unconfirmed = machine(2).heardAt(GRANTED_AT.plus(-1)).unconfirmed().build();
+    msAfterGrant(ms);
+    assertEquals(out, liveness.leaseOut(unheard), "never heard");
+    assertEquals(out, liveness.leaseOut(unconfirmed), "unconfirmed");
+  }
+
+  @Test
+  void silenceBeforeTheGrantDoesNotCount() {
+    Machine machine = machine(1).heardAt(GRANTED_AT.plus(-50_000)).build();
+    msAfterGrant(300);
+    assertEquals(300, liveness.silentMs(machine));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // ms since the grant, machines overdue of the one heard at it and the one heard before it
+    "7000, 0",
+    "7001, 1",
+    "12000, 1",
+    "12001, 2",
+  })
+  void workersOfTheLastOwnerAreWaitedForWhileTheyTurnToThisOne(long ms, int overdue) {
+    add(machine(1).heardAt(GRANTED_AT));
+    add(machine(2).heardAt(GRANTED_AT.plus(-1)));
+    msAfterGrant(ms);
+    assertEquals(overdue, liveness.hearing().unheard());
+  }
+
+  @Test
+  void aZoneIsUnreachableIfMostOfItsWorkersAreOverdue() {
+    MonotonicTime now = GRANTED_AT.plus(20_000);
+    add(machine(1).inZone("a").heardAt(now));
+    add(machine(2).inZone("a").heardAt(GRANTED_AT));
+    add(machine(3).inZone("b").heardAt(now));
+    add(machine(4).inZone("b").heardAt(GRANTED_AT));
+    add(machine(5).inZone("b").heardAt(GRANTED_AT));
+    add(machine(6).inZone("b"));
+    msAfterGrant(20_000);
+    assertEquals(new WorkerReachability(5, 3, List.of("b")), liveness.hearing());
+  }
+
+  @Test
+  void aMachineWithTasksIsExpectedThoughItWasNeverHeard() {
+    Machine machine = machine(1).build();
+    machine.addUnrecordedTask(job(1).build(), 0);
+    machines.add(machine);
+    msAfterGrant(20_000);
+    assertEquals(new WorkerReachability(1, 1, List.of("a")), liveness.hearing());
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // workers heard, workers overdue, whether many are missed: fewer than two thirds are heard
+    "3, 0, false",
+    "2, 1, false",
+    "1, 1, true",
+    "0, 1, true",
+  })
+  void manyWorkersAreMissedIfLessThanTwoThirdsAreHeard(int heard, int overdue, boolean many) {
+    for (int number = 0; number < heard; number++) {
+      add(machine(number).heardAt(GRANTED_AT.plus(20_000)));
+    }
+    for (int number = 0; number < overdue; number++) {
+      add(machine(heard + number).heardAt(GRANTED_AT));
+    }
+    msAfterGrant(20_000);
+    assertEquals(many, liveness.missesManyWorkers());
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
@@ -0,0 +1,253 @@
+package shorecrank.coordination.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static shorecrank.coordination.model.JobBuilder.id;
+import static shorecrank.coordination.model.JobBuilder.job;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.JobBuilder;
+import shorecrank.coordination.model.StepContextBuilder;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Json;
+import shorecrank.protocol.UserMessages.JobState;
+
+/** When a job is ready, and what the end of another job does to it. */
+class DependencyGraphTest {
+  private final StepContext context = new StepContextBuilder().build();
+  private final CancellationLog cancellations = new CancellationLog(context, id -> {}, owner -> {});
+  private final Map<JobId, Job> jobs = new TreeMap<>();
+  private final List<JobId> cancelled = new ArrayList<>();
+  private final DependencyGraph graph =
+      new DependencyGraph(context, jobs, cancellations, this::cancel);
+
+  private void cancel(Job job) {
+    job.cancelled = true;
+    cancelled.add(job.id());
+  }
+
+  private Job add(JobBuilder builder) {
+    Job job = builder.build();
+    jobs.put(job.id(), job);
+    graph.add(job);
+    return job;
+  }
+
+  private List<Output.Call> calls() {
+    List<Output.Call> calls = new ArrayList<>();
+    for (Output output : context.end()) {
+      if (output instanceof Output.Call call) {
+        calls.add(call);
+      }
+    }
+    return calls;
+  }
+
+  /** Answers the only call under way, as the state service does for a value. */
+  private void answer(int status, ObjectNode value) {
+    List<Output.Call> calls = calls();
+    assertEquals(1, calls.size(), "calls");
+    ObjectNode entry = Json.object();
+    entry.set("data", value);
+    JsonNode body = status == 200 ? entry : Json.object();
+    context.answered(new Input.Answer(calls.get(0).call(), status, body));
+  }
+
+  private void atMs(long ms) {
+    context.begin(new MonotonicTime(ms), ms, 1);
+  }
+
+  // ---- readiness -------------------------------------------------------------------------------
+
+  @Test
+  void aJobIsReadyOnceTheLastJobThatItDependsOnIsDone() {
+    add(job(1));
+    add(job(2));
+    Job last = add(job(3).dependsOn(1, 2));
+    atMs(5000);
+    graph.ended(id(1), JobState.DONE);
+    assertEquals(0, last.queued(), "after the first");
+    atMs(7000);
+    graph.ended(id(2), JobState.DONE);
+    assertEquals(1, last.queued(), "after the last");
+    assertEquals(2, last.readyS(9000), "seconds since it was ready");
+  }
+
+  // ---- cancellation ----------------------------------------------------------------------------
+
+  @Test
+  void aCancellationReachesEachTransitiveDependentOnce() {
+    add(job(1));
+    add(job(2).dependsOn(1));
+    add(job(3).dependsOn(1, 2));
+    add(job(4).dependsOn(3));
+    add(job(5));
+    Job other = add(job(6).dependsOn(5));
+    graph.cancelled(id(1));
+    assertEquals(List.of(id(2), id(3), id(4)), cancelled);
+    graph.ended(id(5), JobState.DONE);
+    assertEquals(1, other.queued(), "a job on another chain");
+  }
+
+  @Test
+  void aFinalRecordThatSaysCancelledCancelsDependents() {
+    add(job(1));
+    add(job(2).dependsOn(1));
+    graph.ended(id(1), JobState.CANCELLED);
+    assertEquals(List.of(id(2)), cancelled);
+  }
+
+  @Test
+  void aJobAddedAfterItsDependencyWasCancelledIsCancelledWithItsDependents() {
+    add(job(3).dependsOn(2));
+    cancellations.learn(id(1));
+    add(job(2).dependsOn(1));
+    assertEquals(List.of(id(2), id(3)), cancelled);
+  }
+
+  @Test
+  void aForgottenJobIsNotCancelled() {
+    add(job(1));
+    graph.forget(add(job(2).dependsOn(1)));
+    graph.cancelled(id(1));
+    assertEquals(List.of(), cancelled);
+  }
+
+  // ---- look-ups --------------------------------------------------------------------------------
+
+  @ParameterizedTest
+  @CsvSource(
+      nullValues = "-",
+      value = {
+        // live record: status, marked; final record: status, state; ready, cancelled, looked up
+        // again
+        "200, false, -, -, false, false, false",
+        "200, true, -, -, false, true, false",
+        "404, -, 200, done, true, false, false",
+        "404, -, 200, withdrawn, false, true, false",
+        "404, -, 200, nonsense, false, false, true",
+        "404, -, 404, -, false, false, true",
+        "404, -, 0, -, false, false, true",
+        "503, -, -, -, false, false, true",
+        "0, -, -, -, false, false, true",
+      })
+  void aJobOfAnotherShardIsReadInTheOrderInWhichItMoves(
+      int liveStatus,
+      Boolean marked,
+      Integer finalStatus,
+      String finalState,
+      boolean ready,
+      boolean isCancelled,
+      boolean again) {
+    Job job = add(job(2).dependsOn(1));
+    graph.tick();
+    answer(liveStatus, Json.object().put("x", marked));
+    if (finalStatus != null) {
+      answer(finalStatus, Json.object().put("p", finalState).put("n", 1));
+    }
+    assertEquals(ready ? 1 : 0, job.queued(), "queued tasks");
+    assertEquals(isCancelled ? List.of(id(2)) : List.of(), cancelled, "cancelled");
+    atMs(499);
+    graph.tick();
+    assertEquals(0, calls().size(), "look-ups before half a second");
+    atMs(500);
+    graph.tick();
+    assertEquals(again ? 1 : 0, calls().size(), "look-ups after half a second");
+  }
+
+  @Test
+  void noMoreThanFourJobsAreLookedUpAtATime() {
+    add(job(9).dependsOn(1, 2, 3, 4, 5));
+    graph.tick();
+    List<Output.Call> calls = calls();
+    assertEquals(4, calls.size());
+    context.answered(new Input.Answer(calls.get(0).call(), 200, Json.object()));
+    graph.tick();
+    assertEquals(1, calls().size());
+  }
+
+  @Test
+  void aJobWhoseLiveRecordIsDeletedIsLookedUpAtOnce() {
+    add(job(2).dependsOn(1));
+    graph.tick();
+    answer(200, Json.object());
+    graph.recordDeleted(id(7));
+    graph.recordDeleted(id(1));
+    graph.tick();
+    assertEquals(1, calls().size());
+  }
+
+  // ---- what dependents ask of a job ------------------------------------------------------------
+
+  @Test
+  void deadlinesAreInheritedLessTheTimeThatTheChainTakesTheClosestFourFirst() {
+    Job first = add(job(1));
+    Job second = add(job(2).dependsOn(1));
+    for (int number = 3; number < 8; number++) {
+      add(job(number).dependsOn(2));
+    }
+    Map<JobId, Long> deadlines = Map.of(id(3), 90L, id(4), 50L, id(5), 70L, id(6), 60L, id(7), 80L);
+    graph.updateUrgency(
+        job ->
+            deadlines.containsKey(job.id())
+                ? List.of(new Deadline(deadlines.get(job.id()), "report"))
+                : List.of(),
+        job -> 10);
+    assertEquals(List.of(40.0, 50.0, 60.0, 70.0), times(graph.inheritedDeadlines(second)));
+    assertEquals(List.of(30.0, 40.0, 50.0, 60.0), times(graph.inheritedDeadlines(first)));
+  }
+
+  private static List<Double> times(List<Deadline> deadlines) {
+    List<Double> times = new ArrayList<>();
+    deadlines.forEach(deadline -> times.add(deadline.atMs()));
+    return times;
+  }
+
+  @Test
+  void jobsThatDependOnEachOtherAreLoggedOnceAndEndTheWalk() {
+    add(job(1).dependsOn(2));
+    add(job(2).dependsOn(1));
+    graph.updateUrgency(job -> List.of(), job -> 10);
+    add(job(3).dependsOn(1));
+    graph.updateUrgency(job -> List.of(), job -> 10);
+    List<String> lines = new ArrayList<>();
+    for (Output output : context.end()) {
+      if (output instanceof Output.Log log) {
+        lines.add(log.text().substring(0, log.text().indexOf(' ')));
+      }
+    }
+    assertEquals(List.of("dependency.cycle"), lines);
+  }
+
+  @Test
+  void transitiveDependenciesAreKnownWithinTheShardAndUpToABound() {
+    Job first = add(job(1));
+    Job second = add(job(2).dependsOn(1));
+    Job third = add(job(3).dependsOn(2, 1));
+    Job other = add(job(4).dependsOn(3, 99));
+    assertEquals(Optional.of(Set.of()), asSet(graph.transitiveDependencies(first, 2)));
+    assertEquals(Optional.of(Set.of(second, first)), asSet(graph.transitiveDependencies(third, 2)));
+    assertEquals(Optional.empty(), graph.transitiveDependencies(third, 1), "above the bound");
+    assertEquals(Optional.empty(), graph.transitiveDependencies(other, 9), "another shard's");
+  }
+
+  private static Optional<Set<Job>> asSet(Optional<Collection<Job>> found) {
+    return found.map(Set::copyOf);
+  }
+}
