--- /dev/null
+++ b/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
@@ -0,0 +1,220 @@
+package shorecrank.coordination.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static shorecrank.coordination.model.JobBuilder.job;
+import static shorecrank.coordination.model.MachineBuilder.machine;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.JobBuilder;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.MachineBuilder;
+import shorecrank.coordination.model.StepContextBuilder;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.PeerMessages.CapacityRequest;
+import shorecrank.protocol.PeerMessages.UnavailableOffer;
+
+/**
+ * Which machines are rented and returned. Queues should be cleared in 120 s, machines boot in 60 s
+ * and are kept for 300 s after a peak; leases last 30 s and heartbeats come every 4 s. The only
+ * type has 8 processors and two zones; spot machines cost a quarter.
+ */
+class AutoscalerTest {
+  private static final long MINUTE_MS = 60_000;
+
+  private final StepContext context =
+      new StepContextBuilder().team("vision", 0, 0).team("limited", 0, 4).build();
+  private final FakeShard shard = new FakeShard(context);
+  private final Autoscaler autoscaler = new Autoscaler(context, shard);
+
+  @BeforeEach
+  void onlyOneTypeCanBeRented() {
+    shard.addType(MachineBuilder.type(8, 0));
+  }
+
+  private void atMs(long ms) {
+    context.begin(new MonotonicTime(ms), ms, 1);
+  }
+
+  private MachineBuilder heardAtMs(int number, long ms) {
+    return machine(number).heardAt(new MonotonicTime(ms));
+  }
+
+  /** A job with as many tasks of four processors, each of which runs for as long as a queue may. */
+  private static JobBuilder work(int tasks) {
+    return job(1).tasks(tasks, 4, 0).estimateS(120);
+  }
+
+  private String requested() {
+    List<String> requests = new ArrayList<>();
+    for (CapacityRequest request : autoscaler.capacityRequests()) {
+      requests.add(request.count() + " " + request.offer());
+    }
+    return String.join(", ", requests);
+  }
+
+  private void refuse(String zone, long forMs) {
+    Offer offer = new Offer("t8", zone, true);
+    autoscaler.updateUnavailableOffers(List.of(new UnavailableOffer(offer, forMs)));
+  }
+
+  // ---- scale out -------------------------------------------------------------------------------
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      nullValues = "-",
+      value = {
+        "1  | 1 t8@a/spot",
+        "4  | 1 t8@a/spot, 1 t8@b/spot",
+        "40 | 10 t8@a/spot, 10 t8@b/spot",
+      })
+  void theCheapestOffersAreAskedForAndZonesAtOnePriceShareAlike(int tasks, String requests) {
+    shard.add(work(tasks));
+    assertEquals(requests, requested());
+  }
+
+  @Test
+  void shortTasksNeedOnlyWhatClearsTheQueueInTime() {
+    shard.add(job(1).tasks(120, 4, 0).estimateS(4));
+    assertEquals("1 t8@a/spot, 1 t8@b/spot", requested());
+  }
+
+  @Test
+  void roomThatIsThereOrBootingIsNotRentedAgain() {
+    shard.add(work(6));
+    shard.add(heardAtMs(1, 0));
+    shard.add(machine(2));
+    atMs(1000);
+    // Of six tasks two wait; both machines are in zone a, so the other zone comes first.
+    assertEquals("1 t8@b/spot", requested());
+  }
+
+  @Test
+  void aMachineThatTakesTwiceItsBootTimeNoLongerCounts() {
+    shard.add(work(2));
+    shard.add(machine(1));
+    atMs(2 * MINUTE_MS - 1);
+    assertEquals("", requested());
+    atMs(2 * MINUTE_MS);
+    assertEquals("1 t8@b/spot", requested());
+  }
+
+  @Test
+  void whatWaitsForItsTeamsLimitNeedsNoMachine() {
+    shard.add(work(40).ofTeam("limited"));
+    assertEquals("1 t8@a/spot", requested());
+  }
+
+  @Test
+  void anOfferThatIsUsedUpIsLeftOutAndThenAskedForInSmallNumbersBesideOthers() {
+    shard.add(work(40));
+    refuse("a", 30_000);
+    assertEquals("20 t8@b/spot", requested());
+    atMs(30_000);
+    assertEquals("10 t8@a/spot, 20 t8@b/spot", requested());
+    atMs(MINUTE_MS);
+    assertEquals("10 t8@a/spot, 10 t8@b/spot", requested());
+  }
+
+  // ---- scale in --------------------------------------------------------------------------------
+
+  private List<String> returned() {
+    List<String> names = new ArrayList<>();
+    for (MachineName name : autoscaler.scaleIn()) {
+      names.add(name.value());
+    }
+    return names;
+  }
+
+  private static void runTaskOn(Machine machine) {
+    machine.addUnrecordedTask(job(9).tasks(1, 4, 0).build(), 0);
+  }
+
+  @Test
+  void aMachineThatIsNotNeededIsDrainedOnceThePeakIsPastAndReturnedWhenIdle() {
+    Machine busy = shard.add(heardAtMs(1, 5 * MINUTE_MS));
+    Machine idle = shard.add(heardAtMs(2, 5 * MINUTE_MS));
+    runTaskOn(busy);
+    Job peak = shard.add(work(2));
+    atMs(1000);
+    autoscaler.scaleIn();
+    shard.jobs().remove(peak.id());
+    atMs(5 * MINUTE_MS);
+    assertEquals(List.of(), returned(), "while the peak counts");
+    assertFalse(idle.isDraining());
+    atMs(5 * MINUTE_MS + 1001);
+    assertEquals(List.of("m-2"), returned(), "after the peak");
+    assertTrue(idle.isReleasing());
+    assertFalse(busy.isDraining());
+  }
+
+  @Test
+  void aDrainingMachineIsTakenBackBeforeQueuedWorkRentsAnother() {
+    Machine busy = shard.add(heardAtMs(1, 5 * MINUTE_MS));
+    Machine draining = shard.add(heardAtMs(2, 5 * MINUTE_MS));
+    runTaskOn(busy);
+    runTaskOn(draining);
+    draining.drain();
+    shard.add(work(2));
+    atMs(5 * MINUTE_MS);
+    assertEquals(List.of(), returned());
+    assertFalse(draining.isDraining());
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // machines of the same zone that are heard, ms of silence of one, whether it is returned
+    "2, 16000, false",
+    "2, 16001, true",
+  })
+  void aSingleSilentMachineIsReturnedBeforeItsLeaseRunsOut(
+      int heard, long silentMs, boolean isReturned) {
+    Machine silent = shard.add(heardAtMs(0, MINUTE_MS));
+    runTaskOn(silent);
+    for (int number = 1; number <= heard; number++) {
+      runTaskOn(shard.add(heardAtMs(number, MINUTE_MS + silentMs)));
+    }
+    atMs(MINUTE_MS + silentMs);
+    assertEquals(isReturned ? List.of("m-0") : List.of(), returned());
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // ms of silence of a whole zone, whether its machines are returned: a minute after the lease
+    "90000, false",
+    "90001, true",
+  })
+  void machinesThatFellSilentTogetherAreWaitedFor(long silentMs, boolean isReturned) {
+    for (int number = 0; number < 3; number++) {
+      runTaskOn(shard.add(heardAtMs(number, MINUTE_MS).inZone("a")));
+    }
+    for (int number = 3; number < 20; number++) {
+      runTaskOn(shard.add(heardAtMs(number, MINUTE_MS + silentMs).inZone("b")));
+    }
+    atMs(MINUTE_MS + silentMs);
+    assertEquals(isReturned ? List.of("m-0", "m-1", "m-2") : List.of(), returned());
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // seconds since it was assigned, whether it is returned: five boot times and two minutes
+    "420, false",
+    "421, true",
+  })
+  void aMachineThatNeverComesUpIsReturned(long seconds, boolean isReturned) {
+    shard.add(machine(1));
+    atMs(seconds * 1000);
+    assertEquals(isReturned ? List.of("m-1") : List.of(), returned());
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
@@ -0,0 +1,102 @@
+package shorecrank.coordination.scheduling;
+
+import static org.junit.jupiter.api.Assertions.fail;
+
+import java.util.Map;
+import java.util.TreeMap;
+import shorecrank.coordination.model.Job;
+import shorecrank.coordination.model.JobBuilder;
+import shorecrank.coordination.model.Machine;
+import shorecrank.coordination.model.MachineBuilder;
+import shorecrank.coordination.model.TaskAttempt;
+import shorecrank.coordination.model.TeamQuotas;
+import shorecrank.coordination.model.TeamQuotas.Headroom;
+import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.MonotonicTime;
+
+/** A shard of a test's own jobs and machines, whose owner holds its lease since time 0. */
+final class FakeShard implements ShardView {
+  private final Map<MachineName, Machine> machines = new TreeMap<>();
+  private final Map<JobId, Job> jobs = new TreeMap<>();
+  private final Map<String, MachineType> catalog = new TreeMap<>();
+  private final WorkerLiveness liveness;
+  private final TeamQuotas quotas;
+
+  FakeShard(StepContext context) {
+    liveness = new WorkerLiveness(context, machines.values(), new MonotonicTime(0));
+    quotas = new TeamQuotas(context.config.teams(), machines.values());
+  }
+
+  /** Adds a machine. */
+  Machine add(MachineBuilder builder) {
+    Machine machine = builder.build();
+    machines.put(machine.name(), machine);
+    return machine;
+  }
+
+  /** Adds a job. */
+  Job add(JobBuilder builder) {
+    Job job = builder.build();
+    jobs.put(job.id(), job);
+    return job;
+  }
+
+  /** Adds a machine type that can be rented. */
+  void addType(MachineType type) {
+    catalog.put(type.name(), type);
+  }
+
+  @Override
+  public Map<MachineName, Machine> machines() {
+    return machines;
+  }
+
+  @Override
+  public Map<JobId, Job> jobs() {
+    return jobs;
+  }
+
+  @Override
+  public Map<String, MachineType> catalog() {
+    return catalog;
+  }
+
+  @Override
+  public WorkerLiveness liveness() {
+    return liveness;
+  }
+
+  @Override
+  public boolean usable(Machine machine) {
+    return liveness.fresh(machine) && !machine.isDraining() && !machine.isReleasing();
+  }
+
+  @Override
+  public boolean ready() {
+    return true;
+  }
+
+  @Override
+  public MonotonicTime readyAt() {
+    return new MonotonicTime(0);
+  }
+
+  @Override
+  public boolean valid() {
+    return true;
+  }
+
+  @Override
+  public Headroom headroom(String team) {
+    return quotas.headroom(team);
+  }
+
+  @Override
+  public void attach(TaskAttempt attempt) {
+    fail("the autoscaler places nothing");
+  }
+}
