--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -67,8 +67,8 @@
 
     private int wantedTasks() {
       int tasks = shard.headroom(spec.team()).queuedTasksThatFit(job);
-      if (SchedulingQueue.overdue(job, context.wallMs())) {
-        tasks = Math.min(tasks, 1 + spec.tasks() / SchedulingQueue.BEGIN_SHARE);
+      if (SchedulingQueue.isOverdue(job, context.wallMs())) {
+        tasks = Math.min(tasks, 1 + spec.tasks() / SchedulingQueue.OVERDUE_FRACTION);
       }
       // Of a job that fails wherever it is started, one task is tried at a time.
       return job.scheduling().isBackingOff() ? Math.min(tasks, 1) : tasks;
@@ -101,11 +101,12 @@
       while (wanted > 0 && job.record().hasRoomForRange() && !candidates.isEmpty()) {
         Machine machine =
             BinPacking.choose(
-                spec,
-                wanted,
+                new BinPacking.Request(
+                    spec,
+                    wanted,
+                    zone,
+                    new BinPacking.Clock(context.now(), context.config.workers().reportS())),
                 candidates,
-                zone,
-                new BinPacking.Clock(context.now(), context.config.workers().reportS()),
                 context.tuning.sampleSize(),
                 context.random());
         if (machine == null) {
@@ -178,7 +179,7 @@
       if (wanted > 0
           && !spec.spread()
           && !job.scheduling().isBackingOff()
-          && preemption.wanted(job)) {
+          && preemption.mayPreempt(job)) {
         placed |= preemption.makeRoom(job, wanted, index, zone);
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -103,8 +103,7 @@
     this.directCommands = new DirectCommandSender(context, lease, jobs, planner);
     HeartbeatReconciler reconciler = new HeartbeatReconciler(context, jobs);
     this.heartbeats = new HeartbeatHandler(context, lease, recovery, machines, reconciler, replies);
-    this.placement =
-        new PlacementRound(context, state, quotas, queue, dependencies, machines.withRoom());
+    this.placement = new PlacementRound(context, state, quotas, queue, machines.withRoom());
     this.autoscaler = new Autoscaler(context, state);
     this.statusQueries = new StatusQueries(context, jobs, dependencies);
     this.demand = shares ? new ShardDemandReporter(context, state) : null;
@@ -318,7 +317,7 @@
     List<MachineName> spare = new ArrayList<>();
     List<MachineHandover> handovers = List.of();
     if (recovery.isReady() && lease.isValid()) {
-      autoscaler.review(retire);
+      retire.addAll(autoscaler.scaleIn());
       handovers = machines.handovers(liveness);
       addSpareMachines(spare);
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -241,7 +241,7 @@
       cancellations.learn(id);
       dependencies.cancelled(id);
     } else if (change.value() == null) {
-      dependencies.dropped(id);
+      dependencies.recordDeleted(id);
     }
     if (jobs.isRelinquished(id)) {
       return;
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -11,6 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.scheduling.DependencyGraph;
@@ -188,11 +189,12 @@
     }
     // A job that waits is cancelled with any that it needs: those must be as they were, too.
     int most = mostGuards();
-    Collection<Job> needed = dependencies.allNeeded(job, most / SHARE_OF_QUERY);
-    if (needed == null || comparison.guardedKeys.size() + needed.size() + 1 > most) {
+    Optional<Collection<Job>> needed =
+        dependencies.transitiveDependencies(job, most / SHARE_OF_QUERY);
+    if (needed.isEmpty() || comparison.guardedKeys.size() + needed.get().size() + 1 > most) {
       tell(comparison.queries.remove(id), null);
     } else {
-      comparison.guard(job, needed);
+      comparison.guard(job, needed.get());
     }
   }
 
