--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -13,6 +13,7 @@
 import shorecrank.config.Settings;
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.leader.Leader;
+import shorecrank.coordination.leader.ShardOwnerCodec;
 import shorecrank.coordination.leader.StepLeaderEnvironment;
 import shorecrank.coordination.model.CancellationLog;
 import shorecrank.coordination.request.RolloutRequestHandler;
@@ -643,14 +644,14 @@
     ownersBusy = true;
     context.state(
         "GET",
-        StoreMessages.list(Leader.PART, "", 200),
+        StoreMessages.list(ShardOwnerCodec.PREFIX, "", 200),
         null,
         1500,
         (status, body) -> {
           ownersBusy = false;
           ownersAt = context.now().plus(800 + context.random().nextInt(400));
           if (status == 200) {
-            StoreMessages.entries(body).forEach(e -> owner(Leader.owner(e.value())));
+            StoreMessages.entries(body).forEach(e -> owner(ShardOwnerCodec.read(e.value())));
           }
         });
   }
@@ -825,7 +826,7 @@
     }
     catalog = c;
     userRequests.catalog(c);
-    leader.catalog(c);
+    leader.updateCatalog(c);
     shardOwners.values().forEach(s -> s.catalog(c));
   }
 
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -128,7 +128,7 @@
     this.calls = new RateLimiter(context.config.cloud().rps() * RATE_SHARE);
   }
 
-  void catalog(Map<String, MachineType> types) {
+  void updateCatalog(Map<String, MachineType> types) {
     catalog = types;
   }
 
@@ -394,7 +394,9 @@
         }
         continue;
       }
-      met.accept(new MachineInfo(l.name(), l.type(), l.zone(), l.spot()), "listed as " + l.state());
+      met.accept(
+          new MachineInfo(l.name(), l.type(), l.zone(), l.spot()),
+          "source=listing state=" + l.state());
       Machine machine = machines.get(l.name());
       if (machine != null) {
         machine.listedAt = now;
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -0,0 +1,84 @@
+package shorecrank.coordination.leader;
+
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import shorecrank.config.NodeConfig.Member;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.PeerMessages.Heartbeat;
+
+/** The controllers that the leader has heard in its term, itself among them. */
+final class ControllerTable {
+  /** A controller that was heard so lately is taken to reach the state service as it said. */
+  private static final int STATE_OK_VALID_MS = 3000;
+
+  /** Beyond two intervals of heartbeats, the silence after which a controller can't serve. */
+  private static final int SERVING_MARGIN_MS = 500;
+
+  private final StepContext context;
+  private final Map<ControllerName, ControllerState> controllers = new TreeMap<>();
+
+  ControllerTable(StepContext context) {
+    this.context = context;
+  }
+
+  /** Starts anew with no controller heard. */
+  void reset() {
+    controllers.clear();
+  }
+
+  /** Takes in a heartbeat, and returns the state of its sender. */
+  ControllerState heard(Heartbeat heartbeat) {
+    ControllerState sender =
+        controllers.computeIfAbsent(heartbeat.from(), name -> new ControllerState());
+    sender.heard(heartbeat, context.now());
+    return sender;
+  }
+
+  Set<Map.Entry<ControllerName, ControllerState>> entries() {
+    return controllers.entrySet();
+  }
+
+  /** How many controllers were heard. */
+  int size() {
+    return controllers.size();
+  }
+
+  /** A controller that was heard. */
+  ControllerState get(ControllerName controller) {
+    return controllers.get(controller);
+  }
+
+  /** Whether a controller could serve a shard: it is heard and reaches the state service. */
+  boolean canServe(ControllerState controller) {
+    return controller.isStateOk()
+        && controller.silentMs(context.now()) <= context.tuning.renewMs() * 2L + SERVING_MARGIN_MS;
+  }
+
+  /** Whether any controller but this one reaches the state service. */
+  boolean isStateOkElsewhere(ControllerName except) {
+    if (!except.equals(context.config.label()) && context.stateOk()) {
+      return true;
+    }
+    for (Map.Entry<ControllerName, ControllerState> entry : controllers.entrySet()) {
+      ControllerState controller = entry.getValue();
+      if (!entry.getKey().equals(except)
+          && controller.isStateOk()
+          && controller.silentMs(context.now()) < STATE_OK_VALID_MS) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** The zone of a controller; that of this one if it is not configured. */
+  String zoneOf(ControllerName controller) {
+    for (Member member : context.config.members()) {
+      if (member.label().equals(controller)) {
+        return member.location();
+      }
+    }
+    return context.config.zone();
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -0,0 +1,189 @@
+package shorecrank.coordination.leader;
+
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import shorecrank.config.NodeConfig.Member;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.WriterId;
+import shorecrank.protocol.Json;
+import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.PeerMessages.OwnerInfo;
+import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.CommitResult.Committed;
+
+/**
+ * Mints epochs: a transaction raises the fleet's counter and writes down the owner that gets the
+ * new epoch. One mint is under way at a time, each guarded by the counter's revision, so that no
+ * epoch is given twice.
+ */
+final class EpochAllocator {
+  private static final int CALL_MS = 1500;
+  private static final int NUDGE_MS = 1000;
+
+  /** After a mint without success everything is loaded again after so long. */
+  private static final int RELOAD_PAUSE_MS = 200;
+
+  private final StepContext context;
+  private final Election election;
+  private final LoadedTerm loadedTerm;
+  private final ShardLeaseTable shards;
+  private final Consumer<ShardId> onMinted;
+  private Revision counterRevision = Revision.ABSENT;
+  private long counter;
+  private boolean minting;
+
+  /** The term of the latest mint, and its number: an earlier one's answer says nothing new. */
+  private Revision mintTerm = Revision.ABSENT;
+
+  private long mints;
+
+  /**
+   * Shards for which a new owner may yet be written down by a transaction without an answer. The
+   * next committed mint settles it, since all are guarded by the counter's revision; before that
+   * the last owner gets no lease.
+   */
+  private final Set<ShardId> ownerInDoubt = new TreeSet<>();
+
+  private Revision doubtTerm = Revision.ABSENT;
+
+  /**
+   * Creates an allocator.
+   *
+   * @param onMinted told of each shard that has a new epoch
+   */
+  EpochAllocator(
+      StepContext context,
+      Election election,
+      LoadedTerm loadedTerm,
+      ShardLeaseTable shards,
+      Consumer<ShardId> onMinted) {
+    this.context = context;
+    this.election = election;
+    this.loadedTerm = loadedTerm;
+    this.shards = shards;
+    this.onMinted = onMinted;
+  }
+
+  /** Takes the counter as it was read; {@link Revision#ABSENT} and 0 if there is none yet. */
+  void restore(Revision revision, long epoch) {
+    counterRevision = revision;
+    counter = epoch;
+  }
+
+  /** The highest epoch of the fleet. */
+  long highest() {
+    return counter;
+  }
+
+  /** A term has been loaded: what was minted under an earlier one is refused. */
+  void begin() {
+    minting = false;
+  }
+
+  boolean isMinting() {
+    return minting;
+  }
+
+  /** Whether a mint of this term has no answer yet. */
+  boolean isUnsettled() {
+    return minting && mintTerm.equals(election.term());
+  }
+
+  /** Marks shards as vacant of which it is not known who is written down as their owner. */
+  void vacateOwnersInDoubt(Revision term) {
+    if (!term.equals(doubtTerm)) {
+      // What an earlier term sent is refused, for the leader's key has changed.
+      ownerInDoubt.clear();
+    }
+    ownerInDoubt.forEach(id -> shards.get(id).vacate());
+  }
+
+  /**
+   * Begins to mint an epoch for a shard and its owner to be, unless another mint is under way.
+   *
+   * @param above an epoch below the new one, beside all that the counter knows of
+   */
+  void mint(ShardId id, ShardState shard, ControllerName owner, WriterId writer, Epoch above) {
+    if (minting) {
+      return;
+    }
+    minting = true;
+    shard.beginMint(writer);
+    Epoch next = new Epoch(Math.max(counter, above.value()) + 1);
+    Mint mint = new Mint(id, shard, new OwnerInfo(id, owner, next), writer, loadedTerm.current());
+    mintTerm = mint.term();
+    long number = ++mints;
+    Transaction transaction =
+        new Transaction()
+            .guard(election.key(), mint.term())
+            .guard(EpochCounterCodec.KEY, counterRevision)
+            .write(EpochCounterCodec.KEY, EpochCounterCodec.write(next.value()))
+            .write(ShardOwnerCodec.key(id), ShardOwnerCodec.write(mint.owner(), writer));
+    context
+        .store()
+        .commit(
+            transaction,
+            CALL_MS,
+            result -> {
+              if (number == mints) {
+                handleResult(mint, result);
+              }
+            });
+  }
+
+  /** A mint under way. */
+  private record Mint(
+      ShardId id, ShardState shard, OwnerInfo owner, WriterId writer, Revision term) {}
+
+  private void handleResult(Mint mint, CommitResult result) {
+    minting = false;
+    mint.shard().endMint();
+    boolean thisTerm = mint.term().equals(election.term());
+    if (result.isUnknown() && thisTerm && !mint.owner().label().equals(mint.shard().owner())) {
+      ownerInDoubt.add(mint.id());
+      doubtTerm = mint.term();
+    }
+    if (result.isCommitted() && thisTerm) {
+      // Those before it were guarded by the counter's last revision.
+      ownerInDoubt.clear();
+    }
+    if (!loadedTerm.is(mint.term())) {
+      return;
+    }
+    if (result instanceof Committed committed) {
+      complete(mint, committed.revision());
+    } else {
+      // Also without an answer: what the counter holds now is only known after a new look, and a
+      // later mint behind the same guard is what settles it.
+      loadedTerm.discard();
+      loadedTerm.postponeLoading(RELOAD_PAUSE_MS);
+    }
+  }
+
+  private void complete(Mint mint, Revision revision) {
+    OwnerInfo owner = mint.owner();
+    counterRevision = revision;
+    counter = owner.epoch().value();
+    mint.shard().assignOwner(owner.label(), mint.writer(), owner.epoch(), shards.leaseBound());
+    onMinted.accept(mint.id());
+    context.info(
+        "shard.epoch.minted shard=%s epoch=%s owner=%s writer=%s",
+        mint.id(), owner.epoch(), owner.label(), mint.writer());
+    context.count("epoch.minted");
+    // The owner begins at once, and the others can tell the workers where to go.
+    for (Member member : context.config.members()) {
+      context.peer(
+          member.label(),
+          PeerMessages.HEARTBEAT_NOW,
+          Json.object(),
+          NUDGE_MS,
+          (status, body) -> {});
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
@@ -0,0 +1,21 @@
+package shorecrank.coordination.leader;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import shorecrank.protocol.Json;
+
+/** The fleet's epoch counter as the state service holds it. */
+final class EpochCounterCodec {
+  static final String KEY = "epoch";
+  private static final String VALUE = "v";
+
+  private EpochCounterCodec() {}
+
+  static JsonNode write(long epoch) {
+    return Json.object().put(VALUE, epoch);
+  }
+
+  /** The highest epoch that was minted; negative if the value can't be read. */
+  static long read(JsonNode value) {
+    return Json.count(value.path(VALUE));
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
@@ -0,0 +1,56 @@
+package shorecrank.coordination.leader;
+
+import java.util.List;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.PeerMessages.Heartbeat;
+import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
+import shorecrank.protocol.PeerMessages.Lease;
+import shorecrank.protocol.PeerMessages.OwnerInfo;
+
+/** Puts together what the leader tells a controller in answer to its heartbeat. */
+final class HeartbeatAnswerBuilder {
+  private final Election election;
+  private final ShardLeaseTable shards;
+  private final ControllerTable controllers;
+  private final MachineDirectory machines;
+  private final CloudProvisioner cloud;
+  private final RolloutView rollout;
+
+  HeartbeatAnswerBuilder(
+      Election election,
+      ShardLeaseTable shards,
+      ControllerTable controllers,
+      MachineDirectory machines,
+      CloudProvisioner cloud,
+      RolloutView rollout) {
+    this.election = election;
+    this.shards = shards;
+    this.controllers = controllers;
+    this.machines = machines;
+    this.cloud = cloud;
+    this.rollout = rollout;
+  }
+
+  /** The answer to a heartbeat whose sender gets these leases. */
+  HeartbeatAnswer answer(Heartbeat heartbeat, List<Lease> leases) {
+    List<OwnerInfo> owners = shards.owners();
+    MachineDirectory.Changes changes =
+        machines.changesSince(heartbeat.assignmentVersion(), shards.isSingle());
+    List<MachineName> gone =
+        changes.whole()
+            ? cloud.releasedLately()
+            : changes.removed().stream().filter(cloud::wasReleased).toList();
+    return new HeartbeatAnswer(
+        election.term().value(),
+        controllers.isStateOkElsewhere(heartbeat.from()),
+        leases,
+        owners,
+        machines.version(),
+        changes.whole(),
+        changes.assigned(),
+        changes.removed(),
+        gone,
+        cloud.blocked(),
+        rollout.notice());
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
@@ -0,0 +1,125 @@
+package shorecrank.coordination.leader;
+
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.PeerMessages.OwnerInfo;
+import shorecrank.protocol.StoreMessages.Entry;
+import shorecrank.storage.ListResult;
+import shorecrank.storage.ReadResult;
+
+/**
+ * Loads what a leader has to know before it acts: the epoch counter, the shards' owners and the
+ * machines' assignments. It runs in a new term, and again in the same one after a write of unknown
+ * outcome.
+ */
+final class LeaderRecovery {
+  private static final int CALL_MS = 1500;
+  private static final int RETRY_MS = 300;
+  private static final int MAX_SHARDS = 200;
+
+  private final StepContext context;
+  private final Election election;
+  private final LoadedTerm loadedTerm;
+  private final EpochAllocator epochs;
+  private final ShardLeaseTable shards;
+  private final MachineDirectory machines;
+  private final Runnable onLoaded;
+  private boolean loading;
+
+  /**
+   * Creates a recovery.
+   *
+   * @param onLoaded run when everything was loaded and the term is in force
+   */
+  LeaderRecovery(
+      StepContext context,
+      Election election,
+      LoadedTerm loadedTerm,
+      EpochAllocator epochs,
+      ShardLeaseTable shards,
+      MachineDirectory machines,
+      Runnable onLoaded) {
+    this.context = context;
+    this.election = election;
+    this.loadedTerm = loadedTerm;
+    this.epochs = epochs;
+    this.shards = shards;
+    this.machines = machines;
+    this.onLoaded = onLoaded;
+  }
+
+  /** Whether loading is under way. */
+  boolean isLoading() {
+    return loading;
+  }
+
+  /** Begins to load under the election's present term. */
+  void load() {
+    loading = true;
+    Revision term = election.term();
+    context.store().read(EpochCounterCodec.KEY, CALL_MS, result -> handleCounter(term, result));
+  }
+
+  private void handleCounter(Revision term, ReadResult result) {
+    if (result instanceof ReadResult.Found found) {
+      long epoch = EpochCounterCodec.read(found.entry().value());
+      if (epoch < 0) {
+        // Taken for 0, epochs would begin again.
+        context.unreadable(EpochCounterCodec.KEY);
+        retryLater();
+        return;
+      }
+      epochs.restore(found.entry().revision(), epoch);
+    } else if (result instanceof ReadResult.Absent) {
+      epochs.restore(Revision.ABSENT, 0);
+    } else {
+      retryLater();
+      return;
+    }
+    context
+        .store()
+        .list(
+            ShardOwnerCodec.PREFIX, "", MAX_SHARDS, CALL_MS, owners -> handleOwners(term, owners));
+  }
+
+  private void handleOwners(Revision term, ListResult result) {
+    if (!(result instanceof ListResult.Page page)) {
+      retryLater();
+      return;
+    }
+    shards.reset();
+    for (Entry entry : page.entries()) {
+      OwnerInfo owner = ShardOwnerCodec.read(entry.value());
+      ShardState shard = shards.get(owner.shard());
+      if (shard != null) {
+        // The last leader may have renewed the lease just before its term ended.
+        MonotonicTime leaseUntil = shards.leaseBound();
+        shard.assignOwner(
+            owner.label(), ShardOwnerCodec.readWriter(entry.value()), owner.epoch(), leaseUntil);
+      }
+    }
+    epochs.vacateOwnersInDoubt(term);
+    machines.load(loaded -> handleMachines(term, loaded));
+  }
+
+  private void handleMachines(Revision term, boolean loaded) {
+    if (!loaded) {
+      retryLater();
+      return;
+    }
+    loading = false;
+    if (election.term().equals(term) && election.leading()) {
+      loadedTerm.begin(term);
+      onLoaded.run();
+      context.info(
+          "leader.term.loaded term=%s epoch=%d machines=%d",
+          term, epochs.highest(), machines.size());
+    }
+  }
+
+  private void retryLater() {
+    loading = false;
+    loadedTerm.postponeLoading(RETRY_MS);
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -0,0 +1,128 @@
+package shorecrank.coordination.leader;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.Heartbeat;
+import shorecrank.protocol.PeerMessages.Lease;
+import shorecrank.protocol.PeerMessages.ShardReport;
+import shorecrank.protocol.PeerMessages.WorkerReachability;
+
+/** Renews the leases of the shards that the sender of a heartbeat owns, or revokes them. */
+final class LeaseRenewal {
+  private final StepContext context;
+  private final ShardLeaseTable shards;
+  private final EpochAllocator epochs;
+  private final OwnerFailureDetector failures;
+  private final RolloutView rollout;
+
+  LeaseRenewal(
+      StepContext context,
+      ShardLeaseTable shards,
+      EpochAllocator epochs,
+      OwnerFailureDetector failures,
+      RolloutView rollout) {
+    this.context = context;
+    this.shards = shards;
+    this.epochs = epochs;
+    this.failures = failures;
+    this.rollout = rollout;
+  }
+
+  /** The leases that the sender of a heartbeat gets. */
+  List<Lease> renew(Heartbeat heartbeat, ControllerState sender) {
+    List<Lease> leases = new ArrayList<>();
+    for (Map.Entry<ShardId, ShardState> entry : shards.entries()) {
+      ShardState shard = entry.getValue();
+      if (shard.isOwnedBy(heartbeat.from()) && mayRenew(entry.getKey(), shard, heartbeat, sender)) {
+        shard.renewLease(shards.leaseBound());
+        leases.add(new Lease(entry.getKey(), shard.epoch(), context.tuning.leaseMs()));
+      }
+    }
+    return leases;
+  }
+
+  private boolean mayRenew(
+      ShardId id, ShardState shard, Heartbeat heartbeat, ControllerState sender) {
+    if (!heartbeat.writer().equals(shard.writer())) {
+      // One label, one process: the one that held the lease has ended.
+      context.info("shard.owner.restarted shard=%s owner=%s", id, shard.owner());
+      shard.vacate();
+      return false;
+    }
+    ShardReport report = reportOf(id, heartbeat);
+    if (!shard.isRevoking()) {
+      revokeIfUnfit(id, shard, heartbeat.from(), sender);
+    }
+    if (shard.isRevoking()) {
+      if (report == null) {
+        // The owner has given the shard up.
+        shard.vacate();
+      }
+      return false;
+    }
+    if (shard.isMintingForOther(heartbeat.writer())) {
+      // Its lease has expired and a successor is being written down: a lease granted now would
+      // still run when that is committed.
+      return false;
+    }
+    return report == null || takeReport(id, shard, report);
+  }
+
+  /** The last report of a shard in a heartbeat; null if there is none. */
+  private static ShardReport reportOf(ShardId id, Heartbeat heartbeat) {
+    ShardReport found = null;
+    for (ShardReport report : heartbeat.shards()) {
+      if (report.shard().equals(id)) {
+        found = report;
+      }
+    }
+    return found;
+  }
+
+  private void revokeIfUnfit(
+      ShardId id, ShardState shard, ControllerName owner, ControllerState sender) {
+    if (failures.lacksStateService(owner, sender)) {
+      context.info("shard.revoked shard=%s owner=%s reason=state_service_lost", id, owner);
+      shard.revoke();
+    } else if (!rollout.mayOwn(owner)) {
+      shard.revoke();
+    }
+  }
+
+  /** Takes in what an owner reports of its shard; false if its lease is revoked for that. */
+  private boolean takeReport(ShardId id, ShardState shard, ShardReport report) {
+    raiseRefusedEpoch(id, shard, report);
+    shard.updateQueued(report.queued());
+    WorkerReachability workers = report.hearing();
+    if (!failures.isUnreached(id, shard, workers)) {
+      return true;
+    }
+    context.info(
+        "shard.revoked shard=%s owner=%s reason=workers_unreached heard=%d expected=%d",
+        id, shard.owner(), workers.expected() - workers.unheard(), workers.expected());
+    context.count("part.unreached");
+    shard.revokeUnreached(workers.unreachableZones(), context.now());
+    return false;
+  }
+
+  /** An owner that was refused for its epoch gets one above that by which it was refused. */
+  private void raiseRefusedEpoch(ShardId id, ShardState shard, ShardReport report) {
+    Epoch refusedBy = report.fenced();
+    // Only the owner's own report, at its own epoch, moves the counter; and never by a jump that
+    // would walk it to its end.
+    if (refusedBy.value() >= shard.epoch().value()
+        && report.epoch().equals(shard.epoch())
+        && refusedBy.value() < FencingToken.MAX_EPOCH / 2
+        && !shard.isMinting()) {
+      context.info(
+          "shard.epoch.refused shard=%s epoch=%s refused_by=%s", id, shard.epoch(), refusedBy);
+      epochs.mint(id, shard, shard.owner(), shard.writer(), refusedBy);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -0,0 +1,62 @@
+package shorecrank.coordination.leader;
+
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.PeerMessages.Heartbeat;
+import shorecrank.protocol.RolloutMessages.Notice;
+import shorecrank.rollout.FeatureGate;
+import shorecrank.rollout.RolloutCoordinator;
+
+/** What leading has to do with feature levels; nothing where rollouts are not enabled. */
+final class RolloutView {
+  private final StepContext context;
+  private final RolloutCoordinator rollout;
+  private final FeatureGate gate;
+
+  /**
+   * Creates a view.
+   *
+   * @param rollout null if rollouts are not enabled
+   */
+  RolloutView(StepContext context, RolloutCoordinator rollout, FeatureGate gate) {
+    this.context = context;
+    this.rollout = rollout;
+    this.gate = gate;
+  }
+
+  /** Whether the level in force is known, so that shards may be granted. */
+  boolean isReady() {
+    return rollout == null || rollout.ready();
+  }
+
+  /** Tells this process's own gate the level, before any heartbeat is answered. */
+  void updateGate() {
+    if (rollout != null) {
+      gate.observe(rollout.notice());
+    }
+  }
+
+  /** Takes in what the sender of a heartbeat supports. */
+  void heard(Heartbeat heartbeat) {
+    if (rollout != null) {
+      rollout.heard(heartbeat.from(), heartbeat.writer(), heartbeat.announcement());
+    }
+  }
+
+  /** Whether a controller may own shards at the level in force, with its settings; logs if not. */
+  boolean mayOwn(ControllerName controller) {
+    String reason = rollout == null ? null : rollout.reasonAgainstOwner(controller);
+    if (reason == null) {
+      return true;
+    }
+    context.refused(
+        "shard.owner_refused",
+        "shard.owner.refused controller=" + controller + " reason=\"" + reason + "\"");
+    return false;
+  }
+
+  /** What controllers are told of the level; null if nothing. */
+  Notice notice() {
+    return rollout == null ? null : rollout.notice();
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -0,0 +1,112 @@
+package shorecrank.coordination.leader;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.OwnerInfo;
+
+/** The fleet's shards with their owners and leases, by number. */
+final class ShardLeaseTable {
+  /**
+   * A lease of so many milliseconds may run one longer, since the clocks of processes drift apart.
+   */
+  private static final int DRIFT_DIVISOR = 500;
+
+  private static final int LEASE_MARGIN_MS = 20;
+
+  /** So many heartbeats an owner may miss at the end of an outage before it counts as lost. */
+  private static final long OWNER_HEARTBEATS = 3;
+
+  private final StepContext context;
+  private final Map<ShardId, ShardState> shards = new TreeMap<>();
+
+  ShardLeaseTable(StepContext context) {
+    this.context = context;
+  }
+
+  /** Starts anew with all shards vacant. */
+  void reset() {
+    shards.clear();
+    for (int i = 0; i < context.tuning.shards(); i++) {
+      shards.put(new ShardId(i), new ShardState());
+    }
+  }
+
+  Set<ShardId> ids() {
+    return shards.keySet();
+  }
+
+  Set<Map.Entry<ShardId, ShardState>> entries() {
+    return shards.entrySet();
+  }
+
+  Collection<ShardState> states() {
+    return shards.values();
+  }
+
+  /** Null if there is no such shard. */
+  ShardState get(ShardId shard) {
+    return shards.get(shard);
+  }
+
+  /** The highest epoch that was minted for a shard; {@link Epoch#NONE} if none was. */
+  Epoch epoch(ShardId shard) {
+    ShardState state = shards.get(shard);
+    return state == null ? Epoch.NONE : state.epoch();
+  }
+
+  /** The owner of a shard; null if it has none that may be granted its lease. */
+  ControllerName owner(ShardId shard) {
+    ShardState state = shards.get(shard);
+    return state != null && state.isServed() ? state.owner() : null;
+  }
+
+  /** Whether a shard's owner says that tasks wait. */
+  boolean hasQueue(ShardId shard) {
+    ShardState state = shards.get(shard);
+    return state != null && state.isQueued();
+  }
+
+  /** Whether the fleet has one shard only, so that a machine can belong to no other. */
+  boolean isSingle() {
+    return shards.size() == 1;
+  }
+
+  /** The owners that may be told to others. */
+  List<OwnerInfo> owners() {
+    List<OwnerInfo> owners = new ArrayList<>();
+    shards.forEach(
+        (id, shard) -> {
+          if (shard.isServed()) {
+            owners.add(new OwnerInfo(id, shard.owner(), shard.epoch()));
+          }
+        });
+    return owners;
+  }
+
+  /** Until when a lease that is granted now may run, by the clock of this process. */
+  MonotonicTime leaseBound() {
+    int leaseMs = context.tuning.leaseMs();
+    return context.now().plus(leaseMs + leaseMs / DRIFT_DIVISOR + LEASE_MARGIN_MS);
+  }
+
+  /**
+   * The same term goes on after a time in which no lease could be granted, as an outage of the
+   * state service leaves it. Owners that live are heard within a few heartbeats; only then does an
+   * expired lease say anything about its owner.
+   */
+  void awaitOwners() {
+    MonotonicTime heardBy = context.now().plus(context.tuning.renewMs() * OWNER_HEARTBEATS);
+    for (ShardState shard : shards.values()) {
+      shard.extendLease(heardBy);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -0,0 +1,153 @@
+package shorecrank.coordination.leader;
+
+import java.util.List;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.WriterId;
+
+/**
+ * One shard as the leader knows it: owner, epoch and lease, and how far the owner's replacement has
+ * gone.
+ *
+ * <p>A shard is vacant until its first epoch is minted, and again once its owner is known to hold
+ * no lease. While it is being revoked its owner's lease is not renewed, but may still run.
+ */
+final class ShardState {
+  private ControllerName owner;
+  private WriterId writer;
+  private Epoch epoch = Epoch.NONE;
+  private MonotonicTime leaseUntil = MonotonicTime.NEVER;
+  private boolean vacant = true;
+  private boolean revoking;
+  private boolean minting;
+
+  /** The process that is to own the shard under the epoch that was last minted or is being. */
+  private WriterId mintedFor;
+
+  private boolean queued;
+  private ControllerName unreachedOwner;
+  private List<String> unreachableZones = List.of();
+  private MonotonicTime movedAt = MonotonicTime.NEVER;
+
+  /** The last owner; null if there was none. */
+  ControllerName owner() {
+    return owner;
+  }
+
+  /** The last owner's process; null if there was none. */
+  WriterId writer() {
+    return writer;
+  }
+
+  /** The highest epoch that was minted for the shard; {@link Epoch#NONE} if none was. */
+  Epoch epoch() {
+    return epoch;
+  }
+
+  boolean isVacant() {
+    return vacant;
+  }
+
+  boolean isRevoking() {
+    return revoking;
+  }
+
+  boolean isMinting() {
+    return minting;
+  }
+
+  /** Whether an epoch is being minted for another process than this one. */
+  boolean isMintingForOther(WriterId process) {
+    return minting && !process.equals(mintedFor);
+  }
+
+  /** Whether the owner may be told to others, and be granted its lease. */
+  boolean isServed() {
+    return !vacant && !revoking;
+  }
+
+  boolean isOwnedBy(ControllerName controller) {
+    return !vacant && controller.equals(owner);
+  }
+
+  boolean isLeaseExpired(MonotonicTime now) {
+    return !vacant && leaseUntil.before(now);
+  }
+
+  /** Whether the owner says that tasks wait. */
+  boolean isQueued() {
+    return queued;
+  }
+
+  void updateQueued(boolean tasksWait) {
+    queued = tasksWait;
+  }
+
+  /** The shard has this owner, under an epoch that is written down. */
+  void assignOwner(ControllerName label, WriterId process, Epoch minted, MonotonicTime until) {
+    owner = label;
+    writer = process;
+    epoch = minted;
+    vacant = false;
+    revoking = false;
+    leaseUntil = until;
+  }
+
+  void renewLease(MonotonicTime until) {
+    leaseUntil = until;
+  }
+
+  /** The lease counts as expired no earlier than this. */
+  void extendLease(MonotonicTime atLeastUntil) {
+    if (leaseUntil.before(atLeastUntil)) {
+      leaseUntil = atLeastUntil;
+    }
+  }
+
+  /** The last owner holds no lease. */
+  void vacate() {
+    vacant = true;
+  }
+
+  /** The owner's lease is not renewed any more. */
+  void revoke() {
+    revoking = true;
+  }
+
+  /**
+   * Revokes the lease of an owner that its workers don't reach.
+   *
+   * @param zones those in which most of these workers are
+   */
+  void revokeUnreached(List<String> zones, MonotonicTime now) {
+    unreachedOwner = owner;
+    unreachableZones = zones;
+    movedAt = now;
+    revoking = true;
+  }
+
+  /** How long ago an owner was last replaced because workers did not reach it. */
+  long sinceMovedMs(MonotonicTime now) {
+    return now.since(movedAt);
+  }
+
+  /** The last owner that workers did not reach; null if there was none. */
+  ControllerName unreachedOwner() {
+    return unreachedOwner;
+  }
+
+  /** The zones of the workers that did not reach {@link #unreachedOwner()}. */
+  List<String> unreachableZones() {
+    return unreachableZones;
+  }
+
+  void beginMint(WriterId process) {
+    minting = true;
+    mintedFor = process;
+  }
+
+  void endMint() {
+    minting = false;
+  }
+}
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -66,7 +66,7 @@
     return moves;
   }
 
-  void catalog(Map<String, MachineType> types) {
+  void updateCatalog(Map<String, MachineType> types) {
     catalog = types;
   }
 
