--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -24,9 +24,11 @@
 import shorecrank.protocol.StoreMessages;
 import shorecrank.rollout.ArchiveFormat.Version;
 import shorecrank.rollout.ArchiveKeys;
+import shorecrank.rollout.ArchiveKeys.IndexEntry;
 import shorecrank.rollout.ArchiveReader;
 import shorecrank.rollout.ArchiveReader.Archive;
 import shorecrank.rollout.ArchiveReader.Damaged;
+import shorecrank.rollout.ArchiveValueCodec;
 
 /** Makes, checks and compares archives of the service's keys. */
 @Command(name = "archive", description = "Makes, checks and compares archives of the keys.")
@@ -70,8 +72,10 @@
           client,
           ArchiveKeys.index(archive),
           e -> {
-            ArchiveKeys.IndexEntry entry = ArchiveKeys.read(e.key(), e.value());
-            complete[0] |= entry != null && entry.complete();
+            complete[0] |=
+                ArchiveValueCodec.readIndex(e.key(), e.value())
+                    .map(IndexEntry::isComplete)
+                    .orElse(false);
           });
       if (complete[0]) {
         return;
@@ -92,7 +96,7 @@
           client,
           prefix,
           e -> {
-            byte[] chunk = ArchiveKeys.readChunk(e.value());
+            byte[] chunk = ArchiveValueCodec.readChunk(e.value());
             try {
               out.write(chunk == null ? new byte[0] : chunk);
             } catch (IOException x) {
--- /dev/null
+++ b/src/main/java/shorecrank/leadership/SequentialStore.java
@@ -0,0 +1,96 @@
+package shorecrank.leadership;
+
+import java.util.function.Consumer;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.ListResult;
+import shorecrank.storage.ReadResult;
+import shorecrank.storage.WatchResult;
+
+/**
+ * The state service as a state machine of the leader calls it: call after call, and not for a while
+ * after one that failed.
+ *
+ * <p>Callers ask {@link #isReady} before they begin; a call is never refused here. Each result is
+ * delivered once, on the thread that made the call.
+ */
+public final class SequentialStore {
+  private static final int CALL_TIMEOUT_MS = 2000;
+  private static final int OK = 200;
+  private static final int GONE = 410;
+
+  private final LeaderEnvironment environment;
+  private boolean busy;
+  private MonotonicTime pausedUntil = MonotonicTime.NEVER;
+
+  /** Calls the state service of an environment. */
+  public SequentialStore(LeaderEnvironment environment) {
+    this.environment = environment;
+  }
+
+  /** Whether no call is under way. */
+  public boolean isIdle() {
+    return !busy;
+  }
+
+  /** Whether no call is under way and the last pause is over. */
+  public boolean isReady() {
+    return !busy && !environment.now().before(pausedUntil);
+  }
+
+  /** Makes {@link #isReady} false for a while from now on. */
+  public void pause(long pauseMs) {
+    pausedUntil = environment.now().plus(pauseMs);
+  }
+
+  /** Reads one key. */
+  public void read(String key, Consumer<ReadResult> then) {
+    busy = true;
+    environment.store().read(key, CALL_TIMEOUT_MS, result -> finish(result, then));
+  }
+
+  /**
+   * Reads a page of the keys with a prefix.
+   *
+   * @param after the last key of the page before; empty for the first page
+   * @param limit the most keys in the page
+   */
+  public void list(String prefix, String after, int limit, Consumer<ListResult> then) {
+    busy = true;
+    environment.store().list(prefix, after, limit, CALL_TIMEOUT_MS, result -> finish(result, then));
+  }
+
+  /** Reads the changes of keys with a prefix since a revision, without waiting for further ones. */
+  public void readChanges(String prefix, long afterRevision, Consumer<WatchResult> then) {
+    busy = true;
+    // Not by StateStore.watch, which waits longer for the answer than other calls do.
+    environment.state(
+        "GET",
+        StoreMessages.watch(prefix, afterRevision, 0),
+        null,
+        (status, body) -> {
+          WatchResult result =
+              switch (status) {
+                case OK ->
+                    new WatchResult.Changes(
+                        StoreMessages.changes(body), StoreMessages.revision(body));
+                case GONE -> new WatchResult.Compacted();
+                default -> new WatchResult.Unavailable(status);
+              };
+          finish(result, then);
+        });
+  }
+
+  /** Carries a transaction out if all its guards hold. */
+  public void commit(Transaction transaction, Consumer<CommitResult> then) {
+    busy = true;
+    environment.store().commit(transaction, CALL_TIMEOUT_MS, result -> finish(result, then));
+  }
+
+  private <R> void finish(R result, Consumer<R> then) {
+    busy = false;
+    then.accept(result);
+  }
+}
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -36,6 +36,7 @@
 import shorecrank.rebalance.ShareFleet.Handover;
 import shorecrank.rebalance.ShareTargets.Claim;
 import shorecrank.rollout.FeatureGate;
+import shorecrank.storage.CommitResult;
 
 /**
  * The leader's part in shares: it says how many processors each shard should have, and moves
@@ -134,13 +135,13 @@
    * it was told to hand over, and jobs are assigned by the configured number of shards.
    */
   public boolean ready() {
-    boolean told = !store.readable() || store.revision().equals(toldRevision);
-    return store.read() && numberCheck.passed() && told;
+    boolean told = !store.isReadable() || store.revision().equals(toldRevision);
+    return store.isRead() && numberCheck.isPassed() && told;
   }
 
   /** Whether an assignment may yet be written that is not known here; then none other may be. */
   public boolean inDoubt() {
-    return handover != null || store.inDoubt();
+    return handover != null || store.isInDoubt();
   }
 
   /** Assignments were read anew. */
@@ -166,11 +167,11 @@
   /** Once a round, while shards may be granted. */
   public void tick() {
     MonotonicTime now = environment.now();
-    if (!store.readable() || now.since(steppedAt) < STEP_PAUSE_MS) {
+    if (!store.isReadable() || now.since(steppedAt) < STEP_PAUSE_MS) {
       return;
     }
     steppedAt = now;
-    if (!store.idle()) {
+    if (!store.isIdle()) {
       return;
     }
     if (!takeSteps() && now.since(plannedAt) >= PLAN_PAUSE_MS) {
@@ -233,7 +234,7 @@
 
   /** Makes the assignments' orders those of the moves that are written down. */
   private void synchronize() {
-    if (!store.readable()) {
+    if (!store.isReadable()) {
       return;
     }
     for (Move move : store.state().active()) {
@@ -351,23 +352,19 @@
     store.write(
         next,
         transaction -> addHandover(transaction, prepared),
-        (result, at) -> {
-          switch (result) {
-            case COMMITTED -> {
-              if (prepared != null) {
-                prepared.committed(at);
-              }
-              handover = null;
-              committed(before, next);
-            }
-            case REFUSED, CONFLICT -> {
-              refused(prepared, result == SharesStore.Result.CONFLICT);
-              handover = null;
+        result -> {
+          if (result instanceof CommitResult.Committed done) {
+            if (prepared != null) {
+              prepared.committed(done.revision());
             }
-            // Settled later; until then no assignment is written.
-            case UNKNOWN -> {}
+            handover = null;
+            committed(before, next);
+          } else if (!result.isUnknown()) {
+            refused(prepared, result instanceof CommitResult.Conflict);
+            handover = null;
           }
-          then.over(result == SharesStore.Result.COMMITTED);
+          // Of unknown outcome, it is settled later; until then no assignment is written.
+          then.over(result.isCommitted());
         });
   }
 
@@ -582,7 +579,7 @@
   /** Why no order to move machines is taken now; empty if one is. */
   private List<String> reasonsAgainst() {
     List<String> reasons = new ArrayList<>(reasonsAgainstMoves.get());
-    if (!store.permitted()) {
+    if (!store.isPermitted()) {
       reasons.add(0, "the feature level in force knows no shares: see rollout status");
     }
     return reasons;
@@ -590,7 +587,7 @@
 
   /** Carries an order out, once for each id. */
   public void order(ShareOrder order, OnOutcome then) {
-    if (!store.readable() || store.inDoubt()) {
+    if (!store.isReadable() || store.isInDoubt()) {
       then.outcome(null);
       return;
     }
@@ -600,7 +597,7 @@
       then.outcome(decision.outcome());
       return;
     }
-    if (!store.idle()) {
+    if (!store.isIdle()) {
       then.outcome(null);
       return;
     }
@@ -612,7 +609,7 @@
 
   /** All that an operator is told; null while the key is not known. */
   public SharesStatus status() {
-    if (!store.readable()) {
+    if (!store.isReadable()) {
       return null;
     }
     return new StatusView(fleet, teams, store.state(), targets)
--- a/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
@@ -2,73 +2,71 @@
 
 import java.util.List;
 import shorecrank.leadership.LeaderEnvironment;
-import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.StoreMessages;
+import shorecrank.leadership.SequentialStore;
 import shorecrank.storage.JobRecord;
+import shorecrank.storage.ListResult;
 
 /**
- * Refuses another number of shards while jobs exist: jobs and machines are assigned by it, so their
- * records would be read by owners that their machines don't belong to.
+ * Refuses a configured number of shards other than the one in force while jobs exist. Jobs and
+ * machines are assigned by that number, so under another one their records would be read by owners
+ * that their machines don't belong to.
  */
 final class ShardNumberCheck {
   private static final long RETRY_MS = 2000;
 
   private final LeaderEnvironment environment;
-  private final SharesStore store;
+  private final SharesStore shares;
+  private final SequentialStore store;
   private final int configured;
   private boolean jobsAreGone;
-  private boolean busy;
-  private MonotonicTime retryAt = MonotonicTime.NEVER;
 
-  ShardNumberCheck(LeaderEnvironment environment, SharesStore store, int configured) {
+  ShardNumberCheck(LeaderEnvironment environment, SharesStore shares, int configured) {
     this.environment = environment;
-    this.store = store;
+    this.shares = shares;
+    this.store = new SequentialStore(environment);
     this.configured = configured;
   }
 
   /**
-   * Whether the configured number may be used: it is the one in force, or there is no job by
-   * another. Where moves may be written, the new number is, before any shard is granted by it.
+   * Whether the configured number may be used: it is the one in force, or no job was assigned by
+   * another. Where moves may be written, the new number is written down before any shard is granted
+   * by it.
    */
-  boolean passed() {
-    return matches() || (jobsAreGone && !store.permitted());
+  boolean isPassed() {
+    return isInForce() || (jobsAreGone && !shares.isPermitted());
   }
 
-  private boolean matches() {
-    int known = store.state().shards();
+  private boolean isInForce() {
+    int known = shares.state().shards();
     return known == 0 || known == configured;
   }
 
+  /** Looks for jobs, or writes the configured number down once there is none. */
   void tick() {
-    if (!store.read() || passed() || busy || environment.now().before(retryAt)) {
+    if (!shares.isRead() || isPassed() || !store.isReady()) {
       return;
     }
-    if (jobsAreGone && store.idle()) {
+    if (jobsAreGone && shares.isIdle()) {
       jobsAreGone = false;
-      store.write(
-          store.state().withShards(configured).withActive(List.of()),
+      shares.write(
+          shares.state().withShards(configured).withActive(List.of()),
           transaction -> {},
-          (result, at) -> {});
+          result -> {});
       return;
     }
-    busy = true;
-    environment.state(
-        "GET",
-        StoreMessages.list(JobRecord.LIVE, "", 1),
-        null,
-        (status, body) -> {
-          busy = false;
-          retryAt = environment.now().plus(RETRY_MS);
-          if (status != 200) {
-            return;
-          }
-          jobsAreGone = StoreMessages.entries(body).isEmpty();
-          if (!jobsAreGone) {
-            environment.refused(
-                "shares.parts_refused",
-                "parts refused configured=%d in_force=%d reason=\"jobs exist: set it back\""
-                    .formatted(configured, store.state().shards()));
-          }
-        });
+    store.list(JobRecord.LIVE, "", 1, this::jobsListed);
+  }
+
+  private void jobsListed(ListResult result) {
+    store.pause(RETRY_MS);
+    if (result instanceof ListResult.Page page) {
+      jobsAreGone = page.entries().isEmpty();
+      if (!jobsAreGone) {
+        environment.refused(
+            "shares.parts_refused",
+            "shards.refused configured=%d in_force=%d reason=\"jobs exist: set it back\""
+                .formatted(configured, shares.state().shards()));
+      }
+    }
   }
 }
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -3,11 +3,15 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.Leadership;
-import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.StoreMessages;
+import shorecrank.leadership.SequentialStore;
+import shorecrank.protocol.StoreMessages.Entry;
 import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.rollout.ArchiveKeys.IndexEntry;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.ListResult;
 
 /**
  * Removes archives that are no longer kept, and what was left of those that were never completed.
@@ -19,96 +23,90 @@
 
   private final LeaderEnvironment environment;
   private final Leadership leadership;
+  private final SequentialStore store;
   private final int kept;
-  private final ArrayDeque<String> toDrop = new ArrayDeque<>();
+
+  /** Keys that are to be removed, in this order. */
+  private final ArrayDeque<String> toRemove = new ArrayDeque<>();
+
   private boolean due = true;
-  private boolean busy;
-  private MonotonicTime retryAt = MonotonicTime.NEVER;
 
+  /**
+   * @param kept how many complete archives stay
+   */
   ArchiveCleaner(LeaderEnvironment environment, Leadership leadership, int kept) {
     this.environment = environment;
     this.leadership = leadership;
+    this.store = new SequentialStore(environment);
     this.kept = kept;
   }
 
-  /** An archive was completed: there may be one too many. */
-  void look() {
+  /** Has the archives looked through again: one may have been completed. */
+  void schedule() {
     due = true;
   }
 
-  /** Once a round, while no archive is being made. */
+  /** Goes on with the removal; called once a round while no archive is being written. */
   void tick() {
-    if (busy || environment.now().before(retryAt)) {
+    if (!store.isReady()) {
       return;
     }
-    if (!toDrop.isEmpty()) {
-      drop();
+    if (!toRemove.isEmpty()) {
+      remove();
     } else if (due && environment.takeRequest()) {
-      list();
+      store.list(ArchiveKeys.INDEX, "", MAX_ARCHIVES, this::archivesListed);
     }
   }
 
-  private void list() {
-    busy = true;
-    environment.state(
-        "GET",
-        StoreMessages.list(ArchiveKeys.INDEX, "", MAX_ARCHIVES),
-        null,
-        (status, body) -> {
-          busy = false;
-          if (status != 200) {
-            retryAt = environment.now().plus(RETRY_MS);
-            return;
-          }
-          due = false;
-          List<ArchiveKeys.IndexEntry> complete = new ArrayList<>();
-          for (StoreMessages.Entry e : StoreMessages.entries(body)) {
-            ArchiveKeys.IndexEntry entry = ArchiveKeys.read(e.key(), e.value());
-            if (entry == null) {
-              environment.refused("state.unreadable", "the value of " + e.key() + " is unreadable");
-            } else if (entry.complete()) {
-              complete.add(entry);
-            } else {
-              // How many chunks it had is not known; they are found by looking.
-              findChunks(entry.id());
-            }
-          }
-          // Ids begin with the time, so they are in order.
-          for (int i = 0; i < complete.size() - kept; i++) {
-            ArchiveKeys.IndexEntry old = complete.get(i);
-            for (int chunk = 0; chunk < old.chunks(); chunk++) {
-              toDrop.add(ArchiveKeys.chunk(old.id(), chunk));
-            }
-            toDrop.add(ArchiveKeys.index(old.id()));
-          }
-        });
+  private void archivesListed(ListResult result) {
+    if (!(result instanceof ListResult.Page page)) {
+      store.pause(RETRY_MS);
+      return;
+    }
+    due = false;
+    List<IndexEntry> complete = new ArrayList<>();
+    for (Entry stored : page.entries()) {
+      Optional<IndexEntry> entry = ArchiveValueCodec.readIndex(stored.key(), stored.value());
+      if (entry.isEmpty()) {
+        environment.refused("state.unreadable", "state.unreadable key=%s".formatted(stored.key()));
+      } else if (entry.get().isComplete()) {
+        complete.add(entry.get());
+      } else {
+        // How many chunks it has is not known; they have to be listed.
+        findChunks(entry.get().id());
+      }
+    }
+    // Ids begin with the time, so the oldest come first.
+    for (int i = 0; i < complete.size() - kept; i++) {
+      IndexEntry old = complete.get(i);
+      for (int chunk = 0; chunk < old.chunks(); chunk++) {
+        toRemove.add(ArchiveKeys.chunk(old.id(), chunk));
+      }
+      toRemove.add(ArchiveKeys.index(old.id()));
+    }
   }
 
   private void findChunks(String id) {
-    busy = true;
-    String prefix = ArchiveKeys.chunk(id, 0);
-    prefix = prefix.substring(0, prefix.lastIndexOf('/') + 1);
-    environment.state(
-        "GET",
-        StoreMessages.list(prefix, "", MAX_ARCHIVES),
-        null,
-        (status, body) -> {
-          busy = false;
-          if (status != 200) {
+    store.list(
+        ArchiveKeys.chunks(id),
+        "",
+        MAX_ARCHIVES,
+        result -> {
+          if (!(result instanceof ListResult.Page page)) {
             due = true;
             return;
           }
-          StoreMessages.entries(body).forEach(e -> toDrop.add(e.key()));
-          if (StoreMessages.more(body)) {
+          page.entries().forEach(entry -> toRemove.add(entry.key()));
+          if (page.more()) {
             due = true;
           } else {
-            toDrop.add(ArchiveKeys.index(id));
+            toRemove.add(ArchiveKeys.index(id));
           }
         });
   }
 
-  private void drop() {
-    int count = Math.min(toDrop.size(), environment.transactionOperations());
+  private void remove() {
+    int count = Math.min(toRemove.size(), environment.transactionOperations());
     if (!environment.takeWrites(count)) {
       return;
     }
@@ -116,23 +114,19 @@
     leadership.guard(transaction);
     List<String> batch = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      batch.add(toDrop.poll());
+      batch.add(toRemove.poll());
     }
     batch.forEach(transaction::drop);
-    busy = true;
-    environment.state(
-        "POST",
-        StoreMessages.MULTI,
-        transaction.body(),
-        (status, body) -> {
-          busy = false;
-          if (status != 200) {
-            retryAt = environment.now().plus(RETRY_MS);
-            // Removed already or not, asking again does no harm.
-            for (int i = batch.size() - 1; i >= 0; i--) {
-              toDrop.addFirst(batch.get(i));
-            }
-          }
-        });
+    store.commit(transaction, result -> removed(batch, result));
+  }
+
+  private void removed(List<String> batch, CommitResult result) {
+    if (!result.isCommitted()) {
+      store.pause(RETRY_MS);
+      // Whether or not they are gone already, removing them again does no harm.
+      for (int i = batch.size() - 1; i >= 0; i--) {
+        toRemove.addFirst(batch.get(i));
+      }
+    }
   }
 }
--- a/src/main/java/shorecrank/rollout/ArchiveFormat.java
+++ b/src/main/java/shorecrank/rollout/ArchiveFormat.java
@@ -3,37 +3,52 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
 import java.util.Collection;
+import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.regex.Pattern;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.StoreMessages.Change;
 import shorecrank.protocol.StoreMessages.Entry;
 
 /**
- * The form of an archive of the state service's keys: a tar file, compressed with Zstandard.
+ * The files of an archive of the state service's keys, which is a tar file compressed with
+ * Zstandard.
  *
- * <p>Files {@code entries/N.json} hold keys as they were listed, in pages; {@code changes/N.json}
- * what changed while the list was read. {@code manifest.json} comes last and names every file with
- * its SHA-256.
+ * <p>Files {@code entries/N.json} hold keys page by page, as they were listed; {@code
+ * changes/N.json} what changed while they were listed. {@code manifest.json} comes last and names
+ * every file with its SHA-256.
  */
 public final class ArchiveFormat {
-  private ArchiveFormat() {}
-
-  /** The only form written and read so far. */
+  /** The only version of the format that is written and read so far. */
   public static final int VERSION = 1;
 
-  static final String MANIFEST = "manifest.json";
-  static final String VERSION_FIELD = "format";
-  static final String FILES = "files";
-  static final String SHA256 = "sha256";
-  static final String NAME = "name";
+  static final String MANIFEST_FILE = "manifest.json";
 
-  /** What else a tar file may hold is no part of an archive. */
+  /** The names of all other files that an archive may have. */
   static final Pattern FILE_NAME = Pattern.compile("(entries|changes)/[0-9]{6}\\.json");
 
-  static final String ENTRIES = "entries";
-  static final String CHANGES = "changes";
+  private static final String FILE_NAME_FORMAT = "%s/%06d.json";
+  private static final String ENTRIES = "entries";
+  private static final String CHANGES = "changes";
+
+  private static final String VERSION_FIELD = "format";
+  private static final String ID = "id";
+  private static final String BUILD = "build";
+  private static final String LEVEL = "level";
+  private static final String FIRST_REVISION = "firstRevision";
+  private static final String REVISION = "revision";
+  private static final String CONSISTENT = "consistent";
+  private static final String MADE_AT_MS = "madeAtMs";
+  private static final String FILES = "files";
+  private static final String NAME = "name";
+  private static final String SHA256 = "sha256";
+  private static final String KEY = "k";
+  private static final String DATA = "data";
+
+  private ArchiveFormat() {}
 
   /** A key's value and the revision of its last change. */
   public record Version(JsonNode data, long revision) {}
@@ -41,8 +56,12 @@
   /**
    * What an archive says of itself.
    *
+   * @param level the feature level in force
+   * @param firstRevision the store's revision when the first page was listed
+   * @param revision the revision that the archive shows, see {@code consistent}
    * @param consistent whether it shows the keys as they were at {@code revision}; if not, each is
    *     as it was at some moment from {@code firstRevision} to {@code revision}
+   * @param madeAtMs the time of day, in milliseconds since 1970
    */
   public record Manifest(
       String id,
@@ -51,78 +70,125 @@
       long firstRevision,
       long revision,
       boolean consistent,
-      long madeAtMs) {
-    ObjectNode write() {
-      return Json.object()
-          .put(VERSION_FIELD, VERSION)
-          .put("id", id)
-          .put("build", build)
-          .put("level", level)
-          .put("firstRevision", firstRevision)
-          .put("revision", revision)
-          .put("consistent", consistent)
-          .put("madeAtMs", madeAtMs);
+      long madeAtMs) {}
+
+  /** A file of an archive, as its manifest names it; {@code sha256} is in hexadecimal. */
+  record FileEntry(String name, String sha256) {}
+
+  /** The name of a file with a page of keys; the first is 1. */
+  static String entriesFile(int number) {
+    return FILE_NAME_FORMAT.formatted(ENTRIES, number);
+  }
+
+  /** The name of a file with changes; the first is 1. */
+  static String changesFile(int number) {
+    return FILE_NAME_FORMAT.formatted(CHANGES, number);
+  }
+
+  /** The content of the manifest's file. */
+  static byte[] write(Manifest manifest, List<FileEntry> files) {
+    ObjectNode written =
+        Json.object()
+            .put(VERSION_FIELD, VERSION)
+            .put(ID, manifest.id())
+            .put(BUILD, manifest.build())
+            .put(LEVEL, manifest.level())
+            .put(FIRST_REVISION, manifest.firstRevision())
+            .put(REVISION, manifest.revision())
+            .put(CONSISTENT, manifest.consistent())
+            .put(MADE_AT_MS, manifest.madeAtMs());
+    ArrayNode named = written.putArray(FILES);
+    for (FileEntry file : files) {
+      named.addObject().put(NAME, file.name()).put(SHA256, file.sha256());
     }
+    return Json.bytes(written);
+  }
 
-    /** Null if fields are missing. */
-    static Manifest read(JsonNode n) {
-      long level = Json.count(n.path("level"));
-      long first = Json.count(n.path("firstRevision"));
-      long revision = Json.count(n.path("revision"));
-      long madeAt = Json.count(n.path("madeAtMs"));
-      if (level < 0 || first < 0 || revision < 0 || madeAt < 0) {
-        return null;
-      }
-      return new Manifest(
-          Json.text(n.path("id")),
-          Json.text(n.path("build")),
-          (int) level,
-          first,
-          revision,
-          n.path("consistent").asBoolean(),
-          madeAt);
+  /** The version of the format that a manifest names; negative if it names none. */
+  static long readVersion(JsonNode manifest) {
+    return Json.count(manifest.path(VERSION_FIELD));
+  }
+
+  /** Reads a manifest; empty if fields are missing. */
+  static Optional<Manifest> readManifest(JsonNode manifest) {
+    long level = Json.count(manifest.path(LEVEL));
+    long firstRevision = Json.count(manifest.path(FIRST_REVISION));
+    long revision = Json.count(manifest.path(REVISION));
+    long madeAtMs = Json.count(manifest.path(MADE_AT_MS));
+    if (level < 0 || firstRevision < 0 || revision < 0 || madeAtMs < 0) {
+      return Optional.empty();
+    }
+    return Optional.of(
+        new Manifest(
+            Json.text(manifest.path(ID)),
+            Json.text(manifest.path(BUILD)),
+            (int) level,
+            firstRevision,
+            revision,
+            manifest.path(CONSISTENT).asBoolean(),
+            madeAtMs));
+  }
+
+  /** The files that a manifest names. */
+  static List<FileEntry> readFiles(JsonNode manifest) {
+    List<FileEntry> files = new ArrayList<>();
+    for (JsonNode file : manifest.path(FILES)) {
+      files.add(new FileEntry(Json.text(file.path(NAME)), Json.text(file.path(SHA256))));
     }
+    return files;
   }
 
+  /** The content of a file with a page of keys. */
   static byte[] entries(Collection<Entry> page) {
-    ArrayNode all = Json.array();
-    for (Entry e : page) {
-      ObjectNode one = all.addObject().put("k", e.key()).put("revision", e.revision().value());
-      one.set("data", e.value());
+    ArrayNode written = Json.array();
+    for (Entry entry : page) {
+      written
+          .addObject()
+          .put(KEY, entry.key())
+          .put(REVISION, entry.revision().value())
+          .set(DATA, entry.value());
     }
-    return Json.bytes(all);
+    return Json.bytes(written);
   }
 
+  /** The content of a file with changes; one without data is a removal. */
   static byte[] changes(Collection<Change> changes) {
-    ArrayNode all = Json.array();
-    for (Change c : changes) {
-      ObjectNode one = all.addObject().put("k", c.key()).put("revision", c.revision().value());
-      if (c.value() != null) {
-        one.set("data", c.value());
+    ArrayNode written = Json.array();
+    for (Change change : changes) {
+      ObjectNode one =
+          written.addObject().put(KEY, change.key()).put(REVISION, change.revision().value());
+      if (change.value() != null) {
+        one.set(DATA, change.value());
       }
     }
-    return Json.bytes(all);
+    return Json.bytes(written);
   }
 
-  /** Takes a file's keys into a picture; one without data was removed. False if malformed. */
-  static boolean read(JsonNode file, Map<String, Version> into) {
-    if (!file.isArray()) {
+  /**
+   * Applies a file's keys and changes to those that were read before; of two versions of a key the
+   * later one counts.
+   *
+   * @return false if the file is malformed
+   */
+  static boolean apply(byte[] file, Map<String, Version> keys) {
+    JsonNode read = Json.parse(file);
+    if (!read.isArray()) {
       return false;
     }
-    for (JsonNode one : file) {
-      String key = Json.text(one.path("k"));
-      long revision = Json.count(one.path("revision"));
+    for (JsonNode one : read) {
+      String key = Json.text(one.path(KEY));
+      long revision = Json.count(one.path(REVISION));
       if (key.isEmpty() || revision < 0) {
         return false;
       }
-      Version known = into.get(key);
+      Version known = keys.get(key);
       if (known != null && known.revision() > revision) {
         continue;
       }
-      if (one.has("data")) {
-        into.put(key, new Version(one.path("data"), revision));
+      if (one.has(DATA)) {
+        keys.put(key, new Version(one.path(DATA), revision));
       } else {
-        into.remove(key);
+        keys.remove(key);
       }
     }
     return true;
--- a/src/main/java/shorecrank/rollout/ArchiveKeys.java
+++ b/src/main/java/shorecrank/rollout/ArchiveKeys.java
@@ -1,80 +1,55 @@
 package shorecrank.rollout;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.Base64;
 import java.util.List;
-import shorecrank.protocol.Json;
 
 /** Where archives stand in the state service: one key for each, and its bytes in chunks. */
 public final class ArchiveKeys {
-  private ArchiveKeys() {}
-
-  /** One key for each archive, written before its first chunk and again after its last. */
+  /** Index entries, one for each archive: written before its first chunk and after its last. */
   public static final String INDEX = "archives/";
 
   /** The chunks of all archives. */
   public static final String CHUNKS = "archive-data/";
 
-  private static final String BYTES = "base64";
-  private static final String COMPLETE = "complete";
-  private static final String CHUNK_COUNT = "chunks";
-  private static final String SIZE = "bytes";
-
-  /** Base64 makes four characters of three bytes, and a value has a little around it. */
-  private static final double VALUE_FILL = 0.7;
-
   /**
-   * What an archive is made of: all keys of the service but those on grants, which name processes
-   * and are of no use later, and archives themselves.
+   * The prefixes of the keys that an archive holds: all keys of the service but those on grants,
+   * which name processes and are of no use later, and archives themselves.
    */
   public static final List<String> PREFIXES =
       List.of("catalog", "epoch", "f/", "hosts/", "j/", "part/", "rollout", "shares");
 
-  /** An archive's index entry; {@code chunks} counts those written so far. */
-  public record IndexEntry(String id, boolean complete, int chunks, long bytes) {
-    ObjectNode write() {
-      return Json.object().put(COMPLETE, complete).put(CHUNK_COUNT, chunks).put(SIZE, bytes);
-    }
-  }
+  /** Base64 makes four characters of three bytes, and the stored value has a few more around. */
+  private static final double VALUE_FILL = 0.7;
 
-  /** Reads an index entry; null if malformed. */
-  public static IndexEntry read(String key, JsonNode n) {
-    long chunks = Json.count(n.path(CHUNK_COUNT));
-    long bytes = Json.count(n.path(SIZE));
-    if (!key.startsWith(INDEX) || chunks < 0 || chunks > Integer.MAX_VALUE || bytes < 0) {
-      return null;
-    }
-    return new IndexEntry(
-        key.substring(INDEX.length()), n.path(COMPLETE).asBoolean(), (int) chunks, bytes);
-  }
+  private static final int VALUE_OVERHEAD_BYTES = 16;
+
+  private ArchiveKeys() {}
+
+  /**
+   * An archive's index entry.
+   *
+   * @param isComplete whether the archive was written to its end
+   * @param chunks how many chunks were written so far
+   * @param bytes the size of these chunks together
+   */
+  public record IndexEntry(String id, boolean isComplete, int chunks, long bytes) {}
 
   /** The key of an archive's index entry. */
   public static String index(String id) {
     return INDEX + id;
   }
 
-  /** The key of a chunk; the first is 0. */
-  public static String chunk(String id, int number) {
-    return CHUNKS + id + "/" + "%06d".formatted(number);
+  /** The prefix of the keys of an archive's chunks. */
+  public static String chunks(String id) {
+    return CHUNKS + id + "/";
   }
 
-  static ObjectNode writeChunk(byte[] bytes) {
-    return Json.object().put(BYTES, Base64.getEncoder().encodeToString(bytes));
-  }
-
-  /** The bytes of a chunk; null if malformed. */
-  public static byte[] readChunk(JsonNode n) {
-    try {
-      String text = Json.text(n.path(BYTES));
-      return text.isEmpty() ? null : Base64.getDecoder().decode(text);
-    } catch (IllegalArgumentException e) {
-      return null;
-    }
+  /** The key of a chunk; the first is 0. */
+  public static String chunk(String id, int number) {
+    return chunks(id) + "%06d".formatted(number);
   }
 
-  /** The bytes that a chunk may hold where a value may have so many. */
+  /** The most bytes of a chunk where a value may have {@code valueBytes}. */
   static int chunkBytes(int valueBytes) {
-    return Math.max(1, (int) (valueBytes * VALUE_FILL) - 16);
+    return Math.max(1, (int) (valueBytes * VALUE_FILL) - VALUE_OVERHEAD_BYTES);
   }
 }
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -1,33 +1,38 @@
 package shorecrank.rollout;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Consumer;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.Leadership;
-import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.leadership.SequentialStore;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
-import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Change;
 import shorecrank.protocol.StoreMessages.Entry;
 import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.rollout.ArchiveFormat.Manifest;
+import shorecrank.rollout.ArchiveKeys.IndexEntry;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.ListResult;
+import shorecrank.storage.WatchResult;
 
 /**
- * Makes one archive of the service's keys, and keeps it in the state service.
+ * Makes one archive of the service's keys, and stores it in the state service.
  *
- * <p>Keys are listed page by page, then what changed meanwhile is read prefix by prefix. Each of
- * these answers reaches up to some revision; changes above the lowest of them are left out, so the
- * archive shows the keys at that one revision. Where the service no longer has the changes, the
+ * <p>Keys are listed page by page, then the changes made meanwhile are read prefix by prefix. Each
+ * of these answers reaches up to some revision; changes above the lowest of them are left out, so
+ * the archive shows the keys at that one revision. Where the service no longer has the changes, the
  * archive says that it is not consistent.
  *
- * <p>One call is under way at a time. Every write is behind the leader's term; a write without an
- * answer is repeated behind the same guard.
+ * <p>One call is under way at a time. Every write is behind the leader's term; a write of unknown
+ * outcome is repeated behind the same guard.
  */
 final class ArchiveTask {
-  private static final int PAGE = 200;
+  private static final int PAGE_KEYS = 200;
   private static final long RETRY_MS = 1000;
 
+  /** The steps of the task, in their order. */
   private enum Step {
     ANNOUNCE,
     LIST,
@@ -40,27 +45,40 @@
 
   private final LeaderEnvironment environment;
   private final Leadership leadership;
+  private final SequentialStore store;
   private final String id;
   private final String build;
   private final FeatureLevel level;
   private final ArchiveWriter writer = new ArchiveWriter();
 
-  /** What changed while the keys were listed, and up to which revision each prefix was read. */
-  private final List<Change> changes = new ArrayList<>();
+  private Step step = Step.ANNOUNCE;
+
+  /** The index of the prefix that is being listed, or whose changes are being read. */
+  private int prefix;
+
+  private String lastListed = "";
 
+  /** The lowest and the highest revision of a listed page; the lowest is negative before one. */
   private long firstRevision = -1;
-  private long changesUpTo = Long.MAX_VALUE;
+
   private long listedUpTo;
-  private boolean changesLost;
-  private Step step = Step.ANNOUNCE;
-  private boolean busy;
-  private MonotonicTime retryAt = MonotonicTime.NEVER;
-  private int prefix;
-  private String after = "";
+
+  /** Changes made while the keys were listed, and up to which revision they are complete. */
+  private final List<Change> changes = new ArrayList<>();
+
+  private long changesUpTo = Long.MAX_VALUE;
+  private boolean areChangesLost;
+
+  /** The chunk that is being written; null if there is none. */
   private byte[] chunk;
-  private int chunks;
-  private long bytes;
 
+  private int chunksWritten;
+  private long bytesWritten;
+
+  /**
+   * @param build the version of this program
+   * @param level the feature level in force
+   */
   ArchiveTask(
       LeaderEnvironment environment,
       Leadership leadership,
@@ -69,6 +87,7 @@
       FeatureLevel level) {
     this.environment = environment;
     this.leadership = leadership;
+    this.store = new SequentialStore(environment);
     this.id = id;
     this.build = build;
     this.level = level;
@@ -78,20 +97,22 @@
     return id;
   }
 
-  boolean done() {
+  /** Whether the archive is complete. */
+  boolean isDone() {
     return step == Step.DONE;
   }
 
-  boolean failed() {
+  /** Whether the archive was given up. */
+  boolean isFailed() {
     return step == Step.FAILED;
   }
 
+  /** Goes on with the archive, by one call at most. */
   void tick() {
-    boolean over = step == Step.DONE || step == Step.FAILED;
-    if (busy || over || environment.now().before(retryAt) || !environment.takeRequest()) {
+    if (isDone() || isFailed() || !store.isReady() || !environment.takeRequest()) {
       return;
     }
-    // What is ready goes out before more is read, so that little is held in memory.
+    // What is ready is written before more is read, so that little is held in memory.
     if (chunk != null || writer.available() >= chunkBytes()) {
       writeChunk();
       return;
@@ -116,89 +137,83 @@
     return ArchiveKeys.chunkBytes(environment.valueBytes());
   }
 
-  private void call(String method, String path, JsonNode body, LeaderEnvironment.OnAnswer then) {
-    busy = true;
-    environment.state(
-        method,
-        path,
-        body,
-        (status, answer) -> {
-          busy = false;
-          then.answer(status, answer);
-        });
-  }
-
-  private void retry() {
-    retryAt = environment.now().plus(RETRY_MS);
-  }
+  // ---- reading ---------------------------------------------------------------------------------
 
   private void list() {
-    String of = ArchiveKeys.PREFIXES.get(prefix);
-    call(
-        "GET",
-        StoreMessages.list(of, after, PAGE),
-        null,
-        (status, body) -> {
-          if (status != 200) {
-            retry();
-            return;
-          }
-          long revision = StoreMessages.revision(body);
-          firstRevision = firstRevision < 0 ? revision : firstRevision;
-          listedUpTo = Math.max(listedUpTo, revision);
-          List<Entry> page = StoreMessages.entries(body);
-          if (!page.isEmpty()) {
-            writer.addEntries(ArchiveFormat.entries(page));
-            after = page.get(page.size() - 1).key();
-          }
-          if (!StoreMessages.more(body) || page.isEmpty()) {
-            nextPrefix(Step.READ_CHANGES);
+    store.list(
+        ArchiveKeys.PREFIXES.get(prefix),
+        lastListed,
+        PAGE_KEYS,
+        result -> {
+          if (result instanceof ListResult.Page page) {
+            add(page);
+          } else {
+            store.pause(RETRY_MS);
           }
         });
   }
 
-  private void nextPrefix(Step then) {
-    after = "";
+  private void add(ListResult.Page page) {
+    firstRevision = firstRevision < 0 ? page.revision() : firstRevision;
+    listedUpTo = Math.max(listedUpTo, page.revision());
+    List<Entry> entries = page.entries();
+    if (!entries.isEmpty()) {
+      writer.addEntries(ArchiveFormat.entries(entries));
+      lastListed = entries.get(entries.size() - 1).key();
+    }
+    if (!page.more() || entries.isEmpty()) {
+      nextPrefix(Step.READ_CHANGES);
+    }
+  }
+
+  /** Goes over to the next prefix, and after the last one to the next step. */
+  private void nextPrefix(Step afterLast) {
+    lastListed = "";
     prefix++;
     if (prefix == ArchiveKeys.PREFIXES.size()) {
       prefix = 0;
-      step = then;
+      step = afterLast;
     }
   }
 
   private void readChanges() {
-    String of = ArchiveKeys.PREFIXES.get(prefix);
-    call(
-        "GET",
-        StoreMessages.watch(of, firstRevision, 0),
-        null,
-        (status, body) -> {
-          if (status == 410) {
-            changesLost = true;
-          } else if (status == 200) {
-            changes.addAll(StoreMessages.changes(body));
-            changesUpTo = Math.min(changesUpTo, StoreMessages.revision(body));
+    store.readChanges(
+        ArchiveKeys.PREFIXES.get(prefix),
+        firstRevision,
+        result -> {
+          if (result instanceof WatchResult.Changes read) {
+            changes.addAll(read.changes());
+            changesUpTo = Math.min(changesUpTo, read.revision());
+          } else if (result instanceof WatchResult.Compacted) {
+            areChangesLost = true;
           } else {
-            retry();
+            store.pause(RETRY_MS);
             return;
           }
           nextPrefix(Step.WRITE_CHUNKS);
           if (step == Step.WRITE_CHUNKS) {
-            finish();
+            finishReading();
           }
         });
   }
 
-  private void finish() {
-    boolean consistent = !changesLost && changesUpTo >= listedUpTo;
-    long revision = changesLost ? listedUpTo : changesUpTo;
-    changes.removeIf(c -> c.revision().value() > revision);
+  private void finishReading() {
+    boolean isConsistent = !areChangesLost && changesUpTo >= listedUpTo;
+    long revision = areChangesLost ? listedUpTo : changesUpTo;
+    changes.removeIf(change -> change.revision().value() > revision);
     if (!changes.isEmpty()) {
       writer.addChanges(ArchiveFormat.changes(changes));
     }
     writer.finish(
-        new ArchiveFormat.Manifest(
-            id, build, level.value(), firstRevision, revision, consistent, environment.wallMs()));
+        new Manifest(
+            id, build, level.value(), firstRevision, revision, isConsistent, environment.wallMs()));
+  }
+
+  // ---- writing ---------------------------------------------------------------------------------
+
+  private void commit(Transaction transaction, Consumer<CommitResult> then) {
+    leadership.guard(transaction);
+    store.commit(transaction, then);
   }
 
   private void writeChunk() {
@@ -208,61 +223,62 @@
     if (chunk == null) {
       chunk = writer.take(chunkBytes());
     }
-    String key = ArchiveKeys.chunk(id, chunks);
+    String key = ArchiveKeys.chunk(id, chunksWritten);
     Transaction transaction =
-        new Transaction().guard(key, Revision.ABSENT).write(key, ArchiveKeys.writeChunk(chunk));
-    leadership.guard(transaction);
-    call(
-        "POST",
-        StoreMessages.MULTI,
-        transaction.body(),
-        (status, body) -> {
-          // Nobody else writes under this id: a chunk that is there is ours, without an answer.
-          boolean there = status == 409 && StoreMessages.failed(body).contains(key);
-          if (status == 200 || there) {
-            chunks++;
-            bytes += chunk.length;
-            chunk = null;
-          } else if (status == 409 || status == 400) {
-            fail(status == 409 ? "this process no longer leads" : "refused: " + body);
-          } else {
-            retry();
-          }
-        });
+        new Transaction()
+            .guard(key, Revision.ABSENT)
+            .write(key, ArchiveValueCodec.writeChunk(chunk));
+    commit(transaction, result -> chunkWritten(key, result));
   }
 
-  private void writeIndex(boolean complete, Step then) {
+  private void chunkWritten(String key, CommitResult result) {
+    // Nobody else writes under this id: a chunk that exists is this task's, written without answer.
+    boolean existed =
+        result instanceof CommitResult.Conflict conflict && conflict.failedKeys().contains(key);
+    if (result.isCommitted() || existed) {
+      chunksWritten++;
+      bytesWritten += chunk.length;
+      chunk = null;
+    } else {
+      failOrRetry(result);
+    }
+  }
+
+  private void writeIndex(boolean isComplete, Step next) {
     if (!environment.takeWrites(1)) {
       return;
     }
+    IndexEntry entry = new IndexEntry(id, isComplete, chunksWritten, bytesWritten);
     Transaction transaction =
-        new Transaction()
-            .write(
-                ArchiveKeys.index(id),
-                new ArchiveKeys.IndexEntry(id, complete, chunks, bytes).write());
-    leadership.guard(transaction);
-    call(
-        "POST",
-        StoreMessages.MULTI,
-        transaction.body(),
-        (status, body) -> {
-          if (status == 200) {
-            step = then;
-            if (complete) {
-              environment.info(
-                  "archive written id=%s chunks=%d bytes=%d consistent=%s",
-                  id, chunks, bytes, !changesLost);
-            }
-          } else if (status == 409 || status == 400) {
-            fail("this process no longer leads, or the index was refused: " + body);
-          } else {
-            retry();
+        new Transaction().write(ArchiveKeys.index(id), ArchiveValueCodec.writeIndex(entry));
+    commit(
+        transaction,
+        result -> {
+          if (!result.isCommitted()) {
+            failOrRetry(result);
+            return;
+          }
+          step = next;
+          if (isComplete) {
+            environment.info(
+                "archive.written id=%s chunks=%d bytes=%d consistent=%s",
+                id, chunksWritten, bytesWritten, !areChangesLost);
           }
         });
   }
 
-  private void fail(String why) {
+  private void failOrRetry(CommitResult result) {
+    if (result instanceof CommitResult.Conflict) {
+      fail("this process no longer leads");
+    } else if (result instanceof CommitResult.TooLarge refusal) {
+      fail("refused: " + refusal.answer());
+    } else {
+      store.pause(RETRY_MS);
+    }
+  }
+
+  private void fail(String reason) {
     step = Step.FAILED;
-    environment.info("archive given up id=%s reason=\"%s\"", id, why);
+    environment.info("archive.failed id=%s reason=\"%s\"", id, reason);
   }
 }
--- /dev/null
+++ b/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
@@ -0,0 +1,52 @@
+package shorecrank.rollout;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Base64;
+import java.util.Optional;
+import shorecrank.protocol.Json;
+import shorecrank.rollout.ArchiveKeys.IndexEntry;
+
+/** The stored forms of archives' index entries and chunks. */
+public final class ArchiveValueCodec {
+  private static final String BYTES = "base64";
+  private static final String COMPLETE = "complete";
+  private static final String CHUNK_COUNT = "chunks";
+  private static final String SIZE = "bytes";
+
+  private ArchiveValueCodec() {}
+
+  static JsonNode writeIndex(IndexEntry entry) {
+    return Json.object()
+        .put(COMPLETE, entry.isComplete())
+        .put(CHUNK_COUNT, entry.chunks())
+        .put(SIZE, entry.bytes());
+  }
+
+  /** Reads an index entry; empty if the key or the value is malformed. */
+  public static Optional<IndexEntry> readIndex(String key, JsonNode stored) {
+    long chunks = Json.count(stored.path(CHUNK_COUNT));
+    long bytes = Json.count(stored.path(SIZE));
+    if (!key.startsWith(ArchiveKeys.INDEX)
+        || chunks < 0
+        || chunks > Integer.MAX_VALUE
+        || bytes < 0) {
+      return Optional.empty();
+    }
+    String id = key.substring(ArchiveKeys.INDEX.length());
+    return Optional.of(new IndexEntry(id, stored.path(COMPLETE).asBoolean(), (int) chunks, bytes));
+  }
+
+  static JsonNode writeChunk(byte[] bytes) {
+    return Json.object().put(BYTES, Base64.getEncoder().encodeToString(bytes));
+  }
+
+  /** The bytes of a chunk; null if it is malformed. */
+  public static byte[] readChunk(JsonNode stored) {
+    try {
+      String text = Json.text(stored.path(BYTES));
+      return text.isEmpty() ? null : Base64.getDecoder().decode(text);
+    } catch (IllegalArgumentException e) {
+      return null;
+    }
+  }
+}
--- a/src/main/java/shorecrank/rollout/ArchiveWriter.java
+++ b/src/main/java/shorecrank/rollout/ArchiveWriter.java
@@ -1,22 +1,23 @@
 package shorecrank.rollout;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.airlift.compress.zstd.ZstdOutputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.List;
 import org.apache.commons.codec.digest.DigestUtils;
 import org.apache.commons.compress.archivers.tar.TarArchiveEntry;
 import org.apache.commons.compress.archivers.tar.TarArchiveOutputStream;
-import shorecrank.protocol.Json;
+import shorecrank.rollout.ArchiveFormat.FileEntry;
+import shorecrank.rollout.ArchiveFormat.Manifest;
 
-/** Writes an archive piece by piece; what is ready can be taken at any time. */
+/** Writes an archive file by file; the bytes that are ready can be taken at any time. */
 final class ArchiveWriter {
   private final ByteArrayOutputStream ready = new ByteArrayOutputStream();
   private final TarArchiveOutputStream tar;
-  private final ArrayNode files = Json.array();
+  private final List<FileEntry> files = new ArrayList<>();
   private int entryFiles;
   private int changeFiles;
 
@@ -28,21 +29,20 @@
     }
   }
 
-  /** Adds a page of keys. */
+  /** Adds a page of keys, see {@link ArchiveFormat#entries}. */
   void addEntries(byte[] page) {
-    addFile("%s/%06d.json".formatted(ArchiveFormat.ENTRIES, ++entryFiles), page);
+    entryFiles++;
+    addFile(ArchiveFormat.entriesFile(entryFiles), page);
   }
 
-  /** Adds changes that came while pages were read. */
+  /** Adds changes that came while pages were read, see {@link ArchiveFormat#changes}. */
   void addChanges(byte[] changes) {
-    addFile("%s/%06d.json".formatted(ArchiveFormat.CHANGES, ++changeFiles), changes);
+    changeFiles++;
+    addFile(ArchiveFormat.changesFile(changeFiles), changes);
   }
 
   private void addFile(String name, byte[] content) {
-    files
-        .addObject()
-        .put(ArchiveFormat.NAME, name)
-        .put(ArchiveFormat.SHA256, DigestUtils.sha256Hex(content));
+    files.add(new FileEntry(name, DigestUtils.sha256Hex(content)));
     put(name, content);
   }
 
@@ -60,10 +60,8 @@
   }
 
   /** Writes the manifest; nothing may be added after it. */
-  void finish(ArchiveFormat.Manifest manifest) {
-    ObjectNode n = manifest.write();
-    n.set(ArchiveFormat.FILES, files);
-    put(ArchiveFormat.MANIFEST, Json.bytes(n));
+  void finish(Manifest manifest) {
+    put(ArchiveFormat.MANIFEST_FILE, ArchiveFormat.write(manifest, files));
     try {
       tar.close();
     } catch (IOException e) {
@@ -71,12 +69,12 @@
     }
   }
 
-  /** Bytes that can be taken. */
+  /** How many bytes can be taken. */
   int available() {
     return ready.size();
   }
 
-  /** The next bytes, so many at the most. */
+  /** Takes the next bytes, at most {@code most}. */
   byte[] take(int most) {
     byte[] all = ready.toByteArray();
     int size = Math.min(most, all.length);
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -1,232 +1,146 @@
 package shorecrank.rollout;
 
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
 import shorecrank.leadership.LeaderEnvironment;
+import shorecrank.leadership.LeaderKey;
+import shorecrank.leadership.LeaderKey.Reading;
+import shorecrank.leadership.LeaderKey.Settlement;
 import shorecrank.leadership.Leadership;
-import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.Notice;
 import shorecrank.protocol.RolloutMessages.RolloutState;
-import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.storage.CommitResult;
 
 /**
- * The level's key, as its only writer, the leader, reads and changes it: by compare-and-set under
- * its term.
+ * The feature level's key as the leader reads and writes it. A change of the level in force changes
+ * the leader's own keys in the same transaction.
  *
- * <p>A change without an answer may still be carried out. Until a later write behind the same guard
- * has shown whether it was, the fleet is taken to be at the higher of both levels.
+ * <p>While the outcome of a write is unknown, the fleet is taken to be at the higher of both
+ * levels.
  */
 final class LevelStore {
-  private static final long RETRY_MS = 300;
-
-  /** Told once what became of a change. */
-  @FunctionalInterface
-  interface OnWritten {
-    void written(Result result);
-  }
-
-  /** What became of a change. */
-  enum Result {
-    COMMITTED,
-    REFUSED,
-    UNKNOWN
-  }
-
-  private final LeaderEnvironment environment;
   private final Leadership leadership;
   private final FeatureLevel highest;
-  private Revision loadedTerm = Revision.ABSENT;
-  private Revision revision = Revision.ABSENT;
-  private RolloutState state;
-  private boolean unreadable;
-
-  /** A change that is under way, or without an answer. */
-  private RolloutState outstanding;
-
-  private Revision outstandingTerm = Revision.ABSENT;
-  private boolean busy;
-  private MonotonicTime retryAt = MonotonicTime.NEVER;
+  private final LeaderKey<RolloutState> key;
 
   /**
    * @param highest the highest level that this build knows
    */
   LevelStore(LeaderEnvironment environment, Leadership leadership, FeatureLevel highest) {
-    this.highest = highest;
-    this.environment = environment;
     this.leadership = leadership;
-  }
-
-  /** Whether the key was read under the present term, and holds something that this build reads. */
-  boolean ready() {
-    return read() && !unreadable;
+    this.highest = highest;
+    this.key =
+        new LeaderKey<>(environment, leadership, new RolloutStateCodec(), new LevelKeyRules());
   }
 
   /** Whether the key was read under the present term, whatever it holds. */
-  boolean read() {
-    return leadership.leading() && loadedTerm.equals(leadership.term());
+  boolean isRead() {
+    return key.isRead();
   }
 
   /** Whether a change can be begun. */
-  boolean idle() {
-    return ready() && !busy && outstanding == null;
+  boolean isIdle() {
+    return key.isIdle();
+  }
+
+  /** Whether the key was read under the present term, and holds a value that this build reads. */
+  boolean isReadable() {
+    return key.isReadable();
   }
 
   RolloutState state() {
-    return state;
+    return key.value();
   }
 
-  /** What other controllers are told; null while it is not known. */
-  Notice notice() {
-    return ready() && outstanding == null ? new Notice(state, revision) : null;
+  /** What other controllers are told; empty while the level is not known for sure. */
+  Optional<Notice> notice() {
+    return key.isReadable() && key.pending().isEmpty()
+        ? Optional.of(new Notice(key.value(), key.revision()))
+        : Optional.empty();
   }
 
   /**
    * The level that every owner has to support: while a change is not settled, the higher one. If
-   * the key is unreadable, the highest that this build knows.
+   * the key was never read or is unreadable, the highest that this build knows.
    */
-  FeatureLevel required() {
-    if (unreadable || state == null) {
+  FeatureLevel requiredLevel() {
+    if (!key.isKnown()) {
       return highest;
     }
-    FeatureLevel level = state.level();
-    boolean higher = outstanding != null && outstanding.level().compareTo(level) > 0;
-    return higher ? outstanding.level() : level;
+    FeatureLevel level = key.value().level();
+    return key.pending()
+        .map(RolloutState::level)
+        .filter(next -> next.compareTo(level) > 0)
+        .orElse(level);
   }
 
+  /** Reads the key, or settles a change of unknown outcome, if that is due. */
   void tick() {
-    if (!leadership.leading()) {
-      loadedTerm = Revision.ABSENT;
-      return;
-    }
-    if (busy || environment.now().before(retryAt)) {
-      return;
-    }
-    if (!read()) {
-      load();
-    } else if (outstanding != null) {
-      settle();
-    }
+    key.tick();
   }
 
-  private void load() {
-    busy = true;
-    Revision term = leadership.term();
-    environment.state(
-        "GET",
-        StoreMessages.key(RolloutMessages.KEY),
-        null,
-        (status, body) -> {
-          busy = false;
-          if (status != 200 && status != 404) {
-            retryAt = environment.now().plus(RETRY_MS);
-            return;
+  /** Changes the key; {@link #isIdle} must hold. */
+  void write(RolloutState next, Consumer<CommitResult> then) {
+    FeatureLevel level = next.level();
+    boolean switchesLevel = !level.equals(key.value().level());
+    key.write(
+        next,
+        transaction -> {
+          if (switchesLevel) {
+            leadership.addLevelSwitch(transaction, level);
           }
-          RolloutState found = RolloutState.INITIAL;
-          Revision at = Revision.ABSENT;
-          if (status == 200) {
-            StoreMessages.Entry entry = StoreMessages.entry(body);
-            found = RolloutMessages.readState(entry.value());
-            at = entry.revision();
+        },
+        result -> {
+          if (result.isCommitted() && switchesLevel) {
+            levelSwitched(level);
           }
-          loaded(term, found, at);
+          then.accept(result);
         });
   }
 
-  private void loaded(Revision term, RolloutState found, Revision at) {
-    unreadable = found == null;
-    if (unreadable) {
-      environment.refused(
-          "state.unreadable", "the value of " + RolloutMessages.KEY + " is unreadable, left alone");
-    }
-    if (outstanding != null && !term.equals(outstandingTerm)) {
-      // Sent under an earlier term of this process: its guard refuses it.
-      outstanding = null;
-    }
-    boolean moved = at.after(revision);
-    if (outstanding != null && moved && !unreadable && !found.level().equals(state.level())) {
-      // Our own change without an answer was carried out: nobody else leads.
-      leadership.levelSwitched(found.level(), at);
-      term = leadership.term();
-    }
-    if (outstanding != null && moved) {
-      outstanding = null;
-    }
-    state = unreadable ? state : found;
-    revision = at;
-    loadedTerm = term;
+  private void levelSwitched(FeatureLevel level) {
+    leadership.levelSwitched(level, key.revision());
+    key.continueUnderNewTerm();
   }
 
-  /** Changes the key; {@link #idle} must hold. */
-  void write(RolloutState next, OnWritten then) {
-    outstanding = next;
-    outstandingTerm = loadedTerm;
-    send(
-        next,
-        result -> {
-          if (result != Result.UNKNOWN) {
-            outstanding = null;
-          }
-          then.written(result);
-        });
-  }
+  /** When a change of unknown outcome is settled. */
+  private final class LevelKeyRules implements LeaderKey.Rules<RolloutState> {
+    @Override
+    public boolean mayWrite() {
+      return true;
+    }
 
-  /** Writes what is there once more: that settles whether the change before it was carried out. */
-  private void settle() {
-    send(
-        state,
-        result -> {
-          if (result == Result.COMMITTED) {
-            outstanding = null;
-          }
-        });
-  }
+    @Override
+    public void addGuards(Transaction transaction) {}
 
-  private void send(RolloutState next, OnWritten then) {
-    busy = true;
-    Revision term = loadedTerm;
-    Transaction transaction = new Transaction();
-    leadership.guard(transaction);
-    transaction
-        .guard(RolloutMessages.KEY, revision)
-        .write(RolloutMessages.KEY, RolloutMessages.write(next));
-    boolean switches = !next.level().equals(state.level());
-    if (switches) {
-      leadership.addLevelSwitch(transaction, next.level());
+    @Override
+    public void guardsFailed(Set<String> failedKeys) {}
+
+    @Override
+    public boolean isConflictInDoubt() {
+      // The key is read again first, which shows it.
+      return true;
+    }
+
+    @Override
+    public Settlement settle(Reading reading) {
+      if (!reading.readUnder().equals(reading.sentUnder())) {
+        // Sent under an earlier term of this process: its guard refuses it.
+        return Settlement.NOT_CARRIED_OUT;
+      }
+      // Under one term nobody else writes the key.
+      return reading.isChanged() ? Settlement.CARRIED_OUT : Settlement.OPEN;
     }
-    environment.state(
-        "POST",
-        StoreMessages.MULTI,
-        transaction.body(),
-        (status, body) -> {
-          busy = false;
-          if (!loadedTerm.equals(term)) {
-            then.written(Result.UNKNOWN);
-          } else if (status == 200) {
-            committed(next, switches, new Revision(StoreMessages.revision(body)));
-            then.written(Result.COMMITTED);
-          } else if (status == 409) {
-            // Somebody else leads, or a change of ours without an answer came first.
-            loadedTerm = Revision.ABSENT;
-            retryAt = environment.now().plus(RETRY_MS);
-            then.written(Result.UNKNOWN);
-          } else if (StoreMessages.notCarriedOut(status)) {
-            retryAt = environment.now().plus(RETRY_MS);
-            then.written(Result.REFUSED);
-          } else {
-            retryAt = environment.now().plus(RETRY_MS);
-            then.written(Result.UNKNOWN);
-          }
-        });
-  }
 
-  private void committed(RolloutState next, boolean switches, Revision at) {
-    revision = at;
-    state = next;
-    if (switches) {
-      leadership.levelSwitched(next.level(), at);
-      loadedTerm = leadership.term();
+    @Override
+    public void settled(boolean isCarriedOut, RolloutState before) {
+      FeatureLevel level = key.value().level();
+      if (isCarriedOut && key.isKnown() && !level.equals(before.level())) {
+        levelSwitched(level);
+      }
     }
   }
 }
--- /dev/null
+++ b/src/main/java/shorecrank/rollout/RolloutOrders.java
@@ -0,0 +1,145 @@
+package shorecrank.rollout;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Function;
+import shorecrank.protocol.RolloutMessages.Announcement;
+import shorecrank.protocol.RolloutMessages.FeatureLevel;
+import shorecrank.protocol.RolloutMessages.Order;
+import shorecrank.protocol.RolloutMessages.OrderOutcome;
+import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutState;
+
+/**
+ * Decides operators' orders: whether one can be carried out, what it changes, and what is answered.
+ */
+final class RolloutOrders {
+  private final Announcement own;
+  private final Function<FeatureLevel, List<String>> reasonsAgainst;
+  private final Archiver archiver;
+
+  /**
+   * @param own what this controller announces itself
+   * @param reasonsAgainst why the level may not rise, whatever time members have supported it
+   */
+  RolloutOrders(
+      Announcement own, Function<FeatureLevel, List<String>> reasonsAgainst, Archiver archiver) {
+    this.own = own;
+    this.reasonsAgainst = reasonsAgainst;
+    this.archiver = archiver;
+  }
+
+  /**
+   * The decision on an order.
+   *
+   * @param next what the level's key is to hold beside the outcome; empty if it stays as it is
+   * @param archiveId the archive that the order starts or that is being made; empty if none
+   */
+  record Decision(Optional<RolloutState> next, boolean isAccepted, String text, String archiveId) {
+    private static Decision refuse(String reason) {
+      return new Decision(Optional.empty(), false, reason, "");
+    }
+
+    private static Decision alreadyDone(String text) {
+      return new Decision(Optional.empty(), true, text, "");
+    }
+
+    private static Decision change(RolloutState next, String text) {
+      return new Decision(Optional.of(next), true, text, "");
+    }
+
+    /** What the operator is answered. */
+    OrderOutcome outcomeOf(Order order) {
+      return new OrderOutcome(order.id(), order.kind(), isAccepted, text, archiveId);
+    }
+  }
+
+  /** Decides an order that was not carried out before. */
+  Decision decide(Order order, RolloutState state) {
+    return switch (order.kind()) {
+      case FINALIZE -> finalizeLevel(state, order.target());
+      case DOWNGRADE -> downgrade(state, order.target());
+      case ABORT -> abort(state);
+      case ARCHIVE -> archiveNow(state);
+    };
+  }
+
+  private Decision finalizeLevel(RolloutState state, int asked) {
+    FeatureLevel target = asked < 0 ? own.supported().highest() : new FeatureLevel(asked);
+    if (!own.supported().supports(target)) {
+      return Decision.refuse(
+          "level %s is out of range: the leader's build %s supports %s"
+              .formatted(target, own.build(), own.supported()));
+    }
+    if (state.phase() == Phase.FALLING) {
+      return Decision.refuse(
+          "the level is falling from %s to %s: abort that first"
+              .formatted(state.level(), state.target()));
+    }
+    if (state.phase() == Phase.RAISING) {
+      return state.target().equals(target)
+          ? Decision.alreadyDone("level %s is being raised to already".formatted(target))
+          : Decision.refuse(
+              "the level is rising to %s: abort that first".formatted(state.target()));
+    }
+    if (target.equals(state.level())) {
+      return Decision.alreadyDone("level %s is in force already".formatted(target));
+    }
+    if (target.compareTo(state.level()) < 0) {
+      return Decision.refuse(
+          "level %s is below %s, which is in force: use downgrade"
+              .formatted(target, state.level()));
+    }
+    // Whether members support it is answered at once; for how long they have is waited for.
+    List<String> against = reasonsAgainst.apply(target);
+    if (!against.isEmpty()) {
+      return Decision.refuse(against.get(0));
+    }
+    return Decision.change(
+        state.toward(Phase.RAISING, target).archivedAs("").heldBack(false),
+        "level rises from %s to %s".formatted(state.level(), target));
+  }
+
+  private static Decision downgrade(RolloutState state, int asked) {
+    FeatureLevel target = asked < 0 ? FeatureLevel.LOWEST : new FeatureLevel(asked);
+    if (state.phase() == Phase.FALLING && state.target().equals(target)) {
+      return Decision.alreadyDone("level %s is being lowered to already".formatted(target));
+    }
+    if (state.phase() != Phase.STABLE) {
+      return Decision.refuse(
+          "the level is on its way from %s to %s: abort that first"
+              .formatted(state.level(), state.target()));
+    }
+    if (target.equals(state.level())) {
+      return Decision.alreadyDone("level %s is in force already".formatted(target));
+    }
+    if (target.compareTo(state.level()) > 0) {
+      return Decision.refuse(
+          "level %s is above %s, which is in force: use finalize".formatted(target, state.level()));
+    }
+    return Decision.change(
+        state.toward(Phase.FALLING, target).heldBack(true),
+        "level falls from %s to %s".formatted(state.level(), target));
+  }
+
+  private static Decision abort(RolloutState state) {
+    if (state.phase() == Phase.STABLE) {
+      return Decision.refuse(
+          "level %s is in force, and nothing is under way".formatted(state.level()));
+    }
+    return Decision.change(
+        state.settled(state.level()).heldBack(state.phase() == Phase.RAISING),
+        "level stays at %s, no longer on its way to %s".formatted(state.level(), state.target()));
+  }
+
+  private Decision archiveNow(RolloutState state) {
+    Optional<String> current = archiver.currentId();
+    if (current.isPresent()) {
+      String id = current.get();
+      return new Decision(
+          Optional.empty(), true, "archive %s is being made already".formatted(id), id);
+    }
+    String id = archiver.newId();
+    return new Decision(Optional.of(state), true, "archive %s is being made".formatted(id), id);
+  }
+}
--- a/src/test/java/shorecrank/rollout/ArchiveTest.java
+++ b/src/test/java/shorecrank/rollout/ArchiveTest.java
@@ -115,7 +115,9 @@
   }
 
   private static String manifest(int format, String files) {
-    return MANIFEST.write().put("format", format).toString().replace("}", "," + files + "}");
+    return new String(ArchiveFormat.write(MANIFEST, List.of()), StandardCharsets.UTF_8)
+        .replace("\"format\":1", "\"format\":" + format)
+        .replace("\"files\":[]", files);
   }
 
   @Test
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -14,6 +14,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages.Phase;
 import shorecrank.rollout.ArchiveKeys;
+import shorecrank.rollout.ArchiveValueCodec;
 import shorecrank.storage.JobRecord;
 
 /** What rises and falls of the level cost, in simulated time. */
@@ -155,7 +156,7 @@
       World w = scenario.world;
       long bytes =
           w.store.keys(ArchiveKeys.CHUNKS).stream()
-              .mapToLong(key -> ArchiveKeys.readChunk(w.store.peek(key)).length)
+              .mapToLong(key -> ArchiveValueCodec.readChunk(w.store.peek(key)).length)
               .sum();
       System.out.printf(
           "rise: archive %s: %.1f s from the last upgraded process to the level; archive %d bytes%n",
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -8,6 +8,7 @@
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.ArchiveReader;
 import shorecrank.rollout.ArchiveReader.Archive;
+import shorecrank.rollout.ArchiveValueCodec;
 
 /** An archive as it stands in the state service, compared with what the service held. */
 final class StoredArchive {
@@ -22,7 +23,7 @@
   byte[] bytes() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int i = 0; ; i++) {
-      byte[] chunk = ArchiveKeys.readChunk(store.peek(ArchiveKeys.chunk(id, i)));
+      byte[] chunk = ArchiveValueCodec.readChunk(store.peek(ArchiveKeys.chunk(id, i)));
       if (chunk == null) {
         return all.toByteArray();
       }
