--- /dev/null
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -0,0 +1,148 @@
+package shorecrank.rebalance;
+
+import shorecrank.leadership.LeaderEnvironment;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.ShareMessages.Move;
+import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.rebalance.ShareFleet.Handover;
+import shorecrank.storage.CommitResult;
+
+/**
+ * Writes changes of moves down, together with the assignments that they change, and follows up what
+ * became of them.
+ */
+final class MoveCommitter {
+  /** Told whether a change was committed; called once. */
+  @FunctionalInterface
+  interface CommitListener {
+    /** The change was committed, or else refused or without a known outcome. */
+    void finished(boolean isCommitted);
+  }
+
+  private final LeaderEnvironment environment;
+  private final SharesStore store;
+  private final ShareFleet fleet;
+  private final OwnerReports reports;
+  private final MoveOrders orders;
+  private final MoveTimes times;
+
+  /** Assignments in a transaction that is under way or in doubt; null if there are none. */
+  private Handover openHandover;
+
+  MoveCommitter(
+      LeaderEnvironment environment,
+      SharesStore store,
+      ShareFleet fleet,
+      OwnerReports reports,
+      MoveOrders orders,
+      MoveTimes times) {
+    this.environment = environment;
+    this.store = store;
+    this.fleet = fleet;
+    this.reports = reports;
+    this.orders = orders;
+    this.times = times;
+  }
+
+  /** Whether an assignment may still be written that is not known here. */
+  boolean isInDoubt() {
+    return openHandover != null || store.isInDoubt();
+  }
+
+  /** Assignments were read anew, so none is in doubt. */
+  void reset() {
+    openHandover = null;
+  }
+
+  /** Writes a change that assigns no machine. */
+  void write(SharesState next, CommitListener then) {
+    write(next, null, then);
+  }
+
+  /**
+   * Writes a change; the store must be idle.
+   *
+   * @param handover the assignments that change with it; null if none do
+   */
+  void write(SharesState next, Handover handover, CommitListener then) {
+    int operations = 1 + (handover == null ? 0 : handover.operations());
+    if (!environment.takeWrites(operations)) {
+      refused(handover, false);
+      then.finished(false);
+      return;
+    }
+    openHandover = handover;
+    SharesState before = store.state();
+    store.write(
+        next,
+        transaction -> addHandover(transaction, handover),
+        result -> {
+          if (result instanceof CommitResult.Committed done) {
+            committed(before, next, handover, done.revision());
+          } else if (!result.isUnknown()) {
+            refused(handover, result instanceof CommitResult.Conflict);
+            openHandover = null;
+          }
+          // One of unknown outcome is settled later; until then no assignment is written.
+          then.finished(result.isCommitted());
+        });
+  }
+
+  private static void addHandover(Transaction transaction, Handover handover) {
+    if (handover != null) {
+      handover.addTo(transaction);
+    }
+  }
+
+  /** A change of unknown outcome turned out to be carried out or not. */
+  void settled(boolean isCarriedOut) {
+    Handover settled = openHandover;
+    openHandover = null;
+    if (isCarriedOut) {
+      fleet.reload();
+    } else {
+      refused(settled, false);
+    }
+  }
+
+  /**
+   * Machines stay where they were. Their owners were told meanwhile that they have none of them, so
+   * they are asked anew whether anything is left on them.
+   */
+  private void refused(Handover handover, boolean isConflict) {
+    if (handover == null) {
+      return;
+    }
+    handover.refused(isConflict);
+    for (MachineName machine : handover.machines()) {
+      Move move = store.state().moveOf(machine);
+      if (move != null) {
+        reports.revokeRelease(move);
+      }
+    }
+  }
+
+  private void committed(
+      SharesState before, SharesState after, Handover handover, Revision revision) {
+    if (handover != null) {
+      handover.committed(revision);
+    }
+    openHandover = null;
+    for (Move move : after.active()) {
+      if (!before.active().contains(move)) {
+        environment.info(
+            "move.%s id=%s machine=%s from=%s to=%s order=%s",
+            move.phase().wire(), move.id(), move.machine(), move.from(), move.to(), move.order());
+      }
+    }
+    for (Move move : after.ended()) {
+      if (!before.ended().contains(move)) {
+        times.ended(move);
+        reports.forget(move);
+      }
+    }
+    orders.synchronize();
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/rebalance/MoveOrders.java
@@ -0,0 +1,59 @@
+package shorecrank.rebalance;
+
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.ShareMessages.Move;
+import shorecrank.protocol.ShareMessages.MovePhase;
+import shorecrank.rebalance.ShareFleet.FleetMachine;
+
+/**
+ * Orders owners to drain the machines of moves that are written down, and new owners to report
+ * their arrival.
+ */
+final class MoveOrders {
+  private final SharesStore store;
+  private final ShareFleet fleet;
+
+  /** The key's revision whose moves owners are told; null if they have to be told anew. */
+  private Revision toldRevision;
+
+  MoveOrders(SharesStore store, ShareFleet fleet) {
+    this.store = store;
+    this.fleet = fleet;
+  }
+
+  /** Whether owners are told the moves of the key's present revision. */
+  boolean areCurrent() {
+    return store.revision().equals(toldRevision);
+  }
+
+  /** Assignments were read anew, with no order in them. */
+  void reset() {
+    toldRevision = null;
+  }
+
+  /** Makes the orders in the assignments those of the moves that are written down. */
+  void synchronize() {
+    if (!store.isReadable()) {
+      return;
+    }
+    for (Move move : store.state().active()) {
+      FleetMachine machine = fleet.machine(move.machine());
+      if (machine == null || machine.order().equals(move.id())) {
+        continue;
+      }
+      boolean isHandedOver = move.phase() == MovePhase.HANDED_OVER;
+      if (!isHandedOver && machine.shard().equals(move.from())) {
+        fleet.handoverRequested(machine.name(), move.id());
+      } else if (isHandedOver && machine.shard().equals(move.to())) {
+        fleet.awaitArrival(machine.name(), move.id());
+      }
+    }
+    for (MachineName machine : fleet.ordered()) {
+      if (store.state().moveOf(machine) == null) {
+        fleet.keep(machine);
+      }
+    }
+    toldRevision = store.revision();
+  }
+}
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -16,20 +16,25 @@
 import shorecrank.rebalance.ShareFleet.FleetMachine;
 
 /**
- * Which machines should move for shards to come nearer to their targets: the soonest empty of the
- * shard that has the most too many, to the shard that lacks the most.
+ * Chooses the machines that should move for shards to come nearer to their targets: from the shard
+ * with the largest surplus the machine that is empty soonest, to the shard that lacks the most.
  */
 final class MovePlanner {
-  /** A move must bring both shards nearer to their targets: half of the machine at least. */
+  /**
+   * A donor's surplus and a receiver's lack must be at least this fraction of the machine, so that
+   * the move brings both nearer to their targets.
+   */
   private static final double GAIN = 0.5;
 
   /** A machine that should move. */
   record Planned(MachineName machine, ShardId from, ShardId to) {}
 
   /**
-   * What moves are planned from.
+   * The state from which moves are planned.
    *
+   * @param targets processors by shard that it should have
    * @param present processors by shard, with moves under way counted where they lead
+   * @param demands by shard; those of which none is known give no machines
    * @param receiving shards that have lacked machines for long enough
    * @param movable whether a machine may move now
    */
@@ -50,10 +55,10 @@
     this.situation = situation;
     this.tolerance = tolerance;
     this.present = new TreeMap<>(situation.present());
-    machines.forEach(m -> this.machines.put(m.name(), m));
+    machines.forEach(machine -> this.machines.put(machine.name(), machine));
   }
 
-  /** At most {@code most} moves, each planned as if those before it were done. */
+  /** Plans at most {@code most} moves, each as if those before it were done. */
   List<Planned> plan(int most) {
     List<Planned> plan = new ArrayList<>();
     while (plan.size() < most) {
@@ -75,18 +80,18 @@
     return present.getOrDefault(shard, 0.0) - situation.targets().getOrDefault(shard, 0.0);
   }
 
-  private boolean beyondTolerance(ShardId shard) {
+  private boolean isBeyondTolerance(ShardId shard) {
     double target = situation.targets().getOrDefault(shard, 0.0);
     return Math.abs(surplus(shard)) > tolerance * target;
   }
 
   private Planned next() {
     List<ShardId> receivers = new ArrayList<>(situation.receiving());
-    receivers.removeIf(s -> surplus(s) >= 0 || !beyondTolerance(s));
-    receivers.sort((a, b) -> Double.compare(surplus(a), surplus(b)));
+    receivers.removeIf(shard -> surplus(shard) >= 0 || !isBeyondTolerance(shard));
+    receivers.sort((left, right) -> Double.compare(surplus(left), surplus(right)));
     List<ShardId> donors = new ArrayList<>(present.keySet());
-    donors.removeIf(s -> surplus(s) <= 0 || !situation.demands().containsKey(s));
-    donors.sort((a, b) -> Double.compare(surplus(b), surplus(a)));
+    donors.removeIf(shard -> surplus(shard) <= 0 || !situation.demands().containsKey(shard));
+    donors.sort((left, right) -> Double.compare(surplus(right), surplus(left)));
     for (ShardId to : receivers) {
       for (ShardId from : donors) {
         Planned planned = from.equals(to) ? null : choose(from, to);
@@ -101,20 +106,20 @@
   private Planned choose(ShardId from, ShardId to) {
     for (Candidate candidate : situation.demands().get(from).candidates()) {
       FleetMachine machine = machines.get(candidate.machine());
-      boolean usable =
+      boolean isUsable =
           machine != null
               && machine.shard().equals(from)
               && !taken.contains(machine.name())
               && situation.movable().test(machine.name())
               && situation.demands().get(to).kinds().contains(machine.offer());
-      if (usable && gains(from, to, machine.cpus())) {
+      if (isUsable && isGain(from, to, machine.cpus())) {
         return new Planned(machine.name(), from, to);
       }
     }
     return null;
   }
 
-  private boolean gains(ShardId from, ShardId to, double cpus) {
+  private boolean isGain(ShardId from, ShardId to, double cpus) {
     return surplus(from) >= cpus * GAIN && -surplus(to) >= cpus * GAIN;
   }
 }
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -8,11 +8,11 @@
 import shorecrank.protocol.ShareMessages.MovePhase;
 
 /**
- * The next step of a move, from what the leader knows. It has no state: any leader, at any time,
- * comes to a step that is safe, whatever an earlier one did last.
+ * Decides the next step of a move from what the leader knows. It has no state: any leader, at any
+ * time, comes to a step that is safe, whatever an earlier one did last.
  */
 final class MoveRules {
-  /** So many times the bound on a move its new owner may take until it hears the machine. */
+  /** A new owner may take so many times the bound on a move until it hears the machine. */
   private static final double ARRIVAL_FACTOR = 2;
 
   private MoveRules() {}
@@ -47,16 +47,17 @@
    * @param term the term of its assignment
    * @param progress what its owner says of the order; null if it has said nothing
    * @param ownerKnowsMoves false if the owner's last report is of an earlier version
-   * @param handovers whether the owner has said, under this order, that nothing is left on it
-   * @param arrived whether the new owner has said that it hears the machine
+   * @param isReleased whether the owner has said, under this move, that nothing is left on it
+   * @param isArrived whether the new owner has said that it hears the machine
+   * @param ageS the seconds since the move began
    */
   record Observation(
       ShardId assignedTo,
       Epoch term,
       DrainProgress progress,
       boolean ownerKnowsMoves,
-      boolean handovers,
-      boolean arrived,
+      boolean isReleased,
+      boolean isArrived,
       double ageS) {}
 
   /** What is to be written down. */
@@ -103,7 +104,7 @@
     if (!seen.ownerKnowsMoves) {
       return Step.abort(Reason.EARLIER_VERSION);
     }
-    if (seen.handovers) {
+    if (seen.isReleased) {
       return Step.of(Action.HAND_OVER);
     }
     if (seen.progress != null && seen.progress.state() == DrainState.NOTICED) {
@@ -115,15 +116,15 @@
     if (seen.ageS > timeoutS) {
       return Step.abort(Reason.TIMEOUT);
     }
-    boolean news = move.phase() == MovePhase.REQUESTED && seen.progress != null;
-    return news ? Step.of(Action.NOTE_DRAINING) : Step.STAY;
+    boolean isNews = move.phase() == MovePhase.REQUESTED && seen.progress != null;
+    return isNews ? Step.of(Action.NOTE_DRAINING) : Step.STAY;
   }
 
   private static Step afterHandover(Move move, Observation seen, double timeoutS) {
     if (!seen.assignedTo.equals(move.to())) {
       return Step.abort(Reason.REASSIGNED);
     }
-    if (seen.arrived) {
+    if (seen.isArrived) {
       return Step.of(Action.FINISH);
     }
     return seen.ageS > ARRIVAL_FACTOR * timeoutS ? Step.abort(Reason.NOT_HEARD) : Step.STAY;
--- /dev/null
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -0,0 +1,137 @@
+package shorecrank.rebalance;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import shorecrank.leadership.LeaderEnvironment;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.ShareMessages.Move;
+import shorecrank.protocol.ShareMessages.MovePhase;
+import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.rebalance.MoveRules.Observation;
+import shorecrank.rebalance.MoveRules.Reason;
+import shorecrank.rebalance.MoveRules.Step;
+import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.ShareFleet.Handover;
+
+/**
+ * Takes moves that are under way to their next phase: notes that the machine is being drained,
+ * hands it over once its owner has released it, ends the move once the new owner hears it, or
+ * aborts it.
+ */
+final class MoveStepper {
+  private final LeaderEnvironment environment;
+  private final SharesStore store;
+  private final ShareFleet fleet;
+  private final OwnerReports reports;
+  private final MoveCommitter committer;
+  private final MoveTimes times;
+  private final double timeoutS;
+
+  /**
+   * @param timeoutS after how long a move that is not over is given up, in seconds
+   */
+  MoveStepper(
+      LeaderEnvironment environment,
+      SharesStore store,
+      ShareFleet fleet,
+      OwnerReports reports,
+      MoveCommitter committer,
+      MoveTimes times,
+      double timeoutS) {
+    this.environment = environment;
+    this.store = store;
+    this.fleet = fleet;
+    this.reports = reports;
+    this.committer = committer;
+    this.times = times;
+    this.timeoutS = timeoutS;
+  }
+
+  /** Writes down the next steps of all moves; false if there is none. */
+  boolean takeSteps() {
+    SharesState known = store.state();
+    SharesState next = known;
+    Map<MachineName, ShardId> assignments = new LinkedHashMap<>();
+    List<Move> released = new ArrayList<>();
+    for (Move move : known.active()) {
+      Step step = MoveRules.next(move, observe(move), timeoutS);
+      switch (step.action()) {
+        case STAY -> {}
+        case NOTE_DRAINING -> next = changed(next, move.in(MovePhase.DRAINING));
+        case HAND_OVER -> {
+          if (isEpochAbove(move)) {
+            assignments.put(move.machine(), move.to());
+            released.add(move);
+          }
+        }
+        case FINISH -> next = changed(next, move.in(MovePhase.DONE));
+        case ABORT -> next = changed(next, abort(move, step.reason()));
+      }
+    }
+    Handover handover = prepare(assignments);
+    if (handover != null) {
+      for (Move move : released) {
+        if (handover.machines().contains(move.machine())) {
+          next = changed(next, move.in(MovePhase.HANDED_OVER));
+        }
+      }
+    }
+    if (next == known) {
+      return false;
+    }
+    committer.write(next, handover, isCommitted -> {});
+    return true;
+  }
+
+  private static SharesState changed(SharesState state, Move move) {
+    return state.withChanged(move, MoveCapacity.KEPT_ENDED);
+  }
+
+  /** Null if nothing is to be assigned, or not now. */
+  private Handover prepare(Map<MachineName, ShardId> assignments) {
+    boolean isAffordable = environment.hasWrites(1 + assignments.size());
+    return assignments.isEmpty() || !isAffordable ? null : fleet.prepare(assignments);
+  }
+
+  private Observation observe(Move move) {
+    FleetMachine machine = fleet.machine(move.machine());
+    return new Observation(
+        machine == null ? null : machine.shard(),
+        machine == null ? Epoch.NONE : machine.term(),
+        reports.progress(move),
+        reports.ownerKnowsMoves(move),
+        reports.isReleased(move),
+        reports.isArrived(move),
+        times.ageS(move));
+  }
+
+  private Move abort(Move move, Reason reason) {
+    environment.info(
+        "move.aborted id=%s machine=%s from=%s to=%s reason=\"%s\"",
+        move.id(), move.machine(), move.from(), move.to(), reason.text());
+    environment.count("shares.moves.aborted", 1);
+    return move.cancelled(reason.text());
+  }
+
+  /**
+   * Whether the new owner's epoch is above any that the machine's worker may have been shown; if
+   * not, a higher one is asked for.
+   */
+  private boolean isEpochAbove(Move move) {
+    FleetMachine machine = fleet.machine(move.machine());
+    Epoch last = fleet.epoch(move.from());
+    Epoch least = machine == null ? last : Epoch.higher(machine.term(), last);
+    if (fleet.owner(move.to()).isEmpty()) {
+      return false;
+    }
+    if (!fleet.epoch(move.to()).above(least)) {
+      fleet.raiseAbove(move.to(), least);
+      return false;
+    }
+    return true;
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -0,0 +1,207 @@
+package shorecrank.rebalance;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Supplier;
+import shorecrank.leadership.LeaderEnvironment;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.ShareMessages.Move;
+import shorecrank.protocol.ShareMessages.ShardDemand;
+import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.rebalance.MovePlanner.Planned;
+import shorecrank.rebalance.MovePlanner.Situation;
+import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.ShareTargets.Claim;
+
+/**
+ * Computes how many processors each shard should have, and which moves begin: machines that run
+ * another shard's tasks go back to that shard; if there are none, machines move by need.
+ */
+final class RebalancePlanner {
+  /** What a machine counts beside its processors where a new machine's shard is chosen. */
+  private static final double MACHINE_TIE_BREAK = 1e-6;
+
+  private static final double MS_PER_S = 1000;
+
+  private final LeaderEnvironment environment;
+  private final ShareFleet fleet;
+  private final ShareSettings settings;
+  private final TeamShares teams;
+  private final OwnerReports reports;
+  private final MoveTimes times;
+  private final MoveCapacity capacity;
+
+  /** Since when a shard has lacked machines. */
+  private final Map<ShardId, MonotonicTime> lackingSince = new HashMap<>();
+
+  private Map<ShardId, Double> targets = new TreeMap<>();
+
+  RebalancePlanner(
+      LeaderEnvironment environment,
+      ShareFleet fleet,
+      ShareSettings settings,
+      TeamShares teams,
+      OwnerReports reports,
+      MoveTimes times,
+      MoveCapacity capacity) {
+    this.environment = environment;
+    this.fleet = fleet;
+    this.settings = settings;
+    this.teams = teams;
+    this.reports = reports;
+    this.times = times;
+    this.capacity = capacity;
+  }
+
+  /** The processors that each shard should have, as last computed. */
+  Map<ShardId, Double> targets() {
+    return targets;
+  }
+
+  /** The shard that lacks the most processors; of equals, that with the fewest machines. */
+  ShardId shardOfNewMachine(SharesState state) {
+    Map<ShardId, Double> present = present(state);
+    // While machine types are not known, machines have no processors, but still count.
+    fleet
+        .machines()
+        .forEach(machine -> present.merge(machine.shard(), MACHINE_TIE_BREAK, Double::sum));
+    ShardId best = new ShardId(0);
+    double most = Double.NEGATIVE_INFINITY;
+    for (int i = 0; i < fleet.shards(); i++) {
+      ShardId shard = new ShardId(i);
+      double lack = targets.getOrDefault(shard, 0.0) - present.getOrDefault(shard, 0.0);
+      if (lack > most) {
+        most = lack;
+        best = shard;
+      }
+    }
+    return best;
+  }
+
+  /**
+   * Computes the targets anew, and the moves that begin now.
+   *
+   * @param reasonsAgainstMoves why no move by need may begin; asked only if one might
+   */
+  List<Move> plan(SharesState state, Supplier<List<String>> reasonsAgainstMoves) {
+    Map<ShardId, Double> present = present(state);
+    Map<ShardId, Claim> claims = new TreeMap<>();
+    Map<ShardId, ShardDemand> demands = new TreeMap<>();
+    teams
+        .byShard(state.teams())
+        .forEach(
+            (shard, share) -> {
+              Optional<ShardDemand> demand = reports.freshDemand(shard);
+              claims.put(shard, new Claim(share, demand.orElse(null), present.get(shard)));
+              demand.ifPresent(known -> demands.put(shard, known));
+            });
+    double cpus = present.values().stream().mapToDouble(Double::doubleValue).sum();
+    targets = ShareTargets.compute(cpus, claims);
+    updateGauges(present, state);
+    List<Move> moves = reclaim(state);
+    boolean mayMoveByNeed = moves.isEmpty() && settings.automatic();
+    if (mayMoveByNeed && reasonsAgainstMoves.get().isEmpty()) {
+      return moveByNeed(present, demands, state);
+    }
+    return moves;
+  }
+
+  /** Processors by shard, with moves under way counted at the shard that they lead to. */
+  private Map<ShardId, Double> present(SharesState state) {
+    Map<ShardId, Double> present = new TreeMap<>();
+    for (int i = 0; i < fleet.shards(); i++) {
+      present.put(new ShardId(i), 0.0);
+    }
+    for (FleetMachine machine : fleet.machines()) {
+      Move move = state.moveOf(machine.name());
+      ShardId shard = move == null ? machine.shard() : move.to();
+      present.merge(shard, machine.cpus(), Double::sum);
+    }
+    return present;
+  }
+
+  private void updateGauges(Map<ShardId, Double> present, SharesState state) {
+    targets.forEach((shard, cpus) -> environment.gauge("shares.target." + shard, cpus));
+    present.forEach((shard, cpus) -> environment.gauge("shares.present." + shard, cpus));
+    environment.gauge("shares.moves.active", state.active().size());
+    environment.gauge("shares.move.ms.p50", times.medianMs());
+    environment.gauge("shares.move.ms.p99", times.p99Ms());
+  }
+
+  /** A move without an operator's order; {@code offset} counts those that begin before it. */
+  private Move begin(int offset, MachineName machine, ShardId to, SharesState state) {
+    MoveId id = new MoveId(state.nextMove() + offset);
+    return fleet.machine(machine).moveTo(to, id, "", environment.wallMs());
+  }
+
+  /** Moves of machines on which tasks of a shard may run, back to that shard. */
+  private List<Move> reclaim(SharesState state) {
+    List<Move> moves = new ArrayList<>();
+    reports
+        .takeMisplaced()
+        .forEach(
+            (name, shard) -> {
+              FleetMachine machine = fleet.machine(name);
+              boolean isElsewhere = machine != null && !machine.shard().equals(shard);
+              boolean isFree = isElsewhere && state.moveOf(name) == null;
+              if (isFree && moves.size() < capacity.room(state)) {
+                environment.info(
+                    "machine.reclaimed machine=%s shard=%s assigned=%s",
+                    name, shard, machine.shard());
+                moves.add(begin(moves.size(), name, shard, state));
+              }
+            });
+    return moves;
+  }
+
+  private List<Move> moveByNeed(
+      Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands, SharesState state) {
+    int most = Math.min(settings.movesAtOnce() - state.active().size(), capacity.room(state));
+    if (most <= 0) {
+      return List.of();
+    }
+    Situation situation =
+        new Situation(
+            targets,
+            present,
+            demands,
+            receiving(present, demands),
+            machine -> !times.isResting(machine) && state.moveOf(machine) == null);
+    MovePlanner planner = new MovePlanner(situation, fleet.machines(), settings.tolerance());
+    List<Move> moves = new ArrayList<>();
+    for (Planned planned : planner.plan(most)) {
+      moves.add(begin(moves.size(), planned.machine(), planned.to(), state));
+    }
+    return moves;
+  }
+
+  /** Shards that have lacked machines for long enough, and have tasks waiting. */
+  private Set<ShardId> receiving(Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands) {
+    MonotonicTime now = environment.now();
+    Set<ShardId> receiving = new HashSet<>();
+    targets.forEach(
+        (shard, target) -> {
+          ShardDemand demand = demands.get(shard);
+          boolean isLacking =
+              demand != null && demand.allWaiting() > 0 && target > present.get(shard);
+          if (!isLacking) {
+            lackingSince.remove(shard);
+            return;
+          }
+          MonotonicTime since = lackingSince.computeIfAbsent(shard, absent -> now);
+          if (now.since(since) >= settings.settleS() * MS_PER_S) {
+            receiving.add(shard);
+          }
+        });
+    return receiving;
+  }
+}
--- a/src/main/java/shorecrank/rebalance/ShareFleet.java
+++ b/src/main/java/shorecrank/rebalance/ShareFleet.java
@@ -14,23 +14,26 @@
 import shorecrank.protocol.ShareMessages.MovePhase;
 import shorecrank.protocol.StoreMessages.Transaction;
 
-/** Shards and machines as the leader knows them, and what shares may change of them. */
+/** Shards and machines as the leader knows them, and the changes of them that moves make. */
 public interface ShareFleet {
   /**
    * A machine and its assignment.
    *
    * @param cpus 0 while its type is not known
-   * @param order the order that its owner, or its new owner, is told; NONE if there is none
+   * @param term the epoch under which it was assigned
+   * @param order the move that its owner, or its new owner, is told; {@link MoveId#NONE} if there
+   *     is none
    */
   record FleetMachine(
       MachineName name, Offer offer, double cpus, ShardId shard, Epoch term, MoveId order) {
     /**
      * The move of the machine to another shard, as it begins.
      *
-     * @param by the operator's order that asks for it; empty if it is need
+     * @param orderId the operator's order that asks for it; empty for a move by need
+     * @param wallMs the time of day, in milliseconds since 1970
      */
-    Move moveTo(ShardId to, MoveId id, String by, long wallMs) {
-      return new Move(id, name, shard, to, term, MovePhase.REQUESTED, by, wallMs, "");
+    Move moveTo(ShardId to, MoveId id, String orderId, long wallMs) {
+      return new Move(id, name, shard, to, term, MovePhase.REQUESTED, orderId, wallMs, "");
     }
   }
 
@@ -40,39 +43,39 @@
   /** All machines that are assigned. */
   Collection<FleetMachine> machines();
 
-  /** Machines of which an owner is told an order. */
+  /** The machines of which an owner is told a move. */
   List<MachineName> ordered();
 
-  /** Null if the machine is not assigned. */
+  /** A machine and its assignment; null if it is not assigned. */
   FleetMachine machine(MachineName name);
 
-  /** The highest epoch that was minted for a shard. */
+  /** The highest epoch that was allocated for a shard. */
   Epoch epoch(ShardId shard);
 
-  /** The label of a shard's owner; empty if it has none. */
+  /** The name of a shard's owner; empty if it has none. */
   String owner(ShardId shard);
 
-  /** Has an epoch above {@code least} minted for a shard's present owner. */
+  /** Has an epoch above {@code least} allocated for a shard's present owner. */
   void raiseAbove(ShardId shard, Epoch least);
 
-  /** The owner is to empty the machine and hand it back. */
+  /** The owner is to drain the machine and release it. */
   void handoverRequested(MachineName machine, MoveId order);
 
-  /** The owner may use the machine; the order that concerned it is over. */
+  /** The owner may use the machine: its move is over. */
   void keep(MachineName machine);
 
-  /** The new owner is to say when it hears the machine. */
+  /** The new owner is to report when it hears the machine. */
   void awaitArrival(MachineName machine, MoveId order);
 
-  /** Assignments that are being written in a transaction; no others are until it is over. */
+  /** Assignments for one transaction; no other assignment is written until it is over. */
   interface Handover {
     /** The machines that it assigns: as many of those asked for as fit into a transaction. */
     Set<MachineName> machines();
 
-    /** How many changes it adds to the transaction. */
+    /** How many operations it adds to the transaction. */
     int operations();
 
-    /** Adds what assigns the machines. */
+    /** Adds the guards and writes that assign the machines. */
     void addTo(Transaction transaction);
 
     /** The transaction was carried out. */
@@ -91,6 +94,6 @@
    */
   Handover prepare(Map<MachineName, ShardId> assignments);
 
-  /** Assignments may differ from what is known here: reads everything anew. */
+  /** Reads all assignments anew, since they may differ from what is known. */
   void reload();
 }
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.IntSupplier;
@@ -23,9 +24,11 @@
 import shorecrank.protocol.ShareMessages.TeamShare;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
 
-/** Decides operators' orders: whether one can be carried out, what it changes, and what is said. */
+/**
+ * Decides operators' orders: whether one can be carried out, what it changes, and what is answered.
+ */
 final class ShareOrders {
-  /** So many machines are named in an answer. */
+  /** The most machines that an answer names. */
   private static final int MOST_NAMED = 20;
 
   private final ShareFleet fleet;
@@ -49,13 +52,17 @@
   }
 
   /**
-   * What is made of an order.
+   * The decision on an order.
    *
-   * @param next what the key is to hold beside the outcome; null if it stays as it is
+   * @param next what the key is to hold beside the outcome; empty if it stays as it is
    */
-  record Decision(SharesState next, ShareOutcome outcome) {}
+  record Decision(Optional<SharesState> next, ShareOutcome outcome) {
+    private static Decision unchanged(ShareOutcome outcome) {
+      return new Decision(Optional.empty(), outcome);
+    }
+  }
 
-  /** An order can't be carried out; the message is the one line that says why. */
+  /** Thrown if an order can't be carried out; the message is the one line that says why. */
   private static final class Refused extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -74,13 +81,13 @@
     String content = digest(order);
     for (ShareOutcome earlier : state.recentOrders()) {
       if (earlier.id().equals(order.id())) {
-        boolean same = earlier.content().equals(content);
-        return same ? new Decision(null, earlier) : refused(order, content, idUsed(order));
+        boolean isSame = earlier.content().equals(content);
+        return isSame ? Decision.unchanged(earlier) : refused(order, content, idUsed(order));
       }
     }
     try {
-      Decision decision = decided(order, content, state, againstMoves, wallMs);
-      return order.dryRun() ? new Decision(null, decision.outcome()) : decision;
+      Decision decision = decideNew(order, content, state, againstMoves, wallMs);
+      return order.dryRun() ? Decision.unchanged(decision.outcome()) : decision;
     } catch (Refused e) {
       return refused(order, content, e.getMessage());
     }
@@ -90,45 +97,46 @@
     return "id %s was used for another order".formatted(order.id());
   }
 
-  private static Decision refused(ShareOrder order, String content, String why) {
-    return new Decision(null, new ShareOutcome(order.id(), content, false, why, List.of()));
+  private static Decision refused(ShareOrder order, String content, String reason) {
+    return Decision.unchanged(new ShareOutcome(order.id(), content, false, reason, List.of()));
   }
 
   private static Decision accepted(
       ShareOrder order, String content, SharesState next, String text, List<MoveId> moves) {
-    String said = order.dryRun() ? "dry run: " + text : text;
-    return new Decision(next, new ShareOutcome(order.id(), content, true, said, moves));
+    String answer = order.dryRun() ? "dry run: " + text : text;
+    return new Decision(
+        Optional.of(next), new ShareOutcome(order.id(), content, true, answer, moves));
   }
 
-  /** Of all that an order says but its id. */
+  /** A digest of all that an order says but its id and whether it is a dry run. */
   private static String digest(ShareOrder order) {
     byte[] bytes = Json.bytes(ShareMessages.write(order).without(List.of("id", "dryRun")));
     long[] hash = MurmurHash3.hash128x64(bytes);
     return "%016x".formatted(hash[0]);
   }
 
-  private Decision decided(
+  private Decision decideNew(
       ShareOrder order, String content, SharesState state, List<String> against, long wallMs)
       throws Refused {
     if (!against.isEmpty() && !(order instanceof AbortMoves)) {
       throw new Refused(against.get(0));
     }
     if (order instanceof SetShare set) {
-      return set(set, content, state);
+      return setShare(set, content, state);
     }
     if (order instanceof MoveMachines move) {
-      return move(move, content, state, wallMs);
+      return moveMachines(move, content, state, wallMs);
     }
-    return abort((AbortMoves) order, content, state);
+    return abortMoves((AbortMoves) order, content, state);
   }
 
   // ---- shares ----------------------------------------------------------------------------------
 
-  private Decision set(SetShare order, String content, SharesState state) throws Refused {
+  private Decision setShare(SetShare order, String content, SharesState state) throws Refused {
     if (!teams.knows(order.team())) {
       throw new Refused("unknown team " + order.team());
     }
-    TeamShare now = teams.of(order.team(), state.teams());
+    TeamShare now = teams.shareOf(order.team(), state.teams());
     TeamShare share =
         new TeamShare(
             order.team(),
@@ -140,7 +148,7 @@
           "min %s is above max %s".formatted(number(share.minCpus()), number(share.maxCpus())));
     }
     SharesState next = state.with(share);
-    checkWhole(next);
+    checkAllShares(next);
     String text =
         "team %s: weight %s, min %s, max %s"
             .formatted(
@@ -161,9 +169,9 @@
     return given;
   }
 
-  private void checkWhole(SharesState next) throws Refused {
+  private void checkAllShares(SharesState next) throws Refused {
     List<TeamShare> all = teams.all(next.teams());
-    if (all.stream().allMatch(t -> t.weight() <= 0)) {
+    if (all.stream().allMatch(share -> share.weight() <= 0)) {
       throw new Refused("weight must not be 0 for all teams");
     }
     double minimums = all.stream().mapToDouble(TeamShare::minCpus).sum();
@@ -175,17 +183,17 @@
     }
   }
 
-  private static String number(double d) {
-    return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
+  private static String number(double value) {
+    return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
   }
 
   // ---- moves -----------------------------------------------------------------------------------
 
-  private Decision move(MoveMachines order, String content, SharesState state, long wallMs)
+  private Decision moveMachines(MoveMachines order, String content, SharesState state, long wallMs)
       throws Refused {
     checkShard(order.to());
     Set<MachineName> chosen =
-        order.machines().isEmpty() ? choose(order, state) : named(order, state);
+        order.machines().isEmpty() ? chooseMachines(order, state) : namedMachines(order, state);
     int room = mostActive.getAsInt() - state.active().size();
     if (chosen.size() > room) {
       throw new Refused(
@@ -214,7 +222,7 @@
     return String.join(", ", some) + (more > 0 ? " and %d more".formatted(more) : "");
   }
 
-  private Set<MachineName> named(MoveMachines order, SharesState state) throws Refused {
+  private Set<MachineName> namedMachines(MoveMachines order, SharesState state) throws Refused {
     Set<MachineName> chosen = new LinkedHashSet<>();
     for (MachineName name : order.machines()) {
       FleetMachine machine = fleet.machine(name);
@@ -238,19 +246,19 @@
     return "move %s from %s to %s, %s".formatted(move.id(), move.from(), move.to(), by);
   }
 
-  private Set<MachineName> choose(MoveMachines order, SharesState state) throws Refused {
+  private Set<MachineName> chooseMachines(MoveMachines order, SharesState state) throws Refused {
     checkShard(order.from());
     if (order.from().equals(order.to())) {
       throw new Refused("shard %s can't give machines to itself".formatted(order.to()));
     }
     Set<MachineName> chosen = new LinkedHashSet<>();
     List<MachineName> inOrder = new ArrayList<>(candidates.apply(order.from()));
-    fleet.machines().forEach(m -> inOrder.add(m.name()));
+    fleet.machines().forEach(machine -> inOrder.add(machine.name()));
     for (MachineName name : inOrder) {
       FleetMachine machine = fleet.machine(name);
-      boolean free =
+      boolean isFree =
           machine != null && machine.shard().equals(order.from()) && state.moveOf(name) == null;
-      if (free && chosen.size() < order.count()) {
+      if (isFree && chosen.size() < order.count()) {
         chosen.add(name);
       }
     }
@@ -262,28 +270,30 @@
     return chosen;
   }
 
-  // ---- abortion --------------------------------------------------------------------------------
+  // ---- aborting --------------------------------------------------------------------------------
 
-  private Decision abort(AbortMoves order, String content, SharesState state) throws Refused {
+  private Decision abortMoves(AbortMoves order, String content, SharesState state) throws Refused {
     List<MoveId> ended = new ArrayList<>();
     SharesState next = state;
-    boolean late = false;
+    boolean areHandedOver = false;
     for (Move move : state.active()) {
-      boolean meant =
+      boolean isMeant =
           order.all()
               || move.id().equals(order.move())
               || (!order.order().isEmpty() && move.order().equals(order.order()));
-      if (meant && move.phase() == MovePhase.HANDED_OVER) {
-        late = true;
-      } else if (meant) {
+      if (isMeant && move.phase() == MovePhase.HANDED_OVER) {
+        areHandedOver = true;
+      } else if (isMeant) {
         Move cancelled = move.cancelled(MoveRules.Reason.ORDERED.text());
-        next = next.withChanged(cancelled, MoveCoordinator.KEPT_ENDED);
+        next = next.withChanged(cancelled, MoveCapacity.KEPT_ENDED);
         ended.add(move.id());
       }
     }
     if (ended.isEmpty()) {
       throw new Refused(
-          late ? "handed over already: move the machine back" : "no such move is under way");
+          areHandedOver
+              ? "handed over already: move the machine back"
+              : "no such move is under way");
     }
     return accepted(order, content, next, "%d moves aborted".formatted(ended.size()), ended);
   }
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -15,11 +15,11 @@
  * The operators' settings of shares, in protobuf text format.
  *
  * @param automatic whether machines move by need; if not, only on an operator's order
- * @param movesAtOnce moves by need that are under way at the same time, at the most
- * @param settleS for how long a shard must lack machines before one is moved to it
- * @param restS for how long a machine that has moved stays where it is
- * @param timeoutS after how long a move that is not over is given up
- * @param tolerance by which share of its target a shard may lack or exceed it without a move
+ * @param movesAtOnce the most moves by need that are under way at the same time
+ * @param settleS for how long a shard must lack machines before one is moved to it, in seconds
+ * @param restS for how long a machine that has moved stays where it is, in seconds
+ * @param timeoutS after how long a move that is not over is aborted, in seconds
+ * @param tolerance the fraction of its target that a shard may lack or exceed without a move
  * @param teams the teams whose share differs from the default
  */
 public record ShareSettings(
@@ -46,12 +46,16 @@
   private static final Group TEAM =
       new Group("team", List.of(TEAM_NAME, WEIGHT, MIN_CPUS, MAX_CPUS));
 
-  /** A team of which nothing else is said. */
+  /** The share of a team that is neither configured nor ordered. */
   public static TeamShare defaultOf(String team) {
     return new TeamShare(team, WEIGHT.unset(), MIN_CPUS.unset(), MAX_CPUS.unset());
   }
 
-  /** Reads the file's text; what is not set has its default. */
+  /**
+   * Reads the file's text; a setting that is not named has its default.
+   *
+   * @throws NodeConfig.Invalid naming the field that is unknown or out of range
+   */
   public static ShareSettings read(String text) throws NodeConfig.Invalid {
     Message message = TextProto.parse("Shares", FIELDS, List.of(TEAM), text);
     return new ShareSettings(
@@ -85,7 +89,11 @@
     return List.copyOf(teams);
   }
 
-  /** Fails unless the settings fit the platform's teams and the number of shards. */
+  /**
+   * Checks the settings against the platform's teams and the number of shards.
+   *
+   * @throws NodeConfig.Invalid naming the field that does not fit
+   */
   public void check(NodeConfig config, int shards) throws NodeConfig.Invalid {
     if (shards < 2) {
       throw new NodeConfig.Invalid("shares need parts above 1 in the file of --settings");
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -9,15 +9,15 @@
 import shorecrank.rebalance.TeamShares.ShardShare;
 
 /**
- * How many processors each shard should have of those there are. First come minimums, then what is
- * within guarantees, then the rest of what is needed, by weight; what nobody needs stays where it
- * is.
+ * Computes how many processors each shard should have. First come minimums, then demand within
+ * guarantees, then the rest of the demand, each by weight; processors that nobody needs stay where
+ * they are.
  */
 final class ShareTargets {
-  /** Waiting work counts by its priority: of the highest first, then each half of the one above. */
+  /** How much waiting work counts, by its priority: the highest priority first. */
   private static final double[] PRIORITY_FACTORS = {8, 4, 2, 1};
 
-  /** After a job has waited so long without any task, its shard counts twice; up to the most. */
+  /** A shard counts twice once a job has waited so long without any task. */
   private static final double AGE_S = 60;
 
   private static final double MAX_AGE_FACTOR = 4;
@@ -26,21 +26,22 @@
   private ShareTargets() {}
 
   /**
-   * A shard's share, what it says of its need, and what it has.
+   * What targets are computed from for one shard.
    *
-   * @param demand null if its owner is not heard: it then keeps what it has
+   * @param demand null if its owner is not heard: the shard then keeps what it has
+   * @param present the processors that it has
    */
   record Claim(ShardShare share, ShardDemand demand, double present) {}
 
   /**
-   * The targets, which sum up to the capacity.
+   * Computes the targets, which sum up to the capacity.
    *
    * @param capacity processors of all machines that are assigned
    */
   static Map<ShardId, Double> compute(double capacity, Map<ShardId, Claim> claims) {
     Map<ShardId, Double> targets = new TreeMap<>();
     claims.keySet().forEach(shard -> targets.put(shard, 0.0));
-    fill(targets, capacity, claims, claim -> lowest(claim));
+    fill(targets, capacity, claims, ShareTargets::lowest);
     fill(targets, capacity, claims, claim -> Math.max(lowest(claim), guaranteed(claim)));
     fill(targets, capacity, claims, ShareTargets::needed);
     leaveInPlace(targets, capacity, claims);
@@ -62,7 +63,7 @@
     return Math.max(lowest(claim), Math.min(need, claim.share().maxCpus()));
   }
 
-  /** How a shard's need counts beside others': by its weight, and by what waits, and how long. */
+  /** How a shard's demand counts beside that of others: by its weight, what waits and how long. */
   private static double weight(Claim claim) {
     ShardDemand demand = claim.demand();
     if (demand == null) {
@@ -86,7 +87,7 @@
     return PRIORITY_FACTORS[Math.min(rank, PRIORITY_FACTORS.length - 1)];
   }
 
-  /** What a shard should reach before others get more. */
+  /** The processors that a shard should reach before others get more. */
   @FunctionalInterface
   private interface Level {
     double of(Claim claim);
@@ -109,7 +110,10 @@
     }
   }
 
-  /** Gives each its share of what is left, or all that it lacks; returns what was given. */
+  /**
+   * Gives each shard its fraction of the processors left, or all that it lacks; returns how many
+   * were given.
+   */
   private static double fillOnce(
       Map<ShardId, Double> targets,
       double left,
@@ -134,31 +138,32 @@
         lacking.put(shard, lack - gets);
       }
     }
-    // Weights of zero beside others get nothing, and would be asked for ever.
+    // Shards of weight zero beside others get nothing, and would be asked for ever.
     if (given <= EPSILON) {
       lacking.clear();
     }
     return given;
   }
 
-  /** What nobody needs stays with those that have it, as far as their maximums go. */
+  /** Leaves what nobody needs with the shards that have it, as far as their maximums go. */
   private static void leaveInPlace(
       Map<ShardId, Double> targets, double capacity, Map<ShardId, Claim> claims) {
     double left = capacity - sum(targets);
-    for (Map.Entry<ShardId, Claim> e : claims.entrySet()) {
-      double most = Math.min(e.getValue().present(), e.getValue().share().maxCpus());
-      double stays = Math.max(0, Math.min(left, most - targets.get(e.getKey())));
-      targets.merge(e.getKey(), stays, Double::sum);
+    for (Map.Entry<ShardId, Claim> entry : claims.entrySet()) {
+      Claim claim = entry.getValue();
+      double most = Math.min(claim.present(), claim.share().maxCpus());
+      double stays = Math.max(0, Math.min(left, most - targets.get(entry.getKey())));
+      targets.merge(entry.getKey(), stays, Double::sum);
       left -= stays;
     }
     if (left <= EPSILON) {
       return;
     }
-    double weights = claims.values().stream().mapToDouble(c -> c.share().weight()).sum();
-    for (Map.Entry<ShardId, Claim> e : claims.entrySet()) {
-      double shard =
-          weights > EPSILON ? e.getValue().share().weight() / weights : 1.0 / claims.size();
-      targets.merge(e.getKey(), left * shard, Double::sum);
+    double weights = claims.values().stream().mapToDouble(claim -> claim.share().weight()).sum();
+    for (Map.Entry<ShardId, Claim> entry : claims.entrySet()) {
+      double fraction =
+          weights > EPSILON ? entry.getValue().share().weight() / weights : 1.0 / claims.size();
+      targets.merge(entry.getKey(), left * fraction, Double::sum);
     }
   }
 
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/StatusView.java
@@ -3,10 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Function;
-import java.util.function.ToDoubleFunction;
-import org.HdrHistogram.Histogram;
+import java.util.Optional;
 import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.ShareMessages.DrainProgress;
 import shorecrank.protocol.ShareMessages.Move;
 import shorecrank.protocol.ShareMessages.MoveStatus;
 import shorecrank.protocol.ShareMessages.ShardDemand;
@@ -15,30 +14,32 @@
 import shorecrank.protocol.ShareMessages.SharesStatus;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
 
-/** Puts together what operators are shown. */
+/**
+ * Puts together the status that operators are shown.
+ *
+ * @param targets the processors that each shard should have
+ */
 record StatusView(
-    ShareFleet fleet, TeamShares teams, SharesState state, Map<ShardId, Double> targets) {
+    ShareFleet fleet,
+    TeamShares teams,
+    SharesState state,
+    Map<ShardId, Double> targets,
+    OwnerReports reports,
+    MoveTimes times) {
 
   /**
    * The status.
    *
-   * @param against why no move may begin now
-   * @param demandOf what a shard's owner said last; null if nothing
+   * @param against why no move may begin now; empty if one may
    */
-  SharesStatus of(
-      List<String> against,
-      Function<ShardId, ShardDemand> demandOf,
-      ToDoubleFunction<Move> ageS,
-      Function<Move, String> waitsFor,
-      Histogram moveTimes) {
+  SharesStatus status(List<String> against) {
     List<ShardStatus> shards = new ArrayList<>();
     for (int i = 0; i < fleet.shards(); i++) {
-      ShardId shard = new ShardId(i);
-      shards.add(shard(shard, demandOf.apply(shard)));
+      shards.add(statusOf(new ShardId(i)));
     }
     List<MoveStatus> active = new ArrayList<>();
     for (Move move : state.active()) {
-      active.add(new MoveStatus(move, ageS.applyAsDouble(move), waitsFor.apply(move)));
+      active.add(new MoveStatus(move, times.ageS(move), waitsFor(move)));
     }
     return new SharesStatus(
         against.isEmpty(),
@@ -47,11 +48,11 @@
         active,
         state.ended(),
         teams.all(state.teams()),
-        moveTimes.getValueAtPercentile(50),
-        moveTimes.getValueAtPercentile(99));
+        times.medianMs(),
+        times.p99Ms());
   }
 
-  private ShardStatus shard(ShardId shard, ShardDemand demand) {
+  private ShardStatus statusOf(ShardId shard) {
     int machines = 0;
     double cpus = 0;
     for (FleetMachine machine : fleet.machines()) {
@@ -60,14 +61,34 @@
         cpus += machine.cpus();
       }
     }
+    Optional<ShardDemand> demand = reports.lastDemand(shard);
     return new ShardStatus(
         shard,
         fleet.owner(shard),
         machines,
         cpus,
         targets.getOrDefault(shard, 0.0),
-        demand == null ? 0 : demand.running(),
-        demand == null ? 0 : demand.allWaiting(),
+        demand.map(ShardDemand::running).orElse(0.0),
+        demand.map(ShardDemand::allWaiting).orElse(0.0),
         teams.teamsOf(shard));
   }
+
+  private String waitsFor(Move move) {
+    return switch (move.phase()) {
+      case REQUESTED -> "its owner to be told";
+      case DRAINING -> drainWaitsFor(reports.progress(move));
+      case HANDED_OVER -> "its new owner to hear it";
+      case DONE, ABORTED -> "";
+    };
+  }
+
+  private static String drainWaitsFor(DrainProgress progress) {
+    if (progress == null) {
+      return "its owner's report";
+    }
+    if (progress.tasks() > 0) {
+      return "%d tasks to end, in about %.0f s".formatted(progress.tasks(), progress.emptyInS());
+    }
+    return "records that may name it to be settled";
+  }
 }
--- a/src/main/java/shorecrank/rebalance/TeamShares.java
+++ b/src/main/java/shorecrank/rebalance/TeamShares.java
@@ -8,11 +8,15 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShareMessages.TeamShare;
 
-/** What each team, and so each shard, is to get: the file's words, then operators' orders. */
+/**
+ * The share of each team, and so of each shard: as operators have ordered, else as configured, else
+ * the default.
+ */
 final class TeamShares {
   /**
-   * What a shard's teams are to get together.
+   * The shares of a shard's teams together.
    *
+   * @param minCpus processors that the shard has before any other gets more than its minimum
    * @param maxCpus infinite if one of the teams has no bound
    */
   record ShardShare(double weight, double minCpus, double maxCpus) {}
@@ -27,32 +31,37 @@
     this.shards = shards;
   }
 
+  /** Whether the platform has a team of that name. */
   boolean knows(String team) {
     return teams.contains(team);
   }
 
   /** The teams of a shard. */
   List<String> teamsOf(ShardId shard) {
-    return teams.stream().filter(t -> ShardId.of(t, shards).equals(shard)).toList();
+    return teams.stream().filter(team -> ShardId.of(team, shards).equals(shard)).toList();
   }
 
-  /** A team's share in force. */
-  TeamShare of(String team, List<TeamShare> ordered) {
+  /**
+   * A team's share in force.
+   *
+   * @param ordered the shares that operators have ordered
+   */
+  TeamShare shareOf(String team, List<TeamShare> ordered) {
     return find(team, ordered, find(team, configured, ShareSettings.defaultOf(team)));
   }
 
   /** All teams' shares in force. */
   List<TeamShare> all(List<TeamShare> ordered) {
     List<TeamShare> all = new ArrayList<>();
-    teams.forEach(team -> all.add(of(team, ordered)));
+    teams.forEach(team -> all.add(shareOf(team, ordered)));
     return all;
   }
 
-  private static TeamShare find(String team, List<TeamShare> in, TeamShare otherwise) {
-    return in.stream().filter(t -> t.team().equals(team)).findFirst().orElse(otherwise);
+  private static TeamShare find(String team, List<TeamShare> shares, TeamShare otherwise) {
+    return shares.stream().filter(share -> share.team().equals(team)).findFirst().orElse(otherwise);
   }
 
-  /** Shares by shard; a shard without teams gets nothing. */
+  /** Shares by shard; that of a shard without teams is zero. */
   Map<ShardId, ShardShare> byShard(List<TeamShare> ordered) {
     Map<ShardId, ShardShare> shares = new TreeMap<>();
     for (int i = 0; i < shards; i++) {
@@ -62,12 +71,12 @@
     return shares;
   }
 
-  private ShardShare sum(List<String> of, List<TeamShare> ordered) {
+  private ShardShare sum(List<String> shardTeams, List<TeamShare> ordered) {
     double weight = 0;
     double min = 0;
     double max = 0;
-    for (String team : of) {
-      TeamShare share = of(team, ordered);
+    for (String team : shardTeams) {
+      TeamShare share = shareOf(team, ordered);
       weight += share.weight();
       min += share.minCpus();
       max += share.maxCpus() > 0 ? share.maxCpus() : Double.POSITIVE_INFINITY;
@@ -75,7 +84,7 @@
     return new ShardShare(weight, min, max);
   }
 
-  /** Whether no team would get anything. */
+  /** Whether the weights of all teams are zero, so that none would get more than its minimum. */
   static boolean weightsSumToZero(Collection<String> teams, List<TeamShare> shares) {
     return !teams.isEmpty()
         && teams.stream()
--- a/src/test/java/shorecrank/sim/SharesMix.java
+++ b/src/test/java/shorecrank/sim/SharesMix.java
@@ -16,7 +16,7 @@
 
   /** What a leader logs as a move goes from step to step. */
   private static final String[] STEPS = {
-    "move requested id=", "move draining id=", "move handed_over id=", "move done id="
+    "move.requested id=", "move.draining id=", "move.handed_over id=", "move.done id="
   };
 
   private final Scenario scenario;
