--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -140,7 +140,7 @@
   void end() {
     Map<String, List<String>> groups = new HashMap<>();
     for (String job : accepted) {
-      World.JobPlan p = world.plans.get(job);
+      JobPlan p = world.plans.get(job);
       if (world.withNeeds(job).stream().anyMatch(world.cancelAsked::contains)) {
         continue;
       }
@@ -149,15 +149,15 @@
         broken("forgotten: " + job + " is not in the store at the end");
       }
       // What came late has not had its time.
-      if (world.sim.now - submittedAt.get(job) > FAIR_MS && !p.faulty) {
-        groups.computeIfAbsent("class " + p.jobClass, k -> new ArrayList<>()).add(job);
-        groups.computeIfAbsent("team " + p.team, k -> new ArrayList<>()).add(job);
+      if (world.sim.now - submittedAt.get(job) > FAIR_MS && !p.faulty()) {
+        groups.computeIfAbsent("class " + p.jobClass(), k -> new ArrayList<>()).add(job);
+        groups.computeIfAbsent("team " + p.team(), k -> new ArrayList<>()).add(job);
       }
     }
     for (String g : new ArrayList<>(groups.keySet())) {
       if (g.startsWith("class ")) {
         List<String> l = new ArrayList<>(groups.get(g));
-        l.sort(java.util.Comparator.comparingInt(j -> -world.plans.get(j).pieces));
+        l.sort(java.util.Comparator.comparingInt(j -> -world.plans.get(j).tasks()));
         groups.put("largest of " + g, l.subList(0, (l.size() + 3) / 4));
       }
     }
@@ -172,7 +172,7 @@
           }
           if (g.startsWith("largest")) {
             for (String j : jobs) {
-              if (!world.plans.get(j).needs.isEmpty()) {
+              if (!world.plans.get(j).dependencies().isEmpty()) {
                 continue;
               }
               long begun = begunAt.getOrDefault(j, world.sim.now);
@@ -189,8 +189,8 @@
     String job = t.job();
     begunAt.putIfAbsent(job, world.sim.now);
     startsOf.merge(job, 1, Integer::sum);
-    World.JobPlan plan = world.plans.get(job);
-    for (String needed : plan.needs) {
+    JobPlan plan = world.plans.get(job);
+    for (String needed : plan.dependencies()) {
       JsonNode end = world.store.peek(JobRecord.FINAL + needed);
       if (!"done".equals(end.path("p").asText())) {
         broken("too_early: " + t.piece + " starts and " + needed + " is not recorded as done");
@@ -201,22 +201,24 @@
       broken("ran_twice: " + t.piece + " starts on " + w.name + " while on " + names(at));
     }
     at.add(w);
-    double cpus = teamCpus.merge(plan.team, plan.cpus, Double::sum);
-    Double max = world.teamMax.get(plan.team);
+    double cpus = teamCpus.merge(plan.team(), plan.cpus(), Double::sum);
+    Double max = world.teamMax.get(plan.team());
     if (max != null && max > 0 && cpus > max + 1e-9) {
-      broken("quota: team " + plan.team + " uses " + cpus + " of " + max);
+      broken("quota: team " + plan.team() + " uses " + cpus + " of " + max);
     }
-    if ((plan.site != null && !plan.site.equals(w.zone))
-        || (!plan.spot && w.spot)
-        || (plan.hosttype != null && !plan.hosttype.equals(w.type))) {
+    if ((plan.zone() != null && !plan.zone().equals(w.zone))
+        || (!plan.spot() && w.spot)
+        || (plan.machineType() != null && !plan.machineType().equals(w.type))) {
       broken("wrong_place: " + t.piece + " on " + w.name);
     }
     int inZone = 0;
     for (Map.Entry<String, Set<Worker>> e :
-        plan.together || plan.spread ? on.entrySet() : Set.<Map.Entry<String, Set<Worker>>>of()) {
+        plan.together() || plan.spread()
+            ? on.entrySet()
+            : Set.<Map.Entry<String, Set<Worker>>>of()) {
       if (e.getKey().startsWith(job + "/")) {
         for (Worker x : e.getValue()) {
-          if (plan.together && !x.zone.equals(w.zone)) {
+          if (plan.together() && !x.zone.equals(w.zone)) {
             broken("wrong_place: " + t.piece + " apart from " + e.getKey());
           }
           if (x.zone.equals(w.zone)) {
@@ -225,8 +227,8 @@
         }
       }
     }
-    if (plan.spread && inZone > (plan.pieces + 1) / 2) {
-      broken("wrong_place: " + inZone + " of " + plan.pieces + " of " + job + " in " + w.zone);
+    if (plan.spread() && inZone > (plan.tasks() + 1) / 2) {
+      broken("wrong_place: " + inZone + " of " + plan.tasks() + " of " + job + " in " + w.zone);
     }
     Long told = toldCancelled.get(job);
     startsAfterCancel += told == null ? 0 : 1;
@@ -274,8 +276,8 @@
         on.remove(t.piece);
       }
     }
-    World.JobPlan plan = world.plans.get(t.job());
-    teamCpus.merge(plan.team, -plan.cpus, Double::sum);
+    JobPlan plan = world.plans.get(t.job());
+    teamCpus.merge(plan.team(), -plan.cpus(), Double::sum);
   }
 
   private void watchCancelled() {
@@ -327,7 +329,7 @@
   private void watchWaiting() {
     if (world.sim.now >= troublesOver) {
       for (String job : accepted) {
-        World.JobPlan p = world.plans.get(job);
+        JobPlan p = world.plans.get(job);
         if (!waits(job, p) || world.workers.values().stream().noneMatch(w -> fits(w, p))) {
           idleSince.remove(job);
           continue;
@@ -343,33 +345,33 @@
     world.sim.after(1000, this::watchWaiting);
   }
 
-  private boolean waits(String job, World.JobPlan p) {
+  private boolean waits(String job, JobPlan p) {
     Set<String> chain = world.withNeeds(job);
     if (toldFinal.containsKey(job)
         || chain.stream().anyMatch(world.cancelAsked::contains)
-        || p.needs.stream().anyMatch(n -> !"done".equals(toldFinal.get(n)))
-        || p.faulty) {
+        || p.dependencies().stream().anyMatch(n -> !"done".equals(toldFinal.get(n)))
+        || p.faulty()) {
       return false;
     }
-    Double max = world.teamMax.get(p.team);
-    if (max != null && max > 0 && teamCpus.getOrDefault(p.team, 0.0) + p.cpus > max + 1e-9) {
+    Double max = world.teamMax.get(p.team());
+    if (max != null && max > 0 && teamCpus.getOrDefault(p.team(), 0.0) + p.cpus() > max + 1e-9) {
       return false;
     }
     int busy = 0;
-    for (int i = 0; i < p.pieces; i++) {
+    for (int i = 0; i < p.tasks(); i++) {
       busy += world.results.contains(job + "/" + i) || on.containsKey(job + "/" + i) ? 1 : 0;
     }
-    return busy < p.pieces && !p.together && !p.spread;
+    return busy < p.tasks() && !p.together() && !p.spread();
   }
 
-  private boolean fits(Worker w, World.JobPlan p) {
+  private boolean fits(Worker w, JobPlan p) {
     return !w.dead
         && !w.hung()
         && !w.sick
-        && (p.site == null || p.site.equals(w.zone))
-        && (p.spot || !w.spot)
-        && (p.hosttype == null || p.hosttype.equals(w.type))
-        && w.freeCpus() >= p.cpus - 1e-9;
+        && (p.zone() == null || p.zone().equals(w.zone))
+        && (p.spot() || !w.spot)
+        && (p.machineType() == null || p.machineType().equals(w.type))
+        && w.freeCpus() >= p.cpus() - 1e-9;
   }
 
   private static final long WAIT_MS = 90_000;
@@ -412,7 +414,7 @@
       broken("went_back: " + job + " was " + was + ", is " + phase);
     }
     if (phase.equals("done")) {
-      for (int i = 0; i < world.plans.get(job).pieces; i++) {
+      for (int i = 0; i < world.plans.get(job).tasks(); i++) {
         if (!world.results.contains(job + "/" + i)) {
           broken("not_done: " + job + "/" + i);
           break;
--- a/src/test/java/shorecrank/sim/CloudSim.java
+++ b/src/test/java/shorecrank/sim/CloudSim.java
@@ -116,11 +116,13 @@
       ArrayNode a = n.putArray("hosttypes");
       world.types.forEach(
           (name, t) -> {
-            ObjectNode o = a.addObject().put("sku", name).put("cpus", t.cpus);
-            o.put("accelerators", 0).put("memoryGb", t.memoryGb).put("localGb", 50);
-            o.put("fetchGbPerS", 1.0).put("hourly", t.cpus * 0.04).put("spotPrice", t.cpus * 0.015);
-            ArrayNode z = o.put("startupS", t.bootS).putArray("sites");
-            t.zones.forEach(z::add);
+            ObjectNode o = a.addObject().put("sku", name).put("cpus", t.cpus());
+            o.put("accelerators", 0).put("memoryGb", t.memoryGb()).put("localGb", 50);
+            o.put("fetchGbPerS", 1.0)
+                .put("hourly", t.cpus() * 0.04)
+                .put("spotPrice", t.cpus() * 0.015);
+            ArrayNode z = o.put("startupS", t.bootS()).putArray("sites");
+            t.zones().forEach(z::add);
           });
       answer.accept(200, n);
     } else if (path.equals("/hosts/release")) {
@@ -169,7 +171,7 @@
                 body.path("hosttype").asText(),
                 body.path("site").asText(),
                 body.path("loaner").asBoolean(),
-                world.types.get(body.path("hosttype").asText()).bootS));
+                world.types.get(body.path("hosttype").asText()).bootS()));
       }
       claims.put(claim, got);
     }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/ControllerFaults.java
@@ -0,0 +1,30 @@
+package shorecrank.sim;
+
+import java.util.Map;
+
+/** Controllers that end or freeze. */
+final class ControllerFaults {
+  static final Map<String, Action.Reader> ACTIONS =
+      Map.of("crash", ControllerFaults::crash, "freeze", ControllerFaults::freeze);
+
+  private static final long RESTART_MS = 4000;
+
+  private ControllerFaults() {}
+
+  /** {@code crash WHO [SECONDS]}: ends and starts again after a while. */
+  private static Action crash(ScenarioLine line) {
+    ControllerSelector who = ControllerSelector.read(line, 1);
+    long restartMs = line.has(2) ? line.milliseconds(2) : RESTART_MS;
+    return world -> who.forEach(world, node -> node.crash(restartMs));
+  }
+
+  /** {@code freeze WHO SECONDS}: does nothing for a while, and then goes on. */
+  private static Action freeze(ScenarioLine line) {
+    ControllerSelector who = ControllerSelector.read(line, 1);
+    long durationMs = line.milliseconds(2);
+    return world -> {
+      world.checker.trouble(world.sim.now + durationMs);
+      who.forEach(world, node -> node.frozenUntil = world.sim.now + durationMs);
+    };
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -0,0 +1,75 @@
+package shorecrank.sim;
+
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.ToDoubleFunction;
+
+/** Bounds of what was counted, and what controllers logged. */
+final class CountExpectations {
+  static final Map<String, Expectation.Reader> EXPECTATIONS =
+      Map.ofEntries(
+          Map.entry("epoch", CountExpectations::epochAtLeast),
+          Map.entry("epoch-below", line -> below(line, CountExpectations::epoch)),
+          Map.entry("kills-below", line -> below(line, world -> world.leaseKills)),
+          Map.entry("machines-below", line -> below(line, world -> world.cloud.size())),
+          Map.entry("machines-above", line -> above(line, world -> world.cloud.size())),
+          Map.entry("starts-below", line -> below(line, world -> world.checker.starts)),
+          Map.entry("starts-above", line -> above(line, world -> world.checker.starts)),
+          Map.entry(
+              "late-starts-below", line -> below(line, world -> world.checker.startsAfterCancel)),
+          Map.entry("looks-per-round-below", line -> below(line, World::looksPerRound)),
+          Map.entry("news-below", line -> below(line, world -> world.mostNews)),
+          Map.entry("requests-below", line -> below(line, world -> world.store.requests)),
+          Map.entry("full-below", line -> below(line, world -> world.refusedFull)),
+          Map.entry("gone", CountExpectations::gone),
+          Map.entry("log", line -> logged(line, true)),
+          Map.entry("nolog", line -> logged(line, false)),
+          Map.entry("owner-known", line -> plain(world -> world.owner(0) != null)));
+
+  private CountExpectations() {}
+
+  private static Expectation plain(Expectation.Condition condition) {
+    return Expectation.of(condition, world -> "");
+  }
+
+  private static double epoch(World world) {
+    return world.store.peek("epoch").path("v").asLong();
+  }
+
+  private static Expectation epochAtLeast(ScenarioLine line) {
+    long least = line.whole(1);
+    return Expectation.of(world -> epoch(world) >= least, world -> " [" + epoch(world) + "]");
+  }
+
+  private static Expectation below(ScenarioLine line, ToDoubleFunction<World> value) {
+    int bound = line.integer(1);
+    return Expectation.of(
+        world -> value.applyAsDouble(world) < bound,
+        world -> " [" + value.applyAsDouble(world) + "]");
+  }
+
+  private static Expectation above(ScenarioLine line, ToDoubleFunction<World> value) {
+    int bound = line.integer(1);
+    return Expectation.of(
+        world -> value.applyAsDouble(world) > bound,
+        world -> " [" + value.applyAsDouble(world) + "]");
+  }
+
+  /** {@code gone MACHINE}: a controller has returned it to the cloud. */
+  private static Expectation gone(ScenarioLine line) {
+    String machine = line.word(1);
+    return plain(world -> world.cloud.releasedEver.contains(machine));
+  }
+
+  /** {@code log TEXT} or {@code nolog TEXT}: whether any controller has logged it so far. */
+  private static Expectation logged(ScenarioLine line, boolean expected) {
+    String text = line.textFrom(1);
+    return Expectation.of(
+        world -> world.logs.stream().anyMatch(log -> log.contains(text)) == expected,
+        world -> first(world, text).map(log -> " [" + log + "]").orElse(""));
+  }
+
+  private static Optional<String> first(World world, String text) {
+    return world.logs.stream().filter(log -> log.contains(text)).findFirst();
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/Expectations.java
@@ -0,0 +1,45 @@
+package shorecrank.sim;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** All expectations of scenarios by their names. */
+final class Expectations {
+  private static final Map<String, Expectation.Reader> BY_NAME = new HashMap<>();
+
+  static {
+    addAll(JobExpectations.EXPECTATIONS);
+    addAll(CountExpectations.EXPECTATIONS);
+    addAll(RolloutExpectations.EXPECTATIONS);
+    addAll(ShareExpectations.EXPECTATIONS);
+  }
+
+  private Expectations() {}
+
+  private static void addAll(Map<String, Expectation.Reader> family) {
+    family.forEach(
+        (name, reader) -> {
+          if (BY_NAME.put(name, reader) != null) {
+            throw new IllegalStateException("two expectations are named " + name);
+          }
+        });
+  }
+
+  /**
+   * Reads an expectation whose name is the first word; what it finds wrong is a failure of the run.
+   *
+   * @throws ScenarioSyntaxException if there is no such expectation, or its words can't be read
+   */
+  static Action read(ScenarioLine line) {
+    Expectation.Reader reader = BY_NAME.get(line.word(0));
+    if (reader == null) {
+      throw line.error("no expectation is named '" + line.word(0) + "'");
+    }
+    Expectation expectation = reader.read(line);
+    return world -> {
+      if (!expectation.holds(world)) {
+        world.unmetExpectations.add("not so: " + line.source() + expectation.found(world));
+      }
+    };
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/FaultScript.java
@@ -0,0 +1,32 @@
+package shorecrank.sim;
+
+/** Actions that are drawn from the seed, written as in a scenario file and separated by ";". */
+final class FaultScript {
+  private static final String SEPARATOR = ";";
+  private static final double MS_PER_S = 1000;
+
+  private final World world;
+  private final ScenarioLine origin;
+
+  /**
+   * @param origin the line that asked for them
+   */
+  FaultScript(World world, ScenarioLine origin) {
+    this.world = world;
+    this.origin = origin;
+  }
+
+  /** Runs actions at a time. */
+  void at(double seconds, String actions) {
+    for (String action : actions.split(SEPARATOR)) {
+      world.sim.at((long) (seconds * MS_PER_S), () -> run(action));
+    }
+  }
+
+  /** Runs actions now, one after the other. */
+  void run(String actions) {
+    for (String action : actions.split(SEPARATOR)) {
+      Actions.read(origin.rest(action)).run(world);
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -0,0 +1,95 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiPredicate;
+import shorecrank.protocol.Json;
+import shorecrank.storage.JobRecord;
+
+/** What users were told of jobs, and how their records ended. */
+final class JobExpectations {
+  static final Map<String, Expectation.Reader> EXPECTATIONS =
+      Map.of(
+          "done", line -> all(line, (world, job) -> isTold(world, job, "done")),
+          "withdrawn", line -> all(line, (world, job) -> isTold(world, job, "withdrawn")),
+          "over", line -> all(line, JobExpectations::isOver),
+          "over-or-refused", line -> all(line, JobExpectations::isOverOrRefused),
+          "accepted", line -> all(line, (world, job) -> !isTold(world, job, "unknown")),
+          "status", JobExpectations::status,
+          "final", JobExpectations::finalRecord,
+          "begun-before", JobExpectations::begunBefore,
+          "starts-of", JobExpectations::startsOf);
+
+  private JobExpectations() {}
+
+  private static Expectation all(ScenarioLine line, BiPredicate<World, String> condition) {
+    List<String> jobs = line.list(1);
+    return Expectation.of(
+        world -> jobs.stream().allMatch(job -> condition.test(world, job)),
+        world -> found(world, jobs));
+  }
+
+  private static boolean isTold(World world, String job, String phase) {
+    return world.checker.told(job).equals(phase);
+  }
+
+  /** Done, or cancelled where its user asked for it. */
+  private static boolean isOver(World world, String job) {
+    return isTold(world, job, "done") || isTold(world, job, "withdrawn");
+  }
+
+  /** Or never accepted, in troubles that lasted for as long as its user tried. */
+  private static boolean isOverOrRefused(World world, String job) {
+    boolean refused = isTold(world, job, "unknown") && world.users.gaveUp.contains(job);
+    return isOver(world, job) || refused;
+  }
+
+  /** {@code status JOB STATUS}: of the latest answer to its user. */
+  private static Expectation status(ScenarioLine line) {
+    String job = line.word(1);
+    int status = line.integer(2);
+    return Expectation.of(
+        world -> world.users.statuses.getOrDefault(job, 0) == status,
+        world -> found(world, List.of(job)));
+  }
+
+  /** {@code final JOB,JOB PHASE}: as the state service has them. */
+  private static Expectation finalRecord(ScenarioLine line) {
+    String phase = line.word(2);
+    return all(
+        line,
+        (world, job) -> world.store.peek(JobRecord.FINAL + job).path("p").asText().equals(phase));
+  }
+
+  /** {@code begun-before JOB JOB}. */
+  private static Expectation begunBefore(ScenarioLine line) {
+    String first = line.word(1);
+    String second = line.word(2);
+    return Expectation.of(
+        world -> world.checker.begunBefore(first, second), world -> found(world, List.of(first)));
+  }
+
+  /** {@code starts-of JOB LEAST MOST}. */
+  private static Expectation startsOf(ScenarioLine line) {
+    String job = line.word(1);
+    int least = line.integer(2);
+    int most = line.integer(3);
+    return Expectation.of(
+        world -> world.checker.startsOf(job) >= least && world.checker.startsOf(job) <= most,
+        world -> " [" + world.checker.startsOf(job) + "]");
+  }
+
+  private static String found(World world, List<String> jobs) {
+    StringBuilder text = new StringBuilder();
+    for (String job : jobs) {
+      if (world.plans.containsKey(job)) {
+        JsonNode record = world.store.peek(JobRecord.LIVE + job);
+        text.append(" [").append(job).append(' ').append(world.checker.told(job)).append(' ');
+        text.append(record.isMissingNode() ? "" : Json.object().set("r", record).toString());
+        text.append(']');
+      }
+    }
+    return text.toString();
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/MachineFaults.java
@@ -0,0 +1,55 @@
+package shorecrank.sim;
+
+import java.util.Map;
+
+/** Machines that hang, fail tasks, or are taken by the cloud. */
+final class MachineFaults {
+  static final Map<String, Action.Reader> ACTIONS =
+      Map.of(
+          "hang", MachineFaults::hang,
+          "sick", MachineFaults::sick,
+          "take", MachineFaults::take,
+          "notice", MachineFaults::notice,
+          "capacity", MachineFaults::capacity);
+
+  private MachineFaults() {}
+
+  /** {@code hang MACHINES SECONDS}: nothing runs on them for a while. */
+  private static Action hang(ScenarioLine line) {
+    MachineSelector machines = MachineSelector.read(line, 1);
+    long durationMs = line.milliseconds(2);
+    return world -> machines.forEach(world, worker -> worker.hang(durationMs));
+  }
+
+  /** {@code sick MACHINES}: every task fails on them. */
+  private static Action sick(ScenarioLine line) {
+    MachineSelector machines = MachineSelector.read(line, 1);
+    return world -> machines.forEach(world, worker -> worker.sick = true);
+  }
+
+  /** {@code take MACHINES}: the cloud takes them back without notice. */
+  private static Action take(ScenarioLine line) {
+    MachineSelector machines = MachineSelector.read(line, 1);
+    return world -> machines.forEach(world, worker -> world.cloud.take(worker.name));
+  }
+
+  /** {@code notice MACHINES SECONDS}: the cloud announces that it takes them back. */
+  private static Action notice(ScenarioLine line) {
+    MachineSelector machines = MachineSelector.read(line, 1);
+    double noticeS = line.decimal(2);
+    long noticeMs = line.milliseconds(2);
+    return world ->
+        machines.forEach(
+            world,
+            worker -> {
+              worker.notice = noticeS;
+              world.sim.after(noticeMs, () -> world.cloud.take(worker.name));
+            });
+  }
+
+  /** {@code capacity COUNT}: so many machines can be rented at a time. */
+  private static Action capacity(ScenarioLine line) {
+    int capacity = line.integer(1);
+    return world -> world.cloud.capacity = capacity;
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/MachineType.java
@@ -0,0 +1,10 @@
+package shorecrank.sim;
+
+import java.util.List;
+
+/**
+ * A type of machine that the simulated cloud rents.
+ *
+ * @param bootS nominal boot time in seconds
+ */
+record MachineType(double cpus, double memoryGb, double bootS, List<String> zones) {}
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -12,7 +12,6 @@
 import shorecrank.config.SettingsFile;
 import shorecrank.sim.ProcessWorld.ProcessNode;
 import shorecrank.sim.ProcessWorld.Version;
-import shorecrank.sim.World.JobPlan;
 import shorecrank.sim.World.Mode;
 
 /**
@@ -144,16 +143,11 @@
 
   private void pipelineUnderLowerLimits() {
     world.lowerLimits();
-    JobPlan step = plan(4, 1.5);
-    world.users.submit("wk-9001", step);
-    JobPlan next = plan(3, 1);
-    next.needs = List.of("wk-9001");
+    world.users.submit("wk-9001", plan(4, 1.5).build());
     world.play(1500);
-    world.users.submit("wk-9002", next);
-    JobPlan last = plan(2, 1);
-    last.needs = List.of("wk-9002", "wk-1");
+    world.users.submit("wk-9002", plan(3, 1).dependencies(List.of("wk-9001")).build());
     world.play(1500);
-    world.users.submit("wk-9003", last);
+    world.users.submit("wk-9003", plan(2, 1).dependencies(List.of("wk-9002", "wk-1")).build());
     serveFor(3000);
   }
 
@@ -190,22 +184,16 @@
     }
     int number = ++submitted;
     String id = "wk-" + number;
-    JobPlan plan = plan(1 + number % 6, 1 + number % 4);
-    plan.team = number % 3 == 0 ? "u" : "t";
-    world.users.submit(id, plan);
+    String team = number % 3 == 0 ? "u" : "t";
+    world.users.submit(id, plan(1 + number % 6, 1 + number % 4).team(team).build());
     if (number % 5 == 0) {
       world.sim.after(CANCEL_AFTER_MS, () -> world.users.cancel(id));
     }
     world.sim.after(ms, () -> submitEvery(ms));
   }
 
-  private static JobPlan plan(int tasks, double runS) {
-    JobPlan plan = new JobPlan();
-    plan.pieces = tasks;
-    plan.cpus = 2;
-    plan.runS = runS;
-    plan.pullS = 0.5;
-    return plan;
+  private static JobPlan.Builder plan(int tasks, double runS) {
+    return JobPlan.builder().tasks(tasks).cpus(2).runS(runS).fetchS(0.5);
   }
 
   // ---- controllers -----------------------------------------------------------------------------
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -19,7 +19,6 @@
 import shorecrank.protocol.RolloutMessages.RolloutState;
 import shorecrank.sim.ProcessWorld.ProcessNode;
 import shorecrank.sim.ProcessWorld.Version;
-import shorecrank.sim.World.JobPlan;
 
 /** Real controllers on loopback under steady load, and an operator with the command-line client. */
 final class ProcessFleet implements AutoCloseable {
@@ -73,12 +72,14 @@
     }
     int number = ++submitted;
     String id = "wk-" + number;
-    JobPlan plan = new JobPlan();
-    plan.pieces = 1 + number % 6;
-    plan.cpus = 2;
-    plan.runS = 1 + number % 4;
-    plan.pullS = 0.5;
-    plan.team = number % 3 == 0 ? "u" : "t";
+    JobPlan plan =
+        JobPlan.builder()
+            .tasks(1 + number % 6)
+            .cpus(2)
+            .runS(1 + number % 4)
+            .fetchS(0.5)
+            .team(number % 3 == 0 ? "u" : "t")
+            .build();
     world.users.submit(id, plan);
     if (number % 5 == 0) {
       world.sim.after(CANCEL_AFTER_MS, () -> world.users.cancel(id));
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -246,12 +246,7 @@
   /** Two zones, one type of machine, and two teams of which one has a limit. */
   void describeSmallSite() {
     zones = List.of("a", "b");
-    TypePlan type = new TypePlan();
-    type.cpus = 8;
-    type.memoryGb = 32;
-    type.bootS = 5;
-    type.zones = zones;
-    types.put("p8", type);
+    types.put("p8", new MachineType(8, 32, 5, zones));
     teamMax.put("t", 24.0);
     teamMax.put("u", 0.0);
   }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -0,0 +1,64 @@
+package shorecrank.sim;
+
+import java.util.Map;
+import shorecrank.protocol.RolloutMessages.Phase;
+
+/** The feature level, the forms of records, and answers to operators' orders of the level. */
+final class RolloutExpectations {
+  static final Map<String, Expectation.Reader> EXPECTATIONS =
+      Map.of(
+          "level", RolloutExpectations::level,
+          "phase", RolloutExpectations::phase,
+          "dense", RolloutExpectations::dense,
+          "order", RolloutExpectations::order,
+          "rises", RolloutExpectations::rises,
+          "falls", RolloutExpectations::falls,
+          "archived", RolloutExpectations::archived);
+
+  private RolloutExpectations() {}
+
+  private static Expectation of(Expectation.Condition condition) {
+    return Expectation.of(condition, world -> " " + world.rollouts);
+  }
+
+  /** {@code level LEVEL}: the one in force. */
+  private static Expectation level(ScenarioLine line) {
+    int level = line.integer(1);
+    return of(world -> world.rollouts.state().level().value() == level);
+  }
+
+  /** {@code phase PHASE}. */
+  private static Expectation phase(ScenarioLine line) {
+    Phase phase = line.constant(1, Phase.class);
+    return of(world -> world.rollouts.state().phase() == phase);
+  }
+
+  /** {@code dense none|some}: records in the dense form. */
+  private static Expectation dense(ScenarioLine line) {
+    boolean none = line.word(1).equals("none");
+    return of(world -> (world.rollouts.dense() == 0) == none);
+  }
+
+  /** {@code order ID accepted|refused [words that the answer holds]}. */
+  private static Expectation order(ScenarioLine line) {
+    OrderAnswer answer = OrderAnswer.read(line);
+    return of(world -> answer.isOf(world.rollouts.orders));
+  }
+
+  /** {@code rises COUNT}. */
+  private static Expectation rises(ScenarioLine line) {
+    int count = line.integer(1);
+    return of(world -> world.rollouts.rises == count);
+  }
+
+  /** {@code falls COUNT}. */
+  private static Expectation falls(ScenarioLine line) {
+    int count = line.integer(1);
+    return of(world -> world.rollouts.falls == count);
+  }
+
+  /** {@code archived}: the latest archive shows the keys as they were. */
+  private static Expectation archived(ScenarioLine line) {
+    return of(world -> new StoredArchive(world.store, world.rollouts.state().archive()).matches());
+  }
+}
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -38,7 +38,7 @@
     Traffic traffic = new Traffic();
     long[] fell = {-1};
     int[] requestsBefore = {0};
-    scenario.prepare =
+    scenario.beforeRun(
         w -> {
           Consumer<JsonNode> rules = w.store.beforeApply;
           w.store.beforeApply =
@@ -50,9 +50,9 @@
               };
           w.sim.at(FALL_AT_MS, () -> requestsBefore[0] = w.store.requests);
           watch(w, fell, traffic, requestsBefore);
-        };
+        });
     assertEquals(List.of(), scenario.play(1, false));
-    World w = scenario.world;
+    World w = scenario.world();
     assertEquals(0, w.rollouts.dense());
     long durationMs = fell[0] - FALL_AT_MS;
     System.out.printf(
@@ -150,9 +150,9 @@
               .formatted(archive);
       Scenario scenario = new Scenario("rise", text);
       long[] rose = {-1};
-      scenario.prepare = w -> watchRise(w, rose);
+      scenario.beforeRun(w -> watchRise(w, rose));
       assertEquals(List.of(), scenario.play(1, false));
-      World w = scenario.world;
+      World w = scenario.world();
       long bytes =
           w.store.keys(ArchiveKeys.CHUNKS).stream()
               .mapToLong(key -> ArchiveKeys.readChunk(w.store.peek(key)).length)
--- a/src/test/java/shorecrank/sim/RolloutMix.java
+++ b/src/test/java/shorecrank/sim/RolloutMix.java
@@ -2,42 +2,41 @@
 
 import java.util.SplittableRandom;
 
-/** Upgrades, returns of earlier versions, orders and troubles, all drawn from the seed. */
+/** Upgrades, returns of earlier versions, orders and faults, all drawn from the seed. */
 final class RolloutMix {
   private static final String[] VERSIONS = {"none", "0-0", "0-1", "0-1", "0-1", "0-2", "0-2"};
   private static final String NEWEST = "0-2";
   private static final double LAST_ROLL_EVERY_S = 2.5;
 
-  private final Scenario scenario;
   private final World world;
   private final SplittableRandom random;
+  private final FaultScript script;
 
-  RolloutMix(Scenario scenario, World world) {
-    this.scenario = scenario;
+  private RolloutMix(World world, ScenarioLine line) {
     this.world = world;
     this.random = world.sim.random.split();
+    this.script = new FaultScript(world, line);
   }
 
   /** {@code mix-rollout COUNT FROM TO}; after that all controllers get the newest version. */
-  void draw(String[] a) {
-    int count = Integer.parseInt(a[1]);
-    double from = Double.parseDouble(a[2]);
-    double to = Double.parseDouble(a[3]);
+  static Declaration read(ScenarioLine line) {
+    int count = line.integer(1);
+    double fromS = line.decimal(2);
+    double toS = line.decimal(3);
+    return setup ->
+        setup.afterOpening(() -> new RolloutMix(setup.world(), line).draw(count, fromS, toS));
+  }
+
+  private void draw(int count, double fromS, double toS) {
     for (int i = 0; i < count; i++) {
-      double at = from + random.nextDouble() * (to - from);
-      for (String line : one(i).split(";")) {
-        at(at, line);
-      }
+      double at = fromS + random.nextDouble() * (toS - fromS);
+      script.at(at, action(i));
     }
     for (int n = 0; n < world.nodes.size(); n++) {
-      at(to + n * LAST_ROLL_EVERY_S, "roll n" + n + " " + NEWEST + " 1");
+      script.at(toS + n * LAST_ROLL_EVERY_S, "roll n" + n + " " + NEWEST + " 1");
     }
   }
 
-  private void at(double s, String line) {
-    world.sim.at((long) (s * 1000), () -> scenario.act(world, line));
-  }
-
   private String node() {
     return "n" + random.nextInt(world.nodes.size());
   }
@@ -50,7 +49,7 @@
     };
   }
 
-  private String one(int i) {
+  private String action(int i) {
     String back = random.nextInt(3) == 0 ? "0.3" : "" + (1 + random.nextInt(4));
     String version = VERSIONS[random.nextInt(VERSIONS.length)];
     String s = "" + (1 + random.nextInt(12));
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -13,7 +13,6 @@
 import shorecrank.protocol.RolloutMessages.LevelRange;
 import shorecrank.protocol.RolloutMessages.Order;
 import shorecrank.protocol.RolloutMessages.OrderKind;
-import shorecrank.protocol.RolloutMessages.Phase;
 import shorecrank.protocol.RolloutMessages.RolloutState;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.RolloutSettings;
@@ -247,26 +246,6 @@
     }
   }
 
-  /** What an {@code expect} line about rollouts asks; null if it is none. */
-  Boolean holds(String[] a) {
-    return switch (a[1]) {
-      case "level" -> state().level().value() == Integer.parseInt(a[2]);
-      case "phase" -> state().phase() == Phase.valueOf(a[2].toUpperCase(java.util.Locale.ROOT));
-      case "dense" -> a[2].equals("none") ? dense() == 0 : dense() > 0;
-      case "order" -> orderIs(a);
-      case "rises" -> rises == Integer.parseInt(a[2]);
-      case "falls" -> falls == Integer.parseInt(a[2]);
-      case "archived" -> new StoredArchive(world.store, state().archive()).matches();
-      default -> null;
-    };
-  }
-
-  /** expect order ID accepted|refused [words that its text holds]. */
-  private boolean orderIs(String[] a) {
-    String words = String.join(" ", java.util.Arrays.copyOfRange(a, 4, a.length));
-    return orders.allSay(a[2], a[3].equals("accepted"), words);
-  }
-
   @Override
   public String toString() {
     return Json.object()
--- a/src/test/java/shorecrank/sim/ScaleTest.java
+++ b/src/test/java/shorecrank/sim/ScaleTest.java
@@ -59,11 +59,12 @@
             5 + 0.2 * jobs,
             TASKS_PER_JOB);
     Scenario scenario = new Scenario("scale", text);
-    scenario.measurements = new Measurements();
+    Measurements measurements = new Measurements();
+    scenario.measureWith(measurements);
     double[] heapMb = new double[1];
-    scenario.prepare = w -> w.sim.at(OWNER_ENDS_MS, () -> heapMb[0] = endOwner(w));
+    scenario.beforeRun(w -> w.sim.at(OWNER_ENDS_MS, () -> heapMb[0] = endOwner(w)));
     assertEquals(List.of(), scenario.play(1, false));
-    World world = scenario.world;
+    World world = scenario.world();
     int done = world.results.size();
     Store store = world.store;
     System.out.printf(
@@ -75,13 +76,13 @@
         store.mostRequestsPerS,
         store.mostChangesPerS,
         heapMb[0],
-        scenario.measurements);
+        measurements);
     assertTrue(world.cloud.most >= machines * 0.98, "rented " + world.cloud.most);
     assertTrue(world.checker.starts >= machines, "starts " + world.checker.starts);
     assertEquals(0, store.tooLarge, "transactions refused for their size");
     assertTrue(store.mostChangesPerS <= 2 * STATE_WRITES, "changes " + store.mostChangesPerS);
     assertTrue(store.mostRequestsPerS <= 2 * STATE_RPS, "requests " + store.mostRequestsPerS);
-    assertTrue(scenario.measurements.largestMessage("/peer/beat") < MAX_PEER_REQUEST);
+    assertTrue(measurements.largestMessage("/peer/beat") < MAX_PEER_REQUEST);
   }
 
   /** Ends the owner; returns what it held: the heap in use with it and without it. */
--- a/src/test/java/shorecrank/sim/ScenarioTest.java
+++ b/src/test/java/shorecrank/sim/ScenarioTest.java
@@ -39,9 +39,10 @@
                 name + " seed " + s,
                 () -> {
                   Scenario scenario = new Scenario(name, Files.readString(p));
-                  scenario.digest = digests.newDigest();
+                  OutputDigest digest = digests.newDigest();
+                  scenario.digestWith(digest);
                   assertEquals(List.of(), scenario.play(s, name.equals(only)));
-                  digests.write(name, s, scenario.digest);
+                  digests.write(name, s, digest);
                 }));
       }
     }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -0,0 +1,86 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import shorecrank.protocol.Json;
+import shorecrank.storage.JobRecord;
+
+/** Outages of the regional services, slow and late writes, and strangers' changes of keys. */
+final class ServiceFaults {
+  static final Map<String, Action.Reader> ACTIONS =
+      Map.of(
+          "outage", ServiceFaults::outage,
+          "slow", ServiceFaults::slow,
+          "late-writes", ServiceFaults::lateWrites,
+          "lower-limits", line -> World::lowerLimits,
+          "write-key", ServiceFaults::writeKey,
+          "rogue", ServiceFaults::rogue,
+          "drop", ServiceFaults::drop);
+
+  private ServiceFaults() {}
+
+  /** {@code outage state|cloud SECONDS}: every request is answered with 503. */
+  private static Action outage(ScenarioLine line) {
+    long durationMs = line.milliseconds(2);
+    Action begin =
+        switch (line.word(1)) {
+          case "state" -> world -> world.store.outage(durationMs);
+          case "cloud" -> world -> world.cloud.outage(durationMs);
+          default -> throw line.error("an outage is of state or cloud");
+        };
+    return world -> {
+      world.checker.trouble(world.sim.now + durationMs);
+      begin.run(world);
+    };
+  }
+
+  /** {@code slow FACTOR SECONDS}: the state service answers that much slower. */
+  private static Action slow(ScenarioLine line) {
+    double factor = line.decimal(1);
+    long durationMs = line.milliseconds(2);
+    return world -> world.slow(factor, durationMs);
+  }
+
+  /**
+   * {@code late-writes SHARE SECONDS [at-once]}: a share of transactions gets no answer, and is
+   * carried out late or at once.
+   */
+  private static Action lateWrites(ScenarioLine line) {
+    double share = line.decimal(1);
+    long durationMs = line.milliseconds(2);
+    boolean atOnce = line.has(3);
+    if (atOnce && !line.word(3).equals("at-once")) {
+      throw line.error("late writes are late or at-once");
+    }
+    return world -> world.lateWrites(share, durationMs, atOnce);
+  }
+
+  /** {@code write-key KEY JSON}: a stranger writes a key. */
+  private static Action writeKey(ScenarioLine line) {
+    String key = line.word(1);
+    JsonNode value = Json.parse(line.textFrom(2).getBytes(StandardCharsets.UTF_8));
+    if (value.isMissingNode()) {
+      throw line.error("the value is no JSON");
+    }
+    return world -> world.store.poke(key, value);
+  }
+
+  /** {@code rogue JOB BY}: a stranger writes the record, at an epoch higher by so much. */
+  private static Action rogue(ScenarioLine line) {
+    String key = JobRecord.LIVE + line.word(1);
+    long by = line.whole(2);
+    return world -> {
+      ObjectNode record = world.store.peek(key).deepCopy();
+      record.put("e", record.path("e").asLong() + by).put("w", "stranger");
+      world.store.poke(key, record);
+    };
+  }
+
+  /** {@code drop JOB}: a stranger removes the record. */
+  private static Action drop(ScenarioLine line) {
+    String key = JobRecord.LIVE + line.word(1);
+    return world -> world.store.poke(key, null);
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -0,0 +1,75 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
+/** Machines of shards, moves under way, and answers to operators' orders of shares. */
+final class ShareExpectations {
+  static final Map<String, Expectation.Reader> EXPECTATIONS =
+      Map.of(
+          "share", ShareExpectations::share,
+          "counted", ShareExpectations::counted,
+          "moving", ShareExpectations::moving,
+          "share-order", ShareExpectations::order,
+          "share-orders", ShareExpectations::orders);
+
+  private ShareExpectations() {}
+
+  private static Expectation of(Expectation.Condition condition) {
+    return Expectation.of(condition, world -> " " + world.shares);
+  }
+
+  /** {@code share SHARD LEAST MOST}: machines that are assigned to it. */
+  private static Expectation share(ScenarioLine line) {
+    int shard = line.integer(1);
+    int least = line.integer(2);
+    int most = line.integer(3);
+    return of(
+        world -> {
+          int machines = world.shares.assigned().getOrDefault(shard, List.of()).size();
+          return machines >= least && machines <= most;
+        });
+  }
+
+  /** {@code counted METRIC LEAST MOST}: by all controllers together. */
+  private static Expectation counted(ScenarioLine line) {
+    String metric = line.word(1);
+    long least = line.whole(2);
+    long most = line.whole(3);
+    return of(
+        world -> {
+          long count = world.shares.counts.getOrDefault(metric, 0L);
+          return count >= least && count <= most;
+        });
+  }
+
+  /** {@code moving COUNT}: moves under way. */
+  private static Expectation moving(ScenarioLine line) {
+    int count = line.integer(1);
+    return of(world -> world.shares.state().active().size() == count);
+  }
+
+  /** {@code share-order ID accepted|refused [words that the answer holds]}. */
+  private static Expectation order(ScenarioLine line) {
+    OrderAnswer answer = OrderAnswer.read(line);
+    return of(world -> answer.isOf(world.shares.orders));
+  }
+
+  /** {@code share-orders ID,ID ACCEPTED REFUSED}: how many of their answers said what. */
+  private static Expectation orders(ScenarioLine line) {
+    List<String> ids = line.list(1);
+    long acceptedExpected = line.whole(2);
+    long refusedExpected = line.whole(3);
+    return of(
+        world -> {
+          List<JsonNode> answers = new ArrayList<>();
+          for (String id : ids) {
+            answers.addAll(world.shares.orders.outcomes.getOrDefault(id, List.of()));
+          }
+          long accepted = answers.stream().filter(n -> n.path("accepted").asBoolean()).count();
+          return accepted == acceptedExpected && answers.size() - accepted == refusedExpected;
+        });
+  }
+}
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -10,15 +9,10 @@
 import java.util.TreeMap;
 import shorecrank.config.NodeConfig;
 import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.AbortMoves;
 import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MoveMachines;
 import shorecrank.protocol.ShareMessages.MovePhase;
-import shorecrank.protocol.ShareMessages.SetShare;
 import shorecrank.protocol.ShareMessages.ShareOrder;
 import shorecrank.protocol.ShareMessages.SharesState;
 import shorecrank.rebalance.ShareSettings;
@@ -187,76 +181,9 @@
 
   // ---- orders ----------------------------------------------------------------------------------
 
-  /** share-order WHO ID set|move|abort key=value…, sent until it is answered. */
-  void order(int index, String id, String kind, Map<String, String> o) {
-    orders.send(index, id, ShareMessages.write(order(id, kind, o)));
-  }
-
-  private static ShareOrder order(String id, String kind, Map<String, String> o) {
-    boolean dryRun = o.containsKey("dry-run");
-    return switch (kind) {
-      case "set" ->
-          new SetShare(
-              id, dryRun, o.get("team"), amount(o, "weight"), amount(o, "min"), amount(o, "max"));
-      case "move" -> {
-        List<MachineName> machines =
-            o.containsKey("machines")
-                ? Arrays.stream(o.get("machines").split(",")).map(MachineName::new).toList()
-                : List.of();
-        ShardId from = o.containsKey("from") ? shard(o.get("from")) : null;
-        int count = Integer.parseInt(o.getOrDefault("count", "0"));
-        yield new MoveMachines(id, dryRun, machines, from, count, shard(o.get("to")));
-      }
-      default ->
-          new AbortMoves(
-              id,
-              dryRun,
-              new MoveId(Long.parseLong(o.getOrDefault("move", "0"))),
-              o.getOrDefault("of", ""),
-              o.containsKey("all"));
-    };
-  }
-
-  private static ShardId shard(String text) {
-    return new ShardId(Integer.parseInt(text));
-  }
-
-  private static Double amount(Map<String, String> o, String key) {
-    return o.containsKey(key) ? Double.valueOf(o.get(key)) : null;
-  }
-
-  /** What an {@code expect} line about shares asks; null if it is none. */
-  Boolean holds(String[] a) {
-    return switch (a[1]) {
-      // share SHARD LEAST MOST: machines.
-      case "share" -> {
-        int n = assigned().getOrDefault(Integer.parseInt(a[2]), List.of()).size();
-        yield n >= Integer.parseInt(a[3]) && n <= Integer.parseInt(a[4]);
-      }
-      // counted METRIC LEAST MOST, by all controllers together.
-      case "counted" -> {
-        long n = counts.getOrDefault(a[2], 0L);
-        yield n >= Long.parseLong(a[3]) && n <= Long.parseLong(a[4]);
-      }
-      case "moving" -> state().active().size() == Integer.parseInt(a[2]);
-      case "share-order" -> orderIs(a);
-      // share-orders ID,ID ACCEPTED REFUSED: how many of their answers said what.
-      case "share-orders" -> {
-        List<JsonNode> answers = new ArrayList<>();
-        for (String id : a[2].split(",")) {
-          answers.addAll(orders.outcomes.getOrDefault(id, List.of()));
-        }
-        long accepted = answers.stream().filter(n -> n.path("accepted").asBoolean()).count();
-        yield accepted == Long.parseLong(a[3]) && answers.size() - accepted == Long.parseLong(a[4]);
-      }
-      default -> null;
-    };
-  }
-
-  /** expect share-order ID accepted|refused [words that its text holds]. */
-  private boolean orderIs(String[] a) {
-    String words = String.join(" ", Arrays.copyOfRange(a, 4, a.length));
-    return orders.allSay(a[2], a[3].equals("accepted"), words);
+  /** Sends an order to a controller until it is answered, like an operator's client. */
+  void order(int index, ShareOrder order) {
+    orders.send(index, order.id(), ShareMessages.write(order));
   }
 
   @Override
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -27,10 +27,10 @@
    */
   private static World play(String text, Measurements measurements) throws Exception {
     Scenario scenario = new Scenario("measurement", text);
-    scenario.measurements = measurements;
+    scenario.measureWith(measurements);
     List<String> broken = scenario.play(1, false);
     assertEquals(List.of(), broken.stream().filter(b -> !b.contains("waits: ")).toList());
-    return scenario.world;
+    return scenario.world();
   }
 
   @Test
@@ -79,7 +79,7 @@
       double[] spikeDone = {-1};
       double[] backlogDone = {-1};
       double[] idleCpuS = {0};
-      scenario.prepare = w -> sample(w, spikeDone, backlogDone, idleCpuS);
+      scenario.beforeRun(w -> sample(w, spikeDone, backlogDone, idleCpuS));
       List<String> broken = scenario.play(1, false);
       System.out.printf(
           Locale.ROOT,
--- a/src/test/java/shorecrank/sim/SharesMix.java
+++ b/src/test/java/shorecrank/sim/SharesMix.java
@@ -5,13 +5,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Orders that move machines all the time, and troubles at the steps of those moves, all drawn from
+ * Orders that move machines all the time, and faults at the steps of those moves, all drawn from
  * the seed.
  */
 final class SharesMix {
   private static final double ORDER_EVERY_S = 2;
 
-  /** Moves whose steps may meet a trouble: those numbered from 1 to here. */
+  /** Moves whose steps may meet a fault: those numbered from 1 to here. */
   private static final int MOVES = 24;
 
   /** What a leader logs as a move goes from step to step. */
@@ -19,29 +19,34 @@
     "move requested id=", "move draining id=", "move handed_over id=", "move done id="
   };
 
-  private final Scenario scenario;
   private final World world;
   private final SplittableRandom random;
+  private final FaultScript script;
   private int orders;
 
-  SharesMix(Scenario scenario, World world) {
-    this.scenario = scenario;
+  private SharesMix(World world, ScenarioLine line) {
     this.world = world;
     this.random = world.sim.random.split();
+    this.script = new FaultScript(world, line);
   }
 
-  /** {@code mix-shares COUNT FROM TO}: so many troubles, with orders all the while. */
-  void draw(String[] a) {
-    int count = Integer.parseInt(a[1]);
-    double from = Double.parseDouble(a[2]);
-    double to = Double.parseDouble(a[3]);
-    for (double at = from; at < to; at += ORDER_EVERY_S * (0.5 + random.nextDouble())) {
+  /** {@code mix-shares COUNT FROM TO}: so many faults, with orders all the while. */
+  static Declaration read(ScenarioLine line) {
+    int count = line.integer(1);
+    double fromS = line.decimal(2);
+    double toS = line.decimal(3);
+    return setup ->
+        setup.afterOpening(() -> new SharesMix(setup.world(), line).draw(count, fromS, toS));
+  }
+
+  private void draw(int count, double fromS, double toS) {
+    for (double at = fromS; at < toS; at += ORDER_EVERY_S * (0.5 + random.nextDouble())) {
       world.sim.at((long) (at * 1000), this::orderMove);
     }
     for (int i = 0; i < count; i++) {
       String step = STEPS[random.nextInt(STEPS.length)] + (1 + random.nextInt(MOVES)) + " ";
-      List<String> lines = List.of(trouble().split(";"));
-      world.onLog.put(step, () -> lines.forEach(line -> scenario.act(world, line)));
+      String actions = fault();
+      world.replaceWhenLogged(step, () -> script.run(actions));
     }
   }
 
@@ -61,14 +66,14 @@
       orderTo(names);
     }
     if (random.nextInt(6) == 0) {
-      scenario.act(world, "share-order " + node() + " o" + ++orders + " abort all");
+      script.run("share-order " + node() + " o" + ++orders + " abort all");
     }
   }
 
   private void orderTo(String names) {
     int to = random.nextInt(world.tuning.shards());
     String order = "share-order %s o%d move machines=%s to=%d";
-    scenario.act(world, order.formatted(node(), ++orders, names, to));
+    script.run(order.formatted(node(), ++orders, names, to));
   }
 
   private String node() {
@@ -87,7 +92,7 @@
     return "n-%06d".formatted(1 + random.nextInt(12));
   }
 
-  private String trouble() {
+  private String fault() {
     String s = "" + (1 + random.nextInt(12));
     String mode = new String[] {"drop", "hold", "refuse"}[random.nextInt(3)];
     String back = random.nextInt(2) == 0 ? "0.3" : "" + (1 + random.nextInt(5));
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -187,7 +187,7 @@
     fleet.finish();
     long done =
         fleet.world.shares.state().nextMove() - 1 - fleet.world.shares.state().active().size();
-    int tasks = fleet.world.plans.values().stream().mapToInt(p -> p.pieces).sum();
+    int tasks = fleet.world.plans.values().stream().mapToInt(p -> p.tasks()).sum();
     System.out.printf(
         "jobs %d, tasks %d, starts %d, final answers %d; orders %d, accepted %d, moves ended %d;"
             + " controllers ended %d times%n",
--- /dev/null
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -0,0 +1,146 @@
+package shorecrank.sim;
+
+import java.util.Map;
+
+/** What users ask for. */
+final class UserActions {
+  static final Map<String, Action.Reader> ACTIONS =
+      Map.ofEntries(
+          Map.entry("submit", UserActions::submit),
+          Map.entry("burst", UserActions::burst),
+          Map.entry("resubmit", line -> ofJob(line, Users::resubmit)),
+          Map.entry("ask", line -> ofJob(line, Users::ask)),
+          Map.entry("cancel", line -> ofJob(line, Users::cancel)),
+          Map.entry("unheard", UserActions::unheard),
+          Map.entry("cancel-now", UserActions::cancelNow),
+          Map.entry("cancel-each", UserActions::cancelEach),
+          Map.entry("cancel-at-end", UserActions::cancelAtEnd),
+          Map.entry("close-looks", line -> forAWhile(line, Users::closeLooks)),
+          Map.entry("odd-requests", line -> forAWhile(line, Users::oddRequests)));
+
+  private static final String[] PLAN_OPTIONS = {
+    "team",
+    "class",
+    "image",
+    "site",
+    "hosttype",
+    "urgency",
+    "pieces",
+    "cpus",
+    "mem",
+    "run",
+    "pull",
+    "save",
+    "due",
+    "ordinary",
+    "together",
+    "spread",
+    "faulty",
+    "needs"
+  };
+
+  /** A request about one job. */
+  @FunctionalInterface
+  private interface JobRequest {
+    void send(Users users, String job);
+  }
+
+  /** Something that users do for a while. */
+  @FunctionalInterface
+  private interface Habit {
+    void begin(Users users, long durationMs);
+  }
+
+  private UserActions() {}
+
+  /** {@code submit JOB options}. */
+  private static Action submit(ScenarioLine line) {
+    String job = line.word(1);
+    JobPlan plan = plan(line.options(2)).build();
+    return world -> world.users.submit(job, plan);
+  }
+
+  /** {@code burst FIRST EVERY UNTIL CLASS options}: a job every so many seconds. */
+  private static Action burst(ScenarioLine line) {
+    int first = line.integer(1);
+    long everyMs = line.milliseconds(2);
+    long untilMs = line.milliseconds(3);
+    JobPlan plan = plan(line.options(5)).jobClass(line.word(4)).build();
+    return world -> {
+      int number = first;
+      for (long at = world.sim.now; at < untilMs; at += everyMs) {
+        String job = "wk-" + number;
+        world.sim.at(at, () -> world.users.submit(job, plan));
+        number++;
+      }
+    };
+  }
+
+  /** {@code NAME JOB}. */
+  private static Action ofJob(ScenarioLine line, JobRequest request) {
+    String job = line.word(1);
+    return world -> request.send(world.users, job);
+  }
+
+  /** {@code NAME SECONDS}. */
+  private static Action forAWhile(ScenarioLine line, Habit habit) {
+    long durationMs = line.milliseconds(1);
+    return world -> habit.begin(world.users, durationMs);
+  }
+
+  /** {@code unheard JOB}: no request about the job reaches a controller from now on. */
+  private static Action unheard(ScenarioLine line) {
+    String job = line.word(1);
+    return world -> world.unheard.add(job);
+  }
+
+  /** {@code cancel-now COUNT [HANG_S]}: running jobs are cancelled; their machines may hang. */
+  private static Action cancelNow(ScenarioLine line) {
+    int count = line.integer(1);
+    long hangMs = line.has(2) ? line.milliseconds(2) : 0;
+    return world -> world.users.cancelNow(count, hangMs);
+  }
+
+  /** {@code cancel-each CLASS AFTER FOR}: for a while each job of a class is cancelled so late. */
+  private static Action cancelEach(ScenarioLine line) {
+    String jobClass = line.word(1);
+    long afterMs = line.milliseconds(2);
+    long durationMs = line.milliseconds(3);
+    return world -> {
+      world.users.cancelEach(jobClass, afterMs);
+      world.sim.after(durationMs, () -> world.users.cancelEach("", 0));
+    };
+  }
+
+  /** {@code cancel-at-end SHARE SECONDS}: a share of jobs is cancelled at the moment they end. */
+  private static Action cancelAtEnd(ScenarioLine line) {
+    double share = line.decimal(1);
+    long durationMs = line.milliseconds(2);
+    return world -> world.users.cancelAtEnd(share, durationMs);
+  }
+
+  private static JobPlan.Builder plan(ScenarioOptions options) {
+    options.allow(PLAN_OPTIONS);
+    JobPlan plain = JobPlan.builder().build();
+    return JobPlan.builder()
+        .team(options.text("team", plain.team()))
+        .jobClass(options.text("class", plain.jobClass()))
+        .image(options.text("image", plain.image()))
+        .zone(options.text("site", null))
+        .machineType(options.text("hosttype", null))
+        .priority(options.text("urgency", plain.priority()))
+        .tasks(options.integer("pieces", plain.tasks()))
+        .cpus(options.decimal("cpus", plain.cpus()))
+        .memoryGb(options.decimal("mem", plain.memoryGb()))
+        .runS(options.decimal("run", plain.runS()))
+        .fetchS(options.decimal("pull", plain.fetchS()))
+        .checkpointS(options.decimal("save", plain.checkpointS()))
+        .checkpoints(options.has("save"))
+        .dueS(options.decimal("due", plain.dueS()))
+        .spot(!options.has("ordinary"))
+        .together(options.has("together"))
+        .spread(options.has("spread"))
+        .faulty(options.has("faulty"))
+        .dependencies(options.jobs("needs"));
+  }
+}
--- a/src/test/java/shorecrank/sim/Users.java
+++ b/src/test/java/shorecrank/sim/Users.java
@@ -9,7 +9,6 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import shorecrank.protocol.Json;
-import shorecrank.sim.World.JobPlan;
 import shorecrank.sim.World.Node;
 
 /** The users: they submit jobs, ask about them, cancel some, and repeat what was not answered. */
@@ -25,26 +24,27 @@
   }
 
   private JsonNode spec(String id, JobPlan p) {
-    ObjectNode n = Json.object().put("nameId", id).put("jobclass", p.jobClass).put("owner", p.team);
-    n.put("shape", "array").put("urgency", p.urgency).put("pieces", p.pieces);
-    n.put("cpus", p.cpus).put("accelerators", 0.0).put("memoryGb", p.mem);
-    n.put("bundle", p.image).put("pullGb", p.pullS);
-    if (p.hosttype == null) {
+    ObjectNode n =
+        Json.object().put("nameId", id).put("jobclass", p.jobClass()).put("owner", p.team());
+    n.put("shape", "array").put("urgency", p.priority()).put("pieces", p.tasks());
+    n.put("cpus", p.cpus()).put("accelerators", 0.0).put("memoryGb", p.memoryGb());
+    n.put("bundle", p.image()).put("pullGb", p.fetchS());
+    if (p.machineType() == null) {
       n.putNull("hosttypes");
     } else {
-      n.putArray("hosttypes").add(p.hosttype);
+      n.putArray("hosttypes").add(p.machineType());
     }
-    n.put("site", p.site).put("together", p.together).put("spread", p.spread);
-    n.put("loaner", p.spot).put("guessS", p.runS);
-    n.put("snapshotEveryS", p.saves ? 5.0 : 0.0).put("snapshotS", p.saveS);
-    if (p.due > 0) {
-      n.put("dueS", p.due);
+    n.put("site", p.zone()).put("together", p.together()).put("spread", p.spread());
+    n.put("loaner", p.spot()).put("guessS", p.runS());
+    n.put("snapshotEveryS", p.checkpoints() ? 5.0 : 0.0).put("snapshotS", p.checkpointS());
+    if (p.dueS() > 0) {
+      n.put("dueS", p.dueS());
     } else {
       n.putNull("dueS");
     }
-    if (!p.needs.isEmpty()) {
+    if (!p.dependencies().isEmpty()) {
       var a = n.putArray("prereqs");
-      p.needs.forEach(a::add);
+      p.dependencies().forEach(a::add);
     }
     return n;
   }
@@ -155,7 +155,7 @@
     if (world.sim.now >= cancelAtEndUntil || world.sim.random.nextDouble() >= cancelAtEndShare) {
       return;
     }
-    for (int i = 0; i < world.plans.get(id).pieces; i++) {
+    for (int i = 0; i < world.plans.get(id).tasks(); i++) {
       if (!world.results.contains(id + "/" + i)) {
         return;
       }
@@ -203,7 +203,7 @@
       }
     }
     String id = "wk-" + number;
-    ObjectNode bad = (ObjectNode) spec(id, new JobPlan());
+    ObjectNode bad = (ObjectNode) spec(id, JobPlan.builder().build());
     bad.put("owner", world.teamMax.keySet().iterator().next());
     int expected = 400;
     switch (number % 3) {
@@ -235,7 +235,7 @@
     world.submitted.add(id);
     world.checker.submitted(id);
     submitTry(id, spec(id, p), world.sim.now + 60_000, true);
-    if (p.jobClass.equals(cancelEachClass)) {
+    if (p.jobClass().equals(cancelEachClass)) {
       world.sim.after(cancelEachAfter, () -> cancel(id));
     }
   }
--- a/src/test/java/shorecrank/sim/Worker.java
+++ b/src/test/java/shorecrank/sim/Worker.java
@@ -124,9 +124,9 @@
       if (t.phase.equals("exited") || now() < t.endsAt) {
         continue;
       }
-      World.JobPlan plan = world.plans.get(t.job());
+      JobPlan plan = world.plans.get(t.job());
       if (t.phase.equals("pulling")) {
-        images.add(plan.image);
+        images.add(plan.image());
         if (results.contains(t.piece)) {
           exit(t, "done");
           continue;
@@ -135,11 +135,11 @@
         t.onMachine = true;
         world.checker.started(this, t);
         t.runningSince = now();
-        long left = (long) (plan.runS * 1000) - world.saved.getOrDefault(t.piece, 0L);
-        t.endsAt = now() + (sick || plan.faulty ? 300 : Math.max(1, left));
+        long left = (long) (plan.runS() * 1000) - world.saved.getOrDefault(t.piece, 0L);
+        t.endsAt = now() + (sick || plan.faulty() ? 300 : Math.max(1, left));
         changed = true;
       } else if (t.phase.equals("running")) {
-        if (sick || plan.faulty) {
+        if (sick || plan.faulty()) {
           exit(t, "error");
         } else {
           results.add(t.piece);
@@ -313,13 +313,13 @@
       }
       case "stop" -> {
         if (t != null && !t.phase.equals("exited")) {
-          World.JobPlan plan = world.plans.get(t.job());
+          JobPlan plan = world.plans.get(t.job());
           if (t.phase.equals("running")
-              && plan.saves
-              && o.path("windDownS").asDouble() >= plan.saveS) {
+              && plan.checkpoints()
+              && o.path("windDownS").asDouble() >= plan.checkpointS()) {
             t.phase = "flushing";
             world.saved.merge(piece, now() - t.runningSince, Long::sum);
-            t.endsAt = now() + (long) (plan.saveS * 1000);
+            t.endsAt = now() + (long) (plan.checkpointS() * 1000);
           } else if (!t.phase.equals("flushing") || o.path("windDownS").asDouble() == 0) {
             exit(t, "halted");
           }
@@ -344,12 +344,12 @@
     t.generation = ++generations;
     tasks.put(key, t);
     changed = true;
-    World.JobPlan plan = world.plans.get(t.job());
+    JobPlan plan = world.plans.get(t.job());
     double cpus = 0;
     boolean busy = false;
     for (Task x : tasks.values()) {
       if (x != t && !x.phase.equals("exited")) {
-        cpus += world.plans.get(x.job()).cpus;
+        cpus += world.plans.get(x.job()).cpus();
         busy |= x.piece.equals(piece);
       }
     }
@@ -359,13 +359,13 @@
     } else if (busy) {
       t.phase = "exited";
       t.cause = "busy";
-    } else if (cpus + plan.cpus > world.types.get(type).cpus + 1e-9) {
+    } else if (cpus + plan.cpus() > world.types.get(type).cpus() + 1e-9) {
       t.phase = "exited";
       t.cause = "full";
       world.refusedFull++;
     } else {
       t.phase = "pulling";
-      t.endsAt = now() + (images.contains(plan.image) ? 0 : (long) (plan.pullS * 1000));
+      t.endsAt = now() + (images.contains(plan.image()) ? 0 : (long) (plan.fetchS() * 1000));
     }
   }
 
@@ -381,9 +381,9 @@
   double freeCpus() {
     double used = 0;
     for (Task t : tasks.values()) {
-      used += t.phase.equals("exited") ? 0 : world.plans.get(t.job()).cpus;
+      used += t.phase.equals("exited") ? 0 : world.plans.get(t.job()).cpus();
     }
-    return world.types.get(type).cpus - used;
+    return world.types.get(type).cpus() - used;
   }
 
   List<Task> running() {
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -26,35 +26,6 @@
 
 /** Controllers and stand-ins on one simulated clock, with troubles. */
 class World {
-  static final class TypePlan {
-    double cpus;
-    double memoryGb;
-    double bootS;
-    List<String> zones;
-  }
-
-  static final class JobPlan {
-    String team = "t";
-    String jobClass = "c";
-    String image = "i";
-    String site;
-    String hosttype;
-    int pieces = 1;
-    double cpus = 1;
-    double mem = 1;
-    double runS = 5;
-    double pullS = 1;
-    double saveS;
-    boolean saves;
-    boolean spot = true;
-    boolean together;
-    boolean spread;
-    boolean faulty;
-    String urgency = "normal";
-    double due;
-    List<String> needs = List.of();
-  }
-
   /** What a cut does to messages. */
   enum Mode {
     DROP,
@@ -264,7 +235,7 @@
 
   final List<Node> nodes = new ArrayList<>();
   final Map<String, Worker> workers = new TreeMap<>();
-  final Map<String, TypePlan> types = new TreeMap<>();
+  final Map<String, MachineType> types = new TreeMap<>();
   final Map<String, JobPlan> plans = new TreeMap<>();
   final Map<String, Double> teamMax = new TreeMap<>();
   final Map<String, Double> teamOwn = new TreeMap<>();
@@ -277,8 +248,11 @@
 
   final List<String> logs = new ArrayList<>();
 
-  /** Troubles that come when a controller first logs a text. */
-  final Map<String, Runnable> onLog = new TreeMap<>();
+  /** What happens when a controller first logs a text. */
+  private final Map<String, Runnable> onLog = new TreeMap<>();
+
+  /** What {@code expect} lines found otherwise. */
+  final List<String> unmetExpectations = new ArrayList<>();
 
   final List<ObjectNode> objectives = new ArrayList<>();
 
@@ -400,6 +374,33 @@
     }
   }
 
+  /**
+   * Has something done, once, when a controller first logs a text; after what is to be done so far.
+   */
+  void whenLogged(String text, Runnable action) {
+    onLog.merge(
+        text,
+        action,
+        (first, second) ->
+            () -> {
+              first.run();
+              second.run();
+            });
+  }
+
+  /** Has something done, once, when a controller first logs a text, in place of all other. */
+  void replaceWhenLogged(String text, Runnable action) {
+    onLog.put(text, action);
+  }
+
+  Node node(String label) {
+    int index = index(label);
+    if (index < 0) {
+      throw new IllegalArgumentException("no controller is named " + label);
+    }
+    return nodes.get(index);
+  }
+
   int index(String label) {
     for (Node n : nodes) {
       if (n.label.equals(label)) {
@@ -768,7 +769,7 @@
     while (!open.isEmpty()) {
       String one = open.remove(open.size() - 1);
       if (all.add(one) && plans.containsKey(one)) {
-        open.addAll(plans.get(one).needs);
+        open.addAll(plans.get(one).dependencies());
       }
     }
     return all;
