--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -151,7 +151,7 @@
           && !machine.isPreemptionNoticed()
           && !machine.assignment().isHandoverRequested()
           && (machine.session().isReported() || mayStillBoot(machine))
-          && machine.isAllowedFor(job.spec)) {
+          && machine.isAllowedFor(job.spec())) {
         return true;
       }
     }
@@ -194,7 +194,7 @@
     MachineType type = shard.catalog().get(offer.type());
     double eligibleCpus = 0;
     for (JobNeed need : needs) {
-      if (MachineConstraints.allows(need.job().spec, offer, type)) {
+      if (MachineConstraints.allows(need.job().spec(), offer, type)) {
         eligibleCpus += need.cpus();
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -66,7 +66,7 @@
     for (Machine machine : machines) {
       if (!machine.isDraining()
           || machine.isEmpty()
-          || !shard.liveness().fresh(machine)
+          || !shard.liveness().isFresh(machine)
           || machine.session().isUnresponsive()) {
         continue;
       }
@@ -86,7 +86,7 @@
       cpus += shard.usable(machine) ? machine.freeCpus() : 0;
     }
     for (Job job : shard.jobs().values()) {
-      cpus -= job.queued() * job.spec.cpus();
+      cpus -= job.queued() * job.spec().cpus();
     }
     return cpus * ROOM_SHARE;
   }
@@ -94,7 +94,7 @@
   private Move plan(Machine machine) {
     Move move = new Move();
     for (TaskAttempt attempt : machine.attempts()) {
-      JobSpec spec = attempt.job().spec;
+      JobSpec spec = attempt.job().spec();
       double remainingS = attempt.remainingSeconds(context.now());
       double heartbeatS = context.config.workers().reportS();
       double moveS = spec.saveS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
--- a/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilence.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilence.java
@@ -57,7 +57,7 @@
     for (Machine machine : shard.machines().values()) {
       // One that holds tasks has run before, whether or not this owner has heard it.
       if (machine.info() != null && (machine.session().isReported() || !machine.isEmpty())) {
-        boolean silent = !shard.liveness().fresh(machine);
+        boolean silent = !shard.liveness().isFresh(machine);
         fleet.add(silent);
         zones.computeIfAbsent(machine.info().zone(), zone -> new SilenceCount()).add(silent);
       }
--- a/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
@@ -28,9 +28,9 @@
   double cpusToClear(QueuedDemand demand) {
     Job job = demand.job();
     int tasks = demand.tasks();
-    double runS = Math.max(SHORTEST_RUN_S, job.spec.estimateS());
+    double runS = Math.max(SHORTEST_RUN_S, job.spec().estimateS());
     double parallel = Math.min(tasks, Math.ceil(tasks * runS / context.tuning.clearS()));
-    return parallel * cpuEquivalent(job.spec, shard.catalog());
+    return parallel * cpuEquivalent(job.spec(), shard.catalog());
   }
 
   /**
@@ -41,7 +41,7 @@
     double best = 0;
     if (machine.hasFreeCpus()) {
       for (QueuedDemand demand : demands) {
-        JobSpec spec = demand.job().spec;
+        JobSpec spec = demand.job().spec();
         int tasks = Math.min(machine.fits(spec), demand.tasks());
         if (tasks > 0 && machine.isAllowedFor(spec)) {
           best = Math.max(best, tasks * cpuEquivalent(spec, shard.catalog()));
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -57,7 +57,7 @@
 
   /** Adds a job with the dependencies that it still has; cancels it if one is cancelled. */
   public void add(Job job) {
-    for (JobId dependency : List.copyOf(job.unmetDependencies)) {
+    for (JobId dependency : List.copyOf(job.scheduling().unmetDependencies())) {
       if (cancellations.known(dependency)) {
         cancel(job);
         return;
@@ -73,7 +73,7 @@
   /** A job of the shard has ended or left it; jobs that wait for it go on waiting. */
   public void forget(Job job) {
     urgency.forget(job);
-    for (JobId dependency : job.unmetDependencies) {
+    for (JobId dependency : job.scheduling().unmetDependencies()) {
       Set<Job> waiting = dependents.get(dependency);
       if (waiting != null && waiting.remove(job) && waiting.isEmpty()) {
         dependents.remove(dependency);
@@ -101,9 +101,7 @@
     }
     urgency.invalidate();
     for (Job job : waiting) {
-      job.unmetDependencies.remove(id);
-      if (job.unmetDependencies.isEmpty()) {
-        job.readyAtMs = context.wallMs();
+      if (job.scheduling().dependencyMet(id, context.wallMs())) {
         context.count("job.ready");
       }
     }
@@ -130,7 +128,7 @@
   }
 
   private void cancel(Job job) {
-    if (job.cancelled) {
+    if (job.isCancelled()) {
       return;
     }
     // Its record names the dependency for good, so this is as final as the mark itself.
@@ -154,7 +152,7 @@
     Set<Job> all = new LinkedHashSet<>();
     ArrayDeque<Job> open = new ArrayDeque<>(List.of(job));
     while (!open.isEmpty()) {
-      for (JobId id : open.poll().unmetDependencies) {
+      for (JobId id : open.poll().scheduling().unmetDependencies()) {
         Job dependency = jobs.get(id);
         if (dependency == null) {
           return Optional.empty();
--- a/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
@@ -86,7 +86,7 @@
       // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
       fleet.usedCpus += machine.usedShare() * machine.type().cpus();
       if (!machine.session().isReported()
-          || !shard.liveness().fresh(machine)
+          || !shard.liveness().isFresh(machine)
           || machine.isReleasing()
           || machine.isPreemptionNoticed()
           || machine.assignment().isHandoverRequested()) {
--- a/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
+++ b/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
@@ -75,12 +75,12 @@
         traversal.urgency(job);
       }
     }
-    jobs.values().forEach(job -> job.priority = priority(job));
+    jobs.values().forEach(job -> job.scheduling().setPriority(priority(job)));
   }
 
   private Priority priority(Job job) {
     Urgency urgency = urgencies.get(job);
-    return urgency == null ? job.spec.priority() : urgency.priority;
+    return urgency == null ? job.spec().priority() : urgency.priority;
   }
 
   /** When the job must have ended for the sake of its dependents, the closest first. */
@@ -110,9 +110,9 @@
       }
       if (!path.add(job)) {
         logCycle(job);
-        return new Urgency(job.spec.priority(), List.of());
+        return new Urgency(job.spec().priority(), List.of());
       }
-      Priority highest = job.spec.priority();
+      Priority highest = job.spec().priority();
       List<Deadline> deadlines = new ArrayList<>();
       for (Job dependent : dependents.getOrDefault(job.id(), Set.of())) {
         Urgency behind = urgency(dependent);
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -42,7 +42,7 @@
     double lostWork(MonotonicTime now) {
       double lostWork = 0;
       for (TaskAttempt attempt : attempts) {
-        lostWork += attempt.runSeconds(now) * attempt.job().spec.cpus();
+        lostWork += attempt.runSeconds(now) * attempt.job().spec().cpus();
       }
       return lostWork;
     }
@@ -65,21 +65,21 @@
    * come free by itself.
    */
   public boolean mayPreempt(Job job) {
-    if (!queue.objectives().hasTargets(job.spec)) {
-      return job.priority.compareTo(Priority.URGENT) <= 0;
+    if (!queue.objectives().hasTargets(job.spec())) {
+      return job.scheduling().priority().compareTo(Priority.URGENT) <= 0;
     }
-    if (!queue.waitsForStart(job.spec)) {
+    if (!queue.waitsForStart(job.spec())) {
       return false;
     }
     double waitedS = job.readyS(context.wallMs());
-    double targetS = queue.objectives().nextStartTargetS(job.spec, waitedS);
+    double targetS = queue.objectives().nextStartTargetS(job.spec(), waitedS);
     if (targetS == Double.MAX_VALUE) {
       // Too late to start in time: nothing is won by what others would lose.
       return false;
     }
     double heartbeatS = context.config.workers().reportS();
     return waitedS
-        > targetS - longestFetchS(job.spec) - COMMAND_HEARTBEATS * heartbeatS - COMMAND_MARGIN_S;
+        > targetS - longestFetchS(job.spec()) - COMMAND_HEARTBEATS * heartbeatS - COMMAND_MARGIN_S;
   }
 
   private double longestFetchS(JobSpec spec) {
@@ -104,19 +104,19 @@
     String zone = onlyZone;
     int index = fromIndex;
     int placed = 0;
-    while (placed < wanted && job.rangesLeft > 0) {
+    while (placed < wanted && job.record().hasRoomForRange()) {
       Victims victims = cheapestVictims(job, zone);
       if (victims.isEmpty()) {
         break;
       }
-      index = job.nextQueued(index);
+      index = job.tasks().nextFree(index);
       if (index < 0) {
         break;
       }
       stop(victims);
       place(job, index, victims.machine);
       placed++;
-      if (job.spec.oneZone()) {
+      if (job.spec().oneZone()) {
         zone = victims.machine.info().zone();
       }
     }
@@ -135,8 +135,9 @@
   }
 
   private void place(Job job, int index, Machine machine) {
-    AttemptNumber number = new AttemptNumber(++job.attemptCount);
-    job.rangesLeft--;
+    AttemptNumber number = job.tasks().nextAttemptNumber();
+    job.tasks().takeAttemptNumber();
+    job.record().takeRange();
     shard.attach(
         new TaskAttempt(
             job,
@@ -144,13 +145,13 @@
             machine,
             machine.session().incarnation(),
             number,
-            job.seq + 1,
+            job.record().nextSequence(),
             context.now()));
   }
 
   /** The tasks whose stop costs the least, over all machines where the job may run. */
   private Victims cheapestVictims(Job job, String zone) {
-    JobSpec spec = job.spec;
+    JobSpec spec = job.spec();
     MonotonicTime now = context.now();
     double heartbeatS = context.config.workers().reportS();
     double mostLostWork = WORTH * spec.cpus() * Math.max(SHORTEST_RUN_S, spec.estimateS());
@@ -179,8 +180,8 @@
 
   private boolean mayRunOn(Machine machine, Job job, String zone) {
     return shard.usable(machine)
-        && machine.isAllowedFor(job.spec)
-        && !job.failedOn.contains(machine.name())
+        && machine.isAllowedFor(job.spec())
+        && !job.scheduling().hasFailedOn(machine.name())
         && (zone == null || zone.equals(machine.info().zone()));
   }
 
@@ -188,7 +189,8 @@
   private Victims victimsOn(Machine machine, Job job) {
     List<TaskAttempt> candidates = new ArrayList<>();
     for (TaskAttempt attempt : machine.attempts()) {
-      if (exitsAtOnce(attempt) && attempt.job().priority.compareTo(job.priority) > 0) {
+      if (exitsAtOnce(attempt)
+          && attempt.job().scheduling().priority().compareTo(job.scheduling().priority()) > 0) {
         candidates.add(attempt);
       }
     }
@@ -200,11 +202,11 @@
     double gpus = 0;
     double memoryGb = 0;
     for (int taken = 0; taken < candidates.size(); taken++) {
-      JobSpec spec = candidates.get(taken).job().spec;
+      JobSpec spec = candidates.get(taken).job().spec();
       cpus += spec.cpus();
       gpus += spec.gpus();
       memoryGb += spec.memoryGb();
-      if (machine.fitsWith(job.spec, cpus, gpus, memoryGb)) {
+      if (machine.fitsWith(job.spec(), cpus, gpus, memoryGb)) {
         return new Victims(machine, candidates.subList(0, taken + 1));
       }
     }
@@ -215,8 +217,8 @@
   private static boolean exitsAtOnce(TaskAttempt attempt) {
     return !attempt.isRevoked()
         && attempt.isCommitted()
-        && attempt.job().claimed
+        && attempt.job().record().isClaimed()
         && attempt.state() != TaskState.FLUSHING
-        && attempt.job().spec.checkpointS() <= 0;
+        && attempt.job().spec().checkpointS() <= 0;
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
+++ b/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
@@ -18,14 +18,14 @@
     List<QueuedDemand> demands = new ArrayList<>();
     Map<String, Headroom> headrooms = new HashMap<>();
     for (Job job : shard.jobs().values()) {
-      if (job.queued() == 0 || job.backoff > 0) {
+      if (job.queued() == 0 || job.scheduling().isBackingOff()) {
         continue;
       }
-      Headroom headroom = headrooms.computeIfAbsent(job.spec.team(), shard::headroom);
+      Headroom headroom = headrooms.computeIfAbsent(job.spec().team(), shard::headroom);
       int tasks = headroom.queuedTasksThatFit(job);
       if (tasks > 0) {
         demands.add(new QueuedDemand(job, tasks));
-        headroom.take(job.spec, tasks);
+        headroom.take(job.spec(), tasks);
       }
     }
     return demands;
@@ -33,6 +33,6 @@
 
   /** The processors that all of the tasks take at once. */
   public double cpus() {
-    return tasks * job.spec.cpus();
+    return tasks * job.spec().cpus();
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -131,14 +131,14 @@
   private boolean isBroken(Machine machine) {
     return machine.health().quarantines() > 1
         && machine.isEmpty()
-        && shard.liveness().fresh(machine);
+        && shard.liveness().isFresh(machine);
   }
 
   private boolean isDrained(Machine machine) {
     return machine.isDraining()
         && !machine.assignment().isHandoverRequested()
         && isVacant(machine)
-        && shard.liveness().fresh(machine)
+        && shard.liveness().isFresh(machine)
         && context.now().since(machine.idleSince()) > IDLE_MS;
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -69,7 +69,7 @@
   private static final double NO_START = Double.MAX_VALUE;
 
   private static final Comparator<Job> OLDEST_FIRST =
-      Comparator.comparingLong((Job job) -> job.acceptedAtMs).thenComparing(Job::id);
+      Comparator.comparingLong((Job job) -> job.acceptedAtMs()).thenComparing(Job::id);
 
   private static final Comparator<Candidate> EARLIEST_START_FIRST =
       Comparator.comparingDouble(Candidate::latestStartS)
@@ -79,7 +79,7 @@
       Comparator.comparingDouble(candidate -> -candidate.workByWeight());
 
   private static final Comparator<Job> BY_PRIORITY_AND_WORK =
-      Comparator.<Job, Priority>comparing(job -> job.priority)
+      Comparator.<Job, Priority>comparing(job -> job.scheduling().priority())
           .thenComparingDouble(Job::workLeft)
           .thenComparing(Job::id);
 
@@ -152,9 +152,9 @@
 
   /** Whether a job has waited so long without a single task that it goes first. */
   public static boolean isOverdue(Job job, long wallMs) {
-    return job.attemptCount == 0
-        && job.doneCount() == 0
-        && job.unmetDependencies.isEmpty()
+    return !job.tasks().wasPlaced()
+        && job.tasks().doneCount() == 0
+        && job.scheduling().isReady()
         && job.readyS(wallMs) > OVERDUE_AFTER_S;
   }
 
@@ -182,16 +182,16 @@
       countInClass(job);
       if (isOverdue(job, wallMs)) {
         overdue.add(job);
-        job.slackS = 0;
+        job.scheduling().setSlackS(0);
         continue;
       }
       Candidate candidate = candidate(job, capacity.fetchGbPerS(), wallMs);
       if (candidate == null) {
         rest.add(job);
-        job.slackS = NO_START;
+        job.scheduling().setSlackS(NO_START);
       } else {
         candidates.add(candidate);
-        job.slackS = candidate.latestStartS();
+        job.scheduling().setSlackS(candidate.latestStartS());
       }
     }
     overdue.sort(OLDEST_FIRST);
@@ -243,7 +243,7 @@
       Job job = candidate.job();
       if (deferred.contains(job)) {
         rest.add(job);
-        job.slackS = NO_START;
+        job.scheduling().setSlackS(NO_START);
       } else if (candidate.workByWeight() * SMALL_JOB_FACTOR < most) {
         order.add(job);
       } else {
@@ -257,10 +257,10 @@
   private Candidate candidate(Job job, double fetchGbPerS, long wallMs) {
     Duration duration = duration(job, fetchGbPerS);
     double latestStartS = NO_START;
-    for (Target target : objectives.targets(job.spec.jobClass())) {
+    for (Target target : objectives.targets(job.spec().jobClass())) {
       latestStartS = Math.min(latestStartS, latestStartS(target, job, duration, wallMs));
     }
-    double weight = weight(job.spec.jobClass());
+    double weight = weight(job.spec().jobClass());
     for (Deadline deadline : dependencies.inheritedDeadlines(job)) {
       double leftS = (deadline.atMs() - wallMs) / 1000;
       if (duration.mayEndWithin(leftS)) {
@@ -268,16 +268,17 @@
         weight = Math.max(weight, weight(deadline.jobClass()));
       }
     }
-    if (job.owed) {
+    if (job.scheduling().isWithinGuarantee()) {
       latestStartS = Math.min(latestStartS, GUARANTEED_START_S - job.readyS(wallMs));
     }
     if (latestStartS == NO_START) {
       return null;
     }
-    weight *= priorityWeight(job.priority);
+    weight *= priorityWeight(job.scheduling().priority());
     double taskS = duration.runS() + duration.fetchS();
-    double work = job.queued() * Math.max(LEAST_CPUS, job.spec.cpus()) * taskS;
-    return new Candidate(job, latestStartS, duration.totalS(), work, weight, job.owed);
+    double work = job.queued() * Math.max(LEAST_CPUS, job.spec().cpus()) * taskS;
+    return new Candidate(
+        job, latestStartS, duration.totalS(), work, weight, job.scheduling().isWithinGuarantee());
   }
 
   /** The latest start that reaches the target, in seconds from now; NO_START if none does. */
@@ -291,22 +292,22 @@
           : start.withinS() - duration.fetchS() - duration.commandS() - waitedS;
     }
     Target.End end = (Target.End) target;
-    if (end.isRelativeToDeadline() && !job.spec.hasDeadline()) {
+    if (end.isRelativeToDeadline() && !job.spec().hasDeadline()) {
       return NO_START;
     }
     double leftS =
         end.isRelativeToDeadline()
-            ? job.spec.deadlineS() * end.deadlineFactor() - job.ageS(wallMs)
+            ? job.spec().deadlineS() * end.deadlineFactor() - job.ageS(wallMs)
             : end.withinS() - waitedS;
     return duration.mayEndWithin(leftS) ? duration.latestStart(leftS) : NO_START;
   }
 
   private Duration duration(Job job, double fetchGbPerS) {
     return new Duration(
-        job.spec.imageGb() / Math.max(LEAST_FETCH_GB_PER_S, fetchGbPerS),
+        job.spec().imageGb() / Math.max(LEAST_FETCH_GB_PER_S, fetchGbPerS),
         // On average a command waits for half the time between two heartbeats.
         context.config.workers().reportS() / 2,
-        Math.max(LEAST_RUN_S, job.spec.estimateS()));
+        Math.max(LEAST_RUN_S, job.spec().estimateS()));
   }
 
   /** What a job of the class counts for: objectives are shares of a class's jobs. */
@@ -326,7 +327,7 @@
 
   /** The deadlines of the job's own, on the wall clock. */
   private List<Deadline> ownDeadlines(Job job) {
-    return objectives.deadlines(job.spec, job.acceptedAtMs);
+    return objectives.deadlines(job.spec(), job.acceptedAtMs());
   }
 
   /** Milliseconds that a job takes from when it is ready, by its owner's estimate. */
@@ -337,7 +338,7 @@
 
   private void countInClass(Job job) {
     if (countedJobs.add(job)) {
-      jobsByClass.merge(job.spec.jobClass(), 1, Integer::sum);
+      jobsByClass.merge(job.spec().jobClass(), 1, Integer::sum);
     }
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/TeamGuarantees.java
+++ b/src/main/java/shorecrank/coordination/scheduling/TeamGuarantees.java
@@ -15,7 +15,7 @@
   private static final double EPSILON = 1e-9;
 
   private static final Comparator<Job> OLDEST_FIRST =
-      Comparator.comparingLong((Job job) -> job.acceptedAtMs).thenComparing(Job::id);
+      Comparator.comparingLong((Job job) -> job.acceptedAtMs()).thenComparing(Job::id);
 
   private final Map<String, Team> teams;
 
@@ -27,13 +27,13 @@
   void mark(Collection<Job> jobs) {
     Map<String, List<Job>> byTeam = new HashMap<>();
     for (Job job : jobs) {
-      job.owed = false;
-      Team team = teams.get(job.spec.team());
+      job.scheduling().setWithinGuarantee(false);
+      Team team = teams.get(job.spec().team());
       if (team != null
           && (team.cpus() > 0 || team.gpus() > 0)
-          && !job.cancelled
-          && job.unmetDependencies.isEmpty()) {
-        byTeam.computeIfAbsent(job.spec.team(), name -> new ArrayList<>()).add(job);
+          && !job.isCancelled()
+          && job.scheduling().isReady()) {
+        byTeam.computeIfAbsent(job.spec().team(), name -> new ArrayList<>()).add(job);
       }
     }
     byTeam.forEach((name, teamJobs) -> mark(teams.get(name), teamJobs));
@@ -44,9 +44,10 @@
     double cpus = 0;
     double gpus = 0;
     for (Job job : teamJobs) {
-      cpus += job.spec.tasks() * job.spec.cpus();
-      gpus += job.spec.tasks() * job.spec.gpus();
-      job.owed = cpus <= team.cpus() + EPSILON && gpus <= team.gpus() + EPSILON;
+      cpus += job.spec().tasks() * job.spec().cpus();
+      gpus += job.spec().tasks() * job.spec().gpus();
+      job.scheduling()
+          .setWithinGuarantee(cpus <= team.cpus() + EPSILON && gpus <= team.gpus() + EPSILON);
     }
   }
 }
--- a/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -44,8 +44,8 @@
   void verdictsOnAWorkerThatHasShownThisOwnersEpoch(long silentMs, boolean fresh, boolean out) {
     Machine machine = machine(1).heardAt(GRANTED_AT).build();
     msAfterGrant(silentMs);
-    assertEquals(fresh, liveness.fresh(machine), "fresh");
-    assertEquals(out, liveness.leaseOut(machine), "lease out");
+    assertEquals(fresh, liveness.isFresh(machine), "fresh");
+    assertEquals(out, liveness.isLeaseExpired(machine), "lease out");
   }
 
   @ParameterizedTest
@@ -59,8 +59,8 @@
     Machine unheard = machine(1).build();
     Machine unconfirmed = machine(2).heardAt(GRANTED_AT.plus(-1)).unconfirmed().build();
     msAfterGrant(ms);
-    assertEquals(out, liveness.leaseOut(unheard), "never heard");
-    assertEquals(out, liveness.leaseOut(unconfirmed), "unconfirmed");
+    assertEquals(out, liveness.isLeaseExpired(unheard), "never heard");
+    assertEquals(out, liveness.isLeaseExpired(unconfirmed), "unconfirmed");
   }
 
   @Test
@@ -82,7 +82,7 @@
     add(machine(1).heardAt(GRANTED_AT));
     add(machine(2).heardAt(GRANTED_AT.plus(-1)));
     msAfterGrant(ms);
-    assertEquals(overdue, liveness.hearing().unheard());
+    assertEquals(overdue, liveness.reachability().unheard());
   }
 
   @Test
@@ -95,7 +95,7 @@
     add(machine(5).inZone("b").heardAt(GRANTED_AT));
     add(machine(6).inZone("b"));
     msAfterGrant(20_000);
-    assertEquals(new WorkerReachability(5, 3, List.of("b")), liveness.hearing());
+    assertEquals(new WorkerReachability(5, 3, List.of("b")), liveness.reachability());
   }
 
   @Test
@@ -104,7 +104,7 @@
     machine.addUnrecordedTask(job(1).build(), 0);
     machines.add(machine);
     msAfterGrant(20_000);
-    assertEquals(new WorkerReachability(1, 1, List.of("a")), liveness.hearing());
+    assertEquals(new WorkerReachability(1, 1, List.of("a")), liveness.reachability());
   }
 
   @ParameterizedTest
--- a/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
@@ -38,7 +38,7 @@
       new DependencyGraph(context, jobs, cancellations, this::cancel);
 
   private void cancel(Job job) {
-    job.cancelled = true;
+    job.cancel();
     cancelled.add(job.id());
   }
 
--- a/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
+++ b/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
@@ -72,7 +72,7 @@
 
   @Override
   public boolean usable(Machine machine) {
-    return liveness.fresh(machine) && !machine.isDraining() && !machine.isReleasing();
+    return liveness.isFresh(machine) && !machine.isDraining() && !machine.isReleasing();
   }
 
   @Override
