--- a/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -72,7 +72,7 @@
 
   /** What a placement there costs, in seconds; the highest number if it does not fit. */
   private static double cost(Request request, Machine machine) {
-    JobSpec spec = request.spec;
+    JobSpec spec = request.spec();
     if (!fits(request, machine)) {
       return Double.MAX_VALUE;
     }
@@ -87,7 +87,7 @@
 
   private static boolean fits(Request request, Machine machine) {
     return (request.zone == null || request.zone.equals(machine.info().zone()))
-        && machine.fits(request.spec) > 0
-        && machine.isAllowedFor(request.spec);
+        && machine.fits(request.spec()) > 0
+        && machine.isAllowedFor(request.spec());
   }
 }
