--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -61,7 +61,7 @@
 
   /** The machines that queued work needs beyond those that are there or on their way. */
   List<CapacityRequest> capacityRequests() {
-    if (!shard.ready() || !shard.valid()) {
+    if (!shard.isReady() || !shard.isLeaseValid()) {
       return List.of();
     }
     List<QueuedDemand> demands = QueuedDemand.of(shard);
@@ -94,7 +94,7 @@
         continue;
       }
       boolean counts =
-          machine.session().isReported() ? shard.usable(machine) : mayStillBoot(machine);
+          machine.session().isReported() ? shard.isUsable(machine) : mayStillBoot(machine);
       if (counts) {
         cpus += estimator.usableCpus(demands, machine);
       }
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -83,7 +83,7 @@
   private double roomCpus() {
     double cpus = 0;
     for (Machine machine : shard.machines().values()) {
-      cpus += shard.usable(machine) ? machine.freeCpus() : 0;
+      cpus += shard.isUsable(machine) ? machine.freeCpus() : 0;
     }
     for (Job job : shard.jobs().values()) {
       cpus -= job.queued() * job.spec().cpus();
--- a/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
@@ -64,11 +64,11 @@
     double peakCpus = peaks.record(fleet.usedCpus + unservedCpus, context.now(), windowMs);
     double keptCpus = peakCpus * SPARE;
     for (Machine machine : fleet.active) {
-      unservedCpus -= shard.usable(machine) ? estimator.usableCpus(demands, machine) : 0;
+      unservedCpus -= shard.isUsable(machine) ? estimator.usableCpus(demands, machine) : 0;
     }
     unservedCpus = cancelDrains(fleet, demands, keptCpus, unservedCpus);
     // Until a whole window has been seen, the peak may have been before it.
-    if (context.now().since(shard.readyAt()) < windowMs) {
+    if (context.now().since(shard.readySince()) < windowMs) {
       return;
     }
     migration.moveOff(fleet.draining);
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -179,7 +179,7 @@
   }
 
   private boolean mayRunOn(Machine machine, Job job, String zone) {
-    return shard.usable(machine)
+    return shard.isUsable(machine)
         && machine.isAllowedFor(job.spec())
         && !job.scheduling().hasFailedOn(machine.name())
         && (zone == null || zone.equals(machine.info().zone()));
--- a/src/main/java/shorecrank/coordination/scheduling/ShardView.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ShardView.java
@@ -26,16 +26,16 @@
   WorkerLiveness liveness();
 
   /** Whether new tasks may be placed on a machine. */
-  boolean usable(Machine machine);
+  boolean isUsable(Machine machine);
 
   /** Whether all records of the shard have been read. */
-  boolean ready();
+  boolean isReady();
 
   /** Since when all records of the shard have been read. */
-  MonotonicTime readyAt();
+  MonotonicTime readySince();
 
   /** Whether the owner's lease runs. */
-  boolean valid();
+  boolean isLeaseValid();
 
   /** What a team may still take within its limits. */
   Headroom headroom(String team);
--- a/src/main/java/shorecrank/coordination/scheduling/package-info.java
+++ b/src/main/java/shorecrank/coordination/scheduling/package-info.java
@@ -1,6 +1,7 @@
 /**
  * Decides where a shard's queued tasks run and how many machines the shard needs: the order of
- * jobs, dependencies between them, bin packing, preemption, scale out and scale in.
+ * jobs, dependencies between them, placement rounds, bin packing, preemption, scale out and scale
+ * in.
  *
  * <p>It derives its decisions from the jobs and machines that {@link
  * shorecrank.coordination.scheduling.ShardView} shows and holds no state of the shard's own. It may
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -44,7 +44,7 @@
 
   /** The demand as of now; empty while the records are not read or the lease is not valid. */
   Optional<ShardDemand> current() {
-    if (!shard.ready() || !shard.valid()) {
+    if (!shard.isReady() || !shard.isLeaseValid()) {
       return Optional.empty();
     }
     double capacity = 0;
@@ -61,7 +61,7 @@
         if (machine.assignment().move().isSet() && machine.session().isReconciled()) {
           arrived.add(machine.assignment().move());
         }
-        if (shard.usable(machine) || machine.isDraining()) {
+        if (shard.isUsable(machine) || machine.isDraining()) {
           candidates.add(new Candidate(machine.name(), machine.type().cpus(), emptyInS(machine)));
         }
       }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -341,7 +341,7 @@
   private void addSpareMachines(List<MachineName> spare) {
     for (Machine machine : machines.machines().values()) {
       if (!machine.assignment().isHandoverRequested()
-          && (state.usable(machine) || machine.isDraining())
+          && (state.isUsable(machine) || machine.isDraining())
           && machine.isEmpty()
           && context.now().since(machine.idleSince()) > SPARE_MS) {
         spare.add(machine.name());
--- a/src/main/java/shorecrank/coordination/shard/ShardState.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardState.java
@@ -62,24 +62,24 @@
   }
 
   @Override
-  public boolean usable(Machine machine) {
+  public boolean isUsable(Machine machine) {
     return !machine.isDraining()
         && machine.acceptsTasks(context.now())
         && liveness.isFresh(machine);
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return recovery.isReady();
   }
 
   @Override
-  public MonotonicTime readyAt() {
+  public MonotonicTime readySince() {
     return recovery.readyAt();
   }
 
   @Override
-  public boolean valid() {
+  public boolean isLeaseValid() {
     return lease.isValid();
   }
 
--- a/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
+++ b/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
@@ -71,22 +71,22 @@
   }
 
   @Override
-  public boolean usable(Machine machine) {
+  public boolean isUsable(Machine machine) {
     return liveness.isFresh(machine) && !machine.isDraining() && !machine.isReleasing();
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return true;
   }
 
   @Override
-  public MonotonicTime readyAt() {
+  public MonotonicTime readySince() {
     return new MonotonicTime(0);
   }
 
   @Override
-  public boolean valid() {
+  public boolean isLeaseValid() {
     return true;
   }
 
