--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -13,8 +13,8 @@
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.MachineConstraints;
 import shorecrank.coordination.model.TaskAttempt;
-import shorecrank.coordination.model.TeamQuotas.Headroom;
 import shorecrank.coordination.scheduling.Autoscaler;
+import shorecrank.coordination.scheduling.QueuedDemand;
 import shorecrank.coordination.scheduling.ShardView;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
@@ -44,7 +44,7 @@
 
   /** The demand as of now; empty while the records are not read or the lease is not valid. */
   Optional<ShardDemand> current() {
-    if (!shard.ready() || !shard.valid()) {
+    if (!shard.isReady() || !shard.isLeaseValid()) {
       return Optional.empty();
     }
     double capacity = 0;
@@ -61,7 +61,7 @@
         if (machine.assignment().move().isSet() && machine.session().isReconciled()) {
           arrived.add(machine.assignment().move());
         }
-        if (shard.usable(machine) || machine.isDraining()) {
+        if (shard.isUsable(machine) || machine.isDraining()) {
           candidates.add(new Candidate(machine.name(), machine.type().cpus(), emptyInS(machine)));
         }
       }
@@ -116,18 +116,9 @@
     double[] waiting = new double[Priority.values().length];
     double oldestS = 0;
     Set<Offer> kinds = new LinkedHashSet<>();
-    Map<String, Headroom> headrooms = new HashMap<>();
-    for (Job job : shard.jobs().values()) {
-      if (job.queued() == 0 || job.scheduling().isBackingOff()) {
-        continue;
-      }
-      Headroom headroom = headrooms.computeIfAbsent(job.spec().team(), shard::headroom);
-      int tasks = headroom.queuedTasksThatFit(job);
-      if (tasks == 0) {
-        continue;
-      }
-      headroom.take(job.spec(), tasks);
-      waiting[job.scheduling().priority().ordinal()] += tasks * job.spec().cpus();
+    for (QueuedDemand queued : QueuedDemand.of(shard)) {
+      Job job = queued.job();
+      waiting[job.scheduling().priority().ordinal()] += queued.cpus();
       if (!job.tasks().hasAttempts() && job.tasks().doneCount() == 0) {
         oldestS = Math.max(oldestS, job.readyS(context.wallMs()));
       }
