--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -73,8 +73,8 @@
    */
   public void share(double owned, boolean leading) {
     int n = Math.max(1, config.members().size() + 1);
-    requests.rate(config.state().rps() * (0.55 / n + 0.4 * owned));
-    writes.rate(config.state().writeRps() * (0.1 / n + 0.75 * owned + (leading ? 0.05 : 0)));
+    requests.updateRate(config.state().rps() * (0.55 / n + 0.4 * owned));
+    writes.updateRate(config.state().writeRps() * (0.1 / n + 0.75 * owned + (leading ? 0.05 : 0)));
   }
 
   /**
--- a/src/main/java/shorecrank/storage/CompressedJson.java
+++ b/src/main/java/shorecrank/storage/CompressedJson.java
@@ -1,7 +1,6 @@
 package shorecrank.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.MissingNode;
 import java.io.ByteArrayOutputStream;
 import java.util.Base64;
 import java.util.zip.DataFormatException;
@@ -9,20 +8,26 @@
 import java.util.zip.Inflater;
 import shorecrank.protocol.Json;
 
-/** JSON deflated into a text, so that a job of many scattered tasks fits into one value. */
+/**
+ * JSON compressed with raw DEFLATE and written as unpadded Base64 text, so that the record of a job
+ * with many scattered tasks fits into one value of the store.
+ */
 final class CompressedJson {
-  /** No record of ours is longer; a value that says so makes no sense. */
+  /** No stored record is longer; a value that decompresses to more is rejected. */
   private static final int MAX_BYTES = 8 << 20;
 
+  private static final int CHUNK_BYTES = 4096;
+
   private CompressedJson() {}
 
-  static String pack(JsonNode n) {
+  /** Compresses a JSON tree into text. */
+  static String compress(JsonNode tree) {
     Deflater deflater = new Deflater(Deflater.DEFAULT_COMPRESSION, true);
     try {
-      deflater.setInput(Json.bytes(n));
+      deflater.setInput(Json.bytes(tree));
       deflater.finish();
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      byte[] chunk = new byte[4096];
+      byte[] chunk = new byte[CHUNK_BYTES];
       while (!deflater.finished()) {
         out.write(chunk, 0, deflater.deflate(chunk));
       }
@@ -32,26 +37,41 @@
     }
   }
 
-  /** A missing node if the text is nothing of ours. */
-  static JsonNode unpack(String text) {
+  /**
+   * Decompresses a text that {@link #compress} has written.
+   *
+   * @param field the field that holds the text, for the failure's message
+   */
+  static JsonNode decompress(String field, String text) throws MalformedRecordException {
     Inflater inflater = new Inflater(true);
     try {
       inflater.setInput(Base64.getDecoder().decode(text));
-      ByteArrayOutputStream out = new ByteArrayOutputStream();
-      byte[] chunk = new byte[4096];
-      while (!inflater.finished()) {
-        int n = inflater.inflate(chunk);
-        if (n == 0 && (inflater.needsInput() || inflater.needsDictionary())
-            || out.size() + n > MAX_BYTES) {
-          return MissingNode.getInstance();
-        }
-        out.write(chunk, 0, n);
+      JsonNode tree = Json.parse(inflate(field, inflater));
+      if (tree.isMissingNode()) {
+        throw new MalformedRecordException(field, "holds no JSON");
       }
-      return Json.parse(out.toByteArray());
+      return tree;
     } catch (IllegalArgumentException | DataFormatException e) {
-      return MissingNode.getInstance();
+      throw new MalformedRecordException(field, e);
     } finally {
       inflater.end();
     }
   }
+
+  private static byte[] inflate(String field, Inflater inflater)
+      throws DataFormatException, MalformedRecordException {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    byte[] chunk = new byte[CHUNK_BYTES];
+    while (!inflater.finished()) {
+      int length = inflater.inflate(chunk);
+      if (length == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
+        throw new MalformedRecordException(field, "is truncated");
+      }
+      if (out.size() + length > MAX_BYTES) {
+        throw new MalformedRecordException(field, "exceeds " + MAX_BYTES + " bytes");
+      }
+      out.write(chunk, 0, length);
+    }
+    return out.toByteArray();
+  }
 }
--- /dev/null
+++ b/src/main/java/shorecrank/storage/DenseBodyCodec.java
@@ -0,0 +1,201 @@
+package shorecrank.storage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.BitSet;
+import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.roaringbitmap.RoaringBitmap;
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.Json;
+import shorecrank.storage.JobRecord.AttemptRange;
+
+/**
+ * Encodes the body of a job record in the dense form: done tasks as a Roaring bitmap, live ranges
+ * by column with machine names reduced to their numbers, all of it compressed. Versions below
+ * feature level 1 cannot read it.
+ */
+final class DenseBodyCodec {
+  /** The columns of the body, in the order in which they are stored. */
+  private enum Column {
+    SPEC,
+    DONE,
+    GAPS,
+    COUNTS,
+    INCARNATIONS,
+    ATTEMPTS,
+    MACHINE_PREFIX,
+    MACHINE_DIGITS,
+    MACHINES;
+
+    private JsonNode of(JsonNode body) {
+      return body.path(ordinal());
+    }
+  }
+
+  /** The columns with one element per live range, besides the gaps. */
+  private static final List<Column> RANGE_COLUMNS =
+      List.of(Column.COUNTS, Column.MACHINES, Column.INCARNATIONS, Column.ATTEMPTS);
+
+  private static final int MAX_DIGITS = 9;
+
+  /** A machine name that ends in a number; names alike but for it are stored as the number. */
+  private static final Pattern NUMBERED = Pattern.compile("(.*?)(\\d{1," + MAX_DIGITS + "})");
+
+  private DenseBodyCodec() {}
+
+  /** Encodes a body as text. */
+  static String write(RecordBody body) {
+    ArrayNode columns = Json.array();
+    columns.add(body.spec().write());
+    columns.add(
+        body.done().isEmpty()
+            ? ""
+            : Base64.getEncoder().withoutPadding().encodeToString(serialize(body.done())));
+    ArrayNode gaps = columns.addArray();
+    ArrayNode counts = columns.addArray();
+    ArrayNode incarnations = columns.addArray();
+    ArrayNode attempts = columns.addArray();
+    int end = 0;
+    long lastAttempt = 0;
+    for (AttemptRange range : body.live()) {
+      gaps.add(range.first() - end);
+      counts.add(range.count());
+      incarnations.add(range.incarnation().value());
+      attempts.add(range.attempt().value() - lastAttempt);
+      end = range.first() + range.count();
+      lastAttempt = range.attempt().value();
+    }
+    writeMachines(body.live(), columns);
+    return CompressedJson.compress(columns);
+  }
+
+  private static void writeMachines(List<AttemptRange> live, ArrayNode columns) {
+    Matcher first = NUMBERED.matcher(live.isEmpty() ? "" : live.get(0).host().value());
+    boolean isNumbered = first.matches();
+    String prefix = isNumbered ? first.group(1) : "";
+    int digits = isNumbered ? first.group(2).length() : 0;
+    columns.add(prefix).add(digits);
+    ArrayNode machines = columns.addArray();
+    for (AttemptRange range : live) {
+      String name = range.host().value();
+      Matcher matcher = NUMBERED.matcher(name);
+      if (matcher.matches()
+          && matcher.group(1).equals(prefix)
+          && matcher.group(2).length() == digits) {
+        machines.add(Integer.parseInt(matcher.group(2)));
+      } else {
+        machines.add(name);
+      }
+    }
+  }
+
+  private static byte[] serialize(BitSet tasks) {
+    RoaringBitmap bitmap = RoaringBitmap.bitmapOf(tasks.stream().toArray());
+    bitmap.runOptimize();
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    try {
+      bitmap.serialize(new DataOutputStream(out));
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+    return out.toByteArray();
+  }
+
+  /**
+   * Decodes a text that {@link #write} has encoded.
+   *
+   * @param field the field that holds the text, for the failure's message
+   */
+  static RecordBody read(String field, String text) throws MalformedRecordException {
+    JsonNode columns = CompressedJson.decompress(field, text);
+    JobSpec spec;
+    try {
+      spec = JobSpec.read(Column.SPEC.of(columns));
+    } catch (JobSpec.Malformed e) {
+      throw new MalformedRecordException(field, e);
+    }
+    BitSet done = readDone(Column.DONE.of(columns), spec);
+    return new RecordBody(spec, done, readLive(columns, spec));
+  }
+
+  private static BitSet readDone(JsonNode column, JobSpec spec) throws MalformedRecordException {
+    BitSet done = new BitSet();
+    if (column.isTextual() && column.textValue().isEmpty()) {
+      return done;
+    }
+    RoaringBitmap bitmap = new RoaringBitmap();
+    try {
+      byte[] bytes = Base64.getDecoder().decode(Json.text(column));
+      bitmap.deserialize(new DataInputStream(new ByteArrayInputStream(bytes)));
+    } catch (IOException | RuntimeException e) {
+      // The library reads damaged containers without checking them first, so it may fail anyhow.
+      throw new MalformedRecordException(Column.DONE.name(), e);
+    }
+    // Tasks are numbered from 0, so the highest, as an unsigned number, must be below their count.
+    if (!bitmap.isEmpty() && Integer.toUnsignedLong(bitmap.last()) >= spec.tasks()) {
+      throw new MalformedRecordException(Column.DONE.name(), "names a task that the job has not");
+    }
+    bitmap.forEach((int task) -> done.set(task));
+    return done;
+  }
+
+  private static List<AttemptRange> readLive(JsonNode columns, JobSpec spec)
+      throws MalformedRecordException {
+    int size = Column.GAPS.of(columns).size();
+    for (Column column : RANGE_COLUMNS) {
+      if (column.of(columns).size() != size) {
+        throw new MalformedRecordException(column.name(), "must have " + size + " elements");
+      }
+    }
+    List<AttemptRange> live = new ArrayList<>();
+    long end = 0;
+    long attempt = 0;
+    for (int i = 0; i < size; i++) {
+      long first = end + Column.GAPS.of(columns).path(i).asLong(-1);
+      long count = Column.COUNTS.of(columns).path(i).asLong(-1);
+      attempt += Column.ATTEMPTS.of(columns).path(i).asLong();
+      String machine = readMachine(columns, Column.MACHINES.of(columns).path(i));
+      if (first < end || count < 0 || first + count > spec.tasks()) {
+        throw new MalformedRecordException(
+            Column.GAPS.name(), "or COUNTS names a task that the job has not");
+      }
+      live.add(
+          new AttemptRange(
+              (int) first,
+              (int) count,
+              new MachineName(machine),
+              new Incarnation(Column.INCARNATIONS.of(columns).path(i).asLong()),
+              new AttemptNumber(attempt)));
+      end = first + count;
+    }
+    return live;
+  }
+
+  private static String readMachine(JsonNode columns, JsonNode machine)
+      throws MalformedRecordException {
+    if (machine.isTextual()) {
+      return machine.textValue();
+    }
+    long number = Json.count(machine);
+    int digits = Column.MACHINE_DIGITS.of(columns).asInt();
+    if (number < 0 || digits < 1 || digits > MAX_DIGITS) {
+      throw new MalformedRecordException(
+          Column.MACHINES.name(), "must hold names, or numbers of 1 to " + MAX_DIGITS + " digits");
+    }
+    String prefix = Json.text(Column.MACHINE_PREFIX.of(columns));
+    return prefix + String.format("%0" + digits + "d", number);
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/storage/RecordBody.java
@@ -0,0 +1,14 @@
+package shorecrank.storage;
+
+import java.util.BitSet;
+import java.util.List;
+import shorecrank.protocol.JobSpec;
+import shorecrank.storage.JobRecord.AttemptRange;
+
+/**
+ * The part of a job record whose encoding differs between the stored forms.
+ *
+ * @param done the tasks that have ended successfully
+ * @param live the ranges of running attempts, in ascending order of their first task
+ */
+record RecordBody(JobSpec spec, BitSet done, List<AttemptRange> live) {}
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/ProductionFormsTest.java
@@ -81,14 +81,14 @@
   }
 
   /** Read and written again, a record is the same; a packed one says the same. */
-  private static void assertSame(JsonNode n) {
-    JobRecord r = JobRecord.read(n);
-    assertNotNull(r, n.toString());
-    ObjectNode ours = r.write();
-    assertEquals(r, JobRecord.read(Json.parse(Json.bytes(ours))));
-    assertEquals(n.path("x").asBoolean(false), r.cancelled());
-    if (!n.has("z")) {
-      assertEquals(n, Json.parse(Json.bytes(ours)));
+  private static void assertSame(JsonNode stored) {
+    JobRecord record = JobRecord.read(stored);
+    assertNotNull(record, stored.toString());
+    ObjectNode written = record.write();
+    assertEquals(record, JobRecord.read(Json.parse(Json.bytes(written))));
+    assertEquals(stored.path("x").asBoolean(false), record.cancelled());
+    if (!stored.has("z")) {
+      assertEquals(stored, Json.parse(Json.bytes(written)));
     }
   }
 
