--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -1,14 +1,22 @@
 package shorecrank.config;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.Json;
 
-/** The platform's file. */
+/**
+ * What the platform tells a controller of itself, its fleet and their limits; {@link
+ * NodeConfigFile} reads it.
+ *
+ * @param label this controller's name
+ * @param zone where this controller runs; empty if that is not known
+ * @param publicAddr where users and workers reach this controller
+ * @param peerBind where this controller listens to its peers and operators
+ * @param members all controllers of the fleet
+ * @param cloudAddr the cloud's interface
+ * @param stateAddr the state service
+ * @param teams by name, in the order of names
+ */
 public record NodeConfig(
     ControllerName label,
     String zone,
@@ -19,16 +27,17 @@
     Address stateAddr,
     Map<String, Team> teams,
     List<Objective> objectives,
-    Workers workers,
-    State state,
-    Cloud cloud,
-    Limits limits) {
+    WorkerTimings workers,
+    StateLimits state,
+    CloudLimits cloud,
+    ProcessLimits limits) {
 
+  /** A host and its port. */
   public record Address(String host, int port) {
-    /** Of a text already known to be host and port. */
-    public static Address of(String s) {
-      int colon = s.lastIndexOf(':');
-      return new Address(s.substring(0, colon), Integer.parseInt(s.substring(colon + 1)));
+    /** Splits a text that is known to be {@code HOST:PORT}. */
+    public static Address of(String text) {
+      int colon = text.lastIndexOf(':');
+      return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     @Override
@@ -37,151 +46,69 @@
     }
   }
 
+  /**
+   * A controller of the fleet.
+   *
+   * @param location its zone; empty if that is not known
+   * @param addr where its peers reach it
+   */
   public record Member(ControllerName label, String location, Address addr) {}
 
-  /** A maximum of 0 means none. */
+  /**
+   * A team with its guaranteed shares and its limits, in CPUs and GPUs.
+   *
+   * @param cpusMax 0 for no limit
+   * @param gpusMax 0 for no limit
+   */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
+  /**
+   * A service-level objective of a class of jobs.
+   *
+   * @param kind {@code wait}, {@code finished} or {@code deadline}
+   * @param withinS the time within which it should happen, in seconds
+   * @param share of the jobs for which it should hold, from 0 to 1
+   * @param times factor on a job's own deadline
+   */
   public record Objective(
       String kind, String jobClass, double withinS, double share, double times) {}
 
-  public record Workers(double reportS, double leaseS, double cancelS) {}
-
-  /** Limits of the state service. */
-  public record State(double rps, double writeRps, double valueKb, int txnOps) {
-    State within(State o) {
-      return new State(
-          Math.min(rps, o.rps),
-          Math.min(writeRps, o.writeRps),
-          Math.min(valueKb, o.valueKb),
-          Math.min(txnOps, o.txnOps));
-    }
-  }
-
-  public record Cloud(double rps, double listLagS) {}
-
-  public record Limits(double cores, double memoryMb, int sockets) {}
-
-  /** A file that can't be used; the message names field and allowed range. */
-  public static final class Invalid extends Exception {
-    private static final long serialVersionUID = 1L;
-
-    public Invalid(String message) {
-      super(message);
-    }
-  }
-
-  public static NodeConfig read(byte[] text) throws Invalid {
-    JsonNode n = Json.parse(text);
-    if (!n.isObject()) {
-      throw new Invalid("the file must hold a JSON object");
-    }
-    List<Member> members = new ArrayList<>();
-    for (JsonNode m : n.path("members")) {
-      members.add(
-          new Member(
-              new ControllerName(text(m, "label", "members.label")),
-              m.path("location").asText(""),
-              addr(m, "addr", "members.")));
-    }
-    JsonNode s = n.path("settings");
-    Map<String, Team> teams = new TreeMap<>();
-    for (JsonNode t : s.path("teams")) {
-      String name = text(t, "name", "settings.teams.name");
-      teams.put(
-          name,
-          new Team(
-              name,
-              number(t, "cpus", "settings.teams.", 0, 1e9, 0),
-              number(t, "cpus_max", "settings.teams.", 0, 1e9, 0),
-              number(t, "gpus", "settings.teams.", 0, 1e9, 0),
-              number(t, "gpus_max", "settings.teams.", 0, 1e9, 0)));
+  /**
+   * The protocol's times for workers, in seconds.
+   *
+   * @param reportS between two heartbeats of a worker
+   * @param leaseS a worker without an answer for so long kills its tasks
+   * @param cancelS within which no task of a cancelled job may run any more
+   */
+  public record WorkerTimings(double reportS, double leaseS, double cancelS) {}
+
+  /**
+   * Limits of the state service.
+   *
+   * @param rps requests per second
+   * @param writeRps changes per second
+   * @param valueKb size of a value, in KiB
+   * @param txnOps changes in a transaction
+   */
+  public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
+    /** The lower of each of both limits. */
+    StateLimits within(StateLimits other) {
+      return new StateLimits(
+          Math.min(rps, other.rps),
+          Math.min(writeRps, other.writeRps),
+          Math.min(valueKb, other.valueKb),
+          Math.min(txnOps, other.txnOps));
     }
-    List<Objective> objectives = new ArrayList<>();
-    for (JsonNode o : s.path("objectives")) {
-      objectives.add(
-          new Objective(
-              o.path("kind").asText(""),
-              o.path("class").asText(""),
-              number(o, "within_s", "settings.objectives.", 0, 1e9, 0),
-              number(o, "share", "settings.objectives.", 0, 1e9, 0),
-              number(o, "times", "settings.objectives.", 0, 1e9, 1)));
-    }
-    JsonNode w = s.path("workers");
-    JsonNode st = s.path("state");
-    State now = state(st, "settings.state.", new State(100, 50, 16, 16));
-    JsonNode next = st.path("next");
-    if (!next.isObject() && !next.isMissingNode() && !next.isNull()) {
-      throw new Invalid("settings.state.next must be an object with limits");
-    }
-    // The lower limits come without notice, so only what both allow is ever written.
-    State state = next.isObject() ? now.within(state(next, "settings.state.next.", now)) : now;
-    JsonNode c = s.path("cloud");
-    JsonNode q = s.path("quota");
-    return new NodeConfig(
-        new ControllerName(text(n, "label", "label")),
-        n.path("location").asText(""),
-        addr(n, "public_addr", ""),
-        addr(n, "peer_bind", ""),
-        List.copyOf(members),
-        addr(n.path("endpoints"), "cloud", "endpoints."),
-        addr(n.path("endpoints"), "state", "endpoints."),
-        teams,
-        List.copyOf(objectives),
-        new Workers(
-            number(w, "report_s", "settings.workers.", 0.01, 3600, 3),
-            number(w, "lease_s", "settings.workers.", 0.1, 86400, 30),
-            number(w, "cancel_s", "settings.workers.", 0.1, 86400, 60)),
-        state,
-        new Cloud(
-            number(c, "rps", "settings.cloud.", 0.1, 1e9, 4),
-            number(c, "list_lag_s", "settings.cloud.", 0, 3600, 5)),
-        new Limits(
-            number(q, "cores", "settings.quota.", 0.01, 1024, 1),
-            number(q, "mem_mb", "settings.quota.", 16, 1e9, 512),
-            (int) number(q, "sockets", "settings.quota.", 16, 1e9, 1000)));
-  }
-
-  private static State state(JsonNode n, String in, State unset) throws Invalid {
-    return new State(
-        number(n, "rps", in, 1, 1e9, unset.rps),
-        number(n, "write_rps", in, 1, 1e9, unset.writeRps),
-        number(n, "value_kb", in, 1, 64, unset.valueKb),
-        (int) number(n, "txn_ops", in, 4, 100000, unset.txnOps));
-  }
-
-  private static String text(JsonNode n, String f, String name) throws Invalid {
-    JsonNode v = n.path(f);
-    if (!v.isTextual() || v.textValue().isBlank()) {
-      throw new Invalid(name + " must be a non-empty text");
-    }
-    return v.textValue();
   }
 
-  private static Address addr(JsonNode n, String f, String in) throws Invalid {
-    String v = text(n, f, in + f);
-    int colon = v.lastIndexOf(':');
-    try {
-      int port = Integer.parseInt(v.substring(colon + 1));
-      if (colon > 0 && port >= 1 && port <= 65535) {
-        return new Address(v.substring(0, colon), port);
-      }
-    } catch (NumberFormatException e) {
-      // falls through to the one complaint
-    }
-    throw new Invalid(in + f + " must be IP:PORT with a port from 1 to 65535");
-  }
+  /**
+   * Limits of the cloud's interface.
+   *
+   * @param rps requests per second
+   * @param listLagS how old a list of machines may be, in seconds
+   */
+  public record CloudLimits(double rps, double listLagS) {}
 
-  private static double number(
-      JsonNode n, String f, String in, double min, double max, double unset) throws Invalid {
-    JsonNode v = n.path(f);
-    if (v.isMissingNode() || v.isNull()) {
-      return unset;
-    }
-    double x = v.isNumber() ? v.doubleValue() : Double.NaN;
-    if (!(x >= min && x <= max)) {
-      throw new Invalid(in + f + " must be a number from " + min + " to " + max);
-    }
-    return x;
-  }
+  /** What this process may use: processor cores, memory in MiB, and open sockets. */
+  public record ProcessLimits(double cores, double memoryMb, int sockets) {}
 }
--- /dev/null
+++ b/src/main/java/shorecrank/config/NodeConfigFile.java
@@ -0,0 +1,146 @@
+package shorecrank.config;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import shorecrank.config.NodeConfig.CloudLimits;
+import shorecrank.config.NodeConfig.Member;
+import shorecrank.config.NodeConfig.Objective;
+import shorecrank.config.NodeConfig.ProcessLimits;
+import shorecrank.config.NodeConfig.StateLimits;
+import shorecrank.config.NodeConfig.Team;
+import shorecrank.config.NodeConfig.WorkerTimings;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Json;
+
+/** Reads the platform's file, which is JSON. */
+public final class NodeConfigFile {
+  /** Above any amount that makes sense. */
+  private static final double UNBOUNDED = 1e9;
+
+  private static final double HOUR_S = 3600;
+  private static final double DAY_S = 86400;
+  private static final StateLimits DEFAULT_STATE_LIMITS = new StateLimits(100, 50, 16, 16);
+
+  private NodeConfigFile() {}
+
+  /** Reads the file's bytes; the first field that is missing or out of range is reported. */
+  public static NodeConfig read(byte[] text) throws InvalidConfigException {
+    JsonNode json = Json.parse(text);
+    if (!json.isObject()) {
+      throw new InvalidConfigException("the file", "must hold a JSON object");
+    }
+    ConfigSection file = new ConfigSection(json, "");
+    ConfigSection settings = file.section("settings");
+    List<Member> members = readMembers(file);
+    Map<String, Team> teams = readTeams(settings);
+    List<Objective> objectives = readObjectives(settings);
+    StateLimits state = readStateLimits(settings.section("state"));
+    ConfigSection endpoints = file.section("endpoints");
+    return new NodeConfig(
+        new ControllerName(file.text("label")),
+        file.optionalText("location"),
+        file.address("public_addr"),
+        file.address("peer_bind"),
+        members,
+        endpoints.address("cloud"),
+        endpoints.address("state"),
+        teams,
+        objectives,
+        readWorkerTimings(settings.section("workers")),
+        state,
+        readCloudLimits(settings.section("cloud")),
+        readProcessLimits(settings.section("quota")));
+  }
+
+  private static List<Member> readMembers(ConfigSection file) throws InvalidConfigException {
+    List<Member> members = new ArrayList<>();
+    for (JsonNode json : file.json().path("members")) {
+      ConfigSection member = new ConfigSection(json, "members.");
+      members.add(
+          new Member(
+              new ControllerName(member.text("label")),
+              member.optionalText("location"),
+              member.address("addr")));
+    }
+    return List.copyOf(members);
+  }
+
+  private static Map<String, Team> readTeams(ConfigSection settings) throws InvalidConfigException {
+    Map<String, Team> teams = new TreeMap<>();
+    for (JsonNode json : settings.json().path("teams")) {
+      ConfigSection team = new ConfigSection(json, "settings.teams.");
+      String name = team.text("name");
+      teams.put(
+          name,
+          new Team(
+              name,
+              team.number("cpus", 0, UNBOUNDED, 0),
+              team.number("cpus_max", 0, UNBOUNDED, 0),
+              team.number("gpus", 0, UNBOUNDED, 0),
+              team.number("gpus_max", 0, UNBOUNDED, 0)));
+    }
+    return teams;
+  }
+
+  private static List<Objective> readObjectives(ConfigSection settings)
+      throws InvalidConfigException {
+    List<Objective> objectives = new ArrayList<>();
+    for (JsonNode json : settings.json().path("objectives")) {
+      ConfigSection objective = new ConfigSection(json, "settings.objectives.");
+      objectives.add(
+          new Objective(
+              objective.optionalText("kind"),
+              objective.optionalText("class"),
+              objective.number("within_s", 0, UNBOUNDED, 0),
+              objective.number("share", 0, UNBOUNDED, 0),
+              objective.number("times", 0, UNBOUNDED, 1)));
+    }
+    return List.copyOf(objectives);
+  }
+
+  /** The lower limits come into force without notice, so only what both allow is ever written. */
+  private static StateLimits readStateLimits(ConfigSection state) throws InvalidConfigException {
+    StateLimits now = readStateLimits(state, DEFAULT_STATE_LIMITS);
+    JsonNode next = state.json().path("next");
+    if (next.isMissingNode() || next.isNull()) {
+      return now;
+    }
+    if (!next.isObject()) {
+      throw new InvalidConfigException("settings.state.next", "must be an object with limits");
+    }
+    return now.within(readStateLimits(state.section("next"), now));
+  }
+
+  private static StateLimits readStateLimits(ConfigSection limits, StateLimits unset)
+      throws InvalidConfigException {
+    return new StateLimits(
+        limits.number("rps", 1, UNBOUNDED, unset.rps()),
+        limits.number("write_rps", 1, UNBOUNDED, unset.writeRps()),
+        limits.number("value_kb", 1, 64, unset.valueKb()),
+        limits.wholeNumber("txn_ops", 4, 100000, unset.txnOps()));
+  }
+
+  private static WorkerTimings readWorkerTimings(ConfigSection workers)
+      throws InvalidConfigException {
+    return new WorkerTimings(
+        workers.number("report_s", 0.01, HOUR_S, 3),
+        workers.number("lease_s", 0.1, DAY_S, 30),
+        workers.number("cancel_s", 0.1, DAY_S, 60));
+  }
+
+  private static CloudLimits readCloudLimits(ConfigSection cloud) throws InvalidConfigException {
+    return new CloudLimits(
+        cloud.number("rps", 0.1, UNBOUNDED, 4), cloud.number("list_lag_s", 0, HOUR_S, 5));
+  }
+
+  private static ProcessLimits readProcessLimits(ConfigSection quota)
+      throws InvalidConfigException {
+    return new ProcessLimits(
+        quota.number("cores", 0.01, 1024, 1),
+        quota.number("mem_mb", 16, UNBOUNDED, 512),
+        quota.wholeNumber("sockets", 16, UNBOUNDED, 1000));
+  }
+}
--- a/src/main/java/shorecrank/config/SettingsFile.java
+++ b/src/main/java/shorecrank/config/SettingsFile.java
@@ -2,16 +2,15 @@
 
 import com.google.protobuf.Message;
 import java.util.EnumMap;
+import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
 import shorecrank.config.TextProto.Field;
 
-/** Reads the operators' settings in protobuf text format. */
+/** Reads the operators' settings, which are in protobuf text format. */
 public final class SettingsFile {
-  private SettingsFile() {}
-
-  /** Every setting with its range and default. */
-  public enum Setting {
+  /** Every setting with its name in the file, range and default. */
+  private enum Setting {
     PARTS("parts", 1, 64, 1),
     LEASE_MS("lease_ms", 1000, 60_000, 5000),
     RENEW_MS("renew_ms", 100, 30_000, 1000),
@@ -33,44 +32,46 @@
     }
   }
 
-  /** What holds where nothing is set. */
+  private SettingsFile() {}
+
+  /** The settings that apply where nothing is set. */
   public static Settings defaults() {
     Map<Setting, Double> values = new EnumMap<>(Setting.class);
-    for (Setting s : Setting.values()) {
-      values.put(s, s.field.unset());
+    for (Setting setting : Setting.values()) {
+      values.put(setting, setting.field.unset());
     }
-    return tuning(values);
+    return settings(values);
   }
 
   /** Reads a file's text; what is not set has its default. */
-  public static Settings read(String text) throws NodeConfig.Invalid {
-    Message message =
-        TextProto.parse("Settings", Stream.of(Setting.values()).map(s -> s.field).toList(), text);
+  public static Settings read(String text) throws InvalidConfigException {
+    List<Field> fields = Stream.of(Setting.values()).map(setting -> setting.field).toList();
+    Message message = TextProto.parse("Settings", fields, text);
     Map<Setting, Double> values = new EnumMap<>(Setting.class);
-    for (Setting s : Setting.values()) {
-      values.put(s, s.field.numberOf(message));
+    for (Setting setting : Setting.values()) {
+      values.put(setting, setting.field.numberOf(message));
     }
-    Settings t = tuning(values);
-    if (t.renewMs() * 2 > t.leaseMs()) {
-      throw new NodeConfig.Invalid("renew_ms must be at most half of lease_ms");
+    Settings settings = settings(values);
+    if (settings.renewMs() * 2 > settings.leaseMs()) {
+      throw new InvalidConfigException("renew_ms", "must be at most half of lease_ms");
     }
-    return t;
+    return settings;
   }
 
-  private static Settings tuning(Map<Setting, Double> m) {
+  private static Settings settings(Map<Setting, Double> values) {
     return new Settings(
-        m.get(Setting.PARTS).intValue(),
-        m.get(Setting.LEASE_MS).intValue(),
-        m.get(Setting.RENEW_MS).intValue(),
-        m.get(Setting.LEADER_TTL_MS).intValue(),
-        m.get(Setting.GRACE_MS).intValue(),
-        m.get(Setting.STATE_FRESH_MS).intValue(),
-        m.get(Setting.SAMPLE_SIZE).intValue(),
-        m.get(Setting.ROUND_MS).intValue(),
-        m.get(Setting.ROUND_BUDGET_MS).intValue(),
-        m.get(Setting.MERGE_MS).intValue(),
-        m.get(Setting.PARK_MS).intValue(),
-        m.get(Setting.IDLE_RETURN_S).intValue(),
-        m.get(Setting.CLEAR_S));
+        values.get(Setting.PARTS).intValue(),
+        values.get(Setting.LEASE_MS).intValue(),
+        values.get(Setting.RENEW_MS).intValue(),
+        values.get(Setting.LEADER_TTL_MS).intValue(),
+        values.get(Setting.GRACE_MS).intValue(),
+        values.get(Setting.STATE_FRESH_MS).intValue(),
+        values.get(Setting.SAMPLE_SIZE).intValue(),
+        values.get(Setting.ROUND_MS).intValue(),
+        values.get(Setting.ROUND_BUDGET_MS).intValue(),
+        values.get(Setting.MERGE_MS).intValue(),
+        values.get(Setting.PARK_MS).intValue(),
+        values.get(Setting.IDLE_RETURN_S).intValue(),
+        values.get(Setting.CLEAR_S));
   }
 }
--- a/src/main/java/shorecrank/config/TextProto.java
+++ b/src/main/java/shorecrank/config/TextProto.java
@@ -2,20 +2,24 @@
 
 import com.google.protobuf.DescriptorProtos.DescriptorProto;
 import com.google.protobuf.DescriptorProtos.FieldDescriptorProto;
+import com.google.protobuf.DescriptorProtos.FieldDescriptorProto.Label;
 import com.google.protobuf.DescriptorProtos.FieldDescriptorProto.Type;
 import com.google.protobuf.DescriptorProtos.FileDescriptorProto;
-import com.google.protobuf.Descriptors;
+import com.google.protobuf.Descriptors.Descriptor;
+import com.google.protobuf.Descriptors.DescriptorValidationException;
+import com.google.protobuf.Descriptors.FieldDescriptor;
+import com.google.protobuf.Descriptors.FileDescriptor;
 import com.google.protobuf.DynamicMessage;
 import com.google.protobuf.Message;
 import com.google.protobuf.TextFormat;
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads settings in protobuf text format, described by a list of fields instead of a schema. */
+/** Reads settings in protobuf text format, described by a list of fields in place of a schema. */
 public final class TextProto {
   private TextProto() {}
 
-  /** What a setting holds. */
+  /** The type of a setting's value. */
   private enum Kind {
     NUMBER(Type.TYPE_DOUBLE),
     FLAG(Type.TYPE_BOOL),
@@ -28,7 +32,13 @@
     }
   }
 
-  /** A setting with its range and default; flags and texts have no range. */
+  /**
+   * A setting with its range and default; flags and texts have no range.
+   *
+   * @param min the least number allowed
+   * @param max the greatest number allowed
+   * @param unset the number where it is not set; for a flag 1 for true
+   */
   public record Field(String name, Kind kind, double min, double max, double unset) {
     /** A number within a range, both ends included. */
     public static Field number(String name, double min, double max, double unset) {
@@ -45,35 +55,36 @@
       return new Field(name, Kind.TEXT, 0, 0, 0);
     }
 
-    /** The value in a message that {@link #parse} has read. */
+    /** The number in a message that {@link #parse} has read, or the default. */
     public double numberOf(Message message) {
       Object value = value(message);
       return value == null ? unset : (Double) value;
     }
 
-    /** The value in a message that {@link #parse} has read. */
+    /** The flag in a message that {@link #parse} has read, or the default. */
     public boolean flagOf(Message message) {
       Object value = value(message);
       return value == null ? unset != 0 : (Boolean) value;
     }
 
-    /** The value in a message that {@link #parse} has read. */
+    /** The text in a message that {@link #parse} has read; empty if it is not set. */
     public String textOf(Message message) {
       Object value = value(message);
       return value == null ? "" : (String) value;
     }
 
+    /** Null if the field is not set. */
     private Object value(Message message) {
-      Descriptors.FieldDescriptor field = message.getDescriptorForType().findFieldByName(name);
+      FieldDescriptor field = message.getDescriptorForType().findFieldByName(name);
       return message.hasField(field) ? message.getField(field) : null;
     }
   }
 
-  /** Settings that may stand together any number of times, in braces behind a name. */
+  /** Settings in braces behind a name, which may be given any number of times. */
   public record Group(String name, List<Field> fields) {
-    /** Each time that the group stands in a message that {@link #parse} has read. */
+    /** The groups of this name in a message that {@link #parse} has read, in their order. */
     public List<Message> of(Message message) {
-      Descriptors.FieldDescriptor field = message.getDescriptorForType().findFieldByName(name);
+      FieldDescriptor field = message.getDescriptorForType().findFieldByName(name);
       List<Message> all = new ArrayList<>();
       for (Object one : (List<?>) message.getField(field)) {
         all.add((Message) one);
@@ -82,20 +93,24 @@
     }
   }
 
-  /** Reads a text; a field that is unknown, malformed or out of range is named in the failure. */
+  /**
+   * Reads a text; the failure names a field that is unknown, malformed or out of range.
+   *
+   * @param type the name of the message, for the parser's failures
+   */
   public static Message parse(String type, List<Field> fields, String text)
-      throws NodeConfig.Invalid {
+      throws InvalidConfigException {
     return parse(type, fields, List.of(), text);
   }
 
-  /** The same, with groups of fields. */
+  /** Reads a text with groups of fields; see {@link #parse(String, List, String)}. */
   public static Message parse(String type, List<Field> fields, List<Group> groups, String text)
-      throws NodeConfig.Invalid {
+      throws InvalidConfigException {
     DynamicMessage.Builder builder = DynamicMessage.newBuilder(descriptor(type, fields, groups));
     try {
       TextFormat.merge(text, builder);
     } catch (TextFormat.ParseException e) {
-      throw new NodeConfig.Invalid(e.getMessage().replace('\n', ' '));
+      throw new InvalidConfigException(e.getMessage().replace('\n', ' '));
     }
     DynamicMessage message = builder.build();
     check("", fields, message);
@@ -107,22 +122,22 @@
     return message;
   }
 
-  private static void check(String in, List<Field> fields, Message message)
-      throws NodeConfig.Invalid {
+  private static void check(String path, List<Field> fields, Message message)
+      throws InvalidConfigException {
     for (Field field : fields) {
       if (field.kind() != Kind.NUMBER) {
         continue;
       }
       double value = field.numberOf(message);
       if (!(value >= field.min() && value <= field.max())) {
-        String range = " must be from " + shown(field.min()) + " to " + shown(field.max());
-        throw new NodeConfig.Invalid(in + field.name() + range);
+        throw new InvalidConfigException(
+            path + field.name(),
+            "must be from " + format(field.min()) + " to " + format(field.max()));
       }
     }
   }
 
-  private static Descriptors.Descriptor descriptor(
-      String type, List<Field> fields, List<Group> groups) {
+  private static Descriptor descriptor(String type, List<Field> fields, List<Group> groups) {
     DescriptorProto.Builder message = message(type, fields);
     for (Group group : groups) {
       String groupType = group.name() + "Group";
@@ -131,7 +146,7 @@
           FieldDescriptorProto.newBuilder()
               .setName(group.name())
               .setNumber(message.getFieldCount() + 1)
-              .setLabel(FieldDescriptorProto.Label.LABEL_REPEATED)
+              .setLabel(Label.LABEL_REPEATED)
               .setType(Type.TYPE_MESSAGE)
               .setTypeName("." + type + "." + groupType));
     }
@@ -142,9 +157,8 @@
             .addMessageType(message)
             .build();
     try {
-      return Descriptors.FileDescriptor.buildFrom(file, new Descriptors.FileDescriptor[0])
-          .findMessageTypeByName(type);
-    } catch (Descriptors.DescriptorValidationException e) {
+      return FileDescriptor.buildFrom(file, new FileDescriptor[0]).findMessageTypeByName(type);
+    } catch (DescriptorValidationException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -156,13 +170,13 @@
           FieldDescriptorProto.newBuilder()
               .setName(fields.get(i).name())
               .setNumber(i + 1)
-              .setLabel(FieldDescriptorProto.Label.LABEL_OPTIONAL)
+              .setLabel(Label.LABEL_OPTIONAL)
               .setType(fields.get(i).kind().type));
     }
     return message;
   }
 
-  private static String shown(double d) {
-    return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
+  private static String format(double number) {
+    return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
   }
 }
--- a/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
+++ b/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
@@ -9,6 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import shorecrank.config.NodeConfig;
+import shorecrank.config.NodeConfigFile;
 import shorecrank.config.SettingsFile;
 
 /**
@@ -66,7 +67,7 @@
          "settings":{"teams":[{"name":"t"}],"objectives":[]}}
         """
             .formatted(pub, peer);
-    NodeConfig config = NodeConfig.read(text.getBytes(StandardCharsets.UTF_8));
+    NodeConfig config = NodeConfigFile.read(text.getBytes(StandardCharsets.UTF_8));
     try {
       new ControllerProcess(config, SettingsFile.defaults(), null, null, "rehearsal").start();
       return new int[] {pub, peer};
--- a/src/main/java/shorecrank/daemon/Main.java
+++ b/src/main/java/shorecrank/daemon/Main.java
@@ -11,7 +11,9 @@
 import picocli.CommandLine.Model.UsageMessageSpec;
 import picocli.CommandLine.ParameterException;
 import shorecrank.client.ClientCommand;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.NodeConfig;
+import shorecrank.config.NodeConfigFile;
 import shorecrank.config.Settings;
 import shorecrank.config.SettingsFile;
 import shorecrank.rebalance.ShareSettings;
@@ -135,7 +137,7 @@
     ShareSettings shares = null;
     Path reading = configFile;
     try {
-      config = NodeConfig.read(Files.readAllBytes(configFile));
+      config = NodeConfigFile.read(Files.readAllBytes(configFile));
       tuning = SettingsFile.defaults();
       if (settingsFile != null) {
         reading = settingsFile;
@@ -151,7 +153,7 @@
         shares = ShareSettings.read(Files.readString(sharesFile));
         shares.check(config, tuning.shards());
       }
-    } catch (NodeConfig.Invalid e) {
+    } catch (InvalidConfigException e) {
       return complain(reading + ": " + e.getMessage());
     } catch (IOException e) {
       return complain(reading + ": can't be read");
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -5,6 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.TextProto;
 import shorecrank.config.TextProto.Field;
@@ -54,9 +55,9 @@
   /**
    * Reads the file's text; a setting that is not named has its default.
    *
-   * @throws NodeConfig.Invalid naming the field that is unknown or out of range
+   * @throws InvalidConfigException naming the field that is unknown or out of range
    */
-  public static ShareSettings read(String text) throws NodeConfig.Invalid {
+  public static ShareSettings read(String text) throws InvalidConfigException {
     Message message = TextProto.parse("Shares", FIELDS, List.of(TEAM), text);
     return new ShareSettings(
         AUTOMATIC.flagOf(message),
@@ -68,7 +69,7 @@
         teams(message));
   }
 
-  private static List<TeamShare> teams(Message message) throws NodeConfig.Invalid {
+  private static List<TeamShare> teams(Message message) throws InvalidConfigException {
     List<TeamShare> teams = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Message one : TEAM.of(message)) {
@@ -79,10 +80,10 @@
               MIN_CPUS.numberOf(one),
               MAX_CPUS.numberOf(one));
       if (team.team().isEmpty() || !names.add(team.team())) {
-        throw new NodeConfig.Invalid("team.name must be there, and once for each team");
+        throw new InvalidConfigException("team.name", "must be there, and once for each team");
       }
       if (team.maxCpus() > 0 && team.minCpus() > team.maxCpus()) {
-        throw new NodeConfig.Invalid("team.min_cpus must be at most max_cpus");
+        throw new InvalidConfigException("team.min_cpus", "must be at most max_cpus");
       }
       teams.add(team);
     }
@@ -92,19 +93,19 @@
   /**
    * Checks the settings against the platform's teams and the number of shards.
    *
-   * @throws NodeConfig.Invalid naming the field that does not fit
+   * @throws InvalidConfigException naming the field that does not fit
    */
-  public void check(NodeConfig config, int shards) throws NodeConfig.Invalid {
+  public void check(NodeConfig config, int shards) throws InvalidConfigException {
     if (shards < 2) {
-      throw new NodeConfig.Invalid("shares need parts above 1 in the file of --settings");
+      throw new InvalidConfigException("shares", "need parts above 1 in the file of --settings");
     }
     for (TeamShare team : teams) {
       if (!config.teams().containsKey(team.team())) {
-        throw new NodeConfig.Invalid("team.name " + team.team() + " is no team of the platform");
+        throw new InvalidConfigException("team.name", team.team() + " is no team of the platform");
       }
     }
     if (TeamShares.weightsSumToZero(config.teams().keySet(), teams)) {
-      throw new NodeConfig.Invalid("team.weight must not be 0 for all teams");
+      throw new InvalidConfigException("team.weight", "must not be 0 for all teams");
     }
   }
 }
--- a/src/main/java/shorecrank/rollout/RolloutSettings.java
+++ b/src/main/java/shorecrank/rollout/RolloutSettings.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.Message;
 import java.util.List;
-import shorecrank.config.NodeConfig;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.TextProto;
 import shorecrank.config.TextProto.Field;
 
@@ -28,7 +28,7 @@
   private static final Field ARCHIVES_KEPT = Field.number("archives_kept", 1, 100, 2);
 
   /** Reads the file's text; what is not set has its default. */
-  public static RolloutSettings read(String text) throws NodeConfig.Invalid {
+  public static RolloutSettings read(String text) throws InvalidConfigException {
     Message message =
         TextProto.parse(
             "Rollout", List.of(AUTOMATIC, SETTLE_S, REWRITES_PER_S, ARCHIVE, ARCHIVES_KEPT), text);
--- a/src/test/java/shorecrank/config/SettingsTest.java
+++ b/src/test/java/shorecrank/config/SettingsTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Defaults and ranges of the settings and of the platform's limits; failures name the field. */
 class SettingsTest {
   @Test
   void shippedExampleHoldsTheDefaults() throws Exception {
@@ -28,9 +29,10 @@
     "colour: 3, colour",
     "parts: many, parts"
   })
-  void badSettingsNameTheField(String text, String shard) {
-    NodeConfig.Invalid e = assertThrows(NodeConfig.Invalid.class, () -> SettingsFile.read(text));
-    assertTrue(e.getMessage().contains(shard) || text.startsWith("parts: many"), e.getMessage());
+  void badSettingsNameTheField(String text, String message) {
+    InvalidConfigException e =
+        assertThrows(InvalidConfigException.class, () -> SettingsFile.read(text));
+    assertTrue(e.getMessage().contains(message) || text.startsWith("parts: many"), e.getMessage());
   }
 
   private static NodeConfig platform(String state) throws Exception {
@@ -39,17 +41,17 @@
             + "'endpoints':{'cloud':'1.2.3.5:1','state':'1.2.3.6:1'},'settings':{'state':"
             + state
             + "}}";
-    return NodeConfig.read(file.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    return NodeConfigFile.read(file.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
   }
 
   /** Lower limits come without notice, so both hold from the start; what is not named stays. */
   @Test
   void theLowerOfBothLimitsHolds() throws Exception {
-    NodeConfig.State s =
+    NodeConfig.StateLimits s =
         platform(
                 "{'rps':70,'write_rps':25,'value_kb':16,'txn_ops':16,'next':{'value_kb':2,'txn_ops':50}}")
             .state();
-    assertEquals(new NodeConfig.State(70, 25, 2, 16), s);
+    assertEquals(new NodeConfig.StateLimits(70, 25, 2, 16), s);
     assertEquals(16, platform("{'value_kb':16,'next':null}").state().valueKb());
   }
 
@@ -62,8 +64,8 @@
         "{'next':{'txn_ops':'many'}}, settings.state.next.txn_ops must be a number from 4"
       })
   void badLowerLimitsNameTheField(String state, String message) {
-    NodeConfig.Invalid e =
-        assertThrows(NodeConfig.Invalid.class, () -> platform(state.replace("''", "'")));
+    InvalidConfigException e =
+        assertThrows(InvalidConfigException.class, () -> platform(state.replace("''", "'")));
     assertTrue(e.getMessage().startsWith(message), e.getMessage());
   }
 }
--- a/src/test/java/shorecrank/rebalance/ShareFormsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareFormsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import shorecrank.config.NodeConfig;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
@@ -130,8 +130,9 @@
         "team { weight: 1 } | team.name must be there, and once for each team"
       })
   void aSettingThatMakesNoSenseIsNamed(String text, String reason) {
-    NodeConfig.Invalid e =
-        assertThrows(NodeConfig.Invalid.class, () -> ShareSettings.read(text.replace('\'', '"')));
+    InvalidConfigException e =
+        assertThrows(
+            InvalidConfigException.class, () -> ShareSettings.read(text.replace('\'', '"')));
     assertEquals(reason, e.getMessage());
   }
 
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import shorecrank.config.NodeConfig;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.SettingsFile;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
@@ -100,7 +100,8 @@
     "colour: 3, colour"
   })
   void badSettingsNameTheField(String text, String shard) {
-    NodeConfig.Invalid e = assertThrows(NodeConfig.Invalid.class, () -> RolloutSettings.read(text));
+    InvalidConfigException e =
+        assertThrows(InvalidConfigException.class, () -> RolloutSettings.read(text));
     assertTrue(e.getMessage().contains(shard), e.getMessage());
   }
 
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.Map;
-import shorecrank.config.NodeConfig;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.Settings;
 import shorecrank.config.SettingsFile;
 import shorecrank.protocol.Json;
@@ -68,12 +68,12 @@
     this.orders = new OrderSender(world, RolloutMessages.ORDERS);
   }
 
-  void enable(String text) throws NodeConfig.Invalid {
+  void enable(String text) throws InvalidConfigException {
     settings = RolloutSettings.read(text);
   }
 
   /** Watches the level and the forms only: what runs is not known here. */
-  void observe() throws NodeConfig.Invalid {
+  void observe() throws InvalidConfigException {
     enable("");
   }
 
@@ -95,7 +95,7 @@
     String other = otherSettings.get(node.index);
     try {
       return other == null ? world.tuning : SettingsFile.read(other);
-    } catch (NodeConfig.Invalid e) {
+    } catch (InvalidConfigException e) {
       throw new IllegalArgumentException(e);
     }
   }
--- a/src/test/java/shorecrank/sim/Scenario.java
+++ b/src/test/java/shorecrank/sim/Scenario.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import shorecrank.config.NodeConfig;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.Settings;
 import shorecrank.config.SettingsFile;
 
@@ -83,7 +83,7 @@
    *
    * @return what was wrong, with simulated times; empty if nothing was
    */
-  List<String> play(long seed, boolean verbose) throws NodeConfig.Invalid {
+  List<String> play(long seed, boolean verbose) throws InvalidConfigException {
     Settings tuning =
         settings.isEmpty() ? SettingsFile.defaults() : SettingsFile.read(settings.toString());
     world = new World(seed, tuning);
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import shorecrank.config.NodeConfig;
+import shorecrank.config.InvalidConfigException;
 
 /** A world while the lines of a scenario describe it, before its controllers start. */
 final class ScenarioSetup {
@@ -59,7 +59,7 @@
   }
 
   /** Starts the controllers. */
-  void open() throws NodeConfig.Invalid {
+  void open() throws InvalidConfigException {
     if (world.teamMax.isEmpty()) {
       world.teamMax.put(DEFAULT_TEAM, 0.0);
     }
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import shorecrank.config.NodeConfig;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
@@ -65,7 +65,7 @@
     if (settings == null) {
       try {
         settings = ShareSettings.read(file.toString());
-      } catch (NodeConfig.Invalid e) {
+      } catch (InvalidConfigException e) {
         throw new IllegalArgumentException(e);
       }
     }
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -10,7 +10,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.NodeConfig;
+import shorecrank.config.NodeConfigFile;
 import shorecrank.config.Settings;
 import shorecrank.coordination.ControllerStateMachine;
 import shorecrank.coordination.step.Input;
@@ -412,8 +414,8 @@
 
   private NodeConfig config(Node n) {
     try {
-      return NodeConfig.read(Json.bytes(platformFile(n)));
-    } catch (NodeConfig.Invalid e) {
+      return NodeConfigFile.read(Json.bytes(platformFile(n)));
+    } catch (InvalidConfigException e) {
       throw new IllegalArgumentException(e);
     }
   }
