--- /dev/null
+++ b/src/main/java/shorecrank/transport/ControllerMetrics.java
@@ -0,0 +1,116 @@
+package shorecrank.transport;
+
+import io.micrometer.core.instrument.Measurement;
+import io.micrometer.core.instrument.Meter;
+import io.micrometer.core.instrument.MeterRegistry;
+import io.micrometer.core.instrument.Timer;
+import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
+import java.util.function.ToDoubleFunction;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import shorecrank.coordination.step.Input;
+
+/** The controller's metrics: how they are recorded, shown to operators, and logged. */
+final class ControllerMetrics {
+  private static final Logger LOG = LoggerFactory.getLogger("shorecrank");
+  private static final String REPORT_PATH = "/v1/report";
+
+  private final MeterRegistry registry;
+  private final Timer lateRounds;
+  private final Map<String, Timer> steps = new HashMap<>();
+  private final Object2DoubleOpenHashMap<String> gauges = new Object2DoubleOpenHashMap<>();
+  private final Map<String, Double> lastLogged = new TreeMap<>();
+
+  ControllerMetrics(MeterRegistry registry) {
+    this.registry = registry;
+    this.lateRounds = registry.timer("round.late");
+    registry.gauge("heap.used", this, metrics -> usedHeapBytes());
+  }
+
+  private static double usedHeapBytes() {
+    Runtime runtime = Runtime.getRuntime();
+    return runtime.totalMemory() - runtime.freeMemory();
+  }
+
+  /** Shows a value of an object; the registry does not keep the object from being collected. */
+  <T> void observe(String metric, T object, ToDoubleFunction<T> value) {
+    registry.gauge(metric, object, value);
+  }
+
+  /** Records how much later than planned a round began, in nanoseconds. */
+  void recordLateRound(long nanos) {
+    lateRounds.record(nanos, TimeUnit.NANOSECONDS);
+  }
+
+  /** Records the time that an input took, in nanoseconds. */
+  void recordStep(Input input, long nanos) {
+    steps
+        .computeIfAbsent(kind(input), kind -> registry.timer("step." + kind))
+        .record(nanos, TimeUnit.NANOSECONDS);
+  }
+
+  /** Kinds of work, so that an operator sees where the processor time goes. */
+  private static String kind(Input input) {
+    if (input instanceof Input.Request request) {
+      if (request.fromPeer()) {
+        return "peer";
+      }
+      return request.path().equals(REPORT_PATH) ? "report" : "user";
+    }
+    return input instanceof Input.Tick ? "round" : "answer";
+  }
+
+  /** Adds to a counter. */
+  void increment(String metric, long by) {
+    registry.counter(metric).increment(by);
+  }
+
+  /** Sets a gauge. */
+  void updateGauge(String metric, double value) {
+    if (!gauges.containsKey(metric)) {
+      registry.gauge(metric, gauges, values -> values.getDouble(metric));
+    }
+    gauges.put(metric, value);
+  }
+
+  /** All metrics as text, a line with name and value each. */
+  String text() {
+    StringBuilder text = new StringBuilder();
+    values().forEach((name, value) -> text.append(name).append(' ').append(value).append('\n'));
+    return text.toString();
+  }
+
+  /** Logs what has changed since the last time: gauges as they are, others by how much. */
+  void logChanges() {
+    StringBuilder changes = new StringBuilder();
+    values()
+        .forEach(
+            (name, value) -> {
+              Double before = lastLogged.put(name, value);
+              if (before == null || before.doubleValue() != value) {
+                double shown =
+                    gauges.containsKey(name) ? value : value - (before == null ? 0 : before);
+                changes.append(' ').append(name).append('=').append(String.format("%.4g", shown));
+              }
+            });
+    LOG.debug("metrics.changed{}", changes);
+  }
+
+  private Map<String, Double> values() {
+    Map<String, Double> values = new TreeMap<>();
+    for (Meter meter : registry.getMeters()) {
+      for (Measurement measurement : meter.measure()) {
+        String name = meter.getId().getName();
+        if (meter.getId().getType() == Meter.Type.TIMER) {
+          name += "." + measurement.getStatistic().getTagValueRepresentation();
+        }
+        values.put(name, measurement.getValue());
+      }
+    }
+    return values;
+  }
+}
--- a/src/main/java/shorecrank/transport/HttpClientPool.java
+++ b/src/main/java/shorecrank/transport/HttpClientPool.java
@@ -28,194 +28,232 @@
 
 /** Keeps a bounded number of connections to one address; one request at a time on each. */
 final class HttpClientPool {
-  /** Status 0: no answer in time, so it is not known whether the request was carried out. */
-  interface OnAnswer {
-    void answer(int status, JsonNode body);
+  /** Takes the response to a call. */
+  interface ResponseHandler {
+    /**
+     * Takes a response.
+     *
+     * @param status of HTTP, or {@link #NO_RESPONSE} if there was none in time, so that it is not
+     *     known whether the request was carried out
+     * @param body a missing node if there is none, or none in JSON
+     */
+    void handle(int status, JsonNode body);
   }
 
-  private static final int MAX_BODY = 8 * 1024 * 1024;
-  private static final int CONNECT_MS = 1500;
-  private static final int MAX_WAITING = 256;
+  /** The status of a call without a response. */
+  static final int NO_RESPONSE = 0;
+
+  private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
+  private static final int CONNECT_TIMEOUT_MS = 1500;
+  private static final int MAX_WAITING_CALLS = 256;
 
   private final EventLoop loop;
-  private final Address to;
-  private final int maxOpen;
-  private final ArrayDeque<Channel> free = new ArrayDeque<>();
+  private final Address address;
+  private final int maxConnections;
+  private final ArrayDeque<Channel> idle = new ArrayDeque<>();
   private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-  private int open;
+  private int openConnections;
 
-  HttpClientPool(EventLoop loop, Address to, int maxOpen) {
+  HttpClientPool(EventLoop loop, Address address, int maxConnections) {
     this.loop = loop;
-    this.to = to;
-    this.maxOpen = maxOpen;
+    this.address = address;
+    this.maxConnections = maxConnections;
   }
 
-  int open() {
-    return open;
+  /** The number of connections that are open or being opened. */
+  int openConnections() {
+    return openConnections;
   }
 
-  /** Calls under way or waiting for a connection. */
-  int pending() {
-    return open - free.size() + waiting.size();
+  /** The number of calls under way or waiting for a connection. */
+  int pendingCalls() {
+    return openConnections - idle.size() + waiting.size();
   }
 
+  /** A call until its response has been handled. */
   private final class Call {
-    final String method;
-    final String path;
-    final byte[] body;
-    OnAnswer then;
-    ScheduledFuture<?> timeout;
-    Channel channel;
-
-    Call(String method, String path, byte[] body, OnAnswer then) {
+    private final String method;
+    private final String path;
+    private final byte[] body;
+    private final ScheduledFuture<?> timeout;
+
+    /** Null once the response has been handled. */
+    private ResponseHandler handler;
+
+    /** Null until the call has a connection. */
+    private Channel channel;
+
+    Call(String method, String path, byte[] body, int timeoutMs, ResponseHandler handler) {
       this.method = method;
       this.path = path;
       this.body = body;
-      this.then = then;
+      this.handler = handler;
+      this.timeout = loop.schedule(this::giveUp, timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    void finish(int status, JsonNode answer) {
-      if (then == null) {
+    private boolean isFinished() {
+      return handler == null;
+    }
+
+    private void finish(int status, JsonNode response) {
+      if (isFinished()) {
         return;
       }
-      OnAnswer t = then;
-      then = null;
+      ResponseHandler once = handler;
+      handler = null;
       timeout.cancel(false);
-      t.answer(status, answer);
+      once.handle(status, response);
+    }
+
+    private void finishWithoutResponse() {
+      finish(NO_RESPONSE, Json.parse(null));
     }
 
-    void giveUp() {
+    private void giveUp() {
       waiting.remove(this);
       if (channel != null) {
         channel.close();
       }
-      finish(0, Json.parse(null));
+      finishWithoutResponse();
+    }
+
+    private DefaultFullHttpRequest request() {
+      DefaultFullHttpRequest request =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1,
+              HttpMethod.valueOf(method),
+              path,
+              body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
+      request.headers().set(HttpHeaderNames.HOST, address.toString());
+      if (body != null) {
+        request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
+      }
+      if (body != null || !method.equals("GET")) {
+        HttpUtil.setContentLength(request, body == null ? 0 : body.length);
+      }
+      return request;
     }
   }
 
-  void call(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
-    Call c = new Call(method, path, body == null ? null : Json.bytes(body), then);
-    c.timeout = loop.schedule(c::giveUp, timeoutMs, TimeUnit.MILLISECONDS);
-    Channel ch;
-    while ((ch = free.pollLast()) != null) {
-      if (ch.isActive()) {
-        send(ch, c);
+  /**
+   * Sends a request.
+   *
+   * @param body null for none
+   * @param handler runs once, later, on the event loop
+   */
+  void call(String method, String path, JsonNode body, int timeoutMs, ResponseHandler handler) {
+    byte[] bytes = body == null ? null : Json.bytes(body);
+    Call call = new Call(method, path, bytes, timeoutMs, handler);
+    for (Channel channel = idle.pollLast(); channel != null; channel = idle.pollLast()) {
+      if (channel.isActive()) {
+        send(channel, call);
         return;
       }
     }
-    if (open < maxOpen) {
-      connect(c);
-    } else if (waiting.size() < MAX_WAITING) {
-      waiting.add(c);
+    if (openConnections < maxConnections) {
+      connect(call);
+    } else if (waiting.size() < MAX_WAITING_CALLS) {
+      waiting.add(call);
     } else {
-      loop.execute(c::giveUp);
+      loop.execute(call::giveUp);
     }
   }
 
-  private void connect(Call c) {
-    open++;
-    ChannelFuture f =
+  private void connect(Call call) {
+    openConnections++;
+    ChannelFuture connected =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(
                 new ChannelInitializer<NioSocketChannel>() {
                   @Override
-                  protected void initChannel(NioSocketChannel ch) {
-                    ch.pipeline()
+                  protected void initChannel(NioSocketChannel channel) {
+                    channel
+                        .pipeline()
                         .addLast(new HttpClientCodec())
-                        .addLast(new HttpObjectAggregator(MAX_BODY))
-                        .addLast(new Handler());
+                        .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
+                        .addLast(new Connection());
                   }
                 })
-            .connect(to.host(), to.port());
-    c.channel = f.channel();
-    f.addListener(
+            .connect(address.host(), address.port());
+    Channel channel = connected.channel();
+    call.channel = channel;
+    connected.addListener(
         done -> {
           if (!done.isSuccess()) {
-            closed();
-            c.finish(0, Json.parse(null));
+            onClosed();
+            call.finishWithoutResponse();
+            return;
+          }
+          channel.closeFuture().addListener(closed -> onClosed());
+          if (call.isFinished()) {
+            channel.close();
           } else {
-            f.channel().closeFuture().addListener(x -> closed());
-            if (c.then == null) {
-              f.channel().close();
-            } else {
-              send(f.channel(), c);
-            }
+            send(channel, call);
           }
         });
   }
 
-  /** Closes what is open and idle. */
+  /** Closes the connections that are idle. */
   void close() {
-    Channel ch;
-    while ((ch = free.pollLast()) != null) {
-      ch.close();
+    for (Channel channel = idle.pollLast(); channel != null; channel = idle.pollLast()) {
+      channel.close();
     }
   }
 
-  private void closed() {
-    open--;
+  private void onClosed() {
+    openConnections--;
     Call next = waiting.poll();
     if (next != null) {
       connect(next);
     }
   }
 
-  private void send(Channel ch, Call c) {
-    c.channel = ch;
-    ch.pipeline().get(Handler.class).current = c;
-    DefaultFullHttpRequest r =
-        new DefaultFullHttpRequest(
-            HttpVersion.HTTP_1_1,
-            HttpMethod.valueOf(c.method),
-            c.path,
-            c.body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(c.body));
-    r.headers().set(HttpHeaderNames.HOST, to.toString());
-    if (c.body != null) {
-      r.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
-    }
-    if (c.body != null || !c.method.equals("GET")) {
-      HttpUtil.setContentLength(r, c.body == null ? 0 : c.body.length);
-    }
-    ch.writeAndFlush(r);
+  private void send(Channel channel, Call call) {
+    call.channel = channel;
+    channel.pipeline().get(Connection.class).current = call;
+    channel.writeAndFlush(call.request());
   }
 
-  private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
-    Call current;
+  /** One connection with the call under way on it. */
+  private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Null while the connection is idle. */
+    private Call current;
 
+    /** The connection serves the next call before the response is handled, which may add calls. */
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse r) {
-      Call c = current;
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+      Call call = current;
       current = null;
-      byte[] body = ByteBufUtil.getBytes(r.content());
-      if (!HttpUtil.isKeepAlive(r)) {
-        ctx.close();
-      } else if (c != null && !waiting.isEmpty()) {
-        send(ctx.channel(), waiting.poll());
+      byte[] body = ByteBufUtil.getBytes(response.content());
+      if (!HttpUtil.isKeepAlive(response)) {
+        context.close();
+      } else if (call != null && !waiting.isEmpty()) {
+        send(context.channel(), waiting.poll());
       } else {
-        free.add(ctx.channel());
+        idle.add(context.channel());
       }
-      if (c != null) {
-        c.finish(r.status().code(), Json.parse(body));
+      if (call != null) {
+        call.finish(response.status().code(), Json.parse(body));
       }
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-      free.remove(ctx.channel());
-      Call c = current;
+    public void channelInactive(ChannelHandlerContext context) {
+      idle.remove(context.channel());
+      Call call = current;
       current = null;
-      if (c != null) {
-        c.finish(0, Json.parse(null));
+      if (call != null) {
+        call.finishWithoutResponse();
       }
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+      context.close();
     }
   }
 }
--- a/src/main/java/shorecrank/transport/HttpServer.java
+++ b/src/main/java/shorecrank/transport/HttpServer.java
@@ -4,6 +4,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
@@ -23,137 +24,160 @@
 import io.netty.handler.timeout.IdleStateHandler;
 import java.util.concurrent.TimeUnit;
 import shorecrank.config.NodeConfig.Address;
+import shorecrank.protocol.Json;
 
-/** An HTTP server on one address; every request is handed on with a place for its answer. */
+/** An HTTP server on one address that hands each request on, with an exchange for the reply. */
 final class HttpServer {
-  /** Takes requests; the exchange is answered once, now or later, on the event loop. */
-  interface Handler {
-    void request(Exchange exchange, String method, String path, byte[] body);
+  /** Takes requests; the exchange is replied to once, now or later, on the event loop. */
+  interface RequestHandler {
+    /** Takes a request that has been received completely. */
+    void handle(Exchange exchange, String method, String path, byte[] body);
   }
 
-  /** Of users and workers, as the protocol has it. */
-  static final int MAX_BODY = 64 * 1024;
+  /** Of requests by users and workers, as the protocol has it. */
+  static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Of other controllers: a message may be about all machines. */
-  static final int MAX_PEER_BODY = 512 * 1024;
+  /** Of requests by other controllers: a message may hold all machines. */
+  static final int MAX_PEER_BODY_BYTES = 512 * 1024;
 
-  /** Also answered in a crowd: a controller that is full is not a dead one. */
-  private static final String HEALTH = "/healthz";
+  /** Answered above the limit too: a controller with too many connections is not a dead one. */
+  private static final String HEALTH_PATH = "/healthz";
 
-  /** Connections beyond the limit that are still told so, as a share of it. */
-  private static final double CROWD = 0.06;
+  /** Connections above the limit that are still answered with an error, as a share of it. */
+  private static final double EXCESS_SHARE = 0.06;
 
-  private final int maxOpen;
+  private static final String JSON = "application/json";
+  private static final int TOO_MANY_RETRY_AFTER_S = 2;
+
+  private final int maxConnections;
   private final int idleS;
-  private final int maxBody;
-  private final Handler handler;
-  private int open;
+  private final int maxBodyBytes;
+  private final RequestHandler handler;
+  private int openConnections;
 
   /**
-   * @param maxOpen beyond so many connections requests are answered 503, beyond some more none are
-   * @param idleS a connection on which nothing moves for so long is closed: its other end may be
+   * Creates a server that is not bound yet.
+   *
+   * @param maxConnections on connections above this number requests are answered with 503; far
+   *     above it, connections are closed
+   * @param idleS seconds after which a connection without traffic is closed: its other end may be
    *     gone, and it counts all the same
    */
-  HttpServer(int maxOpen, int idleS, int maxBody, Handler handler) {
-    this.maxOpen = maxOpen;
+  HttpServer(int maxConnections, int idleS, int maxBodyBytes, RequestHandler handler) {
+    this.maxConnections = maxConnections;
     this.idleS = idleS;
-    this.maxBody = maxBody;
+    this.maxBodyBytes = maxBodyBytes;
     this.handler = handler;
   }
 
-  int open() {
-    return open;
+  /** The number of connections that are open. */
+  int openConnections() {
+    return openConnections;
   }
 
-  void bind(EventLoopGroup group, Address at) throws InterruptedException {
+  /** Binds the address; fails if it can't be bound. */
+  void bind(EventLoopGroup group, Address address) throws InterruptedException {
     new ServerBootstrap()
         .group(group)
         .channel(NioServerSocketChannel.class)
-        // All may want to connect at one moment.
-        .option(ChannelOption.SO_BACKLOG, maxOpen)
+        // All clients may want to connect at one moment.
+        .option(ChannelOption.SO_BACKLOG, maxConnections)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childHandler(
             new ChannelInitializer<SocketChannel>() {
               @Override
-              protected void initChannel(SocketChannel ch) {
-                if (open >= maxOpen * (1 + CROWD)) {
-                  ch.close();
-                  return;
-                }
-                boolean crowded = open >= maxOpen;
-                open++;
-                ch.closeFuture().addListener(f -> open--);
-                ch.pipeline()
-                    .addLast(new IdleStateHandler(0, 0, idleS, TimeUnit.SECONDS))
-                    .addLast(new HttpServerCodec())
-                    .addLast(new HttpObjectAggregator(maxBody, true))
-                    .addLast(new Connection(crowded));
+              protected void initChannel(SocketChannel channel) {
+                accept(channel);
               }
             })
-        .bind(at.host(), at.port())
+        .bind(address.host(), address.port())
         .sync();
   }
 
-  /** Where one request's answer goes. */
+  private void accept(SocketChannel channel) {
+    if (openConnections >= maxConnections * (1 + EXCESS_SHARE)) {
+      channel.close();
+      return;
+    }
+    boolean isExcess = openConnections >= maxConnections;
+    openConnections++;
+    channel.closeFuture().addListener(closed -> openConnections--);
+    channel
+        .pipeline()
+        .addLast(new IdleStateHandler(0, 0, idleS, TimeUnit.SECONDS))
+        .addLast(new HttpServerCodec())
+        .addLast(new HttpObjectAggregator(maxBodyBytes, true))
+        .addLast(new Connection(isExcess));
+  }
+
+  /** The place for the reply to one request. */
   static final class Exchange {
-    private final ChannelHandlerContext ctx;
-    private final boolean keepAlive;
+    private final ChannelHandlerContext channel;
+    private final boolean isKeepAlive;
 
-    Exchange(ChannelHandlerContext ctx, boolean keepAlive) {
-      this.ctx = ctx;
-      this.keepAlive = keepAlive;
+    Exchange(ChannelHandlerContext channel, boolean isKeepAlive) {
+      this.channel = channel;
+      this.isKeepAlive = isKeepAlive;
     }
 
-    void answer(int status, String type, byte[] body, int retryAfterS) {
+    /**
+     * Sends the reply.
+     *
+     * @param retryAfterS seconds after which the client should ask again; 0 to say nothing of it
+     */
+    void reply(int status, String contentType, byte[] body, int retryAfterS) {
       ByteBuf content = Unpooled.wrappedBuffer(body);
-      DefaultFullHttpResponse r =
+      DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
-      r.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
-      HttpUtil.setContentLength(r, body.length);
+      response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
+      HttpUtil.setContentLength(response, body.length);
       if (retryAfterS > 0) {
-        r.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
+        response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
       }
-      HttpUtil.setKeepAlive(r, keepAlive);
-      var f = ctx.writeAndFlush(r);
-      if (!keepAlive) {
-        f.addListener(ChannelFutureListener.CLOSE);
+      HttpUtil.setKeepAlive(response, isKeepAlive);
+      ChannelFuture sent = channel.writeAndFlush(response);
+      if (!isKeepAlive) {
+        sent.addListener(ChannelFutureListener.CLOSE);
       }
     }
   }
 
+  /** One connection; a request on it is refused if it is malformed or there are too many. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private final boolean crowded;
+    private final boolean isExcess;
 
-    Connection(boolean crowded) {
-      this.crowded = crowded;
+    Connection(boolean isExcess) {
+      this.isExcess = isExcess;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-      Exchange e = new Exchange(ctx, HttpUtil.isKeepAlive(r));
-      if (!r.decoderResult().isSuccess()) {
-        new Exchange(ctx, false)
-            .answer(400, "application/json", "{\"error\":\"malformed request\"}".getBytes(), 0);
-        return;
+    protected void channelRead0(ChannelHandlerContext channel, FullHttpRequest request) {
+      if (!request.decoderResult().isSuccess()) {
+        refuse(channel, 400, "malformed request", 0);
+      } else if (isExcess && !request.uri().equals(HEALTH_PATH)) {
+        refuse(channel, 503, "too many connections", TOO_MANY_RETRY_AFTER_S);
+      } else {
+        Exchange exchange = new Exchange(channel, HttpUtil.isKeepAlive(request));
+        byte[] body = ByteBufUtil.getBytes(request.content());
+        handler.handle(exchange, request.method().name(), request.uri(), body);
       }
-      if (crowded && !r.uri().equals(HEALTH)) {
-        new Exchange(ctx, false)
-            .answer(503, "application/json", "{\"error\":\"too many connections\"}".getBytes(), 2);
-        return;
-      }
-      handler.request(e, r.method().name(), r.uri(), ByteBufUtil.getBytes(r.content()));
     }
 
+    private void refuse(ChannelHandlerContext channel, int status, String reason, int retryAfterS) {
+      new Exchange(channel, false).reply(status, JSON, Json.bytes(Json.error(reason)), retryAfterS);
+    }
+
+    /** The connection was idle for too long. */
     @Override
-    public void userEventTriggered(ChannelHandlerContext ctx, Object evt) {
-      ctx.close();
+    public void userEventTriggered(ChannelHandlerContext channel, Object event) {
+      channel.close();
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+    public void exceptionCaught(ChannelHandlerContext channel, Throwable cause) {
+      channel.close();
     }
   }
 }
