--- a/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
+++ b/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
@@ -5,9 +5,10 @@
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
-import java.net.http.HttpResponse;
+import java.net.http.HttpResponse.BodyHandlers;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.NodeConfigFile;
 import shorecrank.config.SettingsFile;
@@ -18,47 +19,71 @@
  * the processor time.
  */
 final class ClassArchiveTraining {
-  private static final int TRIES = 5;
+  private static final int START_ATTEMPTS = 5;
+  private static final int ROUNDS = 5;
+  private static final long ROUND_PAUSE_MS = 200;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+
+  private static final String JOB =
+      """
+      {"nameId":"wk-1","jobclass":"c","owner":"t","shape":"array","urgency":"low","pieces":1,
+       "cpus":1.0,"accelerators":0.0,"memoryGb":1.0,"bundle":"i","pullGb":1.0,"hosttypes":null,
+       "site":null,"together":false,"spread":false,"loaner":true,"guessS":1.0,
+       "snapshotEveryS":0.0,"snapshotS":0.0,"dueS":null}
+      """;
+  private static final String WORKER_HEARTBEAT =
+      """
+      {"host":"n-1","addr":"127.0.0.1:9","hosttype":"x","site":"z","loaner":false,"tenure":1,
+       "serial":1,"epoch":0,"reclaimInS":null,
+       "pieces":[{"piece":"wk-1/0","try":1,"phase":"exited","cause":"done"}]}
+      """;
+  private static final String CONTROLLER_HEARTBEAT =
+      """
+      {"from":"b","writer":"w","stateOk":true,"ver":0,"parts":[],"seen":[]}
+      """;
+
+  /** The ports on which the controller listens. */
+  private record Ports(int users, int peers) {
+    private static Ports free() throws IOException {
+      return new Ports(freePort(), freePort());
+    }
+  }
 
   private ClassArchiveTraining() {}
 
-  static void run() throws Exception {
-    int[] context = start(TRIES);
-    int pub = context[0];
-    int peer = context[1];
+  /** Starts a controller and sends it some of each kind of request; what it answers is ignored. */
+  static void run() throws IOException, InterruptedException, InvalidConfigException {
+    Ports ports = start();
     HttpClient client = HttpClient.newHttpClient();
-    String job =
-        """
-        {"nameId":"wk-1","jobclass":"c","owner":"t","shape":"array","urgency":"low","pieces":1,
-         "cpus":1.0,"accelerators":0.0,"memoryGb":1.0,"bundle":"i","pullGb":1.0,"hosttypes":null,
-         "site":null,"together":false,"spread":false,"loaner":true,"guessS":1.0,
-         "snapshotEveryS":0.0,"snapshotS":0.0,"dueS":null}
-        """;
-    String report =
-        """
-        {"host":"n-1","addr":"127.0.0.1:9","hosttype":"x","site":"z","loaner":false,"tenure":1,
-         "serial":1,"epoch":0,"reclaimInS":null,
-         "pieces":[{"piece":"wk-1/0","try":1,"phase":"exited","cause":"done"}]}
-        """;
-    String heartbeat =
-        """
-        {"from":"b","writer":"w","stateOk":true,"ver":0,"parts":[],"seen":[]}
-        """;
-    for (int i = 0; i < 5; i++) {
-      send(client, pub, "/healthz", null);
-      send(client, pub, "/api/jobs", job);
-      send(client, pub, "/api/jobs/wk-1", null);
-      send(client, pub, "/api/jobs/wk-1/abort", "{}");
-      send(client, pub, "/v1/report", report);
-      send(client, peer, "/peer/beat", heartbeat);
-      Thread.sleep(200);
+    for (int round = 0; round < ROUNDS; round++) {
+      send(client, ports.users, "/healthz", null);
+      send(client, ports.users, "/api/jobs", JOB);
+      send(client, ports.users, "/api/jobs/wk-1", null);
+      send(client, ports.users, "/api/jobs/wk-1/abort", "{}");
+      send(client, ports.users, "/v1/report", WORKER_HEARTBEAT);
+      send(client, ports.peers, "/peer/beat", CONTROLLER_HEARTBEAT);
+      Thread.sleep(ROUND_PAUSE_MS);
     }
   }
 
-  /** Starts a controller on two free context, on others if somebody was quicker. */
-  private static int[] start(int attemptCount) throws Exception {
-    int pub = freePort();
-    int peer = freePort();
+  /** Starts a controller on two free ports, on others if another process was quicker. */
+  private static Ports start() throws IOException, InterruptedException, InvalidConfigException {
+    for (int attempt = 1; ; attempt++) {
+      Ports ports = Ports.free();
+      DaemonConfig config = new DaemonConfig(config(ports), SettingsFile.defaults(), null, null);
+      try {
+        new ControllerProcess(config, "rehearsal").start();
+        return ports;
+      } catch (Exception e) {
+        // The network library throws the checked exception of a failed bind undeclared.
+        if (attempt == START_ATTEMPTS) {
+          throw e;
+        }
+      }
+    }
+  }
+
+  private static NodeConfig config(Ports ports) throws InvalidConfigException {
     String text =
         """
         {"label":"a","location":"z","public_addr":"127.0.0.1:%1$d","peer_bind":"127.0.0.1:%2$d",
@@ -66,33 +91,28 @@
          "endpoints":{"cloud":"127.0.0.1:%1$d","state":"127.0.0.1:%1$d"},
          "settings":{"teams":[{"name":"t"}],"objectives":[]}}
         """
-            .formatted(pub, peer);
-    NodeConfig config = NodeConfigFile.read(text.getBytes(StandardCharsets.UTF_8));
-    try {
-      new ControllerProcess(config, SettingsFile.defaults(), null, null, "rehearsal").start();
-      return new int[] {pub, peer};
-    } catch (Exception e) {
-      if (attemptCount <= 1) {
-        throw e;
-      }
-      return start(attemptCount - 1);
-    }
+            .formatted(ports.users, ports.peers);
+    return NodeConfigFile.read(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void send(HttpClient c, int port, String path, String body)
+  /** Sends a request: a POST with a body, or a GET without one. */
+  private static void send(HttpClient client, int port, String path, String body)
       throws IOException, InterruptedException {
-    HttpRequest.Builder b =
+    HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
             .version(HttpClient.Version.HTTP_1_1)
-            .timeout(Duration.ofSeconds(5));
-    HttpRequest r =
-        body == null ? b.GET().build() : b.POST(HttpRequest.BodyPublishers.ofString(body)).build();
-    c.send(r, HttpResponse.BodyHandlers.ofByteArray());
+            .timeout(REQUEST_TIMEOUT);
+    if (body == null) {
+      request.GET();
+    } else {
+      request.POST(HttpRequest.BodyPublishers.ofString(body));
+    }
+    client.send(request.build(), BodyHandlers.ofByteArray());
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0)) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0)) {
+      return socket.getLocalPort();
     }
   }
 }
--- /dev/null
+++ b/src/main/java/shorecrank/daemon/DaemonConfig.java
@@ -0,0 +1,74 @@
+package shorecrank.daemon;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Optional;
+import shorecrank.config.InvalidConfigException;
+import shorecrank.config.NodeConfig;
+import shorecrank.config.NodeConfigFile;
+import shorecrank.config.Settings;
+import shorecrank.config.SettingsFile;
+import shorecrank.rebalance.ShareSettings;
+import shorecrank.rollout.RolloutSettings;
+import shorecrank.rollout.RolloutSetup;
+
+/**
+ * All that a controller process is configured with.
+ *
+ * @param rollout null if rollouts are not enabled
+ * @param shares null if shares are not enabled
+ */
+record DaemonConfig(
+    NodeConfig node, Settings settings, RolloutSetup rollout, ShareSettings shares) {
+
+  /** Turns a file's content into a value. */
+  private interface Reader<T> {
+    T read(Path file) throws IOException, InvalidConfigException;
+  }
+
+  /** Reads the files in the order of their options; the first that cannot be used is reported. */
+  static DaemonConfig load(DaemonOptions options, String version) throws StartupException {
+    Path nodeFile = options.config();
+    Optional<Path> settingsFile = options.settings();
+    Optional<Path> rolloutFile = options.rollout();
+    Optional<Path> sharesFile = options.shares();
+    if (sharesFile.isPresent() && rolloutFile.isEmpty()) {
+      throw new StartupException("--shares needs --rollout FILE");
+    }
+    NodeConfig node = read(nodeFile, file -> NodeConfigFile.read(Files.readAllBytes(file)));
+    Settings settings = SettingsFile.defaults();
+    if (settingsFile.isPresent()) {
+      settings = read(settingsFile.get(), file -> SettingsFile.read(Files.readString(file)));
+    }
+    RolloutSetup rollout = null;
+    if (rolloutFile.isPresent()) {
+      RolloutSettings rolloutSettings =
+          read(rolloutFile.get(), file -> RolloutSettings.read(Files.readString(file)));
+      rollout = RolloutSetup.of(rolloutSettings, version, settings, sharesFile.isPresent());
+    }
+    ShareSettings shares = null;
+    if (sharesFile.isPresent()) {
+      int shards = settings.shards();
+      shares =
+          read(
+              sharesFile.get(),
+              file -> {
+                ShareSettings shareSettings = ShareSettings.read(Files.readString(file));
+                shareSettings.check(node, shards);
+                return shareSettings;
+              });
+    }
+    return new DaemonConfig(node, settings, rollout, shares);
+  }
+
+  private static <T> T read(Path file, Reader<T> reader) throws StartupException {
+    try {
+      return reader.read(file);
+    } catch (InvalidConfigException e) {
+      throw new StartupException(file + ": " + e.getMessage(), e);
+    } catch (IOException e) {
+      throw new StartupException(file + ": can't be read", e);
+    }
+  }
+}
--- a/src/test/java/shorecrank/daemon/ProcessTest.java
+++ b/src/test/java/shorecrank/daemon/ProcessTest.java
@@ -188,8 +188,8 @@
   /** The highest token the worker by hand has seen. */
   private long shown;
 
-  private static JsonNode body(HttpResponse<String> r) {
-    return Json.parse(r.body().getBytes(StandardCharsets.UTF_8));
+  private static JsonNode body(HttpResponse<String> response) {
+    return Json.parse(response.body().getBytes(StandardCharsets.UTF_8));
   }
 
   private HttpResponse<String> report(int pub, int sequence, String pieces) throws Exception {
@@ -207,14 +207,15 @@
     return r;
   }
 
+  /** A condition to wait for; a failed connection counts as not yet met. */
   private interface Check {
     boolean holds() throws Exception;
   }
 
-  private static void await(Check c) throws Exception {
+  private static void await(Check check) throws Exception {
     for (int i = 0; i < 100; i++) {
       try {
-        if (c.holds()) {
+        if (check.holds()) {
           return;
         }
       } catch (IOException e) {
@@ -222,7 +223,7 @@
       }
       Thread.sleep(200);
     }
-    assertTrue(c.holds());
+    assertTrue(check.holds());
   }
 
   private Process run(List<String> args) throws IOException {
@@ -259,6 +260,7 @@
 
   // ---- a small state service and cloud ---------------------------------------------------------
 
+  /** A value of the state service's with its revision. */
   private record Item(JsonNode data, long revision) {}
 
   private final TreeMap<String, Item> items = new TreeMap<>();
@@ -271,10 +273,11 @@
     services.start();
   }
 
-  private void serve(HttpExchange x) throws IOException {
-    JsonNode body = Json.parse(x.getRequestBody().readAllBytes());
-    String path = x.getRequestURI().getPath();
-    String query = x.getRequestURI().getQuery() == null ? "" : x.getRequestURI().getQuery();
+  private void serve(HttpExchange exchange) throws IOException {
+    JsonNode body = Json.parse(exchange.getRequestBody().readAllBytes());
+    String path = exchange.getRequestURI().getPath();
+    String query =
+        exchange.getRequestURI().getQuery() == null ? "" : exchange.getRequestURI().getQuery();
     if (path.equals("/changes")) {
       try {
         Thread.sleep(100);
@@ -285,9 +288,9 @@
     int[] status = {200};
     JsonNode answer = answer(path, query, body, status);
     byte[] out = Json.bytes(answer);
-    x.sendResponseHeaders(status[0], out.length);
-    x.getResponseBody().write(out);
-    x.close();
+    exchange.sendResponseHeaders(status[0], out.length);
+    exchange.getResponseBody().write(out);
+    exchange.close();
   }
 
   private synchronized JsonNode answer(String path, String query, JsonNode body, int[] status) {
