--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -5,59 +5,53 @@
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.OutputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.Consumer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 import shorecrank.client.ControllerClient.Answer;
-import shorecrank.client.ControllerClient.Unknown;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.Order;
 import shorecrank.protocol.RolloutMessages.OrderKind;
-import shorecrank.protocol.StoreMessages;
+import shorecrank.rollout.ArchiveFormat.Manifest;
 import shorecrank.rollout.ArchiveFormat.Version;
 import shorecrank.rollout.ArchiveKeys;
-import shorecrank.rollout.ArchiveKeys.IndexEntry;
 import shorecrank.rollout.ArchiveReader;
 import shorecrank.rollout.ArchiveReader.Archive;
 import shorecrank.rollout.ArchiveReader.Damaged;
-import shorecrank.rollout.ArchiveValueCodec;
 
 /** Makes, checks and compares archives of the service's keys. */
 @Command(name = "archive", description = "Makes, checks and compares archives of the keys.")
 final class ArchiveCommand {
-  private static final int OK = 200;
-  private static final long POLL_MS = 500;
-  private static final long MOST_POLLS = 7200;
-  private static final int MOST_SHOWN = 20;
+  private static final int MAX_DIFFERENCES_PRINTED = 20;
 
+  /** An order without a level. */
+  private static final int NO_LEVEL = -1;
+
+  /** Orders an archive and fetches it once it is complete. */
   @Command(name = "create", description = "Has an archive made and fetches it.")
   int create(
       @Mixin ClientOptions options,
       @Parameters(paramLabel = "FILE", description = "where it goes") Path file,
-      @Mixin OrderOptions named) {
+      @Mixin OrderOptions order) {
     ControllerClient client = options.client();
     try {
       Answer answer =
           client.post(
               RolloutMessages.ORDERS,
-              RolloutMessages.write(new Order(named.idOrNew(), OrderKind.ARCHIVE, -1)));
-      if (answer.status() != OK) {
-        return options.show(answer, "");
+              RolloutMessages.write(new Order(order.idOrNew(), OrderKind.ARCHIVE, NO_LEVEL)));
+      if (!answer.isOk()) {
+        return options.printAnswer(answer, "");
       }
       String archive = Json.text(answer.body().path("archive"));
-      awaitComplete(client, archive);
-      fetch(client, archive, file);
+      new ArchiveDownload(new StoredKeys(client), archive).fetchInto(file);
       return describe(options, read(file));
-    } catch (Unknown e) {
-      return options.unknown(e);
+    } catch (NoAnswerException e) {
+      return options.reportUnknown(e);
     } catch (IOException e) {
       return options.complain(ExitStatus.REFUSED, file + ": can't be written");
     } catch (Damaged e) {
@@ -65,82 +59,21 @@
     }
   }
 
-  private static void awaitComplete(ControllerClient client, String archive) throws Unknown {
-    for (long i = 0; i < MOST_POLLS; i++) {
-      boolean[] complete = new boolean[1];
-      keys(
-          client,
-          ArchiveKeys.index(archive),
-          e -> {
-            complete[0] |=
-                ArchiveValueCodec.readIndex(e.key(), e.value())
-                    .map(IndexEntry::isComplete)
-                    .orElse(false);
-          });
-      if (complete[0]) {
-        return;
-      }
-      ControllerClient.pause(POLL_MS);
-    }
-    throw new Unknown("archive " + archive + " is not complete yet");
-  }
-
-  private static void fetch(ControllerClient client, String archive, Path file)
-      throws Unknown, IOException {
-    Path partial = file.resolveSibling(file.getFileName() + ".part");
-    String first = ArchiveKeys.chunk(archive, 0);
-    String prefix = first.substring(0, first.lastIndexOf('/') + 1);
-    try (OutputStream out = Files.newOutputStream(partial)) {
-      IOException[] failure = new IOException[1];
-      keys(
-          client,
-          prefix,
-          e -> {
-            byte[] chunk = ArchiveValueCodec.readChunk(e.value());
-            try {
-              out.write(chunk == null ? new byte[0] : chunk);
-            } catch (IOException x) {
-              failure[0] = x;
-            }
-          });
-      if (failure[0] != null) {
-        throw failure[0];
-      }
-    }
-    Files.move(partial, file, StandardCopyOption.REPLACE_EXISTING);
-  }
-
-  /** All keys with a prefix, as the controllers read them from the state service now. */
-  private static void keys(
-      ControllerClient client, String prefix, Consumer<StoreMessages.Entry> each) throws Unknown {
-    String after = "";
-    while (true) {
-      Answer answer = client.post(RolloutMessages.KEYS, RolloutMessages.keys(prefix, after));
-      if (answer.status() != OK) {
-        throw new Unknown(answer.reason());
-      }
-      var page = StoreMessages.entries(answer.body());
-      page.forEach(each);
-      if (!StoreMessages.more(answer.body()) || page.isEmpty()) {
-        return;
-      }
-      after = page.get(page.size() - 1).key();
-    }
-  }
-
+  /** Checks an archive's file without asking a controller. */
   @Command(name = "verify", description = "Checks that an archive is whole and undamaged.")
   int verify(
       @Parameters(paramLabel = "FILE", description = "the archive") Path file,
-      @Mixin LocalOptions options) {
+      @Mixin OutputOptions options) {
     try {
       return describe(options, read(file));
     } catch (IOException e) {
-      return options.complain(file + ": can't be read");
+      return options.complain(ExitStatus.REFUSED, file + ": can't be read");
     } catch (Damaged e) {
-      return options.complain(file + ": " + e.getMessage());
+      return options.complain(ExitStatus.REFUSED, file + ": " + e.getMessage());
     }
   }
 
+  /** Compares an archive's file with the keys as they are now. */
   @Command(
       name = "diff",
       description = "Compares an archive with the state service; 1 if they differ.")
@@ -155,48 +88,55 @@
     } catch (Damaged e) {
       return options.complain(ExitStatus.REFUSED, file + ": " + e.getMessage());
     }
-    Map<String, JsonNode> now = new TreeMap<>();
-    ControllerClient client = options.client();
+    Map<String, JsonNode> stored = new TreeMap<>();
+    StoredKeys keys = new StoredKeys(options.client());
     try {
       for (String prefix : ArchiveKeys.PREFIXES) {
-        keys(client, prefix, e -> now.put(e.key(), e.value()));
+        keys.forEach(prefix, entry -> stored.put(entry.key(), entry.value()));
       }
-    } catch (Unknown e) {
-      return options.unknown(e);
+    } catch (NoAnswerException e) {
+      return options.reportUnknown(e);
     }
-    return compare(options, archive.keys(), now);
+    Map<String, String> differences = compare(archive.keys(), stored);
+    printDifferences(options, archive.keys().size(), differences);
+    return differences.isEmpty() ? ExitStatus.OK : ExitStatus.REFUSED;
   }
 
-  private static int compare(
-      ClientOptions options, Map<String, Version> then, Map<String, JsonNode> now) {
+  /** What became of each key that is not as it was, in the order of keys. */
+  private static Map<String, String> compare(
+      Map<String, Version> archived, Map<String, JsonNode> stored) {
     Map<String, String> differences = new TreeMap<>();
-    then.forEach(
+    archived.forEach(
         (key, version) -> {
-          JsonNode value = now.get(key);
+          JsonNode value = stored.get(key);
           if (value == null) {
             differences.put(key, "removed");
           } else if (!value.toString().equals(version.data().toString())) {
             differences.put(key, "changed");
           }
         });
-    now.keySet().stream()
-        .filter(key -> !then.containsKey(key))
+    stored.keySet().stream()
+        .filter(key -> !archived.containsKey(key))
         .forEach(key -> differences.put(key, "added"));
-    if (options.json()) {
-      ObjectNode n = Json.object().put("keys", then.size());
-      ObjectNode list = n.putObject("differences");
+    return differences;
+  }
+
+  private static void printDifferences(
+      OutputOptions options, int archivedKeys, Map<String, String> differences) {
+    if (options.isJson()) {
+      ObjectNode result = Json.object().put("keys", archivedKeys);
+      ObjectNode list = result.putObject("differences");
       differences.forEach(list::put);
-      options.out().println(n.toPrettyString());
-    } else {
-      differences.entrySet().stream()
-          .limit(MOST_SHOWN)
-          .forEach(e -> options.out().printf("%-8s %s%n", e.getValue(), e.getKey()));
-      if (differences.size() > MOST_SHOWN) {
-        options.out().printf("and %d more%n", differences.size() - MOST_SHOWN);
-      }
-      options.out().printf("%d keys in the archive, %d differ%n", then.size(), differences.size());
+      options.printJson(result);
+      return;
     }
-    return differences.isEmpty() ? ExitStatus.OK : ExitStatus.REFUSED;
+    differences.entrySet().stream()
+        .limit(MAX_DIFFERENCES_PRINTED)
+        .forEach(e -> options.out().printf("%-8s %s%n", e.getValue(), e.getKey()));
+    if (differences.size() > MAX_DIFFERENCES_PRINTED) {
+      options.out().printf("and %d more%n", differences.size() - MAX_DIFFERENCES_PRINTED);
+    }
+    options.out().printf("%d keys in the archive, %d differ%n", archivedKeys, differences.size());
   }
 
   private static Archive read(Path file) throws IOException, Damaged {
@@ -205,13 +145,35 @@
     }
   }
 
-  private static int describe(ClientOptions options, Archive archive) {
-    options.out().println(LocalOptions.description(archive, options.json()));
-    return ExitStatus.OK;
-  }
-
-  private static int describe(LocalOptions options, Archive archive) {
-    options.out().println(LocalOptions.description(archive, options.json()));
+  /** Prints what an archive that was read completely says of itself. */
+  private static int describe(OutputOptions options, Archive archive) {
+    Manifest manifest = archive.manifest();
+    if (options.isJson()) {
+      options.printJson(
+          Json.object()
+              .put("id", manifest.id())
+              .put("build", manifest.build())
+              .put("level", manifest.level())
+              .put("keys", archive.keys().size())
+              .put("revision", manifest.revision())
+              .put("consistent", manifest.consistent()));
+      return ExitStatus.OK;
+    }
+    String state =
+        manifest.consistent()
+            ? "as they were at revision " + manifest.revision()
+            : "NOT consistent: each as it was between revisions %d and %d"
+                .formatted(manifest.firstRevision(), manifest.revision());
+    options
+        .out()
+        .println(
+            "archive %s by build %s at level %d: %d keys, %s"
+                .formatted(
+                    manifest.id(),
+                    manifest.build(),
+                    manifest.level(),
+                    archive.keys().size(),
+                    state));
     return ExitStatus.OK;
   }
 }
--- /dev/null
+++ b/src/main/java/shorecrank/client/ArchiveDownload.java
@@ -0,0 +1,97 @@
+package shorecrank.client;
+
+import java.io.IOException;
+import java.io.OutputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import shorecrank.protocol.StoreMessages.Entry;
+import shorecrank.rollout.ArchiveKeys;
+import shorecrank.rollout.ArchiveKeys.IndexEntry;
+import shorecrank.rollout.ArchiveValueCodec;
+
+/** Fetches an archive that the controllers make into a file. */
+final class ArchiveDownload {
+  private static final long POLL_MS = 500;
+
+  /** An hour of polls. */
+  private static final int MAX_POLLS = 7200;
+
+  private final StoredKeys keys;
+  private final String archive;
+
+  /**
+   * Creates a download.
+   *
+   * @param archive the archive's id
+   */
+  ArchiveDownload(StoredKeys keys, String archive) {
+    this.keys = keys;
+    this.archive = archive;
+  }
+
+  /** Waits until the archive is complete, then fetches it; the file appears only when it is. */
+  void fetchInto(Path file) throws NoAnswerException, IOException {
+    awaitComplete();
+    Path partial = file.resolveSibling(file.getFileName() + ".part");
+    String firstChunk = ArchiveKeys.chunk(archive, 0);
+    String prefix = firstChunk.substring(0, firstChunk.lastIndexOf('/') + 1);
+    try (OutputStream out = Files.newOutputStream(partial)) {
+      ChunkWriter writer = new ChunkWriter(out);
+      keys.forEach(prefix, writer::write);
+      writer.check();
+    }
+    Files.move(partial, file, StandardCopyOption.REPLACE_EXISTING);
+  }
+
+  private void awaitComplete() throws NoAnswerException {
+    for (int poll = 0; poll < MAX_POLLS; poll++) {
+      if (isComplete()) {
+        return;
+      }
+      ControllerClient.pause(POLL_MS);
+    }
+    throw new NoAnswerException("archive " + archive + " is not complete yet");
+  }
+
+  private boolean isComplete() throws NoAnswerException {
+    boolean[] complete = new boolean[1];
+    keys.forEach(
+        ArchiveKeys.index(archive),
+        key ->
+            complete[0] |=
+                ArchiveValueCodec.readIndex(key.key(), key.value())
+                    .map(IndexEntry::isComplete)
+                    .orElse(false));
+    return complete[0];
+  }
+
+  /** Writes chunks to a stream; keeps the last failure, as the keys are read to their end. */
+  private static final class ChunkWriter {
+    private final OutputStream out;
+    private IOException failure;
+
+    ChunkWriter(OutputStream out) {
+      this.out = out;
+    }
+
+    private void write(Entry entry) {
+      byte[] chunk = ArchiveValueCodec.readChunk(entry.value());
+      if (chunk == null) {
+        // The archive is verified once it is here, which names what is missing.
+        return;
+      }
+      try {
+        out.write(chunk);
+      } catch (IOException e) {
+        failure = e;
+      }
+    }
+
+    private void check() throws IOException {
+      if (failure != null) {
+        throw failure;
+      }
+    }
+  }
+}
--- a/src/main/java/shorecrank/client/ClientCommand.java
+++ b/src/main/java/shorecrank/client/ClientCommand.java
@@ -3,8 +3,10 @@
 import java.io.PrintWriter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.ScopeType;
+import picocli.CommandLine.Spec;
 
 /** The command-line client: every command that is not the daemon itself. */
 @Command(
@@ -14,25 +16,25 @@
     description = "Steers and watches controllers. Without a command: runs one, see --help.",
     subcommands = {RolloutCommand.class, ArchiveCommand.class, SharesCommand.class})
 public final class ClientCommand implements Runnable {
-  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+  @Spec private CommandSpec spec;
 
   @Override
   public void run() {
     throw new ParameterException(spec.commandLine(), "a command is missing");
   }
 
-  /** Runs a command; what it returns is the process's exit status. */
+  /** Runs a command and returns the process's exit status; see {@link ExitStatus}. */
   public static int run(String... args) {
     return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
   }
 
-  /** The same, printing elsewhere. */
+  /** Runs a command that prints to these writers, and returns the exit status. */
   public static int run(PrintWriter out, PrintWriter err, String... args) {
     CommandLine line = new CommandLine(new ClientCommand()).setOut(out).setErr(err);
     line.setParameterExceptionHandler(
-        (e, rejected) -> {
-          String message = e.getMessage().replace('\n', ' ');
-          e.getCommandLine().getErr().println("shorecrank: " + message);
+        (failure, rejected) -> {
+          String message = failure.getMessage().replace('\n', ' ');
+          failure.getCommandLine().getErr().println("shorecrank: " + message);
           return ExitStatus.USAGE;
         });
     return line.execute(args);
--- a/src/main/java/shorecrank/client/ClientOptions.java
+++ b/src/main/java/shorecrank/client/ClientOptions.java
@@ -7,21 +7,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
-import picocli.CommandLine.Spec;
 import shorecrank.client.ControllerClient.Answer;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
 
-/** The options of every command that asks controllers, and how answers are shown. */
-final class ClientOptions {
+/** The options of every command that asks controllers, and how answers are printed. */
+final class ClientOptions extends OutputOptions {
   private static final int MAX_TIMEOUT_S = 3600;
-  private static final int OK = 200;
-
-  @Spec(Spec.Target.MIXEE)
-  private CommandSpec command;
 
   @Option(
       names = "--controller",
@@ -38,12 +32,10 @@
       description = "how long to go on asking until one can tell (default: ${DEFAULT-VALUE})")
   private int timeoutS;
 
-  @Option(names = "--json", description = "print the answer as JSON")
-  private boolean json;
-
+  /** A client of the controllers that are named; fails if an option's value can't be used. */
   ControllerClient client() {
     if (timeoutS < 0 || timeoutS > MAX_TIMEOUT_S) {
-      throw usage("--timeout must be from 0 to " + MAX_TIMEOUT_S);
+      throw usageError("--timeout must be from 0 to " + MAX_TIMEOUT_S);
     }
     List<URI> addresses = new ArrayList<>();
     for (String controller : controllers) {
@@ -57,79 +49,79 @@
     try {
       address = URI.create("http://" + controller);
     } catch (IllegalArgumentException e) {
-      throw usage("--controller must be HOST:PORT, not " + controller);
+      throw usageError("--controller must be HOST:PORT, not " + controller);
     }
     if (address.getHost() == null || address.getPort() <= 0) {
-      throw usage("--controller must be HOST:PORT, not " + controller);
+      throw usageError("--controller must be HOST:PORT, not " + controller);
     }
     return address;
   }
 
-  ParameterException usage(String message) {
-    return new ParameterException(command.commandLine(), message);
-  }
-
-  PrintWriter out() {
-    return command.commandLine().getOut();
-  }
-
-  /** One line on standard error. */
-  int complain(int status, String message) {
-    command.commandLine().getErr().println("shorecrank: " + message);
-    return status;
-  }
-
-  boolean json() {
-    return json;
+  /** The exception of a command line that can't be used, with the line that the user sees. */
+  ParameterException usageError(String message) {
+    return new ParameterException(command().commandLine(), message);
   }
 
-  /** Prints an answer as JSON, or as a line of text; refusals go to standard error. */
-  int show(Answer answer, String text) {
-    if (json) {
-      out().println(answer.body().toPrettyString());
-    } else if (answer.status() == OK) {
-      out().println(text);
+  /**
+   * Prints an answer as JSON, or as a line of text; without JSON a refusal's reason goes to
+   * standard error.
+   *
+   * @param text what to print if the answer is no refusal
+   * @return the exit status
+   */
+  int printAnswer(Answer answer, String text) {
+    if (isJson()) {
+      printJson(answer.body());
+      return answer.isOk() ? ExitStatus.OK : ExitStatus.REFUSED;
     }
-    if (answer.status() == OK) {
-      return ExitStatus.OK;
+    if (!answer.isOk()) {
+      return complain(ExitStatus.REFUSED, answer.reason());
     }
-    return json ? ExitStatus.REFUSED : complain(ExitStatus.REFUSED, answer.reason());
+    out().println(text);
+    return ExitStatus.OK;
   }
 
-  /** Asks for a status and prints it: as JSON, or as {@code print} has it. */
-  int status(String path, BiConsumer<JsonNode, PrintWriter> print) {
+  /**
+   * Asks for a status and prints it, as JSON or in the words of a printer.
+   *
+   * @return the exit status
+   */
+  int showStatus(String path, BiConsumer<JsonNode, PrintWriter> printer) {
     try {
       Answer answer = client().post(path, Json.object());
-      if (answer.status() == OK && !json) {
-        print.accept(answer.body(), out());
+      if (answer.isOk() && !isJson()) {
+        printer.accept(answer.body(), out());
         return ExitStatus.OK;
       }
-      return show(answer, "");
-    } catch (ControllerClient.Unknown e) {
-      return unknown(e);
+      return printAnswer(answer, "");
+    } catch (NoAnswerException e) {
+      return reportUnknown(e);
     }
   }
 
-  /** Sends an order and prints what became of it. */
-  int order(String path, String id, JsonNode order) {
+  /**
+   * Sends an order and prints what became of it.
+   *
+   * @return the exit status
+   */
+  int sendOrder(String path, String id, JsonNode order) {
     try {
       Answer answer = client().post(path, order);
-      return show(answer, answer.reason());
-    } catch (ControllerClient.Unknown e) {
-      if (!json) {
+      return printAnswer(answer, answer.reason());
+    } catch (NoAnswerException e) {
+      if (!isJson()) {
         complain(ExitStatus.UNKNOWN, "send the same order again with --id " + id);
       }
-      return unknown(e);
+      return reportUnknown(e);
     }
   }
 
-  /** The answer when nobody can tell. */
-  int unknown(ControllerClient.Unknown e) {
-    if (json) {
-      JsonNode unknown = RolloutMessages.unknown(e.getMessage());
-      out().println(unknown.toPrettyString());
+  /** Prints that no controller could tell, and returns the exit status. */
+  int reportUnknown(NoAnswerException failure) {
+    if (isJson()) {
+      printJson(RolloutMessages.unknown(failure.getMessage()));
       return ExitStatus.UNKNOWN;
     }
-    return complain(ExitStatus.UNKNOWN, "unknown: " + e.getMessage());
+    return complain(ExitStatus.UNKNOWN, "unknown: " + failure.getMessage());
   }
 }
--- a/src/main/java/shorecrank/client/ControllerClient.java
+++ b/src/main/java/shorecrank/client/ControllerClient.java
@@ -5,7 +5,9 @@
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
+import java.net.http.HttpRequest.BodyPublishers;
 import java.net.http.HttpResponse;
+import java.net.http.HttpResponse.BodyHandlers;
 import java.time.Duration;
 import java.util.List;
 import shorecrank.protocol.Json;
@@ -18,10 +20,16 @@
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
   private static final long RETRY_MS = 500;
+  private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
-  /** An answer; the status is an HTTP status. */
+  /** A controller's answer; the status is that of HTTP. */
   record Answer(int status, JsonNode body) {
+    /** Whether the controller has done what it was asked. */
+    boolean isOk() {
+      return status == OK;
+    }
+
     /** The one line that says why something was refused. */
     String reason() {
       String text = Json.text(body.path("text"));
@@ -29,31 +37,27 @@
     }
   }
 
-  /** Nobody could tell. */
-  static final class Unknown extends Exception {
-    private static final long serialVersionUID = 1L;
-
-    Unknown(String reason) {
-      super(reason);
-    }
-  }
-
   private final HttpClient http =
       HttpClient.newBuilder()
           .version(HttpClient.Version.HTTP_1_1)
           .connectTimeout(CONNECT_TIMEOUT)
           .build();
   private final List<URI> controllers;
-  private final Duration patience;
+  private final Duration timeout;
 
-  ControllerClient(List<URI> controllers, Duration patience) {
+  /**
+   * Creates a client.
+   *
+   * @param timeout how long to go on asking; each controller is asked once at least
+   */
+  ControllerClient(List<URI> controllers, Duration timeout) {
     this.controllers = controllers;
-    this.patience = patience;
+    this.timeout = timeout;
   }
 
   /** Sends the same request until some controller answers it. */
-  Answer post(String path, JsonNode body) throws Unknown {
-    long end = System.nanoTime() + patience.toNanos();
+  Answer post(String path, JsonNode body) throws NoAnswerException {
+    long end = System.nanoTime() + timeout.toNanos();
     String reason = "";
     while (true) {
       for (URI controller : controllers) {
@@ -68,7 +72,7 @@
         }
       }
       if (System.nanoTime() > end) {
-        throw new Unknown(reason);
+        throw new NoAnswerException(reason);
       }
       pause(RETRY_MS);
     }
@@ -78,10 +82,10 @@
     HttpRequest request =
         HttpRequest.newBuilder(controller.resolve(path))
             .timeout(ANSWER_TIMEOUT)
-            .POST(HttpRequest.BodyPublishers.ofByteArray(Json.bytes(body)))
+            .POST(BodyPublishers.ofByteArray(Json.bytes(body)))
             .build();
     try {
-      HttpResponse<byte[]> response = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
+      HttpResponse<byte[]> response = http.send(request, BodyHandlers.ofByteArray());
       return new Answer(response.statusCode(), Json.parse(response.body()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -89,6 +93,7 @@
     }
   }
 
+  /** Waits. */
   static void pause(long ms) {
     try {
       Thread.sleep(ms);
--- a/src/main/java/shorecrank/client/ExitStatus.java
+++ b/src/main/java/shorecrank/client/ExitStatus.java
@@ -1,6 +1,6 @@
 package shorecrank.client;
 
-/** What the client's exit status says. */
+/** The exit statuses of the client. */
 public final class ExitStatus {
   private ExitStatus() {}
 
--- a/src/main/java/shorecrank/client/OrderOptions.java
+++ b/src/main/java/shorecrank/client/OrderOptions.java
@@ -11,7 +11,7 @@
       description = "names this order: under one id it is carried out once")
   private String id;
 
-  /** The id that was given, or one that nobody else uses. */
+  /** The id that was given, or a new one; the same at each call. */
   String idOrNew() {
     if (id == null) {
       id = UUID.randomUUID().toString();
--- /dev/null
+++ b/src/main/java/shorecrank/client/StoredKeys.java
@@ -0,0 +1,34 @@
+package shorecrank.client;
+
+import java.util.List;
+import java.util.function.Consumer;
+import shorecrank.client.ControllerClient.Answer;
+import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StoreMessages.Entry;
+
+/** Keys of the state service, as the controllers read them for the client now. */
+final class StoredKeys {
+  private final ControllerClient client;
+
+  StoredKeys(ControllerClient client) {
+    this.client = client;
+  }
+
+  /** Hands each key with a prefix to a consumer, in their order, reading page after page. */
+  void forEach(String prefix, Consumer<Entry> consumer) throws NoAnswerException {
+    String after = "";
+    while (true) {
+      Answer answer = client.post(RolloutMessages.KEYS, RolloutMessages.keys(prefix, after));
+      if (!answer.isOk()) {
+        throw new NoAnswerException(answer.reason());
+      }
+      List<Entry> page = StoreMessages.entries(answer.body());
+      page.forEach(consumer);
+      if (!StoreMessages.more(answer.body()) || page.isEmpty()) {
+        return;
+      }
+      after = page.get(page.size() - 1).key();
+    }
+  }
+}
