--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -1,23 +1,33 @@
 package shorecrank.coordination.leader;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Optional;
+import shorecrank.coordination.leader.GrantClient.Renewal;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.leadership.Leadership;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.LevelRange;
-import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StoreMessages.Change;
+import shorecrank.protocol.StoreMessages.Entry;
+import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rollout.Feature;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.CommitResult.Committed;
+import shorecrank.storage.ReadResult;
+import shorecrank.storage.WatchResult;
 
 /**
- * Who leads: the process whose key hangs on a living grant. The key's revision is the leader's
- * term; whatever the leader writes is guarded by it.
+ * Elects the leader: the process whose key hangs on a living grant. The key's revision is the
+ * leader's term; whatever the leader writes is guarded by it.
+ *
+ * <p>A process reads the key; while another leads it watches the key; once the key is gone it
+ * campaigns, with a grant of its own; having won, it renews the grant until it is refused. Whenever
+ * it can't tell where it is, it reads again.
  */
 public final class Election implements Leadership {
+  /** The key that names the leader. */
   public static final String KEY = "leader";
 
   /**
@@ -27,79 +37,105 @@
    */
   static final String PROTECTED_KEY = "leadership";
 
-  private static final String LABEL = "label";
-  private static final String WRITER = "writer";
-  private static final String MOVED_TO = "moved";
-  private static final String LEVEL = "level";
-
   /** A controller that can't lead at the level in force looks again after so long. */
   private static final int UNFIT_PAUSE_MS = 2000;
 
   private static final int CALL_MS = 1500;
-
-  private enum Step {
-    READ,
-    WATCH,
-    CAMPAIGN,
-    LEAD
+  private static final int WATCH_HOLD_MS = 15_000;
+  private static final int READ_RETRY_MS = 500;
+  private static final int WATCH_RETRY_MS = 400;
+  private static final int GRANT_RETRY_MS = 400;
+  private static final int LOST_CAMPAIGN_PAUSE_MS = 300;
+  private static final int RENEW_RETRY_MS = 250;
+  private static final int TERM_ENDED_PAUSE_MS = 50;
+
+  /** So that not all campaign at once when the key goes. */
+  private static final int CAMPAIGN_SPREAD_MS = 60;
+
+  private static final int OWN_GRANT_REVOKED_PAUSE_MS = 20;
+
+  /** A grant is renewed this often within its time to live. */
+  private static final int RENEWALS_PER_TTL = 4;
+
+  /** Leases run on the service's clock; this process's may be fast or slow by 0.05%. */
+  private static final int DRIFT_DIVISOR = 500;
+
+  private static final int VALIDITY_MARGIN_MS = 20;
+  private static final long NO_GRANT = -1;
+
+  /** What a process does next about the leadership. */
+  private enum State {
+    /** Reads who leads. */
+    READING,
+    /** Waits for changes of the key, while another leads. */
+    WATCHING,
+    /** Tries to take the key, which nobody holds. */
+    CAMPAIGNING,
+    /** Holds the key and renews its grant. */
+    LEADING
   }
 
   private final StepContext context;
-  private Step step = Step.READ;
-  private boolean busy;
-  private MonotonicTime retryAt = new MonotonicTime(0);
-  private long watchFrom;
+  private final GrantClient grants;
+
+  /** What this build supports; null if rollouts are not enabled here. */
+  private final LevelRange supported;
+
+  private State state = State.READING;
+  private boolean callUnderWay;
+  private MonotonicTime nextStepAt = new MonotonicTime(0);
+  private long watchedRevision;
   private ControllerName leader;
   private Revision term = Revision.ABSENT;
-  private long hold = -1;
+  private long grant = NO_GRANT;
   private MonotonicTime validUntil = MonotonicTime.NEVER;
   private MonotonicTime renewAt = MonotonicTime.NEVER;
 
-  /** What this build supports; null if rollouts are not enabled here. */
-  private final LevelRange supported;
-
   /** The level that the leader's key names; the lowest while the grant hangs on that key. */
   private FeatureLevel level = FeatureLevel.LOWEST;
 
   /** The revision of {@link #KEY} while the grant hangs on the other. */
   private Revision namingRevision = Revision.ABSENT;
 
+  /**
+   * Creates an election in which nothing is known.
+   *
+   * @param supported the feature levels that this build supports; null if rollouts are not enabled
+   */
   public Election(StepContext context, LevelRange supported) {
     this.context = context;
+    this.grants = new GrantClient(context);
     this.supported = supported;
   }
 
-  private boolean isProtected() {
-    return isProtected(level);
-  }
-
-  private static boolean isProtected(FeatureLevel level) {
-    return level.includes(Feature.PROTECTED_LEADERSHIP.level());
-  }
+  // ---- what is known ---------------------------------------------------------------------------
 
   /** The key on which the leader's grant hangs. */
   public String key() {
     return isProtected() ? PROTECTED_KEY : KEY;
   }
 
-  @Override
-  public void guard(StoreMessages.Transaction transaction) {
-    transaction.guard(key(), term);
+  private boolean isProtected() {
+    return isProtected(level);
   }
 
+  private static boolean isProtected(FeatureLevel level) {
+    return level.includes(Feature.PROTECTED_LEADERSHIP.level());
+  }
+
+  /** The controller that leads as far as is known; null if none is known. */
   public ControllerName leader() {
     return leader;
   }
 
-  /** The key is ours as far as we know; the grant may be in doubt. */
+  /** Whether the key is this process's as far as is known; its grant may be in doubt. */
   public boolean holding() {
-    return step == Step.LEAD;
+    return state == State.LEADING;
   }
 
-  /** No other process can lead now, by our own clock. */
   @Override
   public boolean leading() {
-    return step == Step.LEAD && context.now().before(validUntil);
+    return state == State.LEADING && context.now().before(validUntil);
   }
 
   @Override
@@ -107,233 +143,268 @@
     return term;
   }
 
+  @Override
+  public void guard(Transaction transaction) {
+    transaction.guard(key(), term);
+  }
+
+  // ---- steps -----------------------------------------------------------------------------------
+
+  /** Once a round. */
   public void tick() {
     MonotonicTime now = context.now();
-    if (step == Step.LEAD) {
+    if (state == State.LEADING) {
       if (!now.before(renewAt)) {
         renew();
       }
       return;
     }
-    if (busy || now.before(retryAt)) {
+    if (callUnderWay || now.before(nextStepAt)) {
       return;
     }
-    switch (step) {
-      case READ -> read();
-      case WATCH -> watch();
-      case CAMPAIGN -> campaign();
-      case LEAD -> {}
+    switch (state) {
+      case READING -> read();
+      case WATCHING -> watch();
+      case CAMPAIGNING -> campaign();
+      case LEADING -> {}
     }
   }
 
-  private void again(Step s, int afterMs) {
-    busy = false;
-    step = s;
-    retryAt =
-        context.now().plus(afterMs == 0 ? 0 : afterMs / 2 + context.random().nextInt(afterMs + 1));
+  /** Goes over to a state, in which the next step follows after about {@code pauseMs}. */
+  private void enter(State next, int pauseMs) {
+    callUnderWay = false;
+    state = next;
+    int spreadMs = pauseMs == 0 ? 0 : pauseMs / 2 + context.random().nextInt(pauseMs + 1);
+    nextStepAt = context.now().plus(spreadMs);
   }
 
+  // ---- reading ---------------------------------------------------------------------------------
+
   private void read() {
-    busy = true;
-    context.state(
-        "GET",
-        StoreMessages.key(KEY),
-        null,
-        CALL_MS,
-        (status, body) -> {
-          if (status == 200) {
-            StoreMessages.Entry e = StoreMessages.entry(body);
-            if (supported != null && PROTECTED_KEY.equals(Json.text(e.value().path(MOVED_TO)))) {
-              namingRevision = e.revision();
-              level = new FeatureLevel((int) Math.max(1, Json.count(e.value().path(LEVEL))));
-              readProtected();
-              return;
-            }
-            level = FeatureLevel.LOWEST;
-            found(e);
-          } else if (status == 404) {
-            level = FeatureLevel.LOWEST;
-            vacant(body);
-          } else {
-            again(Step.READ, 500);
-          }
-        });
+    callUnderWay = true;
+    context.store().read(KEY, CALL_MS, this::handleNamingKey);
   }
 
-  private void readProtected() {
-    context.state(
-        "GET",
-        StoreMessages.key(PROTECTED_KEY),
-        null,
-        CALL_MS,
-        (status, body) -> {
-          if (status == 200) {
-            found(StoreMessages.entry(body));
-          } else if (status == 404) {
-            vacant(body);
-          } else {
-            again(Step.READ, 500);
-          }
-        });
+  private void handleNamingKey(ReadResult result) {
+    if (result instanceof ReadResult.Found found
+        && supported != null
+        && LeaderKeyCodec.isMovedTo(found.entry().value(), PROTECTED_KEY)) {
+      namingRevision = found.entry().revision();
+      level = LeaderKeyCodec.readLevel(found.entry().value());
+      context.store().read(PROTECTED_KEY, CALL_MS, this::handleLeaderKey);
+      return;
+    }
+    if (!(result instanceof ReadResult.Unavailable)) {
+      level = FeatureLevel.LOWEST;
+    }
+    handleLeaderKey(result);
   }
 
-  private void vacant(JsonNode body) {
-    leader = null;
-    watchFrom = Math.max(watchFrom, StoreMessages.revision(body));
-    again(Step.CAMPAIGN, 0);
+  private void handleLeaderKey(ReadResult result) {
+    if (result instanceof ReadResult.Found found) {
+      handleFound(found.entry());
+    } else if (result instanceof ReadResult.Absent absent) {
+      leader = null;
+      watchedRevision = Math.max(watchedRevision, absent.revision());
+      enter(State.CAMPAIGNING, 0);
+    } else {
+      enter(State.READING, READ_RETRY_MS);
+    }
   }
 
-  private void found(StoreMessages.Entry e) {
-    watchFrom = e.revision().value();
-    seen(e.value(), e.revision());
-    boolean ours = context.config.label().equals(leader);
-    if (!ours || e.hold() <= 0) {
-      again(Step.WATCH, 0);
+  private void handleFound(Entry entry) {
+    watchedRevision = entry.revision().value();
+    observe(LeaderKeyCodec.readLeader(entry.value()), entry.revision());
+    boolean ownName = context.config.label().equals(leader);
+    if (!ownName || entry.hold() <= 0) {
+      enter(State.WATCHING, 0);
       return;
     }
-    // The label is ours and the process is not: it has ended, so nobody need wait for its grant.
-    // Its late writes are refused, since the key's revision moves on.
-    busy = true;
-    context.state(
-        "DELETE",
-        StoreMessages.grant(e.hold()),
-        null,
-        CALL_MS,
-        (status, body) -> again(status == 200 || status == 404 ? Step.CAMPAIGN : Step.READ, 20));
+    // The label is this controller's and the process is not: it has ended, so nobody need wait for
+    // its grant. Its late writes are refused, since the key's revision moves on.
+    grants.revoke(
+        entry.hold(),
+        ended -> enter(ended ? State.CAMPAIGNING : State.READING, OWN_GRANT_REVOKED_PAUSE_MS));
   }
 
-  private void seen(JsonNode value, Revision revision) {
-    String label = Json.text(value.path(LABEL));
-    leader = label.isEmpty() ? null : new ControllerName(label);
+  private void observe(Optional<ControllerName> named, Revision revision) {
+    leader = named.orElse(null);
     term = revision;
   }
 
+  // ---- watching --------------------------------------------------------------------------------
+
   private void watch() {
-    busy = true;
-    int holdMs = 15_000;
-    context.state(
-        "GET",
-        StoreMessages.watch(KEY, watchFrom, holdMs),
-        null,
-        holdMs + 3000,
-        (status, body) -> {
-          if (status != 200) {
-            again(status == 410 ? Step.READ : Step.WATCH, 400);
-            return;
-          }
-          watchFrom = Math.max(watchFrom, StoreMessages.revision(body));
-          boolean vacant = false;
-          for (StoreMessages.Change c : StoreMessages.changes(body)) {
-            if (supported != null && movesLeadership(c)) {
-              again(Step.READ, 0);
-              return;
-            }
-            if (!c.key().equals(key())) {
-              continue;
-            }
-            vacant = c.value() == null;
-            if (vacant) {
-              leader = null;
-            } else {
-              seen(c.value(), c.revision());
-            }
-          }
-          if (vacant) {
-            again(Step.CAMPAIGN, 60);
-          } else {
-            again(Step.WATCH, 0);
-          }
-        });
+    callUnderWay = true;
+    context.store().watch(KEY, watchedRevision, WATCH_HOLD_MS, this::handleWatch);
+  }
+
+  private void handleWatch(WatchResult result) {
+    if (result instanceof WatchResult.Changes changes) {
+      handleChanges(changes);
+    } else {
+      boolean compacted = result instanceof WatchResult.Compacted;
+      enter(compacted ? State.READING : State.WATCHING, WATCH_RETRY_MS);
+    }
+  }
+
+  private void handleChanges(WatchResult.Changes news) {
+    watchedRevision = Math.max(watchedRevision, news.revision());
+    boolean vacant = false;
+    for (Change change : news.changes()) {
+      if (supported != null && movesLeadership(change)) {
+        enter(State.READING, 0);
+        return;
+      }
+      if (!change.key().equals(key())) {
+        continue;
+      }
+      vacant = change.value() == null;
+      if (vacant) {
+        leader = null;
+      } else {
+        observe(LeaderKeyCodec.readLeader(change.value()), change.revision());
+      }
+    }
+    if (vacant) {
+      enter(State.CAMPAIGNING, CAMPAIGN_SPREAD_MS);
+    } else {
+      enter(State.WATCHING, 0);
+    }
   }
 
   /** Whether the leadership is on another key from this change on, or another level in force. */
-  private boolean movesLeadership(StoreMessages.Change c) {
-    if (!c.key().equals(KEY) || c.value() == null) {
+  private boolean movesLeadership(Change change) {
+    if (!change.key().equals(KEY) || change.value() == null) {
       return false;
     }
-    boolean moved = PROTECTED_KEY.equals(Json.text(c.value().path(MOVED_TO)));
-    return moved ? !c.revision().equals(namingRevision) : isProtected();
+    boolean moved = LeaderKeyCodec.isMovedTo(change.value(), PROTECTED_KEY);
+    return moved ? !change.revision().equals(namingRevision) : isProtected();
   }
 
+  // ---- campaigning -----------------------------------------------------------------------------
+
   private void campaign() {
     if (isProtected() && !supported.supports(level)) {
       context.refused(
           "leader.unfit",
-          "leader not sought level=" + level + " supported=" + supported + " reason=unsupported");
-      again(Step.READ, UNFIT_PAUSE_MS);
+          "leader.unfit level=" + level + " supported=\"" + supported + "\" reason=unsupported");
+      enter(State.READING, UNFIT_PAUSE_MS);
       return;
     }
-    busy = true;
+    callUnderWay = true;
     MonotonicTime sent = context.now();
-    context.state(
-        "POST",
-        StoreMessages.GRANTS,
-        StoreMessages.ttl(context.tuning.leaderTtlMs()),
-        CALL_MS,
-        (status, body) -> {
-          long h = StoreMessages.hold(body);
-          if (status != 200 || h < 0) {
-            again(Step.READ, 400);
-            return;
+    grants.create(
+        context.tuning.leaderTtlMs(),
+        created -> {
+          if (created.isPresent()) {
+            takeKey(created.getAsLong(), sent);
+          } else {
+            enter(State.READING, GRANT_RETRY_MS);
           }
-          take(h, sent);
         });
   }
 
-  private void take(long h, MonotonicTime grantSent) {
-    StoreMessages.Transaction transaction =
-        new StoreMessages.Transaction().guard(key(), Revision.ABSENT);
+  private void takeKey(long newGrant, MonotonicTime grantSent) {
+    Transaction transaction = new Transaction().guard(key(), Revision.ABSENT);
     if (isProtected()) {
-      transaction
-          .guard(KEY, namingRevision)
-          .write(KEY, ownName().put(MOVED_TO, PROTECTED_KEY).put(LEVEL, level.value()));
+      transaction.guard(KEY, namingRevision);
+      writeMovedName(transaction, level);
     }
-    transaction.write(key(), ownName(), h);
-    context.state(
-        "POST",
-        StoreMessages.MULTI,
-        transaction.body(),
-        CALL_MS,
-        (status, body) -> {
-          if (status == 200) {
-            busy = false;
-            step = Step.LEAD;
-            hold = h;
-            leader = context.config.label();
-            term = new Revision(StoreMessages.revision(body));
-            namingRevision = term;
-            watchFrom = term.value();
-            validUntil = until(grantSent);
-            renewAt = context.now().plus(context.tuning.leaderTtlMs() / 4);
-            context.info("leading with term %s", term);
-            context.count("leader.elected");
-            return;
+    writeName(transaction, key(), newGrant);
+    context
+        .store()
+        .commit(transaction, CALL_MS, result -> handleTaken(newGrant, grantSent, result));
+  }
+
+  private void handleTaken(long newGrant, MonotonicTime grantSent, CommitResult result) {
+    if (!(result instanceof Committed committed)) {
+      // Refused, or without an answer: a late write of this process's must not find its grant
+      // alive.
+      grants.revoke(newGrant, ended -> enter(State.READING, LOST_CAMPAIGN_PAUSE_MS));
+      return;
+    }
+    callUnderWay = false;
+    state = State.LEADING;
+    grant = newGrant;
+    leader = context.config.label();
+    term = committed.revision();
+    namingRevision = term;
+    watchedRevision = term.value();
+    validUntil = validUntil(grantSent);
+    renewAt = context.now().plus(context.tuning.leaderTtlMs() / RENEWALS_PER_TTL);
+    context.info("leader.elected term=%s", term);
+    context.count("leader.elected");
+  }
+
+  /** Writes this process's name to a key that hangs on its grant. */
+  private void writeName(Transaction transaction, String key, long ofGrant) {
+    transaction.write(key, LeaderKeyCodec.write(context.config.label(), context.writer), ofGrant);
+  }
+
+  /** Writes to {@link #KEY} that this process leads by the other key, at a feature level. */
+  private void writeMovedName(Transaction transaction, FeatureLevel at) {
+    transaction.write(
+        KEY, LeaderKeyCodec.writeMoved(context.config.label(), context.writer, PROTECTED_KEY, at));
+  }
+
+  // ---- leading ---------------------------------------------------------------------------------
+
+  private MonotonicTime validUntil(MonotonicTime grantSent) {
+    long ttlMs = context.tuning.leaderTtlMs();
+    return grantSent.plus(ttlMs - ttlMs / DRIFT_DIVISOR - VALIDITY_MARGIN_MS);
+  }
+
+  private void renew() {
+    MonotonicTime sent = context.now();
+    long renewed = grant;
+    renewAt = sent.plus(context.tuning.leaderTtlMs() / RENEWALS_PER_TTL);
+    grants.renew(
+        renewed,
+        renewal -> {
+          if (state == State.LEADING && grant == renewed) {
+            handleRenewal(renewal, sent);
           }
-          // Refused, or without an answer: a late write of ours must not find its grant alive.
-          context.state(
-              "DELETE", StoreMessages.grant(h), null, CALL_MS, (s2, b2) -> again(Step.READ, 300));
         });
   }
 
-  private ObjectNode ownName() {
-    return Json.object()
-        .put(LABEL, context.config.label().value())
-        .put(WRITER, context.writer.value());
+  private void handleRenewal(Renewal renewal, MonotonicTime sent) {
+    switch (renewal) {
+      case RENEWED -> {
+        MonotonicTime until = validUntil(sent);
+        if (validUntil.before(until)) {
+          validUntil = until;
+        }
+      }
+      case ENDED -> {
+        context.info("leader.term.ended term=%s", term);
+        context.count("leader.lost");
+        leader = null;
+        validUntil = MonotonicTime.NEVER;
+        grant = NO_GRANT;
+        enter(State.READING, TERM_ENDED_PAUSE_MS);
+      }
+      case UNKNOWN ->
+          // An outage stops the clock of all grants, so the term may well go on.
+          renewAt = context.now().plus(RENEW_RETRY_MS);
+    }
   }
 
+  // ---- feature levels --------------------------------------------------------------------------
+
   @Override
-  public void addLevelSwitch(StoreMessages.Transaction transaction, FeatureLevel to) {
-    ObjectNode name = ownName();
+  public void addLevelSwitch(Transaction transaction, FeatureLevel to) {
     if (isProtected()) {
       transaction.guard(KEY, namingRevision);
     }
     if (!isProtected(to)) {
-      transaction.write(KEY, name, hold).drop(PROTECTED_KEY);
+      writeName(transaction, KEY, grant);
+      transaction.drop(PROTECTED_KEY);
       return;
     }
-    transaction.write(KEY, name.put(MOVED_TO, PROTECTED_KEY).put(LEVEL, to.value()));
+    writeMovedName(transaction, to);
     if (!isProtected()) {
-      transaction.write(PROTECTED_KEY, ownName(), hold);
+      writeName(transaction, PROTECTED_KEY, grant);
     }
   }
 
@@ -344,45 +415,7 @@
     namingRevision = revision;
     if (otherKey) {
       term = revision;
-      context.info("leader goes on term=%s level=%s key=%s", term, level, key());
+      context.info("leader.key.moved term=%s level=%s key=%s", term, level, key());
     }
   }
-
-  /** Leases run on the service's clock; ours may be fast or slow by 0.05%. */
-  private MonotonicTime until(MonotonicTime sent) {
-    long ttl = context.tuning.leaderTtlMs();
-    return sent.plus(ttl - ttl / 500 - 20);
-  }
-
-  private void renew() {
-    MonotonicTime sent = context.now();
-    long h = hold;
-    renewAt = sent.plus(context.tuning.leaderTtlMs() / 4);
-    context.state(
-        "POST",
-        StoreMessages.touch(h),
-        Json.object(),
-        CALL_MS,
-        (status, body) -> {
-          if (step != Step.LEAD || hold != h) {
-            return;
-          }
-          if (status == 200) {
-            MonotonicTime u = until(sent);
-            if (validUntil.before(u)) {
-              validUntil = u;
-            }
-          } else if (status == 404) {
-            context.info("term %s ended", term);
-            context.count("leader.lost");
-            leader = null;
-            validUntil = MonotonicTime.NEVER;
-            hold = -1;
-            again(Step.READ, 50);
-          } else {
-            // Not known: an outage stops the clock of all grants, so the term may well go on.
-            renewAt = context.now().plus(250);
-          }
-        });
-  }
 }
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -41,7 +41,7 @@
   private static ReadResult readResult(int status, JsonNode body) {
     return switch (status) {
       case OK -> new ReadResult.Found(StoreMessages.entry(body));
-      case NOT_FOUND -> new ReadResult.Absent();
+      case NOT_FOUND -> new ReadResult.Absent(StoreMessages.revision(body));
       default -> new ReadResult.Unavailable(status);
     };
   }
