--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -0,0 +1,274 @@
+package shorecrank.coordination.leader;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import shorecrank.coordination.leader.MachineRecordCodec.EncodedValue;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StoreMessages.Entry;
+import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.CommitResult.Committed;
+import shorecrank.storage.CommitResult.Conflict;
+import shorecrank.storage.ListResult;
+
+/**
+ * The machines' assignments in the state service: reads them all, and writes the buckets that have
+ * changed, one transaction at a time.
+ */
+final class AssignmentStore {
+  private static final int PAGE_KEYS = 500;
+  private static final int CALL_MS = 1500;
+
+  /** Machines that come at once are written together. */
+  private static final int SAVE_PAUSE_MS = 1000;
+
+  private final StepContext context;
+  private final Election election;
+  private final LoadedTerm loadedTerm;
+  private final Consumer<AssignedMachine> onRecorded;
+  private final Set<Integer> unsaved = new TreeSet<>();
+
+  /**
+   * The revisions of the keys as last read or written: an own write without an answer may come
+   * after a later one, and must not put what was there before in its place.
+   */
+  private final Map<String, Revision> revisions = new TreeMap<>();
+
+  private boolean saving;
+  private MonotonicTime saveAt = new MonotonicTime(0);
+
+  /** Buckets that are written in one transaction, and their values. */
+  private record Batch(
+      Map<Integer, List<AssignedMachine>> buckets, Map<String, EncodedValue> values) {}
+
+  /**
+   * Creates the store.
+   *
+   * @param onRecorded told of each machine whose assignment was written
+   */
+  AssignmentStore(
+      StepContext context,
+      Election election,
+      LoadedTerm loadedTerm,
+      Consumer<AssignedMachine> onRecorded) {
+    this.context = context;
+    this.election = election;
+    this.loadedTerm = loadedTerm;
+    this.onRecorded = onRecorded;
+  }
+
+  /** Whether all assignments are written. */
+  boolean isWritten() {
+    return unsaved.isEmpty() && !saving;
+  }
+
+  /** Whether a transaction with assignments is under way. */
+  boolean isSaving() {
+    return saving;
+  }
+
+  /** What was read counts from now on; writes of an earlier term are over. */
+  void begin() {
+    unsaved.clear();
+    saving = false;
+  }
+
+  /** A machine's assignment is to be written. */
+  void markUnsaved(MachineName name) {
+    unsaved.add(BucketValues.bucketOf(name));
+  }
+
+  // ---- reading ---------------------------------------------------------------------------------
+
+  /** Reads all assignments anew; {@code then} takes them, or empty if that failed. */
+  void load(Consumer<Optional<List<StoredAssignment>>> then) {
+    revisions.clear();
+    readPages("", new ArrayList<>(), entries -> then.accept(entries.map(this::restore)));
+  }
+
+  private List<StoredAssignment> restore(List<Entry> entries) {
+    List<StoredAssignment> assignments = new ArrayList<>();
+    for (Entry entry : entries) {
+      revisions.put(entry.key(), entry.revision());
+      MachineRecordCodec.readEach(
+          entry.value(),
+          context.tuning.shards(),
+          assignment ->
+              assignment.ifPresentOrElse(
+                  assignments::add,
+                  // Met again, the machine is assigned anew.
+                  () -> context.unreadable(entry.key())));
+    }
+    return assignments;
+  }
+
+  /** Reads all keys, page by page; {@code then} takes empty if one page could not be read. */
+  private void readPages(String after, List<Entry> read, Consumer<Optional<List<Entry>>> then) {
+    context
+        .store()
+        .list(
+            BucketValues.PREFIX,
+            after,
+            PAGE_KEYS,
+            CALL_MS,
+            result -> {
+              if (!(result instanceof ListResult.Page page)) {
+                then.accept(Optional.empty());
+                return;
+              }
+              List<Entry> entries = page.entries();
+              read.addAll(entries);
+              if (page.more() && !entries.isEmpty()) {
+                readPages(entries.get(entries.size() - 1).key(), read, then);
+              } else {
+                then.accept(Optional.of(read));
+              }
+            });
+  }
+
+  /** Learns the keys' revisions anew, since they are not those that were written last. */
+  void readRevisions() {
+    Revision term = loadedTerm.current();
+    saving = true;
+    readPages(
+        "",
+        new ArrayList<>(),
+        entries -> {
+          if (!loadedTerm.is(term)) {
+            return;
+          }
+          saving = false;
+          if (entries.isPresent()) {
+            revisions.clear();
+            entries.get().forEach(entry -> revisions.put(entry.key(), entry.revision()));
+          }
+          saveAt = context.now().plus(SAVE_PAUSE_MS);
+        });
+  }
+
+  // ---- writing ---------------------------------------------------------------------------------
+
+  /** The values of a bucket that holds these machines. */
+  BucketValues values(int bucket, List<StoredAssignment> machines) {
+    return BucketValues.of(bucket, machines, revisions.keySet(), context.config.state().valueKb());
+  }
+
+  /** Adds guarded writes of values to a transaction. */
+  void addTo(Transaction transaction, Map<String, EncodedValue> values) {
+    values.forEach(
+        (key, value) ->
+            value.addTo(transaction, key, revisions.getOrDefault(key, Revision.ABSENT)));
+  }
+
+  /** Writes what is not yet written of all machines, as the budget allows. */
+  void save(Collection<AssignedMachine> machines) {
+    MonotonicTime now = context.now();
+    if (saving || unsaved.isEmpty() || now.before(saveAt)) {
+      return;
+    }
+    Batch batch = nextBatch(machines);
+    if (!context.writes.has(batch.values().size(), now)) {
+      return;
+    }
+    context.writes.take(batch.values().size(), now);
+    saving = true;
+    saveAt = now.plus(SAVE_PAUSE_MS);
+    unsaved.removeAll(batch.buckets().keySet());
+    Revision term = loadedTerm.current();
+    Transaction transaction = new Transaction().guard(election.key(), term);
+    addTo(transaction, batch.values());
+    context
+        .store()
+        .commit(
+            transaction,
+            CALL_MS,
+            result -> {
+              saving = false;
+              if (loadedTerm.is(term)) {
+                handleSaved(batch, result);
+              }
+            });
+  }
+
+  private Batch nextBatch(Collection<AssignedMachine> machines) {
+    Map<Integer, List<AssignedMachine>> byBucket = new TreeMap<>();
+    unsaved.forEach(bucket -> byBucket.put(bucket, new ArrayList<>()));
+    for (AssignedMachine machine : machines) {
+      List<AssignedMachine> inBucket = byBucket.get(BucketValues.bucketOf(machine.name()));
+      if (inBucket != null) {
+        inBucket.add(machine);
+      }
+    }
+    int maxValues =
+        (int) Math.max(1, Math.min(context.config.state().txnOps(), context.writes.rate() / 2));
+    Batch batch = new Batch(new TreeMap<>(), new TreeMap<>());
+    int bytes = 0;
+    for (Map.Entry<Integer, List<AssignedMachine>> entry : byBucket.entrySet()) {
+      List<AssignedMachine> inBucket = entry.getValue();
+      BucketValues values =
+          values(entry.getKey(), inBucket.stream().map(AssignedMachine::assignment).toList());
+      boolean full =
+          batch.values().size() + values.byKey().size() > maxValues
+              || bytes + values.bytes() > StoreMessages.TXN_FILL_BYTES;
+      if (!batch.buckets().isEmpty() && full) {
+        break;
+      }
+      batch.buckets().put(entry.getKey(), inBucket);
+      batch.values().putAll(values.byKey());
+      bytes += values.bytes();
+    }
+    return batch;
+  }
+
+  private void handleSaved(Batch batch, CommitResult result) {
+    if (result instanceof Committed committed) {
+      recordWritten(batch.buckets(), batch.values().keySet(), committed.revision());
+      return;
+    }
+    unsaved.addAll(batch.buckets().keySet());
+    saveAt = context.now().plus(SAVE_PAUSE_MS);
+    if (result instanceof Conflict) {
+      // Something else is there than was written last: an own write that came late.
+      readRevisions();
+    }
+  }
+
+  private void recordWritten(
+      Map<Integer, List<AssignedMachine>> buckets, Set<String> keys, Revision revision) {
+    keys.forEach(key -> revisions.put(key, revision));
+    buckets.values().forEach(inBucket -> inBucket.forEach(onRecorded));
+  }
+
+  // ---- writes in a transaction of somebody else's
+  // ------------------------------------------------
+
+  /** Buckets are being written in another transaction; until that is over no others are. */
+  void beginTransfer(Set<Integer> buckets) {
+    saving = true;
+    unsaved.removeAll(buckets);
+  }
+
+  /** The other transaction was carried out. */
+  void commitTransfer(
+      Map<Integer, List<AssignedMachine>> buckets, Set<String> keys, Revision revision) {
+    saving = false;
+    recordWritten(buckets, keys, revision);
+  }
+
+  /** The other transaction was not carried out, and never will be. */
+  void cancelTransfer(Set<Integer> buckets) {
+    saving = false;
+    unsaved.addAll(buckets);
+  }
+}
--- a/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
+++ b/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
@@ -13,6 +13,7 @@
   private final ShardLeaseTable shards;
   private final ControllerTable controllers;
   private final MachineDirectory machines;
+  private final MachineReleases releases;
   private final CloudProvisioner cloud;
   private final RolloutView rollout;
 
@@ -21,12 +22,14 @@
       ShardLeaseTable shards,
       ControllerTable controllers,
       MachineDirectory machines,
+      MachineReleases releases,
       CloudProvisioner cloud,
       RolloutView rollout) {
     this.election = election;
     this.shards = shards;
     this.controllers = controllers;
     this.machines = machines;
+    this.releases = releases;
     this.cloud = cloud;
     this.rollout = rollout;
   }
@@ -38,8 +41,8 @@
         machines.changesSince(heartbeat.assignmentVersion(), shards.isSingle());
     List<MachineName> gone =
         changes.whole()
-            ? cloud.releasedLately()
-            : changes.removed().stream().filter(cloud::wasReleased).toList();
+            ? releases.releasedLately()
+            : changes.removed().stream().filter(releases::wasReleased).toList();
     return new HeartbeatAnswer(
         election.term().value(),
         controllers.isStateOkElsewhere(heartbeat.from()),
@@ -50,7 +53,7 @@
         changes.assigned(),
         changes.removed(),
         gone,
-        cloud.blocked(),
+        cloud.unavailableOffers(),
         rollout.notice());
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -4,7 +4,6 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import shorecrank.coordination.leader.MachineDirectory.Machine;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Ids.ControllerName;
@@ -37,6 +36,8 @@
   private final LeaseRenewal leaseRenewal;
   private final LeaderRecovery recovery;
   private final MachineDirectory machines;
+  private final MachineReleases releases;
+  private final MachineAdmission admission;
   private final CloudProvisioner cloud;
   private final MachineAssigner assigner;
   private final HeartbeatAnswerBuilder answers;
@@ -71,7 +72,7 @@
     this.ownerSelection = new OwnerSelection(context, loadedTerm, shards, controllers, rollout);
     OwnerFailureDetector failures = new OwnerFailureDetector(context, controllers);
     this.leaseRenewal = new LeaseRenewal(context, shards, epochs, failures, rollout);
-    this.machines = new MachineDirectory(context, election, loadedTerm::current);
+    this.machines = new MachineDirectory(context, election, loadedTerm);
     this.recovery =
         new LeaderRecovery(
             context, election, loadedTerm, epochs, shards, machines, this::beginTerm);
@@ -82,10 +83,13 @@
                 context, election, rolloutCoordinator, gate, shares, machines, this);
     this.assigner =
         shares == null ? new SpareMachineAssigner(context, machines, this) : shareAssigner;
-    this.cloud =
-        new CloudProvisioner(context, machines, loadedTerm::current, this::assign, this::meet);
+    CloudClient client = new CloudClient(context);
+    this.releases = new MachineReleases(context, loadedTerm, machines, client);
+    this.admission = new MachineAdmission(context, machines, shards, releases, assigner);
+    this.cloud = new CloudProvisioner(context, loadedTerm, client, machines, releases, admission);
     this.answers =
-        new HeartbeatAnswerBuilder(election, shards, controllers, machines, cloud, rollout);
+        new HeartbeatAnswerBuilder(
+            election, shards, controllers, machines, releases, cloud, rollout);
   }
 
   /** Takes in the machine types that the cloud offers. */
@@ -105,7 +109,7 @@
   private boolean isReady() {
     boolean levelKnown = rollout.isReady();
     boolean loaded = election.leading() && loadedTerm.is(election.term());
-    return loaded && levelKnown && assigner.ready();
+    return loaded && levelKnown && assigner.isReady();
   }
 
   /** Once a round. */
@@ -115,7 +119,7 @@
       return;
     }
     rollout.updateGate();
-    assigner.look();
+    assigner.observe();
     if (!isReady()) {
       if (!loadedTerm.is(election.term())
           && !recovery.isLoading()
@@ -131,7 +135,7 @@
     }
     assignShards();
     assigner.tick();
-    if (!assigner.inDoubt()) {
+    if (!assigner.isUnsettled()) {
       machines.save();
     }
     cloud.tick();
@@ -142,15 +146,15 @@
    * it: an owner would be granted a lease beside a successor that is being written down.
    */
   private boolean isUnsettled() {
-    return epochs.isUnsettled() || assigner.inDoubt();
+    return epochs.isUnsettled() || assigner.isUnsettled();
   }
 
   private void beginTerm() {
     controllers.reset();
     epochs.begin();
-    machines.began(loadedTerm.current());
-    assigner.began();
-    cloud.began();
+    machines.begin(loadedTerm.current());
+    assigner.beginTerm();
+    cloud.begin();
   }
 
   /** Gives shards without an owner, or whose owner's lease has expired, to the fittest one. */
@@ -173,7 +177,7 @@
   }
 
   private void handleMinted(ShardId shard) {
-    assigner.minted(shard);
+    assigner.handleNewEpoch(shard);
   }
 
   // ---- heartbeats ------------------------------------------------------------------------------
@@ -188,7 +192,7 @@
     List<Lease> leases = leaseRenewal.renew(heartbeat, sender);
     takeReports(heartbeat);
     for (MachineInfo machine : heartbeat.seen()) {
-      meet(machine, "source=heartbeat controller=" + heartbeat.from());
+      admission.admitFound(machine, "source=heartbeat controller=" + heartbeat.from());
     }
     return answers.answer(heartbeat, leases);
   }
@@ -212,15 +216,15 @@
   /** Does what an owner asks for its shard. */
   private void takeReport(ShardReport report, long knownVersion) {
     for (MachineName name : report.retire()) {
-      Machine machine = machines.get(name);
+      AssignedMachine machine = machines.get(name);
       // A machine no longer known may have been released by a leader that could not say so.
-      boolean theirs =
-          machine == null ? !cloud.wasReleased(name) : machine.shard.equals(report.shard());
-      if (theirs) {
-        cloud.giveBack(name);
+      boolean ownersOwn =
+          machine == null ? !releases.wasReleased(name) : machine.shard().equals(report.shard());
+      if (ownersOwn) {
+        releases.request(name);
       }
     }
-    assigner.reported(report);
+    assigner.handleReport(report);
     // An owner that has not yet seen the last assignment would ask for the same machines again.
     boolean allTold = shards.isSingle() || machines.isWritten();
     if (knownVersion == machines.version() && allTold && cloud.isIdle()) {
@@ -228,24 +232,6 @@
     }
   }
 
-  // ---- machines --------------------------------------------------------------------------------
-
-  private void meet(MachineInfo machine, String source) {
-    if (machines.contains(machine.name()) || cloud.isReleasing(machine.name())) {
-      return;
-    }
-    if (cloud.wasReleased(machine.name())) {
-      // It reports although its release was answered: a held report, or a list that lags.
-      return;
-    }
-    context.info("machine.admitted machine=%s %s", machine.name(), source);
-    assign(machine, assigner.shardOfNewcomer());
-  }
-
-  private void assign(MachineInfo machine, ShardId shard) {
-    machines.assign(machine, shard, shards.epoch(shard));
-  }
-
   // ---- shards for the assigners of machines ----------------------------------------------------
 
   @Override
--- a/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
@@ -5,29 +5,32 @@
 
 /** Decides which shard a machine belongs to, and when it goes to another. */
 interface MachineAssigner {
-  /** The leader has taken office, or has read everything anew. */
-  void began();
+  /** The leader has begun its term, or has loaded everything again. */
+  void beginTerm();
 
   /**
    * Whether all is known that owners have to be told of machines, so that shards may be granted.
    */
-  boolean ready();
+  boolean isReady();
 
   /** Once a round, also while no shard may be granted. */
-  void look();
+  void observe();
 
-  /** Whether an assignment may yet be carried out that is not known here: none other is written. */
-  boolean inDoubt();
+  /**
+   * Whether an assignment may yet be carried out that is not known here: until that is settled no
+   * other is written.
+   */
+  boolean isUnsettled();
 
   /** The shard that gets a machine nobody has asked for. */
-  ShardId shardOfNewcomer();
+  ShardId shardForNewMachine();
 
   /** A shard's owner reports, under the shard's epoch. */
-  void reported(ShardReport report);
+  void handleReport(ShardReport report);
 
   /** A shard has a new owner, or its owner a new epoch. */
-  void minted(ShardId shard);
+  void handleNewEpoch(ShardId shard);
 
-  /** Once a round. */
+  /** Once a round, while shards may be granted. */
   void tick();
 }
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
@@ -0,0 +1,95 @@
+package shorecrank.coordination.leader;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import java.util.Optional;
+import java.util.function.Consumer;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Json;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.StoreMessages.Transaction;
+
+/** Machines and their assignments as the state service holds them, many to a value. */
+final class MachineRecordCodec {
+  private static final String MACHINES = "m";
+
+  /** Fields of one machine, in their order. */
+  private static final int NAME = 0;
+
+  private static final int TYPE = 1;
+  private static final int ZONE = 2;
+  private static final int SPOT = 3;
+  private static final int SHARD = 4;
+  private static final int TERM = 5;
+
+  private MachineRecordCodec() {}
+
+  /**
+   * One machine as it is written.
+   *
+   * @param bytes the length of its text
+   */
+  record EncodedMachine(ArrayNode fields, int bytes) {}
+
+  /** A value of the state service, to which machines are added. */
+  static final class EncodedValue {
+    private final ArrayNode machines = Json.array();
+
+    boolean isEmpty() {
+      return machines.isEmpty();
+    }
+
+    void add(EncodedMachine machine) {
+      machines.add(machine.fields());
+    }
+
+    /** Adds the write of this value to a transaction, guarded by the key's last revision. */
+    void addTo(Transaction transaction, String key, Revision last) {
+      transaction.guard(key, last).write(key, Json.object().set(MACHINES, machines));
+    }
+  }
+
+  /** Encodes a machine's assignment. */
+  static EncodedMachine encode(StoredAssignment assignment) {
+    MachineInfo machine = assignment.machine();
+    ArrayNode fields =
+        Json.array()
+            .add(machine.name().value())
+            .add(machine.type())
+            .add(machine.zone())
+            .add(machine.spot())
+            .add(assignment.shard().value())
+            .add(assignment.term().value());
+    return new EncodedMachine(fields, Json.bytes(fields).length);
+  }
+
+  /**
+   * Passes on each machine of a value, in its order; empty for one that can't be read.
+   *
+   * @param shards the number of shards, which bounds those of machines
+   */
+  static void readEach(JsonNode value, int shards, Consumer<Optional<StoredAssignment>> action) {
+    for (JsonNode fields : value.path(MACHINES)) {
+      action.accept(read(fields, shards));
+    }
+  }
+
+  private static Optional<StoredAssignment> read(JsonNode fields, int shards) {
+    String name = Json.text(fields.path(NAME));
+    long shard = Json.count(fields.path(SHARD));
+    long term = Json.count(fields.path(TERM));
+    if (name.isEmpty() || shard < 0 || shard >= shards || term < 0) {
+      return Optional.empty();
+    }
+    MachineInfo machine =
+        new MachineInfo(
+            new MachineName(name),
+            Json.text(fields.path(TYPE)),
+            Json.text(fields.path(ZONE)),
+            fields.path(SPOT).asBoolean());
+    return Optional.of(new StoredAssignment(machine, new ShardId((int) shard), new Epoch(term)));
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -0,0 +1,146 @@
+package shorecrank.coordination.leader;
+
+import java.util.ArrayDeque;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import shorecrank.coordination.leader.CloudClient.RentResult;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages;
+import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.CapacityRequest;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+
+/** Rents the machines that owners ask for, in calls that may be repeated without renting twice. */
+final class MachineRental {
+  /** So many claims are under way at once. */
+  private static final int MAX_CLAIMS = 8;
+
+  /** An owner's request for more machines than the cloud could rent in this time is cut there. */
+  private static final int REQUEST_HORIZON_S = 60;
+
+  /** A request to rent, under a name that is never used for another. */
+  private record Claim(String name, Offer offer, int count, ShardId shard) {}
+
+  private final StepContext context;
+  private final LoadedTerm loadedTerm;
+  private final CloudClient client;
+  private final UnavailableOffers unavailable;
+  private final MachineAdmission admission;
+  private final ArrayDeque<Claim> waiting = new ArrayDeque<>();
+
+  /** Names of claims that may have been carried out. */
+  private final Set<String> tried = new HashSet<>();
+
+  private int underWay;
+  private long claimNumber;
+
+  MachineRental(
+      StepContext context,
+      LoadedTerm loadedTerm,
+      CloudClient client,
+      UnavailableOffers unavailable,
+      MachineAdmission admission) {
+    this.context = context;
+    this.loadedTerm = loadedTerm;
+    this.client = client;
+    this.unavailable = unavailable;
+    this.admission = admission;
+  }
+
+  /** A term has begun: what the last one rented is found in the machine list. */
+  void begin() {
+    waiting.clear();
+    tried.clear();
+    underWay = 0;
+  }
+
+  /** Whether nothing is being rented. */
+  boolean isIdle() {
+    return waiting.isEmpty() && underWay == 0;
+  }
+
+  /** Rents what an owner asks for, except kinds that were refused lately. */
+  void request(ShardId shard, List<CapacityRequest> requests) {
+    for (CapacityRequest request : requests) {
+      if (request.count() <= 0 || unavailable.contains(request.offer())) {
+        continue;
+      }
+      int left = Math.min(request.count(), maxRequested());
+      while (left > 0) {
+        int count = Math.min(left, CloudMessages.MAX_RENT);
+        String name = "sc-" + loadedTerm.current() + "-" + ++claimNumber;
+        waiting.add(new Claim(name, request.offer(), count, shard));
+        left -= count;
+      }
+    }
+  }
+
+  private int maxRequested() {
+    double calls = context.config.cloud().rps() * REQUEST_HORIZON_S;
+    return (int) Math.max(1, calls) * CloudMessages.MAX_RENT;
+  }
+
+  /** Sends the claims that wait, as the cloud's rate limit allows. */
+  void sendWaiting() {
+    while (!waiting.isEmpty() && underWay < MAX_CLAIMS && client.tryTake()) {
+      sendClaim(waiting.poll());
+    }
+  }
+
+  private void sendClaim(Claim claim) {
+    underWay++;
+    Revision term = loadedTerm.current();
+    client.rent(
+        claim.name(),
+        claim.offer(),
+        claim.count(),
+        result -> {
+          if (loadedTerm.is(term)) {
+            underWay--;
+            handleResult(claim, result);
+          }
+        });
+  }
+
+  private void handleResult(Claim claim, RentResult result) {
+    if (result instanceof RentResult.Rented rented) {
+      handleRented(claim, rented.machines());
+    } else if (result instanceof RentResult.NoCapacity) {
+      refuse(claim.offer());
+    } else if (result instanceof RentResult.Malformed) {
+      context.error("machine.rent.malformed claim=%s offer=%s", claim.name(), claim.offer());
+      refuse(claim.offer());
+    } else {
+      // It may have been carried out: the same name again, and never another for it.
+      waiting.addFirst(claim);
+      tried.add(claim.name());
+      client.pause();
+    }
+  }
+
+  private void handleRented(Claim claim, List<MachineName> names) {
+    Offer offer = claim.offer();
+    for (MachineName name : names) {
+      MachineInfo machine = new MachineInfo(name, offer.type(), offer.zone(), offer.spot());
+      admission.admitRented(machine, claim.shard());
+    }
+    context.info(
+        "machine.rented claim=%s offer=%s rented=%d asked=%d",
+        claim.name(), offer, names.size(), claim.count());
+    if (names.size() < claim.count()) {
+      refuse(offer);
+    } else {
+      unavailable.granted(offer);
+    }
+  }
+
+  private void refuse(Offer offer) {
+    // Those not yet sent would be refused too; their owners ask for something else.
+    waiting.removeIf(claim -> claim.offer().equals(offer) && !tried.contains(claim.name()));
+    unavailable.refused(offer);
+  }
+}
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -6,9 +6,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import shorecrank.coordination.leader.MachineDirectory.Machine;
-import shorecrank.coordination.leader.MachineDirectory.NextAssignment;
-import shorecrank.coordination.leader.MachineDirectory.Transfer;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
@@ -18,6 +15,7 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rebalance.MoveCoordinator;
@@ -27,11 +25,13 @@
 import shorecrank.rollout.FeatureGate;
 import shorecrank.rollout.RolloutCoordinator;
 
-/** Assigns machines by shares: what {@link MoveCoordinator} sees of the leader, and tells it. */
+/** Assigns machines by shares: shows {@link MoveCoordinator} the fleet, and carries out moves. */
 final class ShareAssigner implements MachineAssigner, ShareFleet {
   /** The shares' key is changed in the same transaction. */
   private static final int OTHER_OPERATIONS = 1;
 
+  private static final int BYTES_PER_KB = 1024;
+
   private final StepContext context;
   private final MachineDirectory machines;
   private final ShardTable shards;
@@ -82,37 +82,37 @@
   // ---- for the leader --------------------------------------------------------------------------
 
   @Override
-  public void began() {
+  public void beginTerm() {
     moves.began();
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return moves.ready();
   }
 
   @Override
-  public void look() {
+  public void observe() {
     moves.look();
   }
 
   @Override
-  public boolean inDoubt() {
+  public boolean isUnsettled() {
     return moves.inDoubt();
   }
 
   @Override
-  public ShardId shardOfNewcomer() {
+  public ShardId shardForNewMachine() {
     return moves.shardOfNewcomer();
   }
 
   @Override
-  public void reported(ShardReport report) {
+  public void handleReport(ShardReport report) {
     moves.reported(report);
   }
 
   @Override
-  public void minted(ShardId shard) {
+  public void handleNewEpoch(ShardId shard) {
     moves.minted(shard);
   }
 
@@ -130,29 +130,33 @@
 
   @Override
   public Collection<FleetMachine> machines() {
-    return machines.all().stream().map(this::described).toList();
+    return machines.all().stream().map(this::describe).toList();
   }
 
   @Override
   public List<MachineName> ordered() {
-    return machines.all().stream().filter(m -> m.move.isSet()).map(m -> m.info.name()).toList();
+    return machines.all().stream()
+        .filter(machine -> machine.move().isSet())
+        .map(AssignedMachine::name)
+        .toList();
   }
 
   @Override
   public FleetMachine machine(MachineName name) {
-    Machine machine = machines.get(name);
-    return machine == null ? null : described(machine);
+    AssignedMachine machine = machines.get(name);
+    return machine == null ? null : describe(machine);
   }
 
-  private FleetMachine described(Machine m) {
-    MachineType type = catalog.get(m.info.type());
+  private FleetMachine describe(AssignedMachine machine) {
+    MachineInfo info = machine.info();
+    MachineType type = catalog.get(info.type());
     return new FleetMachine(
-        m.info.name(),
-        new Offer(m.info.type(), m.info.zone(), m.info.spot()),
+        info.name(),
+        new Offer(info.type(), info.zone(), info.spot()),
         type == null ? 0 : type.cpus(),
-        m.shard,
-        m.term,
-        m.move);
+        machine.shard(),
+        machine.term(),
+        machine.move());
   }
 
   @Override
@@ -173,7 +177,7 @@
 
   @Override
   public void handoverRequested(MachineName name, MoveId order) {
-    machines.handoverRequested(machines.get(name), order);
+    machines.requestHandover(machines.get(name), order);
   }
 
   @Override
@@ -196,13 +200,15 @@
     Map<MachineName, NextAssignment> next = new TreeMap<>();
     assignments.forEach(
         (name, shard) -> next.put(name, new NextAssignment(shard, shards.epoch(shard))));
-    int valueBytes = (int) (context.config.state().valueKb() * 1024);
-    Transfer transfer = machines.prepare(next, OTHER_OPERATIONS, valueBytes);
-    return transfer == null ? null : new DirectoryHandover(transfer);
+    int valueBytes = (int) (context.config.state().valueKb() * BYTES_PER_KB);
+    return machines
+        .prepare(next, OTHER_OPERATIONS, valueBytes)
+        .map(DirectoryHandover::new)
+        .orElse(null);
   }
 
   /** New assignments in the machine directory. */
-  private record DirectoryHandover(Transfer transfer) implements Handover {
+  private record DirectoryHandover(MachineTransfer transfer) implements Handover {
     @Override
     public Set<MachineName> machines() {
       return transfer.machines();
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -1,6 +1,5 @@
 package shorecrank.coordination.leader;
 
-import shorecrank.coordination.leader.MachineDirectory.Machine;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
@@ -11,19 +10,22 @@
 import shorecrank.protocol.PeerMessages.ShardReport;
 
 /**
- * Gives machines that a shard leaves empty to a shard in which tasks wait. Orders are kept in
+ * Assigns machines that a shard leaves empty to a shard in which tasks wait. Orders are kept in
  * memory only: a new leader begins anew, and answers to an earlier leader's orders count for
  * nothing.
  */
 final class SpareMachineAssigner implements MachineAssigner {
-  /** So many orders of one term have ids of their own. */
+  /** Each term has so many orders with ids of their own, as a power of two. */
   private static final int ORDER_BITS = 20;
 
+  /** Tasks that wait count as much as so many machines that a shard lacks. */
+  private static final int QUEUE_NEED = 1000;
+
   private final StepContext context;
   private final MachineDirectory machines;
   private final ShardTable shards;
   private Revision term = Revision.ABSENT;
-  private long orders;
+  private long orderNumber;
 
   SpareMachineAssigner(StepContext context, MachineDirectory machines, ShardTable shards) {
     this.context = context;
@@ -32,37 +34,38 @@
   }
 
   @Override
-  public void began() {
+  public void beginTerm() {
     if (!machines.term().equals(term)) {
       term = machines.term();
-      orders = 0;
+      orderNumber = 0;
     }
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return true;
   }
 
   @Override
-  public void look() {}
+  public void observe() {}
 
   @Override
-  public boolean inDoubt() {
+  public boolean isUnsettled() {
     return false;
   }
 
   @Override
-  public void minted(ShardId shard) {}
+  public void handleNewEpoch(ShardId shard) {}
 
   @Override
   public void tick() {}
 
   @Override
-  public ShardId shardOfNewcomer() {
+  public ShardId shardForNewMachine() {
     return neediest();
   }
 
+  /** A shard in which tasks wait, and of these the one with the fewest machines. */
   private ShardId neediest() {
     ShardId best = new ShardId(0);
     if (shards.shards().size() == 1) {
@@ -70,7 +73,7 @@
     }
     long most = Long.MIN_VALUE;
     for (ShardId shard : shards.shards()) {
-      long need = (shards.hasQueue(shard) ? 1000 : 0) - machines.count(shard);
+      long need = (shards.hasQueue(shard) ? QUEUE_NEED : 0) - machines.count(shard);
       if (need > most) {
         most = need;
         best = shard;
@@ -80,34 +83,38 @@
   }
 
   @Override
-  public void reported(ShardReport report) {
+  public void handleReport(ShardReport report) {
     if (!report.repeatsMoves()) {
       // An earlier version may hand a machine back too early, and under an order that is over.
       keepAll(report.shard());
       return;
     }
-    for (MachineHandover back : report.handovers()) {
-      Machine machine = machines.get(back.machine());
+    for (MachineHandover handover : report.handovers()) {
+      AssignedMachine machine = machines.get(handover.machine());
       boolean asOrdered =
-          machine != null && machine.handoverRequested && machine.move.equals(back.move());
-      if (asOrdered && machine.shard.equals(report.shard())) {
+          machine != null
+              && machine.isHandoverRequested()
+              && machine.move().equals(handover.move());
+      if (asOrdered && machine.shard().equals(report.shard())) {
         handOver(machine, report.shard());
       }
     }
     for (MachineName name : report.misplaced()) {
       reclaim(name, report.shard());
     }
-    if (!report.spare().isEmpty() && anotherQueues(report.shard())) {
-      Machine machine = machines.get(report.spare().get(0));
-      if (machine != null && machine.shard.equals(report.shard()) && !machine.handoverRequested) {
-        machines.handoverRequested(machine, nextOrder());
+    if (!report.spare().isEmpty() && hasQueueElsewhere(report.shard())) {
+      AssignedMachine machine = machines.get(report.spare().get(0));
+      if (machine != null
+          && machine.shard().equals(report.shard())
+          && !machine.isHandoverRequested()) {
+        machines.requestHandover(machine, nextOrder());
       }
     }
   }
 
   private void keepAll(ShardId shard) {
-    for (Machine machine : machines.all()) {
-      if (machine.handoverRequested && machine.shard.equals(shard)) {
+    for (AssignedMachine machine : machines.all()) {
+      if (machine.isHandoverRequested() && machine.shard().equals(shard)) {
         machines.keep(machine);
       }
     }
@@ -115,42 +122,44 @@
 
   /** A machine on which tasks of a shard may run goes back to that shard. */
   private void reclaim(MachineName name, ShardId shard) {
-    Machine machine = machines.get(name);
+    AssignedMachine machine = machines.get(name);
     boolean known =
-        machine != null && machine.handoverRequested && shard.equals(machine.reclaimedBy);
-    if (machine == null || machine.shard.equals(shard) || known) {
+        machine != null && machine.isHandoverRequested() && shard.equals(machine.reclaimedBy());
+    if (machine == null || machine.shard().equals(shard) || known) {
       return;
     }
-    context.info("machine %s: claimed by part %s, assigned to %s", name, shard, machine.shard);
+    context.info(
+        "machine.reclaimed machine=%s shard=%s assigned_to=%s", name, shard, machine.shard());
     context.count("machine.reclaimed");
-    machine.reclaimedBy = shard;
-    if (!machine.handoverRequested) {
-      machines.handoverRequested(machine, nextOrder());
+    machine.reclaimFor(shard);
+    if (!machine.isHandoverRequested()) {
+      machines.requestHandover(machine, nextOrder());
     }
   }
 
   private MoveId nextOrder() {
-    return new MoveId((term.value() << ORDER_BITS) + ++orders);
+    return new MoveId((term.value() << ORDER_BITS) + ++orderNumber);
   }
 
-  private boolean anotherQueues(ShardId but) {
-    return shards.shards().stream().anyMatch(s -> !s.equals(but) && shards.hasQueue(s));
+  private boolean hasQueueElsewhere(ShardId except) {
+    return shards.shards().stream()
+        .anyMatch(shard -> !shard.equals(except) && shards.hasQueue(shard));
   }
 
-  /** Empty of the last shard's tasks, and assigned anew only above its term. */
-  private void handOver(Machine machine, ShardId from) {
-    ShardId to = machine.reclaimedBy != null ? machine.reclaimedBy : neediest();
+  /** Assigns a machine that its shard has emptied to another, under an epoch above its last. */
+  private void handOver(AssignedMachine machine, ShardId from) {
+    ShardId to = machine.reclaimedBy() != null ? machine.reclaimedBy() : neediest();
     if (to.equals(from)) {
       machines.keep(machine);
       return;
     }
-    Epoch last = Epoch.higher(machine.term, shards.epoch(from));
+    Epoch last = Epoch.higher(machine.term(), shards.epoch(from));
     if (!shards.epoch(to).above(last)) {
       shards.raiseAbove(to, last);
       return;
     }
     // Until the new assignment is written down and told, the machine is nobody's.
-    machines.remove(machine.info.name());
-    machines.assign(machine.info, to, shards.epoch(to));
+    machines.remove(machine.name());
+    machines.assign(machine.info(), to, shards.epoch(to));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -6,12 +6,14 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.storage.StateStore;
 
-/** What a rollout sees of the core: its time, its calls of the state service, its log. */
+/** Time, state service, rate limits, log and metrics of the controller's steps, for the leader. */
 public final class StepLeaderEnvironment implements LeaderEnvironment {
   private static final int CALL_MS = 2000;
+  private static final int BYTES_PER_KB = 1024;
 
   private final StepContext context;
 
+  /** Creates the environment of state machines that run in these steps. */
   public StepLeaderEnvironment(StepContext context) {
     this.context = context;
   }
@@ -48,7 +50,7 @@
 
   @Override
   public boolean takeRequest() {
-    // The call itself takes it.
+    // Only asked here: the call itself takes the request out of the rate limit.
     return context.requests.has(1, context.now());
   }
 
@@ -64,7 +66,7 @@
 
   @Override
   public int valueBytes() {
-    return (int) (context.config.state().valueKb() * 1024);
+    return (int) (context.config.state().valueKb() * BYTES_PER_KB);
   }
 
   @Override
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -4,18 +4,21 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.storage.StateStore;
 
-/** Time, the state service and the log, as a state machine of the leader sees them. */
+/**
+ * Time, state service, rate limits, log and metrics, as a state machine of the leader sees them.
+ */
 public interface LeaderEnvironment {
   /** Takes an answer; status 0 means there was none, and the call may still be carried out. */
   @FunctionalInterface
   interface OnAnswer {
+    /** Called once, with the HTTP status and the body. */
     void answer(int status, JsonNode body);
   }
 
-  /** This step's steady time. */
+  /** This step's time on the steady clock. */
   MonotonicTime now();
 
-  /** This step's time of day. */
+  /** This step's time of day, in milliseconds since 1970. */
   long wallMs();
 
   /** The state service. */
@@ -24,33 +27,42 @@
   /** Calls the state service by method and path; callers go over to {@link #store()}. */
   void state(String method, String path, JsonNode body, OnAnswer then);
 
-  /** Whether that many changes are left of this controller's share. */
+  /** Whether that many changes are left of this controller's share of the write rate. */
   boolean hasWrites(int changes);
 
-  /** Takes that many changes out of this controller's share, unless they are not there. */
+  /** Takes that many changes out of this controller's share; false if they are not there. */
   boolean takeWrites(int changes);
 
-  /** Whether the state service takes another request of this kind now, which can wait. */
+  /** Whether a request that can wait may be sent to the state service now. */
   boolean takeRequest();
 
-  /** The changes that the state service takes in a second, from all controllers together. */
+  /** How many changes per second the state service takes from all controllers together. */
   double changesPerSecond();
 
-  /** The operations a transaction may have. */
+  /** The most operations in a transaction. */
   int transactionOperations();
 
-  /** The bytes a value may have. */
+  /** The most bytes in a value. */
   int valueBytes();
 
-  /** Writes a line to the log. */
+  /**
+   * Logs an event.
+   *
+   * @param format the event's name and its fields, as for {@link String#format}
+   */
   void info(String format, Object... args);
 
-  /** Counts, and logs at a bounded rate, something that was refused. */
+  /**
+   * Counts something that was refused, and logs it at a bounded rate.
+   *
+   * @param metric the counter; of each only one line is logged in a few seconds
+   * @param what the event's name and its fields
+   */
   void refused(String metric, String what);
 
   /** Sets a gauge. */
   void gauge(String metric, double value);
 
-  /** Counts. */
+  /** Adds to a counter. */
   void count(String metric, long by);
 }
--- a/src/main/java/shorecrank/leadership/Leadership.java
+++ b/src/main/java/shorecrank/leadership/Leadership.java
@@ -4,22 +4,20 @@
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.StoreMessages.Transaction;
 
-/**
- * What a state machine of the leader needs of the election: its term, and the keys that show it.
- */
+/** The election as a state machine of the leader sees it: its term, and the keys that show it. */
 public interface Leadership {
-  /** Whether no other process can lead now, by our own clock. */
+  /** Whether no other process can lead now, by this process's clock. */
   boolean leading();
 
-  /** The revision under which this process leads. */
+  /** The revision of the leader's key under which this process leads, or last saw another lead. */
   Revision term();
 
   /** Makes a transaction fail unless this process still leads under the term. */
   void guard(Transaction transaction);
 
-  /** Adds what has to change in the leader's keys together with the level in force. */
+  /** Adds to a transaction what changes in the leader's keys when this level comes into force. */
   void addLevelSwitch(Transaction transaction, FeatureLevel to);
 
-  /** Such a transaction was carried out, at that revision. */
+  /** A transaction with a level switch was carried out, at that revision. */
   void levelSwitched(FeatureLevel to, Revision revision);
 }
