--- a/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
@@ -28,14 +28,17 @@
     this.since = since;
   }
 
+  /** What the machine is. */
   MachineInfo info() {
     return assignment.machine();
   }
 
+  /** The machine's name. */
   MachineName name() {
     return assignment.machine().name();
   }
 
+  /** The shard that it is assigned to. */
   ShardId shard() {
     return assignment.shard();
   }
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -145,7 +145,7 @@
         "",
         new ArrayList<>(),
         entries -> {
-          if (!loadedTerm.is(term)) {
+          if (!loadedTerm.isCurrent(term)) {
             return;
           }
           saving = false;
@@ -195,7 +195,7 @@
             CALL_MS,
             result -> {
               saving = false;
-              if (loadedTerm.is(term)) {
+              if (loadedTerm.isCurrent(term)) {
                 handleSaved(batch, result);
               }
             });
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -33,6 +33,7 @@
     this.listing = new MachineListing(context, loadedTerm, machines, client, releases, admission);
   }
 
+  /** Takes in the machine types that the cloud offers. */
   void updateCatalog(Map<String, MachineType> types) {
     listing.updateCatalog(types);
   }
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -36,6 +36,7 @@
     return sender;
   }
 
+  /** The controllers that were heard, by name. */
   Set<Map.Entry<ControllerName, ControllerState>> entries() {
     return controllers.entrySet();
   }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -188,9 +188,9 @@
   private void handleNamingKey(ReadResult result) {
     if (result instanceof ReadResult.Found found
         && supported != null
-        && LeaderKeyCodec.isMovedTo(found.entry().value(), PROTECTED_KEY)) {
+        && LeaderNameCodec.isMovedTo(found.entry().value(), PROTECTED_KEY)) {
       namingRevision = found.entry().revision();
-      level = LeaderKeyCodec.readLevel(found.entry().value());
+      level = LeaderNameCodec.readLevel(found.entry().value());
       context.store().read(PROTECTED_KEY, CALL_MS, this::handleLeaderKey);
       return;
     }
@@ -214,7 +214,7 @@
 
   private void handleFound(Entry entry) {
     watchedRevision = entry.revision().value();
-    observe(LeaderKeyCodec.readLeader(entry.value()), entry.revision());
+    observe(LeaderNameCodec.readLeader(entry.value()), entry.revision());
     boolean ownName = context.config.label().equals(leader);
     if (!ownName || entry.hold() <= 0) {
       enter(State.WATCHING, 0);
@@ -263,7 +263,7 @@
       if (vacant) {
         leader = null;
       } else {
-        observe(LeaderKeyCodec.readLeader(change.value()), change.revision());
+        observe(LeaderNameCodec.readLeader(change.value()), change.revision());
       }
     }
     if (vacant) {
@@ -278,7 +278,7 @@
     if (!change.key().equals(KEY) || change.value() == null) {
       return false;
     }
-    boolean moved = LeaderKeyCodec.isMovedTo(change.value(), PROTECTED_KEY);
+    boolean moved = LeaderNameCodec.isMovedTo(change.value(), PROTECTED_KEY);
     return moved ? !change.revision().equals(namingRevision) : isProtected();
   }
 
@@ -339,13 +339,13 @@
 
   /** Writes this process's name to a key that hangs on its grant. */
   private void writeName(Transaction transaction, String key, long ofGrant) {
-    transaction.write(key, LeaderKeyCodec.write(context.config.label(), context.writer), ofGrant);
+    transaction.write(key, LeaderNameCodec.write(context.config.label(), context.writer), ofGrant);
   }
 
   /** Writes to {@link #KEY} that this process leads by the other key, at a feature level. */
   private void writeMovedName(Transaction transaction, FeatureLevel at) {
     transaction.write(
-        KEY, LeaderKeyCodec.writeMoved(context.config.label(), context.writer, PROTECTED_KEY, at));
+        KEY, LeaderNameCodec.writeMoved(context.config.label(), context.writer, PROTECTED_KEY, at));
   }
 
   // ---- leading ---------------------------------------------------------------------------------
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -153,7 +153,7 @@
       // Those before it were guarded by the counter's last revision.
       ownerInDoubt.clear();
     }
-    if (!loadedTerm.is(mint.term())) {
+    if (!loadedTerm.isCurrent(mint.term())) {
       return;
     }
     if (result instanceof Committed committed) {
--- a/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
@@ -10,6 +10,7 @@
 
   private EpochCounterCodec() {}
 
+  /** The value that says that this is the highest epoch. */
   static JsonNode write(long epoch) {
     return Json.object().put(VALUE, epoch);
   }
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -108,7 +108,7 @@
   /** Whether this process leads and knows all that it needs to answer for the leader. */
   private boolean isReady() {
     boolean levelKnown = rollout.isReady();
-    boolean loaded = election.leading() && loadedTerm.is(election.term());
+    boolean loaded = election.leading() && loadedTerm.isCurrent(election.term());
     return loaded && levelKnown && assigner.isReady();
   }
 
@@ -121,7 +121,7 @@
     rollout.updateGate();
     assigner.observe();
     if (!isReady()) {
-      if (!loadedTerm.is(election.term())
+      if (!loadedTerm.isCurrent(election.term())
           && !recovery.isLoading()
           && !isUnsettled()
           && loadedTerm.mayLoad()) {
@@ -190,20 +190,20 @@
     ControllerState sender = controllers.heard(heartbeat);
     rollout.heard(heartbeat);
     List<Lease> leases = leaseRenewal.renew(heartbeat, sender);
-    takeReports(heartbeat);
+    handleReports(heartbeat);
     for (MachineInfo machine : heartbeat.seen()) {
       admission.admitFound(machine, "source=heartbeat controller=" + heartbeat.from());
     }
     return answers.answer(heartbeat, leases);
   }
 
-  private void takeReports(Heartbeat heartbeat) {
+  private void handleReports(Heartbeat heartbeat) {
     for (ShardReport report : heartbeat.shards()) {
       ShardState shard = shards.get(report.shard());
       if (shard != null
           && heartbeat.writer().equals(shard.writer())
           && report.epoch().equals(shard.epoch())) {
-        takeReport(report, heartbeat.assignmentVersion());
+        handleReport(report, heartbeat.assignmentVersion());
       } else if (report.fenced().value() > 0) {
         // It does not come from the owner, so it raises no epoch.
         context.info(
@@ -214,7 +214,7 @@
   }
 
   /** Does what an owner asks for its shard. */
-  private void takeReport(ShardReport report, long knownVersion) {
+  private void handleReport(ShardReport report, long knownVersion) {
     for (MachineName name : report.retire()) {
       AssignedMachine machine = machines.get(name);
       // A machine no longer known may have been released by a leader that could not say so.
--- a/src/main/java/shorecrank/coordination/leader/LeaderKeyCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
@@ -9,14 +9,14 @@
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 
 /** The values of the keys that name the leader. */
-final class LeaderKeyCodec {
+final class LeaderNameCodec {
   private static final String LABEL = "label";
   private static final String WRITER = "writer";
   private static final String MOVED_TO = "moved";
   private static final String LEVEL = "level";
   private static final int LOWEST_PROTECTED_LEVEL = 1;
 
-  private LeaderKeyCodec() {}
+  private LeaderNameCodec() {}
 
   /** The value that names the leader. */
   static JsonNode write(ControllerName leader, WriterId writer) {
--- a/src/main/java/shorecrank/coordination/leader/LoadedTerm.java
+++ b/src/main/java/shorecrank/coordination/leader/LoadedTerm.java
@@ -23,7 +23,7 @@
   }
 
   /** Whether everything was loaded under that term and still counts. */
-  boolean is(Revision other) {
+  boolean isCurrent(Revision other) {
     return term.equals(other);
   }
 
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -36,6 +36,7 @@
     this.store = new AssignmentStore(context, election, loadedTerm, this::markRecorded);
   }
 
+  /** Whether a machine is assigned, as far as is known. */
   boolean contains(MachineName name) {
     return machines.containsKey(name);
   }
@@ -50,6 +51,7 @@
     return machines.values();
   }
 
+  /** How many machines are assigned. */
   int size() {
     return machines.size();
   }
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListing.java
@@ -88,6 +88,7 @@
     this.admission = admission;
   }
 
+  /** Takes in the machine types that the cloud offers. */
   void updateCatalog(Map<String, MachineType> types) {
     catalog = types;
   }
@@ -119,7 +120,7 @@
     client.list(
         soFar.after(),
         result -> {
-          if (loadedTerm.is(term)) {
+          if (loadedTerm.isCurrent(term)) {
             handlePage(soFar, result);
           }
         });
--- a/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
@@ -42,6 +42,7 @@
       return machines.isEmpty();
     }
 
+    /** Adds a machine after those that were added before. */
     void add(EncodedMachine machine) {
       machines.add(machine.fields());
     }
--- a/src/main/java/shorecrank/coordination/leader/MachineReleases.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineReleases.java
@@ -101,7 +101,7 @@
     client.release(
         batch,
         accepted -> {
-          if (loadedTerm.is(term)) {
+          if (loadedTerm.isCurrent(term)) {
             handleAnswer(batch, accepted);
           }
         });
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -99,7 +99,7 @@
         claim.offer(),
         claim.count(),
         result -> {
-          if (loadedTerm.is(term)) {
+          if (loadedTerm.isCurrent(term)) {
             underWay--;
             handleResult(claim, result);
           }
--- a/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
@@ -71,7 +71,7 @@
   /** Whether the term is so young that others may not have sent their first heartbeat yet. */
   private boolean mayOthersBeHeard() {
     MonotonicTime now = context.now();
-    if (!term.is(aloneTerm)) {
+    if (!term.isCurrent(aloneTerm)) {
       aloneTerm = term.current();
       aloneSince = now;
     }
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -40,14 +40,17 @@
     }
   }
 
+  /** The numbers of all shards, in order. */
   Set<ShardId> ids() {
     return shards.keySet();
   }
 
+  /** All shards by number, in order. */
   Set<Map.Entry<ShardId, ShardState>> entries() {
     return shards.entrySet();
   }
 
+  /** All shards, in the order of their numbers. */
   Collection<ShardState> states() {
     return shards.values();
   }
--- a/src/main/java/shorecrank/coordination/leader/ShardOwnerCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardOwnerCodec.java
@@ -20,10 +20,12 @@
 
   private ShardOwnerCodec() {}
 
+  /** The key of a shard's record. */
   static String key(ShardId shard) {
     return PREFIX + shard;
   }
 
+  /** The record of a shard's owner. */
   static JsonNode write(OwnerInfo owner, WriterId writer) {
     return Json.object()
         .put(SHARD, owner.shard().value())
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -45,14 +45,17 @@
     return epoch;
   }
 
+  /** Whether no process holds a lease of the shard, nor may be granted one. */
   boolean isVacant() {
     return vacant;
   }
 
+  /** Whether the owner's lease is not renewed any more. */
   boolean isRevoking() {
     return revoking;
   }
 
+  /** Whether an epoch is being minted for the shard. */
   boolean isMinting() {
     return minting;
   }
@@ -67,10 +70,12 @@
     return !vacant && !revoking;
   }
 
+  /** Whether a controller is the shard's owner, also while its lease is being revoked. */
   boolean isOwnedBy(ControllerName controller) {
     return !vacant && controller.equals(owner);
   }
 
+  /** Whether the owner's lease has expired, by this process's clock. */
   boolean isLeaseExpired(MonotonicTime now) {
     return !vacant && leaseUntil.before(now);
   }
@@ -80,6 +85,7 @@
     return queued;
   }
 
+  /** The owner says whether tasks wait. */
   void updateQueued(boolean tasksWait) {
     queued = tasksWait;
   }
@@ -94,6 +100,7 @@
     leaseUntil = until;
   }
 
+  /** The owner's lease runs until then by this process's clock, at the latest. */
   void renewLease(MonotonicTime until) {
     leaseUntil = until;
   }
@@ -142,11 +149,13 @@
     return unreachableZones;
   }
 
+  /** An epoch is being minted for a process. */
   void beginMint(WriterId process) {
     minting = true;
     mintedFor = process;
   }
 
+  /** The mint is over, whatever became of it. */
   void endMint() {
     minting = false;
   }
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -62,10 +62,12 @@
             this::reasonsAgainstMoves);
   }
 
+  /** The coordinator of moves, for operators' requests. */
   MoveCoordinator moves() {
     return moves;
   }
 
+  /** Takes in the machine types that the cloud offers. */
   void updateCatalog(Map<String, MachineType> types) {
     catalog = types;
   }
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -75,6 +75,17 @@
         (status, body) -> then.accept(watchResult(status, body)));
   }
 
+  @Override
+  public void readChanges(
+      String prefix, long afterRevision, int timeoutMs, Consumer<WatchResult> then) {
+    context.state(
+        "GET",
+        StoreMessages.watch(prefix, afterRevision, 0),
+        null,
+        timeoutMs,
+        (status, body) -> then.accept(watchResult(status, body)));
+  }
+
   private static WatchResult watchResult(int status, JsonNode body) {
     return switch (status) {
       case OK -> new WatchResult.Changes(StoreMessages.changes(body), StoreMessages.revision(body));
--- a/src/main/java/shorecrank/leadership/SequentialStore.java
+++ b/src/main/java/shorecrank/leadership/SequentialStore.java
@@ -2,7 +2,6 @@
 
 import java.util.function.Consumer;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.CommitResult;
 import shorecrank.storage.ListResult;
@@ -18,8 +17,6 @@
  */
 public final class SequentialStore {
   private static final int CALL_TIMEOUT_MS = 2000;
-  private static final int OK = 200;
-  private static final int GONE = 410;
 
   private final LeaderEnvironment environment;
   private boolean busy;
@@ -65,22 +62,9 @@
   /** Reads the changes of keys with a prefix since a revision, without waiting for further ones. */
   public void readChanges(String prefix, long afterRevision, Consumer<WatchResult> then) {
     busy = true;
-    // Not by StateStore.watch, which waits longer for the answer than other calls do.
-    environment.state(
-        "GET",
-        StoreMessages.watch(prefix, afterRevision, 0),
-        null,
-        (status, body) -> {
-          WatchResult result =
-              switch (status) {
-                case OK ->
-                    new WatchResult.Changes(
-                        StoreMessages.changes(body), StoreMessages.revision(body));
-                case GONE -> new WatchResult.Compacted();
-                default -> new WatchResult.Unavailable(status);
-              };
-          finish(result, then);
-        });
+    environment
+        .store()
+        .readChanges(prefix, afterRevision, CALL_TIMEOUT_MS, result -> finish(result, then));
   }
 
   /** Carries a transaction out if all its guards hold. */
--- a/src/main/java/shorecrank/storage/StateStore.java
+++ b/src/main/java/shorecrank/storage/StateStore.java
@@ -29,6 +29,9 @@
    */
   void watch(String prefix, long afterRevision, int holdMs, Consumer<WatchResult> then);
 
+  /** Reads the changes of keys with a prefix after a revision, without waiting for further ones. */
+  void readChanges(String prefix, long afterRevision, int timeoutMs, Consumer<WatchResult> then);
+
   /** Carries a transaction out if all its guards hold. */
   void commit(Transaction transaction, int timeoutMs, Consumer<CommitResult> then);
 }
