--- a/src/test/java/shorecrank/coordination/model/StepContextBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/StepContextBuilder.java
@@ -6,12 +6,12 @@
 import java.util.TreeMap;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.NodeConfig.Address;
-import shorecrank.config.NodeConfig.Cloud;
-import shorecrank.config.NodeConfig.Limits;
+import shorecrank.config.NodeConfig.CloudLimits;
+import shorecrank.config.NodeConfig.ProcessLimits;
 import shorecrank.config.NodeConfig.Objective;
-import shorecrank.config.NodeConfig.State;
+import shorecrank.config.NodeConfig.StateLimits;
 import shorecrank.config.NodeConfig.Team;
-import shorecrank.config.NodeConfig.Workers;
+import shorecrank.config.NodeConfig.WorkerTimings;
 import shorecrank.config.Settings;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.ControllerName;
@@ -56,10 +56,10 @@
             NOWHERE,
             teams,
             objectives,
-            new Workers(4, 30, 60),
-            new State(100, 100, 8, 20),
-            new Cloud(10, 1),
-            new Limits(1, 256, 100));
+            new WorkerTimings(4, 30, 60),
+            new StateLimits(100, 100, 8, 20),
+            new CloudLimits(10, 1),
+            new ProcessLimits(1, 256, 100));
     StepContext context = new StepContext(config, SETTINGS, new WriterId("n1.x"));
     context.begin(new MonotonicTime(0), 0, 1);
     return context;
