--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -72,6 +72,7 @@
     return key.revision();
   }
 
+  /** The key's value as last read or written; the initial one before the first reading. */
   SharesState state() {
     return key.value();
   }
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -93,6 +93,7 @@
     this.level = level;
   }
 
+  /** The archive's id. */
   String id() {
     return id;
   }
--- a/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
+++ b/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
@@ -15,6 +15,7 @@
 
   private ArchiveValueCodec() {}
 
+  /** The stored form of an index entry. */
   static JsonNode writeIndex(IndexEntry entry) {
     return Json.object()
         .put(COMPLETE, entry.isComplete())
@@ -36,6 +37,7 @@
     return Optional.of(new IndexEntry(id, stored.path(COMPLETE).asBoolean(), (int) chunks, bytes));
   }
 
+  /** The stored form of a chunk. */
   static JsonNode writeChunk(byte[] bytes) {
     return Json.object().put(BYTES, Base64.getEncoder().encodeToString(bytes));
   }
--- a/src/main/java/shorecrank/rollout/FeatureGate.java
+++ b/src/main/java/shorecrank/rollout/FeatureGate.java
@@ -7,17 +7,20 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
- * The one place that says whether a feature may be used now.
+ * Says whether a feature may be used now, by the feature level as last heard.
  *
- * <p>What it knows of the level may be out of date. That is safe in both directions: forms of the
- * lowest level may always be written, and every write of a higher form carries the guard of {@link
- * #guard}, which fails once the level's key has changed.
+ * <p>That level may be out of date, which is safe in both directions: forms of the lowest level may
+ * always be written, and every write of a higher form carries the guard of {@link #guard}, which
+ * fails once the level's key has changed.
  */
 public final class FeatureGate {
+  /** The latest notice; null before the first. */
   private Notice known;
+
+  /** Notices up to this revision permit nothing, since a guard on it has failed. */
   private Revision refused = Revision.ABSENT;
 
-  /** Takes what the leader, or the state service, says of the level. */
+  /** Takes a notice from the leader or the state service; null and earlier ones are ignored. */
   public void observe(Notice notice) {
     if (notice != null && (known == null || notice.revision().after(known.revision()))) {
       known = notice;
@@ -31,12 +34,12 @@
         && known.state().writeLevel().includes(feature.level());
   }
 
-  /** Makes a transaction fail unless the level is still what {@link #permits} went by. */
+  /** Makes a transaction fail unless the level is still the one that {@link #permits} used. */
   public void guard(Transaction transaction) {
     transaction.guard(RolloutMessages.KEY, known.revision());
   }
 
-  /** A guard failed: nothing above the lowest level is written until a newer level is told. */
+  /** A guard failed: nothing above the lowest level is written until a newer notice comes. */
   public void guardFailed() {
     if (known != null) {
       refused = known.revision();
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -51,6 +51,7 @@
     return key.isReadable();
   }
 
+  /** The key's value as last read or written; the initial one before the first reading. */
   RolloutState state() {
     return key.value();
   }
--- a/src/main/java/shorecrank/rollout/RolloutSettings.java
+++ b/src/main/java/shorecrank/rollout/RolloutSettings.java
@@ -10,8 +10,8 @@
  * The operators' settings of rollouts, in protobuf text format.
  *
  * @param automatic whether the level rises by itself once all controllers support it
- * @param settleS for how long all must have announced their support without a break
- * @param rewritesPerS records rewritten in a second during a downgrade, at the most
+ * @param settleS for how long all must have announced their support without a break, in seconds
+ * @param rewritesPerS the most records rewritten in a second during a downgrade
  * @param archiveBeforeRaise whether an archive of the keys is made before the level rises
  * @param archivesKept how many archives stay in the state service
  */
@@ -27,7 +27,11 @@
   private static final Field ARCHIVE = Field.flag("archive_before_raise", true);
   private static final Field ARCHIVES_KEPT = Field.number("archives_kept", 1, 100, 2);
 
-  /** Reads the file's text; what is not set has its default. */
+  /**
+   * Reads the file's text; a setting that is not named has its default.
+   *
+   * @throws InvalidConfigException naming the field that is unknown or out of range
+   */
   public static RolloutSettings read(String text) throws InvalidConfigException {
     Message message =
         TextProto.parse(
--- a/src/main/java/shorecrank/rollout/RolloutSetup.java
+++ b/src/main/java/shorecrank/rollout/RolloutSetup.java
@@ -4,12 +4,17 @@
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.LevelRange;
 
-/** Rollouts, as enabled on one controller. */
+/**
+ * Rollouts as enabled on one controller.
+ *
+ * @param announcement what the controller announces to the leader
+ */
 public record RolloutSetup(RolloutSettings settings, Announcement announcement) {
 
   /**
-   * Of this build, with the levels that it supports.
+   * The setup of this build, with the levels that it supports.
    *
+   * @param tuning the settings that all controllers share
    * @param shares whether shares are enabled too
    */
   public static RolloutSetup of(
@@ -17,7 +22,7 @@
     return of(settings, build, tuning, Feature.supported(shares));
   }
 
-  /** Of a build that supports certain levels. */
+  /** The setup of a build that supports other levels. */
   public static RolloutSetup of(
       RolloutSettings settings, String build, Settings tuning, LevelRange supported) {
     return new RolloutSetup(
--- a/src/main/java/shorecrank/rollout/SettingsDigest.java
+++ b/src/main/java/shorecrank/rollout/SettingsDigest.java
@@ -4,11 +4,11 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 import shorecrank.config.Settings;
 
-/** A digest of the settings on which controllers' conclusions about each other rest. */
+/** A digest of the settings that have to be the same on all controllers. */
 public final class SettingsDigest {
   private SettingsDigest() {}
 
-  /** The same for all controllers whose shared settings are the same. */
+  /** The digest, 32 hexadecimal digits: the same wherever the shared settings are the same. */
   public static String of(Settings tuning) {
     String shared =
         "parts=%d lease_ms=%d leader_ttl_ms=%d grace_ms=%d"
--- a/src/test/java/shorecrank/rebalance/MoveExplorationTest.java
+++ b/src/test/java/shorecrank/rebalance/MoveExplorationTest.java
@@ -13,7 +13,6 @@
 import org.junit.jupiter.api.Test;
 import shorecrank.protocol.ShareMessages.MovePhase;
 import shorecrank.rebalance.MoveModel.Fault;
-import shorecrank.rebalance.MoveModel.State;
 
 /**
  * One move, explored over all orders of its steps, late and lost writes and answers, delayed
@@ -26,22 +25,24 @@
   private static int explored;
   private static final Map<MovePhase, Integer> ENDS = new TreeMap<>();
 
+  /** A state and the event that led to it from the one before. */
+  private record Step(ModelState state, Step before, String event) {}
+
   /** The first state that breaks a rule, with what led to it; empty if none does. */
   private static List<String> explore(Set<Fault> faults) {
     MoveModel model = new MoveModel(faults);
-    record Step(State state, Step before, String event) {}
     ArrayDeque<Step> open = new ArrayDeque<>();
-    Set<State> seen = new HashSet<>();
-    open.add(new Step(State.INITIAL, null, "begin"));
-    seen.add(State.INITIAL);
+    Set<ModelState> seen = new HashSet<>();
+    open.add(new Step(ModelState.INITIAL, null, "begin"));
+    seen.add(ModelState.INITIAL);
     ENDS.clear();
     while (!open.isEmpty()) {
       Step step = open.poll();
       String broken = model.broken(step.state());
       if (!broken.isEmpty()) {
         List<String> trace = new ArrayList<>(List.of(broken));
-        for (Step s = step; s != null; s = s.before()) {
-          trace.add(1, s.event());
+        for (Step past = step; past != null; past = past.before()) {
+          trace.add(1, past.event());
         }
         return trace;
       }
@@ -62,7 +63,7 @@
   }
 
   @Test
-  void noOrderOfEventsBreaksARule() {
+  void noOrderOfEventsBreaksRules() {
     assertEquals(List.of(), explore(Set.of()));
     System.out.printf("move explored: %d states, by phase %s%n", explored, ENDS);
     // All ends are reached, so the exploration is not empty.
@@ -70,7 +71,7 @@
   }
 
   @Test
-  void everyGuardIsNeeded() {
+  void rulesBreakWithoutAnyOneGuard() {
     for (Fault fault : Fault.values()) {
       List<String> trace = explore(Set.of(fault));
       assertTrue(!trace.isEmpty(), "not seen without: " + fault);
--- a/src/test/java/shorecrank/rebalance/ShareFormsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareFormsTest.java
@@ -58,18 +58,18 @@
   }
 
   @Test
-  void theKeyIsReadAsWritten() {
+  void sharesKeyIsReadAsWritten() {
     assertEquals(
         STATE, ShareMessages.readState(Json.parse(Json.bytes(ShareMessages.write(STATE)))));
   }
 
   @Test
-  void moveNumbersRiseAndAMoveEndsOnce() {
+  void moveNumbersRiseAndMovesEndOnce() {
     SharesState begun = STATE.withBegun(List.of(move(9, "n-3", MovePhase.REQUESTED)));
     assertEquals(10, begun.nextMove());
     SharesState ended = begun.withChanged(move(7, "n-1", MovePhase.ABORTED), 2);
     assertNull(ended.moveOf(new MachineName("n-1")));
-    assertEquals(List.of(4L, 7L), ended.ended().stream().map(m -> m.id().value()).toList());
+    assertEquals(List.of(4L, 7L), ended.ended().stream().map(move -> move.id().value()).toList());
   }
 
   @ParameterizedTest
@@ -90,7 +90,7 @@
             + "[2,'n-1',1,0,7,'draining','',0,'']]}",
         "{'v':1,'parts':2,'next':2,'teams':[{'team':'t','weight':-1,'minCpus':0,'maxCpus':0}]}"
       })
-  void aKeyThatMakesNoSenseIsNotRead(String text) {
+  void malformedKeyIsNotRead(String text) {
     assertNull(ShareMessages.readState(json(text)));
   }
 
@@ -114,7 +114,7 @@
         "{'id':'a','order':'move','to':-1,'count':1,'from':0}",
         "{'id':'a','order':'move','count':1,'from':0}"
       })
-  void anOrderThatMakesNoSenseIsNotRead(String text) {
+  void malformedOrderIsNotRead(String text) {
     assertNull(ShareMessages.readOrder(json(text)));
   }
 
@@ -129,15 +129,14 @@
         "team { name: 't' } team { name: 't' } | team.name must be there, and once for each team",
         "team { weight: 1 } | team.name must be there, and once for each team"
       })
-  void aSettingThatMakesNoSenseIsNamed(String text, String reason) {
+  void settingOutOfRangeIsNamed(String text, String reason) {
     InvalidConfigException e =
-        assertThrows(
-            InvalidConfigException.class, () -> ShareSettings.read(text.replace('\'', '"')));
+        assertThrows(InvalidConfigException.class, () -> ShareSettings.read(text.replace('\'', '"')));
     assertEquals(reason, e.getMessage());
   }
 
   @Test
-  void theExampleHoldsTheDefaults() throws Exception {
+  void shippedExampleHoldsTheDefaults() throws Exception {
     ShareSettings defaults = ShareSettings.read("");
     assertEquals(
         defaults, ShareSettings.read(Files.readString(Path.of("deploy/shares.textproto"))));
--- a/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import shorecrank.protocol.CloudMessages.Offer;
@@ -21,7 +22,7 @@
 import shorecrank.rebalance.ShareTargets.Claim;
 import shorecrank.rebalance.TeamShares.ShardShare;
 
-/** Targets and the moves that follow from them. */
+/** The targets of shards follow from shares and demand, and moves from targets. */
 class ShareTargetsTest {
   private static final double NO_BOUND = Double.POSITIVE_INFINITY;
   private static final ShardId A = new ShardId(0);
@@ -56,16 +57,17 @@
     return new ShardShare(weight, min, max);
   }
 
-  private static void targets(double capacity, Claim a, Claim b, double ofA, double ofB) {
-    Map<ShardId, Double> targets = ShareTargets.compute(capacity, Map.of(A, a, B, b));
-    assertEquals(ofA, targets.get(A), 0.01);
-    assertEquals(ofB, targets.get(B), 0.01);
+  private static void assertTargets(
+      double capacity, Claim claimA, Claim claimB, double targetA, double targetB) {
+    Map<ShardId, Double> targets = ShareTargets.compute(capacity, Map.of(A, claimA, B, claimB));
+    assertEquals(targetA, targets.get(A), 0.01);
+    assertEquals(targetB, targets.get(B), 0.01);
   }
 
   @Test
-  void byWeightWhereBothWantAll() {
+  void shardsThatWantAllGetProcessorsByWeight() {
     ShardDemand all = demand(0, 1000, 0, 0, 0);
-    targets(
+    assertTargets(
         90,
         new Claim(share(2, 0, NO_BOUND), all, 45),
         new Claim(share(1, 0, NO_BOUND), all, 45),
@@ -74,8 +76,8 @@
   }
 
   @Test
-  void aBacklogOfLowPriorityLeavesWhatUrgentWorkNeeds() {
-    targets(
+  void lowPriorityBacklogLeavesWhatUrgentWorkNeeds() {
+    assertTargets(
         160,
         new Claim(share(1, 0, NO_BOUND), demand(160, 0, 840, 0, 0), 160),
         new Claim(share(1, 0, NO_BOUND), demand(0, 80, 0, 0, 0), 0),
@@ -84,16 +86,16 @@
   }
 
   @Test
-  void guaranteesBeforeWeightsAndMinimumsBeforeGuarantees() {
+  void minimumsComeBeforeGuaranteesAndGuaranteesBeforeWeights() {
     ShardDemand all = demand(0, 1000, 0, 0, 0);
     ShardDemand owed = demand(0, 0, 50, 50, 0);
-    targets(
+    assertTargets(
         60,
         new Claim(share(100, 0, NO_BOUND), all, 60),
         new Claim(share(1, 0, NO_BOUND), owed, 0),
         10,
         50);
-    targets(
+    assertTargets(
         60,
         new Claim(share(100, 20, NO_BOUND), all, 60),
         new Claim(share(1, 0, NO_BOUND), owed, 0),
@@ -104,7 +106,7 @@
   @Test
   void minimumsShrinkTogetherWhereMachinesAreLost() {
     ShardDemand none = demand(0, 0, 0, 0, 0);
-    targets(
+    assertTargets(
         40,
         new Claim(share(1, 60, NO_BOUND), none, 20),
         new Claim(share(1, 20, NO_BOUND), none, 20),
@@ -113,22 +115,22 @@
   }
 
   @Test
-  void maximumsHold() {
+  void noShardGetsMoreThanItsMaximum() {
     ShardDemand all = demand(0, 1000, 0, 0, 0);
-    targets(
+    assertTargets(
         80, new Claim(share(5, 0, 16), all, 40), new Claim(share(1, 0, NO_BOUND), all, 40), 16, 64);
   }
 
   @Test
-  void whatNobodyNeedsAndWhoIsNotHeardStays() {
+  void unneededProcessorsAndThoseOfUnheardOwnersStay() {
     ShardDemand none = demand(0, 0, 0, 0, 0);
-    targets(
+    assertTargets(
         80,
         new Claim(share(1, 0, NO_BOUND), none, 64),
         new Claim(share(1, 0, NO_BOUND), none, 16),
         64,
         16);
-    targets(
+    assertTargets(
         80,
         new Claim(share(1, 0, NO_BOUND), null, 64),
         new Claim(share(1, 0, NO_BOUND), demand(16, 16, 0, 0, 0), 16),
@@ -137,24 +139,24 @@
   }
 
   @Test
-  void aShardThatHasWaitedLongCountsMore() {
-    ShardDemand now = demand(0, 1000, 0, 0, 0);
-    ShardDemand long240s = demand(0, 1000, 0, 0, 240);
-    targets(
+  void shardThatHasWaitedLongCountsMore() {
+    ShardDemand recent = demand(0, 1000, 0, 0, 0);
+    ShardDemand longWaiting = demand(0, 1000, 0, 0, 240);
+    assertTargets(
         100,
-        new Claim(share(1, 0, NO_BOUND), now, 50),
-        new Claim(share(1, 0, NO_BOUND), long240s, 50),
+        new Claim(share(1, 0, NO_BOUND), recent, 50),
+        new Claim(share(1, 0, NO_BOUND), longWaiting, 50),
         20,
         80);
   }
 
   @Test
-  void targetsSumUpToTheCapacityWhateverTheInput() {
+  void targetsAlwaysSumUpToTheCapacity() {
     Random random = new Random(7);
     for (int i = 0; i < 2000; i++) {
       Map<ShardId, Claim> claims = new TreeMap<>();
       int shards = 1 + random.nextInt(8);
-      for (int s = 0; s < shards; s++) {
+      for (int shard = 0; shard < shards; shard++) {
         double min = random.nextInt(3) * 10;
         double max = random.nextBoolean() ? NO_BOUND : min + random.nextInt(50);
         ShardDemand demand =
@@ -167,14 +169,14 @@
                     random.nextInt(60),
                     random.nextInt(300));
         claims.put(
-            new ShardId(s),
+            new ShardId(shard),
             new Claim(share(random.nextInt(4), min, max), demand, random.nextInt(100)));
       }
       double capacity = random.nextInt(400);
       Map<ShardId, Double> targets = ShareTargets.compute(capacity, claims);
       double sum = targets.values().stream().mapToDouble(Double::doubleValue).sum();
       assertEquals(capacity, sum, 0.01, claims.toString());
-      assertTrue(targets.values().stream().allMatch(t -> t >= -1e-9), targets.toString());
+      assertTrue(targets.values().stream().allMatch(target -> target >= -1e-9), targets.toString());
     }
   }
 
@@ -196,14 +198,14 @@
             Map.of(A, targetA, B, 24 - targetA),
             Map.of(A, presentA, B, 24 - presentA),
             Map.of(A, demand(8, 0, 0, 0, 0, candidates), B, demand(0, 24, 0, 0, 0)),
-            java.util.Set.of(B),
+            Set.of(B),
             name -> !name.value().equals(resting));
     return new MovePlanner(situation, machines, 0.1)
         .plan(most).stream().map(Planned::machine).map(MachineName::value).toList();
   }
 
   @Test
-  void theSoonestEmptyMoveAndNoMoreThanNeeded() {
+  void machinesThatAreEmptySoonestMoveAndNoMoreThanNeeded() {
     assertEquals(List.of("n-3", "n-1"), planned(24, 8, 9, ""));
     assertEquals(List.of("n-3"), planned(24, 8, 1, ""));
     assertEquals(List.of("n-1", "n-2"), planned(24, 8, 9, "n-3"));
--- a/src/test/java/shorecrank/rollout/ArchiveTest.java
+++ b/src/test/java/shorecrank/rollout/ArchiveTest.java
@@ -10,7 +10,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Base64;
 import java.util.List;
+import java.util.Random;
 import org.apache.commons.codec.digest.DigestUtils;
 import org.apache.commons.compress.archivers.tar.TarArchiveEntry;
 import org.apache.commons.compress.archivers.tar.TarArchiveOutputStream;
@@ -49,7 +51,7 @@
   }
 
   @Test
-  void showsTheKeysWithWhatChangedMeanwhile() throws Exception {
+  void archiveHoldsKeysWithLaterChangesApplied() throws Exception {
     Archive archive = read(archive());
     assertEquals(MANIFEST, archive.manifest());
     assertEquals(300, archive.keys().size());
@@ -59,13 +61,13 @@
   }
 
   @Test
-  void isTakenInPieces() throws Exception {
+  void archiveTakenChunkByChunkIsWhole() throws Exception {
     ArchiveWriter writer = new ArchiveWriter();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int page = 0; page < 40; page++) {
       byte[] noise = new byte[200_000];
-      new java.util.Random(page).nextBytes(noise);
-      String text = java.util.Base64.getEncoder().encodeToString(noise);
+      new Random(page).nextBytes(noise);
+      String text = Base64.getEncoder().encodeToString(noise);
       Entry entry = new Entry("f/" + page, Json.object().put("t", text), new Revision(page), 0);
       writer.addEntries(ArchiveFormat.entries(List.of(entry)));
       while (writer.available() >= 1000) {
@@ -79,7 +81,7 @@
   }
 
   @Test
-  void everyTruncationAndEveryChangedByteIsSeen() throws Exception {
+  void truncationsAndChangedBytesAreDetected() throws Exception {
     byte[] whole = archive();
     Archive read = read(whole);
     for (int length = 0; length < whole.length; length += 7) {
@@ -121,7 +123,7 @@
   }
 
   @Test
-  void whatIsNoArchiveIsRefused() throws Exception {
+  void malformedArchiveIsRefusedWithItsReason() throws Exception {
     String sum = DigestUtils.sha256Hex("[]");
     String file = "\"files\":[{\"name\":\"entries/000001.json\",\"sha256\":\"" + sum + "\"}]";
     assertEquals(
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -43,7 +43,7 @@
           List.of(new OrderOutcome("o", OrderKind.DOWNGRADE, true, "falls", "")));
 
   @Test
-  void theLevelsKeyIsReadAsWritten() {
+  void levelKeyIsReadAsWritten() {
     ObjectNode written = RolloutMessages.write(STATE);
     assertEquals(STATE, RolloutMessages.readState(Json.parse(Json.bytes(written))));
     assertEquals(1, STATE.writeLevel().value());
@@ -65,7 +65,7 @@
         "{'v':1,'phase':'stable','level':1,'target':1}",
         "{'v':1,'phase':'stable','level':1,'target':1,'orders':[{'id':''}]}"
       })
-  void aMalformedKeyIsNotRead(String text) {
+  void malformedKeyIsNotRead(String text) {
     byte[] json = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     assertNull(RolloutMessages.readState(Json.parse(json)));
   }
@@ -79,7 +79,7 @@
         "{'id':'x','order':'finalize','level':99999999}",
         "{'id':'x','order':'finalize','level':'1'}"
       })
-  void aMalformedOrderIsNotRead(String text) {
+  void malformedOrderIsNotRead(String text) {
     byte[] json = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     assertNull(RolloutMessages.readOrder(Json.parse(json)));
   }
@@ -88,7 +88,8 @@
   void shippedExampleHoldsTheDefaults() throws Exception {
     String shipped = Files.readString(Path.of("deploy/rollout.textproto"));
     assertEquals(RolloutSettings.read(""), RolloutSettings.read(shipped));
-    assertEquals(5, shipped.lines().filter(l -> l.contains(": ") && !l.startsWith("#")).count());
+    assertEquals(
+        5, shipped.lines().filter(line -> line.contains(": ") && !line.startsWith("#")).count());
   }
 
   @ParameterizedTest
@@ -99,14 +100,13 @@
     "automatic: perhaps, perhaps",
     "colour: 3, colour"
   })
-  void badSettingsNameTheField(String text, String shard) {
-    InvalidConfigException e =
-        assertThrows(InvalidConfigException.class, () -> RolloutSettings.read(text));
-    assertTrue(e.getMessage().contains(shard), e.getMessage());
+  void settingOutOfRangeIsNamed(String text, String reason) {
+    InvalidConfigException e = assertThrows(InvalidConfigException.class, () -> RolloutSettings.read(text));
+    assertTrue(e.getMessage().contains(reason), e.getMessage());
   }
 
   @Test
-  void theDigestIsOfWhatAllMustShare() throws Exception {
+  void digestChangesWithSharedSettingsOnly() throws Exception {
     String own = SettingsDigest.of(SettingsFile.defaults());
     assertEquals(own, SettingsDigest.of(SettingsFile.read("round_ms: 60 clear_s: 9")));
     for (String other :
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void eachReasonAgainstARiseIsNamed() {
+  void eachReasonAgainstRaisingTheLevelIsNamed() {
     SupportVotes votes = new SupportVotes(List.of(A, B), "d");
     votes.heard(A, new WriterId("a1"), announces(1, "d"), new MonotonicTime(0));
     assertTrue(against(votes, 100).contains("b: not heard by this leader yet"));
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void aVoteIsOneProcesssAndLately() {
+  void supportCountsForOneProcessAndWhileItIsHeard() {
     SupportVotes votes = new SupportVotes(List.of(A, B), "d");
     for (long at = 0; at <= 12_000; at += 1000) {
       votes.heard(A, new WriterId("a1"), announces(1, "d"), new MonotonicTime(at));
