--- a/src/main/java/shorecrank/leadership/LeaderKeyCodec.java
+++ b/src/main/java/shorecrank/leadership/LeaderKeyCodec.java
@@ -2,22 +2,28 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
+import java.util.function.Function;
 
 /**
  * Where a value that the leader owns is stored, and in which form.
  *
+ * @param key the key in the state service
+ * @param initial the value that holds while the key does not exist
+ * @param reader reads a stored value; its result is null if that is malformed or of a form that
+ *     this build does not know
+ * @param writer puts a value into its stored form
  * @param <V> the value's type
  */
-public interface LeaderKeyCodec<V> {
-  /** The key in the state service. */
-  String key();
+public record LeaderKeyCodec<V>(
+    String key, V initial, Function<JsonNode, V> reader, Function<V, ? extends JsonNode> writer) {
 
-  /** The value that holds while the key does not exist. */
-  V initial();
-
-  /** Reads a stored value; empty if it is malformed or of a form that this build does not know. */
-  Optional<V> read(JsonNode stored);
+  /** Reads a stored value; empty if it is not one that this build reads. */
+  Optional<V> read(JsonNode stored) {
+    return Optional.ofNullable(reader.apply(stored));
+  }
 
   /** Puts a value into its stored form. */
-  JsonNode write(V value);
+  JsonNode write(V value) {
+    return writer.apply(value);
+  }
 }
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -20,7 +20,7 @@
 import shorecrank.protocol.ShareMessages.ShardDemand;
 import shorecrank.protocol.ShareMessages.SharesState;
 
-/** The last word of each shard's owner on its demand, on machines that move, and on strays. */
+/** The last reports of shards' owners on demand, on machines that move, and on misplaced ones. */
 final class OwnerReports {
   /** A report older than this says nothing of a shard's demand any more. */
   private static final long FRESH_MS = 4000;
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -6,9 +6,11 @@
 import shorecrank.leadership.LeaderKey;
 import shorecrank.leadership.LeaderKey.Reading;
 import shorecrank.leadership.LeaderKey.Settlement;
+import shorecrank.leadership.LeaderKeyCodec;
 import shorecrank.leadership.Leadership;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.SharesState;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rollout.Feature;
@@ -20,6 +22,10 @@
  * forbids shares, the key is only read.
  */
 final class SharesStore {
+  private static final LeaderKeyCodec<SharesState> CODEC =
+      new LeaderKeyCodec<>(
+          ShareMessages.KEY, SharesState.INITIAL, ShareMessages::readState, ShareMessages::write);
+
   /** Told once a change of unknown outcome is settled. */
   @FunctionalInterface
   interface SettlementListener {
@@ -38,8 +44,7 @@
       SettlementListener listener) {
     this.gate = gate;
     this.listener = listener;
-    this.key =
-        new LeaderKey<>(environment, leadership, new SharesStateCodec(), new SharesKeyRules());
+    this.key = new LeaderKey<>(environment, leadership, CODEC, new SharesKeyRules());
   }
 
   /** Whether the key was read under the present term, whatever it holds. */
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -7,7 +7,9 @@
 import shorecrank.leadership.LeaderKey;
 import shorecrank.leadership.LeaderKey.Reading;
 import shorecrank.leadership.LeaderKey.Settlement;
+import shorecrank.leadership.LeaderKeyCodec;
 import shorecrank.leadership.Leadership;
+import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.Notice;
 import shorecrank.protocol.RolloutMessages.RolloutState;
@@ -22,6 +24,13 @@
  * levels.
  */
 final class LevelStore {
+  private static final LeaderKeyCodec<RolloutState> CODEC =
+      new LeaderKeyCodec<>(
+          RolloutMessages.KEY,
+          RolloutState.INITIAL,
+          RolloutMessages::readState,
+          RolloutMessages::write);
+
   private final Leadership leadership;
   private final FeatureLevel highest;
   private final LeaderKey<RolloutState> key;
@@ -32,8 +41,7 @@
   LevelStore(LeaderEnvironment environment, Leadership leadership, FeatureLevel highest) {
     this.leadership = leadership;
     this.highest = highest;
-    this.key =
-        new LeaderKey<>(environment, leadership, new RolloutStateCodec(), new LevelKeyRules());
+    this.key = new LeaderKey<>(environment, leadership, CODEC, new LevelKeyRules());
   }
 
   /** Whether the key was read under the present term, whatever it holds. */
