--- a/src/main/java/shorecrank/coordination/leader/RolloutView.java
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -26,7 +26,7 @@
 
   /** Whether the level in force is known, so that shards may be granted. */
   boolean isReady() {
-    return rollout == null || rollout.ready();
+    return rollout == null || rollout.isReady();
   }
 
   /** Tells this process's own gate the level, before any heartbeat is answered. */
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -85,37 +85,37 @@
 
   @Override
   public void beginTerm() {
-    moves.began();
+    moves.beginTerm();
   }
 
   @Override
   public boolean isReady() {
-    return moves.ready();
+    return moves.isReady();
   }
 
   @Override
   public void observe() {
-    moves.look();
+    moves.observe();
   }
 
   @Override
   public boolean isUnsettled() {
-    return moves.inDoubt();
+    return moves.isUnsettled();
   }
 
   @Override
   public ShardId shardForNewMachine() {
-    return moves.shardOfNewcomer();
+    return moves.shardForNewMachine();
   }
 
   @Override
   public void handleReport(ShardReport report) {
-    moves.reported(report);
+    moves.handleReport(report);
   }
 
   @Override
   public void handleNewEpoch(ShardId shard) {
-    moves.minted(shard);
+    moves.handleNewEpoch(shard);
   }
 
   @Override
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -93,18 +93,18 @@
    * Whether shards may be granted: moves under way are known, so that no owner uses a machine that
    * it was told to hand over, and jobs are assigned by the configured number of shards.
    */
-  public boolean ready() {
+  public boolean isReady() {
     boolean areOwnersTold = !store.isReadable() || orders.areCurrent();
     return store.isRead() && numberCheck.isPassed() && areOwnersTold;
   }
 
   /** Whether an assignment may still be written that is not known here; then no other may be. */
-  public boolean inDoubt() {
+  public boolean isUnsettled() {
     return committer.isInDoubt();
   }
 
-  /** Assignments were read anew. */
-  public void began() {
+  /** The leader has begun its term, or has read all assignments anew. */
+  public void beginTerm() {
     committer.reset();
     reports.clear();
     orders.reset();
@@ -112,7 +112,7 @@
   }
 
   /** Reads the key if that is due; called once a round, also while no shard may be granted yet. */
-  public void look() {
+  public void observe() {
     store.tick();
     numberCheck.tick();
     if (!orders.areCurrent()) {
@@ -147,18 +147,18 @@
   }
 
   /** Takes a report of a shard's owner that came under the shard's epoch. */
-  public void reported(ShardReport report) {
+  public void handleReport(ShardReport report) {
     reports.take(report, store.state());
   }
 
   /** A shard has a new owner, or its owner a new epoch. */
-  public void minted(ShardId shard) {
+  public void handleNewEpoch(ShardId shard) {
     reports.ownerChanged(shard, store.state());
   }
 
   /** The shard to which a new machine is assigned. */
-  public ShardId shardOfNewcomer() {
-    return planner.shardOfNewMachine(store.state());
+  public ShardId shardForNewMachine() {
+    return planner.shardForNewMachine(store.state());
   }
 
   // ---- operators -------------------------------------------------------------------------------
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -68,7 +68,7 @@
   }
 
   /** The shard that lacks the most processors; of equals, that with the fewest machines. */
-  ShardId shardOfNewMachine(SharesState state) {
+  ShardId shardForNewMachine(SharesState state) {
     Map<ShardId, Double> present = present(state);
     // While machine types are not known, machines have no processors, but still count.
     fleet
--- a/src/main/java/shorecrank/rollout/ArchiveFormat.java
+++ b/src/main/java/shorecrank/rollout/ArchiveFormat.java
@@ -75,6 +75,15 @@
   /** A file of an archive, as its manifest names it; {@code sha256} is in hexadecimal. */
   record FileEntry(String name, String sha256) {}
 
+  /**
+   * The content of a manifest's file.
+   *
+   * @param version the version of the format; negative if none is named
+   * @param manifest empty if fields are missing
+   * @param files the files that it names
+   */
+  record ManifestFile(long version, Optional<Manifest> manifest, List<FileEntry> files) {}
+
   /** The name of a file with a page of keys; the first is 1. */
   static String entriesFile(int number) {
     return FILE_NAME_FORMAT.formatted(ENTRIES, number);
@@ -104,13 +113,13 @@
     return Json.bytes(written);
   }
 
-  /** The version of the format that a manifest names; negative if it names none. */
-  static long readVersion(JsonNode manifest) {
-    return Json.count(manifest.path(VERSION_FIELD));
+  /** Reads the manifest's file. */
+  static ManifestFile readManifest(byte[] content) {
+    JsonNode read = Json.parse(content);
+    return new ManifestFile(Json.count(read.path(VERSION_FIELD)), manifest(read), files(read));
   }
 
-  /** Reads a manifest; empty if fields are missing. */
-  static Optional<Manifest> readManifest(JsonNode manifest) {
+  private static Optional<Manifest> manifest(JsonNode manifest) {
     long level = Json.count(manifest.path(LEVEL));
     long firstRevision = Json.count(manifest.path(FIRST_REVISION));
     long revision = Json.count(manifest.path(REVISION));
@@ -129,8 +138,7 @@
             madeAtMs));
   }
 
-  /** The files that a manifest names. */
-  static List<FileEntry> readFiles(JsonNode manifest) {
+  private static List<FileEntry> files(JsonNode manifest) {
     List<FileEntry> files = new ArrayList<>();
     for (JsonNode file : manifest.path(FILES)) {
       files.add(new FileEntry(Json.text(file.path(NAME)), Json.text(file.path(SHA256))));
--- a/src/main/java/shorecrank/rollout/ArchiveReader.java
+++ b/src/main/java/shorecrank/rollout/ArchiveReader.java
@@ -1,6 +1,5 @@
 package shorecrank.rollout;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.airlift.compress.zstd.ZstdInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -10,9 +9,9 @@
 import org.apache.commons.codec.digest.DigestUtils;
 import org.apache.commons.compress.archivers.tar.TarArchiveEntry;
 import org.apache.commons.compress.archivers.tar.TarArchiveInputStream;
-import shorecrank.protocol.Json;
 import shorecrank.rollout.ArchiveFormat.FileEntry;
 import shorecrank.rollout.ArchiveFormat.Manifest;
+import shorecrank.rollout.ArchiveFormat.ManifestFile;
 import shorecrank.rollout.ArchiveFormat.Version;
 
 /** Reads an archive and checks all of it. */
@@ -56,7 +55,7 @@
     if (manifestFile == null) {
       throw new Damaged("it has no " + ArchiveFormat.MANIFEST_FILE + ", so it is not complete");
     }
-    return checked(manifestFile, files);
+    return check(manifestFile, files);
   }
 
   private static void checkName(TarArchiveEntry file) throws Damaged {
@@ -80,21 +79,18 @@
     return content;
   }
 
-  private static Archive checked(byte[] manifestFile, Map<String, byte[]> files) throws Damaged {
-    JsonNode read = Json.parse(manifestFile);
-    long version = ArchiveFormat.readVersion(read);
-    if (version != ArchiveFormat.VERSION) {
+  private static Archive check(byte[] manifestFile, Map<String, byte[]> files) throws Damaged {
+    ManifestFile read = ArchiveFormat.readManifest(manifestFile);
+    if (read.version() != ArchiveFormat.VERSION) {
       throw new Damaged(
           "format "
-              + version
+              + read.version()
               + " is not read by this version, which reads "
               + ArchiveFormat.VERSION);
     }
-    Manifest manifest =
-        ArchiveFormat.readManifest(read)
-            .orElseThrow(() -> new Damaged("its manifest lacks fields"));
+    Manifest manifest = read.manifest().orElseThrow(() -> new Damaged("its manifest lacks fields"));
     Map<String, Version> keys = new TreeMap<>();
-    for (FileEntry file : ArchiveFormat.readFiles(read)) {
+    for (FileEntry file : read.files()) {
       String name = file.name();
       byte[] content = files.remove(name);
       if (content == null) {
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -102,7 +102,7 @@
   }
 
   /** Whether the level is known, so that shards may be granted. */
-  public boolean ready() {
+  public boolean isReady() {
     return store.isRead();
   }
 
