--- /dev/null
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -0,0 +1,72 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.storage.JobRecord;
+import shorecrank.storage.JobRecord.AttemptRange;
+
+/**
+ * The design's claims about machines of shards. {@code named_elsewhere}: no record names a machine
+ * of another shard, whichever of the two is written later. {@code start_...}: a worker starts tasks
+ * only for the owner of the shard that its machine is assigned to, see {@link CommandHistory}.
+ */
+final class AssignmentRule extends Rule {
+  private static final String SHARDS = "part/";
+
+  private final CommandHistory history = new CommandHistory();
+
+  AssignmentRule(World world, Checker checker) {
+    super(world, checker);
+  }
+
+  @Override
+  void startCommanded(SimulatedWorker worker, String task, long attempt) {
+    history.started(worker.name(), worker.token(), task).forEach(this::report);
+  }
+
+  @Override
+  void applying(JsonNode operations) {
+    boolean several = world().settings().shards() > 1;
+    for (JsonNode operation : operations) {
+      String key = operation.path("write").asText();
+      JsonNode data = operation.path("data");
+      if (key.startsWith(SHARDS)) {
+        history.minted(data.path("epoch").asLong(), data.path("part").asInt());
+      } else if (several && key.startsWith(Shares.MACHINES)) {
+        data.path("m")
+            .forEach(
+                machine ->
+                    history.assigned(
+                        machine.path(Shares.NAME).asText(), machine.path(Shares.SHARD).asInt()));
+      }
+    }
+    if (several) {
+      operations.forEach(this::checkNames);
+    }
+  }
+
+  private void checkNames(JsonNode operation) {
+    String key = operation.path("write").asText();
+    if (key.startsWith(JobRecord.LIVE)) {
+      checkNames(key, operation.path("data"));
+    } else if (key.startsWith(Shares.MACHINES)) {
+      SimulatedStateService store = world().store;
+      store.keys(JobRecord.LIVE).forEach(record -> checkNames(record, store.peek(record)));
+    }
+  }
+
+  private void checkNames(String key, JsonNode value) {
+    JobRecord record = JobRecord.read(value);
+    if (record == null) {
+      return;
+    }
+    int shards = world().rollouts.settings(world().controllers().get(0)).shards();
+    int shard = ShardId.of(record.spec().team(), shards).value();
+    for (AttemptRange range : record.live()) {
+      String machine = range.host().value();
+      if (world().worker(machine).isPresent() && !history.belongs(machine, shard)) {
+        report("named_elsewhere: %s names %s".formatted(key, machine));
+      }
+    }
+  }
+}
--- a/src/test/java/shorecrank/sim/ControllerFaults.java
+++ b/src/test/java/shorecrank/sim/ControllerFaults.java
@@ -23,8 +23,8 @@
     ControllerSelector who = ControllerSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
     return world -> {
-      world.checker.trouble(world.sim.now + durationMs);
-      who.forEach(world, node -> node.frozenUntil = world.sim.now + durationMs);
+      world.faults.lastFor(durationMs);
+      who.forEach(world, node -> node.freeze(durationMs));
     };
   }
 }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/ControllerNode.java
@@ -0,0 +1,108 @@
+package shorecrank.sim;
+
+import java.util.Map;
+import java.util.Set;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+
+/** A controller of a world, whether it runs in this process or in one of its own. */
+abstract class ControllerNode {
+  private final World world;
+  private final int index;
+  private final String label;
+  private final String zone;
+  private int life;
+  private boolean up;
+  private long downSinceMs;
+
+  ControllerNode(World world, int index) {
+    this.world = world;
+    this.index = index;
+    this.label = "n" + index;
+    this.zone = world.site.zoneOf(index);
+  }
+
+  World world() {
+    return world;
+  }
+
+  int index() {
+    return index;
+  }
+
+  String label() {
+    return label;
+  }
+
+  String zone() {
+    return zone;
+  }
+
+  /** Whether its process runs; it may be frozen or cut off. */
+  boolean isUp() {
+    return up;
+  }
+
+  /** How many times it has started. */
+  int life() {
+    return life;
+  }
+
+  /** Whether it runs, and has not ended since it had started so many times. */
+  boolean isAlive(int since) {
+    return up && life == since;
+  }
+
+  /** Simulated time of its latest end. */
+  long downSinceMs() {
+    return downSinceMs;
+  }
+
+  /** Starts its process. */
+  final void start() {
+    up = true;
+    life++;
+    launch();
+  }
+
+  /** Ends its process, which starts again so much later; does nothing if it has ended. */
+  final void crash(long restartMs) {
+    if (!up) {
+      return;
+    }
+    world.faults.lastFor(restartMs);
+    up = false;
+    downSinceMs = world.sim.now();
+    kill();
+    world.sim.after(restartMs, this::start);
+  }
+
+  /** Hands a request in if its process runs; the answer may come later or never. */
+  final void receive(ControllerRequest request, ReplyHandler reply) {
+    if (up) {
+      handle(request, reply);
+    }
+  }
+
+  /** Brings the process up. */
+  abstract void launch();
+
+  /** Ends the process at once. */
+  abstract void kill();
+
+  /** Has it do nothing for a while, and go on then. */
+  abstract void freeze(long durationMs);
+
+  /** Hands a request to the process. */
+  abstract void handle(ControllerRequest request, ReplyHandler reply);
+
+  /** The epochs of the shards that it owns. */
+  abstract Map<ShardId, Epoch> owned();
+
+  /** The epochs of the shards that it may command now, as far as that can be seen. */
+  abstract Map<ShardId, Epoch> commanded();
+
+  /** The machines that it may command now, as far as that can be seen. */
+  abstract Set<MachineName> commandedMachines();
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/ControllerProcess.java
@@ -0,0 +1,207 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Json;
+
+/** A controller as a process of its own, of any version of the program. */
+final class ControllerProcess extends ControllerNode {
+  private static final long PROBE_EVERY_MS = 250;
+  private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(6);
+  private static final String SHARDS = "part/";
+
+  private final PlatformFile.Addresses addresses;
+  private final Path directory;
+  private final HttpClient client;
+  private final Consumer<Runnable> inbox;
+  private ProgramVersion version;
+  private Process process;
+  private boolean healthy;
+  private long nextProbeMs;
+
+  /**
+   * @param directory for its file and what it prints
+   * @param inbox takes what the thread that plays the world has to do
+   */
+  ControllerProcess(
+      World world,
+      int index,
+      ProgramVersion version,
+      PlatformFile.Addresses addresses,
+      Path directory,
+      HttpClient client,
+      Consumer<Runnable> inbox) {
+    super(world, index);
+    this.version = version;
+    this.addresses = addresses;
+    this.directory = directory;
+    this.client = client;
+    this.inbox = inbox;
+  }
+
+  PlatformFile.Addresses addresses() {
+    return addresses;
+  }
+
+  ProgramVersion version() {
+    return version;
+  }
+
+  /** Runs as this version from its next start on. */
+  void upgrade(ProgramVersion to) {
+    version = to;
+  }
+
+  // ---- its process -----------------------------------------------------------------------------
+
+  @Override
+  void launch() {
+    try {
+      Path file = directory.resolve(label() + ".json");
+      Files.write(file, Json.bytes(PlatformFile.write(world(), this)));
+      List<String> command = new ArrayList<>(version.command());
+      command.add(file.toString());
+      String output = label() + "-" + life() + "-" + version.name() + ".log";
+      process =
+          new ProcessBuilder(command)
+              .directory(version.directory().toFile())
+              .redirectErrorStream(true)
+              .redirectOutput(directory.resolve(output).toFile())
+              .start();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  @Override
+  void kill() {
+    process.destroyForcibly();
+  }
+
+  /** Ends the process for good, if it was ever started. */
+  void destroy() {
+    if (process != null) {
+      process.destroyForcibly();
+    }
+  }
+
+  @Override
+  void freeze(long durationMs) {
+    throw new UnsupportedOperationException("a process can't be frozen");
+  }
+
+  /** Whether it runs, or was ended by the test. */
+  boolean isSound() {
+    return !isUp() || process.isAlive();
+  }
+
+  // ---- requests --------------------------------------------------------------------------------
+
+  @Override
+  void handle(ControllerRequest request, ReplyHandler reply) {
+    String address = request.peer() ? addresses.peers() : addresses.users();
+    HttpRequest.BodyPublisher body =
+        request.body() == null
+            ? HttpRequest.BodyPublishers.noBody()
+            : HttpRequest.BodyPublishers.ofByteArray(Json.bytes(request.body()));
+    HttpRequest sent =
+        HttpRequest.newBuilder(URI.create("http://" + address + request.path()))
+            .timeout(REQUEST_TIMEOUT)
+            .method(request.method(), body)
+            .build();
+    client
+        .sendAsync(sent, HttpResponse.BodyHandlers.ofByteArray())
+        .whenComplete(
+            (response, failure) ->
+                inbox.accept(
+                    () -> {
+                      if (failure == null) {
+                        reply.accept(response.statusCode(), Json.parse(response.body()));
+                      } else {
+                        reply.noAnswer();
+                      }
+                    }));
+  }
+
+  /** A counter of its own, as it tells operators; 0 if it has none of that name. */
+  double metric(String name) {
+    String text = get(addresses.peers() + "/metrics").orElse("");
+    Matcher line = Pattern.compile("(?m)^" + Pattern.quote(name) + "\\s+(\\S+)").matcher(text);
+    return line.find() ? Double.parseDouble(line.group(1)) : 0;
+  }
+
+  /** Whether it says that it can take requests; asked every quarter of a second at the most. */
+  boolean isHealthy() {
+    long now = world().sim.now();
+    if (!isUp()) {
+      healthy = false;
+    } else if (now >= nextProbeMs) {
+      nextProbeMs = now + PROBE_EVERY_MS;
+      healthy = get(addresses.users() + "/healthz").isPresent();
+    }
+    return healthy;
+  }
+
+  /** The body of a 200; empty for any other answer, or none. */
+  private Optional<String> get(String url) {
+    HttpRequest request =
+        HttpRequest.newBuilder(URI.create("http://" + url)).timeout(PROBE_TIMEOUT).build();
+    try {
+      HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
+      return response.statusCode() == 200 ? Optional.of(response.body()) : Optional.empty();
+    } catch (IOException e) {
+      return Optional.empty();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      throw new IllegalStateException(e);
+    }
+  }
+
+  // ---- what is seen from outside ---------------------------------------------------------------
+
+  @Override
+  Map<ShardId, Epoch> owned() {
+    Map<ShardId, Epoch> owned = new HashMap<>();
+    for (String key : world().store.keys(SHARDS)) {
+      JsonNode owner = world().store.peek(key);
+      if (owner.path("label").asText().equals(label())) {
+        ShardId shard = new ShardId(owner.path("part").asInt());
+        owned.put(shard, new Epoch(owner.path("epoch").asLong()));
+      }
+    }
+    return owned;
+  }
+
+  /** What a process may command is not seen from outside. */
+  @Override
+  Map<ShardId, Epoch> commanded() {
+    return Map.of();
+  }
+
+  /** What a process may command is not seen from outside. */
+  @Override
+  Set<MachineName> commandedMachines() {
+    return Set.of();
+  }
+}
--- a/src/test/java/shorecrank/sim/ControllerSelector.java
+++ b/src/test/java/shorecrank/sim/ControllerSelector.java
@@ -5,7 +5,6 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import shorecrank.sim.World.Node;
 
 /**
  * Which controllers an action is for, found out when it runs: {@code all}, {@code leader}, {@code
@@ -18,10 +17,10 @@
   Pattern LABEL = Pattern.compile("n\\d+");
 
   /** Those that are meant now; none if nobody has the role. */
-  List<Node> select(World world);
+  List<ControllerNode> select(World world);
 
   /** Does something to each that is meant. */
-  default void forEach(World world, Consumer<Node> action) {
+  default void forEach(World world, Consumer<ControllerNode> action) {
     select(world).forEach(action);
   }
 
@@ -31,12 +30,12 @@
     Matcher ownerOf = OWNER_OF.matcher(word);
     if (ownerOf.matches()) {
       int shard = Integer.parseInt(ownerOf.group(1));
-      return world -> optional(world.owner(shard));
+      return world -> world.owner(shard).stream().toList();
     }
     return switch (word) {
-      case "all" -> world -> world.nodes;
-      case "leader" -> world -> optional(world.leader());
-      case "owner" -> world -> optional(world.owner(0));
+      case "all" -> World::controllers;
+      case "leader" -> world -> world.leader().stream().toList();
+      case "owner" -> world -> world.owner(0).stream().toList();
       case "other" -> ControllerSelector::other;
       default -> {
         if (!LABEL.matcher(word).matches()) {
@@ -47,13 +46,12 @@
     };
   }
 
-  private static List<Node> other(World world) {
-    Node leader = world.leader();
-    Node owner = world.owner(0);
-    return world.nodes.stream().filter(node -> node != leader && node != owner).limit(1).toList();
-  }
-
-  private static List<Node> optional(Node node) {
-    return Optional.ofNullable(node).map(List::of).orElse(List.of());
+  private static List<ControllerNode> other(World world) {
+    Optional<ControllerNode> leader = world.leader();
+    Optional<ControllerNode> owner = world.owner(0);
+    return world.controllers().stream()
+        .filter(node -> node != leader.orElse(null) && node != owner.orElse(null))
+        .limit(1)
+        .toList();
   }
 }
--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -1,7 +1,6 @@
 package shorecrank.sim;
 
 import java.util.Map;
-import java.util.Optional;
 import java.util.function.ToDoubleFunction;
 
 /** Bounds of what was counted, and what controllers logged. */
@@ -10,21 +9,25 @@
       Map.ofEntries(
           Map.entry("epoch", CountExpectations::epochAtLeast),
           Map.entry("epoch-below", line -> below(line, CountExpectations::epoch)),
-          Map.entry("kills-below", line -> below(line, world -> world.leaseKills)),
+          Map.entry(
+              "kills-below", line -> below(line, world -> world.counters.leaseExpiriesWithTasks())),
           Map.entry("machines-below", line -> below(line, world -> world.cloud.size())),
           Map.entry("machines-above", line -> above(line, world -> world.cloud.size())),
-          Map.entry("starts-below", line -> below(line, world -> world.checker.starts)),
-          Map.entry("starts-above", line -> above(line, world -> world.checker.starts)),
+          Map.entry("starts-below", line -> below(line, world -> world.checker.tasks().starts())),
+          Map.entry("starts-above", line -> above(line, world -> world.checker.tasks().starts())),
+          Map.entry(
+              "late-starts-below",
+              line -> below(line, world -> world.checker.tasks().startsAfterCancel())),
           Map.entry(
-              "late-starts-below", line -> below(line, world -> world.checker.startsAfterCancel)),
-          Map.entry("looks-per-round-below", line -> below(line, World::looksPerRound)),
-          Map.entry("news-below", line -> below(line, world -> world.mostNews)),
-          Map.entry("requests-below", line -> below(line, world -> world.store.requests)),
-          Map.entry("full-below", line -> below(line, world -> world.refusedFull)),
+              "looks-per-round-below",
+              line -> below(line, world -> world.counters.looksPerRound())),
+          Map.entry("news-below", line -> below(line, world -> world.counters.largestNews())),
+          Map.entry("requests-below", line -> below(line, world -> world.store.meter().requests())),
+          Map.entry("full-below", line -> below(line, world -> world.counters.startsRefusedFull())),
           Map.entry("gone", CountExpectations::gone),
           Map.entry("log", line -> logged(line, true)),
           Map.entry("nolog", line -> logged(line, false)),
-          Map.entry("owner-known", line -> plain(world -> world.owner(0) != null)));
+          Map.entry("owner-known", line -> plain(world -> world.owner(0).isPresent())));
 
   private CountExpectations() {}
 
@@ -58,18 +61,14 @@
   /** {@code gone MACHINE}: a controller has returned it to the cloud. */
   private static Expectation gone(ScenarioLine line) {
     String machine = line.word(1);
-    return plain(world -> world.cloud.releasedEver.contains(machine));
+    return plain(world -> world.cloud.wasReturned(machine));
   }
 
   /** {@code log TEXT} or {@code nolog TEXT}: whether any controller has logged it so far. */
   private static Expectation logged(ScenarioLine line, boolean expected) {
     String text = line.textFrom(1);
     return Expectation.of(
-        world -> world.logs.stream().anyMatch(log -> log.contains(text)) == expected,
-        world -> first(world, text).map(log -> " [" + log + "]").orElse(""));
-  }
-
-  private static Optional<String> first(World world, String text) {
-    return world.logs.stream().filter(log -> log.contains(text)).findFirst();
+        world -> world.log.first(text).isPresent() == expected,
+        world -> world.log.first(text).map(log -> " [" + log + "]").orElse(""));
   }
 }
--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -58,7 +58,7 @@
   /** {@code zones ZONE,ZONE}: those of the controllers, in turn. */
   private static Declaration zones(ScenarioLine line) {
     List<String> zones = line.list(1);
-    return setup -> setup.world().zones = zones;
+    return setup -> setup.world().site.setZones(zones);
   }
 
   /** {@code workers report=S lease=S cancel=S}. */
@@ -66,10 +66,11 @@
     String[] names = {"report", "lease", "cancel"};
     ScenarioOptions options = line.options(1).allow(names).requireNumbers(names);
     return setup -> {
-      World world = setup.world();
-      world.reportS = options.decimal("report", world.reportS);
-      world.leaseS = options.decimal("lease", world.leaseS);
-      world.cancelS = options.decimal("cancel", world.cancelS);
+      Site site = setup.world().site;
+      site.setWorkerTimes(
+          options.decimal("report", site.reportS()),
+          options.decimal("lease", site.leaseS()),
+          options.decimal("cancel", site.cancelS()));
     };
   }
 
@@ -80,14 +81,20 @@
     options.allow("rps", "writes", "ops", "value", "next-value", "next-ops", "unannounced");
     options.requireNumbers(names);
     return setup -> {
-      World world = setup.world();
-      world.stateRps = options.decimal("rps", world.stateRps);
-      world.stateWrites = options.decimal("writes", world.stateWrites);
-      world.store.txnOps = options.integer("ops", world.store.txnOps);
-      world.store.valueKb = options.integer("value", world.store.valueKb);
-      world.nextValueKb = options.decimal("next-value", 0);
-      world.nextTxnOps = options.integer("next-ops", world.store.txnOps);
-      world.announced = !options.has("unannounced");
+      Site site = setup.world().site;
+      SimulatedStateService store = setup.world().store;
+      site.setStateRates(
+          options.decimal("rps", site.stateRequestsPerS()),
+          options.decimal("writes", site.stateWritesPerS()));
+      int operations = options.integer("ops", store.limits().transactionOperations());
+      store.setLimits(
+          new StateLimits(operations, options.integer("value", store.limits().valueKb())));
+      if (options.has("next-value")) {
+        StateLimits next =
+            new StateLimits(
+                options.integer("next-ops", operations), options.integer("next-value", 0));
+        site.setNextLimits(next, !options.has("unannounced"));
+      }
     };
   }
 
@@ -101,19 +108,15 @@
             options.decimal("mem", 32),
             options.decimal("boot", 20),
             List.of(options.text("zones", "a").split(",")));
-    return setup -> setup.world().types.put(name, type);
+    return setup -> setup.world().site.addType(name, type);
   }
 
   /** {@code team NAME [max=CPUS] [own=CPUS]}: its limit and its guarantee. */
   private static Declaration team(ScenarioLine line) {
     String name = line.word(1);
     ScenarioOptions options = line.options(2).allow("max", "own");
-    double max = options.decimal("max", 0);
-    double own = options.decimal("own", 0);
-    return setup -> {
-      setup.world().teamMax.put(name, max);
-      setup.world().teamOwn.put(name, own);
-    };
+    TeamQuota quota = new TeamQuota(options.decimal("own", 0), options.decimal("max", 0));
+    return setup -> setup.world().site.addTeam(name, quota);
   }
 
   /** {@code aim KIND CLASS [within=S] [times=FACTOR]}: an objective of a class of jobs. */
@@ -126,8 +129,8 @@
     return setup ->
         setup
             .world()
-            .objectives
-            .add(
+            .site
+            .addObjective(
                 Json.object()
                     .put("kind", kind)
                     .put("class", jobClass)
@@ -150,7 +153,7 @@
   /** {@code shares SETTING: VALUE}, as in the operators' file; several lines are one file. */
   private static Declaration shares(ScenarioLine line) {
     String setting = line.textFrom(1);
-    return setup -> setup.world().shares.line(setting);
+    return setup -> setup.world().shares.addSetting(setting);
   }
 
   /** {@code levels LEVELS,LEVELS}: what each controller supports at first. */
@@ -159,7 +162,7 @@
         line.list(1).stream().map(word -> RolloutActions.readVersion(line, word)).toList();
     return setup -> {
       for (int i = 0; i < versions.size(); i++) {
-        setup.world().rollouts.version(i, versions.get(i));
+        setup.world().rollouts.setVersion(i, versions.get(i));
       }
     };
   }
@@ -173,13 +176,13 @@
   /** {@code capacity COUNT}: so many machines can be rented at a time. */
   private static Declaration capacity(ScenarioLine line) {
     int count = line.integer(1);
-    return setup -> setup.world().cloud.capacity = count;
+    return setup -> setup.world().cloud.setCapacity(count);
   }
 
   /** {@code bootfails COUNT}: so many machines never come up. */
   private static Declaration bootFailures(ScenarioLine line) {
     int count = line.integer(1);
-    return setup -> setup.world().cloud.bootFails = count;
+    return setup -> setup.world().cloud.failBoots(count);
   }
 
   /** {@code machines TYPE ZONE COUNT [spot]}: they are up when the run begins. */
@@ -213,7 +216,7 @@
     }
     String trigger = text.substring(0, end).trim();
     Action action = Actions.read(line.rest(text.substring(end + TRIGGER_END.length())));
-    return setup -> setup.world().whenLogged(trigger, () -> action.run(setup.world()));
+    return setup -> setup.world().log.whenLogged(trigger, () -> action.run(setup.world()));
   }
 
   /** {@code until SECONDS}: when the run ends. */
--- a/src/test/java/shorecrank/sim/Expectations.java
+++ b/src/test/java/shorecrank/sim/Expectations.java
@@ -38,7 +38,7 @@
     Expectation expectation = reader.read(line);
     return world -> {
       if (!expectation.holds(world)) {
-        world.unmetExpectations.add("not so: " + line.source() + expectation.found(world));
+        world.addUnmetExpectation("not so: " + line.source() + expectation.found(world));
       }
     };
   }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/FairnessRule.java
@@ -0,0 +1,70 @@
+package shorecrank.sim;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The design's claims at the end of a run. {@code unserved}: of each class and team, and of the
+ * largest jobs of each class, at least half have begun. {@code late}: those largest begin within
+ * four minutes.
+ */
+final class FairnessRule extends Rule {
+  /** What came later than this before the end has not had its time. */
+  private static final long LATEST_MS = 60_000;
+
+  private static final long BEGIN_WITHIN_MS = 240_000;
+
+  /** The largest quarter of a class. */
+  private static final int LARGEST = 4;
+
+  FairnessRule(World world, Checker checker) {
+    super(world, checker);
+  }
+
+  @Override
+  void ended() {
+    Map<String, List<String>> classes = new HashMap<>();
+    Map<String, List<String>> teams = new HashMap<>();
+    for (String job : told().accepted()) {
+      JobPlan plan = world().jobs.plan(job);
+      boolean hadTime = sim().now() - told().submittedAtMs(job) > LATEST_MS;
+      if (hadTime && !plan.faulty() && !world().jobs.isCancelExpected(job)) {
+        classes.computeIfAbsent(plan.jobClass(), k -> new ArrayList<>()).add(job);
+        teams.computeIfAbsent(plan.team(), k -> new ArrayList<>()).add(job);
+      }
+    }
+    teams.forEach((name, jobs) -> checkServed("team " + name, jobs));
+    classes.forEach(
+        (name, jobs) -> {
+          checkServed("class " + name, jobs);
+          List<String> largest = largest(jobs);
+          checkServed("largest of class " + name, largest);
+          checkBegun(largest);
+        });
+  }
+
+  private List<String> largest(List<String> jobs) {
+    List<String> bySize = new ArrayList<>(jobs);
+    bySize.sort(Comparator.comparingInt(job -> -world().jobs.plan(job).tasks()));
+    return bySize.subList(0, (bySize.size() + LARGEST - 1) / LARGEST);
+  }
+
+  private void checkServed(String group, List<String> jobs) {
+    long served = jobs.stream().filter(job -> told().isDone(job) || tasks().hasBegun(job)).count();
+    if (served * 2 < jobs.size()) {
+      report("unserved: %d of %d of %s".formatted(served, jobs.size(), group));
+    }
+  }
+
+  private void checkBegun(List<String> jobs) {
+    for (String job : jobs) {
+      boolean isFree = world().jobs.plan(job).dependencies().isEmpty();
+      if (isFree && tasks().begunAtMs(job) - told().submittedAtMs(job) > BEGIN_WITHIN_MS) {
+        report("late: %s not begun within four minutes".formatted(job));
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/InventedRule.java
@@ -0,0 +1,15 @@
+package shorecrank.sim;
+
+/** {@code invented} of the protocol: 200 is no answer for a job that nobody submitted. */
+final class InventedRule extends Rule {
+  InventedRule(World world, Checker checker) {
+    super(world, checker);
+  }
+
+  @Override
+  void answered(UserAnswer answer) {
+    if (answer.isOk() && !world().jobs.isSubmitted(answer.job())) {
+      report("invented: " + answer.job());
+    }
+  }
+}
--- a/src/test/java/shorecrank/sim/JobExpectations.java
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -11,11 +11,11 @@
 final class JobExpectations {
   static final Map<String, Expectation.Reader> EXPECTATIONS =
       Map.of(
-          "done", line -> all(line, (world, job) -> isTold(world, job, "done")),
-          "withdrawn", line -> all(line, (world, job) -> isTold(world, job, "withdrawn")),
-          "over", line -> all(line, JobExpectations::isOver),
+          "done", line -> all(line, (world, job) -> world.checker.told().isDone(job)),
+          "withdrawn", line -> all(line, JobExpectations::isCancelled),
+          "over", line -> all(line, (world, job) -> world.checker.told().isOver(job)),
           "over-or-refused", line -> all(line, JobExpectations::isOverOrRefused),
-          "accepted", line -> all(line, (world, job) -> !isTold(world, job, "unknown")),
+          "accepted", line -> all(line, (world, job) -> !world.checker.told().isUnknown(job)),
           "status", JobExpectations::status,
           "final", JobExpectations::finalRecord,
           "begun-before", JobExpectations::begunBefore,
@@ -30,19 +30,16 @@
         world -> found(world, jobs));
   }
 
-  private static boolean isTold(World world, String job, String phase) {
-    return world.checker.told(job).equals(phase);
+  private static boolean isCancelled(World world, String job) {
+    return world.checker.told().phase(job).equals(ToldAnswers.CANCELLED);
   }
 
-  /** Done, or cancelled where its user asked for it. */
-  private static boolean isOver(World world, String job) {
-    return isTold(world, job, "done") || isTold(world, job, "withdrawn");
-  }
-
-  /** Or never accepted, in troubles that lasted for as long as its user tried. */
+  /**
+   * Done or cancelled; or never accepted, in troubles that lasted for as long as its user tried.
+   */
   private static boolean isOverOrRefused(World world, String job) {
-    boolean refused = isTold(world, job, "unknown") && world.users.gaveUp.contains(job);
-    return isOver(world, job) || refused;
+    ToldAnswers told = world.checker.told();
+    return told.isOver(job) || (told.isUnknown(job) && world.users.gaveUpInFaults(job));
   }
 
   /** {@code status JOB STATUS}: of the latest answer to its user. */
@@ -50,8 +47,7 @@
     String job = line.word(1);
     int status = line.integer(2);
     return Expectation.of(
-        world -> world.users.statuses.getOrDefault(job, 0) == status,
-        world -> found(world, List.of(job)));
+        world -> world.users.latestStatus(job) == status, world -> found(world, List.of(job)));
   }
 
   /** {@code final JOB,JOB PHASE}: as the state service has them. */
@@ -67,7 +63,8 @@
     String first = line.word(1);
     String second = line.word(2);
     return Expectation.of(
-        world -> world.checker.begunBefore(first, second), world -> found(world, List.of(first)));
+        world -> world.checker.tasks().isBegunBefore(first, second),
+        world -> found(world, List.of(first)));
   }
 
   /** {@code starts-of JOB LEAST MOST}. */
@@ -76,16 +73,22 @@
     int least = line.integer(2);
     int most = line.integer(3);
     return Expectation.of(
-        world -> world.checker.startsOf(job) >= least && world.checker.startsOf(job) <= most,
-        world -> " [" + world.checker.startsOf(job) + "]");
+        world ->
+            world.checker.tasks().startsOf(job) >= least
+                && world.checker.tasks().startsOf(job) <= most,
+        world -> " [" + world.checker.tasks().startsOf(job) + "]");
   }
 
   private static String found(World world, List<String> jobs) {
     StringBuilder text = new StringBuilder();
     for (String job : jobs) {
-      if (world.plans.containsKey(job)) {
+      if (world.jobs.isSubmitted(job)) {
         JsonNode record = world.store.peek(JobRecord.LIVE + job);
-        text.append(" [").append(job).append(' ').append(world.checker.told(job)).append(' ');
+        text.append(" [")
+            .append(job)
+            .append(' ')
+            .append(world.checker.told().phase(job))
+            .append(' ');
         text.append(record.isMissingNode() ? "" : Json.object().set("r", record).toString());
         text.append(']');
       }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/LoopbackServers.java
@@ -0,0 +1,87 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.sun.net.httpserver.HttpExchange;
+import com.sun.net.httpserver.HttpServer;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.Executor;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.function.Consumer;
+import shorecrank.protocol.Json;
+
+/**
+ * Addresses on loopback at which stand-ins are reached. Requests are handled one after the other,
+ * by the thread that plays the world.
+ */
+final class LoopbackServers implements AutoCloseable {
+  /** Watches are answered late. */
+  private static final int ANSWER_TIMEOUT_S = 90;
+
+  private final Executor threads;
+  private final Consumer<Runnable> inbox;
+  private final List<HttpServer> servers = new ArrayList<>();
+
+  /** What a stand-in does with a request. */
+  @FunctionalInterface
+  interface Handler {
+    /** Takes it; the answer may come later. */
+    void handle(String method, String path, JsonNode body, ReplyHandler reply);
+  }
+
+  /** An answer on its way to the thread that sends it. */
+  private record Answer(int status, JsonNode body) {}
+
+  /**
+   * @param threads that wait for requests and answers
+   * @param inbox takes what the playing thread has to do
+   */
+  LoopbackServers(Executor threads, Consumer<Runnable> inbox) {
+    this.threads = threads;
+    this.inbox = inbox;
+  }
+
+  /** Serves at a new address, which is returned. */
+  String serve(Handler handler) {
+    try {
+      HttpServer server =
+          HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+      server.setExecutor(threads);
+      server.createContext("/", exchange -> exchange(exchange, handler));
+      server.start();
+      servers.add(server);
+      return "127.0.0.1:" + server.getAddress().getPort();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  private void exchange(HttpExchange exchange, Handler handler) throws IOException {
+    String method = exchange.getRequestMethod();
+    String path = exchange.getRequestURI().toString();
+    JsonNode body = Json.parse(exchange.getRequestBody().readAllBytes());
+    CompletableFuture<Answer> future = new CompletableFuture<>();
+    ReplyHandler reply = (status, answer) -> future.complete(new Answer(status, answer));
+    inbox.accept(() -> handler.handle(method, path, body, reply));
+    try (exchange) {
+      Answer answer = future.get(ANSWER_TIMEOUT_S, TimeUnit.SECONDS);
+      byte[] bytes = Json.bytes(answer.body());
+      exchange.sendResponseHeaders(answer.status(), bytes.length);
+      exchange.getResponseBody().write(bytes);
+    } catch (InterruptedException | ExecutionException | TimeoutException e) {
+      throw new IOException(e);
+    }
+  }
+
+  @Override
+  public void close() {
+    servers.forEach(server -> server.stop(0));
+  }
+}
--- a/src/test/java/shorecrank/sim/MachineFaults.java
+++ b/src/test/java/shorecrank/sim/MachineFaults.java
@@ -24,13 +24,13 @@
   /** {@code sick MACHINES}: every task fails on them. */
   private static Action sick(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
-    return world -> machines.forEach(world, worker -> worker.sick = true);
+    return world -> machines.forEach(world, worker -> worker.makeSick());
   }
 
   /** {@code take MACHINES}: the cloud takes them back without notice. */
   private static Action take(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
-    return world -> machines.forEach(world, worker -> world.cloud.take(worker.name));
+    return world -> machines.forEach(world, worker -> world.cloud.take(worker.name()));
   }
 
   /** {@code notice MACHINES SECONDS}: the cloud announces that it takes them back. */
@@ -42,14 +42,14 @@
         machines.forEach(
             world,
             worker -> {
-              worker.notice = noticeS;
-              world.sim.after(noticeMs, () -> world.cloud.take(worker.name));
+              worker.giveNotice(noticeS);
+              world.sim.after(noticeMs, () -> world.cloud.take(worker.name()));
             });
   }
 
   /** {@code capacity COUNT}: so many machines can be rented at a time. */
   private static Action capacity(ScenarioLine line) {
     int capacity = line.integer(1);
-    return world -> world.cloud.capacity = capacity;
+    return world -> world.cloud.setCapacity(capacity);
   }
 }
--- a/src/test/java/shorecrank/sim/MachineSelector.java
+++ b/src/test/java/shorecrank/sim/MachineSelector.java
@@ -1,7 +1,6 @@
 package shorecrank.sim;
 
 import java.util.List;
-import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 
@@ -16,10 +15,10 @@
   Pattern NAME = Pattern.compile("n-\\d+");
 
   /** Those that are there now. */
-  List<Worker> select(World world);
+  List<SimulatedWorker> select(World world);
 
   /** Does something to each that is meant. */
-  default void forEach(World world, Consumer<Worker> action) {
+  default void forEach(World world, Consumer<SimulatedWorker> action) {
     select(world).forEach(action);
   }
 
@@ -27,24 +26,20 @@
   static MachineSelector read(ScenarioLine line, int index) {
     String word = line.word(index);
     if (word.equals("all")) {
-      return world -> List.copyOf(world.workers.values());
+      return world -> List.copyOf(world.workers());
     }
     if (word.startsWith(ZONE)) {
       String zone = word.substring(ZONE.length());
       return world ->
-          world.workers.values().stream().filter(worker -> worker.zone.equals(zone)).toList();
+          world.workers().stream().filter(worker -> worker.zone().equals(zone)).toList();
     }
     if (word.startsWith(JOB)) {
       String job = word.substring(JOB.length());
-      return world -> optional(world.runs(job));
+      return world -> world.workerRunning(job).stream().toList();
     }
     if (!NAME.matcher(word).matches()) {
       throw line.error("'" + word + "' names no machine");
     }
-    return world -> optional(world.workers.get(word));
-  }
-
-  private static List<Worker> optional(Worker worker) {
-    return Optional.ofNullable(worker).map(List::of).orElse(List.of());
+    return world -> world.worker(word).stream().toList();
   }
 }
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -10,9 +10,6 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import shorecrank.config.SettingsFile;
-import shorecrank.sim.ProcessWorld.ProcessNode;
-import shorecrank.sim.ProcessWorld.Version;
-import shorecrank.sim.World.Mode;
 
 /**
  * An upgrade while serving: real processes of the version in production and of this one, side by
@@ -26,8 +23,8 @@
   private static final long CANCEL_AFTER_MS = 2500;
 
   private ProcessWorld world;
-  private Version production;
-  private Version present;
+  private ProgramVersion production;
+  private ProgramVersion present;
   private int submitted;
 
   @Test
@@ -40,13 +37,13 @@
     try (ProcessWorld w = new ProcessWorld(seed, production, own, SettingsFile.defaults())) {
       world = w;
       describeSite();
-      world.mayLead(null);
+      world.letLeadOnly(null);
       world.open(3);
-      world.mayLead(node(1));
+      world.letLeadOnly(node(1));
       for (int i = 0; i < 4; i++) {
         world.cloud.boot("p8", i % 2 == 0 ? "a" : "b", false, 0);
       }
-      await("the first leader", () -> leads(1) && world.owner(0) != null);
+      await("the first leader", () -> leads(1) && world.owner(0).isPresent());
       submitEvery(JOB_EVERY_MS);
       world.play(5000);
 
@@ -59,8 +56,8 @@
       pipelineUnderLowerLimits();
       finish();
       world.checker.end();
-      assertEquals(List.of(), world.checker.broken);
-      assertTrue(world.checker.starts > 0);
+      assertEquals(List.of(), world.checker.violations());
+      assertTrue(world.checker.tasks().starts() > 0);
     }
   }
 
@@ -78,7 +75,7 @@
   /** The leader is killed; the new process leads over an old owner. */
   private void newLeaderOldOwner() {
     awaitServing(node(0));
-    world.mayLead(node(0));
+    world.letLeadOnly(node(0));
     node(1).crash(12_000);
     await("a new leader with an old owner", () -> leads(0) && owns(2));
     assertEquals(production, node(2).version());
@@ -96,7 +93,7 @@
     awaitServing(node(2));
     refuseState(node(2));
     assertTrue(node(2).metric("user.relayed") > 0, "the old one passed nothing on");
-    world.mayLead(node(2));
+    world.letLeadOnly(node(2));
     node(0).crash(9000);
     await("an old leader again", () -> leads(2));
     awaitServing(node(0));
@@ -105,8 +102,8 @@
   }
 
   /** Its users go on asking it, and it knows after a while that it must pass them on. */
-  private void refuseState(ProcessNode node) {
-    world.cut(node, "state", 8000, Mode.REFUSE);
+  private void refuseState(ControllerProcess node) {
+    world.network.cuts().cutLinks(node, Link.STATE, 8000, CutMode.REFUSE);
     for (int i = 0; i < 16; i++) {
       serveFor(500);
       world.users.resubmitAt(node, "wk-1");
@@ -115,34 +112,34 @@
   }
 
   private void outage() {
-    world.checker.trouble(world.sim.now + 12_000);
-    world.store.outage(12_000);
+    world.faults.lastFor(12_000);
+    world.store.beginOutage(12_000);
     serveFor(14_000);
   }
 
   /** The owner of one version ends, and the other takes over on its records, several times. */
   private void oldOnesReturn() {
     for (int i = 0; i < 3; i++) {
-      ProcessNode owner = (ProcessNode) world.owner(0);
+      ControllerProcess owner = (ControllerProcess) world.owner(0).orElseThrow();
       owner.crash(7500);
-      await("a takeover", () -> world.owner(0) != null && world.owner(0) != owner);
+      await("a takeover", () -> world.owner(0).filter(node -> node != owner).isPresent());
       serveFor(2500);
       awaitServing(owner);
     }
   }
 
   private void allNew() {
-    world.mayLead(null);
+    world.letLeadOnly(null);
     roll(2);
-    await("a new leader", () -> world.leader() != null && world.leader().up);
+    await("a new leader", () -> world.leader().filter(ControllerNode::isUp).isPresent());
     serveFor(4000);
-    for (World.Node n : world.nodes) {
-      assertEquals(present, ((ProcessNode) n).version());
+    for (ControllerNode n : world.controllers()) {
+      assertEquals(present, ((ControllerProcess) n).version());
     }
   }
 
   private void pipelineUnderLowerLimits() {
-    world.lowerLimits();
+    world.store.setLimits(world.site.nextLimits().orElseThrow());
     world.users.submit("wk-9001", plan(4, 1.5).build());
     world.play(1500);
     world.users.submit("wk-9002", plan(3, 1).dependencies(List.of("wk-9001")).build());
@@ -153,26 +150,17 @@
 
   private void finish() {
     submitting = false;
-    await(
-        "the end of all jobs",
-        () -> world.submitted.stream().allMatch(j -> ended(world.checker.told(j))));
-    for (World.Node n : world.nodes) {
-      assertTrue(((ProcessNode) n).sound(), n.label + " has ended by itself");
-    }
-  }
-
-  private static boolean ended(String phase) {
-    return phase.equals("done") || phase.equals("withdrawn");
+    await("the end of all jobs", world::areAllJobsOver);
+    assertTrue(world.areProcessesSound(), "a controller has ended by itself");
   }
 
   // ---- the site and its load -------------------------------------------------------------------
 
   private void describeSite() {
     world.describeSmallSite();
-    world.cloud.capacity = 6;
-    world.nextValueKb = 2;
-    world.nextTxnOps = 5;
-    world.users.closeLooks(600_000);
+    world.cloud.setCapacity(6);
+    world.site.setNextLimits(new StateLimits(5, 2), true);
+    world.users.habits().lookCloselyFor(600_000);
   }
 
   private boolean submitting = true;
@@ -198,7 +186,7 @@
 
   // ---- controllers -----------------------------------------------------------------------------
 
-  private ProcessNode node(int index) {
+  private ControllerProcess node(int index) {
     return world.process(index);
   }
 
@@ -208,29 +196,27 @@
   }
 
   private boolean leads(int index) {
-    return world.leader() == node(index) && node(index).up;
+    return node(index).isUp() && world.leader().filter(node(index)::equals).isPresent();
   }
 
   private boolean owns(int index) {
-    return world.owner(0) == node(index);
+    return world.owner(0).filter(node(index)::equals).isPresent();
   }
 
   private void serveFor(long ms) {
     world.play(ms);
-    assertEquals(List.of(), world.checker.broken);
+    assertEquals(List.of(), world.checker.violations());
   }
 
   /** Until a controller is back and has read who leads and what machines there are. */
-  private void awaitServing(ProcessNode node) {
-    await(node.label + " to serve", node::healthy);
+  private void awaitServing(ControllerProcess node) {
+    await(node.label() + " to serve", node::isHealthy);
     world.play(1000);
   }
 
   private void await(String what, BooleanSupplier holds) {
-    for (World.Node n : world.nodes) {
-      assertTrue(((ProcessNode) n).sound(), n.label + " has ended by itself");
-    }
+    assertTrue(world.areProcessesSound(), "a controller has ended by itself");
     assertTrue(world.playUntil(holds, WAIT_MS), "waited in vain for " + what);
-    assertEquals(List.of(), world.checker.broken);
+    assertEquals(List.of(), world.checker.violations());
   }
 }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/Network.java
@@ -0,0 +1,165 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
+
+/** Carries messages between all who take part, across delays and cuts. */
+final class Network {
+  private static final int DELAYS_MS = 6;
+
+  private final World world;
+  private final Simulation sim;
+  private final Cuts cuts;
+  private final DuplicateMessages duplicates;
+  private final StateServiceLink stateService;
+
+  Network(World world) {
+    this.world = world;
+    this.sim = world.sim;
+    this.cuts = new Cuts(sim, world.faults);
+    this.duplicates = new DuplicateMessages(world);
+    this.stateService = new StateServiceLink(sim, world.faults, world.store);
+  }
+
+  Cuts cuts() {
+    return cuts;
+  }
+
+  DuplicateMessages duplicates() {
+    return duplicates;
+  }
+
+  StateServiceLink stateService() {
+    return stateService;
+  }
+
+  private long delayMs() {
+    return 1 + sim.random().nextInt(DELAYS_MS);
+  }
+
+  /** Delivers after a delay, or as the cut that is in the way has it. */
+  private void send(Optional<Cut> cut, Runnable delivery) {
+    if (cut.isEmpty()) {
+      sim.after(delayMs(), delivery);
+    } else {
+      cut.get().take(delivery);
+    }
+  }
+
+  // ---- from controllers ------------------------------------------------------------------------
+
+  /** Carries a controller's call out; it has the answer, or none, within the call's time. */
+  void call(SimulatedController from, Output.Call call) {
+    ReplyHandler once = once(from, call);
+    sim.after(call.timeoutMs(), once::noAnswer);
+    if (call.target() instanceof Output.Worker worker) {
+      callWorker(from, worker.address(), call.body(), once);
+    } else if (call.target() instanceof Output.Peer peer) {
+      callPeer(from, world.node(peer.label().value()), call, once);
+    } else if (call.target() == Output.Service.STATE) {
+      callService(
+          from,
+          Link.STATE,
+          once,
+          reply -> stateService.send(call.method(), call.path(), call.body(), reply));
+    } else {
+      callService(
+          from, Link.CLOUD, once, reply -> world.cloud.handle(call.path(), call.body(), reply));
+    }
+  }
+
+  /** Only the first answer counts, and only to the process that has asked. */
+  private ReplyHandler once(SimulatedController from, Output.Call call) {
+    int life = from.life();
+    boolean[] answered = new boolean[1];
+    return (status, body) -> {
+      if (!answered[0] && from.isAlive(life)) {
+        answered[0] = true;
+        world.counters.addNews(body.path("news").size());
+        from.input(new Input.Answer(call.call(), status, body));
+      }
+    };
+  }
+
+  /** Commands straight to a worker: held or copied, they may be carried out long after. */
+  private void callWorker(
+      SimulatedController from, String address, JsonNode body, ReplyHandler back) {
+    Optional<SimulatedWorker> found =
+        world.workers().stream().filter(worker -> worker.address().equals(address)).findFirst();
+    if (found.isEmpty()) {
+      sim.after(delayMs(), back::noAnswer);
+      return;
+    }
+    SimulatedWorker worker = found.get();
+    ReplyHandler reply =
+        (status, report) ->
+            send(
+                cuts.ofWorker(worker, from, WorkerDirection.FROM_WORKER),
+                () -> back.accept(status, report));
+    send(
+        cuts.ofWorker(worker, from, WorkerDirection.TO_WORKER),
+        () -> worker.takeCommands(body, reply));
+    duplicates.sentCommands(worker, body);
+  }
+
+  private void callPeer(
+      SimulatedController from, ControllerNode to, Output.Call call, ReplyHandler back) {
+    if (cuts.refuses(from, Link.PEERS)) {
+      sim.after(delayMs(), back::unavailable);
+      return;
+    }
+    ControllerRequest request =
+        new ControllerRequest(true, call.method(), call.path(), call.body());
+    ReplyHandler reply =
+        (status, body) -> send(cuts.betweenPeers(to, from), () -> back.accept(status, body));
+    send(cuts.betweenPeers(from, to), () -> to.receive(request, reply));
+  }
+
+  /** What a regional service does with a request. */
+  @FunctionalInterface
+  private interface Service {
+    void handle(ReplyHandler reply);
+  }
+
+  private void callService(
+      SimulatedController from, Link link, ReplyHandler back, Service service) {
+    Optional<Cut> cut = cuts.toRegion(from, link);
+    if (cut.isPresent() && cut.get().refuses()) {
+      sim.after(delayMs(), back::unavailable);
+      return;
+    }
+    ReplyHandler reply =
+        (status, body) ->
+            send(
+                cuts.toRegion(from, link),
+                () -> back.accept(status, world.rollouts.asRead(from, body)));
+    send(cut, () -> service.handle(reply));
+  }
+
+  // ---- to controllers --------------------------------------------------------------------------
+
+  /** A worker's heartbeat to a controller. */
+  void sendHeartbeat(SimulatedWorker from, ControllerNode to, JsonNode body, ReplyHandler back) {
+    Optional<Cut> cut = cuts.ofWorker(from, to, WorkerDirection.FROM_WORKER);
+    if (!to.isUp() && cut.isEmpty()) {
+      // The machine is there, the process is not: the connection is refused.
+      sim.after(delayMs(), back::noAnswer);
+      return;
+    }
+    ReplyHandler reply =
+        (status, answer) ->
+            send(
+                cuts.ofWorker(from, to, WorkerDirection.TO_WORKER),
+                () -> back.accept(status, answer));
+    send(cut, () -> to.receive(ControllerRequest.heartbeat(body), reply));
+    duplicates.sentHeartbeat(to, body);
+  }
+
+  /** A user's request; answers come back whatever is cut, as the connection is open. */
+  void sendUserRequest(ControllerNode to, ControllerRequest request, ReplyHandler back) {
+    ReplyHandler reply = (status, body) -> sim.after(1, () -> back.accept(status, body));
+    send(cuts.toRegion(to, Link.USERS), () -> to.receive(request, reply));
+  }
+}
--- a/src/test/java/shorecrank/sim/NetworkFaults.java
+++ b/src/test/java/shorecrank/sim/NetworkFaults.java
@@ -1,8 +1,6 @@
 package shorecrank.sim;
 
 import java.util.Map;
-import java.util.Set;
-import shorecrank.sim.World.Mode;
 
 /** Cuts between controllers, workers, zones and services, and messages that arrive twice. */
 final class NetworkFaults {
@@ -11,38 +9,33 @@
           "cut", NetworkFaults::cut,
           "zonecut", NetworkFaults::zoneCut,
           "partition", NetworkFaults::partition,
-          "silence", line -> cutWorkers(line, "worker"),
-          "deafen", line -> cutWorkers(line, "answers"),
-          "mute", line -> cutWorkers(line, "reports"),
+          "silence", line -> cutWorkers(line, WorkerDirection.BOTH),
+          "deafen", line -> cutWorkers(line, WorkerDirection.TO_WORKER),
+          "mute", line -> cutWorkers(line, WorkerDirection.FROM_WORKER),
           "copies", NetworkFaults::copies,
           "copies-for-next", NetworkFaults::copiesForNext);
 
-  private static final Set<String> LINKS =
-      Set.of("state", "cloud", "peers", "workers", "users", "all");
-
   private NetworkFaults() {}
 
   /** {@code cut WHO LINK SECONDS [drop|hold|refuse]}: controllers lose a kind of links. */
   private static Action cut(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
-    String link = line.word(2);
-    if (!LINKS.contains(link)) {
-      throw line.error("'" + link + "' is no link, there are " + LINKS);
-    }
+    Link link = line.constant(2, Link.class);
     long durationMs = line.milliseconds(3);
-    Mode mode = mode(line, 4);
-    return world -> who.forEach(world, node -> world.cut(node, link, durationMs, mode));
+    CutMode mode = mode(line, 4);
+    return world ->
+        who.forEach(world, node -> world.network.cuts().cutLinks(node, link, durationMs, mode));
   }
 
   /** {@code zonecut WHO SECONDS [MODE]}: the zone of a controller loses all that is outside. */
   private static Action zoneCut(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
-    Mode mode = mode(line, 3);
+    CutMode mode = mode(line, 3);
     return world ->
         who.select(world).stream()
             .findFirst()
-            .ifPresent(node -> world.cutZone(node.zone, null, durationMs, mode));
+            .ifPresent(node -> world.network.cuts().isolateZone(node.zone(), durationMs, mode));
   }
 
   /** {@code partition ZONE ZONE SECONDS [MODE]}: two zones lose each other. */
@@ -50,17 +43,19 @@
     String one = line.word(1);
     String other = line.word(2);
     long durationMs = line.milliseconds(3);
-    Mode mode = mode(line, 4);
-    return world -> world.cutZone(one, other, durationMs, mode);
+    CutMode mode = mode(line, 4);
+    return world -> world.network.cuts().separateZones(one, other, durationMs, mode);
   }
 
   /** {@code NAME MACHINES SECONDS [MODE]}: both ways, or one, between workers and controllers. */
-  private static Action cutWorkers(ScenarioLine line, String direction) {
+  private static Action cutWorkers(ScenarioLine line, WorkerDirection direction) {
     MachineSelector machines = MachineSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
-    Mode mode = mode(line, 3);
+    CutMode mode = mode(line, 3);
     return world ->
-        machines.forEach(world, worker -> world.cutWorker(worker, direction, durationMs, mode));
+        machines.forEach(
+            world,
+            worker -> world.network.cuts().cutWorker(worker.name(), direction, durationMs, mode));
   }
 
   /** {@code copies SECONDS LATE_S [in-order]}: for a while every report arrives twice. */
@@ -68,16 +63,16 @@
     long durationMs = line.milliseconds(1);
     double lateS = line.decimal(2);
     boolean inOrder = line.has(3);
-    return world -> world.copies(durationMs, lateS, inOrder);
+    return world -> world.network.duplicates().sendFor(durationMs, lateS, inOrder);
   }
 
   /** {@code copies-for-next SECONDS}: copies of a while's reports arrive under the next leader. */
   private static Action copiesForNext(ScenarioLine line) {
     long durationMs = line.milliseconds(1);
-    return world -> world.copiesForNext(durationMs);
+    return world -> world.network.duplicates().keepForNextLeader(durationMs);
   }
 
-  private static Mode mode(ScenarioLine line, int index) {
-    return line.has(index) ? line.constant(index, Mode.class) : Mode.DROP;
+  private static CutMode mode(ScenarioLine line, int index) {
+    return line.has(index) ? line.constant(index, CutMode.class) : CutMode.DROP;
   }
 }
--- a/src/test/java/shorecrank/sim/OrderSender.java
+++ b/src/test/java/shorecrank/sim/OrderSender.java
@@ -15,11 +15,7 @@
   private final World world;
   private final String path;
 
-  /** Answers, by order id. */
-  final Map<String, List<JsonNode>> outcomes = new TreeMap<>();
-
-  /** The status of the latest answer, by order id. */
-  final Map<String, Integer> statuses = new TreeMap<>();
+  private final Map<String, List<JsonNode>> answers = new TreeMap<>();
 
   OrderSender(World world, String path) {
     this.world = world;
@@ -28,49 +24,56 @@
 
   /** Sends an order to a controller, and to the next ones while there is no answer. */
   void send(int index, String id, JsonNode order) {
-    send(index, id, order, world.sim.now + GIVEN_UP_MS);
+    send(index, id, order, world.sim.now() + GIVEN_UP_MS);
   }
 
-  private void send(int index, String id, JsonNode order, long until) {
-    if (world.sim.now > until) {
+  private void send(int index, String id, JsonNode order, long untilMs) {
+    if (world.sim.now() > untilMs) {
       return;
     }
     boolean[] over = new boolean[1];
-    Runnable again =
+    Runnable retry =
         () -> {
           if (!over[0]) {
             over[0] = true;
-            int other = (index + 1) % world.nodes.size();
-            world.sim.after(RETRY_MS, () -> send(other, id, order, until));
+            int other = (index + 1) % world.controllers().size();
+            world.sim.after(RETRY_MS, () -> send(other, id, order, untilMs));
           }
         };
-    world.sim.after(TIMEOUT_MS, again);
-    world.request(
-        world.nodes.get(index),
-        true,
-        "POST",
-        path,
-        order,
-        (status, answer) -> {
-          if (over[0]) {
-            return;
-          }
-          if (status == 200 || status == 409 || status == 400) {
-            over[0] = true;
-            outcomes.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
-            statuses.put(id, status);
-          } else {
-            again.run();
-          }
-        });
+    world.sim.after(TIMEOUT_MS, retry);
+    world
+        .controllers()
+        .get(index)
+        .receive(
+            ControllerRequest.order(path, order),
+            (status, answer) -> {
+              boolean isFinal = status == 200 || status == 409 || status == 400;
+              if (!isFinal) {
+                retry.run();
+              } else if (!over[0]) {
+                over[0] = true;
+                answers.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
+              }
+            });
+  }
+
+  /** All answers to an order, from as many controllers as were asked. */
+  List<JsonNode> answers(String id) {
+    return answers.getOrDefault(id, List.of());
   }
 
   /** Whether all answers to an order accepted or refused it, and hold some words. */
   boolean allSay(String id, boolean accepted, String words) {
-    List<JsonNode> answers = outcomes.getOrDefault(id, List.of());
-    return !answers.isEmpty()
-        && answers.stream()
+    return !answers(id).isEmpty()
+        && answers(id).stream()
             .allMatch(
-                n -> n.path("accepted").asBoolean() == accepted && n.toString().contains(words));
+                answer ->
+                    answer.path("accepted").asBoolean() == accepted
+                        && answer.toString().contains(words));
+  }
+
+  /** All answers, for the report of a failure. */
+  String describe() {
+    return answers.toString();
   }
 }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/PlatformFile.java
@@ -0,0 +1,80 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import shorecrank.config.NodeConfigFile;
+import shorecrank.config.InvalidConfigException;
+import shorecrank.config.NodeConfig;
+import shorecrank.protocol.Json;
+
+/** The file that the platform hands to a controller. */
+final class PlatformFile {
+  private static final double CLOUD_REQUESTS_PER_S = 4;
+
+  /** Where a controller's users and workers, its peers, the state service and the cloud are. */
+  record Addresses(String users, String peers, String state, String cloud) {}
+
+  private PlatformFile() {}
+
+  /** As a controller in this process takes it. */
+  static NodeConfig read(World world, ControllerNode node) {
+    try {
+      return NodeConfigFile.read(Json.bytes(write(world, node)));
+    } catch (InvalidConfigException e) {
+      throw new IllegalArgumentException(e);
+    }
+  }
+
+  /** The file's contents. */
+  static ObjectNode write(World world, ControllerNode node) {
+    Addresses own = world.addresses(node);
+    ObjectNode file = Json.object().put("label", node.label()).put("location", node.zone());
+    file.put("public_addr", own.users()).put("peer_bind", own.peers());
+    ArrayNode members = file.putArray("members");
+    for (ControllerNode other : world.controllers()) {
+      if (other != node) {
+        members
+            .addObject()
+            .put("label", other.label())
+            .put("location", other.zone())
+            .put("addr", world.addresses(other).peers());
+      }
+    }
+    file.putObject("endpoints").put("cloud", own.cloud()).put("state", own.state());
+    writeSettings(file.putObject("settings"), world);
+    return file;
+  }
+
+  private static void writeSettings(ObjectNode settings, World world) {
+    Site site = world.site;
+    ArrayNode teams = settings.putArray("teams");
+    site.teams()
+        .forEach(
+            (name, quota) ->
+                teams
+                    .addObject()
+                    .put("name", name)
+                    .put("cpus", quota.guaranteedCpus())
+                    .put("cpus_max", quota.limitCpus())
+                    .put("gpus", 0.0)
+                    .put("gpus_max", 0.0));
+    site.objectives().forEach(settings.withArray("objectives")::add);
+    settings
+        .putObject("workers")
+        .put("report_s", site.reportS())
+        .put("lease_s", site.leaseS())
+        .put("cancel_s", site.cancelS());
+    ObjectNode state = settings.putObject("state");
+    state.put("rps", site.stateRequestsPerS()).put("write_rps", site.stateWritesPerS());
+    writeLimits(state, world.store.limits());
+    site.announcedLimits().ifPresent(next -> writeLimits(state.putObject("next"), next));
+    settings
+        .putObject("cloud")
+        .put("rps", CLOUD_REQUESTS_PER_S)
+        .put("list_lag_s", SimulatedCloud.LIST_LAG_S);
+  }
+
+  private static void writeLimits(ObjectNode into, StateLimits limits) {
+    into.put("txn_ops", limits.transactionOperations()).put("value_kb", limits.valueKb());
+  }
+}
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -17,8 +17,6 @@
 import shorecrank.config.Settings;
 import shorecrank.config.SettingsFile;
 import shorecrank.protocol.RolloutMessages.RolloutState;
-import shorecrank.sim.ProcessWorld.ProcessNode;
-import shorecrank.sim.ProcessWorld.Version;
 
 /** Real controllers on loopback under steady load, and an operator with the command-line client. */
 final class ProcessFleet implements AutoCloseable {
@@ -32,28 +30,28 @@
   /** What the client did: its exit status and what it printed. */
   record Run(int status, String out, String err) {}
 
-  ProcessFleet(long seed, Version first, int machines) throws Exception {
+  ProcessFleet(long seed, ProgramVersion first, int machines) throws Exception {
     this(seed, first, machines, SettingsFile.defaults());
   }
 
   /**
    * @param tuning as in the settings file that the processes are started with
    */
-  ProcessFleet(long seed, Version first, int machines, Settings tuning) throws Exception {
+  ProcessFleet(long seed, ProgramVersion first, int machines, Settings tuning) throws Exception {
     Path logs = Files.createDirectories(ProgramVersions.BASE.resolve("target/process-fleet"));
     world = new ProcessWorld(seed, first, Files.createTempDirectory(logs, "run"), tuning);
     world.describeSmallSite();
-    world.cloud.capacity = machines + 2;
-    world.users.closeLooks(600_000);
+    world.cloud.setCapacity(machines + 2);
+    world.users.habits().lookCloselyFor(600_000);
     world.rollouts.observe();
     world.open(3);
     for (int i = 0; i < machines; i++) {
       world.cloud.boot("p8", i % 2 == 0 ? "a" : "b", false, 0);
     }
-    await("the first owner", () -> world.owner(0) != null && world.leader() != null);
+    await("the first owner", () -> world.owner(0).isPresent() && world.leader().isPresent());
   }
 
-  ProcessNode node(int index) {
+  ControllerProcess node(int index) {
     return world.process(index);
   }
 
@@ -88,28 +86,28 @@
   }
 
   /** Ends a controller; it is back as that version. */
-  void roll(int index, Version version, long backMs) {
+  void roll(int index, ProgramVersion version, long backMs) {
     node(index).upgrade(version);
     node(index).crash(backMs);
   }
 
   void serveFor(long ms) {
     world.play(ms);
-    assertEquals(List.of(), world.checker.broken);
+    assertEquals(List.of(), world.checker.violations());
   }
 
   void await(String what, BooleanSupplier holds) {
     assertTrue(world.playUntil(holds, WAIT_MS), "waited in vain for " + what);
-    assertEquals(List.of(), world.checker.broken);
-    for (World.Node n : world.nodes) {
-      assertTrue(((ProcessNode) n).sound(), n.label + " has ended by itself");
-    }
+    assertEquals(List.of(), world.checker.violations());
+    assertTrue(world.areProcessesSound(), "a controller has ended by itself");
   }
 
   /** Runs the client while the fleet goes on; {@code @} stands for all controllers' addresses. */
   Run client(String... words) {
     String all =
-        world.nodes.stream().map(n -> world.addresses(n).peers()).collect(Collectors.joining(","));
+        world.controllers().stream()
+            .map(n -> world.addresses(n).peers())
+            .collect(Collectors.joining(","));
     return clientAt(all, words);
   }
 
@@ -140,14 +138,9 @@
   /** No more jobs; waits until each has its final answer. */
   void finish() {
     submitting = false;
-    await("the end of all jobs", () -> world.submitted.stream().allMatch(this::over));
+    await("the end of all jobs", world::areAllJobsOver);
     world.checker.end();
-    assertEquals(List.of(), world.checker.broken);
-  }
-
-  private boolean over(String job) {
-    String told = world.checker.told(job);
-    return told.equals("done") || told.equals("withdrawn");
+    assertEquals(List.of(), world.checker.violations());
   }
 
   @Override
--- a/src/test/java/shorecrank/sim/ProgramVersions.java
+++ b/src/test/java/shorecrank/sim/ProgramVersions.java
@@ -11,7 +11,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import shorecrank.sim.ProcessWorld.Version;
 
 /** The versions of the program that tests start as real processes. */
 final class ProgramVersions {
@@ -20,7 +19,7 @@
   private ProgramVersions() {}
 
   /** This version, with the memory that the service file gives it. */
-  static Version present(String... options) throws IOException {
+  static ProgramVersion present(String... options) throws IOException {
     List<String> command = new ArrayList<>();
     for (String word : setting("run").split(" ")) {
       boolean jar = word.equals("-jar") || word.contains("target/");
@@ -32,11 +31,11 @@
     command.addAll(List.of("-cp", classes, "shorecrank.daemon.Main"));
     command.addAll(List.of(options));
     command.add("--config");
-    return new Version("present", BASE, command);
+    return new ProgramVersion("present", BASE, command);
   }
 
   /** The version in production, from the repository's history, built and run as the file says. */
-  static Version production() throws Exception {
+  static ProgramVersion production() throws Exception {
     String commit = setting("production");
     Path directory = BASE.resolve("target/production-" + commit.substring(0, 12));
     Path built = directory.resolve("target/shorecrank.jar");
@@ -45,7 +44,7 @@
       shell(BASE, "git archive " + commit + " | tar -x -C '" + directory + "'");
       shell(directory, setting("build"));
     }
-    return new Version("production", directory, List.of(setting("run").split(" ")));
+    return new ProgramVersion("production", directory, List.of(setting("run").split(" ")));
   }
 
   private static void shell(Path directory, String line) throws Exception {
--- /dev/null
+++ b/src/test/java/shorecrank/sim/RanTwiceRule.java
@@ -0,0 +1,17 @@
+package shorecrank.sim;
+
+/** {@code ran_twice} of the protocol: while a task is on one machine, it starts on none. */
+final class RanTwiceRule extends Rule {
+  RanTwiceRule(World world, Checker checker) {
+    super(world, checker);
+  }
+
+  @Override
+  void started(TaskStart start) {
+    if (!start.otherMachines().isEmpty()) {
+      report(
+          "ran_twice: %s starts on %s while on %s"
+              .formatted(start.task(), start.worker().name(), start.otherMachines()));
+    }
+  }
+}
--- a/src/test/java/shorecrank/sim/RandomFaults.java
+++ b/src/test/java/shorecrank/sim/RandomFaults.java
@@ -17,7 +17,7 @@
   private final FaultScript script;
 
   private RandomFaults(World world, ScenarioLine line) {
-    this.random = world.sim.random.split();
+    this.random = world.sim.random().split();
     this.script = new FaultScript(world, line);
   }
 
--- a/src/test/java/shorecrank/sim/RolloutActions.java
+++ b/src/test/java/shorecrank/sim/RolloutActions.java
@@ -21,7 +21,7 @@
   private static Action version(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     Version version = readVersion(line, line.word(2));
-    return world -> who.forEach(world, node -> world.rollouts.version(node.index, version));
+    return world -> who.forEach(world, node -> world.rollouts.setVersion(node.index(), version));
   }
 
   /** {@code roll WHO LEVELS SECONDS}: controllers end, and are back as that version. */
@@ -33,7 +33,7 @@
         who.forEach(
             world,
             node -> {
-              world.rollouts.version(node.index, version);
+              world.rollouts.setVersion(node.index(), version);
               node.crash(restartMs);
             });
   }
@@ -44,14 +44,15 @@
     String id = line.word(2);
     OrderKind kind = line.constant(3, OrderKind.class);
     int level = line.has(4) ? line.integer(4) : NO_LEVEL;
-    return world -> who.forEach(world, node -> world.rollouts.order(node.index, id, kind, level));
+    return world ->
+        who.forEach(world, node -> world.rollouts.sendOrder(node.index(), id, kind, level));
   }
 
   /** {@code settings WHO SETTING: VALUE}: from their next start on. */
   private static Action settings(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     String text = line.textFrom(2);
-    return world -> who.forEach(world, node -> world.rollouts.settings(node.index, text));
+    return world -> who.forEach(world, node -> world.rollouts.setSettings(node.index(), text));
   }
 
   /** A version as scenarios write it: {@code none}, or {@code 0-1}. */
--- a/src/test/java/shorecrank/sim/RolloutExpectations.java
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -18,7 +18,7 @@
   private RolloutExpectations() {}
 
   private static Expectation of(Expectation.Condition condition) {
-    return Expectation.of(condition, world -> " " + world.rollouts);
+    return Expectation.of(condition, world -> " " + world.rollouts.describe());
   }
 
   /** {@code level LEVEL}: the one in force. */
@@ -36,25 +36,25 @@
   /** {@code dense none|some}: records in the dense form. */
   private static Expectation dense(ScenarioLine line) {
     boolean none = line.word(1).equals("none");
-    return of(world -> (world.rollouts.dense() == 0) == none);
+    return of(world -> (world.rollouts.denseRecords() == 0) == none);
   }
 
   /** {@code order ID accepted|refused [words that the answer holds]}. */
   private static Expectation order(ScenarioLine line) {
     OrderAnswer answer = OrderAnswer.read(line);
-    return of(world -> answer.isOf(world.rollouts.orders));
+    return of(world -> answer.isOf(world.rollouts.orders()));
   }
 
   /** {@code rises COUNT}. */
   private static Expectation rises(ScenarioLine line) {
     int count = line.integer(1);
-    return of(world -> world.rollouts.rises == count);
+    return of(world -> world.checker.rollout().rises() == count);
   }
 
   /** {@code falls COUNT}. */
   private static Expectation falls(ScenarioLine line) {
     int count = line.integer(1);
-    return of(world -> world.rollouts.falls == count);
+    return of(world -> world.checker.rollout().falls() == count);
   }
 
   /** {@code archived}: the latest archive shows the keys as they were. */
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -6,7 +6,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.Locale;
-import java.util.function.Consumer;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -41,20 +40,18 @@
     int[] requestsBefore = {0};
     scenario.beforeRun(
         w -> {
-          Consumer<JsonNode> rules = w.store.beforeApply;
-          w.store.beforeApply =
+          w.store.beforeTransactions(
               operations -> {
-                rules.accept(operations);
                 if (w.rollouts.state().phase() == Phase.FALLING) {
                   count(w, traffic, operations);
                 }
-              };
-          w.sim.at(FALL_AT_MS, () -> requestsBefore[0] = w.store.requests);
+              });
+          w.sim.at(FALL_AT_MS, () -> requestsBefore[0] = w.store.meter().requests());
           watch(w, fell, traffic, requestsBefore);
         });
     assertEquals(List.of(), scenario.play(1, false));
     World w = scenario.world();
-    assertEquals(0, w.rollouts.dense());
+    assertEquals(0, w.rollouts.denseRecords());
     long durationMs = fell[0] - FALL_AT_MS;
     System.out.printf(
         Locale.ROOT,
@@ -98,9 +95,9 @@
   }
 
   private static void watch(World w, long[] fell, Traffic traffic, int[] requestsBefore) {
-    if (w.rollouts.falls > 0) {
-      fell[0] = w.sim.now;
-      traffic.requests = w.store.requests - requestsBefore[0];
+    if (w.checker.rollout().falls() > 0) {
+      fell[0] = w.sim.now();
+      traffic.requests = w.store.meter().requests() - requestsBefore[0];
       return;
     }
     w.sim.after(STEP_MS, () -> watch(w, fell, traffic, requestsBefore));
@@ -119,9 +116,9 @@
   /** Mean and longest time until users' submissions were accepted. */
   private static String acceptance(World w, long fromMs, long toMs) {
     var stats =
-        w.checker.acceptances.stream()
-            .filter(a -> a.submittedAt() >= fromMs && a.submittedAt() < toMs)
-            .mapToLong(Checker.Acceptance::afterMs)
+        w.checker.told().acceptances().stream()
+            .filter(a -> a.submittedAtMs() >= fromMs && a.submittedAtMs() < toMs)
+            .mapToLong(ToldAnswers.Acceptance::afterMs)
             .summaryStatistics();
     return "%d of mean %.0f ms, longest %d ms"
         .formatted(stats.getCount(), stats.getAverage(), stats.getMax());
@@ -161,13 +158,13 @@
       System.out.printf(
           "rise: archive %s: %.1f s from the last upgraded process to the level; archive %d bytes%n",
           archive, (rose[0] - 61_000) / 1000.0, bytes);
-      assertEquals(1, w.rollouts.rises);
+      assertEquals(1, w.checker.rollout().rises());
     }
   }
 
   private static void watchRise(World w, long[] rose) {
-    if (w.rollouts.rises > 0) {
-      rose[0] = w.sim.now;
+    if (w.checker.rollout().rises() > 0) {
+      rose[0] = w.sim.now();
     } else {
       w.sim.after(STEP_MS, () -> watchRise(w, rose));
     }
--- a/src/test/java/shorecrank/sim/RolloutMix.java
+++ b/src/test/java/shorecrank/sim/RolloutMix.java
@@ -14,7 +14,7 @@
 
   private RolloutMix(World world, ScenarioLine line) {
     this.world = world;
-    this.random = world.sim.random.split();
+    this.random = world.sim.random().split();
     this.script = new FaultScript(world, line);
   }
 
@@ -32,13 +32,13 @@
       double at = fromS + random.nextDouble() * (toS - fromS);
       script.at(at, action(i));
     }
-    for (int n = 0; n < world.nodes.size(); n++) {
+    for (int n = 0; n < world.controllers().size(); n++) {
       script.at(toS + n * LAST_ROLL_EVERY_S, "roll n" + n + " " + NEWEST + " 1");
     }
   }
 
   private String node() {
-    return "n" + random.nextInt(world.nodes.size());
+    return "n" + random.nextInt(world.controllers().size());
   }
 
   private String who() {
--- a/src/test/java/shorecrank/sim/RolloutProcessTest.java
+++ b/src/test/java/shorecrank/sim/RolloutProcessTest.java
@@ -10,7 +10,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import shorecrank.protocol.RolloutMessages.Phase;
 import shorecrank.sim.ProcessFleet.Run;
-import shorecrank.sim.ProcessWorld.Version;
 
 /**
  * Real controllers and the client, as an operator uses them: up one level, an archive, and back.
@@ -22,7 +21,7 @@
   void anOperatorsSession() throws Exception {
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 archives_kept: 1 rewrites_per_s: 50");
-    Version present = ProgramVersions.present("--rollout", settings.toString());
+    ProgramVersion present = ProgramVersions.present("--rollout", settings.toString());
     try (ProcessFleet fleet = new ProcessFleet(1, present, 4)) {
       fleet.submitEvery(700);
       fleet.serveFor(3000);
@@ -42,8 +41,8 @@
     Run again = fleet.clientOf(1, "rollout", "finalize", "@", "--level=1", "--id=up");
     assertEquals(order, again);
     fleet.await("level 1", () -> fleet.state().level().value() == 1);
-    fleet.await("a dense record", () -> fleet.world.rollouts.dense() > 0);
-    assertEquals(1, fleet.world.rollouts.rises);
+    fleet.await("a dense record", () -> fleet.world.rollouts.denseRecords() > 0);
+    assertEquals(1, fleet.world.checker.rollout().rises());
     fleet.serveFor(1500);
     String[] told = new String[3];
     for (int i = 0; i < 3; i++) {
@@ -95,6 +94,6 @@
     fleet.await(
         "level 0",
         () -> fleet.state().level().value() == 0 && fleet.state().phase() == Phase.STABLE);
-    assertEquals(0, fleet.world.rollouts.dense());
+    assertEquals(0, fleet.world.rollouts.denseRecords());
   }
 }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -0,0 +1,128 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.RolloutMessages.FeatureLevel;
+import shorecrank.protocol.RolloutMessages.RolloutState;
+import shorecrank.rollout.Feature;
+import shorecrank.sim.Rollouts.Version;
+import shorecrank.storage.JobRecord;
+
+/**
+ * The design's claims about rollouts: no form above the level in force is written, no controller
+ * owns a shard or leads below that level, the level rises only when all support it and falls only
+ * when nothing is left that needs it, and leadership is never vacant where it is protected.
+ */
+final class RolloutRule extends Rule {
+  /** An announcement may be so old when the level rises. */
+  private static final long ANNOUNCED_LATELY_MS = 6000;
+
+  private int rises;
+  private int falls;
+
+  RolloutRule(World world, Checker checker) {
+    super(world, checker);
+  }
+
+  /** How often the level rose. */
+  int rises() {
+    return rises;
+  }
+
+  /** How often the level fell. */
+  int falls() {
+    return falls;
+  }
+
+  // ---- what is written -------------------------------------------------------------------------
+
+  @Override
+  void applying(JsonNode operations) {
+    if (!world().rollouts.isEnabled()) {
+      return;
+    }
+    RolloutState before = world().rollouts.state();
+    RolloutState after = before;
+    for (JsonNode operation : operations) {
+      if (operation.path("write").asText().equals(RolloutMessages.KEY)) {
+        after = RolloutMessages.readState(operation.path("data"));
+      }
+    }
+    operations.forEach(operation -> checkOperation(operation, before));
+    if (after.level().compareTo(before.level()) > 0) {
+      rises++;
+      checkRise(after.level());
+    } else if (after.level().compareTo(before.level()) < 0) {
+      falls++;
+      checkFall(after.level());
+    }
+  }
+
+  private void checkOperation(JsonNode operation, RolloutState before) {
+    String key = operation.path("write").asText();
+    boolean dense = key.startsWith(JobRecord.LIVE) && JobRecord.isDense(operation.path("data"));
+    if (dense && !before.writeLevel().includes(Feature.DENSE_RECORDS.level())) {
+      report("form_above_level: " + key);
+    }
+    if (operation.path("drop").asText().equals("leader")) {
+      report("leadership_vacant: dropped by a transaction");
+    }
+  }
+
+  private void checkRise(FeatureLevel level) {
+    // What counts is what was known when the change was sent.
+    long sentAtMs = sim().now() - world().store.lateByMs();
+    world()
+        .rollouts
+        .forEachRunning(
+            (index, version) -> {
+              long runningMs = sentAtMs - world().rollouts.runningSinceMs(index);
+              if (!version.supports(level) && runningMs >= ANNOUNCED_LATELY_MS) {
+                report("raised_without_support: n%d to %s".formatted(index, level));
+              }
+            });
+  }
+
+  private void checkFall(FeatureLevel level) {
+    long dense = world().rollouts.denseRecords();
+    if (dense > 0 && !level.includes(Feature.DENSE_RECORDS.level())) {
+      report("fell_too_early: %d dense records left".formatted(dense));
+    }
+    boolean moving = !world().shares.state().active().isEmpty();
+    if (moving && !level.includes(Feature.SHARES.level())) {
+      report("fell_too_early: moves are under way");
+    }
+  }
+
+  // ---- who owns and leads ----------------------------------------------------------------------
+
+  @Override
+  void stepped(ControllerNode node) {
+    if (!world().rollouts.isEnabled()) {
+      return;
+    }
+    RolloutState state = world().rollouts.state();
+    Version version = world().rollouts.running(node);
+    if (!node.commanded().isEmpty() && !version.supports(state.level())) {
+      report("owner_below_level: %s at %s".formatted(node.label(), state.level()));
+    }
+    if (state.level().includes(Feature.PROTECTED_LEADERSHIP.level())) {
+      checkLeadership(node, version, state.level());
+    }
+  }
+
+  private void checkLeadership(ControllerNode node, Version version, FeatureLevel level) {
+    if (world().store.peek("leader").isMissingNode()) {
+      report("leadership_vacant: no leader key at level " + level);
+    }
+    String leading = world().store.peek("leadership").path("label").asText("");
+    // A process may be back in an earlier version under the label of the one that led.
+    long runningMs = sim().now() - world().rollouts.runningSinceMs(node.index());
+    if (node.label().equals(leading)
+        && node.isUp()
+        && !version.supports(level)
+        && runningMs >= ANNOUNCED_LATELY_MS) {
+      report("leader_below_level: %s at %s".formatted(node.label(), level));
+    }
+  }
+}
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -10,7 +10,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import shorecrank.protocol.RolloutMessages.Phase;
 import shorecrank.sim.ProcessFleet.Run;
-import shorecrank.sim.ProcessWorld.Version;
 
 /**
  * Three real controllers, of the version in production and of this one, upgraded and downgraded in
@@ -31,8 +30,8 @@
   void upAndDownInRandomOrder() throws Exception {
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 rewrites_per_s: 50");
-    Version production = ProgramVersions.production();
-    Version present = ProgramVersions.present("--rollout", settings.toString());
+    ProgramVersion production = ProgramVersions.production();
+    ProgramVersion present = ProgramVersions.present("--rollout", settings.toString());
     Random random = new Random(Long.getLong("seed", 1));
     try (ProcessFleet fleet = new ProcessFleet(1, production, 4)) {
       fleet.submitEvery(900);
@@ -51,12 +50,13 @@
           rises,
           falls,
           returnsAtLevel,
-          fleet.world.checker.finalAnswers());
-      assertEquals(fleet.submitted(), fleet.world.checker.finalAnswers());
+          fleet.world.checker.told().finalAnswers());
+      assertEquals(fleet.submitted(), fleet.world.checker.told().finalAnswers());
     }
   }
 
-  private void round(ProcessFleet fleet, Random random, Version production, Version present) {
+  private void round(
+      ProcessFleet fleet, Random random, ProgramVersion production, ProgramVersion present) {
     int index = random.nextInt(CONTROLLERS);
     boolean up = random.nextInt(3) > 0;
     if (!up && fleet.state().level().value() > 0) {
@@ -77,14 +77,14 @@
     }
   }
 
-  private void roll(ProcessFleet fleet, int index, Version version) {
-    fleet.await("a sound controller", () -> fleet.node(index).up);
+  private void roll(ProcessFleet fleet, int index, ProgramVersion version) {
+    fleet.await("a sound controller", () -> fleet.node(index).isUp());
     fleet.roll(index, version, 700);
     moves++;
-    fleet.await("n" + index + " to serve", () -> fleet.node(index).healthy());
+    fleet.await("n" + index + " to serve", () -> fleet.node(index).isHealthy());
   }
 
-  private void allPresent(ProcessFleet fleet, Version present) {
+  private void allPresent(ProcessFleet fleet, ProgramVersion present) {
     for (int i = 0; i < CONTROLLERS; i++) {
       if (fleet.node(i).version() != present) {
         roll(fleet, i, present);
@@ -113,6 +113,6 @@
         () -> fleet.client("rollout", "downgrade", "@", "--timeout=3").status() == 0);
     fleet.await("level 0", () -> fleet.state().level().value() == 0);
     falls++;
-    assertEquals(0, fleet.world.rollouts.dense());
+    assertEquals(0, fleet.world.rollouts.denseRecords());
   }
 }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/Rule.java
@@ -0,0 +1,65 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+
+/**
+ * A rule that must hold throughout a run, watched from outside the service. Each rule looks at
+ * those events that could break it; here all are ignored.
+ */
+abstract class Rule {
+  private final World world;
+  private final Checker checker;
+
+  /**
+   * @param checker which may not be reached through the world yet
+   */
+  Rule(World world, Checker checker) {
+    this.world = world;
+    this.checker = checker;
+  }
+
+  World world() {
+    return world;
+  }
+
+  Simulation sim() {
+    return world.sim;
+  }
+
+  ToldAnswers told() {
+    return checker.told();
+  }
+
+  TaskLedger tasks() {
+    return checker.tasks();
+  }
+
+  /** The rule is broken; the text begins with its name. */
+  void report(String text) {
+    checker.report(text);
+  }
+
+  /** A task is on a machine from now on; the ledger has it already. */
+  void started(TaskStart start) {}
+
+  /** A worker is about to carry a start out. */
+  void startCommanded(SimulatedWorker worker, String task, long attempt) {}
+
+  /** A worker is about to forget an exited task. */
+  void reapCommanded(SimulatedWorker worker, String task, long attempt) {}
+
+  /** A user has an answer; what users were told does not include it yet. */
+  void answered(UserAnswer answer) {}
+
+  /** A user's request is over, maybe without an answer. */
+  void asked(String job, long sentAtMs, boolean isAnswered) {}
+
+  /** A controller in this process has made a round. */
+  void stepped(ControllerNode node) {}
+
+  /** The state service is about to apply a transaction. */
+  void applying(JsonNode operations) {}
+
+  /** The run is over. */
+  void ended() {}
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/RunCounters.java
@@ -0,0 +1,81 @@
+package shorecrank.sim;
+
+import java.util.Map;
+import java.util.TreeMap;
+
+/** What is counted in a run, by the controllers themselves and by those around them. */
+final class RunCounters {
+  private static final String LOOKS = "round.looks";
+
+  private final Map<String, Long> counts = new TreeMap<>();
+  private final Map<String, Double> gauges = new TreeMap<>();
+  private long rounds;
+  private int largestNews;
+  private int leaseExpiriesWithTasks;
+  private int startsRefusedFull;
+
+  /** A controller counts something. */
+  void count(String metric, long by) {
+    counts.merge(metric, by, Long::sum);
+  }
+
+  /** A controller sets a gauge. */
+  void gauge(String metric, double value) {
+    gauges.put(metric, value);
+  }
+
+  /** What all controllers together have counted. */
+  long counted(String metric) {
+    return counts.getOrDefault(metric, 0L);
+  }
+
+  /** All counts by metric, of metrics that begin so. */
+  Map<String, Long> countsOf(String prefix) {
+    Map<String, Long> some = new TreeMap<>(counts);
+    some.keySet().removeIf(metric -> !metric.startsWith(prefix));
+    return some;
+  }
+
+  /** The latest value that any controller has set, or 0. */
+  double gaugeOf(String metric) {
+    return gauges.getOrDefault(metric, 0.0);
+  }
+
+  /** A controller has made a round for each of its shards. */
+  void addRounds(int count) {
+    rounds += count;
+  }
+
+  /** Machines and jobs that an owner's round looks at, on average. */
+  double looksPerRound() {
+    return (double) counted(LOOKS) / Math.max(1, rounds);
+  }
+
+  /** A controller takes an answer with so many changes to a watch. */
+  void addNews(int changes) {
+    largestNews = Math.max(largestNews, changes);
+  }
+
+  /** Changes in the fullest answer to a watch that a controller had to hold. */
+  int largestNews() {
+    return largestNews;
+  }
+
+  /** A worker with tasks has killed them because its lease had expired. */
+  void addLeaseExpiry() {
+    leaseExpiriesWithTasks++;
+  }
+
+  int leaseExpiriesWithTasks() {
+    return leaseExpiriesWithTasks;
+  }
+
+  /** A worker has refused a start because it lacks resources. */
+  void addRefusedFull() {
+    startsRefusedFull++;
+  }
+
+  int startsRefusedFull() {
+    return startsRefusedFull;
+  }
+}
--- a/src/test/java/shorecrank/sim/ScaleTest.java
+++ b/src/test/java/shorecrank/sim/ScaleTest.java
@@ -65,29 +65,34 @@
     scenario.beforeRun(w -> w.sim.at(OWNER_ENDS_MS, () -> heapMb[0] = endOwner(w)));
     assertEquals(List.of(), scenario.play(1, false));
     World world = scenario.world();
-    int done = world.results.size();
-    Store store = world.store;
+    int done = world.jobs.resultCount();
+    SimulatedStateService store = world.store;
     System.out.printf(
         "%d machines: rented %d, tasks done %d, most a second: %d requests, %d changes;"
             + " heap of the owner %.1f MB%n%s",
         machines,
-        world.cloud.most,
+        world.cloud.largestSize(),
         done,
-        store.mostRequestsPerS,
-        store.mostChangesPerS,
+        store.meter().largestRequestsPerS(),
+        store.meter().largestChangesPerS(),
         heapMb[0],
         measurements);
-    assertTrue(world.cloud.most >= machines * 0.98, "rented " + world.cloud.most);
-    assertTrue(world.checker.starts >= machines, "starts " + world.checker.starts);
-    assertEquals(0, store.tooLarge, "transactions refused for their size");
-    assertTrue(store.mostChangesPerS <= 2 * STATE_WRITES, "changes " + store.mostChangesPerS);
-    assertTrue(store.mostRequestsPerS <= 2 * STATE_RPS, "requests " + store.mostRequestsPerS);
+    assertTrue(world.cloud.largestSize() >= machines * 0.98, "rented " + world.cloud.largestSize());
+    assertTrue(
+        world.checker.tasks().starts() >= machines, "starts " + world.checker.tasks().starts());
+    assertEquals(0, store.meter().refusedForSize(), "transactions refused for their size");
+    assertTrue(
+        store.meter().largestChangesPerS() <= 2 * STATE_WRITES,
+        "changes " + store.meter().largestChangesPerS());
+    assertTrue(
+        store.meter().largestRequestsPerS() <= 2 * STATE_RPS,
+        "requests " + store.meter().largestRequestsPerS());
     assertTrue(measurements.largestMessage("/peer/beat") < MAX_PEER_REQUEST);
   }
 
   /** Ends the owner; returns what it held: the heap in use with it and without it. */
   private static double endOwner(World world) {
-    World.Node owner = world.owner(0);
+    ControllerNode owner = world.owner(0).orElseThrow();
     long with = usedAfterCollection();
     owner.crash(OWNER_BACK_MS);
     return (with - usedAfterCollection()) / 1e6;
--- a/src/test/java/shorecrank/sim/Scenario.java
+++ b/src/test/java/shorecrank/sim/Scenario.java
@@ -86,31 +86,28 @@
   List<String> play(long seed, boolean verbose) throws InvalidConfigException {
     Settings tuning =
         settings.isEmpty() ? SettingsFile.defaults() : SettingsFile.read(settings.toString());
-    world = new World(seed, tuning);
-    world.verbose = verbose;
-    world.measurements = measurements;
-    world.digest = digest;
+    world = new World(seed, tuning, new RunOptions(verbose, measurements, digest));
     ScenarioSetup setup = new ScenarioSetup(world);
     declarations.forEach(declaration -> declaration.apply(setup));
     setup.open();
     beforeRun.accept(world);
-    world.sim.run(setup.untilMs());
+    world.sim.runUntil(setup.untilMs());
     world.checker.end();
     return setup.ruleToBreak().map(this::unseen).orElseGet(this::failures);
   }
 
   /** The checker itself is under test: it has to see this. */
   private List<String> unseen(String rule) {
-    boolean seen = world.checker.broken.stream().anyMatch(broken -> broken.contains(rule));
+    boolean seen = world.checker.violations().stream().anyMatch(text -> text.contains(rule));
     return seen ? List.of() : List.of("unseen: " + rule);
   }
 
   private List<String> failures() {
-    List<String> failures = new ArrayList<>(world.checker.broken);
-    if (world.checker.starts == 0) {
+    List<String> failures = new ArrayList<>(world.checker.violations());
+    if (world.checker.tasks().starts() == 0) {
       failures.add("nothing_ran");
     }
-    failures.addAll(world.unmetExpectations);
+    failures.addAll(world.unmetExpectations());
     return failures;
   }
 }
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -1,9 +1,9 @@
 package shorecrank.sim;
 
+import shorecrank.config.InvalidConfigException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import shorecrank.config.InvalidConfigException;
 
 /** A world while the lines of a scenario describe it, before its controllers start. */
 final class ScenarioSetup {
@@ -60,10 +60,10 @@
 
   /** Starts the controllers. */
   void open() throws InvalidConfigException {
-    if (world.teamMax.isEmpty()) {
-      world.teamMax.put(DEFAULT_TEAM, 0.0);
+    if (world.site.teams().isEmpty()) {
+      world.site.addTeam(DEFAULT_TEAM, new TeamQuota(0, 0));
     }
-    if (world.shares.enabled() && rolloutSettings.isEmpty()) {
+    if (world.shares.isEnabled() && rolloutSettings.isEmpty()) {
       // Shares need their feature level; most scenarios show what comes after it is reached.
       rolloutSetting("automatic: true settle_s: 1 archive_before_raise: false");
     }
--- a/src/test/java/shorecrank/sim/ServiceFaults.java
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -14,7 +14,7 @@
           "outage", ServiceFaults::outage,
           "slow", ServiceFaults::slow,
           "late-writes", ServiceFaults::lateWrites,
-          "lower-limits", line -> World::lowerLimits,
+          "lower-limits", ServiceFaults::lowerLimits,
           "write-key", ServiceFaults::writeKey,
           "rogue", ServiceFaults::rogue,
           "drop", ServiceFaults::drop);
@@ -26,12 +26,12 @@
     long durationMs = line.milliseconds(2);
     Action begin =
         switch (line.word(1)) {
-          case "state" -> world -> world.store.outage(durationMs);
-          case "cloud" -> world -> world.cloud.outage(durationMs);
+          case "state" -> world -> world.store.beginOutage(durationMs);
+          case "cloud" -> world -> world.cloud.beginOutage(durationMs);
           default -> throw line.error("an outage is of state or cloud");
         };
     return world -> {
-      world.checker.trouble(world.sim.now + durationMs);
+      world.faults.lastFor(durationMs);
       begin.run(world);
     };
   }
@@ -40,7 +40,7 @@
   private static Action slow(ScenarioLine line) {
     double factor = line.decimal(1);
     long durationMs = line.milliseconds(2);
-    return world -> world.slow(factor, durationMs);
+    return world -> world.network.stateService().slowDown(factor, durationMs);
   }
 
   /**
@@ -54,7 +54,12 @@
     if (atOnce && !line.word(3).equals("at-once")) {
       throw line.error("late writes are late or at-once");
     }
-    return world -> world.lateWrites(share, durationMs, atOnce);
+    return world -> world.network.stateService().loseAnswers(share, durationMs, atOnce);
+  }
+
+  /** {@code lower-limits}: those that were planned hold from now on. */
+  private static Action lowerLimits(ScenarioLine line) {
+    return world -> world.store.setLimits(world.site.nextLimits().orElseThrow());
   }
 
   /** {@code write-key KEY JSON}: a stranger writes a key. */
--- a/src/test/java/shorecrank/sim/ShareActions.java
+++ b/src/test/java/shorecrank/sim/ShareActions.java
@@ -31,7 +31,7 @@
           case "abort" -> abort(line, id, options);
           default -> throw line.error("an order of shares is one of set, move, abort");
         };
-    return world -> who.forEach(world, node -> world.shares.order(node.index, order));
+    return world -> who.forEach(world, node -> world.shares.sendOrder(node.index(), order));
   }
 
   private static SetShare set(String id, ScenarioOptions options) {
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -18,7 +18,7 @@
   private ShareExpectations() {}
 
   private static Expectation of(Expectation.Condition condition) {
-    return Expectation.of(condition, world -> " " + world.shares);
+    return Expectation.of(condition, world -> " " + world.shares.describe());
   }
 
   /** {@code share SHARD LEAST MOST}: machines that are assigned to it. */
@@ -40,7 +40,7 @@
     long most = line.whole(3);
     return of(
         world -> {
-          long count = world.shares.counts.getOrDefault(metric, 0L);
+          long count = world.counters.counted(metric);
           return count >= least && count <= most;
         });
   }
@@ -54,7 +54,7 @@
   /** {@code share-order ID accepted|refused [words that the answer holds]}. */
   private static Expectation order(ScenarioLine line) {
     OrderAnswer answer = OrderAnswer.read(line);
-    return of(world -> answer.isOf(world.shares.orders));
+    return of(world -> answer.isOf(world.shares.orders()));
   }
 
   /** {@code share-orders ID,ID ACCEPTED REFUSED}: how many of their answers said what. */
@@ -66,7 +66,7 @@
         world -> {
           List<JsonNode> answers = new ArrayList<>();
           for (String id : ids) {
-            answers.addAll(world.shares.orders.outcomes.getOrDefault(id, List.of()));
+            answers.addAll(world.shares.orders().answers(id));
           }
           long accepted = answers.stream().filter(n -> n.path("accepted").asBoolean()).count();
           return accepted == acceptedExpected && answers.size() - accepted == refusedExpected;
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -47,7 +47,7 @@
                 .formatted(s, s, from, 1 - from));
       }
       World w = play(text.append("until 600\n").toString(), null);
-      long done = w.shares.counts.getOrDefault("shares.moves.done", 0L);
+      long done = w.counters.counted("shares.moves.done");
       System.out.printf(
           Locale.ROOT,
           "tasks of %d s: %d moves, %.1f a minute, median %.1f s, 99th percentile %.1f s,"
@@ -55,10 +55,10 @@
           taskS,
           done,
           done / 9.0,
-          w.shares.gauges.getOrDefault("shares.move.ms.p50", 0.0) / 1000,
-          w.shares.gauges.getOrDefault("shares.move.ms.p99", 0.0) / 1000,
-          (double) w.shares.storeOperations / Math.max(1, done),
-          w.shares.counts.getOrDefault("shares.moves.aborted", 0L));
+          w.counters.gaugeOf("shares.move.ms.p50") / 1000,
+          w.counters.gaugeOf("shares.move.ms.p99") / 1000,
+          (double) w.checker.shares().storeOperations() / Math.max(1, done),
+          w.counters.counted("shares.moves.aborted"));
     }
   }
 
@@ -94,16 +94,15 @@
 
   /** Once a second: who is done, and how many processors idle while something waits. */
   private static void sample(World w, double[] spike, double[] backlog, double[] idle) {
-    double now = w.sim.now / 1000.0;
-    if (spike[0] < 0 && w.checker.told("wk-2").equals("done")) {
+    double now = w.sim.now() / 1000.0;
+    if (spike[0] < 0 && w.checker.told().isDone("wk-2")) {
       spike[0] = now;
     }
-    if (backlog[0] < 0 && w.checker.told("wk-1").equals("done")) {
+    if (backlog[0] < 0 && w.checker.told().isDone("wk-1")) {
       backlog[0] = now;
     }
     if (now > 22 && (spike[0] < 0 || backlog[0] < 0)) {
-      idle[0] +=
-          w.workers.values().stream().filter(x -> !x.dead).mapToDouble(Worker::freeCpus).sum();
+      idle[0] += w.workers().stream().mapToDouble(x -> x.tasks().freeCpus()).sum();
     }
     w.sim.after(1000, () -> sample(w, spike, backlog, idle));
   }
@@ -136,8 +135,13 @@
                 .formatted(
                     shards, shares, machines, machines, machines, machines / 2, machines / 2);
         World w = play(text, measurements);
-        long fullest = w.nodes.stream().mapToLong(n -> n.busyNanos).max().orElse(0);
-        long all = w.nodes.stream().mapToLong(n -> n.busyNanos).sum();
+        long fullest =
+            w.controllers().stream()
+                .mapToLong(n -> ((SimulatedController) n).busyNanos())
+                .max()
+                .orElse(0);
+        long all =
+            w.controllers().stream().mapToLong(n -> ((SimulatedController) n).busyNanos()).sum();
         System.out.printf(
             Locale.ROOT,
             "%d machines, %d shards: fullest controller %.2f s, all %.2f s of 200 s; starts %d,"
@@ -146,8 +150,8 @@
             shards,
             fullest / 1e9,
             all / 1e9,
-            w.checker.starts,
-            w.shares.counts.getOrDefault("shares.moves.done", 0L),
+            w.checker.tasks().starts(),
+            w.counters.counted("shares.moves.done"),
             measurements.largestMessage("/peer/beat") / 1024);
       }
     }
--- a/src/test/java/shorecrank/sim/SharesMix.java
+++ b/src/test/java/shorecrank/sim/SharesMix.java
@@ -26,7 +26,7 @@
 
   private SharesMix(World world, ScenarioLine line) {
     this.world = world;
-    this.random = world.sim.random.split();
+    this.random = world.sim.random().split();
     this.script = new FaultScript(world, line);
   }
 
@@ -46,13 +46,13 @@
     for (int i = 0; i < count; i++) {
       String step = STEPS[random.nextInt(STEPS.length)] + (1 + random.nextInt(MOVES)) + " ";
       String actions = fault();
-      world.replaceWhenLogged(step, () -> script.run(actions));
+      world.log.replaceWhenLogged(step, () -> script.run(actions));
     }
   }
 
   /** Moves up to three machines, wherever they are, to a shard; some at once through two nodes. */
   private void orderMove() {
-    List<String> machines = new ArrayList<>(world.workers.keySet());
+    List<String> machines = world.workers().stream().map(SimulatedWorker::name).toList();
     if (machines.isEmpty()) {
       return;
     }
@@ -71,19 +71,19 @@
   }
 
   private void orderTo(String names) {
-    int to = random.nextInt(world.tuning.shards());
+    int to = random.nextInt(world.settings().shards());
     String order = "share-order %s o%d move machines=%s to=%d";
     script.run(order.formatted(node(), ++orders, names, to));
   }
 
   private String node() {
-    return "n" + random.nextInt(world.nodes.size());
+    return "n" + random.nextInt(world.controllers().size());
   }
 
   private String who() {
     return switch (random.nextInt(5)) {
       case 0 -> "leader";
-      case 1, 2, 3 -> "owner-of-" + random.nextInt(world.tuning.shards());
+      case 1, 2, 3 -> "owner-of-" + random.nextInt(world.settings().shards());
       default -> node();
     };
   }
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -16,7 +16,6 @@
 import shorecrank.config.Settings;
 import shorecrank.config.SettingsFile;
 import shorecrank.sim.ProcessFleet.Run;
-import shorecrank.sim.ProcessWorld.Version;
 
 /**
  * Real controllers on loopback with two shards, and an operator with the client: machines move
@@ -31,7 +30,7 @@
   private static final int END_EVERY = 4;
 
   @TempDir Path dir;
-  private Version program;
+  private ProgramVersion program;
   private Settings tuning;
   private int orders;
   private int accepted;
@@ -148,8 +147,8 @@
   }
 
   private void moveFor(ProcessFleet fleet, long ms, Random random) {
-    long end = fleet.world.sim.now + ms;
-    for (int round = 1; fleet.world.sim.now < end; round++) {
+    long end = fleet.world.sim.now() + ms;
+    for (int round = 1; fleet.world.sim.now() < end; round++) {
       order(fleet, random);
       if (round % END_EVERY == 0) {
         int index = random.nextInt(CONTROLLERS);
@@ -187,20 +186,20 @@
     fleet.finish();
     long done =
         fleet.world.shares.state().nextMove() - 1 - fleet.world.shares.state().active().size();
-    int tasks = fleet.world.plans.values().stream().mapToInt(p -> p.tasks()).sum();
+    int tasks = fleet.world.jobs.taskCount();
     System.out.printf(
         "jobs %d, tasks %d, starts %d, final answers %d; orders %d, accepted %d, moves ended %d;"
             + " controllers ended %d times%n",
         fleet.submitted(),
         tasks,
-        fleet.world.checker.starts,
-        fleet.world.checker.finalAnswers(),
+        fleet.world.checker.tasks().starts(),
+        fleet.world.checker.told().finalAnswers(),
         orders,
         accepted,
         done,
         ended);
-    assertEquals(fleet.submitted(), fleet.world.checker.finalAnswers());
+    assertEquals(fleet.submitted(), fleet.world.checker.told().finalAnswers());
     assertTrue(done > 0, "no machine has moved");
-    assertTrue(fleet.world.checker.starts <= tasks, "tasks were started again");
+    assertTrue(fleet.world.checker.tasks().starts() <= tasks, "tasks were started again");
   }
 }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/SimulatedController.java
@@ -0,0 +1,164 @@
+package shorecrank.sim;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import shorecrank.coordination.ControllerStateMachine;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.WriterId;
+import shorecrank.protocol.Json;
+import shorecrank.rollout.RolloutSetup;
+
+/** A controller whose state machine runs in this process, on the simulated clock. */
+final class SimulatedController extends ControllerNode {
+  private static final long TICK_MS = 50;
+  private static final long FIRST_TICK_MS = 20;
+  private static final int FIRST_TICK_SPREAD_MS = 50;
+
+  /** Clocks drift by up to half of this, either way. */
+  private static final double CLOCK_DRIFT = 0.001;
+
+  private static final int CLOCK_OFFSETS_MS = 1_000_000;
+
+  /** Time of day when a run begins, in milliseconds. */
+  private static final long TIME_OF_DAY_MS = 1_000_000_000_000L;
+
+  private final Simulation sim;
+  private final double clockRate;
+  private final long clockOffsetMs;
+  private final Map<Long, ReplyHandler> replies = new HashMap<>();
+  private long nextReply = 1;
+  private ControllerStateMachine core;
+  private long frozenUntilMs = -1;
+  private long busyNanos;
+
+  SimulatedController(World world, int index) {
+    super(world, index);
+    this.sim = world.sim;
+    this.clockRate = 1 + (sim.random().nextDouble() - 0.5) * CLOCK_DRIFT;
+    this.clockOffsetMs = sim.random().nextInt(CLOCK_OFFSETS_MS);
+  }
+
+  /** Processor time of its steps, if that is measured. */
+  long busyNanos() {
+    return busyNanos;
+  }
+
+  @Override
+  void launch() {
+    RolloutSetup setup = world().rollouts.start(this);
+    WriterId writer = new WriterId(label() + "." + life());
+    core =
+        new ControllerStateMachine(
+            PlatformFile.read(world(), this),
+            world().rollouts.settings(this),
+            writer,
+            setup,
+            world().shares.start(this));
+    int mine = life();
+    sim.after(FIRST_TICK_MS + sim.random().nextInt(FIRST_TICK_SPREAD_MS), () -> tick(mine));
+  }
+
+  @Override
+  void kill() {
+    core = null;
+    replies.clear();
+  }
+
+  @Override
+  void freeze(long durationMs) {
+    frozenUntilMs = sim.now() + durationMs;
+  }
+
+  private void tick(int mine) {
+    if (!isAlive(mine)) {
+      return;
+    }
+    if (sim.now() < frozenUntilMs) {
+      sim.at(frozenUntilMs, () -> tick(mine));
+      return;
+    }
+    step(new Input.Tick(() -> false));
+    world().checker.stepped(this);
+    world().counters.addRounds(core.owned().size());
+    sim.after(TICK_MS, () -> tick(mine));
+  }
+
+  /** Hands an input in; a frozen process reads what came meanwhile once it goes on. */
+  void input(Input input) {
+    if (sim.now() >= frozenUntilMs) {
+      step(input);
+      return;
+    }
+    int mine = life();
+    sim.at(
+        frozenUntilMs,
+        () -> {
+          if (isAlive(mine)) {
+            step(input);
+          }
+        });
+  }
+
+  @Override
+  void handle(ControllerRequest request, ReplyHandler reply) {
+    long id = nextReply++;
+    replies.put(id, reply);
+    byte[] body = request.body() == null ? new byte[0] : Json.bytes(request.body());
+    input(new Input.Request(id, request.peer(), request.method(), request.path(), body));
+  }
+
+  @Override
+  Map<ShardId, Epoch> owned() {
+    return core.owned();
+  }
+
+  @Override
+  Set<MachineName> commandedMachines() {
+    return isUp() ? core.commandedMachines(steadyTime()) : Set.of();
+  }
+
+  @Override
+  Map<ShardId, Epoch> commanded() {
+    return isUp() ? core.commanded(steadyTime()) : Map.of();
+  }
+
+  private MonotonicTime steadyTime() {
+    return new MonotonicTime((long) (sim.now() * clockRate) + clockOffsetMs);
+  }
+
+  private void step(Input input) {
+    MonotonicTime now = steadyTime();
+    long began = System.nanoTime();
+    List<Output> outputs =
+        core.step(input, now, TIME_OF_DAY_MS + sim.now(), sim.random().nextLong());
+    busyNanos += world().recorder.stepped(input, System.nanoTime() - began, outputs);
+    for (Output output : outputs) {
+      world().recorder.add(this, output);
+      carryOut(output);
+    }
+  }
+
+  private void carryOut(Output output) {
+    if (output instanceof Output.Reply reply) {
+      ReplyHandler handler = replies.remove(reply.reply());
+      if (handler != null) {
+        handler.accept(reply.status(), reply.body());
+      }
+    } else if (output instanceof Output.Call call) {
+      world().network.call(this, call);
+    } else if (output instanceof Output.Count count) {
+      world().counters.count(count.metric(), count.by());
+    } else if (output instanceof Output.Gauge gauge) {
+      world().counters.gauge(gauge.metric(), gauge.value());
+    } else if (output instanceof Output.Log log) {
+      world().log.add(label(), log.text());
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/SimulatedStateService.java
@@ -0,0 +1,372 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import shorecrank.protocol.Json;
+import shorecrank.rollout.ArchiveFormat.Version;
+
+/** A stand-in for the state service, made from the protocol's page. */
+final class SimulatedStateService {
+  private static final long EXPIRY_CHECK_MS = 50;
+  private static final int MAX_TRANSACTION_BYTES = 65_536;
+  private static final int GUARDS_PER_OPERATION = 4;
+  private static final int BYTES_PER_KB = 1024;
+  private static final String DEFAULT_PAGE = "1000";
+  private static final String KEY_PATH = "/store/";
+  private static final String LEASES_PATH = "/grants";
+
+  /** A key's value with the revision of its last change, and its lease or 0. */
+  private record Entry(JsonNode data, long revision, long lease) {}
+
+  /** A change of a key; the data is null if the key was removed. */
+  private record Change(String key, JsonNode data, long revision) {}
+
+  /** A request that waits for changes of keys with a prefix, after a revision. */
+  private record Watch(String prefix, long from, long untilMs, ReplyHandler reply) {}
+
+  private final Simulation sim;
+  private final StateServiceLeases leases;
+  private final StateServiceMeter meter;
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
+  private final List<Change> changes = new ArrayList<>();
+  private final List<Watch> watches = new ArrayList<>();
+  private final List<Consumer<JsonNode>> observers = new ArrayList<>();
+  private StateLimits limits = new StateLimits(16, 16);
+  private long revision;
+  private long outageUntilMs = -1;
+  private long lateByMs;
+
+  SimulatedStateService(Simulation sim) {
+    this.sim = sim;
+    this.leases = new StateServiceLeases(sim);
+    this.meter = new StateServiceMeter(sim);
+    sim.after(EXPIRY_CHECK_MS, this::expire);
+  }
+
+  StateServiceMeter meter() {
+    return meter;
+  }
+
+  StateLimits limits() {
+    return limits;
+  }
+
+  void setLimits(StateLimits newLimits) {
+    limits = newLimits;
+  }
+
+  /** Has the operations of each transaction shown to somebody, right before they are applied. */
+  void beforeTransactions(Consumer<JsonNode> observer) {
+    observers.add(observer);
+  }
+
+  /** Refuses all requests for a while; after that, all leases have their full time again. */
+  void beginOutage(long durationMs) {
+    outageUntilMs = Math.max(outageUntilMs, sim.now() + durationMs);
+    sim.after(
+        durationMs,
+        () -> {
+          if (!isOut()) {
+            leases.renewAll();
+          }
+        });
+  }
+
+  private boolean isOut() {
+    return sim.now() < outageUntilMs;
+  }
+
+  private void expire() {
+    if (!isOut()) {
+      leases.expired().forEach(this::endLease);
+      for (Watch watch : List.copyOf(watches)) {
+        if (watch.untilMs <= sim.now()) {
+          answer(watch);
+        }
+      }
+    }
+    sim.after(EXPIRY_CHECK_MS, this::expire);
+  }
+
+  private void endLease(long lease) {
+    leases.remove(lease);
+    revision++;
+    for (String key : List.copyOf(entries.keySet())) {
+      if (entries.get(key).lease == lease) {
+        remove(key);
+      }
+    }
+    wakeWatches();
+  }
+
+  // ---- requests --------------------------------------------------------------------------------
+
+  /** Carries a transaction out, so long after it was sent; nobody waits for the answer. */
+  void applyLate(long sentBeforeMs, JsonNode body) {
+    lateByMs = sentBeforeMs;
+    handle("POST", "/multi", body, ReplyHandler.IGNORE);
+    lateByMs = 0;
+  }
+
+  /** How long ago the transaction was sent that is being carried out late; 0 if it is not late. */
+  long lateByMs() {
+    return lateByMs;
+  }
+
+  /** Carries a request out now. */
+  void handle(String method, String path, JsonNode body, ReplyHandler reply) {
+    meter.add(body == null ? 0 : body.path("apply").size());
+    String[] pathAndQuery = path.split("\\?", 2);
+    String resource = pathAndQuery[0];
+    Map<String, String> query = query(pathAndQuery.length > 1 ? pathAndQuery[1] : "");
+    if (resource.equals("/changes")) {
+      watch(query, reply);
+    } else if (isOut()) {
+      reply.unavailable();
+    } else if (resource.equals("/store")) {
+      list(query, reply);
+    } else if (resource.startsWith(KEY_PATH)) {
+      get(resource.substring(KEY_PATH.length()), reply);
+    } else if (resource.equals("/multi")) {
+      transact(body, reply);
+    } else if (resource.startsWith(LEASES_PATH)) {
+      lease(method, resource, body, reply);
+    } else {
+      reply.accept(400, Json.error("path"));
+    }
+  }
+
+  private static Map<String, String> query(String text) {
+    Map<String, String> query = new HashMap<>();
+    for (String parameter : text.isEmpty() ? new String[0] : text.split("&")) {
+      String[] parts = parameter.split("=", 2);
+      query.put(parts[0], parts[1]);
+    }
+    return query;
+  }
+
+  private void get(String key, ReplyHandler reply) {
+    Entry entry = entries.get(key);
+    if (entry == null) {
+      reply.accept(404, revisionOnly());
+    } else {
+      reply.accept(200, write(key, entry));
+    }
+  }
+
+  private ObjectNode revisionOnly() {
+    return Json.object().put("ledgerRev", revision);
+  }
+
+  private static ObjectNode write(String key, Entry entry) {
+    ObjectNode written = Json.object().put("k", key);
+    written.set("data", entry.data);
+    return written.put("stamp", entry.revision).put("hold", entry.lease);
+  }
+
+  private void list(Map<String, String> query, ReplyHandler reply) {
+    String prefix = query.get("prefix");
+    int page = Integer.parseInt(query.getOrDefault("page", DEFAULT_PAGE));
+    ObjectNode answer = Json.object();
+    ArrayNode listed = answer.putArray("entries");
+    boolean truncated = false;
+    String from = query.getOrDefault("from", prefix);
+    boolean inclusive = !query.containsKey("from");
+    for (Map.Entry<String, Entry> entry : entries.tailMap(from, inclusive).entrySet()) {
+      if (!entry.getKey().startsWith(prefix)) {
+        break;
+      }
+      if (listed.size() >= page) {
+        truncated = true;
+        break;
+      }
+      listed.add(write(entry.getKey(), entry.getValue()));
+    }
+    reply.accept(200, answer.put("truncated", truncated).put("ledgerRev", revision));
+  }
+
+  private void lease(String method, String resource, JsonNode body, ReplyHandler reply) {
+    if (resource.equals(LEASES_PATH)) {
+      reply.accept(200, Json.object().put("hold", leases.grant(body.path("ttlMs").asLong())));
+      return;
+    }
+    long id = Long.parseLong(resource.split("/")[2]);
+    if (!leases.contains(id)) {
+      reply.accept(404, Json.object());
+    } else if (method.equals("DELETE")) {
+      endLease(id);
+      reply.accept(200, Json.object());
+    } else {
+      leases.renew(id);
+      reply.accept(200, Json.object().put("hold", id));
+    }
+  }
+
+  // ---- watches ---------------------------------------------------------------------------------
+
+  private void watch(Map<String, String> query, ReplyHandler reply) {
+    long from = Long.parseLong(query.get("from"));
+    long untilMs = sim.now() + Long.parseLong(query.get("holdMs"));
+    watches.add(new Watch(query.get("prefix"), from, untilMs, reply));
+    if (!isOut()) {
+      wakeWatches();
+    }
+  }
+
+  private void wakeWatches() {
+    for (Watch watch : List.copyOf(watches)) {
+      if (!news(watch).isEmpty()) {
+        answer(watch);
+      }
+    }
+  }
+
+  private List<Change> news(Watch watch) {
+    int from = changes.size();
+    while (from > 0 && changes.get(from - 1).revision > watch.from) {
+      from--;
+    }
+    List<Change> news = new ArrayList<>();
+    for (Change change : changes.subList(from, changes.size())) {
+      if (change.key.startsWith(watch.prefix)) {
+        news.add(change);
+      }
+    }
+    return news;
+  }
+
+  private void answer(Watch watch) {
+    watches.remove(watch);
+    ObjectNode answer = revisionOnly();
+    ArrayNode news = answer.putArray("news");
+    for (Change change : news(watch)) {
+      ObjectNode written = news.addObject();
+      if (change.data == null) {
+        written.put("drop", change.key);
+      } else {
+        written.put("write", change.key).set("data", change.data);
+      }
+      written.put("stamp", change.revision);
+    }
+    watch.reply.accept(200, answer);
+  }
+
+  // ---- transactions ----------------------------------------------------------------------------
+
+  private void transact(JsonNode body, ReplyHandler reply) {
+    JsonNode operations = body.path("apply");
+    String refusal = refusal(body, operations);
+    if (!refusal.isEmpty()) {
+      reply.accept(400, Json.error(refusal));
+      return;
+    }
+    ObjectNode conflict = Json.object();
+    ArrayNode failed = conflict.putArray("failed");
+    for (JsonNode guard : body.path("guards")) {
+      Entry entry = entries.get(guard.path("k").asText());
+      if ((entry == null ? 0 : entry.revision) != guard.path("stamp").asLong()) {
+        failed.add(guard.path("k").asText());
+      }
+    }
+    if (!failed.isEmpty()) {
+      reply.accept(409, conflict.put("ledgerRev", revision));
+      return;
+    }
+    observers.forEach(observer -> observer.accept(operations));
+    revision++;
+    for (JsonNode operation : operations) {
+      if (operation.has("write")) {
+        put(operation.path("write").asText(), operation);
+      } else if (entries.containsKey(operation.path("drop").asText())) {
+        remove(operation.path("drop").asText());
+      }
+    }
+    reply.accept(200, revisionOnly());
+    wakeWatches();
+  }
+
+  /** Why a transaction is not looked at; empty if it is. */
+  private String refusal(JsonNode body, JsonNode operations) {
+    int most = limits.transactionOperations();
+    if (operations.size() > most
+        || body.path("guards").size() > GUARDS_PER_OPERATION * most
+        || Json.bytes(body).length > MAX_TRANSACTION_BYTES) {
+      meter.addRefusedForSize();
+      return "too large";
+    }
+    for (JsonNode operation : operations) {
+      if (operation.has("hold") && !leases.contains(operation.path("hold").asLong())) {
+        return "no such lease";
+      }
+      if (operation.has("write")
+          && Json.bytes(operation.path("data")).length > limits.valueKb() * BYTES_PER_KB) {
+        meter.addRefusedForSize();
+        return "value too large";
+      }
+    }
+    return "";
+  }
+
+  private void put(String key, JsonNode operation) {
+    JsonNode data = operation.path("data");
+    entries.put(key, new Entry(data.deepCopy(), revision, operation.path("hold").asLong()));
+    changes.add(new Change(key, data.deepCopy(), revision));
+  }
+
+  private void remove(String key) {
+    entries.remove(key);
+    changes.add(new Change(key, null, revision));
+  }
+
+  // ---- from outside ----------------------------------------------------------------------------
+
+  /** A key's value as it is now; missing if there is no such key. */
+  JsonNode peek(String key) {
+    Entry entry = entries.get(key);
+    return entry == null ? Json.parse(null) : entry.data;
+  }
+
+  /** All keys with a prefix, in their order. */
+  List<String> keys(String prefix) {
+    return entries.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
+  }
+
+  /** All keys as they were right after a revision. */
+  Map<String, Version> at(long then) {
+    Map<String, Version> all = new TreeMap<>();
+    for (Change change : changes) {
+      if (change.revision > then) {
+        break;
+      }
+      if (change.data == null) {
+        all.remove(change.key);
+      } else {
+        all.put(change.key, new Version(change.data, change.revision));
+      }
+    }
+    return all;
+  }
+
+  /**
+   * Changes a key as a stranger would, without guards.
+   *
+   * @param data null to remove it
+   */
+  void poke(String key, JsonNode data) {
+    revision++;
+    if (data == null) {
+      entries.remove(key);
+    } else {
+      entries.put(key, new Entry(data, revision, 0));
+    }
+    changes.add(new Change(key, data, revision));
+    wakeWatches();
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/SimulatedUsers.java
@@ -0,0 +1,125 @@
+package shorecrank.sim;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+
+/** The users: they submit jobs, ask about them, cancel some, and repeat what was not answered. */
+final class SimulatedUsers {
+  private static final long GIVE_UP_MS = 60_000;
+  private static final long RETRY_MS = 1000;
+  private static final long QUERY_EVERY_MS = 5000;
+  private static final int FIRST_QUERY_WITHIN_MS = 3000;
+
+  /** Some ask again long after they were told of the end. */
+  private static final long LATE_QUERY_MS = 15_000;
+
+  private final World world;
+  private final Simulation sim;
+  private final UserClient client;
+  private final UserHabits habits;
+  private final Map<String, Integer> latestStatuses = new HashMap<>();
+  private final Set<String> givenUpInFaults = new HashSet<>();
+
+  SimulatedUsers(World world) {
+    this.world = world;
+    this.sim = world.sim;
+    this.habits = new UserHabits(world);
+    this.client = new UserClient(world, habits::answered);
+  }
+
+  UserClient client() {
+    return client;
+  }
+
+  UserHabits habits() {
+    return habits;
+  }
+
+  /** Status of the latest answer to a query, or of a submission that was refused; 0 if none. */
+  int latestStatus(String job) {
+    return latestStatuses.getOrDefault(job, 0);
+  }
+
+  /** Whether the job's user gave up submitting it while there still were faults. */
+  boolean gaveUpInFaults(String job) {
+    return givenUpInFaults.contains(job);
+  }
+
+  /** A new job; its user repeats the submission until it is answered, and then asks about it. */
+  void submit(String job, JobPlan plan) {
+    world.jobs.submit(job, plan);
+    world.checker.submitted(job);
+    trySubmit(UserRequest.submit(job, plan), sim.now() + GIVE_UP_MS, true);
+    habits.submitted(job, plan);
+  }
+
+  /** Submits again a job that may be long over. */
+  void resubmit(String job) {
+    UserRequest request = UserRequest.submit(job, world.jobs.plan(job));
+    trySubmit(request, sim.now() + GIVE_UP_MS, false);
+  }
+
+  /** Submits a job again at one controller, once. */
+  void resubmitAt(ControllerNode node, String job) {
+    client.send(node, UserRequest.submit(job, world.jobs.plan(job)), ReplyHandler.IGNORE);
+  }
+
+  private void trySubmit(UserRequest request, long untilMs, boolean queries) {
+    client.send(request, (status, body) -> submitAnswered(request, status, untilMs, queries));
+  }
+
+  private void submitAnswered(UserRequest request, int status, long untilMs, boolean queries) {
+    String job = request.job();
+    boolean refused = status == 400 || status == 422;
+    if (status == 200 || status == 201) {
+      if (queries) {
+        sim.after(sim.random().nextInt(FIRST_QUERY_WITHIN_MS), () -> queryUntilOver(job));
+      }
+    } else if (!refused && sim.now() < untilMs) {
+      sim.after(RETRY_MS, () -> trySubmit(request, untilMs, queries));
+    } else {
+      latestStatuses.put(job, status);
+      if (!refused && world.faults.mayStillShow()) {
+        givenUpInFaults.add(job);
+      }
+    }
+  }
+
+  private void queryUntilOver(String job) {
+    if (world.checker.told().isOver(job)) {
+      sim.after(LATE_QUERY_MS, () -> query(job));
+      return;
+    }
+    query(job);
+    sim.after(QUERY_EVERY_MS, () -> queryUntilOver(job));
+  }
+
+  /** Asks how a job stands, once. */
+  void query(String job) {
+    client.send(UserRequest.query(job), (status, body) -> latestStatuses.put(job, status));
+  }
+
+  /** Asks for a job to be cancelled until that is confirmed. */
+  void cancel(String job) {
+    world.jobs.requestCancel(job);
+    tryCancel(job, sim.now() + GIVE_UP_MS);
+  }
+
+  private void tryCancel(String job, long untilMs) {
+    client.send(
+        UserRequest.cancel(job),
+        (status, body) -> {
+          if (status != 200 && sim.now() < untilMs) {
+            sim.after(RETRY_MS, () -> tryCancel(job, untilMs));
+          }
+        });
+  }
+
+  /** A task has completed; called by its worker. */
+  void completed(String task) {
+    world.jobs.addResult(task);
+    habits.completed(SubmittedJobs.jobOf(task));
+  }
+}
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -12,10 +12,10 @@
 
 /** An archive as it stands in the state service, compared with what the service held. */
 final class StoredArchive {
-  private final Store store;
+  private final SimulatedStateService store;
   private final String id;
 
-  StoredArchive(Store store, String id) {
+  StoredArchive(SimulatedStateService store, String id) {
     this.store = store;
     this.id = id;
   }
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -8,15 +8,15 @@
       Map.ofEntries(
           Map.entry("submit", UserActions::submit),
           Map.entry("burst", UserActions::burst),
-          Map.entry("resubmit", line -> ofJob(line, Users::resubmit)),
-          Map.entry("ask", line -> ofJob(line, Users::ask)),
-          Map.entry("cancel", line -> ofJob(line, Users::cancel)),
+          Map.entry("resubmit", line -> ofJob(line, SimulatedUsers::resubmit)),
+          Map.entry("ask", line -> ofJob(line, SimulatedUsers::query)),
+          Map.entry("cancel", line -> ofJob(line, SimulatedUsers::cancel)),
           Map.entry("unheard", UserActions::unheard),
           Map.entry("cancel-now", UserActions::cancelNow),
           Map.entry("cancel-each", UserActions::cancelEach),
           Map.entry("cancel-at-end", UserActions::cancelAtEnd),
-          Map.entry("close-looks", line -> forAWhile(line, Users::closeLooks)),
-          Map.entry("odd-requests", line -> forAWhile(line, Users::oddRequests)));
+          Map.entry("close-looks", line -> forAWhile(line, UserHabits::lookCloselyFor)),
+          Map.entry("odd-requests", line -> forAWhile(line, UserHabits::sendOddRequestsFor)));
 
   private static final String[] PLAN_OPTIONS = {
     "team",
@@ -42,13 +42,13 @@
   /** A request about one job. */
   @FunctionalInterface
   private interface JobRequest {
-    void send(Users users, String job);
+    void send(SimulatedUsers users, String job);
   }
 
   /** Something that users do for a while. */
   @FunctionalInterface
   private interface Habit {
-    void begin(Users users, long durationMs);
+    void begin(UserHabits habits, long durationMs);
   }
 
   private UserActions() {}
@@ -68,7 +68,7 @@
     JobPlan plan = plan(line.options(5)).jobClass(line.word(4)).build();
     return world -> {
       int number = first;
-      for (long at = world.sim.now; at < untilMs; at += everyMs) {
+      for (long at = world.sim.now(); at < untilMs; at += everyMs) {
         String job = "wk-" + number;
         world.sim.at(at, () -> world.users.submit(job, plan));
         number++;
@@ -85,20 +85,20 @@
   /** {@code NAME SECONDS}. */
   private static Action forAWhile(ScenarioLine line, Habit habit) {
     long durationMs = line.milliseconds(1);
-    return world -> habit.begin(world.users, durationMs);
+    return world -> habit.begin(world.users.habits(), durationMs);
   }
 
   /** {@code unheard JOB}: no request about the job reaches a controller from now on. */
   private static Action unheard(ScenarioLine line) {
     String job = line.word(1);
-    return world -> world.unheard.add(job);
+    return world -> world.users.client().loseAllAbout(job);
   }
 
   /** {@code cancel-now COUNT [HANG_S]}: running jobs are cancelled; their machines may hang. */
   private static Action cancelNow(ScenarioLine line) {
     int count = line.integer(1);
     long hangMs = line.has(2) ? line.milliseconds(2) : 0;
-    return world -> world.users.cancelNow(count, hangMs);
+    return world -> world.users.habits().cancelNow(count, hangMs);
   }
 
   /** {@code cancel-each CLASS AFTER FOR}: for a while each job of a class is cancelled so late. */
@@ -107,8 +107,8 @@
     long afterMs = line.milliseconds(2);
     long durationMs = line.milliseconds(3);
     return world -> {
-      world.users.cancelEach(jobClass, afterMs);
-      world.sim.after(durationMs, () -> world.users.cancelEach("", 0));
+      world.users.habits().cancelEach(jobClass, afterMs);
+      world.sim.after(durationMs, () -> world.users.habits().cancelEach("", 0));
     };
   }
 
@@ -116,7 +116,7 @@
   private static Action cancelAtEnd(ScenarioLine line) {
     double share = line.decimal(1);
     long durationMs = line.milliseconds(2);
-    return world -> world.users.cancelAtEnd(share, durationMs);
+    return world -> world.users.habits().cancelAtEnd(share, durationMs);
   }
 
   private static JobPlan.Builder plan(ScenarioOptions options) {
--- /dev/null
+++ b/src/test/java/shorecrank/sim/UserClient.java
@@ -0,0 +1,72 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/** Sends users' requests through the load balancer, and has every answer checked. */
+final class UserClient {
+  /** So long after its end a controller still gets connections. */
+  private static final long NOTICED_AFTER_MS = 3000;
+
+  /** Sees every answer before who has asked. */
+  @FunctionalInterface
+  interface AnswerObserver {
+    /** A user has an answer. */
+    void answered(UserRequest request, int status, JsonNode body);
+  }
+
+  private final World world;
+  private final Simulation sim;
+  private final AnswerObserver observer;
+  private final Set<String> unreachable = new HashSet<>();
+
+  UserClient(World world, AnswerObserver observer) {
+    this.world = world;
+    this.sim = world.sim;
+    this.observer = observer;
+  }
+
+  /** No request about a job arrives from now on. */
+  void loseAllAbout(String job) {
+    unreachable.add(job);
+  }
+
+  /** Sends a request to a controller that the load balancer chooses. */
+  void send(UserRequest request, ReplyHandler reply) {
+    List<ControllerNode> nodes = world.controllers();
+    List<ControllerNode> healthy = nodes.stream().filter(this::isTakenForHealthy).toList();
+    List<ControllerNode> among = healthy.isEmpty() ? nodes : healthy;
+    send(among.get(sim.random().nextInt(among.size())), request, reply);
+  }
+
+  private boolean isTakenForHealthy(ControllerNode node) {
+    return node.isUp() || sim.now() - node.downSinceMs() < NOTICED_AFTER_MS;
+  }
+
+  /** Sends a request to one controller. */
+  void send(ControllerNode to, UserRequest request, ReplyHandler reply) {
+    String job = request.job();
+    long askedAtMs = sim.now();
+    Told before = world.checker.told().soFar(job);
+    boolean[] over = new boolean[1];
+    ReplyHandler once =
+        (status, body) -> {
+          if (over[0]) {
+            return;
+          }
+          over[0] = true;
+          if (status != ReplyHandler.NO_ANSWER) {
+            world.checker.answered(new UserAnswer(request.kind(), job, status, body, before));
+            observer.answered(request, status, body);
+          }
+          world.checker.asked(job, askedAtMs, status == 200 || status == 201 || status == 404);
+          reply.accept(status, body);
+        };
+    sim.after(request.timeoutMs(), once::noAnswer);
+    if (!unreachable.contains(job)) {
+      world.network.sendUserRequest(to, request.message(), once);
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/UserHabits.java
@@ -0,0 +1,186 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import shorecrank.sim.UserRequest.Kind;
+
+/** What users do for a while that is hard on the service. */
+final class UserHabits {
+  private static final int CLOSE_LOOKS = 12;
+  private static final long CLOSE_LOOK_EVERY_MS = 3;
+  private static final int CLOSE_LOOK_SPREAD_MS = 5;
+
+  /** Each fourth close look submits the job again. */
+  private static final int SUBMIT_EVERY = 4;
+
+  private static final int CANCEL_AT_END_WITHIN_MS = 400;
+  private static final int CANCEL_NOW_WITHIN_MS = 200;
+  private static final int MOST_HANGING = 8;
+  private static final int FIRST_MALFORMED = 900_000;
+  private static final int MALFORMED_EVERY_MS = 400;
+  private static final double TOO_MANY_CPUS = 5000;
+
+  private final World world;
+  private final Simulation sim;
+  private final Set<String> seenPhases = new HashSet<>();
+  private long closeLooksUntilMs = -1;
+  private long cancelAtEndUntilMs = -1;
+  private double cancelAtEndShare;
+  private long oddRequestsUntilMs = -1;
+  private String cancelledClass = "";
+  private long cancelledAfterMs;
+
+  UserHabits(World world) {
+    this.world = world;
+    this.sim = world.sim;
+  }
+
+  private UserClient client() {
+    return world.users.client();
+  }
+
+  // ---- close looks -----------------------------------------------------------------------------
+
+  /** For a while users ask all controllers within milliseconds of any news of their jobs. */
+  void lookCloselyFor(long durationMs) {
+    closeLooksUntilMs = sim.now() + durationMs;
+  }
+
+  /** A user has an answer: acceptance and end of a job are news. */
+  void answered(UserRequest request, int status, JsonNode body) {
+    String job = request.job();
+    boolean accepted = request.kind() == Kind.SUBMIT && status == 201;
+    boolean news = accepted || (status == 200 && isNewEnd(job, body.path("phase").asText()));
+    if (!news || sim.now() >= closeLooksUntilMs) {
+      return;
+    }
+    List<ControllerNode> nodes = world.controllers();
+    for (int i = 0; i < CLOSE_LOOKS; i++) {
+      ControllerNode node = nodes.get(i % nodes.size());
+      boolean submits = i % SUBMIT_EVERY == SUBMIT_EVERY - 1;
+      sim.after(
+          1 + i * CLOSE_LOOK_EVERY_MS + sim.random().nextInt(CLOSE_LOOK_SPREAD_MS),
+          () -> lookAt(node, job, submits));
+    }
+  }
+
+  /** Whether this phase is an end that no user was told of before. */
+  private boolean isNewEnd(String job, String phase) {
+    return seenPhases.add(job + phase) && ToldAnswers.isEnd(phase);
+  }
+
+  private void lookAt(ControllerNode node, String job, boolean submits) {
+    UserRequest request =
+        submits ? UserRequest.submit(job, world.jobs.plan(job)) : UserRequest.query(job);
+    client().send(node, request, ReplyHandler.IGNORE);
+  }
+
+  // ---- cancellations ---------------------------------------------------------------------------
+
+  /** That share of the jobs that end is cancelled at the moment of the end. */
+  void cancelAtEnd(double share, long durationMs) {
+    cancelAtEndShare = share;
+    cancelAtEndUntilMs = sim.now() + durationMs;
+  }
+
+  /** A task of the job has completed. */
+  void completed(String job) {
+    if (sim.now() >= cancelAtEndUntilMs || sim.random().nextDouble() >= cancelAtEndShare) {
+      return;
+    }
+    if (world.jobs.hasAllResults(job)) {
+      sim.after(sim.random().nextInt(CANCEL_AT_END_WITHIN_MS), () -> world.users.cancel(job));
+    }
+  }
+
+  /** Each new job of a class is cancelled so long after it came; an empty class ends that. */
+  void cancelEach(String jobClass, long afterMs) {
+    cancelledClass = jobClass;
+    cancelledAfterMs = afterMs;
+  }
+
+  /** A new job was submitted. */
+  void submitted(String job, JobPlan plan) {
+    if (plan.jobClass().equals(cancelledClass)) {
+      sim.after(cancelledAfterMs, () -> world.users.cancel(job));
+    }
+  }
+
+  /** So many running jobs are cancelled within a moment; their machines may hang. */
+  void cancelNow(int count, long hangMs) {
+    Set<SimulatedWorker> hanging = new HashSet<>();
+    List<String> running =
+        world.jobs.ids().stream()
+            .filter(job -> !world.jobs.isCancelRequested(job))
+            .filter(job -> world.workerRunning(job).isPresent())
+            .limit(count)
+            .toList();
+    for (String job : running) {
+      world.workers().stream()
+          .filter(worker -> worker.tasks().runs(job))
+          .limit(MOST_HANGING - Math.min(MOST_HANGING, hanging.size()))
+          .forEach(hanging::add);
+      sim.after(sim.random().nextInt(CANCEL_NOW_WITHIN_MS), () -> world.users.cancel(job));
+    }
+    if (hangMs > 0) {
+      world.faults.lastFor(hangMs);
+      hanging.forEach(worker -> worker.hang(hangMs));
+    }
+  }
+
+  // ---- odd requests ----------------------------------------------------------------------------
+
+  /** Submissions repeated, done jobs cancelled, jobs that fit no machine or lack a field. */
+  void sendOddRequestsFor(long durationMs) {
+    oddRequestsUntilMs = sim.now() + durationMs;
+    sendOdd(FIRST_MALFORMED);
+  }
+
+  private void sendOdd(int number) {
+    if (sim.now() >= oddRequestsUntilMs) {
+      return;
+    }
+    repeatAny();
+    sendMalformed(number);
+    sim.after(
+        MALFORMED_EVERY_MS + sim.random().nextInt(MALFORMED_EVERY_MS), () -> sendOdd(number + 1));
+  }
+
+  private void repeatAny() {
+    List<String> all = world.jobs.shuffledIds();
+    if (all.isEmpty()) {
+      return;
+    }
+    String job = all.get(sim.random().nextInt(all.size()));
+    if (world.checker.told().phase(job).equals(ToldAnswers.DONE)) {
+      client().send(UserRequest.cancel(job), ReplyHandler.IGNORE);
+    } else if (world.checker.told().isAccepted(job)) {
+      client().send(UserRequest.submit(job, world.jobs.plan(job)), ReplyHandler.IGNORE);
+    }
+  }
+
+  private void sendMalformed(int number) {
+    String job = "wk-" + number;
+    ObjectNode description = UserRequest.write(job, JobPlan.builder().build());
+    description.put("owner", world.site.teams().keySet().iterator().next());
+    switch (number % 3) {
+      case 0 -> description.put("cpus", TOO_MANY_CPUS);
+      case 1 -> description.remove("guessS");
+      default -> description.put("pieces", "many");
+    }
+    int expected = number % 3 == 0 ? 422 : 400;
+    client()
+        .send(
+            UserRequest.malformed(job, description),
+            (status, body) -> {
+              boolean accepted = status == 200 || status == 201;
+              boolean otherRefusal = (status == 400 || status == 422) && status != expected;
+              if (accepted || otherRefusal) {
+                world.checker.report("odd: %s gets %d, not %d".formatted(job, status, expected));
+              }
+            });
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/WentBackRule.java
@@ -0,0 +1,44 @@
+package shorecrank.sim;
+
+/**
+ * {@code went_back} of the protocol: once a job was called done or cancelled, it is called nothing
+ * else, and none is called cancelled unasked. Also {@code older}: an answer is not older than any
+ * that was received before its request was sent. Requests that overlap may be answered in either
+ * order; two different ends are wrong in any.
+ */
+final class WentBackRule extends Rule {
+  WentBackRule(World world, Checker checker) {
+    super(world, checker);
+  }
+
+  @Override
+  void answered(UserAnswer answer) {
+    if (!answer.isOk()) {
+      return;
+    }
+    checkAge(answer);
+    if (!world().jobs.isSubmitted(answer.job())) {
+      return;
+    }
+    String job = answer.job();
+    String phase = answer.phase();
+    boolean isOtherEnd =
+        ToldAnswers.isEnd(phase) && told().isOver(job) && !told().phase(job).equals(phase);
+    if (isOtherEnd) {
+      report("went_back: %s was %s, is %s".formatted(job, told().phase(job), phase));
+    }
+    if (phase.equals(ToldAnswers.CANCELLED) && !world().jobs.isCancelExpected(job)) {
+      report("went_back: %s cancelled unasked".formatted(job));
+    }
+  }
+
+  private void checkAge(UserAnswer answer) {
+    Told before = answer.before();
+    int done = answer.body().path("done").asInt();
+    if (!before.end().isEmpty() && !before.end().equals(answer.phase())) {
+      report("went_back: %s is %s after %s".formatted(answer.what(), answer.phase(), before.end()));
+    } else if (answer.body().has("done") && done < before.done()) {
+      report("older: %s has %d after %d".formatted(answer.what(), done, before.done()));
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/sim/WorkerTasks.java
@@ -0,0 +1,199 @@
+package shorecrank.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** The tasks on a simulated machine, and what commands do to them. */
+final class WorkerTasks {
+  private static final double MS_PER_S = 1000;
+  private static final double ROUNDING = 1e-9;
+
+  /** How long a task runs that fails. */
+  private static final long FAILING_MS = 300;
+
+  private final World world;
+  private final SimulatedWorker worker;
+  private final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
+  private final Set<String> images = new HashSet<>();
+  private final Set<String> results = new HashSet<>();
+
+  WorkerTasks(World world, SimulatedWorker worker) {
+    this.world = world;
+    this.worker = worker;
+  }
+
+  private long now() {
+    return world.sim.now();
+  }
+
+  private static String key(String task, long attempt) {
+    return task + "#" + attempt;
+  }
+
+  private JobPlan plan(SimulatedTask task) {
+    return world.jobs.plan(task.job());
+  }
+
+  // ---- what there is ---------------------------------------------------------------------------
+
+  /** Whether a task of the job is on the machine. */
+  boolean runs(String job) {
+    return tasks.values().stream().anyMatch(task -> task.isOnMachine() && task.job().equals(job));
+  }
+
+  /** Processors that no task uses or waits to use. */
+  double freeCpus() {
+    double used = 0;
+    for (SimulatedTask task : tasks.values()) {
+      used += task.isExited() ? 0 : plan(task).cpus();
+    }
+    return world.site.type(worker.type()).cpus() - used;
+  }
+
+  /** Puts all of them into a report. */
+  void writeTo(ArrayNode report) {
+    tasks.values().forEach(task -> task.writeTo(report.addObject()));
+  }
+
+  // ---- as time goes on -------------------------------------------------------------------------
+
+  /** Has tasks go on to their next phase whose time has come. */
+  void progress() {
+    for (SimulatedTask task : tasks.values()) {
+      if (task.isPhaseOver(now())) {
+        endPhase(task);
+      }
+    }
+  }
+
+  private void endPhase(SimulatedTask task) {
+    switch (task.phase()) {
+      case FETCHING -> {
+        images.add(plan(task).image());
+        if (results.contains(task.id())) {
+          exit(task, "done");
+        } else {
+          run(task);
+        }
+      }
+      case RUNNING -> {
+        if (fails(task)) {
+          exit(task, "error");
+        } else {
+          results.add(task.id());
+          world.users.completed(task.id());
+          exit(task, "done");
+        }
+      }
+      default -> {
+        task.keepProgress();
+        exit(task, "halted");
+      }
+    }
+  }
+
+  private boolean fails(SimulatedTask task) {
+    return worker.isSick() || plan(task).faulty();
+  }
+
+  private void run(SimulatedTask task) {
+    task.run(now());
+    world.checker.started(worker, task);
+    long leftMs = (long) (plan(task).runS() * MS_PER_S) - world.jobs.savedMs(task.id());
+    task.runUntil(now() + (fails(task) ? FAILING_MS : Math.max(1, leftMs)));
+    worker.noteChange();
+  }
+
+  private void exit(SimulatedTask task, String cause) {
+    leave(task);
+    task.exit(cause);
+    worker.noteChange();
+  }
+
+  private void leave(SimulatedTask task) {
+    if (task.leaveMachine()) {
+      world.checker.stopped(worker, task);
+    }
+  }
+
+  /** Ends all of them and forgets them; returns whether there were any. */
+  boolean killAll() {
+    boolean any = !tasks.isEmpty();
+    List.copyOf(tasks.values()).forEach(this::leave);
+    tasks.clear();
+    return any;
+  }
+
+  // ---- commands --------------------------------------------------------------------------------
+
+  /** Carries a command out. */
+  void execute(JsonNode command) {
+    String id = command.path("piece").asText();
+    long attempt = command.path("try").asLong();
+    SimulatedTask task = tasks.get(key(id, attempt));
+    switch (command.path("verb").asText()) {
+      case "start" -> {
+        if (task == null) {
+          world.checker.startCommanded(worker, id, attempt);
+          start(id, attempt);
+        }
+      }
+      case "stop" -> {
+        if (task != null && !task.isExited()) {
+          stop(task, command.path("windDownS").asDouble());
+        }
+      }
+      case "reap" -> {
+        if (task != null && task.isExited()) {
+          world.checker.reapCommanded(worker, id, attempt);
+          tasks.remove(key(id, attempt));
+          worker.noteChange();
+        }
+      }
+      default -> world.checker.report("unknown_command: " + command);
+    }
+  }
+
+  private void start(String id, long attempt) {
+    SimulatedTask task = new SimulatedTask(id, attempt);
+    double usedCpus = 0;
+    boolean busy = false;
+    for (SimulatedTask other : tasks.values()) {
+      if (!other.isExited()) {
+        usedCpus += plan(other).cpus();
+        busy |= other.id().equals(id);
+      }
+    }
+    tasks.put(key(id, attempt), task);
+    worker.noteChange();
+    JobPlan plan = plan(task);
+    if (plan == null) {
+      task.exit("unknown");
+    } else if (busy) {
+      task.exit("busy");
+    } else if (usedCpus + plan.cpus() > world.site.type(worker.type()).cpus() + ROUNDING) {
+      task.exit("full");
+      world.counters.addRefusedFull();
+    } else {
+      boolean cached = images.contains(plan.image());
+      task.fetchUntil(now() + (cached ? 0 : (long) (plan.fetchS() * MS_PER_S)));
+    }
+  }
+
+  private void stop(SimulatedTask task, double windDownS) {
+    JobPlan plan = plan(task);
+    boolean saves = plan.checkpoints() && windDownS >= plan.checkpointS();
+    if (task.phase() == TaskPhase.RUNNING && saves) {
+      world.jobs.addSavedMs(task.id(), now() - task.runningSinceMs());
+      task.saveUntil(now() + (long) (plan.checkpointS() * MS_PER_S));
+    } else if (task.phase() != TaskPhase.SAVING || windDownS == 0) {
+      exit(task, "halted");
+    }
+    worker.noteChange();
+  }
+}
