--- a/src/test/java/shorecrank/sim/ControllerNode.java
+++ b/src/test/java/shorecrank/sim/ControllerNode.java
@@ -23,18 +23,22 @@
     this.zone = world.site.zoneOf(index);
   }
 
+  /** The world that it is part of. */
   World world() {
     return world;
   }
 
+  /** Its number among the controllers, from 0. */
   int index() {
     return index;
   }
 
+  /** Its name, such as {@code n0}. */
   String label() {
     return label;
   }
 
+  /** The zone that it runs in. */
   String zone() {
     return zone;
   }
--- a/src/test/java/shorecrank/sim/ControllerProcess.java
+++ b/src/test/java/shorecrank/sim/ControllerProcess.java
@@ -60,10 +60,12 @@
     this.inbox = inbox;
   }
 
+  /** Where it is found and what it finds. */
   PlatformFile.Addresses addresses() {
     return addresses;
   }
 
+  /** What it runs from its next start on. */
   ProgramVersion version() {
     return version;
   }
--- a/src/test/java/shorecrank/sim/Cut.java
+++ b/src/test/java/shorecrank/sim/Cut.java
@@ -14,6 +14,7 @@
     this.mode = mode;
   }
 
+  /** Whether it is not over at a time. */
   boolean isActive(long nowMs) {
     return untilMs > nowMs;
   }
--- a/src/test/java/shorecrank/sim/Expectation.java
+++ b/src/test/java/shorecrank/sim/Expectation.java
@@ -22,12 +22,14 @@
   /** Tells something of a world. */
   @FunctionalInterface
   interface Condition {
+    /** Whether it is so now. */
     boolean holds(World world);
   }
 
   /** Tells what there is. */
   @FunctionalInterface
   interface Description {
+    /** What there is now. */
     String of(World world);
   }
 
--- /dev/null
+++ b/src/test/java/shorecrank/sim/IdleController.java
@@ -0,0 +1,58 @@
+package shorecrank.sim;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+
+/** A controller that does nothing and answers nothing; tests say what it may command. */
+final class IdleController extends ControllerNode {
+  private final Map<ShardId, Epoch> shards = new HashMap<>();
+  private final Set<MachineName> machines = new HashSet<>();
+
+  IdleController(World world, int index) {
+    super(world, index);
+  }
+
+  /** It may command a shard. */
+  void commandShard(int shard, long epoch) {
+    shards.put(new ShardId(shard), new Epoch(epoch));
+  }
+
+  /** It may command a machine. */
+  void commandMachine(String machine) {
+    machines.add(new MachineName(machine));
+  }
+
+  @Override
+  void launch() {
+    world().rollouts.start(this);
+  }
+
+  @Override
+  void kill() {}
+
+  @Override
+  void freeze(long durationMs) {}
+
+  @Override
+  void handle(ControllerRequest request, ReplyHandler reply) {}
+
+  @Override
+  Map<ShardId, Epoch> owned() {
+    return shards;
+  }
+
+  @Override
+  Map<ShardId, Epoch> commanded() {
+    return shards;
+  }
+
+  @Override
+  Set<MachineName> commandedMachines() {
+    return machines;
+  }
+}
--- a/src/test/java/shorecrank/sim/Measurements.java
+++ b/src/test/java/shorecrank/sim/Measurements.java
@@ -21,8 +21,9 @@
   private final Map<String, Steps> steps = new TreeMap<>();
   private final Map<String, Integer> largest = new TreeMap<>();
 
-  void step(Input in, long nanos, List<Output> outputs) {
-    Steps s = steps.computeIfAbsent(kind(in), k -> new Steps());
+  /** A controller has made a step that took so many nanoseconds. */
+  void step(Input input, long nanos, List<Output> outputs) {
+    Steps s = steps.computeIfAbsent(kind(input), k -> new Steps());
     s.count++;
     s.nanos += nanos;
     s.longest = Math.max(s.longest, nanos);
@@ -30,7 +31,7 @@
       if (o instanceof Output.Call c && c.body() != null) {
         message(c.path().split("\\?")[0], Json.bytes(c.body()).length);
       } else if (o instanceof Output.Reply r && r.body() != null) {
-        message("answer to " + kind(in), Json.bytes(r.body()).length);
+        message("answer to " + kind(input), Json.bytes(r.body()).length);
       }
     }
   }
@@ -39,13 +40,14 @@
     largest.merge(kind.startsWith("/store/") ? "/store" : kind, bytes, Math::max);
   }
 
-  private static String kind(Input in) {
-    if (in instanceof Input.Request r) {
+  private static String kind(Input input) {
+    if (input instanceof Input.Request r) {
       return r.path().startsWith("/api") ? "/api" : r.path();
     }
-    return in instanceof Input.Tick ? "round" : "answer";
+    return input instanceof Input.Tick ? "round" : "answer";
   }
 
+  /** The largest body of a kind of message, in bytes. */
   int largestMessage(String kind) {
     return largest.getOrDefault(kind, 0);
   }
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -151,7 +151,7 @@
   private void finish() {
     submitting = false;
     await("the end of all jobs", world::areAllJobsOver);
-    assertTrue(world.areProcessesSound(), "a controller has ended by itself");
+    assertEquals(List.of(), world.endedByThemselves(), "controllers ended by themselves");
   }
 
   // ---- the site and its load -------------------------------------------------------------------
@@ -215,7 +215,7 @@
   }
 
   private void await(String what, BooleanSupplier holds) {
-    assertTrue(world.areProcessesSound(), "a controller has ended by itself");
+    assertEquals(List.of(), world.endedByThemselves(), "controllers ended by themselves");
     assertTrue(world.playUntil(holds, WAIT_MS), "waited in vain for " + what);
     assertEquals(List.of(), world.checker.violations());
   }
--- a/src/test/java/shorecrank/sim/Network.java
+++ b/src/test/java/shorecrank/sim/Network.java
@@ -23,14 +23,17 @@
     this.stateService = new StateServiceLink(sim, world.faults, world.store);
   }
 
+  /** What is cut, and is to be. */
   Cuts cuts() {
     return cuts;
   }
 
+  /** Which messages arrive twice. */
   DuplicateMessages duplicates() {
     return duplicates;
   }
 
+  /** How requests reach the state service. */
   StateServiceLink stateService() {
     return stateService;
   }
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -51,14 +51,17 @@
     await("the first owner", () -> world.owner(0).isPresent() && world.leader().isPresent());
   }
 
+  /** One of the three controllers. */
   ControllerProcess node(int index) {
     return world.process(index);
   }
 
+  /** The rollout as the state service has it. */
   RolloutState state() {
     return world.rollouts.state();
   }
 
+  /** How many jobs were submitted. */
   int submitted() {
     return submitted;
   }
@@ -91,15 +94,17 @@
     node(index).crash(backMs);
   }
 
+  /** Lets the fleet go on for a while; no rule may break. */
   void serveFor(long ms) {
     world.play(ms);
     assertEquals(List.of(), world.checker.violations());
   }
 
+  /** Lets the fleet go on until something holds; no rule may break. */
   void await(String what, BooleanSupplier holds) {
     assertTrue(world.playUntil(holds, WAIT_MS), "waited in vain for " + what);
     assertEquals(List.of(), world.checker.violations());
-    assertTrue(world.areProcessesSound(), "a controller has ended by itself");
+    assertEquals(List.of(), world.endedByThemselves(), "controllers ended by themselves");
   }
 
   /** Runs the client while the fleet goes on; {@code @} stands for all controllers' addresses. */
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -78,6 +78,7 @@
     return new ControllerProcess(this, index, first, addresses, directory, client, inbox::add);
   }
 
+  /** One of the controllers. */
   ControllerProcess process(int index) {
     return (ControllerProcess) controllers().get(index);
   }
@@ -86,9 +87,12 @@
     return controllers().stream().map(ControllerProcess.class::cast).toList();
   }
 
-  /** Whether no process has ended by itself. */
-  boolean areProcessesSound() {
-    return processes().stream().allMatch(ControllerProcess::isSound);
+  /** Labels of the controllers whose processes have ended by themselves. */
+  List<String> endedByThemselves() {
+    return processes().stream()
+        .filter(process -> !process.isSound())
+        .map(ControllerNode::label)
+        .toList();
   }
 
   @Override
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -39,19 +39,19 @@
     long[] fell = {-1};
     int[] requestsBefore = {0};
     scenario.beforeRun(
-        w -> {
-          w.store.beforeTransactions(
+        world -> {
+          world.store.beforeTransactions(
               operations -> {
-                if (w.rollouts.state().phase() == Phase.FALLING) {
-                  count(w, traffic, operations);
+                if (world.rollouts.state().phase() == Phase.FALLING) {
+                  count(world, traffic, operations);
                 }
               });
-          w.sim.at(FALL_AT_MS, () -> requestsBefore[0] = w.store.meter().requests());
-          watch(w, fell, traffic, requestsBefore);
+          world.sim.at(FALL_AT_MS, () -> requestsBefore[0] = world.store.meter().requests());
+          watch(world, fell, traffic, requestsBefore);
         });
     assertEquals(List.of(), scenario.play(1, false));
-    World w = scenario.world();
-    assertEquals(0, w.rollouts.denseRecords());
+    World world = scenario.world();
+    assertEquals(0, world.rollouts.denseRecords());
     long durationMs = fell[0] - FALL_AT_MS;
     System.out.printf(
         Locale.ROOT,
@@ -64,8 +64,8 @@
         traffic.changes,
         traffic.requests,
         traffic.bytes / 1024.0,
-        acceptance(w, FALL_AT_MS - durationMs, FALL_AT_MS),
-        acceptance(w, FALL_AT_MS, fell[0]));
+        acceptance(world, FALL_AT_MS - durationMs, FALL_AT_MS),
+        acceptance(world, FALL_AT_MS, fell[0]));
     assertTrue(traffic.rewrites >= JOBS * 0.8, "rewritten " + traffic.rewrites);
   }
 
@@ -94,29 +94,29 @@
         writesPerS);
   }
 
-  private static void watch(World w, long[] fell, Traffic traffic, int[] requestsBefore) {
-    if (w.checker.rollout().falls() > 0) {
-      fell[0] = w.sim.now();
-      traffic.requests = w.store.meter().requests() - requestsBefore[0];
+  private static void watch(World world, long[] fell, Traffic traffic, int[] requestsBefore) {
+    if (world.checker.rollout().falls() > 0) {
+      fell[0] = world.sim.now();
+      traffic.requests = world.store.meter().requests() - requestsBefore[0];
       return;
     }
-    w.sim.after(STEP_MS, () -> watch(w, fell, traffic, requestsBefore));
+    world.sim.after(STEP_MS, () -> watch(world, fell, traffic, requestsBefore));
   }
 
-  private static void count(World w, Traffic traffic, JsonNode operations) {
+  private static void count(World world, Traffic traffic, JsonNode operations) {
     traffic.changes += operations.size();
     for (JsonNode o : operations) {
       traffic.bytes += Json.bytes(o).length;
       String key = o.path("write").asText();
-      boolean was = key.startsWith(JobRecord.LIVE) && JobRecord.isDense(w.store.peek(key));
+      boolean was = key.startsWith(JobRecord.LIVE) && JobRecord.isDense(world.store.peek(key));
       traffic.rewrites += was ? 1 : 0;
     }
   }
 
   /** Mean and longest time until users' submissions were accepted. */
-  private static String acceptance(World w, long fromMs, long toMs) {
+  private static String acceptance(World world, long fromMs, long toMs) {
     var stats =
-        w.checker.told().acceptances().stream()
+        world.checker.told().acceptances().stream()
             .filter(a -> a.submittedAtMs() >= fromMs && a.submittedAtMs() < toMs)
             .mapToLong(ToldAnswers.Acceptance::afterMs)
             .summaryStatistics();
@@ -148,25 +148,25 @@
               .formatted(archive);
       Scenario scenario = new Scenario("rise", text);
       long[] rose = {-1};
-      scenario.beforeRun(w -> watchRise(w, rose));
+      scenario.beforeRun(world -> watchRise(world, rose));
       assertEquals(List.of(), scenario.play(1, false));
-      World w = scenario.world();
+      World world = scenario.world();
       long bytes =
-          w.store.keys(ArchiveKeys.CHUNKS).stream()
-              .mapToLong(key -> ArchiveValueCodec.readChunk(w.store.peek(key)).length)
+          world.store.keys(ArchiveKeys.CHUNKS).stream()
+              .mapToLong(key -> ArchiveValueCodec.readChunk(world.store.peek(key)).length)
               .sum();
       System.out.printf(
           "rise: archive %s: %.1f s from the last upgraded process to the level; archive %d bytes%n",
           archive, (rose[0] - 61_000) / 1000.0, bytes);
-      assertEquals(1, w.checker.rollout().rises());
+      assertEquals(1, world.checker.rollout().rises());
     }
   }
 
-  private static void watchRise(World w, long[] rose) {
-    if (w.checker.rollout().rises() > 0) {
-      rose[0] = w.sim.now();
+  private static void watchRise(World world, long[] rose) {
+    if (world.checker.rollout().rises() > 0) {
+      rose[0] = world.sim.now();
     } else {
-      w.sim.after(STEP_MS, () -> watchRise(w, rose));
+      world.sim.after(STEP_MS, () -> watchRise(world, rose));
     }
   }
 }
--- a/src/test/java/shorecrank/sim/Rule.java
+++ b/src/test/java/shorecrank/sim/Rule.java
@@ -18,18 +18,22 @@
     this.checker = checker;
   }
 
+  /** Where it holds. */
   World world() {
     return world;
   }
 
+  /** The world's time and events. */
   Simulation sim() {
     return world.sim;
   }
 
+  /** What users have been told. */
   ToldAnswers told() {
     return checker.told();
   }
 
+  /** What runs, and what was started. */
   TaskLedger tasks() {
     return checker.tasks();
   }
--- a/src/test/java/shorecrank/sim/RunCounters.java
+++ b/src/test/java/shorecrank/sim/RunCounters.java
@@ -66,6 +66,7 @@
     leaseExpiriesWithTasks++;
   }
 
+  /** How often a worker has killed its tasks because its lease had expired. */
   int leaseExpiriesWithTasks() {
     return leaseExpiriesWithTasks;
   }
@@ -75,6 +76,7 @@
     startsRefusedFull++;
   }
 
+  /** How often a worker has refused a start because it lacks resources. */
   int startsRefusedFull() {
     return startsRefusedFull;
   }
--- a/src/test/java/shorecrank/sim/ScenarioLine.java
+++ b/src/test/java/shorecrank/sim/ScenarioLine.java
@@ -71,10 +71,12 @@
     return text.substring(starts.get(index));
   }
 
+  /** Whether there is a word at an index. */
   boolean has(int index) {
     return index < words.size();
   }
 
+  /** The word at an index; the first is at 0. */
   String word(int index) {
     if (!has(index)) {
       throw error("word " + (index + 1) + " is missing in '" + text + "'");
@@ -87,14 +89,17 @@
     return Arrays.asList(word(index).split(","));
   }
 
+  /** The word as a whole number. */
   int integer(int index) {
     return parse(word(index), "a whole number", Integer::valueOf);
   }
 
+  /** The word as a whole number that may be large. */
   long whole(int index) {
     return parse(word(index), "a whole number", Long::valueOf);
   }
 
+  /** The word as a number. */
   double decimal(int index) {
     return parse(word(index), "a number", Double::valueOf);
   }
--- a/src/test/java/shorecrank/sim/ScenarioOptions.java
+++ b/src/test/java/shorecrank/sim/ScenarioOptions.java
@@ -42,22 +42,27 @@
     return this;
   }
 
+  /** Whether the line has the option. */
   boolean has(String name) {
     return values.containsKey(name);
   }
 
+  /** The option's value, if the line has it. */
   Optional<String> text(String name) {
     return Optional.ofNullable(values.get(name));
   }
 
+  /** The option's value, or another if the line does not have it. */
   String text(String name, String unset) {
     return values.getOrDefault(name, unset);
   }
 
+  /** The option's value as a number, or another if the line does not have it. */
   double decimal(String name, double unset) {
     return text(name).map(value -> number(name, value)).orElse(unset);
   }
 
+  /** The same, cut off to a whole number. */
   int integer(String name, int unset) {
     return (int) decimal(name, unset);
   }
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -22,10 +22,12 @@
     this.world = world;
   }
 
+  /** What is described. */
   World world() {
     return world;
   }
 
+  /** There will be so many controllers. */
   void controllers(int count) {
     controllers = count;
   }
@@ -35,6 +37,7 @@
     return untilMs;
   }
 
+  /** The run ends at a time. */
   void runUntil(long ms) {
     untilMs = ms;
   }
@@ -44,6 +47,7 @@
     return Optional.ofNullable(ruleToBreak);
   }
 
+  /** The run has to break a rule. */
   void mustBreak(String rule) {
     ruleToBreak = rule;
   }
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -46,8 +46,8 @@
             "at %d share-order n0 o%d move from=%d count=2 to=%d\n"
                 .formatted(s, s, from, 1 - from));
       }
-      World w = play(text.append("until 600\n").toString(), null);
-      long done = w.counters.counted("shares.moves.done");
+      World world = play(text.append("until 600\n").toString(), null);
+      long done = world.counters.counted("shares.moves.done");
       System.out.printf(
           Locale.ROOT,
           "tasks of %d s: %d moves, %.1f a minute, median %.1f s, 99th percentile %.1f s,"
@@ -55,10 +55,10 @@
           taskS,
           done,
           done / 9.0,
-          w.counters.gaugeOf("shares.move.ms.p50") / 1000,
-          w.counters.gaugeOf("shares.move.ms.p99") / 1000,
-          (double) w.checker.shares().storeOperations() / Math.max(1, done),
-          w.counters.counted("shares.moves.aborted"));
+          world.counters.gaugeOf("shares.move.ms.p50") / 1000,
+          world.counters.gaugeOf("shares.move.ms.p99") / 1000,
+          (double) world.checker.shares().storeOperations() / Math.max(1, done),
+          world.counters.counted("shares.moves.aborted"));
     }
   }
 
@@ -79,7 +79,7 @@
       double[] spikeDone = {-1};
       double[] backlogDone = {-1};
       double[] idleCpuS = {0};
-      scenario.beforeRun(w -> sample(w, spikeDone, backlogDone, idleCpuS));
+      scenario.beforeRun(world -> sample(world, spikeDone, backlogDone, idleCpuS));
       List<String> broken = scenario.play(1, false);
       System.out.printf(
           Locale.ROOT,
@@ -93,18 +93,18 @@
   }
 
   /** Once a second: who is done, and how many processors idle while something waits. */
-  private static void sample(World w, double[] spike, double[] backlog, double[] idle) {
-    double now = w.sim.now() / 1000.0;
-    if (spike[0] < 0 && w.checker.told().isDone("wk-2")) {
+  private static void sample(World world, double[] spike, double[] backlog, double[] idle) {
+    double now = world.sim.now() / 1000.0;
+    if (spike[0] < 0 && world.checker.told().isDone("wk-2")) {
       spike[0] = now;
     }
-    if (backlog[0] < 0 && w.checker.told().isDone("wk-1")) {
+    if (backlog[0] < 0 && world.checker.told().isDone("wk-1")) {
       backlog[0] = now;
     }
     if (now > 22 && (spike[0] < 0 || backlog[0] < 0)) {
-      idle[0] += w.workers().stream().mapToDouble(x -> x.tasks().freeCpus()).sum();
+      idle[0] += world.workers().stream().mapToDouble(x -> x.tasks().freeCpus()).sum();
     }
-    w.sim.after(1000, () -> sample(w, spike, backlog, idle));
+    world.sim.after(1000, () -> sample(world, spike, backlog, idle));
   }
 
   @Test
@@ -134,14 +134,16 @@
             """
                 .formatted(
                     shards, shares, machines, machines, machines, machines / 2, machines / 2);
-        World w = play(text, measurements);
+        World world = play(text, measurements);
         long fullest =
-            w.controllers().stream()
+            world.controllers().stream()
                 .mapToLong(n -> ((SimulatedController) n).busyNanos())
                 .max()
                 .orElse(0);
         long all =
-            w.controllers().stream().mapToLong(n -> ((SimulatedController) n).busyNanos()).sum();
+            world.controllers().stream()
+                .mapToLong(n -> ((SimulatedController) n).busyNanos())
+                .sum();
         System.out.printf(
             Locale.ROOT,
             "%d machines, %d shards: fullest controller %.2f s, all %.2f s of 200 s; starts %d,"
@@ -150,8 +152,8 @@
             shards,
             fullest / 1e9,
             all / 1e9,
-            w.checker.tasks().starts(),
-            w.counters.counted("shares.moves.done"),
+            world.checker.tasks().starts(),
+            world.counters.counted("shares.moves.done"),
             measurements.largestMessage("/peer/beat") / 1024);
       }
     }
--- a/src/test/java/shorecrank/sim/SharesMix.java
+++ b/src/test/java/shorecrank/sim/SharesMix.java
@@ -2,13 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.SplittableRandom;
 
 /**
  * Orders that move machines all the time, and faults at the steps of those moves, all drawn from
  * the seed.
  */
-final class SharesMix {
+final class SharesMix extends RandomMix {
   private static final double ORDER_EVERY_S = 2;
 
   /** Moves whose steps may meet a fault: those numbered from 1 to here. */
@@ -19,99 +18,82 @@
     "move.requested id=", "move.draining id=", "move.handed_over id=", "move.done id="
   };
 
-  private final World world;
-  private final SplittableRandom random;
-  private final FaultScript script;
   private int orders;
 
-  private SharesMix(World world, ScenarioLine line) {
-    this.world = world;
-    this.random = world.sim.random().split();
-    this.script = new FaultScript(world, line);
+  SharesMix(World world, ScenarioLine line) {
+    super(world, line);
   }
 
-  /** {@code mix-shares COUNT FROM TO}: so many faults, with orders all the while. */
-  static Declaration read(ScenarioLine line) {
-    int count = line.integer(1);
-    double fromS = line.decimal(2);
-    double toS = line.decimal(3);
-    return setup ->
-        setup.afterOpening(() -> new SharesMix(setup.world(), line).draw(count, fromS, toS));
-  }
-
-  private void draw(int count, double fromS, double toS) {
-    for (double at = fromS; at < toS; at += ORDER_EVERY_S * (0.5 + random.nextDouble())) {
-      world.sim.at((long) (at * 1000), this::orderMove);
+  @Override
+  void draw(int count, double fromS, double toS) {
+    for (double at = fromS; at < toS; at += ORDER_EVERY_S * (0.5 + random().nextDouble())) {
+      world().sim.at((long) (at * 1000), this::orderMove);
     }
     for (int i = 0; i < count; i++) {
-      String step = STEPS[random.nextInt(STEPS.length)] + (1 + random.nextInt(MOVES)) + " ";
+      String step = any(STEPS) + (1 + random().nextInt(MOVES)) + " ";
       String actions = fault();
-      world.log.replaceWhenLogged(step, () -> script.run(actions));
+      world().log.replaceWhenLogged(step, () -> script().run(actions));
     }
   }
 
   /** Moves up to three machines, wherever they are, to a shard; some at once through two nodes. */
   private void orderMove() {
-    List<String> machines = world.workers().stream().map(SimulatedWorker::name).toList();
+    List<String> machines = world().workers().stream().map(SimulatedWorker::name).toList();
     if (machines.isEmpty()) {
       return;
     }
     List<String> chosen = new ArrayList<>();
-    for (int i = 0; i <= random.nextInt(3); i++) {
-      chosen.add(machines.get(random.nextInt(machines.size())));
+    for (int i = 0; i <= random().nextInt(3); i++) {
+      chosen.add(machines.get(random().nextInt(machines.size())));
     }
     String names = String.join(",", chosen.stream().distinct().toList());
     orderTo(names);
-    if (random.nextInt(4) == 0) {
+    if (random().nextInt(4) == 0) {
       orderTo(names);
     }
-    if (random.nextInt(6) == 0) {
-      script.run("share-order " + node() + " o" + ++orders + " abort all");
+    if (random().nextInt(6) == 0) {
+      script().run("share-order " + node() + " o" + ++orders + " abort all");
     }
   }
 
   private void orderTo(String names) {
-    int to = random.nextInt(world.settings().shards());
+    int to = random().nextInt(world().settings().shards());
     String order = "share-order %s o%d move machines=%s to=%d";
-    script.run(order.formatted(node(), ++orders, names, to));
-  }
-
-  private String node() {
-    return "n" + random.nextInt(world.controllers().size());
+    script().run(order.formatted(node(), ++orders, names, to));
   }
 
   private String who() {
-    return switch (random.nextInt(5)) {
+    return switch (random().nextInt(5)) {
       case 0 -> "leader";
-      case 1, 2, 3 -> "owner-of-" + random.nextInt(world.settings().shards());
+      case 1, 2, 3 -> "owner-of-" + random().nextInt(world().settings().shards());
       default -> node();
     };
   }
 
   private String machine() {
-    return "n-%06d".formatted(1 + random.nextInt(12));
+    return "n-%06d".formatted(1 + random().nextInt(12));
   }
 
   private String fault() {
-    String s = "" + (1 + random.nextInt(12));
-    String mode = new String[] {"drop", "hold", "refuse"}[random.nextInt(3)];
-    String back = random.nextInt(2) == 0 ? "0.3" : "" + (1 + random.nextInt(5));
-    return switch (random.nextInt(18)) {
+    String seconds = "" + (1 + random().nextInt(12));
+    String mode = any("drop", "hold", "refuse");
+    String back = random().nextInt(2) == 0 ? "0.3" : "" + (1 + random().nextInt(5));
+    return switch (random().nextInt(18)) {
       case 0, 1, 2 -> "crash " + who() + " " + back;
-      case 3, 4 -> "freeze " + who() + " " + s;
-      case 5 -> "cut " + who() + " state " + s + " " + mode;
-      case 6 -> "cut " + who() + " peers " + s + " " + mode;
-      case 7 -> "cut " + who() + " workers " + s + " " + mode;
-      case 8 -> "cut leader state " + s + " hold;cut leader peers " + s + " hold";
+      case 3, 4 -> "freeze " + who() + " " + seconds;
+      case 5 -> "cut " + who() + " state " + seconds + " " + mode;
+      case 6 -> "cut " + who() + " peers " + seconds + " " + mode;
+      case 7 -> "cut " + who() + " workers " + seconds + " " + mode;
+      case 8 -> "cut leader state " + seconds + " hold;cut leader peers " + seconds + " hold";
       case 9 -> "late-writes 1 2";
       case 10 -> "late-writes 0.6 5";
       case 11 -> "late-writes 1 2 at-once";
       case 12 -> "crash all " + back;
       case 13 -> "copies 8 30";
       case 14 -> "copies-for-next 6;crash leader 0.3";
-      case 15 -> "hang " + machine() + " " + s;
-      case 16 -> random.nextInt(2) == 0 ? "take " + machine() : "notice " + machine() + " 8";
-      default -> "cancel-now 2;outage state " + s;
+      case 15 -> "hang " + machine() + " " + seconds;
+      case 16 -> random().nextInt(2) == 0 ? "take " + machine() : "notice " + machine() + " 8";
+      default -> "cancel-now 2;outage state " + seconds;
     };
   }
 }
--- a/src/test/java/shorecrank/sim/SimulatedCloud.java
+++ b/src/test/java/shorecrank/sim/SimulatedCloud.java
@@ -90,6 +90,7 @@
     outageUntilMs = sim.now() + durationMs;
   }
 
+  /** How many machines there are, with those that boot. */
   int size() {
     return machines.size();
   }
--- a/src/test/java/shorecrank/sim/SimulatedStateService.java
+++ b/src/test/java/shorecrank/sim/SimulatedStateService.java
@@ -50,10 +50,12 @@
     sim.after(EXPIRY_CHECK_MS, this::expire);
   }
 
+  /** What it was asked for so far. */
   StateServiceMeter meter() {
     return meter;
   }
 
+  /** The sizes that it takes. */
   StateLimits limits() {
     return limits;
   }
--- a/src/test/java/shorecrank/sim/SimulatedTask.java
+++ b/src/test/java/shorecrank/sim/SimulatedTask.java
@@ -23,10 +23,12 @@
     return id;
   }
 
+  /** The id of its job. */
   String job() {
     return SubmittedJobs.jobOf(id);
   }
 
+  /** Where it stands. */
   TaskPhase phase() {
     return phase;
   }
@@ -40,6 +42,7 @@
     return onMachine;
   }
 
+  /** When it came to run. */
   long runningSinceMs() {
     return runningSinceMs;
   }
--- a/src/test/java/shorecrank/sim/SimulatedUsers.java
+++ b/src/test/java/shorecrank/sim/SimulatedUsers.java
@@ -29,10 +29,12 @@
     this.client = new UserClient(world, habits::answered);
   }
 
+  /** Sends their requests. */
   UserClient client() {
     return client;
   }
 
+  /** What they do beyond submitting and asking. */
   UserHabits habits() {
     return habits;
   }
--- a/src/test/java/shorecrank/sim/SimulatedWorker.java
+++ b/src/test/java/shorecrank/sim/SimulatedWorker.java
@@ -56,14 +56,17 @@
     tick();
   }
 
+  /** The machine's name. */
   String name() {
     return name;
   }
 
+  /** The machine's type. */
   String type() {
     return type;
   }
 
+  /** The machine's zone. */
   String zone() {
     return zone;
   }
@@ -72,10 +75,12 @@
     return spot;
   }
 
+  /** What is on the machine. */
   WorkerTasks tasks() {
     return tasks;
   }
 
+  /** Starts at 1, and rises each time its lease expires. */
   long incarnation() {
     return incarnation;
   }
@@ -121,10 +126,6 @@
     tasks.killAll();
   }
 
-  boolean isRemoved() {
-    return removed;
-  }
-
   // ---- as time goes on -------------------------------------------------------------------------
 
   private void tick() {
--- a/src/test/java/shorecrank/sim/Site.java
+++ b/src/test/java/shorecrank/sim/Site.java
@@ -27,26 +27,32 @@
     zones = List.copyOf(names);
   }
 
+  /** The zone of a controller, by its index. */
   String zoneOf(int controller) {
     return zones.get(controller % zones.size());
   }
 
+  /** There is a type of machine. */
   void addType(String name, MachineType type) {
     types.put(name, type);
   }
 
+  /** A type of machine; null if there is none of that name. */
   MachineType type(String name) {
     return types.get(name);
   }
 
+  /** All types of machines, by name. */
   Map<String, MachineType> types() {
     return Collections.unmodifiableMap(types);
   }
 
+  /** There is a team. */
   void addTeam(String name, TeamQuota quota) {
     teams.put(name, quota);
   }
 
+  /** All teams, by name. */
   Map<String, TeamQuota> teams() {
     return Collections.unmodifiableMap(teams);
   }
@@ -61,6 +67,7 @@
     objectives.add(objective);
   }
 
+  /** All objectives, as the platform's file has them. */
   List<ObjectNode> objectives() {
     return Collections.unmodifiableList(objectives);
   }
@@ -72,14 +79,17 @@
     cancelS = newCancelS;
   }
 
+  /** Seconds between a worker's heartbeats. */
   double reportS() {
     return reportS;
   }
 
+  /** Seconds of a worker's lease. */
   double leaseS() {
     return leaseS;
   }
 
+  /** Seconds until a cancelled job has to end. */
   double cancelS() {
     return cancelS;
   }
@@ -90,10 +100,12 @@
     stateWritesPerS = writesPerS;
   }
 
+  /** Requests that the state service takes each second. */
   double stateRequestsPerS() {
     return stateRequestsPerS;
   }
 
+  /** Changes that the state service takes each second. */
   double stateWritesPerS() {
     return stateWritesPerS;
   }
--- a/src/test/java/shorecrank/sim/StateServiceLeases.java
+++ b/src/test/java/shorecrank/sim/StateServiceLeases.java
@@ -24,10 +24,12 @@
     return id;
   }
 
+  /** Whether a lease was granted and has not ended. */
   boolean contains(long id) {
     return endsAtMs.containsKey(id);
   }
 
+  /** Gives a lease its full time again. */
   void renew(long id) {
     endsAtMs.put(id, sim.now() + durationsMs.get(id));
   }
@@ -37,6 +39,7 @@
     endsAtMs.replaceAll((id, end) -> sim.now() + durationsMs.get(id));
   }
 
+  /** Ends a lease. */
   void remove(long id) {
     endsAtMs.remove(id);
   }
--- a/src/test/java/shorecrank/sim/StateServiceMeter.java
+++ b/src/test/java/shorecrank/sim/StateServiceMeter.java
@@ -36,6 +36,7 @@
     refusedForSize++;
   }
 
+  /** All requests so far. */
   int requests() {
     return requests;
   }
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -20,6 +20,7 @@
     this.id = id;
   }
 
+  /** The file that its chunks make up. */
   byte[] bytes() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int i = 0; ; i++) {
--- a/src/test/java/shorecrank/sim/SubmittedJobs.java
+++ b/src/test/java/shorecrank/sim/SubmittedJobs.java
@@ -28,6 +28,7 @@
     submitted.add(job);
   }
 
+  /** Whether any user has submitted the job. */
   boolean isSubmitted(String job) {
     return submitted.contains(job);
   }
@@ -47,6 +48,7 @@
     return List.copyOf(submitted);
   }
 
+  /** The tasks of all jobs together. */
   int taskCount() {
     return plans.values().stream().mapToInt(JobPlan::tasks).sum();
   }
@@ -56,6 +58,7 @@
     cancelRequested.add(job);
   }
 
+  /** Whether its user has asked for the job to be cancelled. */
   boolean isCancelRequested(String job) {
     return cancelRequested.contains(job);
   }
@@ -83,14 +86,17 @@
     results.add(task);
   }
 
+  /** Whether a task has completed. */
   boolean hasResult(String task) {
     return results.contains(task);
   }
 
+  /** How many tasks have completed. */
   int resultCount() {
     return results.size();
   }
 
+  /** Whether all tasks of a job have completed. */
   boolean hasAllResults(String job) {
     for (int i = 0; i < plans.get(job).tasks(); i++) {
       if (!hasResult(job + "/" + i)) {
@@ -105,6 +111,7 @@
     savedMs.merge(task, ms, Long::sum);
   }
 
+  /** Progress that a task has saved, in milliseconds. */
   long savedMs(String task) {
     return savedMs.getOrDefault(task, 0L);
   }
--- a/src/test/java/shorecrank/sim/TaskLedger.java
+++ b/src/test/java/shorecrank/sim/TaskLedger.java
@@ -50,6 +50,7 @@
     return workers.stream().map(SimulatedWorker::name).collect(Collectors.toSet());
   }
 
+  /** Whether a task is on any machine. */
   boolean isOnMachine(String task) {
     return machines.containsKey(task);
   }
@@ -69,10 +70,12 @@
     return cpusOfTeam.getOrDefault(team, 0.0);
   }
 
+  /** How often any task came on a machine. */
   int starts() {
     return starts;
   }
 
+  /** How often a task of the job came on a machine. */
   int startsOf(String job) {
     return startsOfJob.getOrDefault(job, 0);
   }
@@ -82,6 +85,7 @@
     return startsAfterCancel;
   }
 
+  /** Whether any task of the job has started. */
   boolean hasBegun(String job) {
     return firstStartMs.containsKey(job);
   }
--- a/src/test/java/shorecrank/sim/TaskPhase.java
+++ b/src/test/java/shorecrank/sim/TaskPhase.java
@@ -13,6 +13,7 @@
     this.wireName = wireName;
   }
 
+  /** As in reports. */
   String wireName() {
     return wireName;
   }
--- /dev/null
+++ b/src/test/java/shorecrank/sim/TaskRulesTest.java
@@ -0,0 +1,249 @@
+package shorecrank.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import shorecrank.protocol.Json;
+import shorecrank.storage.JobRecord;
+
+/** Wrong starts and long waits are planted, and the rule that forbids each finds it. */
+class TaskRulesTest {
+  private static final long CANCEL_MS = 40_000;
+
+  private PlantedWorld world;
+
+  @BeforeEach
+  void open() throws Exception {
+    world = new PlantedWorld("").opened();
+  }
+
+  @Test
+  void aTaskThatMovesToAnotherMachineBreaksNothing() {
+    world.accept("wk-1", JobPlan.builder().cpus(8));
+    world.checker.stopped(world.machine(1), world.start(1, "wk-1/0"));
+    world.start(3, "wk-1/0");
+    world.assertSound();
+  }
+
+  @Test
+  void aTaskOnTwoMachinesRanTwice() {
+    world.accept("wk-1", JobPlan.builder());
+    world.start(1, "wk-1/0");
+    world.start(2, "wk-1/0");
+    world.assertBroken("ran_twice: wk-1/0 starts on n-000002 while on [n-000001]");
+  }
+
+  @Test
+  void aTaskTwiceOnOneMachineRanTwice() {
+    world.accept("wk-1", JobPlan.builder());
+    world.start(1, "wk-1/0");
+    world.start(1, "wk-1/0");
+    world.assertBroken("ran_twice: wk-1/0 starts on n-000001 while on [n-000001]");
+  }
+
+  @Test
+  void aTeamAboveItsLimitBreaksItsQuota() {
+    world.accept("wk-1", JobPlan.builder().tasks(3).cpus(4));
+    world.start(1, "wk-1/0");
+    world.start(2, "wk-1/1");
+    world.assertSound();
+    world.start(3, "wk-1/2");
+    world.assertBroken("quota: team t uses 12.0");
+  }
+
+  @Test
+  void aTaskInAnotherZoneIsInTheWrongPlace() {
+    world.accept("wk-1", JobPlan.builder().zone("b"));
+    world.start(1, "wk-1/0");
+    world.assertBroken("wrong_place: wk-1/0 on n-000001");
+  }
+
+  @Test
+  void aTaskOnASpotMachineThatItMayNotUseIsInTheWrongPlace() {
+    world.accept("wk-1", JobPlan.builder().spot(false));
+    world.start(2, "wk-1/0");
+    world.assertBroken("wrong_place: wk-1/0 on n-000002");
+  }
+
+  @Test
+  void aTaskOnAnotherTypeOfMachineIsInTheWrongPlace() {
+    world.accept("wk-1", JobPlan.builder().machineType("g8"));
+    world.start(1, "wk-1/0");
+    world.assertBroken("wrong_place: wk-1/0 on n-000001");
+  }
+
+  @Test
+  void tasksThatBelongTogetherInTwoZonesAreInTheWrongPlace() {
+    world.accept("wk-1", JobPlan.builder().tasks(3).together(true));
+    world.start(1, "wk-1/0");
+    world.start(2, "wk-1/1");
+    world.assertSound();
+    world.start(3, "wk-1/2");
+    assertBrokenFor("wrong_place: wk-1/2 apart from wk-1/");
+  }
+
+  private void assertBrokenFor(String text) {
+    assertEquals(
+        2, world.checker.violations().stream().filter(found -> found.contains(text)).count());
+  }
+
+  @Test
+  void moreThanHalfOfTasksThatAreSpreadInOneZoneIsTheWrongPlace() {
+    world.accept("wk-1", JobPlan.builder().tasks(3).spread(true));
+    world.start(1, "wk-1/0");
+    world.start(2, "wk-1/1");
+    world.assertSound();
+    world.start(1, "wk-1/2");
+    world.assertBroken("wrong_place: 3 of 3 tasks of wk-1 in a");
+  }
+
+  @Test
+  void aStartTooLongAfterTheCancellationRanCancelled() {
+    world.accept("wk-1", JobPlan.builder().tasks(2));
+    world.cancel("wk-1");
+    world.sim.runUntil(CANCEL_MS);
+    world.checker.stopped(world.machine(1), world.start(1, "wk-1/0"));
+    world.assertSound();
+    world.sim.runUntil(CANCEL_MS + 1);
+    world.start(2, "wk-1/1");
+    world.assertBroken("ran_cancelled: wk-1/1 starts on n-000002");
+  }
+
+  @Test
+  void aTaskThatStaysOnItsMachineAfterTheCancellationRanCancelled() {
+    world.accept("wk-1", JobPlan.builder());
+    world.start(1, "wk-1/0");
+    world.cancel("wk-1");
+    world.sim.runUntil(CANCEL_MS + 250);
+    world.assertSound();
+    world.sim.runUntil(CANCEL_MS + 750);
+    world.assertBroken("ran_cancelled: wk-1/0 is on n-000001");
+  }
+
+  @Test
+  void aTaskThatStartsBeforeAJobItDependsOnIsDoneIsTooEarly() {
+    world.accept("wk-1", JobPlan.builder());
+    world.accept("wk-2", JobPlan.builder().tasks(2).dependencies(List.of("wk-1")));
+    world.start(1, "wk-2/0");
+    world.assertBroken("too_early: wk-2/0 starts, wk-1 is not recorded as done");
+    world.write(JobRecord.FINAL + "wk-1", Json.object().put("p", "done"));
+    world.start(2, "wk-2/1");
+    world.assertBroken("too_early: wk-2/0");
+  }
+
+  @Test
+  void aTaskThatIsStartedWithoutItsRecordIsFound() throws Exception {
+    world.accept("wk-1", JobPlan.builder().tasks(2));
+    world.writeEpoch(0, 1);
+    world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 1).write());
+    world.commandStart(1, "wk-1/0", 1);
+    world.assertSound();
+    world.commandStart(1, "wk-1/1", 1);
+    world.assertBroken("started before recorded: wk-1/1 on n-000001");
+  }
+
+  @Test
+  void aTaskThatIsReapedWhileItsRecordHasItLiveIsFound() throws Exception {
+    world.accept("wk-1", JobPlan.builder());
+    world.writeEpoch(0, 1);
+    world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 1).write());
+    world.commandStart(1, "wk-1/0", 1);
+    world.commandStop(1, "wk-1/0", 1);
+    world.commandReap(1, "wk-1/0", 1);
+    world.assertBroken("reaped before recorded: wk-1/0 on n-000001");
+  }
+
+  @Test
+  void aStartUnderAnEpochThatNobodyAllocatedIsFound() {
+    world.accept("wk-1", JobPlan.builder());
+    world.commandStart(1, "wk-1/0", 7);
+    world.assertBroken("start_unminted: wk-1/0 on n-000001");
+  }
+
+  @Test
+  void aJobThatWaitsBesideAFreeMachineIsFoundAfter90Seconds() {
+    world.accept("wk-1", JobPlan.builder());
+    world.sim.runUntil(91_500);
+    world.assertSound();
+    world.sim.runUntil(92_500);
+    world.assertBroken("waits: wk-1 for 90 s");
+  }
+
+  @Test
+  void aJobMayWaitDuringAFaultAndForItsTeamsLimit() {
+    world.accept("wk-1", JobPlan.builder().cpus(8));
+    world.start(1, "wk-1/0");
+    world.accept("wk-2", JobPlan.builder());
+    world.sim.runUntil(200_000);
+    world.assertSound();
+    world.accept("wk-3", JobPlan.builder().team("u"));
+    world.faults.lastFor(200_000);
+    world.sim.runUntil(400_000);
+    world.assertSound();
+  }
+
+  @Test
+  void aClassOfWhichLessThanHalfBeginIsUnserved() {
+    world.faults.lastFor(300_000);
+    for (int i = 1; i <= 8; i++) {
+      world.accept("wk-" + i, JobPlan.builder().jobClass("c" + i % 2).tasks(i));
+      record("wk-" + i);
+    }
+    world.start(1, "wk-1/0");
+    world.start(2, "wk-7/0");
+    for (int i = 2; i <= 8; i += 2) {
+      world.start(3, "wk-" + i + "/0");
+    }
+    world.sim.runUntil(61_000);
+    world.checker.end();
+    world.assertSound();
+    world.accept("wk-9", JobPlan.builder().jobClass("c1"));
+    record("wk-9");
+    world.sim.runUntil(125_000);
+    world.checker.end();
+    world.assertBroken("unserved: 2 of 5 of class c1");
+  }
+
+  @Test
+  void aLargestJobThatBeginsAfterFourMinutesIsLate() {
+    world.accept("wk-1", JobPlan.builder().spread(true));
+    record("wk-1");
+    world.sim.runUntil(240_000);
+    world.start(1, "wk-1/0");
+    world.checker.end();
+    world.assertSound();
+    world.accept("wk-2", JobPlan.builder().jobClass("d").spread(true));
+    record("wk-2");
+    world.sim.runUntil(480_001);
+    world.start(2, "wk-2/0");
+    world.checker.end();
+    world.assertBroken("late: wk-2");
+  }
+
+  private void record(String job) {
+    world.write(JobRecord.FINAL + job, Json.object().put("p", "done"));
+  }
+
+  @Test
+  void aClaimThatIsUsedForAnotherRequestIsFound() {
+    rent("r-1", 1);
+    rent("r-1", 1);
+    world.assertSound();
+    rent("r-1", 2);
+    world.assertBroken("claim_reused: r-1");
+  }
+
+  private void rent(String claim, int count) {
+    world.cloud.handle(
+        "/hosts",
+        Json.object()
+            .put("claim", claim)
+            .put("hosttype", "p8")
+            .put("site", "a")
+            .put("loaner", false)
+            .put("count", count),
+        ReplyHandler.IGNORE);
+  }
+}
--- a/src/test/java/shorecrank/sim/ToldAnswers.java
+++ b/src/test/java/shorecrank/sim/ToldAnswers.java
@@ -78,14 +78,17 @@
     }
   }
 
+  /** Whether a user was told that the job is accepted. */
   boolean isAccepted(String job) {
     return accepted.contains(job);
   }
 
+  /** All jobs that users were told are accepted. */
   Set<String> accepted() {
     return Collections.unmodifiableSet(accepted);
   }
 
+  /** How long each accepted job had waited, in the order of acceptance. */
   List<Acceptance> acceptances() {
     return Collections.unmodifiableList(acceptances);
   }
@@ -95,10 +98,12 @@
     return ends.getOrDefault(job, isAccepted(job) ? ACCEPTED : UNKNOWN);
   }
 
+  /** Whether a user was told that the job is done. */
   boolean isDone(String job) {
     return phase(job).equals(DONE);
   }
 
+  /** Whether no user was told that the job is accepted. */
   boolean isUnknown(String job) {
     return phase(job).equals(UNKNOWN);
   }
--- a/src/test/java/shorecrank/sim/Violations.java
+++ b/src/test/java/shorecrank/sim/Violations.java
@@ -23,6 +23,7 @@
     }
   }
 
+  /** The first of them, in the order of time. */
   List<String> texts() {
     return Collections.unmodifiableList(texts);
   }
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -55,6 +55,7 @@
     this.store.beforeTransactions(checker::applying);
   }
 
+  /** What the controllers' settings file says, unless one has another. */
   Settings settings() {
     return settings;
   }
@@ -64,6 +65,7 @@
     unmetExpectations.add(what);
   }
 
+  /** What {@code expect} lines found otherwise. */
   List<String> unmetExpectations() {
     return Collections.unmodifiableList(unmetExpectations);
   }
@@ -88,6 +90,7 @@
     return new SimulatedController(this, index);
   }
 
+  /** All controllers, by index. */
   List<ControllerNode> controllers() {
     return Collections.unmodifiableList(controllers);
   }
@@ -149,6 +152,7 @@
     return Collections.unmodifiableCollection(workers.values());
   }
 
+  /** The worker of a machine, if it is up. */
   Optional<SimulatedWorker> worker(String name) {
     return Optional.ofNullable(workers.get(name));
   }
