--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -12,14 +12,15 @@
 
 /** An archive as it stands in the state service, compared with what the service held. */
 final class StoredArchive {
-  private final Store store;
+  private final SimulatedStateService store;
   private final String id;
 
-  StoredArchive(Store store, String id) {
+  StoredArchive(SimulatedStateService store, String id) {
     this.store = store;
     this.id = id;
   }
 
+  /** The file that its chunks make up. */
   byte[] bytes() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int i = 0; ; i++) {
