--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -57,7 +57,7 @@
         && controller.silentMs(context.now()) <= context.tuning.renewMs() * 2L + SERVING_MARGIN_MS;
   }
 
-  /** Whether any controller but this one reaches the state service. */
+  /** Whether a controller other than {@code except} reaches the state service. */
   boolean isStateOkElsewhere(ControllerName except) {
     if (!except.equals(context.config.label()) && context.stateOk()) {
       return true;
--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -15,9 +15,10 @@
   /** A shard is not moved again so soon because workers don't reach its owner. */
   private static final int MOVE_PAUSE_MS = 20_000;
 
+  /** An owner is not replaced for a single worker that it does not hear. */
   private static final int MIN_UNHEARD = 2;
 
-  /** An owner is replaced when it does not hear this part of its workers, as 1 / N. */
+  /** An owner that hears more than four of five of its workers is not replaced. */
   private static final int MIN_UNHEARD_DIVISOR = 5;
 
   private final StepContext context;
@@ -66,14 +67,19 @@
       heardElsewhere += controller.misroutedWorkers(id);
       betterOwner |= isLikelyReached(entry.getKey(), shard.owner(), workers);
     }
-    return betterOwner && heardElsewhere * 2 >= workers.unheard();
+    boolean halfHeardElsewhere = heardElsewhere * 2 >= workers.unheard();
+    return betterOwner && halfHeardElsewhere;
   }
 
-  /** Few unheard workers are worth a move only to where the other workers are not lost by it. */
+  /**
+   * Whether an owner's workers are likely to reach another controller. Where few are unheard, a
+   * move is worth it only if it does not lose the others: to a zone that is neither theirs nor the
+   * owner's.
+   */
   private boolean isLikelyReached(
       ControllerName candidate, ControllerName owner, WorkerReachability workers) {
-    boolean mostUnheard = workers.unheard() * 3 > workers.expected() * 2;
-    if (mostUnheard) {
+    boolean twoThirdsUnheard = workers.unheard() * 3 > workers.expected() * 2;
+    if (twoThirdsUnheard) {
       return true;
     }
     String zone = controllers.zoneOf(candidate);
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
@@ -0,0 +1,77 @@
+package shorecrank.coordination.leader;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.Revision;
+
+/** A controller that knows a version is told all later removals, or that it has to take all. */
+class AssignmentChangeLogTest {
+  private static final int KEPT_REMOVALS = 1000;
+
+  private final AssignmentChangeLog changes = new AssignmentChangeLog();
+
+  private List<MachineName> removedAfter(long known) {
+    List<MachineName> removed = new ArrayList<>();
+    changes.forEachRemovalAfter(known, removed::add);
+    return removed;
+  }
+
+  private static MachineName machine(int number) {
+    return new MachineName("m" + number);
+  }
+
+  @Test
+  void tellsRemovalsAfterAVersionInTheirOrder() {
+    changes.restart(new Revision(5));
+    long known = changes.version();
+    changes.remove(machine(2), 0);
+    changes.advance();
+    changes.remove(machine(1), 0);
+
+    assertEquals(List.of(machine(2), machine(1)), removedAfter(known));
+    assertEquals(List.of(machine(1)), removedAfter(known + 1));
+    assertTrue(changes.covers(known));
+    assertTrue(changes.covers(changes.version()));
+  }
+
+  @Test
+  void coversNeitherAnEarlierTermNorAVersionOfTheFuture() {
+    changes.restart(new Revision(5));
+    long earlier = changes.version();
+    changes.restart(new Revision(6));
+
+    assertFalse(changes.covers(earlier));
+    assertFalse(changes.covers(changes.version() + 1));
+  }
+
+  @Test
+  void aSecondLoadingInOneTermIsAboveAllThatWasTold() {
+    changes.restart(new Revision(5));
+    changes.advance();
+    long told = changes.version();
+    changes.restart(new Revision(5));
+
+    assertTrue(changes.version() > told);
+    assertFalse(changes.covers(told));
+  }
+
+  @Test
+  void keepsAsManyRemovalsAsThereAreMachines() {
+    changes.restart(new Revision(5));
+    long known = changes.version();
+    for (int i = 0; i <= KEPT_REMOVALS; i++) {
+      changes.remove(machine(i), KEPT_REMOVALS + 1);
+    }
+    assertTrue(changes.covers(known));
+
+    changes.remove(machine(KEPT_REMOVALS + 1), 0);
+    assertFalse(changes.covers(known + 1));
+    assertTrue(changes.covers(known + 2));
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
@@ -0,0 +1,130 @@
+package shorecrank.coordination.leader;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static shorecrank.coordination.leader.LeaderSteps.N2;
+import static shorecrank.coordination.leader.LeaderSteps.N3;
+import static shorecrank.coordination.leader.LeaderSteps.TERM;
+import static shorecrank.coordination.leader.LeaderSteps.writer;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Json;
+
+/** Epochs rise, one at a time, and an owner that may yet be written down is not forgotten. */
+class EpochAllocatorTest {
+  private static final ShardId SHARD = new ShardId(0);
+  private static final Revision COUNTER_REVISION = new Revision(40);
+
+  private final LeaderSteps steps = new LeaderSteps();
+  private final List<ShardId> minted = new ArrayList<>();
+  private final Election election = new Election(steps.context, null);
+  private final EpochAllocator epochs =
+      new EpochAllocator(steps.context, election, steps.loadedTerm, steps.shards, minted::add);
+
+  private ShardState shard() {
+    return steps.shards.get(SHARD);
+  }
+
+  private void mint(ControllerName owner, long above) {
+    steps.step(() -> epochs.mint(SHARD, shard(), owner, writer(owner), new Epoch(above)));
+  }
+
+  private JsonNode committedAt(long revision) {
+    return steps.answerState(200, Json.object().put("ledgerRev", revision));
+  }
+
+  /** Elects this process, since a mint counts only under the election's own term. */
+  @BeforeEach
+  void lead() {
+    steps.step(election::tick);
+    steps.answerState(404, Json.object().put("ledgerRev", TERM.value() - 1));
+    steps.step(election::tick);
+    steps.answerState(200, Json.object().put("hold", 5));
+    committedAt(TERM.value());
+    assertEquals(TERM, election.term());
+    epochs.restore(COUNTER_REVISION, 17);
+  }
+
+  @Test
+  void aCommittedMintGivesTheShardItsOwner() {
+    mint(N2, 0);
+    assertTrue(shard().isMinting());
+    JsonNode sent = committedAt(50);
+
+    assertEquals(
+        "[{\"k\":\"leader\",\"stamp\":9},{\"k\":\"epoch\",\"stamp\":40}]",
+        sent.path("guards").toString());
+    assertEquals(new Epoch(18), shard().epoch());
+    assertTrue(shard().isOwnedBy(N2));
+    assertFalse(shard().isMinting());
+    assertEquals(List.of(SHARD), minted);
+    assertEquals(18, epochs.highest());
+  }
+
+  @Test
+  void anEpochIsAboveThatByWhichTheOwnerWasRefused() {
+    mint(N2, 30);
+    committedAt(50);
+    assertEquals(new Epoch(31), shard().epoch());
+  }
+
+  @Test
+  void oneMintAtATime() {
+    mint(N2, 0);
+    mint(N3, 0);
+    assertEquals(1, steps.openStateCalls());
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {0, 500, 504})
+  void anOwnerOfAMintWithoutAnAnswerIsInDoubtUntilALaterOneIsCommitted(int status) {
+    mint(N2, 0);
+    committedAt(50);
+    mint(N3, 0);
+    steps.answerState(status, Json.object());
+    assertEquals(Revision.ABSENT, steps.loadedTerm.current());
+
+    loadedAgainWithOwnerN2();
+    assertTrue(shard().isVacant());
+
+    mint(N3, 0);
+    committedAt(60);
+    loadedAgainWithOwnerN2();
+    assertFalse(shard().isVacant());
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {400, 409, 429, 503})
+  void aRefusedMintLeavesNoDoubt(int status) {
+    mint(N2, 0);
+    committedAt(50);
+    mint(N3, 0);
+    steps.answerState(status, Json.object());
+    assertEquals(Revision.ABSENT, steps.loadedTerm.current());
+
+    loadedAgainWithOwnerN2();
+    assertFalse(shard().isVacant());
+  }
+
+  private void loadedAgainWithOwnerN2() {
+    steps.step(
+        () -> {
+          steps.shards.reset();
+          shard().assignOwner(N2, writer(N2), new Epoch(18), steps.shards.leaseBound());
+          epochs.vacateOwnersInDoubt(TERM);
+          steps.loadedTerm.begin(TERM);
+          epochs.begin();
+        });
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
@@ -0,0 +1,120 @@
+package shorecrank.coordination.leader;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+import java.util.Map;
+import shorecrank.config.NodeConfig;
+import shorecrank.config.NodeConfig.Address;
+import shorecrank.config.NodeConfig.CloudLimits;
+import shorecrank.config.NodeConfig.Member;
+import shorecrank.config.NodeConfig.ProcessLimits;
+import shorecrank.config.NodeConfig.StateLimits;
+import shorecrank.config.NodeConfig.WorkerTimings;
+import shorecrank.config.Settings;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.Output;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.WriterId;
+import shorecrank.protocol.PeerMessages.Heartbeat;
+
+/**
+ * Steps of controller n1, which leads a fleet of four: n1 and n2 in zone a, n3 in b, n4 in c; with
+ * two shards and leases of 6 s.
+ */
+final class LeaderSteps {
+  static final ControllerName N1 = new ControllerName("n1");
+  static final ControllerName N2 = new ControllerName("n2");
+  static final ControllerName N3 = new ControllerName("n3");
+  static final ControllerName N4 = new ControllerName("n4");
+  static final Revision TERM = new Revision(9);
+
+  private static final Address NOWHERE = new Address("127.0.0.1", 1);
+
+  final StepContext context;
+  final LoadedTerm loadedTerm;
+  final ShardLeaseTable shards;
+  final ControllerTable controllers;
+  private final Deque<Output.Call> stateCalls = new ArrayDeque<>();
+  private long nowMs = 100_000;
+
+  LeaderSteps() {
+    NodeConfig config =
+        new NodeConfig(
+            N1,
+            "a",
+            NOWHERE,
+            NOWHERE,
+            List.of(
+                new Member(N2, "a", NOWHERE),
+                new Member(N3, "b", NOWHERE),
+                new Member(N4, "c", NOWHERE)),
+            NOWHERE,
+            NOWHERE,
+            Map.of(),
+            List.of(),
+            new WorkerTimings(4, 30, 60),
+            new StateLimits(100, 100, 8, 20),
+            new CloudLimits(10, 1),
+            new ProcessLimits(1, 256, 100));
+    Settings settings =
+        new Settings(2, 6000, 2000, 8000, 60_000, 3000, 4, 100, 20, 50, 300, 300, 120);
+    context = new StepContext(config, settings, new WriterId("n1.1"));
+    loadedTerm = new LoadedTerm(context);
+    shards = new ShardLeaseTable(context);
+    controllers = new ControllerTable(context);
+    step(
+        () -> {
+          loadedTerm.begin(TERM);
+          shards.reset();
+        });
+  }
+
+  /** Takes a step after a while. */
+  void after(long ms, Runnable step) {
+    nowMs += ms;
+    step(step);
+  }
+
+  /** Takes a step. */
+  void step(Runnable step) {
+    context.begin(new MonotonicTime(nowMs), nowMs, 1);
+    step.run();
+    for (Output output : context.end()) {
+      if (output instanceof Output.Call call && call.target() == Output.Service.STATE) {
+        stateCalls.add(call);
+      }
+    }
+  }
+
+  /** How many calls of the state service have no answer yet. */
+  int openStateCalls() {
+    return stateCalls.size();
+  }
+
+  /** Answers the first call of the state service that is open; returns what was sent. */
+  JsonNode answerState(int status, JsonNode body) {
+    Output.Call call = stateCalls.remove();
+    step(() -> context.answered(new Input.Answer(call.call(), status, body)));
+    return call.body();
+  }
+
+  /** A controller's heartbeat arrives. */
+  void heard(ControllerName from, boolean stateOk, Map<ShardId, Integer> misroutedWorkers) {
+    step(
+        () ->
+            controllers.heard(
+                new Heartbeat(
+                    from, writer(from), stateOk, 0, List.of(), List.of(), misroutedWorkers, null)));
+  }
+
+  /** A controller's only process. */
+  static WriterId writer(ControllerName controller) {
+    return new WriterId(controller + ".1");
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
@@ -0,0 +1,90 @@
+package shorecrank.coordination.leader;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static shorecrank.coordination.leader.LeaderSteps.N1;
+import static shorecrank.coordination.leader.LeaderSteps.N2;
+import static shorecrank.coordination.leader.LeaderSteps.N3;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages.WorkerReachability;
+
+/** An owner is replaced for silence of workers only when others hear them. */
+class OwnerFailureDetectorTest {
+  private static final ShardId SHARD = new ShardId(0);
+
+  private final LeaderSteps steps = new LeaderSteps();
+  private final OwnerFailureDetector failures =
+      new OwnerFailureDetector(steps.context, steps.controllers);
+
+  private void ownedByN2() {
+    steps.step(
+        () ->
+            steps
+                .shards
+                .get(SHARD)
+                .assignOwner(N2, LeaderSteps.writer(N2), new Epoch(1), steps.shards.leaseBound()));
+  }
+
+  private void unreached(boolean expected, WorkerReachability workers) {
+    steps.step(
+        () ->
+            assertEquals(expected, failures.isUnreached(SHARD, steps.shards.get(SHARD), workers)));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // expected, unheard, zones of the unheard, heard by n3, is unreached
+    "10, 5, a, 3, true",
+    "10, 5, a, 2, false",
+    "10, 1, a, 9, false",
+    "11, 2, a, 9, false",
+    "10, 2, a, 9, true",
+    "10, 5, b, 5, false",
+    "10, 7, b, 7, true",
+    "10, 5, a b, 5, false",
+  })
+  void workersThatN3HearsInsteadOfTheOwner(
+      int expected, int unheard, String zones, int heardElsewhere, boolean isUnreached) {
+    ownedByN2();
+    steps.heard(N2, true, Map.of());
+    steps.heard(N3, true, Map.of(SHARD, heardElsewhere));
+
+    List<String> unreachableZones = Arrays.asList(zones.split(" "));
+    unreached(isUnreached, new WorkerReachability(expected, unheard, unreachableZones));
+  }
+
+  @Test
+  void notMovedAgainSoSoon() {
+    ownedByN2();
+    steps.step(() -> steps.shards.get(SHARD).revokeUnreached(List.of(), steps.context.now()));
+    WorkerReachability workers = new WorkerReachability(10, 5, List.of("a"));
+
+    steps.after(19_999, () -> {});
+    steps.heard(N3, true, Map.of(SHARD, 5));
+    unreached(false, workers);
+    steps.after(1, () -> {});
+    unreached(true, workers);
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // n1 reaches the state service, ms for which n2 has not, n2 is to be replaced
+    "true, 2000, false",
+    "true, 2001, true",
+    "false, 2001, false",
+  })
+  void anOwnerAloneWithoutTheStateService(boolean leaderOk, long sinceMs, boolean isLacking) {
+    steps.heard(N1, leaderOk, Map.of());
+    steps.heard(N2, false, Map.of());
+    steps.after(
+        sinceMs,
+        () -> assertEquals(isLacking, failures.lacksStateService(N2, steps.controllers.get(N2))));
+  }
+}
