--- /dev/null
+++ b/src/test/java/shorecrank/storage/RateLimiterTest.java
@@ -0,0 +1,68 @@
+package shorecrank.storage;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.protocol.Ids.MonotonicTime;
+
+/** A full bucket holds one second's worth; it refills at its rate and may go into debt. */
+class RateLimiterTest {
+  private static MonotonicTime at(long ms) {
+    return new MonotonicTime(ms);
+  }
+
+  /** Ten per second: so many are taken at once, then one more is there after so long, or not. */
+  @ParameterizedTest
+  @CsvSource({
+    "9, 0, true",
+    "10, 0, false",
+    "10, 99, false",
+    "10, 100, true",
+    "25, 1599, false",
+    "25, 1600, true"
+  })
+  void refillsAtItsRate(double taken, long waitedMs, boolean isThere) {
+    RateLimiter limiter = new RateLimiter(10);
+    limiter.take(taken, at(1000));
+    assertEquals(isThere, limiter.has(1, at(1000 + waitedMs)));
+  }
+
+  @Test
+  void holdsNoMoreThanASecondsWorth() {
+    RateLimiter limiter = new RateLimiter(10);
+    assertTrue(limiter.tryTake(1, at(0)));
+    assertTrue(limiter.tryTake(10, at(60_000)));
+    assertFalse(limiter.tryTake(1, at(60_000)));
+  }
+
+  /** A transaction larger than the rate is never stuck: it passes on a full bucket, on credit. */
+  @Test
+  void moreThanASecondsWorthPassesOnAFullBucket() {
+    RateLimiter limiter = new RateLimiter(10);
+    assertTrue(limiter.tryTake(30, at(0)));
+    assertFalse(limiter.has(1, at(2000)));
+    assertTrue(limiter.has(1, at(2100)));
+  }
+
+  @Test
+  void afterARefusalNothingIsThere() {
+    RateLimiter limiter = new RateLimiter(10);
+    limiter.drain();
+    assertFalse(limiter.has(1, at(0)));
+    assertTrue(limiter.has(1, at(100)));
+  }
+
+  @Test
+  void aNewRateLeavesTheTokensAtHand() {
+    RateLimiter limiter = new RateLimiter(10);
+    limiter.take(10, at(0));
+    limiter.updateRate(100);
+    assertFalse(limiter.has(1, at(0)));
+    assertTrue(limiter.has(1, at(10)));
+    assertEquals(100, limiter.rate());
+  }
+}
