--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -76,12 +76,12 @@
   /** The record was found to hold one of this object's writes. */
   void adoptWritten(JobRecord record) {
     claimed = record.epoch().value() > 0;
-    committedSequence = Math.max(committedSequence, record.seq());
+    committedSequence = Math.max(committedSequence, record.sequence());
   }
 
   /** Whether a record holds a write of this very object, so that memory is as new or newer. */
   public boolean wrote(JobRecord record, WriterId writer) {
-    return record.writer().equals(writer) && record.seq() > firstSequence;
+    return record.writer().equals(writer) && record.sequence() > firstSequence;
   }
 
   /** A watch has shown a revision of the record. */
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -129,7 +129,7 @@
       for (int i = range.first(); i < range.first() + range.count(); i++) {
         if (!record.done().get(i)) {
           TaskAttemptId run = new TaskAttemptId(record.spec().id(), i, range.attempt());
-          lookup.named.add(new Named(range.host(), run));
+          lookup.named.add(new Named(range.machine(), run));
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -93,7 +93,7 @@
 
   private void adoptAttempts(Job job, JobRecord record) {
     for (AttemptRange range : record.live()) {
-      Machine machine = machines.machine(range.host());
+      Machine machine = machines.machine(range.machine());
       for (int i = range.first(); i < range.first() + range.count(); i++) {
         if (!job.tasks().isDone(i) && job.tasks().attempt(i) == null) {
           jobs.attach(
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -60,7 +60,7 @@
   private static Set<MachineName> machinesOf(JobRecord record) {
     Set<MachineName> machines = new HashSet<>();
     for (AttemptRange range : record.live()) {
-      machines.add(range.host());
+      machines.add(range.machine());
     }
     return machines;
   }
--- a/src/main/java/shorecrank/storage/DenseBodyCodec.java
+++ b/src/main/java/shorecrank/storage/DenseBodyCodec.java
@@ -83,14 +83,14 @@
   }
 
   private static void writeMachines(List<AttemptRange> live, ArrayNode columns) {
-    Matcher first = NUMBERED.matcher(live.isEmpty() ? "" : live.get(0).host().value());
+    Matcher first = NUMBERED.matcher(live.isEmpty() ? "" : live.get(0).machine().value());
     boolean isNumbered = first.matches();
     String prefix = isNumbered ? first.group(1) : "";
     int digits = isNumbered ? first.group(2).length() : 0;
     columns.add(prefix).add(digits);
     ArrayNode machines = columns.addArray();
     for (AttemptRange range : live) {
-      String name = range.host().value();
+      String name = range.machine().value();
       Matcher matcher = NUMBERED.matcher(name);
       if (matcher.matches()
           && matcher.group(1).equals(prefix)
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -21,8 +21,8 @@
  * @param spec what the user submitted
  * @param epoch of the shard owner that wrote the record; 0 until one has claimed it
  * @param writer the process that wrote the record
- * @param seq counts the writer's writes to this record, so that a writer without an answer can tell
- *     which of its writes was carried out
+ * @param sequence counts the writer's writes to this record, so that a writer without an answer can
+ *     tell which of its writes was carried out
  * @param done the tasks that have ended successfully
  * @param live the ranges of running attempts, in ascending order of their first task
  * @param attemptCount how many attempts have been numbered so far
@@ -35,7 +35,7 @@
     JobSpec spec,
     Epoch epoch,
     WriterId writer,
-    long seq,
+    long sequence,
     BitSet done,
     List<AttemptRange> live,
     long attemptCount,
@@ -54,7 +54,7 @@
    * count as running.
    */
   public record AttemptRange(
-      int first, int count, MachineName host, Incarnation incarnation, AttemptNumber attempt) {}
+      int first, int count, MachineName machine, Incarnation incarnation, AttemptNumber attempt) {}
 
   /** The key of a job's record until the job has ended. */
   public static String liveKey(JobId id) {
@@ -92,7 +92,7 @@
   /** The same record marked as cancelled. */
   public JobRecord marked() {
     return new JobRecord(
-        spec, epoch, writer, seq, done, live, attemptCount, true, acceptedAtMs, readyAtMs);
+        spec, epoch, writer, sequence, done, live, attemptCount, true, acceptedAtMs, readyAtMs);
   }
 
   /** Encodes the record in the plain form, which every version reads. */
--- a/src/main/java/shorecrank/storage/JobRecordCodec.java
+++ b/src/main/java/shorecrank/storage/JobRecordCodec.java
@@ -109,7 +109,7 @@
             .addArray()
             .add(range.first())
             .add(range.count())
-            .add(range.host().value())
+            .add(range.machine().value())
             .add(range.incarnation().value())
             .add(range.attempt().value());
       }
@@ -145,7 +145,7 @@
     ObjectNode value = Json.object();
     value.put(EPOCH, record.epoch().value());
     value.put(WRITER, record.writer().value());
-    value.put(SEQUENCE, record.seq());
+    value.put(SEQUENCE, record.sequence());
     value.put(ATTEMPT_COUNT, record.attemptCount());
     value.put(ACCEPTED_AT, record.acceptedAtMs());
     if (record.cancelled()) {
@@ -180,7 +180,7 @@
     for (AttemptRange range : live) {
       gaps.add(range.first() - end);
       counts.add(range.count());
-      machines.add(range.host().value());
+      machines.add(range.machine().value());
       incarnations.add(range.incarnation().value());
       attempts.add(range.attempt().value());
       end = range.first() + range.count();
--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -63,7 +63,7 @@
     int shards = world().rollouts.settings(world().controllers().get(0)).shards();
     int shard = ShardId.of(record.spec().team(), shards).value();
     for (AttemptRange range : record.live()) {
-      String machine = range.host().value();
+      String machine = range.machine().value();
       if (world().worker(machine).isPresent() && !history.belongs(machine, shard)) {
         report("named_elsewhere: %s names %s".formatted(key, machine));
       }
--- a/src/test/java/shorecrank/sim/WriteAheadRule.java
+++ b/src/test/java/shorecrank/sim/WriteAheadRule.java
@@ -36,7 +36,7 @@
       JobRecord record, SimulatedWorker worker, String task, long attempt) {
     int index = Integer.parseInt(task.substring(task.lastIndexOf('/') + 1));
     for (AttemptRange range : record.live()) {
-      if (range.host().value().equals(worker.name())
+      if (range.machine().value().equals(worker.name())
           && range.attempt().value() == attempt
           && range.incarnation().value() == worker.incarnation()
           && index >= range.first()
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/ProductionFormsTest.java
@@ -220,7 +220,7 @@
               r.spec(),
               r.epoch(),
               r.writer(),
-              r.seq(),
+              r.sequence(),
               done,
               r.live(),
               r.attemptCount(),
