--- a/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
+++ b/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
@@ -12,7 +12,7 @@
   private boolean elsewhere;
 
   /** Under an epoch below this its worker may have been another shard's. */
-  private Epoch term = Epoch.NONE;
+  private Epoch requiredEpoch = Epoch.NONE;
 
   private boolean handoverRequested;
   private MoveId move = MoveId.NONE;
@@ -34,8 +34,8 @@
   }
 
   /** The epoch from which on the worker's heartbeats count. */
-  public Epoch term() {
-    return term;
+  public Epoch requiredEpoch() {
+    return requiredEpoch;
   }
 
   /** Whether it is to be emptied and handed over: nothing new is placed on it. */
@@ -65,14 +65,14 @@
       assigned = true;
       since = now.plus(-assignment.ageMs());
     }
-    boolean termRaised = assignment.term().above(term);
-    if (termRaised) {
-      term = assignment.term();
+    boolean raised = assignment.term().above(requiredEpoch);
+    if (raised) {
+      requiredEpoch = assignment.term();
     }
     handoverRequested = assignment.handoverRequested();
     move = assignment.move();
     arrivedFromShard |= move.isSet() && !handoverRequested;
-    return termRaised;
+    return raised;
   }
 
   /** It is assigned to another shard. */
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -101,9 +101,9 @@
       headroom.gpus -= usage.gpus;
     }
     for (Machine machine : machines) {
-      for (Machine.UnrecordedTask markUnrecorded : machine.unrecordedTasks()) {
-        if (markUnrecorded.job().spec().team().equals(name)) {
-          headroom.take(markUnrecorded.job().spec(), 1);
+      for (Machine.UnrecordedTask unrecorded : machine.unrecordedTasks()) {
+        if (unrecorded.job().spec().team().equals(name)) {
+          headroom.take(unrecorded.job().spec(), 1);
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/model/WorkerSession.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerSession.java
@@ -33,7 +33,7 @@
   /** Where it takes direct commands; empty if it has not said. */
   private String address = "";
 
-  /** It has shown our epoch, so no earlier owner can renew its lease. */
+  /** It has shown this owner's epoch, so no earlier owner can renew its lease. */
   private boolean confirmed;
 
   /** A heartbeat was reconciled with the records, so what is on the machine is known. */
@@ -88,7 +88,7 @@
     return address;
   }
 
-  /** Whether it has shown our epoch, so that no earlier owner can renew its lease. */
+  /** Whether it has shown this owner's epoch, so that no earlier owner can renew its lease. */
   public boolean isConfirmed() {
     return confirmed;
   }
@@ -156,14 +156,17 @@
     this.address = address;
   }
 
-  /** Takes in a heartbeat that has not shown our epoch, which may be a late copy of an old one. */
+  /**
+   * Takes in a heartbeat that has not shown this owner's epoch, which may be a late copy of an old
+   * one.
+   */
   public void recordUnconfirmed(WorkerHeartbeat heartbeat) {
     incarnation = heartbeat.incarnation();
     sequence = heartbeat.sequence();
     answered = true;
   }
 
-  /** Takes in a heartbeat that has shown our epoch, which proves that the worker lives. */
+  /** Takes in a heartbeat that has shown this owner's epoch, which proves that the worker lives. */
   public void recordConfirmed(WorkerHeartbeat heartbeat, MonotonicTime now) {
     tokens.resetAnsweredDirectCommands();
     if (isNewIncarnation(heartbeat)) {
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -60,8 +60,11 @@
     this.lease = lease;
   }
 
-  /** What is known of a task now; asks for what is not. */
+  /** What is known of a task now; asks for what is not. With one shard only there is no other. */
   Verdict verdict(MachineName machine, TaskAttemptId run) {
+    if (context.tuning.shards() == 1) {
+      return Verdict.UNCLAIMED;
+    }
     Lookup lookup = lookups.get(run.job());
     if (lookup == null) {
       if (lookups.size() >= MAX_KEPT) {
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -82,7 +82,7 @@
     if (!tracking) {
       return;
     }
-    Reference reference = references.computeIfAbsent(job, k -> new Reference());
+    Reference reference = references.computeIfAbsent(job, absent -> new Reference());
     if (at.after(reference.revision)) {
       settle(reference, at, machines);
     }
@@ -101,7 +101,7 @@
     if (!tracking) {
       return;
     }
-    Reference reference = references.computeIfAbsent(job, k -> new Reference());
+    Reference reference = references.computeIfAbsent(job, absent -> new Reference());
     reference.pending.add(new PendingWrite(sequence, guard, machines));
     count(machines, 1);
   }
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -3,7 +3,6 @@
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -17,12 +16,10 @@
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.PeerMessages.MachineAssignment;
 import shorecrank.protocol.PeerMessages.MachineHandover;
 import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.WorkerMessages.TaskStatus;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
@@ -35,7 +32,7 @@
     /** The attempt is surely off its machine, without a result. */
     void lost(TaskAttempt attempt);
 
-    /** A report whose answer was held back gets none any more. */
+    /** A heartbeat whose answer was deferred gets none any more. */
     void supersede(Machine machine);
   }
 
@@ -44,6 +41,7 @@
   private final MachineReferences references;
   private final ForeignTasks foreign;
   private final Tasks tasks;
+  private final MachineHandovers handovers;
   private final Map<MachineName, Machine> machines = new TreeMap<>();
 
   /** Machines with free processors, so that a round in a full fleet looks at few. */
@@ -51,15 +49,9 @@
 
   private Map<String, MachineType> catalog = Map.of();
 
-  /**
-   * The orders under which machines were handed back: that holds until a machine may be used again,
-   * also while the leader says that it is nobody's.
-   */
-  private final Map<MachineName, MoveId> handovers = new HashMap<>();
-
   /**
    * @param references machines that records may name
-   * @param foreign tasks of other shards; null where there is only one shard
+   * @param foreign tasks of other shards
    */
   MachineRegistry(
       StepContext context,
@@ -72,6 +64,7 @@
     this.references = references;
     this.foreign = foreign;
     this.tasks = tasks;
+    this.handovers = new MachineHandovers(references, foreign);
   }
 
   /** All machines in the order of their names; not to be changed by the caller. */
@@ -137,7 +130,7 @@
   public void assigned(MachineAssignment assignment) {
     MachineName name = assignment.host().name();
     if (!assignment.shard().equals(lease.shard())) {
-      handovers.remove(name);
+      handovers.forget(name);
       unassigned(name);
       Machine kept = machines.get(name);
       if (kept != null) {
@@ -151,7 +144,7 @@
       machine.session().forgetConfirmation();
     }
     if (!machine.assignment().isHandoverRequested()) {
-      handovers.remove(name);
+      handovers.forget(name);
     }
   }
 
@@ -171,7 +164,7 @@
   /** Machines that are surely gone, with all that ran on them. */
   public void gone(Collection<MachineName> names) {
     for (MachineName name : names) {
-      handovers.remove(name);
+      handovers.forget(name);
       Machine machine = machines.get(name);
       if (machine != null) {
         loseAll(machine, "released");
@@ -232,9 +225,7 @@
         machine.session().endIncarnation();
       }
     }
-    if (foreign != null) {
-      foreign.tidy();
-    }
+    foreign.tidy();
   }
 
   /**
@@ -259,14 +250,14 @@
     }
   }
 
-  // ---- reports ---------------------------------------------------------------------------------
+  // ---- heartbeats ------------------------------------------------------------------------------
 
   /**
    * Whether a heartbeat shows an epoch of this ownership, so that no earlier owner's answers reach
    * the worker and the heartbeat is no copy from before it.
    */
   boolean isConfirmedBy(Machine machine, WorkerHeartbeat heartbeat, Epoch firstOfOwnership) {
-    Epoch required = Epoch.higher(machine.assignment().term(), firstOfOwnership);
+    Epoch required = Epoch.higher(machine.assignment().requiredEpoch(), firstOfOwnership);
     return heartbeat.token().epoch().compareTo(required) >= 0;
   }
 
@@ -275,66 +266,24 @@
    * never while the record of another shard names it, nor before that is known.
    */
   boolean mayClear(Machine machine, TaskAttemptId run) {
-    return foreign == null
-        || foreign.verdict(machine.name(), run) == ForeignTasks.Verdict.UNCLAIMED;
+    return foreign.verdict(machine.name(), run) == ForeignTasks.Verdict.UNCLAIMED;
   }
 
   // ---- handing over ----------------------------------------------------------------------------
 
   /** Machines that were to be handed over and have nothing of this shard left. */
-  List<MachineHandover> handovers(WorkerLiveness liveness) {
-    List<MachineHandover> back = new ArrayList<>();
-    for (Machine machine : machines.values()) {
-      if (machine.assignment().isHandoverRequested() && isSettled(machine, liveness)) {
-        back.add(new MachineHandover(machine.name(), machine.assignment().move()));
-        handovers.put(machine.name(), machine.assignment().move());
-      }
-    }
-    return back;
-  }
-
-  /**
-   * Whether nothing of this shard is on the machine, can come to it, or is said of it by a record:
-   * the worker has shown our token and lists nothing of ours in its last report, no command is
-   * under way to it, and no record names it, not even by a write that is carried out late.
-   */
-  private boolean isSettled(Machine machine, WorkerLiveness liveness) {
-    return machine.isEmpty()
-        && machine.session().isConfirmed()
-        && liveness.isFresh(machine)
-        && !machine.session().tokens().mayDirectCommandAct()
-        && !references.mayName(machine.name())
-        && listsOnlyForeign(machine);
-  }
-
-  private boolean listsOnlyForeign(Machine machine) {
-    WorkerHeartbeat report = machine.session().lastHeartbeat();
-    if (report == null) {
-      return false;
-    }
-    for (TaskStatus status : report.tasks()) {
-      boolean elsewhere =
-          foreign != null
-              && foreign.verdict(machine.name(), status.run())
-                  == ForeignTasks.Verdict.NAMED_ELSEWHERE;
-      if (!elsewhere) {
-        return false;
-      }
-    }
-    return true;
+  List<MachineHandover> handOver(WorkerLiveness liveness) {
+    return handovers.handOver(machines.values(), liveness);
   }
 
   /**
-   * Machines that this owner may command: those assigned here that it has not handed back. For
+   * Machines that this owner may command: those assigned here that it has not handed over. For
    * observers.
    */
   public Set<MachineName> commanded() {
     Set<MachineName> names = new HashSet<>();
     for (Machine machine : machines.values()) {
-      boolean isBack =
-          machine.assignment().isHandoverRequested()
-              && machine.assignment().move().equals(handovers.get(machine.name()));
-      if (machine.assignment().isAssigned() && !isBack) {
+      if (machine.assignment().isAssigned() && !handovers.isHandedOver(machine)) {
         names.add(machine.name());
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -57,16 +57,19 @@
   private final StatusQueries statusQueries;
   private final ShardState state;
 
-  /** Says what the shard needs; null where shares are not enabled. */
   private final ShardDemandReporter demand;
 
+  /** Whether the leader is told what the shard needs. */
+  private final boolean sharesEnabled;
+
   private MonotonicTime reviewedAt = MonotonicTime.NEVER;
   private boolean missesManyWorkers;
 
   /**
    * @param grantedAt when the epoch was granted: nobody could command the shard's workers here
    *     before
-   * @param shares whether the shard's share of the machines is balanced against those of others
+   * @param sharesEnabled whether the shard's share of the machines is balanced against those of
+   *     others
    */
   public ShardOwner(
       StepContext context,
@@ -75,14 +78,14 @@
       ShardId shard,
       Epoch epoch,
       MonotonicTime grantedAt,
-      boolean shares) {
+      boolean sharesEnabled) {
     this.context = context;
     this.cancellations = cancellations;
     this.lease = new ShardLease(context, shard, epoch);
     boolean isOnlyShard = context.tuning.shards() == 1;
     MachineReferences references =
         isOnlyShard ? MachineReferences.disabled() : new MachineReferences();
-    ForeignTasks foreign = isOnlyShard ? null : new ForeignTasks(context, lease);
+    ForeignTasks foreign = new ForeignTasks(context, lease);
     this.machines = new MachineRegistry(context, lease, references, foreign, new MachineTasks());
     this.liveness = new WorkerLiveness(context, machines.machines().values(), grantedAt);
     TeamQuotas quotas = new TeamQuotas(context.config.teams(), machines.machines().values());
@@ -106,7 +109,8 @@
     this.placement = new PlacementRound(context, state, quotas, queue, machines.withRoom());
     this.autoscaler = new Autoscaler(context, state);
     this.statusQueries = new StatusQueries(context, jobs, dependencies);
-    this.demand = shares ? new ShardDemandReporter(context, state) : null;
+    this.demand = new ShardDemandReporter(context, state);
+    this.sharesEnabled = sharesEnabled;
     context.info("shard.acquired shard=%s epoch=%s", shard, epoch);
     context.count("part.takeover");
   }
@@ -318,7 +322,7 @@
     List<MachineHandover> handovers = List.of();
     if (recovery.isReady() && lease.isValid()) {
       retire.addAll(autoscaler.scaleIn());
-      handovers = machines.handovers(liveness);
+      handovers = machines.handOver(liveness);
       addSpareMachines(spare);
     }
     boolean hasQueuedTasks =
@@ -335,7 +339,7 @@
         handovers,
         machines.misplaced(),
         machines.references().isTracking(),
-        demand == null ? null : demand.current().orElse(null));
+        sharesEnabled ? demand.current().orElse(null) : null);
   }
 
   private void addSpareMachines(List<MachineName> spare) {
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -234,7 +234,7 @@
     }
   }
 
-  /** A record has changed: a new job, a mark of a user, one of our writes, or a stranger's. */
+  /** A record has changed: a new job, a mark of a user, a write of this owner, or another's. */
   private void changed(JobId id, Change change) {
     boolean marked = JobRecord.isMarked(change.value());
     if (marked) {
