--- /dev/null
+++ b/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
@@ -0,0 +1,83 @@
+package shorecrank.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Ids.WriterId;
+import shorecrank.protocol.UserMessages.JobState;
+import shorecrank.protocol.UserMessages.JobStatus;
+
+/** What is known of a job's record while writes to it are sent, committed and found again. */
+class JobRecordStateTest {
+  private static final MonotonicTime NOW = new MonotonicTime(1000);
+  private static final Epoch EPOCH = new Epoch(7);
+  private static final WriterId WRITER = new WriterId("w-1");
+  private static final JobStatus QUEUED = new JobStatus(JobState.QUEUED, 0, 0);
+
+  private final Job job = JobBuilder.job(1).build();
+  private final JobRecordState record = job.record();
+
+  @Test
+  void oneWriteIsInFlightAtATime() {
+    assertTrue(record.isWritable(NOW));
+    record.beginWrite();
+    assertFalse(record.isWritable(NOW));
+    assertFalse(record.mayTakePlacement(), "a placement would not be in the write");
+    record.endWrite();
+    assertTrue(record.isWritable(NOW));
+  }
+
+  @Test
+  void aCommitClaimsTheRecordAtItsRevision() {
+    assertFalse(record.isClaimed());
+    record.beginWrite();
+    job.recordCommitted(record.sequence(), new Revision(9), EPOCH, QUEUED);
+    assertTrue(record.isClaimed());
+    assertTrue(record.hasOwner());
+    assertEquals(new Revision(9), record.revision());
+    assertEquals(record.sequence(), record.committedSequence());
+  }
+
+  @Test
+  void urgencyIsRaisedAndNeverLoweredUntilItIsWritten() {
+    job.requestWrite(WriteUrgency.LATER, NOW);
+    job.requestWrite(WriteUrgency.NOW, NOW.plus(5));
+    job.requestWrite(WriteUrgency.LATER, NOW.plus(9));
+    assertEquals(WriteUrgency.NOW, record.urgency());
+    assertEquals(NOW, record.urgentSince());
+    record.beginWrite();
+    assertEquals(WriteUrgency.NONE, record.urgency());
+  }
+
+  @Test
+  void aWriteOfThisObjectIsToldByItsWriterAndNumber() {
+    assertFalse(record.wrote(job.toRecord(EPOCH, WRITER), WRITER), "before the first write");
+    record.beginWrite();
+    assertTrue(record.wrote(job.toRecord(EPOCH, WRITER), WRITER));
+    assertFalse(record.wrote(job.toRecord(EPOCH, WRITER), new WriterId("w-2")));
+  }
+
+  @Test
+  void theUseOfATeamIsKnownOnceNoEarlierOwnerCanWrite() {
+    assertTrue(record.isUseKnown(), "nobody has owned it");
+    record.requireClaim();
+    assertFalse(record.isUseKnown());
+    record.beginWrite();
+    job.recordCommitted(record.sequence(), new Revision(9), EPOCH, QUEUED);
+    assertTrue(record.isUseKnown());
+  }
+
+  @Test
+  void outdatedOnceAWatchShowsALaterRevision() {
+    record.recordSeen(new Revision(5));
+    record.recordSeen(new Revision(3));
+    assertTrue(record.isOutdated());
+    job.recordCommitted(record.sequence(), new Revision(5), EPOCH, QUEUED);
+    assertFalse(record.isOutdated());
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
@@ -0,0 +1,61 @@
+package shorecrank.coordination.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.MonotonicTime;
+
+/** When a job's tasks may be placed: after its dependencies, and after failures. */
+class JobSchedulingStateTest {
+  private static final MonotonicTime NOW = new MonotonicTime(1000);
+
+  @Test
+  void readyOnceTheLastDependencyIsMet() {
+    Job job = JobBuilder.job(3).dependsOn(1, 2).acceptedAtMs(5).build();
+    assertEquals(0, job.queued());
+    assertFalse(job.scheduling().dependencyMet(JobBuilder.id(1), 100));
+    assertEquals(5, job.scheduling().readyAtMs(), "it still waits");
+    assertTrue(job.scheduling().dependencyMet(JobBuilder.id(2), 200));
+    assertEquals(200, job.scheduling().readyAtMs());
+    assertEquals(1, job.queued());
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    // failures on machines of their own, whether the last is surely the job's, pause, at fault
+    "1, false, 300, false",
+    "2, false, 300, false",
+    "3, false, 2000, true",
+    "1, true, 2000, true",
+    "4, false, 4000, true",
+    "20, false, 64000, true",
+  })
+  void failuresOnManyMachinesAreTheJobs(
+      int failures, boolean lastIsJobs, long pauseMs, boolean isAtFault) {
+    JobSchedulingState state = JobBuilder.job(1).build().scheduling();
+    boolean atFault = false;
+    for (int i = 1; i <= failures; i++) {
+      atFault = state.taskFailed(new MachineName("m-" + i), lastIsJobs && i == failures, NOW);
+    }
+    assertEquals(isAtFault, atFault);
+    assertEquals(isAtFault, state.isBackingOff());
+    assertFalse(state.isPauseOver(NOW.plus(pauseMs)));
+    assertTrue(state.isPauseOver(NOW.plus(pauseMs + 1)));
+  }
+
+  @Test
+  void aSuccessClearsFailures() {
+    JobSchedulingState state = JobBuilder.job(1).build().scheduling();
+    MachineName machine = new MachineName("m-1");
+    state.taskFailed(machine, true, NOW);
+    assertTrue(state.hasFailedOn(machine));
+    state.taskSucceeded();
+    assertFalse(state.hasFailed());
+    assertFalse(state.isBackingOff());
+  }
+}
