--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -10,8 +10,8 @@
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.WriteUrgency;
 import shorecrank.coordination.scheduling.SchedulingQueue;
-import shorecrank.coordination.shard.JobRecordCodec.EncodedRecord;
-import shorecrank.coordination.shard.JobRecordCodec.Form;
+import shorecrank.coordination.shard.RecordValueCodec.EncodedRecord;
+import shorecrank.coordination.shard.RecordValueCodec.Form;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
@@ -221,15 +221,22 @@
       return FINAL_RECORD_BYTES;
     }
 
+    private Form form(Job job) {
+      if (job.record().isCompact()) {
+        return Form.COMPACT;
+      }
+      return dense ? Form.DENSE : Form.ORDINARY;
+    }
+
     private int addRecord(Job job, String key) {
-      Form form = job.record().isCompact() ? Form.COMPACT : dense ? Form.DENSE : Form.ORDINARY;
+      Form form = form(job);
       double maxBytes = maxValueBytes();
       JobRecord record = job.toRecord(lease.epoch(), context.writer);
-      EncodedRecord encoded = JobRecordCodec.encode(record, form);
+      EncodedRecord encoded = RecordValueCodec.encode(record, form);
       if (encoded.boundBytes() > maxBytes * FULL_SHARE) {
         shrink(job);
         record = job.toRecord(lease.epoch(), context.writer);
-        encoded = JobRecordCodec.encode(record, form);
+        encoded = RecordValueCodec.encode(record, form);
       }
       // A record without an attempt range always takes one: else its job would never run.
       int rangesLeft = (int) ((maxBytes * FILL_SHARE - encoded.boundBytes()) / RANGE_BYTES);
--- a/src/main/java/shorecrank/coordination/shard/JobRecordCodec.java
+++ b/src/main/java/shorecrank/coordination/shard/RecordValueCodec.java
@@ -6,8 +6,8 @@
 import shorecrank.storage.JobRecord;
 
 /** Encodes job records in the form that the feature level and their size ask for. */
-final class JobRecordCodec {
-  private JobRecordCodec() {}
+final class RecordValueCodec {
+  private RecordValueCodec() {}
 
   /** The form of a record's value. */
   enum Form {
