--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -22,10 +22,12 @@
     this.world = world;
   }
 
+  /** What is described. */
   World world() {
     return world;
   }
 
+  /** There will be so many controllers. */
   void controllers(int count) {
     controllers = count;
   }
@@ -35,6 +37,7 @@
     return untilMs;
   }
 
+  /** The run ends at a time. */
   void runUntil(long ms) {
     untilMs = ms;
   }
@@ -44,6 +47,7 @@
     return Optional.ofNullable(ruleToBreak);
   }
 
+  /** The run has to break a rule. */
   void mustBreak(String rule) {
     ruleToBreak = rule;
   }
@@ -60,10 +64,10 @@
 
   /** Starts the controllers. */
   void open() throws InvalidConfigException {
-    if (world.teamMax.isEmpty()) {
-      world.teamMax.put(DEFAULT_TEAM, 0.0);
+    if (world.site.teams().isEmpty()) {
+      world.site.addTeam(DEFAULT_TEAM, new TeamQuota(0, 0));
     }
-    if (world.shares.enabled() && rolloutSettings.isEmpty()) {
+    if (world.shares.isEnabled() && rolloutSettings.isEmpty()) {
       // Shares need their feature level; most scenarios show what comes after it is reached.
       rolloutSetting("automatic: true settle_s: 1 archive_before_raise: false");
     }
