--- /dev/null
+++ b/src/main/java/shorecrank/coordination/HealthCheck.java
@@ -0,0 +1,42 @@
+package shorecrank.coordination;
+
+import shorecrank.coordination.step.StepContext;
+
+/** Whether users are well served by this controller, for load balancers. */
+final class HealthCheck {
+  /** A controller without the state service for this long is unhealthy while others reach it. */
+  private static final int STORE_MISSED_MS = 3000;
+
+  /** What was heard of other controllers counts for this long. */
+  private static final int PEERS_FRESH_MS = 4000;
+
+  /** A controller that has heard no other for this long is isolated. */
+  private static final int ISOLATED_MS = 6000;
+
+  private final StepContext context;
+  private final MachineTypeCatalog catalog;
+  private final PeerStoreReachability peerReachability;
+
+  HealthCheck(
+      StepContext context, MachineTypeCatalog catalog, PeerStoreReachability peerReachability) {
+    this.context = context;
+    this.catalog = catalog;
+    this.peerReachability = peerReachability;
+  }
+
+  /**
+   * Whether this controller should get users' requests. In an outage of the state service no
+   * controller is better than another, so that all stay healthy.
+   */
+  boolean isHealthy() {
+    if (catalog.isEmpty()) {
+      return false;
+    }
+    if (context.now().since(context.stateOkAt()) < STORE_MISSED_MS) {
+      return true;
+    }
+    boolean othersServe = peerReachability.isReached() && peerReachability.ageMs() < PEERS_FRESH_MS;
+    boolean isIsolated = !context.config.members().isEmpty() && context.aloneMs() > ISOLATED_MS;
+    return !othersServe && !isIsolated;
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -0,0 +1,182 @@
+package shorecrank.coordination;
+
+import java.util.List;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.leader.Leader;
+import shorecrank.coordination.step.HeartbeatResult;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.PeerMessages.Heartbeat;
+import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
+import shorecrank.protocol.PeerMessages.Lease;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.PeerMessages.ShardReport;
+import shorecrank.protocol.RolloutMessages.Announcement;
+import shorecrank.rollout.FeatureGate;
+
+/** Sends this controller's heartbeats to the leader and takes over what the answers say. */
+final class HeartbeatExchange {
+  /** What is news to the leader is sent after this, so that more of it goes along. */
+  private static final int NEWS_MS = 100;
+
+  private static final int RETRY_MS = 300;
+  private static final int NO_LEADER_MS = 150;
+  private static final int LEAST_TIMEOUT_MS = 500;
+
+  private final StepContext context;
+  private final Election election;
+  private final Leader leader;
+  private final FeatureGate gate;
+
+  /** What this controller announces; null if rollouts are not enabled. */
+  private final Announcement announcement;
+
+  private final OwnerTable owners;
+  private final OwnedShards shards;
+  private final MachineAssignments assignments;
+  private final WorkerSightings sightings;
+  private final PeerStoreReachability peerReachability;
+  private MonotonicTime nextAt = new MonotonicTime(0);
+  private boolean isInFlight;
+
+  /** The controller's state that a heartbeat tells of and its answer changes. */
+  record Tables(
+      OwnerTable owners,
+      OwnedShards shards,
+      MachineAssignments assignments,
+      WorkerSightings sightings,
+      PeerStoreReachability peerReachability) {}
+
+  /**
+   * Creates the exchange; the first heartbeat is due at once.
+   *
+   * @param announcement what this controller announces; null if rollouts are not enabled
+   */
+  HeartbeatExchange(
+      StepContext context,
+      Election election,
+      Leader leader,
+      FeatureGate gate,
+      Announcement announcement,
+      Tables tables) {
+    this.context = context;
+    this.election = election;
+    this.leader = leader;
+    this.gate = gate;
+    this.announcement = announcement;
+    this.owners = tables.owners;
+    this.shards = tables.shards;
+    this.assignments = tables.assignments;
+    this.sightings = tables.sightings;
+    this.peerReachability = tables.peerReachability;
+  }
+
+  /** Makes the next heartbeat due at once. */
+  void requestNow() {
+    nextAt = context.now();
+  }
+
+  /** Makes the next heartbeat due soon, if it is not due earlier. */
+  void requestSoon() {
+    MonotonicTime soon = context.now().plus(NEWS_MS);
+    if (soon.before(nextAt)) {
+      nextAt = soon;
+    }
+  }
+
+  private void scheduleIn(int delayMs) {
+    nextAt = context.now().plus(delayMs);
+  }
+
+  /** Sends a heartbeat if one is due and none is under way. */
+  void tick() {
+    if (!isInFlight && !context.now().before(nextAt)) {
+      send();
+    }
+  }
+
+  private void send() {
+    MonotonicTime sentAt = context.now();
+    ControllerName to = election.leader();
+    int interval = context.tuning.renewMs();
+    scheduleIn(interval - interval / 10 + context.random().nextInt(interval / 5 + 1));
+    Heartbeat heartbeat = compose();
+    if (election.holding()) {
+      HeartbeatAnswer answer = leader.heartbeat(heartbeat);
+      if (answer != null) {
+        apply(answer, sentAt);
+      }
+    } else if (to == null) {
+      nextAt = sentAt.plus(NO_LEADER_MS);
+    } else {
+      isInFlight = true;
+      context
+          .peers()
+          .sendHeartbeat(
+              to,
+              heartbeat,
+              Math.max(LEAST_TIMEOUT_MS, interval * 2),
+              result -> received(result, sentAt));
+    }
+  }
+
+  private Heartbeat compose() {
+    List<ShardReport> reports = shards.report();
+    List<MachineInfo> unassigned = sightings.takeUnassigned();
+    if (sightings.hasUnassigned()) {
+      // The rest goes at once with the next, not an interval later.
+      scheduleIn(NEWS_MS);
+    }
+    return new Heartbeat(
+        context.config.label(),
+        context.writer,
+        context.stateOk(),
+        assignments.version(),
+        reports,
+        unassigned,
+        sightings.countMisrouted(assignments),
+        announcement);
+  }
+
+  private void received(HeartbeatResult result, MonotonicTime sentAt) {
+    isInFlight = false;
+    if (result instanceof HeartbeatResult.Answered answered) {
+      apply(answered.answer(), sentAt);
+      return;
+    }
+    if (result instanceof HeartbeatResult.Malformed) {
+      context.refused("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
+    } else if (result instanceof HeartbeatResult.Refused refused && !refused.reachesStore()) {
+      peerReachability.observeLeaderUnreached();
+    }
+    scheduleIn(RETRY_MS);
+  }
+
+  private void apply(HeartbeatAnswer answer, MonotonicTime sentAt) {
+    owners.leaderHeard();
+    if (announcement != null) {
+      gate.observe(answer.rollout());
+    }
+    peerReachability.observeAny(answer.othersStateOk() || !election.holding());
+    owners.replaceAll(answer.owners());
+    if (shards.relinquishUnrenewed(answer.leases())) {
+      requestNow();
+    }
+    boolean isNews = assignments.update(answer);
+    for (Lease lease : answer.leases()) {
+      if (!shards.accept(lease, sentAt)) {
+        scheduleIn(NEWS_MS);
+      }
+    }
+    int served = shards.countServed();
+    context.share((double) served / context.tuning.shards(), election.holding());
+    shards.updateMachines(answer);
+    if (isNews && shards.hasCapacityRequests()) {
+      // The leader takes requests for machines only from an owner that knows the last assignments:
+      // say so at once.
+      scheduleIn(NEWS_MS);
+    }
+    context.gauge("parts.owned", served);
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -0,0 +1,125 @@
+package shorecrank.coordination;
+
+import shorecrank.coordination.leader.Leader;
+import shorecrank.coordination.model.CancellationLog;
+import shorecrank.coordination.request.RolloutRequestHandler;
+import shorecrank.coordination.request.ShareRequestHandler;
+import shorecrank.coordination.request.UserRequest;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Json;
+import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.PeerMessages.Heartbeat;
+import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
+import shorecrank.protocol.PeerRequests;
+import shorecrank.protocol.PeerRequests.ConfirmationQuery;
+import shorecrank.protocol.PeerRequests.ForwardedRequest;
+import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.ShareMessages;
+
+/** Finds the handler of a request on the peer address: of another controller or an operator. */
+final class PeerRequestRouter {
+  private static final String POST = "POST";
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+  private static final int NOT_FOUND = 404;
+  private static final int UNAVAILABLE = 503;
+
+  private final StepContext context;
+  private final MethodGuard methods;
+  private final Handlers handlers;
+
+  /** What answers requests on the peer address. */
+  record Handlers(
+      Leader leader,
+      HeartbeatExchange heartbeats,
+      PeerStoreReachability peerReachability,
+      OwnerTable owners,
+      StatusQueryForwarder statusQueries,
+      CancellationLog cancellations,
+      UserRequestRouter users,
+      RolloutRequestHandler rollouts,
+      ShareRequestHandler shares) {}
+
+  PeerRequestRouter(StepContext context, MethodGuard methods, Handlers handlers) {
+    this.context = context;
+    this.methods = methods;
+    this.handlers = handlers;
+  }
+
+  /**
+   * Has the request answered, now or later.
+   *
+   * @param path of the request, without a query
+   */
+  void route(Input.Request request, String path) {
+    switch (path) {
+      case PeerMessages.HEARTBEAT -> post(request, () -> heartbeat(request));
+      case PeerMessages.HEARTBEAT_NOW -> post(request, () -> heartbeatNow(request));
+      case PeerMessages.ASK -> post(request, () -> statusQuery(request));
+      case PeerMessages.CONFIRMED -> post(request, () -> confirmationQuery(request));
+      case PeerMessages.RELAY -> post(request, () -> forwarded(request));
+      case RolloutMessages.STATUS -> handlers.rollouts.status(request);
+      case RolloutMessages.ORDERS -> post(request, () -> handlers.rollouts.order(request));
+      case RolloutMessages.KEYS -> post(request, () -> handlers.rollouts.keys(request));
+      case ShareMessages.SHOW -> handlers.shares.show(request);
+      case ShareMessages.ORDERS -> post(request, () -> handlers.shares.order(request));
+      default -> context.reply(request.reply(), NOT_FOUND, Json.error("no such path"));
+    }
+  }
+
+  private void post(Input.Request request, Runnable action) {
+    methods.require(POST, request.method(), request.reply(), action);
+  }
+
+  private void heartbeat(Input.Request request) {
+    Heartbeat heartbeat = PeerMessages.readHeartbeat(Json.parse(request.body()));
+    if (heartbeat == null) {
+      refuseMalformed(request, "beat");
+      return;
+    }
+    context.peerHeard();
+    handlers.peerReachability.observePeer(heartbeat.stateOk());
+    HeartbeatAnswer answer = handlers.leader.heartbeat(heartbeat);
+    if (answer == null) {
+      context.reply(request.reply(), UNAVAILABLE, PeerRequests.heartbeatRefused(context.stateOk()));
+    } else {
+      context.reply(request.reply(), OK, PeerMessages.write(answer));
+    }
+  }
+
+  private void heartbeatNow(Input.Request request) {
+    handlers.heartbeats.requestNow();
+    context.reply(request.reply(), OK, Json.object());
+  }
+
+  private void statusQuery(Input.Request request) {
+    handlers.statusQueries.answerPeer(
+        request.reply(), PeerRequests.readStatusQuery(request.body()));
+  }
+
+  private void confirmationQuery(Input.Request request) {
+    ConfirmationQuery query = PeerRequests.readConfirmationQuery(request.body());
+    if (query.isMalformed()) {
+      refuseMalformed(request, "question");
+      return;
+    }
+    context.reply(
+        request.reply(),
+        OK,
+        PeerMessages.write(
+            handlers.cancellations.answer(query.withinMs(), query.limit(), handlers.owners.all())));
+  }
+
+  private void forwarded(Input.Request request) {
+    ForwardedRequest forwarded = PeerRequests.readForwarded(request.body());
+    handlers.users.route(
+        new UserRequest(
+            request.reply(), forwarded.method(), forwarded.path(), forwarded.body(), true));
+  }
+
+  private void refuseMalformed(Input.Request request, String what) {
+    context.refused("peer.malformed", "peer.message.malformed kind=" + what);
+    context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + what));
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/RequestForwarder.java
@@ -0,0 +1,70 @@
+package shorecrank.coordination;
+
+import java.util.List;
+import shorecrank.config.NodeConfig.Member;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.request.UserRequest;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.PeerRequests;
+import shorecrank.protocol.PeerRequests.ForwardedRequest;
+
+/** Passes users' requests on to a controller that reaches the state service. */
+final class RequestForwarder {
+  private static final int FORWARD_TIMEOUT_MS = 2000;
+
+  /** What was heard of other controllers counts for this long. */
+  private static final int PEERS_FRESH_MS = 4000;
+
+  private final StepContext context;
+  private final Election election;
+  private final PeerStoreReachability peerReachability;
+
+  RequestForwarder(StepContext context, Election election, PeerStoreReachability peerReachability) {
+    this.context = context;
+    this.election = election;
+    this.peerReachability = peerReachability;
+  }
+
+  /**
+   * Passes a request on if another controller is said to reach the state service.
+   *
+   * @param failed run if the other controller does not answer it
+   * @return false if there is no such controller; the request is then not answered
+   */
+  boolean forward(UserRequest request, Runnable failed) {
+    if (!peerReachability.isReached() || peerReachability.ageMs() > PEERS_FRESH_MS) {
+      return false;
+    }
+    ControllerName to = election.leader();
+    if (to == null || to.equals(context.config.label())) {
+      List<Member> others = context.config.members();
+      if (others.isEmpty()) {
+        return false;
+      }
+      to = others.get(context.random().nextInt(others.size())).label();
+    }
+    context.count("user.relayed");
+    context
+        .peers()
+        .forward(
+            to,
+            PeerMessages.RELAY,
+            PeerRequests.write(
+                new ForwardedRequest(request.method(), request.path(), request.body())),
+            FORWARD_TIMEOUT_MS,
+            request.reply(),
+            RequestForwarder::isFinal,
+            status -> failed.run());
+    return true;
+  }
+
+  /** Whether an answer of this status would be the same from any controller. */
+  private static boolean isFinal(int status) {
+    return switch (status) {
+      case 200, 201, 400, 404, 422 -> true;
+      default -> false;
+    };
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -0,0 +1,114 @@
+package shorecrank.coordination;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import shorecrank.coordination.shard.ShardOwner;
+import shorecrank.coordination.shard.StatusQueries.StatusCallback;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.PeerMessages.OwnerInfo;
+import shorecrank.protocol.PeerRequests.StatusQuery;
+import shorecrank.protocol.UserMessages.JobStatus;
+
+/**
+ * Asks shard owners where jobs stand, here or elsewhere, and answers such queries of other
+ * controllers. All queries of a round to one owner go in one message.
+ */
+final class StatusQueryForwarder {
+  private static final int QUERY_TIMEOUT_MS = 700;
+  private static final int OK = 200;
+
+  private final StepContext context;
+  private final OwnerTable owners;
+  private final OwnedShards shards;
+  private final Map<ShardId, Map<JobId, List<StatusCallback>>> pending = new TreeMap<>();
+
+  StatusQueryForwarder(StepContext context, OwnerTable owners, OwnedShards shards) {
+    this.context = context;
+    this.owners = owners;
+    this.shards = shards;
+  }
+
+  /** Asks the shard's owner where the job stands; the callback gets null if it can't tell. */
+  void query(ShardId shard, JobId job, StatusCallback then) {
+    ShardOwner shardOwner = shards.find(shard);
+    if (shardOwner != null) {
+      shardOwner.ask(job, then);
+    } else if (owners.findOther(shard).isEmpty()) {
+      then.told(null);
+    } else {
+      pending
+          .computeIfAbsent(shard, asked -> new LinkedHashMap<>())
+          .computeIfAbsent(job, asked -> new ArrayList<>(1))
+          .add(then);
+    }
+  }
+
+  /** Sends the queries since the last round. */
+  void sendPending() {
+    pending.forEach(this::send);
+    pending.clear();
+  }
+
+  private void send(ShardId shard, Map<JobId, List<StatusCallback>> queries) {
+    OwnerInfo owner = owners.find(shard);
+    if (owner == null) {
+      answer(queries, Map.of());
+      return;
+    }
+    List<JobId> jobs = queries.keySet().stream().limit(PeerMessages.MAX_ASKED).toList();
+    context
+        .peers()
+        .queryStatus(
+            owner.label(), shard, jobs, QUERY_TIMEOUT_MS, statuses -> answer(queries, statuses));
+  }
+
+  private static void answer(
+      Map<JobId, List<StatusCallback>> queries, Map<JobId, JobStatus> statuses) {
+    queries.forEach(
+        (job, callbacks) -> callbacks.forEach(callback -> callback.told(statuses.get(job))));
+  }
+
+  /** Answers another controller's query, once all that can be told is known. */
+  void answerPeer(long reply, StatusQuery query) {
+    ShardOwner shardOwner = shards.find(query.shard());
+    Map<JobId, JobStatus> statuses = new HashMap<>();
+    if (shardOwner == null || query.jobs().isEmpty()) {
+      context.reply(reply, OK, PeerMessages.told(statuses));
+      return;
+    }
+    PeerAnswer answer = new PeerAnswer(reply, query.jobs().size(), statuses);
+    for (JobId job : query.jobs()) {
+      shardOwner.ask(job, status -> answer.add(job, status));
+    }
+  }
+
+  /** The answer to another controller's query, sent once all its jobs are settled. */
+  private final class PeerAnswer {
+    private final long reply;
+    private final Map<JobId, JobStatus> statuses;
+    private int open;
+
+    PeerAnswer(long reply, int open, Map<JobId, JobStatus> statuses) {
+      this.reply = reply;
+      this.open = open;
+      this.statuses = statuses;
+    }
+
+    void add(JobId job, JobStatus status) {
+      if (status != null) {
+        statuses.put(job, status);
+      }
+      open--;
+      if (open == 0) {
+        context.reply(reply, OK, PeerMessages.told(statuses));
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -0,0 +1,140 @@
+package shorecrank.coordination;
+
+import java.util.ArrayList;
+import java.util.List;
+import shorecrank.coordination.leader.Election;
+import shorecrank.coordination.shard.ShardOwner;
+import shorecrank.coordination.step.Input;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.MonotonicTime;
+import shorecrank.protocol.Json;
+import shorecrank.protocol.PeerMessages.MachineAssignment;
+import shorecrank.protocol.PeerMessages.MachineInfo;
+import shorecrank.protocol.WorkerMessages;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
+
+/**
+ * Brings a worker's heartbeat to the owner of its machine's shard: to the owner here, elsewhere by
+ * a redirect, or held until this process knows where it belongs.
+ */
+final class WorkerHeartbeatRouter {
+  private static final int BAD_REQUEST = 400;
+  private static final int MISDIRECTED = 421;
+  private static final int UNAVAILABLE = 503;
+
+  /** So long after its start a process may not know yet where heartbeats belong. */
+  private static final int STARTING_MS = 8000;
+
+  private static final int MAX_HOLD_MS = 2500;
+
+  /** An owner that has heard no other controller for this long is alone. */
+  private static final int ALONE_MS = 4000;
+
+  private final StepContext context;
+  private final Election election;
+  private final OwnerTable owners;
+  private final OwnedShards shards;
+  private final MachineAssignments assignments;
+  private final WorkerSightings sightings;
+  private final HeartbeatExchange heartbeats;
+  private final List<HeldHeartbeat> held = new ArrayList<>();
+
+  /** A heartbeat that waits until this process knows where it belongs. */
+  private record HeldHeartbeat(long reply, WorkerHeartbeat heartbeat, MonotonicTime receivedAt) {}
+
+  WorkerHeartbeatRouter(
+      StepContext context,
+      Election election,
+      HeartbeatExchange heartbeats,
+      HeartbeatExchange.Tables tables) {
+    this.context = context;
+    this.election = election;
+    this.heartbeats = heartbeats;
+    this.owners = tables.owners();
+    this.shards = tables.shards();
+    this.assignments = tables.assignments();
+    this.sightings = tables.sightings();
+  }
+
+  /** Takes a worker's heartbeat. */
+  void receive(Input.Request request) {
+    WorkerHeartbeat heartbeat = WorkerMessages.read(Json.parse(request.body()));
+    if (heartbeat == null) {
+      context.refused("report.malformed", "worker.heartbeat.malformed");
+      context.reply(request.reply(), BAD_REQUEST, Json.error("malformed report"));
+      return;
+    }
+    route(new HeldHeartbeat(request.reply(), heartbeat, context.now()));
+  }
+
+  /** Routes again what is held; what still can't be routed is held on. */
+  void retryHeld() {
+    if (held.isEmpty()) {
+      return;
+    }
+    List<HeldHeartbeat> all = new ArrayList<>(held);
+    held.clear();
+    all.forEach(this::route);
+  }
+
+  private void route(HeldHeartbeat received) {
+    WorkerHeartbeat heartbeat = received.heartbeat;
+    MachineAssignment assignment = assignments.find(heartbeat.host());
+    boolean isUnclear =
+        assignment == null ? !owners.hasHeardLeader() : owners.find(assignment.shard()) == null;
+    if (isUnclear && context.now().since(context.startedAt()) < STARTING_MS && mayHold(received)) {
+      // A process that has just begun will know in a moment. A worker that is sent away comes back
+      // after a second at the earliest, and its lease may be short: after the end of all
+      // controllers most of the tasks would be lost by that.
+      held.add(received);
+    } else if (assignment == null) {
+      redirectUnassigned(received);
+    } else {
+      ShardOwner shardOwner = shards.find(assignment.shard());
+      if (shardOwner != null) {
+        handOver(received, shardOwner);
+      } else {
+        sightings.addMisrouted(heartbeat.host());
+        redirect(received, owners.findOther(assignment.shard()).orElse(null));
+      }
+    }
+  }
+
+  /** A held heartbeat keeps its connection, and there are no more than sockets. */
+  private boolean mayHold(HeldHeartbeat received) {
+    return context.now().since(received.receivedAt) < MAX_HOLD_MS
+        && held.size() < context.config.limits().sockets();
+  }
+
+  private void redirectUnassigned(HeldHeartbeat received) {
+    WorkerHeartbeat heartbeat = received.heartbeat;
+    sightings.addUnassigned(
+        new MachineInfo(heartbeat.host(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
+    heartbeats.requestSoon();
+    ControllerName leader = election.leader();
+    redirect(received, leader == null || leader.equals(context.config.label()) ? null : leader);
+  }
+
+  /** Sends the worker elsewhere; null if it is not known where. */
+  private void redirect(HeldHeartbeat received, ControllerName to) {
+    context.reply(received.reply, MISDIRECTED, WorkerMessages.elsewhere(to));
+  }
+
+  private void handOver(HeldHeartbeat received, ShardOwner shardOwner) {
+    boolean isAlone = context.aloneMs() > ALONE_MS;
+    if (shardOwner.valid() || shardOwner.inGrace(isAlone)) {
+      if (shardOwner.informed()) {
+        shardOwner.report(received.reply, received.heartbeat, shardOwner.valid());
+        return;
+      }
+      if (shardOwner.storeAsOf() == MonotonicTime.NEVER && mayHold(received)) {
+        // A new owner will have read the records in a moment.
+        held.add(received);
+        return;
+      }
+      context.count("report.uninformed");
+    }
+    context.reply(received.reply, UNAVAILABLE, Json.error("not entitled now"));
+  }
+}
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -11,16 +11,34 @@
 import shorecrank.protocol.UserMessages.JobState;
 
 /**
- * Looks up the jobs that a submission names as its prerequisites.
+ * Looks up the jobs that a submission names as its dependencies.
  *
  * <p>What was found is kept for a while: a submission that names more jobs than the budget of state
  * requests allows at once is answered "later", and goes on where it stopped when it is repeated.
  */
 final class DependencyAdmission {
+  private static final int MAX_KEPT = 10_000;
+
+  /** The most lookups of one submission that are under way at once. */
+  private static final int PARALLEL = 8;
+
+  /**
+   * A job seen unfinished counts as not cancelled for this long. What is accepted meanwhile is
+   * cancelled by its owner, as if it had been accepted before the cancellation.
+   */
+  private static final int FRESH_MS = 5000;
+
+  private final StepContext context;
+  private final JobLookup jobs;
+
+  /** When jobs were last seen in their records. */
+  private final Cache<JobId, MonotonicTime> unfinishedAt =
+      Caffeine.newBuilder().maximumSize(MAX_KEPT).executor(Runnable::run).build();
+
   /** What is known of the named jobs. */
   sealed interface Result {
-    /** All were accepted; one of them may be cancelled. */
-    record Accepted(boolean cancelled) implements Result {}
+    /** All were accepted. */
+    record Accepted(boolean hasCancelled) implements Result {}
 
     /** One was never accepted. */
     record NeverAccepted(JobId id) implements Result {}
@@ -32,55 +50,33 @@
     record OutOfBudget() implements Result {}
   }
 
-  /** Looks one job up in the state service. */
-  interface LookUp {
-    void lookUp(JobId id, Consumer<JobState> found, Runnable absent, Runnable unknown);
-  }
-
-  private static final int MAX_KEPT = 10_000;
-
-  /** So many lookups of one submission are under way at once. */
-  private static final int PARALLEL = 8;
-
-  /**
-   * So long a job seen unfinished counts as not cancelled. What is accepted meanwhile is cancelled
-   * by its owner, as if it had been accepted before the cancellation.
-   */
-  private static final int FRESH_MS = 5000;
-
-  private final StepContext context;
-  private final LookUp lookUp;
-
-  /** Jobs seen in their records, and when. */
-  private final Cache<JobId, MonotonicTime> unfinished =
-      Caffeine.newBuilder().maximumSize(MAX_KEPT).executor(Runnable::run).build();
-
-  DependencyAdmission(StepContext context, LookUp lookUp) {
+  DependencyAdmission(StepContext context, JobLookup jobs) {
     this.context = context;
-    this.lookUp = lookUp;
+    this.jobs = jobs;
   }
 
+  /** Looks the named jobs up; the result comes exactly once, at once if all are known. */
   void check(List<JobId> named, Consumer<Result> then) {
-    new Run(named, then).next();
+    new Check(named, then).next();
   }
 
   /** The lookups of one submission. */
-  private final class Run {
+  private final class Check {
     private final ArrayDeque<JobId> left;
     private final Consumer<Result> then;
     private int underWay;
-    private boolean cancelled;
-    private boolean over;
+    private boolean hasCancelled;
+    private boolean isOver;
 
-    Run(List<JobId> named, Consumer<Result> then) {
+    Check(List<JobId> named, Consumer<Result> then) {
       this.left = new ArrayDeque<>(named);
       this.then = then;
     }
 
     void next() {
-      while (!over && underWay < PARALLEL && !left.isEmpty()) {
+      while (!isOver && underWay < PARALLEL && !left.isEmpty()) {
         JobId id = left.poll();
-        if (seenLately(id)) {
+        if (isSeenLately(id)) {
           continue;
         }
         if (!context.requests.has(1, context.now())) {
@@ -88,35 +84,41 @@
           return;
         }
         underWay++;
-        lookUp.lookUp(
-            id,
-            phase -> found(id, phase),
-            () -> end(new Result.NeverAccepted(id)),
-            () -> end(new Result.Unknown()));
+        jobs.find(id, result -> read(id, result));
       }
-      if (!over && underWay == 0 && left.isEmpty()) {
-        end(new Result.Accepted(cancelled));
+      if (!isOver && underWay == 0 && left.isEmpty()) {
+        end(new Result.Accepted(hasCancelled));
       }
     }
 
-    private boolean seenLately(JobId id) {
-      MonotonicTime at = unfinished.getIfPresent(id);
+    private boolean isSeenLately(JobId id) {
+      MonotonicTime at = unfinishedAt.getIfPresent(id);
       return at != null && context.now().since(at) < FRESH_MS;
     }
 
-    private void found(JobId id, JobState phase) {
+    private void read(JobId id, LookupResult result) {
+      if (result instanceof LookupResult.Found found) {
+        found(id, found.job().status().phase());
+      } else if (result instanceof LookupResult.Absent) {
+        end(new Result.NeverAccepted(id));
+      } else {
+        end(new Result.Unknown());
+      }
+    }
+
+    private void found(JobId id, JobState state) {
       underWay--;
-      if (phase == JobState.CANCELLED) {
-        cancelled = true;
-      } else if (phase != JobState.DONE) {
-        unfinished.put(id, context.now());
+      if (state == JobState.CANCELLED) {
+        hasCancelled = true;
+      } else if (state != JobState.DONE) {
+        unfinishedAt.put(id, context.now());
       }
       next();
     }
 
     private void end(Result result) {
-      if (!over) {
-        over = true;
+      if (!isOver) {
+        isOver = true;
         then.accept(result);
       }
     }
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -1,7 +1,8 @@
 package shorecrank.coordination.request;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.function.Consumer;
+import java.util.function.Function;
+import java.util.function.Predicate;
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
@@ -14,74 +15,131 @@
  * on, so that the answer is the same wherever it is asked for.
  */
 final class LeaderForwarder {
-  private static final int FORWARD_MS = 3000;
+  private static final int FORWARD_TIMEOUT_MS = 3000;
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+  private static final int NOT_FOUND = 404;
+  private static final int CONFLICT = 409;
+  private static final int UNAVAILABLE = 503;
+  private static final int RETRY_AFTER_S = 1;
+  private static final int NO_ANSWER = 0;
 
   private final StepContext context;
   private final Election election;
+  private final boolean isEnabled;
   private final String feature;
   private final String option;
 
   /**
-   * @param feature what the requests are about, for those that have it not enabled
+   * Creates the forwarder of one feature.
+   *
+   * @param isEnabled whether the feature is enabled on this controller
+   * @param feature its name, for operators whose controller has it not enabled
    * @param option the command-line option that enables it
    */
-  LeaderForwarder(StepContext context, Election election, String feature, String option) {
+  LeaderForwarder(
+      StepContext context, Election election, boolean isEnabled, String feature, String option) {
     this.context = context;
     this.election = election;
+    this.isEnabled = isEnabled;
     this.feature = feature;
     this.option = option;
   }
 
+  /** Whether the feature is enabled here; if not, the request is refused. */
+  boolean requireEnabled(Input.Request request) {
+    if (!isEnabled) {
+      context.reply(
+          request.reply(),
+          NOT_FOUND,
+          Json.error(
+              "%s are not enabled on %s (%s)".formatted(feature, context.config.label(), option)));
+    }
+    return isEnabled;
+  }
+
   /**
    * Answers a request here, if this controller leads, or has the leader answer it.
    *
-   * @param enabled whether the feature is enabled on this controller
+   * @param path of the request at the leader
+   * @param here run if this controller leads
    */
-  void answer(Input.Request r, String path, boolean enabled, Consumer<JsonNode> here) {
-    if (!enabled) {
-      notEnabled(r);
+  void answer(Input.Request request, String path, Runnable here) {
+    if (!requireEnabled(request)) {
       return;
     }
-    JsonNode request = Json.parse(r.body());
     ControllerName leader = election.leader();
     if (election.holding()) {
-      here.accept(request);
+      here.run();
     } else if (leader == null || leader.equals(context.config.label())) {
-      unknown(r, "no controller leads now");
-    } else if (RolloutMessages.isForwarded(request)) {
-      unknown(r, context.config.label() + " does not lead any more");
+      unknown(request, "no controller leads now");
+    } else if (RolloutMessages.isForwarded(Json.parse(request.body()))) {
+      unknown(request, context.config.label() + " does not lead any more");
     } else {
-      forward(r, path, leader, request);
+      forward(request, path, leader);
     }
   }
 
-  private void forward(Input.Request r, String path, ControllerName leader, JsonNode request) {
-    context.peer(
-        leader,
-        path,
-        RolloutMessages.forwarded(request),
-        FORWARD_MS,
-        (status, body) -> {
-          if (status == 0) {
-            unknown(r, "the leader, " + leader + ", does not answer");
-          } else if (status == 404) {
-            unknown(r, "the leader, " + leader + ", runs without " + feature);
-          } else {
-            context.reply(r.reply(), status, body);
-          }
-        });
+  private void forward(Input.Request request, String path, ControllerName leader) {
+    context
+        .peers()
+        .forward(
+            leader,
+            path,
+            RolloutMessages.forwarded(Json.parse(request.body())),
+            FORWARD_TIMEOUT_MS,
+            request.reply(),
+            status -> status != NO_ANSWER && status != NOT_FOUND,
+            status ->
+                unknown(
+                    request,
+                    status == NO_ANSWER
+                        ? "the leader, " + leader + ", does not answer"
+                        : "the leader, " + leader + ", runs without " + feature));
+  }
+
+  /** Nobody can tell now: the operator asks again. */
+  void unknown(Input.Request request, String reason) {
+    context.replyLater(
+        request.reply(), UNAVAILABLE, RolloutMessages.unknown(reason), RETRY_AFTER_S);
+  }
+
+  /**
+   * Answers with a status.
+   *
+   * @param status null if the leader can't read it
+   * @param subject what it then can't read
+   */
+  <S> void replyStatus(
+      Input.Request request, S status, Function<S, ? extends JsonNode> write, String subject) {
+    if (status == null) {
+      unknown(request, "the leader, " + context.config.label() + ", can't read the " + subject);
+    } else {
+      context.reply(request.reply(), OK, write.apply(status));
+    }
   }
 
-  /** Nobody can tell now: the client asks again. */
-  void unknown(Input.Request r, String reason) {
-    context.replyLater(r.reply(), 503, RolloutMessages.unknown(reason), 1);
+  /**
+   * Answers an order with what became of it.
+   *
+   * @param outcome null if that is not known
+   */
+  <T> void replyOutcome(
+      Input.Request request,
+      T outcome,
+      Predicate<T> isAccepted,
+      Function<T, ? extends JsonNode> write) {
+    if (outcome == null) {
+      unknown(request, "the leader is busy or got no answer: send the same order again");
+    } else {
+      int status = isAccepted.test(outcome) ? OK : CONFLICT;
+      context.reply(request.reply(), status, write.apply(outcome));
+    }
   }
 
-  void notEnabled(Input.Request r) {
-    String label = context.config.label().value();
-    context.reply(
-        r.reply(),
-        404,
-        Json.error("%s are not enabled on %s (%s)".formatted(feature, label, option)));
+  /** Refuses an order that makes no sense. */
+  void refuseMalformed(Input.Request request, String metric, String event, String error) {
+    context.refused(metric, event);
+    context.reply(request.reply(), BAD_REQUEST, Json.error(error));
   }
 }
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -7,108 +7,95 @@
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.coordination.step.StorePages;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.Order;
-import shorecrank.protocol.RolloutMessages.Status;
-import shorecrank.protocol.StoreMessages;
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.RolloutCoordinator;
 
-/**
- * Operators' requests about rollouts, taken by every controller. The leader answers; the others
- * pass the request on, so that the answer is the same wherever it is asked for.
- */
+/** Operators' requests about rollouts, taken by every controller and answered by the leader. */
 public final class RolloutRequestHandler {
-  private static final int READ_MS = 2000;
-  private static final int PAGE = 200;
+  private static final int READ_TIMEOUT_MS = 2000;
+  private static final int PAGE_KEYS = 200;
+  private static final int BAD_REQUEST = 400;
 
-  /** What keys of the service are made of, so that none can change the request's path. */
-  private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9/._-]+");
+  /** What keys of the service consist of, so that none can change the path of the request. */
+  private static final Pattern KEY_CHARACTERS = Pattern.compile("[A-Za-z0-9/._-]+");
+
+  private static final List<String> READABLE_PREFIXES =
+      Stream.concat(ArchiveKeys.PREFIXES.stream(), Stream.of(ArchiveKeys.INDEX, ArchiveKeys.CHUNKS))
+          .toList();
 
   private final StepContext context;
+  private final StorePages pages;
   private final LeaderForwarder leader;
   private final RolloutCoordinator rollout;
 
   /**
+   * Creates the handler of one controller.
+   *
    * @param rollout null if rollouts are not enabled here
    */
   public RolloutRequestHandler(StepContext context, Election election, RolloutCoordinator rollout) {
     this.context = context;
-    this.leader = new LeaderForwarder(context, election, "rollouts", "--rollout FILE");
+    this.pages = new StorePages(context);
+    this.leader =
+        new LeaderForwarder(context, election, rollout != null, "rollouts", "--rollout FILE");
     this.rollout = rollout;
   }
 
-  public void status(Input.Request r) {
+  /** Answers with the level in force and what the controllers support. */
+  public void status(Input.Request request) {
     leader.answer(
-        r,
+        request,
         RolloutMessages.STATUS,
-        rollout != null,
-        request -> {
-          Status status = rollout.status();
-          if (status == null) {
-            leader.unknown(r, "the leader, " + context.config.label() + ", can't read the level");
-          } else {
-            context.reply(r.reply(), 200, RolloutMessages.write(status));
-          }
-        });
+        () -> leader.replyStatus(request, rollout.status(), RolloutMessages::write, "level"));
   }
 
-  public void order(Input.Request r) {
-    leader.answer(
-        r,
-        RolloutMessages.ORDERS,
-        rollout != null,
-        request -> {
-          Order order = RolloutMessages.readOrder(request);
-          if (order == null) {
-            context.refused("rollout.malformed", "malformed rollout order refused");
-            context.reply(r.reply(), 400, Json.error("malformed order, or level out of range"));
-            return;
-          }
-          rollout.order(
-              order,
-              outcome -> {
-                if (outcome == null) {
-                  leader.unknown(
-                      r, "the leader is busy or got no answer: send the same order again");
-                } else {
-                  int status = outcome.accepted() ? 200 : 409;
-                  context.reply(r.reply(), status, RolloutMessages.write(outcome));
-                }
-              });
-        });
+  /** Carries an operator's order out. */
+  public void order(Input.Request request) {
+    leader.answer(request, RolloutMessages.ORDERS, () -> carryOut(request));
+  }
+
+  private void carryOut(Input.Request request) {
+    Order order = RolloutMessages.readOrder(Json.parse(request.body()));
+    if (order == null) {
+      leader.refuseMalformed(
+          request,
+          "rollout.malformed",
+          "rollout.order.malformed",
+          "malformed order, or level out of range");
+      return;
+    }
+    rollout.order(
+        order,
+        outcome ->
+            leader.replyOutcome(
+                request, outcome, result -> result.accepted(), RolloutMessages::write));
   }
 
-  /** Only keys of the service, and its archives. */
-  public void keys(Input.Request r) {
-    if (rollout == null) {
-      leader.notEnabled(r);
+  /** Answers with a page of keys: of the service, or of its archives, and no others. */
+  public void keys(Input.Request request) {
+    if (!leader.requireEnabled(request)) {
       return;
     }
-    JsonNode request = Json.parse(r.body());
-    String prefix = RolloutMessages.keysPrefix(request);
-    List<String> readable =
-        Stream.concat(
-                ArchiveKeys.PREFIXES.stream(), Stream.of(ArchiveKeys.INDEX, ArchiveKeys.CHUNKS))
-            .toList();
-    String after = RolloutMessages.keysAfter(request);
-    boolean plain = PLAIN.matcher(prefix + after).matches();
-    if (!plain || readable.stream().noneMatch(prefix::startsWith)) {
-      context.reply(r.reply(), 400, Json.error("prefix must be one of " + readable));
+    JsonNode message = Json.parse(request.body());
+    String prefix = RolloutMessages.keysPrefix(message);
+    String after = RolloutMessages.keysAfter(message);
+    boolean isPlain = KEY_CHARACTERS.matcher(prefix + after).matches();
+    if (!isPlain || READABLE_PREFIXES.stream().noneMatch(prefix::startsWith)) {
+      context.reply(
+          request.reply(), BAD_REQUEST, Json.error("prefix must be one of " + READABLE_PREFIXES));
       return;
     }
-    context.state(
-        "GET",
-        StoreMessages.list(prefix, after, PAGE),
-        null,
-        READ_MS,
-        (status, body) -> {
-          if (status == 200) {
-            context.reply(r.reply(), 200, body);
-          } else {
-            leader.unknown(r, context.config.label() + " does not reach the state service");
-          }
-        });
+    pages.forward(
+        prefix,
+        after,
+        PAGE_KEYS,
+        READ_TIMEOUT_MS,
+        request.reply(),
+        () ->
+            leader.unknown(request, context.config.label() + " does not reach the state service"));
   }
 }
--- a/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
@@ -6,62 +6,47 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.ShareMessages;
 import shorecrank.protocol.ShareMessages.ShareOrder;
-import shorecrank.protocol.ShareMessages.SharesStatus;
 import shorecrank.rebalance.MoveCoordinator;
 
 /** Operators' requests about shares, taken by every controller and answered by the leader. */
 public final class ShareRequestHandler {
-  private final StepContext context;
   private final LeaderForwarder leader;
   private final MoveCoordinator moves;
 
   /**
+   * Creates the handler of one controller.
+   *
    * @param moves null if shares are not enabled here
    */
   public ShareRequestHandler(StepContext context, Election election, MoveCoordinator moves) {
-    this.context = context;
-    this.leader = new LeaderForwarder(context, election, "shares", "--shares FILE");
+    this.leader = new LeaderForwarder(context, election, moves != null, "shares", "--shares FILE");
     this.moves = moves;
   }
 
-  public void show(Input.Request r) {
+  /** Answers with the shares and the moves under way. */
+  public void show(Input.Request request) {
     leader.answer(
-        r,
+        request,
         ShareMessages.SHOW,
-        moves != null,
-        request -> {
-          SharesStatus status = moves.status();
-          if (status == null) {
-            leader.unknown(r, "the leader, " + context.config.label() + ", can't read the moves");
-          } else {
-            context.reply(r.reply(), 200, ShareMessages.write(status));
-          }
-        });
+        () -> leader.replyStatus(request, moves.status(), ShareMessages::write, "moves"));
   }
 
-  public void order(Input.Request r) {
-    leader.answer(
-        r,
-        ShareMessages.ORDERS,
-        moves != null,
-        request -> {
-          ShareOrder order = ShareMessages.readOrder(request);
-          if (order == null) {
-            context.refused("shares.malformed", "malformed order of shares refused");
-            context.reply(r.reply(), 400, Json.error("malformed order"));
-            return;
-          }
-          moves.order(
-              order,
-              outcome -> {
-                if (outcome == null) {
-                  leader.unknown(
-                      r, "the leader is busy or got no answer: send the same order again");
-                } else {
-                  int status = outcome.accepted() ? 200 : 409;
-                  context.reply(r.reply(), status, ShareMessages.write(outcome));
-                }
-              });
-        });
+  /** Carries an operator's order out. */
+  public void order(Input.Request request) {
+    leader.answer(request, ShareMessages.ORDERS, () -> carryOut(request));
+  }
+
+  private void carryOut(Input.Request request) {
+    ShareOrder order = ShareMessages.readOrder(Json.parse(request.body()));
+    if (order == null) {
+      leader.refuseMalformed(
+          request, "shares.malformed", "shares.order.malformed", "malformed order");
+      return;
+    }
+    moves.order(
+        order,
+        outcome ->
+            leader.replyOutcome(
+                request, outcome, result -> result.accepted(), ShareMessages::write));
   }
 }
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/request/SubmissionRules.java
@@ -0,0 +1,48 @@
+package shorecrank.coordination.request;
+
+import java.util.Map;
+import java.util.Optional;
+import shorecrank.config.NodeConfig.Team;
+import shorecrank.coordination.model.MachineConstraints;
+import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.JobSpec;
+
+/** Which submissions can never be accepted, whatever the state of the fleet. */
+final class SubmissionRules {
+  private final StepContext context;
+  private Map<String, MachineType> machineTypes = Map.of();
+
+  SubmissionRules(StepContext context) {
+    this.context = context;
+  }
+
+  /** The types of machines that can be rented have been read. */
+  void updateCatalog(Map<String, MachineType> types) {
+    machineTypes = types;
+  }
+
+  /** Whether the types of machines are known, without which nothing can be decided. */
+  boolean isReady() {
+    return !machineTypes.isEmpty();
+  }
+
+  /** Why the job can never run; empty if it can. */
+  Optional<String> findObstacle(JobSpec spec) {
+    Team team = context.config.teams().get(spec.team());
+    if (team == null) {
+      return Optional.of("unknown team " + spec.team());
+    }
+    if (!MachineConstraints.isSatisfiable(spec, machineTypes)) {
+      return Optional.of("no allowed machine type can hold a task");
+    }
+    if (exceeds(spec.cpus(), team.cpusMax()) || exceeds(spec.gpus(), team.gpusMax())) {
+      return Optional.of("a task needs more than the team's limit");
+    }
+    return Optional.empty();
+  }
+
+  private static boolean exceeds(double needed, double limit) {
+    return limit > 0 && needed > limit;
+  }
+}
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -54,6 +54,8 @@
   private MonotonicTime stateOkSince = MonotonicTime.NEVER;
   private MonotonicTime peerHeardAt = MonotonicTime.NEVER;
   private final StateStore store = new StepStateStore(this);
+  private final PeerClient peers = new PeerClient(this);
+  private MonotonicTime startedAt = MonotonicTime.NEVER;
   private final Map<String, MonotonicTime> refusalToldAt = new HashMap<>();
 
   public StepContext(NodeConfig config, Settings tuning, WriterId writer) {
@@ -101,6 +103,9 @@
   }
 
   public void begin(MonotonicTime now, long wallMs, long entropy) {
+    if (startedAt == MonotonicTime.NEVER) {
+      startedAt = now;
+    }
     this.now = now;
     this.wallMs = wallMs;
     this.random = new SplittableRandom(entropy);
@@ -134,6 +139,16 @@
     return store;
   }
 
+  /** The other controllers. */
+  public PeerClient peers() {
+    return peers;
+  }
+
+  /** When the first step of this process began. */
+  public MonotonicTime startedAt() {
+    return startedAt;
+  }
+
   /** Calls the state service by method and path; callers go over to {@link #store()}. */
   public void state(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
     requests.take(1, now);
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/step/StorePages.java
@@ -0,0 +1,39 @@
+package shorecrank.coordination.step;
+
+import shorecrank.protocol.StoreMessages;
+
+/** Pages of keys that go to an operator just as the state service answers them. */
+public final class StorePages {
+  private static final int OK = 200;
+
+  private final StepContext context;
+
+  /** Creates the access of one controller. */
+  public StorePages(StepContext context) {
+    this.context = context;
+  }
+
+  /**
+   * Reads a page of the keys with a prefix and answers a request with it.
+   *
+   * @param after the last key of the page before; empty for the first page
+   * @param limit the most keys in the page
+   * @param reply where the answer goes
+   * @param unavailable run instead if the state service does not answer with a page
+   */
+  public void forward(
+      String prefix, String after, int limit, int timeoutMs, long reply, Runnable unavailable) {
+    context.state(
+        "GET",
+        StoreMessages.list(prefix, after, limit),
+        null,
+        timeoutMs,
+        (status, body) -> {
+          if (status == OK) {
+            context.reply(reply, OK, body);
+          } else {
+            unavailable.run();
+          }
+        });
+  }
+}
