--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -170,7 +170,7 @@
       }
     }
     int served = shards.countServed();
-    context.share((double) served / context.tuning.shards(), election.holding());
+    context.allotStoreBudget((double) served / context.tuning.shards(), election.holding());
     shards.updateMachines(answer);
     if (isNews && shards.hasCapacityRequests()) {
       // The leader takes requests for machines only from an owner that knows the last assignments:
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -75,7 +75,7 @@
   private void heartbeat(Input.Request request) {
     Heartbeat heartbeat = PeerMessages.readHeartbeat(Json.parse(request.body()));
     if (heartbeat == null) {
-      refuseMalformed(request, "beat");
+      refuseMalformed(request, "heartbeat", "beat");
       return;
     }
     context.peerHeard();
@@ -101,7 +101,7 @@
   private void confirmationQuery(Input.Request request) {
     ConfirmationQuery query = PeerRequests.readConfirmationQuery(request.body());
     if (query.isMalformed()) {
-      refuseMalformed(request, "question");
+      refuseMalformed(request, "confirmation_query", "question");
       return;
     }
     context.reply(
@@ -118,8 +118,9 @@
             request.reply(), forwarded.method(), forwarded.path(), forwarded.body(), true));
   }
 
-  private void refuseMalformed(Input.Request request, String what) {
-    context.refused("peer.malformed", "peer.message.malformed kind=" + what);
-    context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + what));
+  /** Refuses a message; its sender and the log call it by different names. */
+  private void refuseMalformed(Input.Request request, String logged, String told) {
+    context.refused("peer.malformed", "peer.message.malformed kind=" + logged);
+    context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + told));
   }
 }
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -1,107 +1,81 @@
 package shorecrank.coordination.step;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.Settings;
+import shorecrank.coordination.step.PendingCalls.PendingCall;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.storage.RateLimiter;
 import shorecrank.storage.StateStore;
 
-/** One step's view of the world for the parts of the core: time in, effects out. */
+/**
+ * What the parts of the state machine see of the world: time and random numbers come in, calls,
+ * replies, log lines and metrics go out. One context lasts as long as its process; the time and the
+ * random numbers are those of the step under way.
+ */
 public final class StepContext {
-  /** What to do with an answer; status 0 means there was none and the call may still act later. */
-  @FunctionalInterface
-  public interface OnAnswer {
-    void answer(int status, JsonNode body);
-  }
-
-  private record Pending(OnAnswer then, Output.Target target, MonotonicTime sent) {}
-
-  /** Steady clocks of two machines drift apart by up to 0.05%; twice that is allowed for. */
-  private static final double EVIDENCE_DRIFT = 0.002;
-
-  /** For timers that fire late, here and at the worker. */
-  private static final int EVIDENCE_MARGIN_MS = 500;
-
-  /** What is refused for the same reason is logged no more often. */
-  private static final int REFUSAL_PAUSE_MS = 5000;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int NO_ANSWER = 0;
+  private static final String CHANGES_FIELD = "apply";
 
+  /** The service's configuration. */
   public final NodeConfig config;
+
+  /** The program's settings. */
   public final Settings tuning;
+
+  /** The name of this process. */
   public final WriterId writer;
+
+  /** The requests that may be sent to the state service. */
   public final RateLimiter requests;
+
+  /** The changes that may be sent to the state service. */
   public final RateLimiter writes;
 
   /** Changes that users wait for: these may use all that the state service takes. */
   public final RateLimiter userWrites;
 
-  private final Long2ObjectOpenHashMap<Pending> calls = new Long2ObjectOpenHashMap<>();
-  private long nextCall = 1;
-  private long lives;
-  private List<Output> out = new ArrayList<>();
+  private final StoreBudget budget;
+  private final CancellationEvidence cancellationEvidence;
+  private final PendingCalls calls = new PendingCalls();
+  private final StepOutputs outputs = new StepOutputs();
+  private final StoreReachability storeReachability;
+  private final StateStore store = new StepStateStore(this);
+  private final PeerClient peers = new PeerClient(this);
+  private MonotonicTime startedAt = MonotonicTime.NEVER;
   private MonotonicTime now = new MonotonicTime(0);
   private long wallMs;
   private SplittableRandom random = new SplittableRandom(0);
-  private MonotonicTime stateOkAt = MonotonicTime.NEVER;
-  private MonotonicTime stateOkSince = MonotonicTime.NEVER;
   private MonotonicTime peerHeardAt = MonotonicTime.NEVER;
-  private final StateStore store = new StepStateStore(this);
-  private final PeerClient peers = new PeerClient(this);
-  private MonotonicTime startedAt = MonotonicTime.NEVER;
-  private final Map<String, MonotonicTime> refusalToldAt = new HashMap<>();
+  private long lives;
 
+  /** Creates the context of a process before its first step. */
   public StepContext(NodeConfig config, Settings tuning, WriterId writer) {
     this.config = config;
     this.tuning = tuning;
     this.writer = writer;
-    this.requests = new RateLimiter(config.state().rps());
-    this.writes = new RateLimiter(config.state().writeRps());
-    this.userWrites = new RateLimiter(config.state().writeRps());
-    share(0, false);
+    this.budget = new StoreBudget(config);
+    this.requests = budget.requests();
+    this.writes = budget.writes();
+    this.userWrites = budget.userWrites();
+    this.cancellationEvidence = new CancellationEvidence(config);
+    this.storeReachability = new StoreReachability(tuning.stateFreshMs());
   }
 
-  /**
-   * Bounds hold per process, with room for the others' share of the state service. What users wait
-   * for is not bound by the share: it comes in bursts, at one controller more than at others, and
-   * the state service itself says when it is too much.
-   */
-  public void share(double owned, boolean leading) {
-    int n = Math.max(1, config.members().size() + 1);
-    requests.rate(config.state().rps() * (0.55 / n + 0.4 * owned));
-    writes.rate(config.state().writeRps() * (0.1 / n + 0.75 * owned + (leading ? 0.05 : 0)));
-  }
+  // ---- the step ----------------------------------------------------------------------------
 
   /**
-   * So old may be what an owner knows of confirmed cancellations while it renews workers' leases:
-   * what it missed ends with the lease, and no later than {@code cancel_s} after the confirmation.
+   * Begins a step.
+   *
+   * @param now the steady clock
+   * @param wallMs the time of day in milliseconds since 1970
+   * @param entropy fresh random bits
    */
-  public long evidenceMs() {
-    return Math.max(leastEvidenceMs(), safeEvidenceMs());
-  }
-
-  private long safeEvidenceMs() {
-    double spare = (config.workers().cancelS() - config.workers().leaseS()) * 1000;
-    return (long) (spare * (1 - EVIDENCE_DRIFT) - EVIDENCE_MARGIN_MS);
-  }
-
-  /** Where the platform leaves less than this, nobody could renew a lease at all. */
-  private long leastEvidenceMs() {
-    return (long) (2000 * config.workers().reportS() + 1000);
-  }
-
-  /** Whether the platform leaves enough time between the lease and the end of cancelled tasks. */
-  public boolean cancelsInTime() {
-    return safeEvidenceMs() >= leastEvidenceMs();
-  }
-
   public void begin(MonotonicTime now, long wallMs, long entropy) {
     if (startedAt == MonotonicTime.NEVER) {
       startedAt = now;
@@ -111,29 +85,38 @@
     this.random = new SplittableRandom(entropy);
   }
 
+  /** Ends a step and returns its outputs in their order. */
   public List<Output> end() {
-    List<Output> done = out;
-    out = new ArrayList<>();
-    return done;
+    return outputs.take();
   }
 
-  /** Numbers objects that write records, so that their writes can be told apart. */
-  public long nextLife() {
-    return ++lives;
+  /** When the first step of this process began. */
+  public MonotonicTime startedAt() {
+    return startedAt;
   }
 
+  /** The steady clock at this step. */
   public MonotonicTime now() {
     return now;
   }
 
+  /** The time of day at this step, in milliseconds since 1970. */
   public long wallMs() {
     return wallMs;
   }
 
+  /** The random numbers of this step. */
   public SplittableRandom random() {
     return random;
   }
 
+  /** Numbers objects that write records, so that their writes can be told apart. */
+  public long nextLife() {
+    return ++lives;
+  }
+
+  // ---- calls -------------------------------------------------------------------------------
+
   /** The state service. */
   public StateStore store() {
     return store;
@@ -144,71 +127,85 @@
     return peers;
   }
 
-  /** When the first step of this process began. */
-  public MonotonicTime startedAt() {
-    return startedAt;
-  }
-
-  /** Calls the state service by method and path; callers go over to {@link #store()}. */
-  public void state(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
+  /**
+   * Calls the state service by method and path; {@link #store()} is the typed way.
+   *
+   * @param body null if there is none
+   */
+  public void state(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     requests.take(1, now);
     count("state.requests");
-    if (body != null && body.has("apply")) {
-      count("state.writes", body.path("apply").size());
+    if (body != null && body.has(CHANGES_FIELD)) {
+      count("state.writes", body.path(CHANGES_FIELD).size());
     }
     call(Output.Service.STATE, method, path, body, timeoutMs, then);
   }
 
-  public void cloud(String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
+  /**
+   * Calls the cloud.
+   *
+   * @param body null if there is none
+   */
+  public void cloud(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(Output.Service.CLOUD, method, path, body, timeoutMs, then);
   }
 
-  public void worker(String address, String path, JsonNode body, int timeoutMs, OnAnswer then) {
+  /** Calls a worker. */
+  public void worker(
+      String address, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(new Output.Worker(address), "POST", path, body, timeoutMs, then);
   }
 
-  public void peer(ControllerName to, String path, JsonNode body, int timeoutMs, OnAnswer then) {
+  /** Calls another controller by path; {@link #peers()} is the typed way. */
+  public void peer(
+      ControllerName to, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(new Output.Peer(to), "POST", path, body, timeoutMs, then);
   }
 
   private void call(
-      Output.Target t, String method, String path, JsonNode body, int timeoutMs, OnAnswer then) {
-    long id = nextCall++;
-    calls.put(id, new Pending(then, t, now));
-    out.add(new Output.Call(id, t, method, path, body, timeoutMs));
-  }
-
-  public void answered(Input.Answer a) {
-    Pending p = calls.remove(a.call());
-    if (p == null) {
+      Output.Target target,
+      String method,
+      String path,
+      JsonNode body,
+      int timeoutMs,
+      AnswerHandler then) {
+    long number = calls.add(target, then);
+    outputs.call(new Output.Call(number, target, method, path, body, timeoutMs));
+  }
+
+  /** Takes the answer to a call; a second one to the same call is ignored. */
+  public void answered(Input.Answer answer) {
+    PendingCall call = calls.remove(answer.call());
+    if (call == null) {
       return;
     }
-    if (p.target instanceof Output.Peer && a.status() != 0) {
+    if (call.target() instanceof Output.Peer && answer.status() != NO_ANSWER) {
       peerHeard();
     }
-    if (p.target == Output.Service.STATE) {
-      if (a.status() != 0 && a.status() < 500) {
-        if (!stateOk()) {
-          stateOkSince = now;
-        }
-        stateOkAt = now;
-        if (a.status() == 429) {
-          requests.drain();
-          writes.drain();
-          count("state.throttled");
-        }
-      }
+    if (call.target() == Output.Service.STATE
+        && storeReachability.observe(answer.status(), now)
+        && answer.status() == TOO_MANY_REQUESTS) {
+      budget.drain();
+      count("state.throttled");
     }
-    p.then.answer(a.status(), a.body());
+    call.then().answer(answer.status(), answer.body());
   }
 
-  /** The state service answered lately. */
+  // ---- what is known of other processes ----------------------------------------------------
+
+  /** Whether the state service has answered lately. */
   public boolean stateOk() {
-    return now.since(stateOkAt) < tuning.stateFreshMs();
+    return storeReachability.isReachable(now);
   }
 
+  /** When the state service last answered; NEVER if it has not. */
   public MonotonicTime stateOkAt() {
-    return stateOkAt;
+    return storeReachability.answeredAt();
+  }
+
+  /** When the state service began to answer again after it had not, or first. */
+  public MonotonicTime stateOkSince() {
+    return storeReachability.reachableSince();
   }
 
   /** Another controller has answered, whatever it was asked, or asks something. */
@@ -216,55 +213,79 @@
     peerHeardAt = now;
   }
 
-  /** How long no other controller has been heard. */
+  /** For how many milliseconds no other controller has been heard; very many if none ever was. */
   public long aloneMs() {
     return now.since(peerHeardAt);
   }
 
-  /** When the state service began to answer again after it had not, or first. */
-  public MonotonicTime stateOkSince() {
-    return stateOkSince;
+  // ---- bounds ------------------------------------------------------------------------------
+
+  /**
+   * Allots this controller its part of what the state service takes.
+   *
+   * @param shards the part of all shards that it owns, from 0 to 1
+   */
+  public void allotStoreBudget(double shards, boolean isLeading) {
+    budget.allot(shards, isLeading);
+  }
+
+  /**
+   * The greatest age, in milliseconds, of what an owner knows of confirmed cancellations while it
+   * renews workers' leases.
+   */
+  public long evidenceMs() {
+    return cancellationEvidence.maxAgeMs();
   }
 
+  /** Whether the platform leaves enough time between the lease and the end of cancelled tasks. */
+  public boolean cancelsInTime() {
+    return cancellationEvidence.isSafe();
+  }
+
+  // ---- outputs -----------------------------------------------------------------------------
+
+  /** Answers a request. */
   public void reply(long reply, int status, JsonNode body) {
-    out.add(new Output.Reply(reply, status, body, 0));
+    outputs.reply(reply, status, body, 0);
   }
 
+  /** Answers a request, which may be repeated after so many seconds. */
   public void replyLater(long reply, int status, JsonNode body, int retryAfterS) {
-    out.add(new Output.Reply(reply, status, body, retryAfterS));
+    outputs.reply(reply, status, body, retryAfterS);
   }
 
+  /** Logs an event of normal service. */
   public void info(String format, Object... args) {
-    out.add(new Output.Log(Output.Level.INFO, String.format(format, args)));
+    outputs.log(Output.Level.INFO, String.format(format, args));
   }
 
+  /** Logs an event that somebody should look at. */
   public void error(String format, Object... args) {
-    out.add(new Output.Log(Output.Level.ERROR, String.format(format, args)));
+    outputs.log(Output.Level.ERROR, String.format(format, args));
   }
 
   /** A key of the state service holds nothing that this version reads; it is left alone. */
   public void unreadable(String key) {
-    refused("state.unreadable", "the value of " + key + " makes no sense, left alone");
+    refused("state.unreadable", "store.value.unreadable key=" + key);
   }
 
   /** Something from outside was refused: counted, and logged at a bounded rate. */
-  public void refused(String metric, String what) {
-    count(metric);
-    if (now.since(refusalToldAt.getOrDefault(metric, MonotonicTime.NEVER)) >= REFUSAL_PAUSE_MS) {
-      refusalToldAt.put(metric, now);
-      error("%s", what);
-    }
+  public void refused(String metric, String event) {
+    outputs.refused(metric, event, now);
   }
 
+  /** Raises a counter by one. */
   public void count(String metric) {
-    count(metric, 1);
+    outputs.count(metric, 1);
   }
 
+  /** Raises a counter. */
   public void count(String metric, long by) {
-    out.add(new Output.Count(metric, by));
+    outputs.count(metric, by);
   }
 
-  public void gauge(String metric, double v) {
-    out.add(new Output.Gauge(metric, v));
+  /** Sets a gauge. */
+  public void gauge(String metric, double value) {
+    outputs.gauge(metric, value);
   }
 }
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/step/StoreBudget.java
@@ -0,0 +1,76 @@
+package shorecrank.coordination.step;
+
+import shorecrank.config.NodeConfig;
+import shorecrank.storage.RateLimiter;
+
+/**
+ * How many requests and changes this controller may send to the state service.
+ *
+ * <p>Bounds hold per process, with room for the others' part of the service. What users wait for is
+ * not bound by the part: it comes in bursts, at one controller more than at others, and the service
+ * itself says when it is too much.
+ */
+final class StoreBudget {
+  /** The part of all requests that is divided evenly among the controllers. */
+  private static final double EVEN_REQUESTS = 0.55;
+
+  /** The part of all requests that goes with the shards. */
+  private static final double SHARD_REQUESTS = 0.4;
+
+  private static final double EVEN_WRITES = 0.1;
+  private static final double SHARD_WRITES = 0.75;
+  private static final double LEADER_WRITES = 0.05;
+
+  private final double allRequests;
+  private final double allWrites;
+  private final int controllers;
+  private final RateLimiter requests;
+  private final RateLimiter writes;
+  private final RateLimiter userWrites;
+
+  /** Creates the budget of a controller that neither owns shards nor leads. */
+  StoreBudget(NodeConfig config) {
+    this.allRequests = config.state().rps();
+    this.allWrites = config.state().writeRps();
+    this.controllers = Math.max(1, config.members().size() + 1);
+    this.requests = new RateLimiter(allRequests);
+    this.writes = new RateLimiter(allWrites);
+    this.userWrites = new RateLimiter(allWrites);
+    allot(0, false);
+  }
+
+  /**
+   * Allots this controller its part.
+   *
+   * @param shards the part of all shards that it owns, from 0 to 1
+   */
+  void allot(double shards, boolean isLeading) {
+    requests.rate(allRequests * (EVEN_REQUESTS / controllers + SHARD_REQUESTS * shards));
+    writes.rate(
+        allWrites
+            * (EVEN_WRITES / controllers
+                + SHARD_WRITES * shards
+                + (isLeading ? LEADER_WRITES : 0)));
+  }
+
+  /** The service has refused a request as too many: what was counted on is not there. */
+  void drain() {
+    requests.drain();
+    writes.drain();
+  }
+
+  /** All requests. */
+  RateLimiter requests() {
+    return requests;
+  }
+
+  /** Changes that nobody waits for. */
+  RateLimiter writes() {
+    return writes;
+  }
+
+  /** Changes that users wait for. */
+  RateLimiter userWrites() {
+    return userWrites;
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/coordination/step/StoreReachability.java
@@ -0,0 +1,53 @@
+package shorecrank.coordination.step;
+
+import shorecrank.protocol.Ids.MonotonicTime;
+
+/** When the state service has answered this controller. */
+final class StoreReachability {
+  private static final int NO_ANSWER = 0;
+  private static final int FIRST_SERVER_ERROR = 500;
+
+  private final int freshMs;
+  private MonotonicTime answeredAt = MonotonicTime.NEVER;
+  private MonotonicTime reachableSince = MonotonicTime.NEVER;
+
+  /**
+   * Creates the state before the first answer.
+   *
+   * @param freshMs for how many milliseconds an answer shows that the service is reachable
+   */
+  StoreReachability(int freshMs) {
+    this.freshMs = freshMs;
+  }
+
+  /**
+   * Takes the status of an answer.
+   *
+   * @return whether it shows that the service works, also if it refuses a request
+   */
+  boolean observe(int status, MonotonicTime now) {
+    if (status == NO_ANSWER || status >= FIRST_SERVER_ERROR) {
+      return false;
+    }
+    if (!isReachable(now)) {
+      reachableSince = now;
+    }
+    answeredAt = now;
+    return true;
+  }
+
+  /** Whether the service has answered lately. */
+  boolean isReachable(MonotonicTime now) {
+    return now.since(answeredAt) < freshMs;
+  }
+
+  /** When the service last answered; NEVER if it has not. */
+  MonotonicTime answeredAt() {
+    return answeredAt;
+  }
+
+  /** When the service began to answer again after it had not, or first. */
+  MonotonicTime reachableSince() {
+    return reachableSince;
+  }
+}
