--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -1,7 +1,7 @@
 package shorecrank.coordination.request;
 
 import shorecrank.coordination.model.CancellationLog;
-import shorecrank.coordination.request.JobRecordTransactions.Form;
+import shorecrank.coordination.request.JobChangeCodec.Form;
 import shorecrank.coordination.request.StoredJob.Unfinished;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
@@ -19,7 +19,7 @@
   private final JobLookup jobs;
   private final KnownJobReplies knownJobs;
   private final UserReplies replies;
-  private final JobRecordTransactions transactions;
+  private final JobChangeCodec codec;
 
   /** Creates the handler of one controller. */
   public CancellationHandler(
@@ -29,7 +29,7 @@
     this.jobs = jobs;
     this.knownJobs = new KnownJobReplies(cancellations, replies);
     this.replies = replies;
-    this.transactions = new JobRecordTransactions(context);
+    this.codec = new JobChangeCodec(context);
   }
 
   /** Cancels the job of that name, which need not be one that a job can have. */
@@ -75,7 +75,7 @@
     context
         .store()
         .commit(
-            transactions.cancel(id, job, form),
+            codec.cancel(id, job, form),
             COMMIT_TIMEOUT_MS,
             result -> marked(request, id, job, form, attemptsLeft, result));
   }
--- a/src/main/java/shorecrank/coordination/request/JobRecordTransactions.java
+++ b/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
@@ -15,8 +15,8 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.JobRecord;
 
-/** The transactions by which users' requests change job records. */
-final class JobRecordTransactions {
+/** Encodes the changes of job records that users ask for, as transactions of the state service. */
+final class JobChangeCodec {
   /** What an owner adds to a record with its first placement, at the most. */
   private static final int OWNER_BYTES = 256;
 
@@ -33,7 +33,7 @@
     COMPACT
   }
 
-  JobRecordTransactions(StepContext context) {
+  JobChangeCodec(StepContext context) {
     this.context = context;
   }
 
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -1,13 +1,13 @@
 package shorecrank.coordination.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.function.Function;
 import java.util.function.Predicate;
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.MessageEncoder;
+import shorecrank.protocol.OperatorRequests;
 import shorecrank.protocol.RolloutMessages;
 
 /**
@@ -46,7 +46,11 @@
     this.option = option;
   }
 
-  /** Whether the feature is enabled here; if not, the request is refused. */
+  /**
+   * Refuses the request if the feature is not enabled here.
+   *
+   * @return whether it is enabled, so that the request has yet to be answered
+   */
   boolean requireEnabled(Input.Request request) {
     if (!isEnabled) {
       context.reply(
@@ -73,7 +77,7 @@
       here.run();
     } else if (leader == null || leader.equals(context.config.label())) {
       unknown(request, "no controller leads now");
-    } else if (RolloutMessages.isForwarded(Json.parse(request.body()))) {
+    } else if (OperatorRequests.isForwarded(request.body())) {
       unknown(request, context.config.label() + " does not lead any more");
     } else {
       forward(request, path, leader);
@@ -86,7 +90,7 @@
         .forward(
             leader,
             path,
-            RolloutMessages.forwarded(Json.parse(request.body())),
+            OperatorRequests.forwarded(request.body()),
             FORWARD_TIMEOUT_MS,
             request.reply(),
             status -> status != NO_ANSWER && status != NOT_FOUND,
@@ -110,12 +114,11 @@
    * @param status null if the leader can't read it
    * @param subject what it then can't read
    */
-  <S> void replyStatus(
-      Input.Request request, S status, Function<S, ? extends JsonNode> write, String subject) {
+  <S> void replyStatus(Input.Request request, S status, MessageEncoder<S> encoder, String subject) {
     if (status == null) {
       unknown(request, "the leader, " + context.config.label() + ", can't read the " + subject);
     } else {
-      context.reply(request.reply(), OK, write.apply(status));
+      context.reply(request.reply(), OK, encoder.encode(status));
     }
   }
 
@@ -125,15 +128,12 @@
    * @param outcome null if that is not known
    */
   <T> void replyOutcome(
-      Input.Request request,
-      T outcome,
-      Predicate<T> isAccepted,
-      Function<T, ? extends JsonNode> write) {
+      Input.Request request, T outcome, Predicate<T> isAccepted, MessageEncoder<T> encoder) {
     if (outcome == null) {
       unknown(request, "the leader is busy or got no answer: send the same order again");
     } else {
       int status = isAccepted.test(outcome) ? OK : CONFLICT;
-      context.reply(request.reply(), status, write.apply(outcome));
+      context.reply(request.reply(), status, encoder.encode(outcome));
     }
   }
 
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -1,6 +1,5 @@
 package shorecrank.coordination.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
@@ -9,6 +8,8 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.coordination.step.StorePages;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.OperatorRequests;
+import shorecrank.protocol.OperatorRequests.KeysQuery;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.Order;
 import shorecrank.rollout.ArchiveKeys;
@@ -80,22 +81,24 @@
     if (!leader.requireEnabled(request)) {
       return;
     }
-    JsonNode message = Json.parse(request.body());
-    String prefix = RolloutMessages.keysPrefix(message);
-    String after = RolloutMessages.keysAfter(message);
-    boolean isPlain = KEY_CHARACTERS.matcher(prefix + after).matches();
-    if (!isPlain || READABLE_PREFIXES.stream().noneMatch(prefix::startsWith)) {
+    KeysQuery query = OperatorRequests.readKeysQuery(request.body());
+    if (!isReadable(query)) {
       context.reply(
           request.reply(), BAD_REQUEST, Json.error("prefix must be one of " + READABLE_PREFIXES));
       return;
     }
     pages.forward(
-        prefix,
-        after,
+        query.prefix(),
+        query.after(),
         PAGE_KEYS,
         READ_TIMEOUT_MS,
         request.reply(),
         () ->
             leader.unknown(request, context.config.label() + " does not reach the state service"));
   }
+
+  private static boolean isReadable(KeysQuery query) {
+    return KEY_CHARACTERS.matcher(query.prefix() + query.after()).matches()
+        && READABLE_PREFIXES.stream().anyMatch(query.prefix()::startsWith);
+  }
 }
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -29,7 +29,7 @@
   private final UserReplies replies;
   private final SubmissionRules rules;
   private final DependencyAdmission dependencies;
-  private final JobRecordTransactions transactions;
+  private final JobChangeCodec codec;
 
   /** A submission whose record can be written. */
   private record Submission(UserRequest request, JobSpec spec, Transaction creation) {
@@ -48,7 +48,7 @@
     this.replies = replies;
     this.rules = new SubmissionRules(context);
     this.dependencies = new DependencyAdmission(context, jobs);
-    this.transactions = new JobRecordTransactions(context);
+    this.codec = new JobChangeCodec(context);
   }
 
   /** The types of machines that can be rented have been read. */
@@ -75,7 +75,7 @@
     } else if (!context.stateOk()) {
       replies.storeUnavailable(request);
     } else {
-      Optional<Transaction> creation = transactions.create(spec);
+      Optional<Transaction> creation = codec.create(spec);
       if (creation.isEmpty()) {
         refuse(request, spec, TOO_LARGE);
       } else {
