--- /dev/null
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -0,0 +1,103 @@
+package shorecrank.coordination.step;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.config.NodeConfig;
+import shorecrank.config.NodeConfig.Workers;
+import shorecrank.protocol.Ids.MonotonicTime;
+
+/** Time limits, budgets and refusals as the parts of the state machine see them. */
+class StepContextTest {
+  private final StepDriver driver = new StepDriver();
+  private final StepContext context = driver.context();
+
+  private void readAndAnswer(int status) {
+    driver.now(() -> context.store().read("k", 1000, result -> {}));
+    driver.answer(status);
+  }
+
+  @ParameterizedTest
+  @CsvSource({"200, true", "404, true", "429, true", "500, false", "503, false", "0, false"})
+  void anAnswerOfTheServiceShowsThatItWorks(int status, boolean isReachable) {
+    readAndAnswer(status);
+    assertEquals(isReachable, context.stateOk());
+  }
+
+  @Test
+  void theServiceIsReachableForAsLongAsTheSettingsSay() {
+    readAndAnswer(200);
+    driver.after(StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.stateOk()));
+    driver.after(1, () -> assertFalse(context.stateOk()));
+    driver.after(500, () -> {});
+    readAndAnswer(200);
+    assertEquals(
+        new MonotonicTime(StepDriver.SETTINGS.stateFreshMs() + 500), context.stateOkSince());
+  }
+
+  @Test
+  void aRefusalForLoadEmptiesTheBudgetsOfThisController() {
+    driver.now(() -> assertTrue(context.requests.has(1, context.now())));
+    readAndAnswer(429);
+    driver.now(
+        () -> {
+          assertFalse(context.requests.has(1, context.now()));
+          assertFalse(context.writes.has(1, context.now()));
+          assertTrue(context.userWrites.has(1, context.now()));
+        });
+  }
+
+  @Test
+  void aSecondAnswerToACallIsIgnored() {
+    int[] answers = {0};
+    driver.now(() -> context.store().read("k", 1000, result -> answers[0]++));
+    Output.Call call = driver.openCalls().get(0);
+    driver.answer(404);
+    driver.now(() -> context.answered(new Input.Answer(call.call(), 404, null)));
+    assertEquals(1, answers[0]);
+  }
+
+  /** The lease is 30 s; 0.2% and half a second go off what is left of {@code cancel_s}. */
+  @ParameterizedTest
+  @CsvSource({"60, 29440, true", "40, 9480, true", "39, 9000, false", "30, 9000, false"})
+  void knowledgeOfCancellationsMayBeAsOldAsTheLeaseAllows(
+      double cancelS, long maxAgeMs, boolean isSafe) {
+    NodeConfig config = StepDriver.CONFIG;
+    CancellationEvidence evidence =
+        new CancellationEvidence(
+            new NodeConfig(
+                config.label(),
+                config.zone(),
+                config.publicAddr(),
+                config.peerBind(),
+                config.members(),
+                config.cloudAddr(),
+                config.stateAddr(),
+                config.teams(),
+                config.objectives(),
+                new Workers(4, 30, cancelS),
+                config.state(),
+                config.cloud(),
+                config.limits()));
+    assertEquals(maxAgeMs, evidence.maxAgeMs());
+    assertEquals(isSafe, evidence.isSafe());
+  }
+
+  @Test
+  void refusalsOfOneKindAreCountedAndLoggedAtABoundedRate() {
+    assertEquals(List.of("Count", "Log"), refuse(0));
+    assertEquals(List.of("Count"), refuse(4999));
+    assertEquals(List.of("Count", "Log"), refuse(5000));
+  }
+
+  private List<String> refuse(long atMs) {
+    context.begin(new MonotonicTime(atMs), atMs, 1);
+    context.refused("report.malformed", "worker.heartbeat.malformed");
+    return context.end().stream().map(output -> output.getClass().getSimpleName()).toList();
+  }
+}
--- /dev/null
+++ b/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
@@ -0,0 +1,103 @@
+package shorecrank.coordination.step;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.Json;
+import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.storage.CommitResult;
+import shorecrank.storage.ListResult;
+import shorecrank.storage.ReadResult;
+import shorecrank.storage.StateStore;
+import shorecrank.storage.WatchResult;
+
+/** What the statuses of the state service mean, call by call. */
+class StepStateStoreTest {
+  private static final int TIMEOUT_MS = 1000;
+
+  private final StepDriver driver = new StepDriver();
+  private final StateStore store = driver.context().store();
+
+  private CommitResult commit(int status, String body) {
+    return driver.resultOf(
+        then -> store.commit(new Transaction().drop("k"), TIMEOUT_MS, then),
+        status,
+        Json.parse(body.getBytes()));
+  }
+
+  private ReadResult read(int status, String body) {
+    return driver.resultOf(
+        then -> store.read("k", TIMEOUT_MS, then), status, Json.parse(body.getBytes()));
+  }
+
+  @Test
+  void aCommittedTransactionHasItsRevision() {
+    assertEquals(new CommitResult.Committed(new Revision(7)), commit(200, "{\"ledgerRev\":7}"));
+  }
+
+  @Test
+  void aConflictNamesTheGuardsThatDidNotHold() {
+    assertEquals(
+        new CommitResult.Conflict(Set.of("a", "b")), commit(409, "{\"failed\":[\"a\",\"b\"]}"));
+  }
+
+  @Test
+  void aTransactionThatIsTooLargeKeepsTheAnswer() {
+    assertEquals(
+        new CommitResult.TooLarge("{\"error\":\"size\"}"), commit(400, "{\"error\":\"size\"}"));
+  }
+
+  @ParameterizedTest
+  @CsvSource({"429, true", "503, true", "0, false", "500, false", "502, false"})
+  void onlyARefusalForLoadIsSurelyNotCarriedOut(int status, boolean isRefused) {
+    CommitResult expected =
+        isRefused ? new CommitResult.Refused(status) : new CommitResult.Unknown(status);
+    assertEquals(expected, commit(status, ""));
+  }
+
+  @Test
+  void aKeyThatIsReadHasValueAndRevision() {
+    ReadResult result = read(200, "{\"k\":\"k\",\"data\":3,\"stamp\":9}");
+    ReadResult.Found found = (ReadResult.Found) result;
+    assertEquals(3, found.entry().value().intValue());
+    assertEquals(new Revision(9), found.entry().revision());
+  }
+
+  @Test
+  void onlyNotFoundMeansThatAKeyIsAbsent() {
+    assertEquals(new ReadResult.Absent(), read(404, ""));
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {0, 400, 429, 500, 503})
+  void otherAnswersToReadsTellNothing(int status) {
+    assertEquals(new ReadResult.Unavailable(status), read(status, ""));
+  }
+
+  @Test
+  void aPageTellsWhetherMoreFollows() {
+    ListResult result =
+        driver.resultOf(
+            then -> store.list("p/", "p/a", 2, TIMEOUT_MS, then),
+            200,
+            Json.parse("{\"entries\":[],\"ledgerRev\":5,\"truncated\":true}".getBytes()));
+    assertEquals(new ListResult.Page(List.of(), 5, true), result);
+  }
+
+  @ParameterizedTest
+  @CsvSource({"410, true", "404, false", "0, false", "503, false"})
+  void onlyGoneMeansThatChangesAreCompacted(int status, boolean isCompacted) {
+    WatchResult expected =
+        isCompacted ? new WatchResult.Compacted() : new WatchResult.Unavailable(status);
+    assertEquals(
+        expected,
+        driver.<WatchResult>resultOf(
+            then -> store.watch("p/", 5, TIMEOUT_MS, then), status, Json.parse(null)));
+  }
+}
