--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -1,5 +1,8 @@
 package shorecrank.coordination;
 
+import static shorecrank.protocol.HttpStatus.OK;
+import static shorecrank.protocol.HttpStatus.UNAVAILABLE;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -10,13 +13,8 @@
 import shorecrank.coordination.leader.Leader;
 import shorecrank.coordination.leader.StepLeaderEnvironment;
 import shorecrank.coordination.model.CancellationLog;
-import shorecrank.coordination.request.CancellationHandler;
-import shorecrank.coordination.request.JobLookup;
 import shorecrank.coordination.request.RolloutRequestHandler;
 import shorecrank.coordination.request.ShareRequestHandler;
-import shorecrank.coordination.request.StatusHandler;
-import shorecrank.coordination.request.SubmissionHandler;
-import shorecrank.coordination.request.UserReplies;
 import shorecrank.coordination.request.UserRequest;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.Output;
@@ -45,8 +43,6 @@
 public final class ControllerStateMachine {
   private static final String HEALTH_PATH = "/healthz";
   private static final String WORKER_HEARTBEAT_PATH = "/v1/report";
-  private static final int OK = 200;
-  private static final int UNAVAILABLE = 503;
 
   /** A state service that has not answered for this long is probed. */
   private static final int PROBE_IDLE_MS = 900;
@@ -65,7 +61,6 @@
   private final OwnerTable owners;
   private final OwnedShards shards;
   private final MachineTypeCatalog catalog;
-  private final SubmissionHandler submissions;
   private final HeartbeatExchange heartbeats;
   private final WorkerHeartbeatRouter workers;
   private final StatusQueryForwarder statusQueries;
@@ -114,17 +109,10 @@
     catalog = new MachineTypeCatalog(context, election, this::catalogUpdated);
     health = new HealthCheck(context, catalog, peerReachability);
     methods = new MethodGuard(context);
-    JobLookup jobs = new JobLookup(context, cancellations);
     RequestForwarder forwarder = new RequestForwarder(context, election, peerReachability);
-    UserReplies replies = new UserReplies(context, forwarder::forward);
-    submissions = new SubmissionHandler(context, cancellations, jobs, replies);
     users =
         new UserRequestRouter(
-            context,
-            methods,
-            submissions,
-            new CancellationHandler(context, cancellations, jobs, replies),
-            new StatusHandler(context, cancellations, jobs, replies, statusQueries::query));
+            context, methods, cancellations, forwarder::forward, statusQueries::query);
     peers =
         new PeerRequestRouter(
             context,
@@ -254,7 +242,7 @@
   }
 
   private void catalogUpdated(Map<String, MachineType> types) {
-    submissions.updateCatalog(types);
+    users.updateCatalog(types);
     leader.updateCatalog(types);
     shards.updateCatalog(types);
   }
--- a/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
+++ b/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination;
 
+import static shorecrank.protocol.HttpStatus.OK;
+
 import java.util.Map;
 import java.util.function.Consumer;
 import shorecrank.coordination.leader.Election;
@@ -86,7 +88,7 @@
         (status, body) -> {
           isBusy = false;
           Map<String, MachineType> read =
-              status == 200 ? CloudMessages.catalog(body) : Map.<String, MachineType>of();
+              status == OK ? CloudMessages.catalog(body) : Map.<String, MachineType>of();
           if (read.isEmpty()) {
             nextAt = context.now().plus(RETRY_MS);
             return;
--- a/src/main/java/shorecrank/coordination/MethodGuard.java
+++ b/src/main/java/shorecrank/coordination/MethodGuard.java
@@ -1,12 +1,12 @@
 package shorecrank.coordination;
 
+import static shorecrank.protocol.HttpStatus.METHOD_NOT_ALLOWED;
+
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Json;
 
 /** Refuses requests whose method a path does not take. */
 final class MethodGuard {
-  private static final int METHOD_NOT_ALLOWED = 405;
-
   private final StepContext context;
 
   MethodGuard(StepContext context) {
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -1,5 +1,10 @@
 package shorecrank.coordination;
 
+import static shorecrank.protocol.HttpStatus.BAD_REQUEST;
+import static shorecrank.protocol.HttpStatus.NOT_FOUND;
+import static shorecrank.protocol.HttpStatus.OK;
+import static shorecrank.protocol.HttpStatus.UNAVAILABLE;
+
 import shorecrank.coordination.leader.Leader;
 import shorecrank.coordination.model.CancellationLog;
 import shorecrank.coordination.request.RolloutRequestHandler;
@@ -20,10 +25,6 @@
 /** Finds the handler of a request on the peer address: of another controller or an operator. */
 final class PeerRequestRouter {
   private static final String POST = "POST";
-  private static final int OK = 200;
-  private static final int BAD_REQUEST = 400;
-  private static final int NOT_FOUND = 404;
-  private static final int UNAVAILABLE = 503;
 
   private final StepContext context;
   private final MethodGuard methods;
--- a/src/main/java/shorecrank/coordination/RequestForwarder.java
+++ b/src/main/java/shorecrank/coordination/RequestForwarder.java
@@ -1,5 +1,11 @@
 package shorecrank.coordination;
 
+import static shorecrank.protocol.HttpStatus.BAD_REQUEST;
+import static shorecrank.protocol.HttpStatus.CREATED;
+import static shorecrank.protocol.HttpStatus.NOT_FOUND;
+import static shorecrank.protocol.HttpStatus.OK;
+import static shorecrank.protocol.HttpStatus.UNPROCESSABLE;
+
 import java.util.List;
 import shorecrank.config.NodeConfig.Member;
 import shorecrank.coordination.leader.Election;
@@ -63,7 +69,7 @@
   /** Whether an answer of this status would be the same from any controller. */
   private static boolean isFinal(int status) {
     return switch (status) {
-      case 200, 201, 400, 404, 422 -> true;
+      case OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE -> true;
       default -> false;
     };
   }
--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination;
 
+import static shorecrank.protocol.HttpStatus.OK;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -22,7 +24,6 @@
  */
 final class StatusQueryForwarder {
   private static final int QUERY_TIMEOUT_MS = 700;
-  private static final int OK = 200;
 
   private final StepContext context;
   private final OwnerTable owners;
--- a/src/main/java/shorecrank/coordination/UserRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/UserRequestRouter.java
@@ -1,10 +1,17 @@
 package shorecrank.coordination;
 
+import static shorecrank.protocol.HttpStatus.NOT_FOUND;
+
+import java.util.Map;
+import shorecrank.coordination.model.CancellationLog;
 import shorecrank.coordination.request.CancellationHandler;
+import shorecrank.coordination.request.JobLookup;
 import shorecrank.coordination.request.StatusHandler;
 import shorecrank.coordination.request.SubmissionHandler;
+import shorecrank.coordination.request.UserReplies;
 import shorecrank.coordination.request.UserRequest;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Json;
 
 /** Finds the handler of a user's request by its path. */
@@ -12,7 +19,6 @@
   private static final String JOBS = "/api/jobs";
   private static final String JOB_PREFIX = JOBS + "/";
   private static final String CANCEL_SUFFIX = "/abort";
-  private static final int NOT_FOUND = 404;
 
   private final StepContext context;
   private final MethodGuard methods;
@@ -20,17 +26,30 @@
   private final CancellationHandler cancellations;
   private final StatusHandler statuses;
 
+  /**
+   * Creates the router and the handlers behind it.
+   *
+   * @param forwarder passes requests on while this controller does not reach the state service
+   * @param owners asks shard owners where jobs stand
+   */
   UserRequestRouter(
       StepContext context,
       MethodGuard methods,
-      SubmissionHandler submissions,
-      CancellationHandler cancellations,
-      StatusHandler statuses) {
+      CancellationLog cancellationLog,
+      UserReplies.Forwarder forwarder,
+      StatusHandler.OwnerQuery owners) {
     this.context = context;
     this.methods = methods;
-    this.submissions = submissions;
-    this.cancellations = cancellations;
-    this.statuses = statuses;
+    JobLookup jobs = new JobLookup(context, cancellationLog);
+    UserReplies replies = new UserReplies(context, forwarder);
+    this.submissions = new SubmissionHandler(context, cancellationLog, jobs, replies);
+    this.cancellations = new CancellationHandler(context, cancellationLog, jobs, replies);
+    this.statuses = new StatusHandler(context, cancellationLog, jobs, replies, owners);
+  }
+
+  /** The types of machines that can be rented have been read. */
+  void updateCatalog(Map<String, MachineType> types) {
+    submissions.updateCatalog(types);
   }
 
   /** Has the request answered, now or later. */
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -1,5 +1,9 @@
 package shorecrank.coordination;
 
+import static shorecrank.protocol.HttpStatus.BAD_REQUEST;
+import static shorecrank.protocol.HttpStatus.MISDIRECTED;
+import static shorecrank.protocol.HttpStatus.UNAVAILABLE;
+
 import java.util.ArrayList;
 import java.util.List;
 import shorecrank.coordination.leader.Election;
@@ -19,10 +23,6 @@
  * a redirect, or held until this process knows where it belongs.
  */
 final class WorkerHeartbeatRouter {
-  private static final int BAD_REQUEST = 400;
-  private static final int MISDIRECTED = 421;
-  private static final int UNAVAILABLE = 503;
-
   /** So long after its start a process may not know yet where heartbeats belong. */
   private static final int STARTING_MS = 8000;
 
--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination.request;
 
+import static shorecrank.protocol.HttpStatus.NO_ANSWER;
+
 import shorecrank.coordination.model.CancellationLog;
 import shorecrank.coordination.request.JobChangeCodec.Form;
 import shorecrank.coordination.request.StoredJob.Unfinished;
@@ -45,7 +47,7 @@
 
   private void cancel(UserRequest request, JobId id, int attemptsLeft) {
     if (attemptsLeft == 0) {
-      replies.later(request, "busy");
+      replies.later(request, RetryReason.RECORD_CONTENDED);
       return;
     }
     jobs.find(
@@ -67,7 +69,7 @@
     } else if (context.userWrites.tryTake(1, context.now())) {
       mark(request, id, unfinished, Form.PLAIN, attemptsLeft);
     } else {
-      replies.outOfWrites(request);
+      replies.later(request, RetryReason.NO_WRITES_LEFT);
     }
   }
 
@@ -92,7 +94,7 @@
       cancellations.confirmed(id);
       replies.state(request, id, JobState.CANCELLED);
     } else if (result instanceof CommitResult.Conflict
-        || (result instanceof CommitResult.Unknown unknown && unknown.status() == 0)) {
+        || (result instanceof CommitResult.Unknown unknown && unknown.status() == NO_ANSWER)) {
       // Changed meanwhile, or not known: look again and write behind what is there now.
       cancel(request, id, attemptsLeft - 1);
     } else if (result instanceof CommitResult.TooLarge && form == Form.PLAIN) {
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -1,5 +1,12 @@
 package shorecrank.coordination.request;
 
+import static shorecrank.protocol.HttpStatus.BAD_REQUEST;
+import static shorecrank.protocol.HttpStatus.CONFLICT;
+import static shorecrank.protocol.HttpStatus.NOT_FOUND;
+import static shorecrank.protocol.HttpStatus.NO_ANSWER;
+import static shorecrank.protocol.HttpStatus.OK;
+import static shorecrank.protocol.HttpStatus.UNAVAILABLE;
+
 import java.util.function.Predicate;
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.step.Input;
@@ -16,13 +23,7 @@
  */
 final class LeaderForwarder {
   private static final int FORWARD_TIMEOUT_MS = 3000;
-  private static final int OK = 200;
-  private static final int BAD_REQUEST = 400;
-  private static final int NOT_FOUND = 404;
-  private static final int CONFLICT = 409;
-  private static final int UNAVAILABLE = 503;
   private static final int RETRY_AFTER_S = 1;
-  private static final int NO_ANSWER = 0;
 
   private final StepContext context;
   private final Election election;
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination.request;
 
+import static shorecrank.protocol.HttpStatus.BAD_REQUEST;
+
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
@@ -19,7 +21,6 @@
 public final class RolloutRequestHandler {
   private static final int READ_TIMEOUT_MS = 2000;
   private static final int PAGE_KEYS = 200;
-  private static final int BAD_REQUEST = 400;
 
   /** What keys of the service consist of, so that none can change the path of the request. */
   private static final Pattern KEY_CHARACTERS = Pattern.compile("[A-Za-z0-9/._-]+");
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination.request;
 
+import static shorecrank.protocol.HttpStatus.NO_ANSWER;
+
 import java.util.Map;
 import java.util.Optional;
 import shorecrank.coordination.model.CancellationLog;
@@ -66,7 +68,7 @@
       return;
     }
     if (!rules.isReady()) {
-      replies.later(request, "machine types are not known yet");
+      replies.later(request, RetryReason.NO_MACHINE_TYPES);
       return;
     }
     Optional<String> obstacle = rules.findObstacle(spec);
@@ -95,12 +97,12 @@
         JobState state = accepted.hasCancelled() ? JobState.CANCELLED : JobState.QUEUED;
         create(submission, state, CREATE_ATTEMPTS);
       } else {
-        replies.outOfWrites(submission.request);
+        replies.later(submission.request, RetryReason.NO_WRITES_LEFT);
       }
     } else if (result instanceof Result.NeverAccepted never) {
       refuse(submission.request, submission.spec, "needs a job never accepted: " + never.id());
     } else if (result instanceof Result.OutOfBudget) {
-      replies.outOfRequests(submission.request);
+      replies.later(submission.request, RetryReason.NO_REQUESTS_LEFT);
     } else if (result instanceof Result.Unknown) {
       replies.storeUnavailable(submission.request);
     }
@@ -138,14 +140,14 @@
   }
 
   private static boolean isUnanswered(CommitResult result) {
-    return result instanceof CommitResult.Unknown unknown && unknown.status() == 0;
+    return result instanceof CommitResult.Unknown unknown && unknown.status() == NO_ANSWER;
   }
 
   private void answerExisting(Submission submission, LookupResult result) {
     if (result instanceof LookupResult.Found found) {
       knownJobs.state(submission.request, submission.id(), found.job());
     } else if (result instanceof LookupResult.Absent) {
-      replies.later(submission.request, "try again");
+      replies.later(submission.request, RetryReason.JOB_MOVED);
     } else {
       replies.storeUnavailable(submission.request);
     }
--- a/src/main/java/shorecrank/coordination/request/UserReplies.java
+++ b/src/main/java/shorecrank/coordination/request/UserReplies.java
@@ -1,5 +1,12 @@
 package shorecrank.coordination.request;
 
+import static shorecrank.protocol.HttpStatus.BAD_REQUEST;
+import static shorecrank.protocol.HttpStatus.CREATED;
+import static shorecrank.protocol.HttpStatus.NOT_FOUND;
+import static shorecrank.protocol.HttpStatus.OK;
+import static shorecrank.protocol.HttpStatus.UNAVAILABLE;
+import static shorecrank.protocol.HttpStatus.UNPROCESSABLE;
+
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Json;
@@ -9,17 +16,8 @@
 
 /** Answers to users, and what happens when this controller can't give one. */
 public final class UserReplies {
-  private static final int OK = 200;
-  private static final int CREATED = 201;
-  private static final int BAD_REQUEST = 400;
-  private static final int NOT_FOUND = 404;
-  private static final int UNPROCESSABLE = 422;
-  private static final int UNAVAILABLE = 503;
   private static final int RETRY_AFTER_S = 1;
   private static final String NO_SUCH_JOB = "no such job";
-  private static final String STORE_UNAVAILABLE = "state service unavailable";
-  private static final String NO_REQUESTS_LEFT = "state requests are used up";
-  private static final String NO_WRITES_LEFT = "state changes are used up";
 
   private final StepContext context;
   private final Forwarder forwarder;
@@ -72,20 +70,10 @@
     context.reply(request.reply(), UNPROCESSABLE, Json.error(reason));
   }
 
-  /** The user is to repeat the request; the reason is also the end of a metric's name. */
-  void later(UserRequest request, String reason) {
-    context.count("user.refused." + reason.replace(' ', '_'));
-    context.replyLater(request.reply(), UNAVAILABLE, Json.error(reason), RETRY_AFTER_S);
-  }
-
-  /** The budget of state requests is used up. */
-  void outOfRequests(UserRequest request) {
-    later(request, NO_REQUESTS_LEFT);
-  }
-
-  /** The budget of state changes is used up. */
-  void outOfWrites(UserRequest request) {
-    later(request, NO_WRITES_LEFT);
+  /** The user is to repeat the request. */
+  void later(UserRequest request, RetryReason reason) {
+    context.count(reason.metric());
+    context.replyLater(request.reply(), UNAVAILABLE, Json.error(reason.text()), RETRY_AFTER_S);
   }
 
   /**
@@ -94,8 +82,8 @@
    */
   void storeUnavailable(UserRequest request) {
     if (request.isForwarded()
-        || !forwarder.forward(request, () -> later(request, STORE_UNAVAILABLE))) {
-      later(request, STORE_UNAVAILABLE);
+        || !forwarder.forward(request, () -> later(request, RetryReason.STORE_UNAVAILABLE))) {
+      later(request, RetryReason.STORE_UNAVAILABLE);
     }
   }
 
@@ -108,7 +96,7 @@
     if (context.requests.has(1, context.now())) {
       return true;
     }
-    outOfRequests(request);
+    later(request, RetryReason.NO_REQUESTS_LEFT);
     return false;
   }
 }
--- a/src/main/java/shorecrank/coordination/step/PeerClient.java
+++ b/src/main/java/shorecrank/coordination/step/PeerClient.java
@@ -1,5 +1,8 @@
 package shorecrank.coordination.step;
 
+import static shorecrank.protocol.HttpStatus.OK;
+import static shorecrank.protocol.HttpStatus.UNAVAILABLE;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Collection;
 import java.util.Map;
@@ -20,9 +23,6 @@
  * its result comes in a later step, exactly once.
  */
 public final class PeerClient {
-  private static final int OK = 200;
-  private static final int UNAVAILABLE = 503;
-
   private final StepContext context;
 
   PeerClient(StepContext context) {
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -1,5 +1,8 @@
 package shorecrank.coordination.step;
 
+import static shorecrank.protocol.HttpStatus.NO_ANSWER;
+import static shorecrank.protocol.HttpStatus.TOO_MANY_REQUESTS;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -18,8 +21,6 @@
  * random numbers are those of the step under way.
  */
 public final class StepContext {
-  private static final int TOO_MANY_REQUESTS = 429;
-  private static final int NO_ANSWER = 0;
   private static final String CHANGES_FIELD = "apply";
 
   /** The service's configuration. */
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -1,5 +1,11 @@
 package shorecrank.coordination.step;
 
+import static shorecrank.protocol.HttpStatus.BAD_REQUEST;
+import static shorecrank.protocol.HttpStatus.CONFLICT;
+import static shorecrank.protocol.HttpStatus.GONE;
+import static shorecrank.protocol.HttpStatus.NOT_FOUND;
+import static shorecrank.protocol.HttpStatus.OK;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
 import shorecrank.protocol.Ids.Revision;
@@ -13,12 +19,6 @@
 
 /** The state service as the steps of the state machine call it. */
 final class StepStateStore implements StateStore {
-  private static final int OK = 200;
-  private static final int BAD_REQUEST = 400;
-  private static final int NOT_FOUND = 404;
-  private static final int CONFLICT = 409;
-  private static final int GONE = 410;
-
   /** How much longer than the service may hold a watch its answer is waited for. */
   private static final int WATCH_MARGIN_MS = 3000;
 
--- a/src/main/java/shorecrank/coordination/step/StorePages.java
+++ b/src/main/java/shorecrank/coordination/step/StorePages.java
@@ -1,11 +1,11 @@
 package shorecrank.coordination.step;
 
+import static shorecrank.protocol.HttpStatus.OK;
+
 import shorecrank.protocol.StoreMessages;
 
 /** Pages of keys that go to an operator just as the state service answers them. */
 public final class StorePages {
-  private static final int OK = 200;
-
   private final StepContext context;
 
   /** Creates the access of one controller. */
--- a/src/main/java/shorecrank/coordination/step/StoreReachability.java
+++ b/src/main/java/shorecrank/coordination/step/StoreReachability.java
@@ -1,12 +1,12 @@
 package shorecrank.coordination.step;
 
+import static shorecrank.protocol.HttpStatus.NO_ANSWER;
+import static shorecrank.protocol.HttpStatus.SERVER_ERROR;
+
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /** When the state service has answered this controller. */
 final class StoreReachability {
-  private static final int NO_ANSWER = 0;
-  private static final int FIRST_SERVER_ERROR = 500;
-
   private final int freshMs;
   private MonotonicTime answeredAt = MonotonicTime.NEVER;
   private MonotonicTime reachableSince = MonotonicTime.NEVER;
@@ -26,7 +26,7 @@
    * @return whether it shows that the service works, also if it refuses a request
    */
   boolean observe(int status, MonotonicTime now) {
-    if (status == NO_ANSWER || status >= FIRST_SERVER_ERROR) {
+    if (status == NO_ANSWER || status >= SERVER_ERROR) {
       return false;
     }
     if (!isReachable(now)) {
