--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -225,7 +225,7 @@
         answer.unassigned().forEach(shardOwner.machineRegistry()::unassigned);
       }
       shardOwner.machineRegistry().gone(answer.gone());
-      shardOwner.autoscaler().blocked(answer.blocked());
+      shardOwner.autoscaler().updateUnavailableOffers(answer.blocked());
     }
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -29,7 +29,6 @@
   private final ShardView shard;
   private final TeamQuotas quotas;
   private final SchedulingQueue queue;
-  private final DependencyGraph dependencies;
   private final Preemption preemption;
   private final JobPlacer placer;
 
@@ -47,13 +46,11 @@
       ShardView shard,
       TeamQuotas quotas,
       SchedulingQueue queue,
-      DependencyGraph dependencies,
       Set<Machine> withRoom) {
     this.context = context;
     this.shard = shard;
     this.quotas = quotas;
     this.queue = queue;
-    this.dependencies = dependencies;
     this.withRoom = withRoom;
     this.preemption = new Preemption(context, shard, queue);
     this.placer = new JobPlacer(context, shard, preemption);
@@ -75,7 +72,9 @@
       }
     }
     // In a full fleet nobody needs an order, unless there is a job that preempts others.
-    if (room.isEmpty() && draining.isEmpty() && waiting.stream().noneMatch(preemption::wanted)) {
+    if (room.isEmpty()
+        && draining.isEmpty()
+        && waiting.stream().noneMatch(preemption::mayPreempt)) {
       return;
     }
     placeAll(ordered(waiting), room, draining, budget);
@@ -122,15 +121,15 @@
     for (Job job : shard.jobs().values()) {
       busyWork += job.tasks().attemptCount() * job.spec().cpus() * job.spec().estimateS() / 2;
     }
-    queue.owe(shard.jobs().values());
-    dependencies.refresh(queue::ownDues, queue::spanMs);
+    queue.updateUrgency(shard.jobs().values());
     return queue.sort(
         waiting,
-        fetchGbPerS / Math.max(1, cpus),
-        cpus,
-        soonCpus,
-        soonWeightedS / Math.max(1, soonCpus),
-        busyWork);
+        new FleetCapacity(
+            fetchGbPerS / Math.max(1, cpus),
+            cpus,
+            soonCpus,
+            soonWeightedS / Math.max(1, soonCpus),
+            busyWork));
   }
 
   // ---- placement -------------------------------------------------------------------------------
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -57,16 +57,19 @@
   private final StatusQueries statusQueries;
   private final ShardState state;
 
-  /** Says what the shard needs; null where shares are not enabled. */
   private final ShardDemandReporter demand;
 
+  /** Whether the leader is told what the shard needs. */
+  private final boolean sharesEnabled;
+
   private MonotonicTime reviewedAt = MonotonicTime.NEVER;
   private boolean missesManyWorkers;
 
   /**
    * @param grantedAt when the epoch was granted: nobody could command the shard's workers here
    *     before
-   * @param shares whether the shard's share of the machines is balanced against those of others
+   * @param sharesEnabled whether the shard's share of the machines is balanced against those of
+   *     others
    */
   public ShardOwner(
       StepContext context,
@@ -75,14 +78,14 @@
       ShardId shard,
       Epoch epoch,
       MonotonicTime grantedAt,
-      boolean shares) {
+      boolean sharesEnabled) {
     this.context = context;
     this.cancellations = cancellations;
     this.lease = new ShardLease(context, shard, epoch);
     boolean isOnlyShard = context.tuning.shards() == 1;
     MachineReferences references =
         isOnlyShard ? MachineReferences.disabled() : new MachineReferences();
-    ForeignTasks foreign = isOnlyShard ? null : new ForeignTasks(context, lease);
+    ForeignTasks foreign = new ForeignTasks(context, lease);
     this.machines = new MachineRegistry(context, lease, references, foreign, new MachineTasks());
     this.liveness = new WorkerLiveness(context, machines.machines().values(), grantedAt);
     TeamQuotas quotas = new TeamQuotas(context.config.teams(), machines.machines().values());
@@ -103,11 +106,11 @@
     this.directCommands = new DirectCommandSender(context, lease, jobs, planner);
     HeartbeatReconciler reconciler = new HeartbeatReconciler(context, jobs);
     this.heartbeats = new HeartbeatHandler(context, lease, recovery, machines, reconciler, replies);
-    this.placement =
-        new PlacementRound(context, state, quotas, queue, dependencies, machines.withRoom());
+    this.placement = new PlacementRound(context, state, quotas, queue, machines.withRoom());
     this.autoscaler = new Autoscaler(context, state);
     this.statusQueries = new StatusQueries(context, jobs, dependencies);
-    this.demand = shares ? new ShardDemandReporter(context, state) : null;
+    this.demand = new ShardDemandReporter(context, state);
+    this.sharesEnabled = sharesEnabled;
     context.info("shard.acquired shard=%s epoch=%s", shard, epoch);
     context.count("part.takeover");
   }
@@ -318,8 +321,8 @@
     List<MachineName> spare = new ArrayList<>();
     List<MachineHandover> handovers = List.of();
     if (recovery.isReady() && lease.isValid()) {
-      autoscaler.review(retire);
-      handovers = machines.handovers(liveness);
+      retire.addAll(autoscaler.scaleIn());
+      handovers = machines.handOver(liveness);
       addSpareMachines(spare);
     }
     boolean hasQueuedTasks =
@@ -336,13 +339,13 @@
         handovers,
         machines.misplaced(),
         machines.references().isTracking(),
-        demand == null ? null : demand.current().orElse(null));
+        sharesEnabled ? demand.current().orElse(null) : null);
   }
 
   private void addSpareMachines(List<MachineName> spare) {
     for (Machine machine : machines.machines().values()) {
       if (!machine.assignment().isHandoverRequested()
-          && (state.usable(machine) || machine.isDraining())
+          && (state.isUsable(machine) || machine.isDraining())
           && machine.isEmpty()
           && context.now().since(machine.idleSince()) > SPARE_MS) {
         spare.add(machine.name());
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -234,14 +234,14 @@
     }
   }
 
-  /** A record has changed: a new job, a mark of a user, one of our writes, or a stranger's. */
+  /** A record has changed: a new job, a mark of a user, a write of this owner, or another's. */
   private void changed(JobId id, Change change) {
     boolean marked = JobRecord.isMarked(change.value());
     if (marked) {
       cancellations.learn(id);
       dependencies.cancelled(id);
     } else if (change.value() == null) {
-      dependencies.dropped(id);
+      dependencies.recordDeleted(id);
     }
     if (jobs.isRelinquished(id)) {
       return;
--- a/src/main/java/shorecrank/coordination/step/StoreBudget.java
+++ b/src/main/java/shorecrank/coordination/step/StoreBudget.java
@@ -45,8 +45,8 @@
    * @param shards the part of all shards that it owns, from 0 to 1
    */
   void allot(double shards, boolean isLeading) {
-    requests.rate(allRequests * (EVEN_REQUESTS / controllers + SHARD_REQUESTS * shards));
-    writes.rate(
+    requests.updateRate(allRequests * (EVEN_REQUESTS / controllers + SHARD_REQUESTS * shards));
+    writes.updateRate(
         allWrites
             * (EVEN_WRITES / controllers
                 + SHARD_WRITES * shards
--- a/src/main/java/shorecrank/rollout/RolloutSettings.java
+++ b/src/main/java/shorecrank/rollout/RolloutSettings.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.Message;
 import java.util.List;
-import shorecrank.config.NodeConfig;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.TextProto;
 import shorecrank.config.TextProto.Field;
 
@@ -10,8 +10,8 @@
  * The operators' settings of rollouts, in protobuf text format.
  *
  * @param automatic whether the level rises by itself once all controllers support it
- * @param settleS for how long all must have announced their support without a break
- * @param rewritesPerS records rewritten in a second during a downgrade, at the most
+ * @param settleS for how long all must have announced their support without a break, in seconds
+ * @param rewritesPerS the most records rewritten in a second during a downgrade
  * @param archiveBeforeRaise whether an archive of the keys is made before the level rises
  * @param archivesKept how many archives stay in the state service
  */
@@ -27,8 +27,12 @@
   private static final Field ARCHIVE = Field.flag("archive_before_raise", true);
   private static final Field ARCHIVES_KEPT = Field.number("archives_kept", 1, 100, 2);
 
-  /** Reads the file's text; what is not set has its default. */
-  public static RolloutSettings read(String text) throws NodeConfig.Invalid {
+  /**
+   * Reads the file's text; a setting that is not named has its default.
+   *
+   * @throws InvalidConfigException naming the field that is unknown or out of range
+   */
+  public static RolloutSettings read(String text) throws InvalidConfigException {
     Message message =
         TextProto.parse(
             "Rollout", List.of(AUTOMATIC, SETTLE_S, REWRITES_PER_S, ARCHIVE, ARCHIVES_KEPT), text);
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import shorecrank.config.NodeConfig;
-import shorecrank.config.NodeConfig.Workers;
+import shorecrank.config.NodeConfig.WorkerTimings;
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /** Time limits, budgets and refusals as the parts of the state machine see them. */
@@ -80,7 +80,7 @@
                 config.stateAddr(),
                 config.teams(),
                 config.objectives(),
-                new Workers(4, 30, cancelS),
+                new WorkerTimings(4, 30, cancelS),
                 config.state(),
                 config.cloud(),
                 config.limits()));
--- a/src/test/java/shorecrank/coordination/step/StepDriver.java
+++ b/src/test/java/shorecrank/coordination/step/StepDriver.java
@@ -7,12 +7,12 @@
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.NodeConfig.Address;
-import shorecrank.config.NodeConfig.Cloud;
-import shorecrank.config.NodeConfig.Limits;
+import shorecrank.config.NodeConfig.CloudLimits;
 import shorecrank.config.NodeConfig.Member;
-import shorecrank.config.NodeConfig.State;
+import shorecrank.config.NodeConfig.ProcessLimits;
+import shorecrank.config.NodeConfig.StateLimits;
 import shorecrank.config.NodeConfig.Team;
-import shorecrank.config.NodeConfig.Workers;
+import shorecrank.config.NodeConfig.WorkerTimings;
 import shorecrank.config.Settings;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
@@ -50,10 +50,10 @@
         nowhere,
         Map.of("vision", new Team("vision", 0, 16, 0, 0)),
         List.of(),
-        new Workers(4, 30, 60),
-        new State(100, 100, 8, 20),
-        new Cloud(10, 1),
-        new Limits(1, 256, 100));
+        new WorkerTimings(4, 30, 60),
+        new StateLimits(100, 100, 8, 20),
+        new CloudLimits(10, 1),
+        new ProcessLimits(1, 256, 100));
   }
 
   /** The context of the steps. */
--- a/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
@@ -70,8 +70,8 @@
   }
 
   @Test
-  void onlyNotFoundMeansThatAKeyIsAbsent() {
-    assertEquals(new ReadResult.Absent(), read(404, ""));
+  void onlyNotFoundMeansThatAKeyIsAbsentAtARevision() {
+    assertEquals(new ReadResult.Absent(8), read(404, "{\"ledgerRev\":8}"));
   }
 
   @ParameterizedTest
@@ -100,4 +100,10 @@
         driver.<WatchResult>resultOf(
             then -> store.watch("p/", 5, TIMEOUT_MS, then), status, Json.parse(null)));
   }
+
+  @Test
+  void changesAreReadWithoutWaitingForMore() {
+    driver.now(() -> store.readChanges("p/", 5, TIMEOUT_MS, result -> {}));
+    assertEquals(List.of("/changes?prefix=p/&from=5&holdMs=0"), driver.openPaths());
+  }
 }
