--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -24,11 +24,11 @@
     /** How many of a job's queued tasks fit. */
     public int queuedTasksThatFit(Job job) {
       double tasks = job.queued();
-      if (job.spec.cpus() > 0) {
-        tasks = Math.min(tasks, Math.floor(cpus / job.spec.cpus() + EPSILON));
+      if (job.spec().cpus() > 0) {
+        tasks = Math.min(tasks, Math.floor(cpus / job.spec().cpus() + EPSILON));
       }
-      if (job.spec.gpus() > 0) {
-        tasks = Math.min(tasks, Math.floor(gpus / job.spec.gpus() + EPSILON));
+      if (job.spec().gpus() > 0) {
+        tasks = Math.min(tasks, Math.floor(gpus / job.spec().gpus() + EPSILON));
       }
       return (int) Math.max(0, tasks);
     }
@@ -101,9 +101,9 @@
       headroom.gpus -= usage.gpus;
     }
     for (Machine machine : machines) {
-      for (Machine.UnrecordedTask markUnrecorded : machine.unrecordedTasks()) {
-        if (markUnrecorded.job().spec.team().equals(name)) {
-          headroom.take(markUnrecorded.job().spec, 1);
+      for (Machine.UnrecordedTask unrecorded : machine.unrecordedTasks()) {
+        if (unrecorded.job().spec().team().equals(name)) {
+          headroom.take(unrecorded.job().spec(), 1);
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -33,19 +33,45 @@
     boolean writableByOthers;
   }
 
+  private final boolean tracking;
   private final Map<JobId, Reference> references = new HashMap<>();
   private final Object2IntOpenHashMap<MachineName> counts = new Object2IntOpenHashMap<>();
   private int writableByOthers;
 
-  /** The machines that a record's live ranges name. */
-  static Set<MachineName> machinesOf(JobRecord record) {
+  /** Keeps track of the machines that records name. */
+  MachineReferences() {
+    this(true);
+  }
+
+  private MachineReferences(boolean tracking) {
+    this.tracking = tracking;
+  }
+
+  /** Keeps track of nothing: where there is only one shard, no machine is ever handed over. */
+  static MachineReferences disabled() {
+    return new MachineReferences(false);
+  }
+
+  /** Whether machines are kept track of; if not, any call is without effect. */
+  boolean isTracking() {
+    return tracking;
+  }
+
+  private static Set<MachineName> machinesOf(JobRecord record) {
     Set<MachineName> machines = new HashSet<>();
     for (AttemptRange range : record.live()) {
-      machines.add(range.host());
+      machines.add(range.machine());
     }
     return machines;
   }
 
+  /** A record was read, as {@link #read(JobId, Revision, Set, boolean)} takes it. */
+  void read(JobId job, Revision at, JobRecord record, boolean othersMayWrite) {
+    if (tracking) {
+      read(job, at, machinesOf(record), othersMayWrite);
+    }
+  }
+
   /**
    * A record was read.
    *
@@ -53,16 +79,29 @@
    *     not written it yet, or has been refused by a higher epoch
    */
   void read(JobId job, Revision at, Set<MachineName> machines, boolean othersMayWrite) {
-    Reference reference = references.computeIfAbsent(job, k -> new Reference());
+    if (!tracking) {
+      return;
+    }
+    Reference reference = references.computeIfAbsent(job, absent -> new Reference());
     if (at.after(reference.revision)) {
       settle(reference, at, machines);
     }
     writableByOthers(reference, othersMayWrite);
   }
 
+  /** A write was sent that replaces the record, guarded by its revision. */
+  void sent(JobId job, long sequence, Revision guard, JobRecord record) {
+    if (tracking) {
+      sent(job, sequence, guard, machinesOf(record));
+    }
+  }
+
   /** A write was sent, guarded by the record's revision. */
   void sent(JobId job, long sequence, Revision guard, Set<MachineName> machines) {
-    Reference reference = references.computeIfAbsent(job, k -> new Reference());
+    if (!tracking) {
+      return;
+    }
+    Reference reference = references.computeIfAbsent(job, absent -> new Reference());
     reference.pending.add(new PendingWrite(sequence, guard, machines));
     count(machines, 1);
   }
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -1,5 +1,11 @@
 package shorecrank.coordination.step;
 
+import static shorecrank.protocol.HttpStatus.BAD_REQUEST;
+import static shorecrank.protocol.HttpStatus.CONFLICT;
+import static shorecrank.protocol.HttpStatus.GONE;
+import static shorecrank.protocol.HttpStatus.NOT_FOUND;
+import static shorecrank.protocol.HttpStatus.OK;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
 import shorecrank.protocol.Ids.Revision;
@@ -13,12 +19,6 @@
 
 /** The state service as the steps of the state machine call it. */
 final class StepStateStore implements StateStore {
-  private static final int OK = 200;
-  private static final int BAD_REQUEST = 400;
-  private static final int NOT_FOUND = 404;
-  private static final int CONFLICT = 409;
-  private static final int GONE = 410;
-
   /** How much longer than the service may hold a watch its answer is waited for. */
   private static final int WATCH_MARGIN_MS = 3000;
 
@@ -41,7 +41,7 @@
   private static ReadResult readResult(int status, JsonNode body) {
     return switch (status) {
       case OK -> new ReadResult.Found(StoreMessages.entry(body));
-      case NOT_FOUND -> new ReadResult.Absent();
+      case NOT_FOUND -> new ReadResult.Absent(StoreMessages.revision(body));
       default -> new ReadResult.Unavailable(status);
     };
   }
@@ -75,6 +75,17 @@
         (status, body) -> then.accept(watchResult(status, body)));
   }
 
+  @Override
+  public void readChanges(
+      String prefix, long afterRevision, int timeoutMs, Consumer<WatchResult> then) {
+    context.state(
+        "GET",
+        StoreMessages.watch(prefix, afterRevision, 0),
+        null,
+        timeoutMs,
+        (status, body) -> then.accept(watchResult(status, body)));
+  }
+
   private static WatchResult watchResult(int status, JsonNode body) {
     return switch (status) {
       case OK -> new WatchResult.Changes(StoreMessages.changes(body), StoreMessages.revision(body));
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -5,6 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import shorecrank.config.InvalidConfigException;
 import shorecrank.config.NodeConfig;
 import shorecrank.config.TextProto;
 import shorecrank.config.TextProto.Field;
@@ -15,11 +16,11 @@
  * The operators' settings of shares, in protobuf text format.
  *
  * @param automatic whether machines move by need; if not, only on an operator's order
- * @param movesAtOnce moves by need that are under way at the same time, at the most
- * @param settleS for how long a shard must lack machines before one is moved to it
- * @param restS for how long a machine that has moved stays where it is
- * @param timeoutS after how long a move that is not over is given up
- * @param tolerance by which share of its target a shard may lack or exceed it without a move
+ * @param movesAtOnce the most moves by need that are under way at the same time
+ * @param settleS for how long a shard must lack machines before one is moved to it, in seconds
+ * @param restS for how long a machine that has moved stays where it is, in seconds
+ * @param timeoutS after how long a move that is not over is aborted, in seconds
+ * @param tolerance the fraction of its target that a shard may lack or exceed without a move
  * @param teams the teams whose share differs from the default
  */
 public record ShareSettings(
@@ -46,13 +47,17 @@
   private static final Group TEAM =
       new Group("team", List.of(TEAM_NAME, WEIGHT, MIN_CPUS, MAX_CPUS));
 
-  /** A team of which nothing else is said. */
+  /** The share of a team that is neither configured nor ordered. */
   public static TeamShare defaultOf(String team) {
     return new TeamShare(team, WEIGHT.unset(), MIN_CPUS.unset(), MAX_CPUS.unset());
   }
 
-  /** Reads the file's text; what is not set has its default. */
-  public static ShareSettings read(String text) throws NodeConfig.Invalid {
+  /**
+   * Reads the file's text; a setting that is not named has its default.
+   *
+   * @throws InvalidConfigException naming the field that is unknown or out of range
+   */
+  public static ShareSettings read(String text) throws InvalidConfigException {
     Message message = TextProto.parse("Shares", FIELDS, List.of(TEAM), text);
     return new ShareSettings(
         AUTOMATIC.flagOf(message),
@@ -64,7 +69,7 @@
         teams(message));
   }
 
-  private static List<TeamShare> teams(Message message) throws NodeConfig.Invalid {
+  private static List<TeamShare> teams(Message message) throws InvalidConfigException {
     List<TeamShare> teams = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Message one : TEAM.of(message)) {
@@ -75,28 +80,32 @@
               MIN_CPUS.numberOf(one),
               MAX_CPUS.numberOf(one));
       if (team.team().isEmpty() || !names.add(team.team())) {
-        throw new NodeConfig.Invalid("team.name must be there, and once for each team");
+        throw new InvalidConfigException("team.name", "must be there, and once for each team");
       }
       if (team.maxCpus() > 0 && team.minCpus() > team.maxCpus()) {
-        throw new NodeConfig.Invalid("team.min_cpus must be at most max_cpus");
+        throw new InvalidConfigException("team.min_cpus", "must be at most max_cpus");
       }
       teams.add(team);
     }
     return List.copyOf(teams);
   }
 
-  /** Fails unless the settings fit the platform's teams and the number of shards. */
-  public void check(NodeConfig config, int shards) throws NodeConfig.Invalid {
+  /**
+   * Checks the settings against the platform's teams and the number of shards.
+   *
+   * @throws InvalidConfigException naming the field that does not fit
+   */
+  public void check(NodeConfig config, int shards) throws InvalidConfigException {
     if (shards < 2) {
-      throw new NodeConfig.Invalid("shares need parts above 1 in the file of --settings");
+      throw new InvalidConfigException("shares", "need parts above 1 in the file of --settings");
     }
     for (TeamShare team : teams) {
       if (!config.teams().containsKey(team.team())) {
-        throw new NodeConfig.Invalid("team.name " + team.team() + " is no team of the platform");
+        throw new InvalidConfigException("team.name", team.team() + " is no team of the platform");
       }
     }
     if (TeamShares.weightsSumToZero(config.teams().keySet(), teams)) {
-      throw new NodeConfig.Invalid("team.weight must not be 0 for all teams");
+      throw new InvalidConfigException("team.weight", "must not be 0 for all teams");
     }
   }
 }
