--- a/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
@@ -28,7 +28,7 @@
     this.since = since;
   }
 
-  /** What the machine is. */
+  /** The machine's name and kind. */
   MachineInfo info() {
     return assignment.machine();
   }
@@ -48,7 +48,7 @@
     return assignment.term();
   }
 
-  /** What is written down of it. */
+  /** The part of it that the state service holds. */
   StoredAssignment assignment() {
     return assignment;
   }
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -30,7 +30,7 @@
   private static final int PAGE_KEYS = 500;
   private static final int CALL_MS = 1500;
 
-  /** Machines that come at once are written together. */
+  /** After a write so long passes before the next, so that machines that come at once share one. */
   private static final int SAVE_PAUSE_MS = 1000;
 
   private final StepContext context;
@@ -40,8 +40,8 @@
   private final Set<Integer> unsaved = new TreeSet<>();
 
   /**
-   * The revisions of the keys as last read or written: an own write without an answer may come
-   * after a later one, and must not put what was there before in its place.
+   * The revisions of the keys as last read or written, which guard the next writes: a write of
+   * unknown outcome that is carried out late must not undo a later one.
    */
   private final Map<String, Revision> revisions = new TreeMap<>();
 
@@ -239,7 +239,7 @@
     unsaved.addAll(batch.buckets().keySet());
     saveAt = context.now().plus(SAVE_PAUSE_MS);
     if (result instanceof Conflict) {
-      // Something else is there than was written last: an own write that came late.
+      // A write of unknown outcome was carried out late.
       readRevisions();
     }
   }
@@ -250,8 +250,7 @@
     buckets.values().forEach(inBucket -> inBucket.forEach(onRecorded));
   }
 
-  // ---- writes in a transaction of somebody else's
-  // ------------------------------------------------
+  // ---- writes in transactions of others --------------------------------------------------------
 
   /** Buckets are being written in another transaction; until that is over no others are. */
   void beginTransfer(Set<Integer> buckets) {
--- a/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -114,8 +114,8 @@
   /** An owner that was refused for its epoch gets one above that by which it was refused. */
   private void raiseRefusedEpoch(ShardId id, ShardState shard, ShardReport report) {
     Epoch refusedBy = report.fenced();
-    // Only the owner's own report, at its own epoch, moves the counter; and never by a jump that
-    // would walk it to its end.
+    // Only the owner's own report, at its present epoch, raises the counter; and never so far that
+    // few epochs would be left, as a damaged record could ask for.
     if (refusedBy.value() >= shard.epoch().value()
         && report.epoch().equals(shard.epoch())
         && refusedBy.value() < FencingToken.MAX_EPOCH / 2
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListing.java
@@ -35,16 +35,21 @@
 
   private static final long RETRY_MS = 2000;
 
-  /** Beyond the list's lag a released machine that is listed has come back under a held request. */
+  /**
+   * A released machine that is listed for so long beyond the list's lag has been rented again, by a
+   * request that was carried out late.
+   */
   private static final long BACK_AGAIN_MS = 10_000;
 
-  /** Beyond twice the list's lag, in which it may go backwards, a change counts. */
+  /** Added to twice the list's lag, in which lists may still go backwards. */
   private static final long LAG_MARGIN_MS = 2000;
 
-  /** Of a machine whose type is not known. */
+  /** The time to boot of a machine whose type is not known. */
   private static final double DEFAULT_BOOT_S = 60;
 
+  /** A machine that takes longer to boot than so many times what its type needs never will. */
   private static final int MAX_BOOT_TIMES = 4;
+
   private static final double BOOT_MARGIN_S = 60;
 
   /** Phases of a machine as the cloud names them. */
@@ -172,8 +177,7 @@
     MonotonicTime releasedAt = releases.releasedAt(name);
     if (releasedAt != null) {
       if (now.since(releasedAt) > lagMs + BACK_AGAIN_MS) {
-        // The release was answered, so this can only be a machine that came back under a held
-        // request; return it.
+        // Its release was answered, so a late request has rented it again: return it.
         releases.releaseAgain(name);
       }
       return;
--- a/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
@@ -12,8 +12,8 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
- * New assignments that are written in a transaction of somebody else's. Until that is over no other
- * assignment is written.
+ * New assignments of machines that are written together with a change of the shares. Until that is
+ * over no other assignment is written.
  */
 final class MachineTransfer {
   private final MachineDirectory directory;
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -22,7 +22,7 @@
   private boolean revoking;
   private boolean minting;
 
-  /** The process that is to own the shard under the epoch that was last minted or is being. */
+  /** The process for which an epoch is being minted, or was last. */
   private WriterId mintedFor;
 
   private boolean queued;
