--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -71,7 +71,7 @@
   /** Advances every shard owner by one round. */
   void tick(Input.RoundBudget budget) {
     for (ShardOwner shardOwner : shardOwners.values()) {
-      shardOwner.tick(budget);
+      shardOwner.runRound(budget);
     }
   }
 
@@ -82,7 +82,7 @@
   MonotonicTime oldestStoreView() {
     MonotonicTime oldest = MonotonicTime.NEVER;
     for (ShardOwner shardOwner : shardOwners.values()) {
-      MonotonicTime seen = shardOwner.storeAsOf();
+      MonotonicTime seen = shardOwner.cancellationsKnownUpTo();
       if (oldest == MonotonicTime.NEVER || (seen != MonotonicTime.NEVER && seen.before(oldest))) {
         oldest = seen;
       }
@@ -98,7 +98,7 @@
   /** The types of machines that can be rented have been read. */
   void updateCatalog(Map<String, MachineType> types) {
     machineTypes = types;
-    shardOwners.values().forEach(shardOwner -> shardOwner.catalog(types));
+    shardOwners.values().forEach(shardOwner -> shardOwner.updateCatalog(types));
   }
 
   // ---- gained and given up -----------------------------------------------------------------
@@ -117,7 +117,7 @@
     ShardOwner shardOwner = shardOwners.remove(shard);
     usedEpochs.merge(
         shard, shardOwner.epoch(), (known, epoch) -> known.above(epoch) ? known : epoch);
-    shardOwner.end(reason);
+    shardOwner.endOwnership(reason);
   }
 
   /**
@@ -157,7 +157,9 @@
     MonotonicTime until =
         requestedAt.plus(lease.ttlMs() - lease.ttlMs() / LEASE_DRIFT_PARTS - LEASE_MARGIN_MS);
     ShardOwner shardOwner = shardOwners.get(lease.shard());
-    if (shardOwner != null && lease.epoch().above(shardOwner.epoch()) && !shardOwner.valid()) {
+    if (shardOwner != null
+        && lease.epoch().above(shardOwner.epoch())
+        && !shardOwner.isLeaseValid()) {
       // Since the lease expired another may have owned the shard: what is in memory may be wrong.
       giveUp(lease.shard(), "its lease had lapsed before epoch " + lease.epoch());
       shardOwner = null;
@@ -170,7 +172,7 @@
     if (shardOwner == null) {
       shardOwner = takeOver(lease);
     }
-    shardOwner.lease(lease.epoch(), until);
+    shardOwner.renewLease(lease.epoch(), until);
     return true;
   }
 
@@ -194,9 +196,9 @@
             lease.epoch(),
             context.now(),
             isSharesEnabled);
-    shardOwner.catalog(machineTypes);
-    shardOwner.machineRegistry().assignedAll(assignments.all());
-    shardOwner.load();
+    shardOwner.updateCatalog(machineTypes);
+    shardOwner.machines().updateAllAssignments(assignments.all());
+    shardOwner.recover();
     shardOwners.put(lease.shard(), shardOwner);
     return shardOwner;
   }
@@ -207,8 +209,8 @@
   List<ShardReport> report() {
     List<ShardReport> reports = new ArrayList<>();
     for (ShardOwner shardOwner : shardOwners.values()) {
-      if (!shardOwner.relinquished()) {
-        reports.add(shardOwner.heartbeat());
+      if (!shardOwner.isRelinquished()) {
+        reports.add(shardOwner.report());
       }
     }
     refusedEpochs.forEach((shard, epoch) -> reports.add(ShardReport.refused(shard, epoch)));
@@ -219,12 +221,12 @@
   void updateMachines(HeartbeatAnswer answer) {
     for (ShardOwner shardOwner : shardOwners.values()) {
       if (answer.whole()) {
-        shardOwner.machineRegistry().assignedAll(assignments.all());
+        shardOwner.machines().updateAllAssignments(assignments.all());
       } else {
-        answer.assigned().forEach(shardOwner.machineRegistry()::assigned);
-        answer.unassigned().forEach(shardOwner.machineRegistry()::unassigned);
+        answer.assigned().forEach(shardOwner.machines()::updateAssignment);
+        answer.unassigned().forEach(shardOwner.machines()::removeAssignment);
       }
-      shardOwner.machineRegistry().gone(answer.gone());
+      shardOwner.machines().removeGone(answer.gone());
       shardOwner.autoscaler().updateUnavailableOffers(answer.blocked());
     }
   }
@@ -243,7 +245,7 @@
   int countServed() {
     int served = 0;
     for (ShardOwner shardOwner : shardOwners.values()) {
-      if (!shardOwner.relinquished()) {
+      if (!shardOwner.isRelinquished()) {
         served++;
       }
     }
@@ -264,7 +266,7 @@
     Map<ShardId, Epoch> epochs = new TreeMap<>();
     shardOwners.forEach(
         (shard, shardOwner) -> {
-          if (shardOwner.validAt(at)) {
+          if (shardOwner.isLeaseValidAt(at)) {
             epochs.put(shard, shardOwner.epoch());
           }
         });
@@ -275,8 +277,8 @@
   Set<MachineName> commandedMachines(MonotonicTime at) {
     Set<MachineName> machines = new HashSet<>();
     for (ShardOwner shardOwner : shardOwners.values()) {
-      if (shardOwner.validAt(at)) {
-        machines.addAll(shardOwner.machineRegistry().commanded());
+      if (shardOwner.isLeaseValidAt(at)) {
+        machines.addAll(shardOwner.machines().commandableMachines());
       }
     }
     return machines;
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -109,7 +109,8 @@
         request.reply(),
         OK,
         PeerMessages.write(
-            handlers.cancellations.answer(query.withinMs(), query.limit(), handlers.owners.all())));
+            handlers.cancellations.recentlyConfirmed(
+                query.withinMs(), query.limit(), handlers.owners.all())));
   }
 
   private void forwarded(Input.Request request) {
--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -40,7 +40,7 @@
   void query(ShardId shard, JobId job, StatusCallback then) {
     ShardOwner shardOwner = shards.find(shard);
     if (shardOwner != null) {
-      shardOwner.ask(job, then);
+      shardOwner.queryStatus(job, then);
     } else if (owners.findOther(shard).isEmpty()) {
       then.told(null);
     } else {
@@ -86,7 +86,7 @@
     }
     PeerAnswer answer = new PeerAnswer(reply, query.jobs().size(), statuses);
     for (JobId job : query.jobs()) {
-      shardOwner.ask(job, status -> answer.add(job, status));
+      shardOwner.queryStatus(job, status -> answer.add(job, status));
     }
   }
 
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -123,12 +123,12 @@
 
   private void handOver(HeldHeartbeat received, ShardOwner shardOwner) {
     boolean isAlone = context.aloneMs() > ALONE_MS;
-    if (shardOwner.valid() || shardOwner.inGrace(isAlone)) {
-      if (shardOwner.informed()) {
-        shardOwner.report(received.reply, received.heartbeat, shardOwner.valid());
+    if (shardOwner.isLeaseValid() || shardOwner.isInGrace(isAlone)) {
+      if (shardOwner.knowsRecentCancellations()) {
+        shardOwner.handleHeartbeat(received.reply, received.heartbeat, shardOwner.isLeaseValid());
         return;
       }
-      if (shardOwner.storeAsOf() == MonotonicTime.NEVER && mayHold(received)) {
+      if (shardOwner.cancellationsKnownUpTo() == MonotonicTime.NEVER && mayHold(received)) {
         // A new owner will have read the records in a moment.
         held.add(received);
         return;
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -123,7 +123,7 @@
   }
 
   /** Whether the job is known to be cancelled. */
-  public boolean known(JobId id) {
+  public boolean isKnown(JobId id) {
     return known.getIfPresent(id) != null;
   }
 
@@ -133,7 +133,7 @@
   }
 
   /** A user is being told that the job is cancelled. */
-  public void confirmed(JobId id) {
+  public void recordConfirmed(JobId id) {
     if (history.add(id, context.now())) {
       learnConfirmed(id);
     }
@@ -141,7 +141,7 @@
 
   /** A user was told that the job is cancelled, here or by another controller. */
   private void learnConfirmed(JobId id) {
-    if (!known(id)) {
+    if (!isKnown(id)) {
       learn(id);
       jobListener.accept(id);
     }
@@ -221,7 +221,8 @@
    * What was confirmed here in so many milliseconds, for another controller. It asks because it
    * does not reach the state service, so it is also told who owns what.
    */
-  public ConfirmedCancellations answer(long withinMs, int most, Collection<OwnerInfo> owners) {
+  public ConfirmedCancellations recentlyConfirmed(
+      long withinMs, int most, Collection<OwnerInfo> owners) {
     ConfirmationHistory.Recent recent = history.recent(withinMs, most, context.now());
     return new ConfirmedCancellations(recent.spanMs(), recent.jobs(), List.copyOf(owners));
   }
--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -91,7 +91,7 @@
       CommitResult result) {
     if (result instanceof CommitResult.Committed) {
       context.count("job.cancelled");
-      cancellations.confirmed(id);
+      cancellations.recordConfirmed(id);
       replies.state(request, id, JobState.CANCELLED);
     } else if (result instanceof CommitResult.Conflict
         || (result instanceof CommitResult.Unknown unknown && unknown.status() == NO_ANSWER)) {
--- a/src/main/java/shorecrank/coordination/request/JobLookup.java
+++ b/src/main/java/shorecrank/coordination/request/JobLookup.java
@@ -152,7 +152,7 @@
       JobId id = open.poll();
       if (id == null) {
         then.accept(new LookupResult.Found(waiting));
-      } else if (cancellations.known(id)) {
+      } else if (cancellations.isKnown(id)) {
         endCancelled();
       } else {
         findRecord(id, result -> read(id, result));
--- a/src/main/java/shorecrank/coordination/request/KnownJobReplies.java
+++ b/src/main/java/shorecrank/coordination/request/KnownJobReplies.java
@@ -32,9 +32,9 @@
 
   private void confirm(StoredJob job) {
     if (job instanceof Unfinished unfinished && unfinished.record().cancelled()) {
-      cancellations.confirmed(unfinished.record().spec().id());
+      cancellations.recordConfirmed(unfinished.record().spec().id());
     } else if (job instanceof CancelledWithDependency cancelled) {
-      cancellations.confirmed(cancelled.record().spec().id());
+      cancellations.recordConfirmed(cancelled.record().spec().id());
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/request/StatusHandler.java
+++ b/src/main/java/shorecrank/coordination/request/StatusHandler.java
@@ -65,7 +65,7 @@
       return;
     }
     if (status.phase() == JobState.CANCELLED) {
-      cancellations.confirmed(id);
+      cancellations.recordConfirmed(id);
     }
     replies.status(request, id, status);
   }
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -123,7 +123,7 @@
     if (result instanceof CommitResult.Committed) {
       context.count("job.accepted");
       if (state == JobState.CANCELLED) {
-        cancellations.confirmed(submission.id());
+        cancellations.recordConfirmed(submission.id());
       }
       replies.accepted(submission.request, submission.id(), state);
     } else if (result instanceof CommitResult.Conflict) {
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -58,7 +58,7 @@
   /** Adds a job with the dependencies that it still has; cancels it if one is cancelled. */
   public void add(Job job) {
     for (JobId dependency : List.copyOf(job.scheduling().unmetDependencies())) {
-      if (cancellations.known(dependency)) {
+      if (cancellations.isKnown(dependency)) {
         cancel(job);
         return;
       }
--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -69,7 +69,7 @@
 
   private boolean isCancelled(JobId id) {
     Job job = jobs.find(id);
-    return (job != null && job.isCancelled()) || cancellations.known(id);
+    return (job != null && job.isCancelled()) || cancellations.isKnown(id);
   }
 
   private static void addStopsOfUnlisted(
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -113,25 +113,25 @@
   // ---- assignment ------------------------------------------------------------------------------
 
   /** All assignments, to whichever shard. */
-  public void assignedAll(Collection<MachineAssignment> all) {
+  public void updateAllAssignments(Collection<MachineAssignment> all) {
     Set<MachineName> named = new HashSet<>();
     for (MachineAssignment assignment : all) {
-      assigned(assignment);
+      updateAssignment(assignment);
       named.add(assignment.host().name());
     }
     for (MachineName name : new ArrayList<>(machines.keySet())) {
       if (!named.contains(name)) {
-        unassigned(name);
+        removeAssignment(name);
       }
     }
   }
 
   /** An assignment is new or has changed. */
-  public void assigned(MachineAssignment assignment) {
+  public void updateAssignment(MachineAssignment assignment) {
     MachineName name = assignment.host().name();
     if (!assignment.shard().equals(lease.shard())) {
       handovers.forget(name);
-      unassigned(name);
+      removeAssignment(name);
       Machine kept = machines.get(name);
       if (kept != null) {
         kept.assignment().assignElsewhere();
@@ -149,7 +149,7 @@
   }
 
   /** The machine is not assigned to this shard. */
-  public void unassigned(MachineName name) {
+  public void removeAssignment(MachineName name) {
     Machine machine = machines.get(name);
     if (machine != null) {
       machine.assignment().unassign();
@@ -162,7 +162,7 @@
   }
 
   /** Machines that are surely gone, with all that ran on them. */
-  public void gone(Collection<MachineName> names) {
+  public void removeGone(Collection<MachineName> names) {
     for (MachineName name : names) {
       handovers.forget(name);
       Machine machine = machines.get(name);
@@ -280,7 +280,7 @@
    * Machines that this owner may command: those assigned here that it has not handed over. For
    * observers.
    */
-  public Set<MachineName> commanded() {
+  public Set<MachineName> commandableMachines() {
     Set<MachineName> names = new HashSet<>();
     for (Machine machine : machines.values()) {
       if (machine.assignment().isAssigned() && !handovers.isHandedOver(machine)) {
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -155,19 +155,19 @@
   }
 
   /** The leader has granted the lease until a time, by this process's clock, or renewed it. */
-  public void lease(Epoch granted, MonotonicTime until) {
+  public void renewLease(Epoch granted, MonotonicTime until) {
     if (lease.renew(granted, until)) {
       recovery.epochRaised();
     }
   }
 
   /** Whether this process may command and write the shard now. */
-  public boolean valid() {
+  public boolean isLeaseValid() {
     return lease.isValid();
   }
 
   /** Whether this process may command and write the shard at a time. */
-  public boolean validAt(MonotonicTime time) {
+  public boolean isLeaseValidAt(MonotonicTime time) {
     return lease.isValidAt(time);
   }
 
@@ -181,21 +181,21 @@
   }
 
   /** Whether the leader did not renew the lease when it last could. */
-  public boolean relinquished() {
+  public boolean isRelinquished() {
     return lease.isRelinquished();
   }
 
   /**
    * Whether workers' leases may still be renewed, without commands, after the lease has expired.
    *
-   * @param alone whether no other controller is heard
+   * @param isAlone whether no other controller is heard
    */
-  public boolean inGrace(boolean alone) {
-    return lease.isInGrace(alone, missesManyWorkers);
+  public boolean isInGrace(boolean isAlone) {
+    return lease.isInGrace(isAlone, missesManyWorkers);
   }
 
   /** The ownership is over for good: a successor is known, or the memory is out of date. */
-  public void end(String reason) {
+  public void endOwnership(String reason) {
     lease.end(reason);
     replies.sendAll();
     statusQueries.close();
@@ -204,7 +204,7 @@
   // ---- cancellations ---------------------------------------------------------------------------
 
   /** Up to when the state service has shown this owner all cancellations. */
-  public MonotonicTime storeAsOf() {
+  public MonotonicTime cancellationsKnownUpTo() {
     return recovery.knownUpTo();
   }
 
@@ -213,7 +213,7 @@
    * would renew does. Without that knowledge the lease has to take the tasks, also while the shard
    * is owned.
    */
-  public boolean informed() {
+  public boolean knowsRecentCancellations() {
     MonotonicTime horizon = cancellations.horizon(recovery.knownUpTo());
     return context.now().since(horizon) <= context.evidenceMs();
   }
@@ -241,12 +241,12 @@
   // ---- rounds ----------------------------------------------------------------------------------
 
   /** Begins to read the shard's records. */
-  public void load() {
+  public void recover() {
     recovery.list();
   }
 
   /** One round: reads, places and writes what is due, and answers what waited for it. */
-  public void tick(RoundBudget budget) {
+  public void runRound(RoundBudget budget) {
     if (lease.isEnded()) {
       return;
     }
@@ -287,21 +287,21 @@
    * Takes a worker's heartbeat in and answers it, now or after the next commit.
    *
    * @param reply the request to be answered
-   * @param commands whether the worker may be commanded, or its lease renewed only
+   * @param mayCommand whether the worker may be commanded, or its lease renewed only
    */
-  public void report(long reply, WorkerHeartbeat heartbeat, boolean commands) {
-    heartbeats.handle(reply, heartbeat, commands);
+  public void handleHeartbeat(long reply, WorkerHeartbeat heartbeat, boolean mayCommand) {
+    heartbeats.handle(reply, heartbeat, mayCommand);
   }
 
   /** Tells where a job stands, if this owner can. */
-  public void ask(JobId id, StatusQueries.StatusCallback then) {
+  public void queryStatus(JobId id, StatusQueries.StatusCallback then) {
     statusQueries.ask(id, recovery.isReady() && lease.isValid(), then);
   }
 
   // ---- leader ----------------------------------------------------------------------------------
 
   /** The machines of the shard, for what the leader says of them. */
-  public MachineRegistry machineRegistry() {
+  public MachineRegistry machines() {
     return machines;
   }
 
@@ -311,12 +311,12 @@
   }
 
   /** The machine types that can be rented, by name, have changed. */
-  public void catalog(Map<String, MachineType> types) {
+  public void updateCatalog(Map<String, MachineType> types) {
     machines.updateCatalog(types);
   }
 
   /** The shard's part of the heartbeat to the leader. */
-  public ShardReport heartbeat() {
+  public ShardReport report() {
     List<MachineName> retire = new ArrayList<>();
     List<MachineName> spare = new ArrayList<>();
     List<MachineHandover> handovers = List.of();
--- a/src/test/java/shorecrank/coordination/request/JobLookupTest.java
+++ b/src/test/java/shorecrank/coordination/request/JobLookupTest.java
@@ -100,7 +100,7 @@
     driver.answer(200, record(JOB, false, NEEDED));
     driver.answer(200, record(NEEDED, true));
     assertEquals(JobState.CANCELLED, foundState());
-    assertTrue(cancellations.known(NEEDED));
+    assertTrue(cancellations.isKnown(NEEDED));
   }
 
   @Test
