--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -161,7 +161,7 @@
         && lease.epoch().above(shardOwner.epoch())
         && !shardOwner.isLeaseValid()) {
       // Since the lease expired another may have owned the shard: what is in memory may be wrong.
-      giveUp(lease.shard(), "its lease had lapsed before epoch " + lease.epoch());
+      giveUp(lease.shard(), "its lease expired before epoch " + lease.epoch());
       shardOwner = null;
     }
     if (shardOwner == null && isUsedUp(lease)) {
