--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -31,7 +31,7 @@
       String key = operation.path("write").asText();
       JsonNode data = operation.path("data");
       if (key.startsWith(SHARDS)) {
-        history.minted(data.path("epoch").asLong(), data.path("part").asInt());
+        history.allocated(data.path("epoch").asLong(), data.path("part").asInt());
       } else if (several && key.startsWith(Shares.MACHINES)) {
         data.path("m")
             .forEach(
--- a/src/test/java/shorecrank/sim/CommandHistory.java
+++ b/src/test/java/shorecrank/sim/CommandHistory.java
@@ -17,8 +17,8 @@
   private final Map<String, Integer> shardOfMachine = new HashMap<>();
   private final Map<String, Long> obeyed = new HashMap<>();
 
-  /** An epoch was minted for a shard. */
-  void minted(long epoch, int shard) {
+  /** An epoch was allocated for a shard. */
+  void allocated(long epoch, int shard) {
     shardOfEpoch.put(epoch, shard);
   }
 
@@ -38,20 +38,20 @@
    * @param token what the command came under
    * @return what is wrong with it; empty if nothing is
    */
-  List<String> started(String machine, long token, String piece) {
+  List<String> started(String machine, long token, String task) {
     List<String> wrong = new ArrayList<>();
     long epoch = token >>> TOKEN_BITS;
     Integer by = shardOfEpoch.get(epoch);
     Integer of = shardOfMachine.get(machine);
     if (by == null) {
-      wrong.add("start_unminted: %s on %s under epoch %d".formatted(piece, machine, epoch));
+      wrong.add("start_unallocated: %s on %s under epoch %d".formatted(task, machine, epoch));
     } else if (of != null && !of.equals(by)) {
       wrong.add(
           "start_of_other_shard: %s on %s by shard %d, assigned to %d"
-              .formatted(piece, machine, by, of));
+              .formatted(task, machine, by, of));
     }
     if (epoch < obeyed.getOrDefault(machine, 0L)) {
-      wrong.add("start_below: %s on %s under epoch %d".formatted(piece, machine, epoch));
+      wrong.add("start_below: %s on %s under epoch %d".formatted(task, machine, epoch));
     }
     obeyed.merge(machine, epoch, Math::max);
     return wrong;
--- a/src/test/java/shorecrank/sim/CommandHistoryTest.java
+++ b/src/test/java/shorecrank/sim/CommandHistoryTest.java
@@ -22,8 +22,8 @@
 
   @BeforeEach
   void twoShards() {
-    history.minted(3, 0);
-    history.minted(4, 1);
+    history.allocated(3, 0);
+    history.allocated(4, 1);
     history.assigned("n-1", 0);
   }
 
@@ -48,13 +48,13 @@
 
   @Test
   void aStartUnderAnEpochThatTheMachineHasLeftBehind() {
-    history.minted(5, 0);
+    history.allocated(5, 0);
     assertEquals(List.of(), history.started("n-1", token(5, 0), "wk-1/0"));
     finds("start_below", history.started("n-1", token(3, 9), "wk-1/1"));
   }
 
   @Test
-  void aStartUnderAnEpochThatNobodyMinted() {
-    finds("start_unminted", history.started("n-1", token(9, 0), "wk-1/0"));
+  void aStartUnderAnEpochThatNobodyAllocated() {
+    finds("start_unallocated", history.started("n-1", token(9, 0), "wk-1/0"));
   }
 }
--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -7,27 +7,31 @@
 final class CountExpectations {
   static final Map<String, Expectation.Reader> EXPECTATIONS =
       Map.ofEntries(
-          Map.entry("epoch", CountExpectations::epochAtLeast),
+          Map.entry("epoch-at-least", CountExpectations::epochAtLeast),
           Map.entry("epoch-below", line -> below(line, CountExpectations::epoch)),
           Map.entry(
-              "kills-below", line -> below(line, world -> world.counters.leaseExpiriesWithTasks())),
+              "lease-expiries-below",
+              line -> below(line, world -> world.counters.leaseExpiriesWithTasks())),
           Map.entry("machines-below", line -> below(line, world -> world.cloud.size())),
           Map.entry("machines-above", line -> above(line, world -> world.cloud.size())),
           Map.entry("starts-below", line -> below(line, world -> world.checker.tasks().starts())),
           Map.entry("starts-above", line -> above(line, world -> world.checker.tasks().starts())),
           Map.entry(
-              "late-starts-below",
+              "starts-after-cancel-below",
               line -> below(line, world -> world.checker.tasks().startsAfterCancel())),
           Map.entry(
               "looks-per-round-below",
               line -> below(line, world -> world.counters.looksPerRound())),
-          Map.entry("news-below", line -> below(line, world -> world.counters.largestNews())),
+          Map.entry(
+              "watch-changes-below", line -> below(line, world -> world.counters.largestNews())),
           Map.entry("requests-below", line -> below(line, world -> world.store.meter().requests())),
-          Map.entry("full-below", line -> below(line, world -> world.counters.startsRefusedFull())),
-          Map.entry("gone", CountExpectations::gone),
+          Map.entry(
+              "refused-full-below",
+              line -> below(line, world -> world.counters.startsRefusedFull())),
+          Map.entry("returned", CountExpectations::returned),
           Map.entry("log", line -> logged(line, true)),
           Map.entry("nolog", line -> logged(line, false)),
-          Map.entry("owner-known", line -> plain(world -> world.owner(0).isPresent())));
+          Map.entry("owner-exists", line -> plain(world -> world.owner(0).isPresent())));
 
   private CountExpectations() {}
 
@@ -58,8 +62,8 @@
         world -> " [" + value.applyAsDouble(world) + "]");
   }
 
-  /** {@code gone MACHINE}: a controller has returned it to the cloud. */
-  private static Expectation gone(ScenarioLine line) {
+  /** {@code returned MACHINE}: a controller has returned it to the cloud. */
+  private static Expectation returned(ScenarioLine line) {
     String machine = line.word(1);
     return plain(world -> world.cloud.wasReturned(machine));
   }
--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -9,24 +9,24 @@
 final class Declarations {
   private static final Map<String, Declaration.Reader> BY_NAME =
       Map.ofEntries(
-          Map.entry("nodes", Declarations::nodes),
+          Map.entry("controllers", Declarations::controllers),
           Map.entry("zones", Declarations::zones),
           Map.entry("workers", Declarations::workers),
           Map.entry("state", Declarations::state),
           Map.entry("type", Declarations::type),
           Map.entry("team", Declarations::team),
-          Map.entry("aim", Declarations::objective),
+          Map.entry("objective", Declarations::objective),
           Map.entry("set", line -> setup -> {}),
           Map.entry("seeds", Declarations::seeds),
           Map.entry("rollout", Declarations::rollout),
           Map.entry("shares", Declarations::shares),
           Map.entry("levels", Declarations::levels),
-          Map.entry("mix", RandomMix.reader(RandomFaults::new)),
-          Map.entry("mix-rollout", RandomMix.reader(RolloutMix::new)),
-          Map.entry("mix-shares", RandomMix.reader(SharesMix::new)),
+          Map.entry("random-faults", RandomMix.reader(RandomFaults::new)),
+          Map.entry("random-rollouts", RandomMix.reader(RolloutMix::new)),
+          Map.entry("random-moves", RandomMix.reader(SharesMix::new)),
           Map.entry("must-break", Declarations::mustBreak),
           Map.entry("capacity", Declarations::capacity),
-          Map.entry("bootfails", Declarations::bootFailures),
+          Map.entry("boot-failures", Declarations::bootFailures),
           Map.entry("machines", Declarations::machines),
           Map.entry("at", Declarations::at),
           Map.entry("on", Declarations::on),
@@ -49,8 +49,8 @@
     return reader.read(line);
   }
 
-  /** {@code nodes COUNT}: controllers. */
-  private static Declaration nodes(ScenarioLine line) {
+  /** {@code controllers COUNT}. */
+  private static Declaration controllers(ScenarioLine line) {
     int count = line.integer(1);
     return setup -> setup.controllers(count);
   }
@@ -61,14 +61,14 @@
     return setup -> setup.world().site.setZones(zones);
   }
 
-  /** {@code workers report=S lease=S cancel=S}. */
+  /** {@code workers heartbeat=S lease=S cancel=S}. */
   private static Declaration workers(ScenarioLine line) {
-    String[] names = {"report", "lease", "cancel"};
+    String[] names = {"heartbeat", "lease", "cancel"};
     ScenarioOptions options = line.options(1).allow(names).requireNumbers(names);
     return setup -> {
       Site site = setup.world().site;
       site.setWorkerTimes(
-          options.decimal("report", site.reportS()),
+          options.decimal("heartbeat", site.reportS()),
           options.decimal("lease", site.leaseS()),
           options.decimal("cancel", site.cancelS()));
     };
@@ -101,25 +101,25 @@
   /** {@code type NAME options}: a type of machine. */
   private static Declaration type(ScenarioLine line) {
     String name = line.word(1);
-    ScenarioOptions options = line.options(2).allow("cpus", "mem", "boot", "zones");
+    ScenarioOptions options = line.options(2).allow("cpus", "memory", "boot", "zones");
     MachineType type =
         new MachineType(
             options.decimal("cpus", 8),
-            options.decimal("mem", 32),
+            options.decimal("memory", 32),
             options.decimal("boot", 20),
             List.of(options.text("zones", "a").split(",")));
     return setup -> setup.world().site.addType(name, type);
   }
 
-  /** {@code team NAME [max=CPUS] [own=CPUS]}: its limit and its guarantee. */
+  /** {@code team NAME [limit=CPUS] [guarantee=CPUS]}. */
   private static Declaration team(ScenarioLine line) {
     String name = line.word(1);
-    ScenarioOptions options = line.options(2).allow("max", "own");
-    TeamQuota quota = new TeamQuota(options.decimal("own", 0), options.decimal("max", 0));
+    ScenarioOptions options = line.options(2).allow("limit", "guarantee");
+    TeamQuota quota = new TeamQuota(options.decimal("guarantee", 0), options.decimal("limit", 0));
     return setup -> setup.world().site.addTeam(name, quota);
   }
 
-  /** {@code aim KIND CLASS [within=S] [times=FACTOR]}: an objective of a class of jobs. */
+  /** {@code objective KIND CLASS [within=S] [times=FACTOR]}: an objective of a class of jobs. */
   private static Declaration objective(ScenarioLine line) {
     String kind = line.word(1);
     String jobClass = line.word(2);
@@ -179,7 +179,7 @@
     return setup -> setup.world().cloud.setCapacity(count);
   }
 
-  /** {@code bootfails COUNT}: so many machines never come up. */
+  /** {@code boot-failures COUNT}: so many machines never come up. */
   private static Declaration bootFailures(ScenarioLine line) {
     int count = line.integer(1);
     return setup -> setup.world().cloud.failBoots(count);
--- a/src/test/java/shorecrank/sim/JobExpectations.java
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -12,9 +12,9 @@
   static final Map<String, Expectation.Reader> EXPECTATIONS =
       Map.of(
           "done", line -> all(line, (world, job) -> world.checker.told().isDone(job)),
-          "withdrawn", line -> all(line, JobExpectations::isCancelled),
-          "over", line -> all(line, (world, job) -> world.checker.told().isOver(job)),
-          "over-or-refused", line -> all(line, JobExpectations::isOverOrRefused),
+          "cancelled", line -> all(line, JobExpectations::isCancelled),
+          "ended", line -> all(line, (world, job) -> world.checker.told().isOver(job)),
+          "ended-or-refused", line -> all(line, JobExpectations::isEndedOrRefused),
           "accepted", line -> all(line, (world, job) -> !world.checker.told().isUnknown(job)),
           "status", JobExpectations::status,
           "final", JobExpectations::finalRecord,
@@ -34,10 +34,8 @@
     return world.checker.told().phase(job).equals(ToldAnswers.CANCELLED);
   }
 
-  /**
-   * Done or cancelled; or never accepted, in troubles that lasted for as long as its user tried.
-   */
-  private static boolean isOverOrRefused(World world, String job) {
+  /** Done or cancelled; or never accepted, in faults that lasted for as long as its user tried. */
+  private static boolean isEndedOrRefused(World world, String job) {
     ToldAnswers told = world.checker.told();
     return told.isOver(job) || (told.isUnknown(job) && world.users.gaveUpInFaults(job));
   }
--- a/src/test/java/shorecrank/sim/MachineFaults.java
+++ b/src/test/java/shorecrank/sim/MachineFaults.java
@@ -7,9 +7,9 @@
   static final Map<String, Action.Reader> ACTIONS =
       Map.of(
           "hang", MachineFaults::hang,
-          "sick", MachineFaults::sick,
-          "take", MachineFaults::take,
-          "notice", MachineFaults::notice,
+          "fail-tasks", MachineFaults::failTasks,
+          "preempt-machine", MachineFaults::preempt,
+          "preemption-notice", MachineFaults::notice,
           "capacity", MachineFaults::capacity);
 
   private MachineFaults() {}
@@ -21,19 +21,19 @@
     return world -> machines.forEach(world, worker -> worker.hang(durationMs));
   }
 
-  /** {@code sick MACHINES}: every task fails on them. */
-  private static Action sick(ScenarioLine line) {
+  /** {@code fail-tasks MACHINES}: every task fails on them. */
+  private static Action failTasks(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     return world -> machines.forEach(world, worker -> worker.makeSick());
   }
 
-  /** {@code take MACHINES}: the cloud takes them back without notice. */
-  private static Action take(ScenarioLine line) {
+  /** {@code preempt-machine MACHINES}: the cloud takes them back without notice. */
+  private static Action preempt(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     return world -> machines.forEach(world, worker -> world.cloud.take(worker.name()));
   }
 
-  /** {@code notice MACHINES SECONDS}: the cloud announces that it takes them back. */
+  /** {@code preemption-notice MACHINES SECONDS}: the cloud takes them back after a notice. */
   private static Action notice(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     double noticeS = line.decimal(2);
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -28,7 +28,7 @@
   private int submitted;
 
   @Test
-  void anUpgradeWhileServing() throws Exception {
+  void noRuleBreaksWhenEachPairOfVersionsLeadsAndOwns() throws Exception {
     production = ProgramVersions.production();
     present = ProgramVersions.present();
     Path logs = Files.createDirectories(ProgramVersions.BASE.resolve("target/mixed-versions"));
@@ -68,7 +68,7 @@
     assertEquals(production, node(1).version());
     serveFor(6000);
     node(0).crash(9000);
-    await("a takeover by an old one", () -> owns(2));
+    await("a failover to an old one", () -> owns(2));
     serveFor(4000);
   }
 
@@ -84,7 +84,7 @@
     node(1).upgrade(present);
     awaitServing(node(1));
     node(2).crash(3000);
-    await("a takeover by a new one", () -> owns(1));
+    await("a failover to a new one", () -> owns(1));
     serveFor(4000);
   }
 
@@ -122,7 +122,7 @@
     for (int i = 0; i < 3; i++) {
       ControllerProcess owner = (ControllerProcess) world.owner(0).orElseThrow();
       owner.crash(7500);
-      await("a takeover", () -> world.owner(0).filter(node -> node != owner).isPresent());
+      await("a failover", () -> world.owner(0).filter(node -> node != owner).isPresent());
       serveFor(2500);
       awaitServing(owner);
     }
--- a/src/test/java/shorecrank/sim/NetworkFaults.java
+++ b/src/test/java/shorecrank/sim/NetworkFaults.java
@@ -7,13 +7,13 @@
   static final Map<String, Action.Reader> ACTIONS =
       Map.of(
           "cut", NetworkFaults::cut,
-          "zonecut", NetworkFaults::zoneCut,
-          "partition", NetworkFaults::partition,
-          "silence", line -> cutWorkers(line, WorkerDirection.BOTH),
-          "deafen", line -> cutWorkers(line, WorkerDirection.TO_WORKER),
-          "mute", line -> cutWorkers(line, WorkerDirection.FROM_WORKER),
-          "copies", NetworkFaults::copies,
-          "copies-for-next", NetworkFaults::copiesForNext);
+          "isolate-zone", NetworkFaults::isolateZone,
+          "partition-zones", NetworkFaults::partition,
+          "cut-worker", line -> cutWorkers(line, WorkerDirection.BOTH),
+          "cut-answers", line -> cutWorkers(line, WorkerDirection.TO_WORKER),
+          "cut-heartbeats", line -> cutWorkers(line, WorkerDirection.FROM_WORKER),
+          "duplicate-heartbeats", NetworkFaults::duplicateHeartbeats,
+          "replay-to-next-leader", NetworkFaults::replayToNextLeader);
 
   private NetworkFaults() {}
 
@@ -27,8 +27,10 @@
         who.forEach(world, node -> world.network.cuts().cutLinks(node, link, durationMs, mode));
   }
 
-  /** {@code zonecut WHO SECONDS [MODE]}: the zone of a controller loses all that is outside. */
-  private static Action zoneCut(ScenarioLine line) {
+  /**
+   * {@code isolate-zone WHO SECONDS [MODE]}: the zone of a controller loses all that is outside.
+   */
+  private static Action isolateZone(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
     CutMode mode = mode(line, 3);
@@ -38,7 +40,7 @@
             .ifPresent(node -> world.network.cuts().isolateZone(node.zone(), durationMs, mode));
   }
 
-  /** {@code partition ZONE ZONE SECONDS [MODE]}: two zones lose each other. */
+  /** {@code partition-zones ZONE ZONE SECONDS [MODE]}: two zones lose each other. */
   private static Action partition(ScenarioLine line) {
     String one = line.word(1);
     String other = line.word(2);
@@ -58,16 +60,16 @@
             worker -> world.network.cuts().cutWorker(worker.name(), direction, durationMs, mode));
   }
 
-  /** {@code copies SECONDS LATE_S [in-order]}: for a while every report arrives twice. */
-  private static Action copies(ScenarioLine line) {
+  /** {@code duplicate-heartbeats SECONDS LATE_S [in-order]}: for a while each arrives twice. */
+  private static Action duplicateHeartbeats(ScenarioLine line) {
     long durationMs = line.milliseconds(1);
     double lateS = line.decimal(2);
     boolean inOrder = line.has(3);
     return world -> world.network.duplicates().sendFor(durationMs, lateS, inOrder);
   }
 
-  /** {@code copies-for-next SECONDS}: copies of a while's reports arrive under the next leader. */
-  private static Action copiesForNext(ScenarioLine line) {
+  /** {@code replay-to-next-leader SECONDS}: copies of heartbeats arrive under the next leader. */
+  private static Action replayToNextLeader(ScenarioLine line) {
     long durationMs = line.milliseconds(1);
     return world -> world.network.duplicates().keepForNextLeader(durationMs);
   }
--- a/src/test/java/shorecrank/sim/RandomFaults.java
+++ b/src/test/java/shorecrank/sim/RandomFaults.java
@@ -40,20 +40,21 @@
       case 6 -> "outage state " + seconds;
       case 7 -> "outage cloud " + seconds;
       case 8 -> "hang " + machine + " " + seconds;
-      case 9 -> "silence " + machine + " " + seconds + " " + lossOrDelay();
-      case 10 -> "deafen " + machine + " " + seconds;
-      case 11 -> "copies " + seconds + " " + (2 + random().nextInt(40));
-      case 12 -> "take " + machine;
+      case 9 -> "cut-worker " + machine + " " + seconds + " " + lossOrDelay();
+      case 10 -> "cut-answers " + machine + " " + seconds;
+      case 11 -> "duplicate-heartbeats " + seconds + " " + (2 + random().nextInt(40));
+      case 12 -> "preempt-machine " + machine;
       case 13 -> "cut owner workers " + seconds + " " + mode;
-      case 14 -> "zonecut " + node + " " + seconds + " " + lossOrDelay();
-      case 15 -> "partition a b " + seconds + " " + lossOrDelay();
+      case 14 -> "isolate-zone " + node + " " + seconds + " " + lossOrDelay();
+      case 15 -> "partition-zones a b " + seconds + " " + lossOrDelay();
       case 16 -> "freeze owner " + seconds + ";hang " + machine + " " + seconds;
       case 17 -> "late-writes 0." + (1 + random().nextInt(6)) + " " + seconds;
       case 18 -> "late-writes 0." + (1 + random().nextInt(6)) + " " + seconds + " at-once";
-      case 19 -> "copies-for-next " + seconds + ";crash leader 0.3";
-      case 20 -> "copies-for-next " + (seconds + 5) + ";crash " + who + " " + (1 + seconds / 8);
-      case 21 -> "mute " + machine + " " + seconds + " " + lossOrDelay();
-      case 22 -> "slow " + (5 + random().nextInt(40)) + " " + seconds;
+      case 19 -> "replay-to-next-leader " + seconds + ";crash leader 0.3";
+      case 20 ->
+          "replay-to-next-leader " + (seconds + 5) + ";crash " + who + " " + (1 + seconds / 8);
+      case 21 -> "cut-heartbeats " + machine + " " + seconds + " " + lossOrDelay();
+      case 22 -> "slow-state " + (5 + random().nextInt(40)) + " " + seconds;
       case 23 -> "cut leader state 14 refuse;cancel-now 2;outage state " + (seconds + 10);
       case 24 -> "cancel-now 3 " + seconds + ";crash " + who + " 2";
       case 25 -> "cancel-now 2;cut owner state " + seconds + " refuse";
@@ -63,8 +64,8 @@
               + " hold;cut leader peers "
               + seconds
               + " hold;cancel-now 2";
-      case 27 -> "silence zone=a " + seconds + " hold;crash owner 3;cancel-now 1";
-      case 28 -> "deafen zone=a " + seconds + ";crash leader 1";
+      case 27 -> "cut-worker zone=a " + seconds + " hold;crash owner 3;cancel-now 1";
+      case 28 -> "cut-answers zone=a " + seconds + ";crash leader 1";
       default -> "crash " + who + " 0.3;crash " + who + " 0.1";
     };
   }
--- a/src/test/java/shorecrank/sim/RolloutActions.java
+++ b/src/test/java/shorecrank/sim/RolloutActions.java
@@ -10,7 +10,7 @@
       Map.of(
           "version", RolloutActions::version,
           "roll", RolloutActions::roll,
-          "order", RolloutActions::order,
+          "rollout-order", RolloutActions::order,
           "settings", RolloutActions::settings);
 
   private static final int NO_LEVEL = -1;
@@ -38,7 +38,7 @@
             });
   }
 
-  /** {@code order WHO ID KIND [LEVEL]}: sent until it is answered. */
+  /** {@code rollout-order WHO ID KIND [LEVEL]}: sent until it is answered. */
   private static Action order(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     String id = line.word(2);
--- a/src/test/java/shorecrank/sim/RolloutExpectations.java
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -10,7 +10,7 @@
           "level", RolloutExpectations::level,
           "phase", RolloutExpectations::phase,
           "dense", RolloutExpectations::dense,
-          "order", RolloutExpectations::order,
+          "rollout-order", RolloutExpectations::order,
           "rises", RolloutExpectations::rises,
           "falls", RolloutExpectations::falls,
           "archived", RolloutExpectations::archived);
@@ -39,7 +39,7 @@
     return of(world -> (world.rollouts.denseRecords() == 0) == none);
   }
 
-  /** {@code order ID accepted|refused [words that the answer holds]}. */
+  /** {@code rollout-order ID accepted|refused [words that the answer holds]}. */
   private static Expectation order(ScenarioLine line) {
     OrderAnswer answer = OrderAnswer.read(line);
     return of(world -> answer.isOf(world.rollouts.orders()));
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -73,20 +73,20 @@
     return String.format(
         Locale.ROOT,
         """
-        nodes 3
+        controllers 3
         zones a,b
         state rps=200 writes=%2$d ops=16 value=16
-        type c64 cpus=64 mem=256 boot=20 zones=a,b
+        type c64 cpus=64 memory=256 boot=20 zones=a,b
          machines c64 a 20
          machines c64 b 20
         capacity 40
         rollout settle_s: 5
         rollout rewrites_per_s: %1$.1f
-        at 5 burst 10000 0.04 45 long pieces=1 cpus=2 run=600 mem=1
-        at 6 burst 1 2 300 c pieces=2 cpus=1 run=5 mem=1
-        at 10 order n0 up finalize 1
+        at 5 submit-every 10000 0.04 45 long tasks=1 cpus=2 run=600 memory=1
+        at 6 submit-every 1 2 300 c tasks=2 cpus=1 run=5 memory=1
+        at 10 rollout-order n0 up finalize 1
         at 110 expect level 1
-        at 120 order n1 down downgrade 0
+        at 120 rollout-order n1 down downgrade 0
         at 399 expect level 0
         until 400
         """,
@@ -129,9 +129,9 @@
     for (String archive : List.of("true", "false")) {
       String text =
           """
-          nodes 3
+          controllers 3
           zones a,b
-          type p8 cpus=8 mem=32 boot=20 zones=a,b
+          type p8 cpus=8 memory=32 boot=20 zones=a,b
            machines p8 a 4
            machines p8 b 4
           capacity 8
@@ -139,7 +139,7 @@
           rollout automatic: true
           rollout archive_before_raise: %s
           levels none,none,none
-          at 5 burst 1 0.5 150 c pieces=2 cpus=1 run=6
+          at 5 submit-every 1 0.5 150 c tasks=2 cpus=1 run=6
           at 20 roll n0 0-1 1
           at 40 roll n1 0-1 1
           at 60 roll n2 0-1 1
--- a/src/test/java/shorecrank/sim/RolloutMix.java
+++ b/src/test/java/shorecrank/sim/RolloutMix.java
@@ -38,10 +38,11 @@
       case 0, 1, 2, 3 -> "roll " + node() + " " + version + " " + back;
       case 4 -> "roll leader " + version + " " + back;
       case 5 -> "roll owner " + version + " " + back;
-      case 6, 7, 8 -> "order " + node() + " o" + number + " finalize " + (1 + random().nextInt(2));
-      case 9, 10 -> "order " + node() + " o" + number + " downgrade " + random().nextInt(2);
-      case 11 -> "order n0 o" + number + " abort;order n1 o" + number + " abort";
-      case 12 -> "order " + node() + " o" + number + " archive";
+      case 6, 7, 8 ->
+          "rollout-order " + node() + " o" + number + " finalize " + (1 + random().nextInt(2));
+      case 9, 10 -> "rollout-order " + node() + " o" + number + " downgrade " + random().nextInt(2);
+      case 11 -> "rollout-order n0 o" + number + " abort;rollout-order n1 o" + number + " abort";
+      case 12 -> "rollout-order " + node() + " o" + number + " archive";
       case 13 -> "crash " + who() + " " + back;
       case 14 -> "freeze " + who() + " " + seconds;
       case 15 -> "cut " + who() + " state " + seconds + " hold";
--- a/src/test/java/shorecrank/sim/RolloutProcessTest.java
+++ b/src/test/java/shorecrank/sim/RolloutProcessTest.java
@@ -18,7 +18,7 @@
   @TempDir Path dir;
 
   @Test
-  void anOperatorsSession() throws Exception {
+  void anOperatorRaisesArchivesAndLowersTheLevel() throws Exception {
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 archives_kept: 1 rewrites_per_s: 50");
     ProgramVersion present = ProgramVersions.present("--rollout", settings.toString());
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -27,7 +27,7 @@
   private int returnsAtLevel;
 
   @Test
-  void upAndDownInRandomOrder() throws Exception {
+  void everyJobEndsOnceWhileVersionsGoUpAndDown() throws Exception {
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 rewrites_per_s: 50");
     ProgramVersion production = ProgramVersions.production();
--- a/src/test/java/shorecrank/sim/ScaleTest.java
+++ b/src/test/java/shorecrank/sim/ScaleTest.java
@@ -26,14 +26,14 @@
   private static final long OWNER_BACK_MS = 4000;
 
   @Test
-  void small() throws Exception {
+  void sixHundredMachinesAreServedWithinTheLimits() throws Exception {
     play(600);
   }
 
   @Tag("scale")
   @ParameterizedTest
   @ValueSource(ints = {1000, 2000, 4200})
-  void large(int machines) throws Exception {
+  void largerFleetsAreServedWithinTheLimits(int machines) throws Exception {
     play(machines);
   }
 
@@ -43,13 +43,13 @@
         String.format(
             Locale.ROOT,
             """
-            nodes 5
+            controllers 5
             zones a,b,c
-            workers report=5 lease=31 cancel=61
+            workers heartbeat=5 lease=31 cancel=61
             state rps=%1$d writes=%2$d ops=48 value=16
-            type c8 cpus=8 mem=32 boot=20 zones=a,b,c
+            type c8 cpus=8 memory=32 boot=20 zones=a,b,c
             capacity %3$d
-            at 5 burst 1000 0.2 %4$.1f c pieces=%5$d cpus=8 mem=8 run=70
+            at 5 submit-every 1000 0.2 %4$.1f c tasks=%5$d cpus=8 memory=8 run=70
             at 60 crash leader 4
             until 240
             """,
--- a/src/test/java/shorecrank/sim/ServiceFaults.java
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -12,12 +12,12 @@
   static final Map<String, Action.Reader> ACTIONS =
       Map.of(
           "outage", ServiceFaults::outage,
-          "slow", ServiceFaults::slow,
+          "slow-state", ServiceFaults::slow,
           "late-writes", ServiceFaults::lateWrites,
           "lower-limits", ServiceFaults::lowerLimits,
           "write-key", ServiceFaults::writeKey,
-          "rogue", ServiceFaults::rogue,
-          "drop", ServiceFaults::drop);
+          "foreign-write", ServiceFaults::foreignWrite,
+          "remove-record", ServiceFaults::removeRecord);
 
   private ServiceFaults() {}
 
@@ -36,7 +36,7 @@
     };
   }
 
-  /** {@code slow FACTOR SECONDS}: the state service answers that much slower. */
+  /** {@code slow-state FACTOR SECONDS}: the state service answers that much slower. */
   private static Action slow(ScenarioLine line) {
     double factor = line.decimal(1);
     long durationMs = line.milliseconds(2);
@@ -72,8 +72,8 @@
     return world -> world.store.poke(key, value);
   }
 
-  /** {@code rogue JOB BY}: a stranger writes the record, at an epoch higher by so much. */
-  private static Action rogue(ScenarioLine line) {
+  /** {@code foreign-write JOB BY}: a stranger writes the record, at an epoch higher by so much. */
+  private static Action foreignWrite(ScenarioLine line) {
     String key = JobRecord.LIVE + line.word(1);
     long by = line.whole(2);
     return world -> {
@@ -83,8 +83,8 @@
     };
   }
 
-  /** {@code drop JOB}: a stranger removes the record. */
-  private static Action drop(ScenarioLine line) {
+  /** {@code remove-record JOB}: a stranger removes the record. */
+  private static Action removeRecord(ScenarioLine line) {
     String key = JobRecord.LIVE + line.word(1);
     return world -> world.store.poke(key, null);
   }
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -11,7 +11,7 @@
       Map.of(
           "share", ShareExpectations::share,
           "counted", ShareExpectations::counted,
-          "moving", ShareExpectations::moving,
+          "moves", ShareExpectations::moves,
           "share-order", ShareExpectations::order,
           "share-orders", ShareExpectations::orders);
 
@@ -45,8 +45,8 @@
         });
   }
 
-  /** {@code moving COUNT}: moves under way. */
-  private static Expectation moving(ScenarioLine line) {
+  /** {@code moves COUNT}: moves under way. */
+  private static Expectation moves(ScenarioLine line) {
     int count = line.integer(1);
     return of(world -> world.shares.state().active().size() == count);
   }
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -12,11 +12,11 @@
 class SharesMeasurementTest {
   private static final String SITE =
       """
-      nodes 3
+      controllers 3
       zones a,b
       team t
       team u
-      type p8 cpus=8 mem=32 boot=20 zones=a,b
+      type p8 cpus=8 memory=32 boot=20 zones=a,b
        machines p8 a 10
        machines p8 b 10
       capacity 20
@@ -38,8 +38,8 @@
     for (int taskS : new int[] {5, 20, 60}) {
       StringBuilder text = new StringBuilder(SITE);
       text.append("set parts: 2\nshares automatic: false move_timeout_s: 300\n");
-      text.append("at 5 submit wk-1 team=t pieces=6000 cpus=1 run=%d\n".formatted(taskS));
-      text.append("at 5 submit wk-2 team=u pieces=6000 cpus=1 run=%d\n".formatted(taskS));
+      text.append("at 5 submit wk-1 team=t tasks=6000 cpus=1 run=%d\n".formatted(taskS));
+      text.append("at 5 submit wk-2 team=u tasks=6000 cpus=1 run=%d\n".formatted(taskS));
       for (int s = 20; s < 560; s += 5) {
         int from = s / 5 % 2;
         text.append(
@@ -71,8 +71,8 @@
               + shards
               + """
 
-              at 10 submit wk-1 team=t pieces=1000 cpus=1 run=40
-              at 20 submit wk-2 team=u pieces=80 cpus=1 run=10 urgency=urgent
+              at 10 submit wk-1 team=t tasks=1000 cpus=1 run=40
+              at 20 submit wk-2 team=u tasks=80 cpus=1 run=10 priority=urgent
               until 600
               """;
       Scenario scenario = new Scenario("spike", text);
@@ -115,21 +115,21 @@
         String shares = shards == 1 ? "" : "shares settle_s: 1\n";
         String text =
             """
-            nodes 5
+            controllers 5
             zones a,b,c
-            workers report=5 lease=31 cancel=61
+            workers heartbeat=5 lease=31 cancel=61
             state rps=250 writes=250 ops=48 value=16
             set parts: %d
             %steam t
             team u
             team vv
             team www
-            type c8 cpus=8 mem=32 boot=20 zones=a,b,c
+            type c8 cpus=8 memory=32 boot=20 zones=a,b,c
             capacity %d
-            at 5 submit wk-1 team=t pieces=%d cpus=4 mem=4 run=30
-            at 6 submit wk-2 team=u pieces=%d cpus=4 mem=4 run=30
-            at 60 submit wk-3 team=vv pieces=%d cpus=4 mem=4 run=30 urgency=urgent
-            at 60 submit wk-4 team=www pieces=%d cpus=4 mem=4 run=30
+            at 5 submit wk-1 team=t tasks=%d cpus=4 memory=4 run=30
+            at 6 submit wk-2 team=u tasks=%d cpus=4 memory=4 run=30
+            at 60 submit wk-3 team=vv tasks=%d cpus=4 memory=4 run=30 priority=urgent
+            at 60 submit wk-4 team=www tasks=%d cpus=4 memory=4 run=30
             until 200
             """
                 .formatted(
--- a/src/test/java/shorecrank/sim/SharesMix.java
+++ b/src/test/java/shorecrank/sim/SharesMix.java
@@ -89,10 +89,13 @@
       case 10 -> "late-writes 0.6 5";
       case 11 -> "late-writes 1 2 at-once";
       case 12 -> "crash all " + back;
-      case 13 -> "copies 8 30";
-      case 14 -> "copies-for-next 6;crash leader 0.3";
+      case 13 -> "duplicate-heartbeats 8 30";
+      case 14 -> "replay-to-next-leader 6;crash leader 0.3";
       case 15 -> "hang " + machine() + " " + seconds;
-      case 16 -> random().nextInt(2) == 0 ? "take " + machine() : "notice " + machine() + " 8";
+      case 16 ->
+          random().nextInt(2) == 0
+              ? "preempt-machine " + machine()
+              : "preemption-notice " + machine() + " 8";
       default -> "cancel-now 2;outage state " + seconds;
     };
   }
--- a/src/test/java/shorecrank/sim/TaskRulesTest.java
+++ b/src/test/java/shorecrank/sim/TaskRulesTest.java
@@ -159,7 +159,7 @@
   void aStartUnderAnEpochThatNobodyAllocatedIsFound() {
     world.accept("wk-1", JobPlan.builder());
     world.commandStart(1, "wk-1/0", 7);
-    world.assertBroken("start_unminted: wk-1/0 on n-000001");
+    world.assertBroken("start_unallocated: wk-1/0 on n-000001");
   }
 
   @Test
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -7,36 +7,36 @@
   static final Map<String, Action.Reader> ACTIONS =
       Map.ofEntries(
           Map.entry("submit", UserActions::submit),
-          Map.entry("burst", UserActions::burst),
+          Map.entry("submit-every", UserActions::submitEvery),
           Map.entry("resubmit", line -> ofJob(line, SimulatedUsers::resubmit)),
-          Map.entry("ask", line -> ofJob(line, SimulatedUsers::query)),
+          Map.entry("query", line -> ofJob(line, SimulatedUsers::query)),
           Map.entry("cancel", line -> ofJob(line, SimulatedUsers::cancel)),
-          Map.entry("unheard", UserActions::unheard),
+          Map.entry("lose-requests", UserActions::loseRequests),
           Map.entry("cancel-now", UserActions::cancelNow),
           Map.entry("cancel-each", UserActions::cancelEach),
           Map.entry("cancel-at-end", UserActions::cancelAtEnd),
-          Map.entry("close-looks", line -> forAWhile(line, UserHabits::lookCloselyFor)),
-          Map.entry("odd-requests", line -> forAWhile(line, UserHabits::sendOddRequestsFor)));
+          Map.entry("query-everywhere", line -> forAWhile(line, UserHabits::lookCloselyFor)),
+          Map.entry("malformed-requests", line -> forAWhile(line, UserHabits::sendOddRequestsFor)));
 
   private static final String[] PLAN_OPTIONS = {
     "team",
     "class",
     "image",
-    "site",
-    "hosttype",
-    "urgency",
-    "pieces",
+    "zone",
+    "machine-type",
+    "priority",
+    "tasks",
     "cpus",
-    "mem",
+    "memory",
     "run",
-    "pull",
-    "save",
+    "fetch",
+    "checkpoint",
     "due",
-    "ordinary",
+    "no-spot",
     "together",
     "spread",
-    "faulty",
-    "needs"
+    "failing",
+    "depends-on"
   };
 
   /** A request about one job. */
@@ -60,8 +60,8 @@
     return world -> world.users.submit(job, plan);
   }
 
-  /** {@code burst FIRST EVERY UNTIL CLASS options}: a job every so many seconds. */
-  private static Action burst(ScenarioLine line) {
+  /** {@code submit-every FIRST EVERY UNTIL CLASS options}: a job every so many seconds. */
+  private static Action submitEvery(ScenarioLine line) {
     int first = line.integer(1);
     long everyMs = line.milliseconds(2);
     long untilMs = line.milliseconds(3);
@@ -88,8 +88,8 @@
     return world -> habit.begin(world.users.habits(), durationMs);
   }
 
-  /** {@code unheard JOB}: no request about the job reaches a controller from now on. */
-  private static Action unheard(ScenarioLine line) {
+  /** {@code lose-requests JOB}: no request about the job reaches a controller from now on. */
+  private static Action loseRequests(ScenarioLine line) {
     String job = line.word(1);
     return world -> world.users.client().loseAllAbout(job);
   }
@@ -126,21 +126,21 @@
         .team(options.text("team", plain.team()))
         .jobClass(options.text("class", plain.jobClass()))
         .image(options.text("image", plain.image()))
-        .zone(options.text("site", null))
-        .machineType(options.text("hosttype", null))
-        .priority(options.text("urgency", plain.priority()))
-        .tasks(options.integer("pieces", plain.tasks()))
+        .zone(options.text("zone", null))
+        .machineType(options.text("machine-type", null))
+        .priority(options.text("priority", plain.priority()))
+        .tasks(options.integer("tasks", plain.tasks()))
         .cpus(options.decimal("cpus", plain.cpus()))
-        .memoryGb(options.decimal("mem", plain.memoryGb()))
+        .memoryGb(options.decimal("memory", plain.memoryGb()))
         .runS(options.decimal("run", plain.runS()))
-        .fetchS(options.decimal("pull", plain.fetchS()))
-        .checkpointS(options.decimal("save", plain.checkpointS()))
-        .checkpoints(options.has("save"))
+        .fetchS(options.decimal("fetch", plain.fetchS()))
+        .checkpointS(options.decimal("checkpoint", plain.checkpointS()))
+        .checkpoints(options.has("checkpoint"))
         .dueS(options.decimal("due", plain.dueS()))
-        .spot(!options.has("ordinary"))
+        .spot(!options.has("no-spot"))
         .together(options.has("together"))
         .spread(options.has("spread"))
-        .faulty(options.has("faulty"))
-        .dependencies(options.jobs("needs"));
+        .faulty(options.has("failing"))
+        .dependencies(options.jobs("depends-on"));
   }
 }
