--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -14,9 +14,10 @@
 import picocli.CommandLine.Parameters;
 import shorecrank.client.ControllerClient.Answer;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.RolloutMessages;
-import shorecrank.protocol.RolloutMessages.Order;
+import shorecrank.protocol.OperatorPaths;
 import shorecrank.protocol.RolloutMessages.OrderKind;
+import shorecrank.protocol.RolloutMessages.RolloutOrder;
+import shorecrank.protocol.RolloutOrderCodec;
 import shorecrank.rollout.ArchiveFormat.Manifest;
 import shorecrank.rollout.ArchiveFormat.Version;
 import shorecrank.rollout.ArchiveKeys;
@@ -42,8 +43,9 @@
     try {
       Answer answer =
           client.post(
-              RolloutMessages.ORDERS,
-              RolloutMessages.write(new Order(order.idOrNew(), OrderKind.ARCHIVE, NO_LEVEL)));
+              OperatorPaths.ROLLOUT_ORDERS,
+              RolloutOrderCodec.write(
+                  new RolloutOrder(order.idOrNew(), OrderKind.ARCHIVE, NO_LEVEL)));
       if (!answer.isOk()) {
         return options.printAnswer(answer, "");
       }
--- a/src/main/java/shorecrank/client/ClientOptions.java
+++ b/src/main/java/shorecrank/client/ClientOptions.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.ParameterException;
 import shorecrank.client.ControllerClient.Answer;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.OperatorRequestCodec;
 
 /** The options of every command that asks controllers, and how answers are printed. */
 final class ClientOptions extends OutputOptions {
@@ -119,7 +119,7 @@
   /** Prints that no controller could tell, and returns the exit status. */
   int reportUnknown(NoAnswerException failure) {
     if (isJson()) {
-      printJson(RolloutMessages.unknown(failure.getMessage()));
+      printJson(OperatorRequestCodec.writeUnknown(failure.getMessage()));
       return ExitStatus.UNKNOWN;
     }
     return complain(ExitStatus.UNKNOWN, "unknown: " + failure.getMessage());
--- a/src/main/java/shorecrank/client/RolloutCommand.java
+++ b/src/main/java/shorecrank/client/RolloutCommand.java
@@ -3,9 +3,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import shorecrank.protocol.RolloutMessages;
-import shorecrank.protocol.RolloutMessages.Order;
+import shorecrank.protocol.OperatorPaths;
 import shorecrank.protocol.RolloutMessages.OrderKind;
+import shorecrank.protocol.RolloutMessages.RolloutOrder;
+import shorecrank.protocol.RolloutOrderCodec;
 
 /** Watches and steers the feature level of a fleet. */
 @Command(name = "rollout", description = "Watches and steers the feature level of a fleet.")
@@ -16,7 +17,7 @@
   /** Prints the fleet's feature level. */
   @Command(name = "status", description = "Shows the level, the members and what is waited for.")
   int status(@Mixin ClientOptions options) {
-    return options.showStatus(RolloutMessages.STATUS, RolloutStatusPrinter::print);
+    return options.showStatus(OperatorPaths.ROLLOUT_STATUS, RolloutStatusPrinter::print);
   }
 
   /** Orders a rise of the level. */
@@ -55,7 +56,9 @@
     if (level != null && level < 0) {
       throw options.usageError("--level must be 0 or more");
     }
-    Order order = new Order(orderOptions.idOrNew(), kind, level == null ? NO_LEVEL : level);
-    return options.sendOrder(RolloutMessages.ORDERS, order.id(), RolloutMessages.write(order));
+    RolloutOrder order =
+        new RolloutOrder(orderOptions.idOrNew(), kind, level == null ? NO_LEVEL : level);
+    return options.sendOrder(
+        OperatorPaths.ROLLOUT_ORDERS, order.id(), RolloutOrderCodec.write(order));
   }
 }
--- a/src/main/java/shorecrank/client/SharesCommand.java
+++ b/src/main/java/shorecrank/client/SharesCommand.java
@@ -8,11 +8,12 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.AbortMoves;
-import shorecrank.protocol.ShareMessages.MoveMachines;
-import shorecrank.protocol.ShareMessages.SetShare;
-import shorecrank.protocol.ShareMessages.ShareOrder;
+import shorecrank.protocol.OperatorPaths;
+import shorecrank.protocol.ShareOrderCodec;
+import shorecrank.protocol.ShareOrderMessages.AbortMoves;
+import shorecrank.protocol.ShareOrderMessages.MoveMachines;
+import shorecrank.protocol.ShareOrderMessages.SetShare;
+import shorecrank.protocol.ShareOrderMessages.ShareOrder;
 
 /** Watches and steers which shard has which machines. */
 @Command(name = "shares", description = "Watches and steers which shard has which machines.")
@@ -26,7 +27,7 @@
   /** Prints shards, targets and moves. */
   @Command(name = "show", description = "Shows shards, their machines and targets, and moves.")
   int show(@Mixin ClientOptions options) {
-    return options.showStatus(ShareMessages.SHOW, SharesStatusPrinter::print);
+    return options.showStatus(OperatorPaths.SHARES_STATUS, SharesStatusPrinter::print);
   }
 
   /** Orders a change of a team's share. */
@@ -118,6 +119,6 @@
   }
 
   private static int send(ClientOptions options, ShareOrder order) {
-    return options.sendOrder(ShareMessages.ORDERS, order.id(), ShareMessages.write(order));
+    return options.sendOrder(OperatorPaths.SHARES_ORDERS, order.id(), ShareOrderCodec.write(order));
   }
 }
--- a/src/main/java/shorecrank/client/StoredKeys.java
+++ b/src/main/java/shorecrank/client/StoredKeys.java
@@ -3,8 +3,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import shorecrank.client.ControllerClient.Answer;
-import shorecrank.protocol.RolloutMessages;
-import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.OperatorPaths;
+import shorecrank.protocol.OperatorRequestCodec;
+import shorecrank.protocol.StoreCodec;
 import shorecrank.protocol.StoreMessages.Entry;
 
 /** Keys of the state service, as the controllers read them for the client now. */
@@ -19,13 +20,15 @@
   void forEach(String prefix, Consumer<Entry> consumer) throws NoAnswerException {
     String after = "";
     while (true) {
-      Answer answer = client.post(RolloutMessages.KEYS, RolloutMessages.keys(prefix, after));
+      Answer answer =
+          client.post(
+              OperatorPaths.ROLLOUT_KEYS, OperatorRequestCodec.writeKeysQuery(prefix, after));
       if (!answer.isOk()) {
         throw new NoAnswerException(answer.reason());
       }
-      List<Entry> page = StoreMessages.entries(answer.body());
+      List<Entry> page = StoreCodec.readEntries(answer.body());
       page.forEach(consumer);
-      if (!StoreMessages.more(answer.body()) || page.isEmpty()) {
+      if (!StoreCodec.hasMore(answer.body()) || page.isEmpty()) {
         return;
       }
       after = page.get(page.size() - 1).key();
--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -20,7 +20,8 @@
 import shorecrank.coordination.step.Output;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
-import shorecrank.protocol.HealthMessages;
+import shorecrank.protocol.HealthCodec;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
@@ -28,7 +29,6 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.FeatureGate;
@@ -196,7 +196,7 @@
   /** Reads something from the state service if it has not answered lately. */
   private void probeStore() {
     MonotonicTime now = context.now();
-    if (now.before(nextProbeAt)) {
+    if (now.isBefore(nextProbeAt)) {
       return;
     }
     nextProbeAt = now.plus(PROBE_INTERVAL_MS);
@@ -230,7 +230,7 @@
 
   private void answerHealth(Input.Request request) {
     boolean isHealthy = health.isHealthy();
-    context.reply(request.reply(), isHealthy ? OK : UNAVAILABLE, HealthMessages.write(isHealthy));
+    context.reply(request.reply(), isHealthy ? OK : UNAVAILABLE, HealthCodec.write(isHealthy));
   }
 
   private void ownerObserved(OwnerInfo owner) {
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -5,13 +5,13 @@
 import shorecrank.coordination.leader.Leader;
 import shorecrank.coordination.step.HeartbeatResult;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
+import shorecrank.protocol.HeartbeatMessages.Lease;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.Heartbeat;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.Lease;
-import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.rollout.FeatureGate;
 
@@ -80,7 +80,7 @@
   /** Makes the next heartbeat due soon, if it is not due earlier. */
   void requestSoon() {
     MonotonicTime soon = context.now().plus(NEWS_MS);
-    if (soon.before(nextAt)) {
+    if (soon.isBefore(nextAt)) {
       nextAt = soon;
     }
   }
@@ -91,7 +91,7 @@
 
   /** Sends a heartbeat if one is due and none is under way. */
   void tick() {
-    if (!isInFlight && !context.now().before(nextAt)) {
+    if (!isInFlight && !context.now().isBefore(nextAt)) {
       send();
     }
   }
@@ -156,9 +156,9 @@
   private void apply(HeartbeatAnswer answer, MonotonicTime sentAt) {
     owners.leaderHeard();
     if (announcement != null) {
-      gate.observe(answer.rollout());
+      gate.observe(answer.rolloutNotice());
     }
-    peerReachability.observeAny(answer.othersStateOk() || !election.holding());
+    peerReachability.observeAny(answer.storeReachableByOthers() || !election.holding());
     owners.replaceAll(answer.owners());
     if (shards.relinquishUnrenewed(answer.leases())) {
       requestNow();
--- a/src/main/java/shorecrank/coordination/MachineAssignments.java
+++ b/src/main/java/shorecrank/coordination/MachineAssignments.java
@@ -4,9 +4,9 @@
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
 import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
 
 /** Which shard each machine of the fleet is assigned to, as the leader has told. */
 final class MachineAssignments {
@@ -36,13 +36,13 @@
    * @return whether the leader's assignments are of another version than those known before
    */
   boolean update(HeartbeatAnswer answer) {
-    boolean isNews = answer.whole() || answer.assignmentVersion() != version;
+    boolean isNews = answer.isComplete() || answer.assignmentVersion() != version;
     version = answer.assignmentVersion();
-    if (answer.whole()) {
+    if (answer.isComplete()) {
       byMachine.clear();
     }
     for (MachineAssignment assignment : answer.assigned()) {
-      byMachine.put(assignment.host().name(), assignment);
+      byMachine.put(assignment.machine().name(), assignment);
     }
     answer.unassigned().forEach(byMachine::remove);
     return isNews;
--- a/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
+++ b/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudCodec;
 import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Ids.MonotonicTime;
@@ -54,7 +55,7 @@
   /** Reads the types if it is time to. */
   void tick() {
     MonotonicTime now = context.now();
-    if (isBusy || now.before(nextAt)) {
+    if (isBusy || now.isBefore(nextAt)) {
       return;
     }
     if (types.isEmpty()) {
@@ -70,7 +71,7 @@
   private void storeRead(ReadResult result) {
     isBusy = false;
     if (result instanceof ReadResult.Found found) {
-      update(CloudMessages.catalog(found.entry().value()));
+      update(CloudCodec.readCatalog(found.entry().value()));
       isStored = true;
       nextAt = context.now().plus(RETRY_MS);
     } else {
@@ -82,13 +83,13 @@
     isBusy = true;
     context.cloud(
         "GET",
-        CloudMessages.CATALOG,
+        CloudMessages.CATALOG_PATH,
         null,
         CLOUD_TIMEOUT_MS,
         (status, body) -> {
           isBusy = false;
           Map<String, MachineType> read =
-              status == OK ? CloudMessages.catalog(body) : Map.<String, MachineType>of();
+              status == OK ? CloudCodec.readCatalog(body) : Map.<String, MachineType>of();
           if (read.isEmpty()) {
             nextAt = context.now().plus(RETRY_MS);
             return;
--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -11,15 +11,15 @@
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
+import shorecrank.protocol.HeartbeatMessages.Lease;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.Lease;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
-import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.rollout.FeatureGate;
 
 /** The shards that this process owns: gained by leases, given up, kept in step with the leader. */
@@ -83,7 +83,7 @@
     MonotonicTime oldest = MonotonicTime.NEVER;
     for (ShardOwner shardOwner : shardOwners.values()) {
       MonotonicTime seen = shardOwner.cancellationsKnownUpTo();
-      if (oldest == MonotonicTime.NEVER || (seen != MonotonicTime.NEVER && seen.before(oldest))) {
+      if (oldest == MonotonicTime.NEVER || (seen != MonotonicTime.NEVER && seen.isBefore(oldest))) {
         oldest = seen;
       }
     }
@@ -107,16 +107,16 @@
   void yieldTo(OwnerInfo owner) {
     ShardOwner shardOwner = shardOwners.get(owner.shard());
     if (shardOwner != null
-        && owner.epoch().above(shardOwner.epoch())
-        && !owner.label().equals(context.config.label())) {
-      giveUp(owner.shard(), "owner is " + owner.label() + " at epoch " + owner.epoch());
+        && owner.epoch().isAbove(shardOwner.epoch())
+        && !owner.controller().equals(context.config.label())) {
+      giveUp(owner.shard(), "owner is " + owner.controller() + " at epoch " + owner.epoch());
     }
   }
 
   private void giveUp(ShardId shard, String reason) {
     ShardOwner shardOwner = shardOwners.remove(shard);
     usedEpochs.merge(
-        shard, shardOwner.epoch(), (known, epoch) -> known.above(epoch) ? known : epoch);
+        shard, shardOwner.epoch(), (known, epoch) -> known.isAbove(epoch) ? known : epoch);
     shardOwner.endOwnership(reason);
   }
 
@@ -158,7 +158,7 @@
         requestedAt.plus(lease.ttlMs() - lease.ttlMs() / LEASE_DRIFT_PARTS - LEASE_MARGIN_MS);
     ShardOwner shardOwner = shardOwners.get(lease.shard());
     if (shardOwner != null
-        && lease.epoch().above(shardOwner.epoch())
+        && lease.epoch().isAbove(shardOwner.epoch())
         && !shardOwner.isLeaseValid()) {
       // Since the lease expired another may have owned the shard: what is in memory may be wrong.
       giveUp(lease.shard(), "its lease expired before epoch " + lease.epoch());
@@ -183,7 +183,7 @@
    */
   private boolean isUsedUp(Lease lease) {
     Epoch last = usedEpochs.get(lease.shard());
-    return last != null && !lease.epoch().above(last);
+    return last != null && !lease.epoch().isAbove(last);
   }
 
   private ShardOwner takeOver(Lease lease) {
@@ -220,14 +220,14 @@
   /** Tells the shard owners what the leader says of machines and of offers. */
   void updateMachines(HeartbeatAnswer answer) {
     for (ShardOwner shardOwner : shardOwners.values()) {
-      if (answer.whole()) {
+      if (answer.isComplete()) {
         shardOwner.machines().updateAllAssignments(assignments.all());
       } else {
         answer.assigned().forEach(shardOwner.machines()::updateAssignment);
         answer.unassigned().forEach(shardOwner.machines()::removeAssignment);
       }
-      shardOwner.machines().removeGone(answer.gone());
-      shardOwner.autoscaler().updateUnavailableOffers(answer.blocked());
+      shardOwner.machines().removeGone(answer.released());
+      shardOwner.autoscaler().updateUnavailableOffers(answer.offersWithoutCapacity());
     }
   }
 
--- a/src/main/java/shorecrank/coordination/OwnerTable.java
+++ b/src/main/java/shorecrank/coordination/OwnerTable.java
@@ -9,10 +9,10 @@
 import java.util.function.Consumer;
 import shorecrank.coordination.leader.ShardOwnerCodec;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 import shorecrank.storage.ListResult;
 
 /**
@@ -56,10 +56,10 @@
   /** The label of the shard's owner if that is known and is another controller. */
   Optional<ControllerName> findOther(ShardId shard) {
     OwnerInfo owner = owners.get(shard);
-    if (owner == null || owner.label().equals(context.config.label())) {
+    if (owner == null || owner.controller().equals(context.config.label())) {
       return Optional.empty();
     }
-    return Optional.of(owner.label());
+    return Optional.of(owner.controller());
   }
 
   /** The known owners by shard. */
@@ -86,7 +86,7 @@
   /** Takes an owner that was heard of; one at a lower epoch than the known one changes nothing. */
   void observe(OwnerInfo owner) {
     OwnerInfo known = owners.get(owner.shard());
-    if (known == null || owner.epoch().above(known.epoch())) {
+    if (known == null || owner.epoch().isAbove(known.epoch())) {
       owners.put(owner.shard(), owner);
     }
     observed.accept(owner);
@@ -99,7 +99,7 @@
    */
   void tick() {
     MonotonicTime now = context.now();
-    if (now.since(leaderHeardAt) < STALE_MS || isReading || now.before(nextReadAt)) {
+    if (now.since(leaderHeardAt) < STALE_MS || isReading || now.isBefore(nextReadAt)) {
       return;
     }
     isReading = true;
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -12,15 +12,19 @@
 import shorecrank.coordination.request.UserRequest;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CancellationCodec;
+import shorecrank.protocol.ForwardedRequestCodec;
+import shorecrank.protocol.HeartbeatAnswerCodec;
+import shorecrank.protocol.HeartbeatCodec;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerMessages.Heartbeat;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerRequests;
+import shorecrank.protocol.MalformedMessageException;
+import shorecrank.protocol.OperatorPaths;
+import shorecrank.protocol.PeerPaths;
 import shorecrank.protocol.PeerRequests.ConfirmationQuery;
 import shorecrank.protocol.PeerRequests.ForwardedRequest;
-import shorecrank.protocol.RolloutMessages;
-import shorecrank.protocol.ShareMessages;
+import shorecrank.protocol.StatusQueryCodec;
 
 /** Finds the handler of a request on the peer address: of another controller or an operator. */
 final class PeerRequestRouter {
@@ -55,16 +59,16 @@
    */
   void route(Input.Request request, String path) {
     switch (path) {
-      case PeerMessages.HEARTBEAT -> post(request, () -> heartbeat(request));
-      case PeerMessages.HEARTBEAT_NOW -> post(request, () -> heartbeatNow(request));
-      case PeerMessages.ASK -> post(request, () -> statusQuery(request));
-      case PeerMessages.CONFIRMED -> post(request, () -> confirmationQuery(request));
-      case PeerMessages.RELAY -> post(request, () -> forwarded(request));
-      case RolloutMessages.STATUS -> handlers.rollouts.status(request);
-      case RolloutMessages.ORDERS -> post(request, () -> handlers.rollouts.order(request));
-      case RolloutMessages.KEYS -> post(request, () -> handlers.rollouts.keys(request));
-      case ShareMessages.SHOW -> handlers.shares.show(request);
-      case ShareMessages.ORDERS -> post(request, () -> handlers.shares.order(request));
+      case PeerPaths.HEARTBEAT -> post(request, () -> heartbeat(request));
+      case PeerPaths.HEARTBEAT_NOW -> post(request, () -> heartbeatNow(request));
+      case PeerPaths.STATUS_QUERY -> post(request, () -> statusQuery(request));
+      case PeerPaths.CONFIRMED_CANCELLATIONS -> post(request, () -> confirmationQuery(request));
+      case PeerPaths.FORWARDED_REQUEST -> post(request, () -> forwarded(request));
+      case OperatorPaths.ROLLOUT_STATUS -> handlers.rollouts.status(request);
+      case OperatorPaths.ROLLOUT_ORDERS -> post(request, () -> handlers.rollouts.order(request));
+      case OperatorPaths.ROLLOUT_KEYS -> post(request, () -> handlers.rollouts.keys(request));
+      case OperatorPaths.SHARES_STATUS -> handlers.shares.show(request);
+      case OperatorPaths.SHARES_ORDERS -> post(request, () -> handlers.shares.order(request));
       default -> context.reply(request.reply(), NOT_FOUND, Json.error("no such path"));
     }
   }
@@ -74,18 +78,21 @@
   }
 
   private void heartbeat(Input.Request request) {
-    Heartbeat heartbeat = PeerMessages.readHeartbeat(Json.parse(request.body()));
-    if (heartbeat == null) {
+    Heartbeat heartbeat;
+    try {
+      heartbeat = HeartbeatCodec.read(Json.parse(request.body()));
+    } catch (MalformedMessageException malformed) {
       refuseMalformed(request, "heartbeat", "beat");
       return;
     }
     context.peerHeard();
-    handlers.peerReachability.observePeer(heartbeat.stateOk());
+    handlers.peerReachability.observePeer(heartbeat.storeReachable());
     HeartbeatAnswer answer = handlers.leader.heartbeat(heartbeat);
     if (answer == null) {
-      context.reply(request.reply(), UNAVAILABLE, PeerRequests.heartbeatRefused(context.stateOk()));
+      context.reply(
+          request.reply(), UNAVAILABLE, HeartbeatAnswerCodec.writeRefusal(context.stateOk()));
     } else {
-      context.reply(request.reply(), OK, PeerMessages.write(answer));
+      context.reply(request.reply(), OK, HeartbeatAnswerCodec.write(answer));
     }
   }
 
@@ -96,11 +103,11 @@
 
   private void statusQuery(Input.Request request) {
     handlers.statusQueries.answerPeer(
-        request.reply(), PeerRequests.readStatusQuery(request.body()));
+        request.reply(), StatusQueryCodec.readQuery(Json.parse(request.body())));
   }
 
   private void confirmationQuery(Input.Request request) {
-    ConfirmationQuery query = PeerRequests.readConfirmationQuery(request.body());
+    ConfirmationQuery query = CancellationCodec.readQuery(Json.parse(request.body()));
     if (query.isMalformed()) {
       refuseMalformed(request, "confirmation_query", "question");
       return;
@@ -108,13 +115,13 @@
     context.reply(
         request.reply(),
         OK,
-        PeerMessages.write(
+        CancellationCodec.write(
             handlers.cancellations.recentlyConfirmed(
                 query.withinMs(), query.limit(), handlers.owners.all())));
   }
 
   private void forwarded(Input.Request request) {
-    ForwardedRequest forwarded = PeerRequests.readForwarded(request.body());
+    ForwardedRequest forwarded = ForwardedRequestCodec.read(Json.parse(request.body()));
     handlers.users.route(
         new UserRequest(
             request.reply(), forwarded.method(), forwarded.path(), forwarded.body(), true));
--- a/src/main/java/shorecrank/coordination/RequestForwarder.java
+++ b/src/main/java/shorecrank/coordination/RequestForwarder.java
@@ -11,9 +11,9 @@
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.request.UserRequest;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.ForwardedRequestCodec;
 import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerRequests;
+import shorecrank.protocol.PeerPaths;
 import shorecrank.protocol.PeerRequests.ForwardedRequest;
 
 /** Passes users' requests on to a controller that reaches the state service. */
@@ -56,8 +56,8 @@
         .peers()
         .forward(
             to,
-            PeerMessages.RELAY,
-            PeerRequests.write(
+            PeerPaths.FORWARDED_REQUEST,
+            ForwardedRequestCodec.write(
                 new ForwardedRequest(request.method(), request.path(), request.body())),
             FORWARD_TIMEOUT_MS,
             request.reply(),
--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -11,11 +11,11 @@
 import shorecrank.coordination.shard.ShardOwner;
 import shorecrank.coordination.shard.StatusQueries.StatusCallback;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 import shorecrank.protocol.PeerRequests.StatusQuery;
+import shorecrank.protocol.StatusQueryCodec;
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
@@ -63,11 +63,15 @@
       answer(queries, Map.of());
       return;
     }
-    List<JobId> jobs = queries.keySet().stream().limit(PeerMessages.MAX_ASKED).toList();
+    List<JobId> jobs = queries.keySet().stream().limit(StatusQueryCodec.MAX_JOBS).toList();
     context
         .peers()
         .queryStatus(
-            owner.label(), shard, jobs, QUERY_TIMEOUT_MS, statuses -> answer(queries, statuses));
+            owner.controller(),
+            shard,
+            jobs,
+            QUERY_TIMEOUT_MS,
+            statuses -> answer(queries, statuses));
   }
 
   private static void answer(
@@ -81,7 +85,7 @@
     ShardOwner shardOwner = shards.find(query.shard());
     Map<JobId, JobStatus> statuses = new HashMap<>();
     if (shardOwner == null || query.jobs().isEmpty()) {
-      context.reply(reply, OK, PeerMessages.told(statuses));
+      context.reply(reply, OK, StatusQueryCodec.writeAnswer(statuses));
       return;
     }
     PeerAnswer answer = new PeerAnswer(reply, query.jobs().size(), statuses);
@@ -108,7 +112,7 @@
       }
       open--;
       if (open == 0) {
-        context.reply(reply, OK, PeerMessages.told(statuses));
+        context.reply(reply, OK, StatusQueryCodec.writeAnswer(statuses));
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -10,12 +10,14 @@
 import shorecrank.coordination.shard.ShardOwner;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.WorkerMessages;
+import shorecrank.protocol.MalformedMessageException;
+import shorecrank.protocol.WorkerCommandCodec;
+import shorecrank.protocol.WorkerHeartbeatCodec;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
@@ -59,8 +61,10 @@
 
   /** Takes a worker's heartbeat. */
   void receive(Input.Request request) {
-    WorkerHeartbeat heartbeat = WorkerMessages.read(Json.parse(request.body()));
-    if (heartbeat == null) {
+    WorkerHeartbeat heartbeat;
+    try {
+      heartbeat = WorkerHeartbeatCodec.read(Json.parse(request.body()));
+    } catch (MalformedMessageException malformed) {
       context.refused("report.malformed", "worker.heartbeat.malformed");
       context.reply(request.reply(), BAD_REQUEST, Json.error("malformed report"));
       return;
@@ -80,7 +84,7 @@
 
   private void route(HeldHeartbeat received) {
     WorkerHeartbeat heartbeat = received.heartbeat;
-    MachineAssignment assignment = assignments.find(heartbeat.host());
+    MachineAssignment assignment = assignments.find(heartbeat.machine());
     boolean isUnclear =
         assignment == null ? !owners.hasHeardLeader() : owners.find(assignment.shard()) == null;
     if (isUnclear && context.now().since(context.startedAt()) < STARTING_MS && mayHold(received)) {
@@ -95,7 +99,7 @@
       if (shardOwner != null) {
         handOver(received, shardOwner);
       } else {
-        sightings.addMisrouted(heartbeat.host());
+        sightings.addMisrouted(heartbeat.machine());
         redirect(received, owners.findOther(assignment.shard()).orElse(null));
       }
     }
@@ -110,7 +114,7 @@
   private void redirectUnassigned(HeldHeartbeat received) {
     WorkerHeartbeat heartbeat = received.heartbeat;
     sightings.addUnassigned(
-        new MachineInfo(heartbeat.host(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
+        new MachineInfo(heartbeat.machine(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
     heartbeats.requestSoon();
     ControllerName leader = election.leader();
     redirect(received, leader == null || leader.equals(context.config.label()) ? null : leader);
@@ -118,7 +122,7 @@
 
   /** Sends the worker elsewhere; null if it is not known where. */
   private void redirect(HeldHeartbeat received, ControllerName to) {
-    context.reply(received.reply, MISDIRECTED, WorkerMessages.elsewhere(to));
+    context.reply(received.reply, MISDIRECTED, WorkerCommandCodec.writeRedirect(to));
   }
 
   private void handOver(HeldHeartbeat received, ShardOwner shardOwner) {
--- a/src/main/java/shorecrank/coordination/WorkerSightings.java
+++ b/src/main/java/shorecrank/coordination/WorkerSightings.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /** Workers that sent their heartbeats here although they belong elsewhere, for the leader. */
 final class WorkerSightings {
--- a/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
@@ -1,12 +1,12 @@
 package shorecrank.coordination.leader;
 
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /**
  * A machine and its assignment to a shard. Another assignment of the same machine is another object
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -174,7 +174,7 @@
   /** Writes what is not yet written of all machines, as the budget allows. */
   void save(Collection<AssignedMachine> machines) {
     MonotonicTime now = context.now();
-    if (saving || unsaved.isEmpty() || now.before(saveAt)) {
+    if (saving || unsaved.isEmpty() || now.isBefore(saveAt)) {
       return;
     }
     Batch batch = nextBatch(machines);
--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CloudCodec;
 import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.ListedMachine;
 import shorecrank.protocol.CloudMessages.Offer;
@@ -78,7 +79,7 @@
 
   /** Whether no call is to be made now. */
   boolean isPaused() {
-    return context.now().before(pausedUntil);
+    return context.now().isBefore(pausedUntil);
   }
 
   /**
@@ -89,12 +90,12 @@
   void rent(String claim, Offer offer, int count, Consumer<RentResult> then) {
     context.cloud(
         "POST",
-        CloudMessages.RENT,
-        CloudMessages.rent(claim, offer, count),
+        CloudMessages.RENTAL_PATH,
+        CloudCodec.writeRental(claim, offer, count),
         CALL_MS,
         (status, body) -> {
           if (status == OK) {
-            then.accept(new RentResult.Rented(CloudMessages.rented(body)));
+            then.accept(new RentResult.Rented(CloudCodec.readRented(body)));
           } else if (status == UNAVAILABLE && NO_CAPACITY.equals(Json.text(body.path(ERROR)))) {
             then.accept(new RentResult.NoCapacity());
           } else if (status == BAD_REQUEST) {
@@ -109,8 +110,8 @@
   void release(List<MachineName> machines, Consumer<Boolean> then) {
     context.cloud(
         "POST",
-        CloudMessages.RELEASE,
-        CloudMessages.release(machines),
+        CloudMessages.RELEASE_PATH,
+        CloudCodec.writeRelease(machines),
         CALL_MS,
         (status, body) -> then.accept(status == OK));
   }
@@ -123,13 +124,13 @@
   void list(String after, Consumer<ListingResult> then) {
     context.cloud(
         "GET",
-        CloudMessages.list(after),
+        CloudMessages.listPath(after),
         null,
         CALL_MS,
         (status, body) ->
             then.accept(
                 status == OK
-                    ? new ListingResult.Page(CloudMessages.listed(body), CloudMessages.more(body))
+                    ? new ListingResult.Page(CloudCodec.readListed(body), CloudCodec.hasMore(body))
                     : new ListingResult.Unavailable()));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.CapacityRequest;
+import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.CapacityRequest;
-import shorecrank.protocol.PeerMessages.UnavailableOffer;
 
 /**
  * Makes the leader's calls of the cloud in their order: machines are returned first, then rented,
--- a/src/main/java/shorecrank/coordination/leader/ControllerState.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerState.java
@@ -1,10 +1,10 @@
 package shorecrank.coordination.leader;
 
 import java.util.Map;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
-import shorecrank.protocol.PeerMessages.Heartbeat;
 
 /** One controller as its last heartbeat to the leader describes it. */
 final class ControllerState {
@@ -18,12 +18,12 @@
   void heard(Heartbeat heartbeat, MonotonicTime now) {
     heardAt = now;
     writer = heartbeat.writer();
-    if (heartbeat.stateOk()) {
+    if (heartbeat.storeReachable()) {
       stateLostSince = MonotonicTime.NEVER;
     } else if (stateOk || stateLostSince == MonotonicTime.NEVER) {
       stateLostSince = now;
     }
-    stateOk = heartbeat.stateOk();
+    stateOk = heartbeat.storeReachable();
     misroutedWorkers = heartbeat.misroutedWorkers();
   }
 
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 import shorecrank.config.NodeConfig.Member;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
 import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.PeerMessages.Heartbeat;
 
 /** The controllers that the leader has heard in its term, itself among them. */
 final class ControllerTable {
@@ -31,7 +31,7 @@
   /** Takes in a heartbeat, and returns the state of its sender. */
   ControllerState heard(Heartbeat heartbeat) {
     ControllerState sender =
-        controllers.computeIfAbsent(heartbeat.from(), name -> new ControllerState());
+        controllers.computeIfAbsent(heartbeat.sender(), name -> new ControllerState());
     sender.heard(heartbeat, context.now());
     return sender;
   }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -135,7 +135,7 @@
 
   @Override
   public boolean leading() {
-    return state == State.LEADING && context.now().before(validUntil);
+    return state == State.LEADING && context.now().isBefore(validUntil);
   }
 
   @Override
@@ -154,12 +154,12 @@
   public void tick() {
     MonotonicTime now = context.now();
     if (state == State.LEADING) {
-      if (!now.before(renewAt)) {
+      if (!now.isBefore(renewAt)) {
         renew();
       }
       return;
     }
-    if (callUnderWay || now.before(nextStepAt)) {
+    if (callUnderWay || now.isBefore(nextStepAt)) {
       return;
     }
     switch (state) {
@@ -216,14 +216,14 @@
     watchedRevision = entry.revision().value();
     observe(LeaderNameCodec.readLeader(entry.value()), entry.revision());
     boolean ownName = context.config.label().equals(leader);
-    if (!ownName || entry.hold() <= 0) {
+    if (!ownName || entry.grantId() <= 0) {
       enter(State.WATCHING, 0);
       return;
     }
     // The label is this controller's and the process is not: it has ended, so nobody need wait for
     // its grant. Its late writes are refused, since the key's revision moves on.
     grants.revoke(
-        entry.hold(),
+        entry.grantId(),
         ended -> enter(ended ? State.CAMPAIGNING : State.READING, OWN_GRANT_REVOKED_PAUSE_MS));
   }
 
@@ -372,7 +372,7 @@
     switch (renewal) {
       case RENEWED -> {
         MonotonicTime until = validUntil(sent);
-        if (validUntil.before(until)) {
+        if (validUntil.isBefore(until)) {
           validUntil = until;
         }
       }
@@ -399,7 +399,7 @@
     }
     if (!isProtected(to)) {
       writeName(transaction, KEY, grant);
-      transaction.drop(PROTECTED_KEY);
+      transaction.delete(PROTECTED_KEY);
       return;
     }
     writeMovedName(transaction, to);
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig.Member;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
+import shorecrank.protocol.PeerPaths;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.CommitResult;
 import shorecrank.storage.CommitResult.Committed;
@@ -145,7 +145,7 @@
     minting = false;
     mint.shard().endMint();
     boolean thisTerm = mint.term().equals(election.term());
-    if (result.isUnknown() && thisTerm && !mint.owner().label().equals(mint.shard().owner())) {
+    if (result.isUnknown() && thisTerm && !mint.owner().controller().equals(mint.shard().owner())) {
       ownerInDoubt.add(mint.id());
       doubtTerm = mint.term();
     }
@@ -170,20 +170,16 @@
     OwnerInfo owner = mint.owner();
     counterRevision = revision;
     counter = owner.epoch().value();
-    mint.shard().assignOwner(owner.label(), mint.writer(), owner.epoch(), shards.leaseBound());
+    mint.shard().assignOwner(owner.controller(), mint.writer(), owner.epoch(), shards.leaseBound());
     onMinted.accept(mint.id());
     context.info(
         "shard.epoch.minted shard=%s epoch=%s owner=%s writer=%s",
-        mint.id(), owner.epoch(), owner.label(), mint.writer());
+        mint.id(), owner.epoch(), owner.controller(), mint.writer());
     context.count("epoch.minted");
     // The owner begins at once, and the others can tell the workers where to go.
     for (Member member : context.config.members()) {
       context.peer(
-          member.label(),
-          PeerMessages.HEARTBEAT_NOW,
-          Json.object(),
-          NUDGE_MS,
-          (status, body) -> {});
+          member.label(), PeerPaths.HEARTBEAT_NOW, Json.object(), NUDGE_MS, (status, body) -> {});
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/GrantClient.java
+++ b/src/main/java/shorecrank/coordination/leader/GrantClient.java
@@ -4,7 +4,8 @@
 import java.util.function.Consumer;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StoreCodec;
+import shorecrank.protocol.StorePaths;
 
 /**
  * Calls of the state service for grants. A key that hangs on a grant is dropped when the grant
@@ -35,11 +36,11 @@
   void create(long ttlMs, Consumer<OptionalLong> then) {
     context.state(
         "POST",
-        StoreMessages.GRANTS,
-        StoreMessages.ttl(ttlMs),
+        StorePaths.GRANTS,
+        StoreCodec.writeGrantRequest(ttlMs),
         CALL_MS,
         (status, body) -> {
-          long grant = StoreMessages.hold(body);
+          long grant = StoreCodec.readGrantId(body);
           then.accept(status != OK || grant < 0 ? OptionalLong.empty() : OptionalLong.of(grant));
         });
   }
@@ -48,7 +49,7 @@
   void renew(long grant, Consumer<Renewal> then) {
     context.state(
         "POST",
-        StoreMessages.touch(grant),
+        StorePaths.grantRenewal(grant),
         Json.object(),
         CALL_MS,
         (status, body) ->
@@ -64,7 +65,7 @@
   void revoke(long grant, Consumer<Boolean> then) {
     context.state(
         "DELETE",
-        StoreMessages.grant(grant),
+        StorePaths.grant(grant),
         null,
         CALL_MS,
         (status, body) -> then.accept(status == OK || status == NOT_FOUND));
--- a/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
+++ b/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
@@ -1,11 +1,11 @@
 package shorecrank.coordination.leader;
 
 import java.util.List;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
+import shorecrank.protocol.HeartbeatMessages.Lease;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.PeerMessages.Heartbeat;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.Lease;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 
 /** Puts together what the leader tells a controller in answer to its heartbeat. */
 final class HeartbeatAnswerBuilder {
@@ -45,7 +45,7 @@
             : changes.removed().stream().filter(releases::wasReleased).toList();
     return new HeartbeatAnswer(
         election.term().value(),
-        controllers.isStateOkElsewhere(heartbeat.from()),
+        controllers.isStateOkElsewhere(heartbeat.sender()),
         leases,
         owners,
         machines.version(),
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
+import shorecrank.protocol.HeartbeatMessages.Lease;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.Heartbeat;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.Lease;
-import shorecrank.protocol.PeerMessages.MachineInfo;
-import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.rebalance.MoveCoordinator;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.FeatureGate;
@@ -191,8 +191,8 @@
     rollout.heard(heartbeat);
     List<Lease> leases = leaseRenewal.renew(heartbeat, sender);
     handleReports(heartbeat);
-    for (MachineInfo machine : heartbeat.seen()) {
-      admission.admitFound(machine, "source=heartbeat controller=" + heartbeat.from());
+    for (MachineInfo machine : heartbeat.seenMachines()) {
+      admission.admitFound(machine, "source=heartbeat controller=" + heartbeat.sender());
     }
     return answers.answer(heartbeat, leases);
   }
@@ -204,18 +204,18 @@
           && heartbeat.writer().equals(shard.writer())
           && report.epoch().equals(shard.epoch())) {
         handleReport(report, heartbeat.assignmentVersion());
-      } else if (report.fenced().value() > 0) {
+      } else if (report.refusedEpoch().value() > 0) {
         // It does not come from the owner, so it raises no epoch.
         context.info(
             "shard.report.refused shard=%s epoch=%s controller=%s",
-            report.shard(), report.fenced(), heartbeat.from());
+            report.shard(), report.refusedEpoch(), heartbeat.sender());
       }
     }
   }
 
   /** Does what an owner asks for its shard. */
   private void handleReport(ShardReport report, long knownVersion) {
-    for (MachineName name : report.retire()) {
+    for (MachineName name : report.machinesToRelease()) {
       AssignedMachine machine = machines.get(name);
       // A machine no longer known may have been released by a leader that could not say so.
       boolean ownersOwn =
--- a/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
@@ -1,9 +1,9 @@
 package shorecrank.coordination.leader;
 
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 import shorecrank.protocol.StoreMessages.Entry;
 import shorecrank.storage.ListResult;
 import shorecrank.storage.ReadResult;
@@ -96,7 +96,10 @@
         // The last leader may have renewed the lease just before its term ended.
         MonotonicTime leaseUntil = shards.leaseBound();
         shard.assignOwner(
-            owner.label(), ShardOwnerCodec.readWriter(entry.value()), owner.epoch(), leaseUntil);
+            owner.controller(),
+            ShardOwnerCodec.readWriter(entry.value()),
+            owner.epoch(),
+            leaseUntil);
       }
     }
     epochs.vacateOwnersInDoubt(term);
--- a/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Map;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
+import shorecrank.protocol.HeartbeatMessages.Lease;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
+import shorecrank.protocol.HeartbeatMessages.WorkerReachability;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.Heartbeat;
-import shorecrank.protocol.PeerMessages.Lease;
-import shorecrank.protocol.PeerMessages.ShardReport;
-import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /** Renews the leases of the shards that the sender of a heartbeat owns, or revokes them. */
 final class LeaseRenewal {
@@ -39,7 +39,8 @@
     List<Lease> leases = new ArrayList<>();
     for (Map.Entry<ShardId, ShardState> entry : shards.entries()) {
       ShardState shard = entry.getValue();
-      if (shard.isOwnedBy(heartbeat.from()) && mayRenew(entry.getKey(), shard, heartbeat, sender)) {
+      if (shard.isOwnedBy(heartbeat.sender())
+          && mayRenew(entry.getKey(), shard, heartbeat, sender)) {
         shard.renewLease(shards.leaseBound());
         leases.add(new Lease(entry.getKey(), shard.epoch(), context.tuning.leaseMs()));
       }
@@ -57,7 +58,7 @@
     }
     ShardReport report = reportOf(id, heartbeat);
     if (!shard.isRevoking()) {
-      revokeIfUnfit(id, shard, heartbeat.from(), sender);
+      revokeIfUnfit(id, shard, heartbeat.sender(), sender);
     }
     if (shard.isRevoking()) {
       if (report == null) {
@@ -98,8 +99,8 @@
   /** Takes in what an owner reports of its shard; false if its lease is revoked for that. */
   private boolean takeReport(ShardId id, ShardState shard, ShardReport report) {
     raiseRefusedEpoch(id, shard, report);
-    shard.updateQueued(report.queued());
-    WorkerReachability workers = report.hearing();
+    shard.updateQueued(report.hasQueuedTasks());
+    WorkerReachability workers = report.reachability();
     if (!failures.isUnreached(id, shard, workers)) {
       return true;
     }
@@ -113,7 +114,7 @@
 
   /** An owner that was refused for its epoch gets one above that by which it was refused. */
   private void raiseRefusedEpoch(ShardId id, ShardState shard, ShardReport report) {
-    Epoch refusedBy = report.fenced();
+    Epoch refusedBy = report.refusedEpoch();
     // Only the owner's own report, at its present epoch, raises the counter; and never so far that
     // few epochs would be left, as a damaged record could ask for.
     if (refusedBy.value() >= shard.epoch().value()
--- a/src/main/java/shorecrank/coordination/leader/LoadedTerm.java
+++ b/src/main/java/shorecrank/coordination/leader/LoadedTerm.java
@@ -44,6 +44,6 @@
 
   /** Whether loading may begin now. */
   boolean mayLoad() {
-    return !context.now().before(loadAt);
+    return !context.now().isBefore(loadAt);
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineAdmission.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAdmission.java
@@ -1,8 +1,8 @@
 package shorecrank.coordination.leader;
 
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /** Assigns machines to shards that have just been rented, or that exist and are not known yet. */
 final class MachineAdmission {
--- a/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
@@ -1,7 +1,7 @@
 package shorecrank.coordination.leader;
 
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.ShardReport;
 
 /** Decides which shard a machine belongs to, and when it goes to another. */
 interface MachineAssigner {
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /**
  * The leader's machines and the shards they are assigned to. Each change has a number, so that
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListing.java
@@ -9,10 +9,10 @@
 import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.ListedMachine;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /**
  * Compares the cloud's list of machines with those that are known: assigns what is new, and returns
@@ -107,7 +107,7 @@
 
   /** Whether a page is to be read now. */
   boolean hasWork() {
-    return !context.now().before(listAt) && (!listing || nextPage != null);
+    return !context.now().isBefore(listAt) && (!listing || nextPage != null);
   }
 
   /** Reads the page that is due: the next one, or the first of a new reading. */
--- a/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
@@ -4,12 +4,12 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.Optional;
 import java.util.function.Consumer;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /** Machines and their assignments as the state service holds them, many to a value. */
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -8,11 +8,11 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.HeartbeatMessages.CapacityRequest;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.CapacityRequest;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /** Rents the machines that owners ask for, in calls that may be repeated without renting twice. */
 final class MachineRental {
--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -2,10 +2,10 @@
 
 import java.util.Map;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.WorkerReachability;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /** Decides whether an owner that still sends heartbeats has to be replaced. */
 final class OwnerFailureDetector {
@@ -40,7 +40,7 @@
     if (since == MonotonicTime.NEVER) {
       return false;
     }
-    if (since.before(context.stateOkSince())) {
+    if (since.isBefore(context.stateOkSince())) {
       since = context.stateOkSince();
     }
     return context.now().since(since) > STATE_LOST_MS;
--- a/src/main/java/shorecrank/coordination/leader/RolloutView.java
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -1,9 +1,9 @@
 package shorecrank.coordination.leader;
 
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
 import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.PeerMessages.Heartbeat;
-import shorecrank.protocol.RolloutMessages.Notice;
+import shorecrank.protocol.RolloutMessages.RolloutNotice;
 import shorecrank.rollout.FeatureGate;
 import shorecrank.rollout.RolloutCoordinator;
 
@@ -39,7 +39,7 @@
   /** Takes in what the sender of a heartbeat supports. */
   void heard(Heartbeat heartbeat) {
     if (rollout != null) {
-      rollout.heard(heartbeat.from(), heartbeat.writer(), heartbeat.announcement());
+      rollout.heard(heartbeat.sender(), heartbeat.writer(), heartbeat.announcement());
     }
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** What controllers are told of the level; null if nothing. */
-  Notice notice() {
+  RolloutNotice notice() {
     return rollout == null ? null : rollout.notice();
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 
 /** The fleet's shards with their owners and leases, by number. */
 final class ShardLeaseTable {
--- a/src/main/java/shorecrank/coordination/leader/ShardOwnerCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardOwnerCodec.java
@@ -1,12 +1,12 @@
 package shorecrank.coordination.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 
 /** The record of a shard's owner as the state service holds it, in a key for each shard. */
 public final class ShardOwnerCodec {
@@ -29,7 +29,7 @@
   static JsonNode write(OwnerInfo owner, WriterId writer) {
     return Json.object()
         .put(SHARD, owner.shard().value())
-        .put(OWNER, owner.label().value())
+        .put(OWNER, owner.controller().value())
         .put(WRITER, writer.value())
         .put(EPOCH, owner.epoch().value());
   }
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -77,7 +77,7 @@
 
   /** Whether the owner's lease has expired, by this process's clock. */
   boolean isLeaseExpired(MonotonicTime now) {
-    return !vacant && leaseUntil.before(now);
+    return !vacant && leaseUntil.isBefore(now);
   }
 
   /** Whether the owner says that tasks wait. */
@@ -107,7 +107,7 @@
 
   /** The lease counts as expired no earlier than this. */
   void extendLease(MonotonicTime atLeastUntil) {
-    if (leaseUntil.before(atLeastUntil)) {
+    if (leaseUntil.isBefore(atLeastUntil)) {
       leaseUntil = atLeastUntil;
     }
   }
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -1,13 +1,13 @@
 package shorecrank.coordination.leader;
 
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.MachineHandover;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineHandover;
-import shorecrank.protocol.PeerMessages.ShardReport;
 
 /**
  * Assigns machines that a shard leaves empty to a shard in which tasks wait. Orders are kept in
@@ -102,8 +102,8 @@
     for (MachineName name : report.misplaced()) {
       reclaim(name, report.shard());
     }
-    if (!report.spare().isEmpty() && hasQueueElsewhere(report.shard())) {
-      AssignedMachine machine = machines.get(report.spare().get(0));
+    if (!report.spareMachines().isEmpty() && hasQueueElsewhere(report.shard())) {
+      AssignedMachine machine = machines.get(report.spareMachines().get(0));
       if (machine != null
           && machine.shard().equals(report.shard())
           && !machine.isHandoverRequested()) {
@@ -154,7 +154,7 @@
       return;
     }
     Epoch last = Epoch.higher(machine.term(), shards.epoch(from));
-    if (!shards.epoch(to).above(last)) {
+    if (!shards.epoch(to).isAbove(last)) {
       shards.raiseAbove(to, last);
       return;
     }
--- a/src/main/java/shorecrank/coordination/leader/StoredAssignment.java
+++ b/src/main/java/shorecrank/coordination/leader/StoredAssignment.java
@@ -1,8 +1,8 @@
 package shorecrank.coordination.leader;
 
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /**
  * What the state service holds of a machine.
--- a/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
+++ b/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.UnavailableOffer;
 
 /** Kinds of machines that the cloud lately had no capacity for, with an exponential backoff. */
 final class UnavailableOffers {
@@ -36,12 +36,12 @@
   /** Whether the kind is not to be asked for now. */
   boolean contains(Offer offer) {
     MonotonicTime until = unavailableUntil.get(offer);
-    return until != null && !until.before(context.now());
+    return until != null && !until.isBefore(context.now());
   }
 
   /** The cloud has refused a machine of this kind. */
   void refused(Offer offer) {
-    if (context.now().before(unavailableUntil.getOrDefault(offer, MonotonicTime.NEVER))) {
+    if (context.now().isBefore(unavailableUntil.getOrDefault(offer, MonotonicTime.NEVER))) {
       return;
     }
     int times = refusals.merge(offer, 1, Integer::sum);
@@ -60,7 +60,7 @@
     List<UnavailableOffer> offers = new ArrayList<>();
     unavailableUntil.forEach(
         (offer, until) -> {
-          if (context.now().before(until)) {
+          if (context.now().isBefore(until)) {
             offers.add(new UnavailableOffer(offer, until.since(context.now())));
           }
         });
--- a/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
+++ b/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
@@ -1,9 +1,9 @@
 package shorecrank.coordination.model;
 
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
 
 /** Which shard a machine is assigned to, as far as one shard's owner has been told. */
 public final class AssignmentStatus {
@@ -65,7 +65,7 @@
       assigned = true;
       since = now.plus(-assignment.ageMs());
     }
-    boolean raised = assignment.term().above(requiredEpoch);
+    boolean raised = assignment.term().isAbove(requiredEpoch);
     if (raised) {
       requiredEpoch = assignment.term();
     }
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -9,12 +9,14 @@
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CancellationCodec;
+import shorecrank.protocol.CancellationMessages;
+import shorecrank.protocol.CancellationMessages.ConfirmedCancellations;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerMessages.ConfirmedCancellations;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
+import shorecrank.protocol.PeerPaths;
 
 /**
  * Which cancellations users have been told of, and up to what moment all of them are known here.
@@ -66,15 +68,15 @@
     private MonotonicTime askAt = new MonotonicTime(0);
 
     void add(Span span) {
-      if (span.to.before(span.from)) {
+      if (span.to.isBefore(span.from)) {
         return;
       }
-      if (last == null || last.to.before(span.from)) {
+      if (last == null || last.to.isBefore(span.from)) {
         // It has begun anew: what its predecessor confirmed last is not known.
         previous = last;
         last = span;
       } else {
-        last = new Span(last.from.before(span.from) ? last.from : span.from, span.to);
+        last = new Span(last.from.isBefore(span.from) ? last.from : span.from, span.to);
       }
     }
 
@@ -84,7 +86,7 @@
     }
 
     private static MonotonicTime extend(MonotonicTime horizon, Span span, MonotonicTime known) {
-      boolean reaches = span != null && !known.before(span.from) && horizon.before(span.to);
+      boolean reaches = span != null && !known.isBefore(span.from) && horizon.isBefore(span.to);
       return reaches ? span.to : horizon;
     }
   }
@@ -114,7 +116,8 @@
     double changesPerS = context.config.state().writeRps();
     int mostKept = (int) Math.max(LEAST_KEPT, changesPerS * KEPT_S);
     double evidenceS = context.evidenceMs() / MS_PER_S + OVERLAP_S;
-    this.mostAsked = (int) Math.max(PeerMessages.DEFAULT_CONFIRMED, changesPerS * evidenceS);
+    this.mostAsked =
+        (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, changesPerS * evidenceS);
     this.history = new ConfirmationHistory(mostKept);
     this.known = Caffeine.newBuilder().maximumSize(mostKept).executor(Runnable::run).build();
     for (NodeConfig.Member member : context.config.members()) {
@@ -159,7 +162,7 @@
     MonotonicTime all = context.now();
     for (Peer peer : peers.values()) {
       MonotonicTime ofPeer = peer.horizon(knownUpTo);
-      all = ofPeer.before(all) ? ofPeer : all;
+      all = ofPeer.isBefore(all) ? ofPeer : all;
     }
     return all;
   }
@@ -178,7 +181,7 @@
     boolean blind = blindSince != MonotonicTime.NEVER && now.since(blindSince) > BLIND_MS;
     peers.forEach(
         (name, peer) -> {
-          if (blind && !peer.asking && !now.before(peer.askAt)) {
+          if (blind && !peer.asking && !now.isBefore(peer.askAt)) {
             ask(name, peer, blindSince);
           }
         });
@@ -191,15 +194,15 @@
     context.count("cancellations.asked");
     context.peer(
         name,
-        PeerMessages.CONFIRMED,
-        PeerMessages.confirmedWithin(sent.since(since) + OVERLAP_MS, mostAsked),
+        PeerPaths.CONFIRMED_CANCELLATIONS,
+        CancellationCodec.writeQuery(sent.since(since) + OVERLAP_MS, mostAsked),
         CALL_TIMEOUT_MS,
         (status, body) -> {
           peer.asking = false;
           if (status != OK) {
             return;
           }
-          ConfirmedCancellations confirmed = PeerMessages.readConfirmed(body, mostAsked);
+          ConfirmedCancellations confirmed = CancellationCodec.read(body, mostAsked).orElse(null);
           if (confirmed == null) {
             context.refused("peer.malformed", "malformed cancellations of " + name + " refused");
           } else {
--- a/src/main/java/shorecrank/coordination/model/CommandTokens.java
+++ b/src/main/java/shorecrank/coordination/model/CommandTokens.java
@@ -28,7 +28,7 @@
   /** The token to use at this epoch. */
   public FencingToken current(Epoch epoch) {
     FencingToken least = FencingToken.of(epoch);
-    if (least.above(current)) {
+    if (least.isAbove(current)) {
       current = least;
     }
     return current;
@@ -51,7 +51,7 @@
   /** Takes in the token that a heartbeat shows. */
   void show(FencingToken token) {
     shown = token;
-    directStarts.values().removeIf(token::above);
+    directStarts.values().removeIf(token::isAbove);
   }
 
   /** The worker has begun a new incarnation, which takes no command of an earlier one. */
--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -156,11 +156,11 @@
   /** The record that says all that is known here, for the write of the current number. */
   public JobRecord toRecord(Epoch epoch, WriterId writer) {
     boolean placed = tasks.wasPlaced();
-    boolean hasWaited = !spec.prerequisites().isEmpty() && scheduling.isReady();
+    boolean hasWaited = !spec.dependencies().isEmpty() && scheduling.isReady();
     long readyAtMs = scheduling.readyAtMs();
     return new JobRecord(
         // Once it is placed, nobody asks any more what it needed.
-        placed ? spec.withoutPrerequisites() : spec,
+        placed ? spec.withoutDependencies() : spec,
         epoch,
         writer,
         record.sequence(),
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -86,14 +86,14 @@
 
   /** A watch has shown a revision of the record. */
   public void recordSeen(Revision shown) {
-    if (shown.after(seenRevision)) {
+    if (shown.isAfter(seenRevision)) {
       seenRevision = shown;
     }
   }
 
   /** Whether a watch has shown a later revision than the one known here. */
   public boolean isOutdated() {
-    return seenRevision.after(revision);
+    return seenRevision.isAfter(revision);
   }
 
   // ---- claims ----------------------------------------------------------------------------------
@@ -217,7 +217,7 @@
 
   /** Whether a write may be sent now. */
   public boolean isWritable(MonotonicTime now) {
-    return !inFlight && !rereading && !now.before(pausedUntil);
+    return !inFlight && !rereading && !now.isBefore(pausedUntil);
   }
 
   /** Whether tasks may be placed: the placement goes into a write, of which only one may be out. */
--- a/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
+++ b/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
@@ -36,7 +36,7 @@
   JobSchedulingState(JobSpec spec, long readyAtMs) {
     this.readyAtMs = readyAtMs;
     this.priority = spec.priority();
-    this.unmetDependencies.addAll(spec.prerequisites());
+    this.unmetDependencies.addAll(spec.dependencies());
   }
 
   // ---- dependencies ----------------------------------------------------------------------------
@@ -111,7 +111,7 @@
 
   /** Whether its tasks may be placed, as far as earlier failures go. */
   public boolean isPauseOver(MonotonicTime now) {
-    return pausedUntil.before(now);
+    return pausedUntil.isBefore(now);
   }
 
   /** Whether it is held back because it fails wherever it is started. */
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /** A machine as the owner of a shard sees it. */
 public final class Machine {
--- a/src/main/java/shorecrank/coordination/model/MachineConstraints.java
+++ b/src/main/java/shorecrank/coordination/model/MachineConstraints.java
@@ -11,9 +11,9 @@
 
   /** Whether type, zone, kind and size of an empty machine are such as the job allows. */
   public static boolean allows(JobSpec spec, Offer offer, MachineType type) {
-    return (spec.types() == null || spec.types().contains(offer.type()))
+    return (spec.machineTypes() == null || spec.machineTypes().contains(offer.type()))
         && (spec.zone() == null || spec.zone().equals(offer.zone()))
-        && (spec.spot() || !offer.spot())
+        && (spec.allowsSpot() || !offer.spot())
         && spec.cpus() <= type.cpus()
         && spec.gpus() <= type.gpus()
         && spec.memoryGb() <= type.memoryGb();
--- a/src/main/java/shorecrank/coordination/model/MachineHealth.java
+++ b/src/main/java/shorecrank/coordination/model/MachineHealth.java
@@ -17,7 +17,7 @@
 
   /** Whether new tasks may be placed, as far as its health goes. */
   public boolean acceptsTasks(MonotonicTime now) {
-    return quarantinedUntil.before(now) && pausedUntil.before(now);
+    return quarantinedUntil.isBefore(now) && pausedUntil.isBefore(now);
   }
 
   /** How often it has been quarantined. */
@@ -43,7 +43,7 @@
    */
   public boolean taskFailed(MonotonicTime now) {
     failuresInRow++;
-    if (failuresInRow < FAILURES_TO_QUARANTINE || !quarantinedUntil.before(now)) {
+    if (failuresInRow < FAILURES_TO_QUARANTINE || !quarantinedUntil.isBefore(now)) {
       return false;
     }
     quarantines++;
--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -167,7 +167,7 @@
 
   /** Whether its progress is kept in a checkpoint when it is stopped, and it is not stopped yet. */
   public boolean canMoveByCheckpoint() {
-    return job.spec().checkpointS() > 0
+    return job.spec().checkpointIntervalS() > 0
         && state == TaskState.RUNNING
         && !revoked
         && isCommitted()
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.WorkerReachability;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /**
  * The failure detector for the workers of one shard: which of them its owner hears, and what the
@@ -109,7 +109,7 @@
    * last owner gives it up and turns to another controller first, so a new owner waits for that.
    */
   private boolean isOverdue(Machine machine) {
-    long redirectMs = machine.session().lastHeard().before(grantedAt) ? REDIRECT_MS : 0;
+    long redirectMs = machine.session().lastHeard().isBefore(grantedAt) ? REDIRECT_MS : 0;
     return silentMs(machine)
         > context.config.workers().reportS() * OVERDUE_MS_PER_S + OVERDUE_MARGIN_MS + redirectMs;
   }
@@ -122,7 +122,7 @@
       long graceMs = context.tuning.graceMs();
       MonotonicTime graceEnd =
           grantedAt.plus(graceMs + graceMs / GRACE_DRIFT_DIVISOR + TIMER_MARGIN_MS);
-      from = from.before(graceEnd) ? graceEnd : from;
+      from = from.isBefore(graceEnd) ? graceEnd : from;
     }
     double leaseMs = context.config.workers().leaseS() * MS_PER_S;
     return context.now().since(from) > leaseMs * LEASE_DRIFT_FACTOR + TIMER_MARGIN_MS;
@@ -131,7 +131,7 @@
   /** Milliseconds since the last confirmed heartbeat, or since this owner could have heard one. */
   public long silentMs(Machine machine) {
     MonotonicTime lastHeard = machine.session().lastHeard();
-    return context.now().since(lastHeard.before(grantedAt) ? grantedAt : lastHeard);
+    return context.now().since(lastHeard.isBefore(grantedAt) ? grantedAt : lastHeard);
   }
 
   /** Whether what is on the machine is known from a heartbeat of late. */
--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -36,7 +36,7 @@
 
   /** Cancels the job of that name, which need not be one that a job can have. */
   public void cancel(UserRequest request, String name) {
-    if (!JobSpec.idOk(name)) {
+    if (!JobSpec.isValidId(name)) {
       replies.noSuchJob(request);
     } else if (!context.stateOk()) {
       replies.storeUnavailable(request);
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -98,7 +98,7 @@
 
     private void read(JobId id, LookupResult result) {
       if (result instanceof LookupResult.Found found) {
-        found(id, found.job().status().phase());
+        found(id, found.job().status().state());
       } else if (result instanceof LookupResult.Absent) {
         end(new Result.NeverAccepted(id));
       } else {
--- a/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
+++ b/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
@@ -58,7 +58,7 @@
     double limit = context.config.state().valueKb() * BYTES_PER_KB;
     ObjectNode value = record.write();
     int bytes = Json.bytes(value).length;
-    if (spec.prerequisites().isEmpty()) {
+    if (spec.dependencies().isEmpty()) {
       return bytes <= limit ? Optional.of(creation(spec.id(), value)) : Optional.empty();
     }
     if (bytes + OWNER_BYTES <= limit) {
--- a/src/main/java/shorecrank/coordination/request/JobLookup.java
+++ b/src/main/java/shorecrank/coordination/request/JobLookup.java
@@ -143,7 +143,7 @@
 
     DependencySearch(Unfinished waiting, Consumer<LookupResult> then) {
       this.waiting = waiting;
-      this.open = new ArrayDeque<>(waiting.record().spec().prerequisites());
+      this.open = new ArrayDeque<>(waiting.record().spec().dependencies());
       this.seen = new HashSet<>(open);
       this.then = then;
     }
@@ -165,13 +165,13 @@
         return;
       }
       if (result instanceof LookupResult.Found found) {
-        if (found.job().status().phase() == JobState.CANCELLED) {
+        if (found.job().status().state() == JobState.CANCELLED) {
           cancellations.learn(id);
           endCancelled();
           return;
         }
         if (found.job() instanceof Unfinished needed && needed.mayWait()) {
-          needed.record().spec().prerequisites().stream().filter(seen::add).forEach(open::add);
+          needed.record().spec().dependencies().stream().filter(seen::add).forEach(open::add);
         }
       }
       next();
--- a/src/main/java/shorecrank/coordination/request/KnownJobReplies.java
+++ b/src/main/java/shorecrank/coordination/request/KnownJobReplies.java
@@ -21,7 +21,7 @@
   /** Answers with the job's state alone. */
   void state(UserRequest request, JobId id, StoredJob job) {
     confirm(job);
-    replies.state(request, id, job.status().phase());
+    replies.state(request, id, job.status().state());
   }
 
   /** Answers with where the job stands. */
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -14,8 +14,7 @@
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.MessageEncoder;
-import shorecrank.protocol.OperatorRequests;
-import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.OperatorRequestCodec;
 
 /**
  * Operators' requests that only the leader can answer. Every controller takes them and passes them
@@ -78,7 +77,7 @@
       here.run();
     } else if (leader == null || leader.equals(context.config.label())) {
       unknown(request, "no controller leads now");
-    } else if (OperatorRequests.isForwarded(request.body())) {
+    } else if (OperatorRequestCodec.isForwarded(Json.parse(request.body()))) {
       unknown(request, context.config.label() + " does not lead any more");
     } else {
       forward(request, path, leader);
@@ -91,7 +90,7 @@
         .forward(
             leader,
             path,
-            OperatorRequests.forwarded(request.body()),
+            OperatorRequestCodec.markForwarded(Json.parse(request.body())),
             FORWARD_TIMEOUT_MS,
             request.reply(),
             status -> status != NO_ANSWER && status != NOT_FOUND,
@@ -106,7 +105,7 @@
   /** Nobody can tell now: the operator asks again. */
   void unknown(Input.Request request, String reason) {
     context.replyLater(
-        request.reply(), UNAVAILABLE, RolloutMessages.unknown(reason), RETRY_AFTER_S);
+        request.reply(), UNAVAILABLE, OperatorRequestCodec.writeUnknown(reason), RETRY_AFTER_S);
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -10,10 +10,13 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.coordination.step.StorePages;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.OperatorRequests;
-import shorecrank.protocol.OperatorRequests.KeysQuery;
-import shorecrank.protocol.RolloutMessages;
-import shorecrank.protocol.RolloutMessages.Order;
+import shorecrank.protocol.MalformedMessageException;
+import shorecrank.protocol.OperatorPaths;
+import shorecrank.protocol.OperatorRequestCodec;
+import shorecrank.protocol.OperatorRequestCodec.KeysQuery;
+import shorecrank.protocol.RolloutCodec;
+import shorecrank.protocol.RolloutMessages.RolloutOrder;
+import shorecrank.protocol.RolloutOrderCodec;
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.RolloutCoordinator;
 
@@ -51,18 +54,20 @@
   public void status(Input.Request request) {
     leader.answer(
         request,
-        RolloutMessages.STATUS,
-        () -> leader.replyStatus(request, rollout.status(), RolloutMessages::write, "level"));
+        OperatorPaths.ROLLOUT_STATUS,
+        () -> leader.replyStatus(request, rollout.status(), RolloutCodec::writeStatus, "level"));
   }
 
   /** Carries an operator's order out. */
   public void order(Input.Request request) {
-    leader.answer(request, RolloutMessages.ORDERS, () -> carryOut(request));
+    leader.answer(request, OperatorPaths.ROLLOUT_ORDERS, () -> carryOut(request));
   }
 
   private void carryOut(Input.Request request) {
-    Order order = RolloutMessages.readOrder(Json.parse(request.body()));
-    if (order == null) {
+    RolloutOrder order;
+    try {
+      order = RolloutOrderCodec.read(Json.parse(request.body()));
+    } catch (MalformedMessageException malformed) {
       leader.refuseMalformed(
           request,
           "rollout.malformed",
@@ -74,7 +79,7 @@
         order,
         outcome ->
             leader.replyOutcome(
-                request, outcome, result -> result.accepted(), RolloutMessages::write));
+                request, outcome, result -> result.accepted(), RolloutOrderCodec::writeOutcome));
   }
 
   /** Answers with a page of keys: of the service, or of its archives, and no others. */
@@ -82,7 +87,7 @@
     if (!leader.requireEnabled(request)) {
       return;
     }
-    KeysQuery query = OperatorRequests.readKeysQuery(request.body());
+    KeysQuery query = OperatorRequestCodec.readKeysQuery(Json.parse(request.body()));
     if (!isReadable(query)) {
       context.reply(
           request.reply(), BAD_REQUEST, Json.error("prefix must be one of " + READABLE_PREFIXES));
--- a/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
@@ -4,8 +4,12 @@
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.ShareOrder;
+import shorecrank.protocol.MalformedMessageException;
+import shorecrank.protocol.OperatorPaths;
+import shorecrank.protocol.ShareOrderCodec;
+import shorecrank.protocol.ShareOrderMessages.ShareOrder;
+import shorecrank.protocol.ShareStateCodec;
+import shorecrank.protocol.ShareStatusCodec;
 import shorecrank.rebalance.MoveCoordinator;
 
 /** Operators' requests about shares, taken by every controller and answered by the leader. */
@@ -27,18 +31,20 @@
   public void show(Input.Request request) {
     leader.answer(
         request,
-        ShareMessages.SHOW,
-        () -> leader.replyStatus(request, moves.status(), ShareMessages::write, "moves"));
+        OperatorPaths.SHARES_STATUS,
+        () -> leader.replyStatus(request, moves.status(), ShareStatusCodec::write, "moves"));
   }
 
   /** Carries an operator's order out. */
   public void order(Input.Request request) {
-    leader.answer(request, ShareMessages.ORDERS, () -> carryOut(request));
+    leader.answer(request, OperatorPaths.SHARES_ORDERS, () -> carryOut(request));
   }
 
   private void carryOut(Input.Request request) {
-    ShareOrder order = ShareMessages.readOrder(Json.parse(request.body()));
-    if (order == null) {
+    ShareOrder order;
+    try {
+      order = ShareOrderCodec.read(Json.parse(request.body()));
+    } catch (MalformedMessageException malformed) {
       leader.refuseMalformed(
           request, "shares.malformed", "shares.order.malformed", "malformed order");
       return;
@@ -47,6 +53,6 @@
         order,
         outcome ->
             leader.replyOutcome(
-                request, outcome, result -> result.accepted(), ShareMessages::write));
+                request, outcome, result -> result.accepted(), ShareStateCodec::writeOutcome));
   }
 }
--- a/src/main/java/shorecrank/coordination/request/StatusHandler.java
+++ b/src/main/java/shorecrank/coordination/request/StatusHandler.java
@@ -46,7 +46,7 @@
 
   /** Answers for the job of that name, which need not be one that a job can have. */
   public void answer(UserRequest request, String name) {
-    if (!JobSpec.idOk(name)) {
+    if (!JobSpec.isValidId(name)) {
       replies.noSuchJob(request);
       return;
     }
@@ -64,7 +64,7 @@
       answerFromStore(request, id);
       return;
     }
-    if (status.phase() == JobState.CANCELLED) {
+    if (status.state() == JobState.CANCELLED) {
       cancellations.recordConfirmed(id);
     }
     replies.status(request, id, status);
--- a/src/main/java/shorecrank/coordination/request/StoredJob.java
+++ b/src/main/java/shorecrank/coordination/request/StoredJob.java
@@ -22,7 +22,7 @@
     boolean mayWait() {
       return !record.cancelled()
           && record.attemptCount() == 0
-          && !record.spec().prerequisites().isEmpty();
+          && !record.spec().dependencies().isEmpty();
     }
   }
 
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -10,7 +10,9 @@
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.JobSpecCodec;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.MalformedMessageException;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.CommitResult;
@@ -62,8 +64,8 @@
   public void submit(UserRequest request) {
     JobSpec spec;
     try {
-      spec = JobSpec.read(Json.parse(request.body()));
-    } catch (JobSpec.Malformed e) {
+      spec = JobSpecCodec.read(Json.parse(request.body()));
+    } catch (MalformedMessageException e) {
       replies.malformed(request, e.getMessage());
       return;
     }
@@ -82,7 +84,7 @@
         refuse(request, spec, TOO_LARGE);
       } else {
         Submission submission = new Submission(request, spec, creation.get());
-        dependencies.check(spec.prerequisites(), result -> dependenciesChecked(submission, result));
+        dependencies.check(spec.dependencies(), result -> dependenciesChecked(submission, result));
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/request/UserReplies.java
+++ b/src/main/java/shorecrank/coordination/request/UserReplies.java
@@ -9,8 +9,8 @@
 
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.JobStatusCodec;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.UserMessages;
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.protocol.UserMessages.JobStatus;
 
@@ -42,17 +42,17 @@
 
   /** The job has been accepted. */
   void accepted(UserRequest request, JobId job, JobState state) {
-    context.reply(request.reply(), CREATED, UserMessages.phase(job, state));
+    context.reply(request.reply(), CREATED, JobStatusCodec.writeState(job, state));
   }
 
   /** The state of a job that is known already. */
   void state(UserRequest request, JobId job, JobState state) {
-    context.reply(request.reply(), OK, UserMessages.phase(job, state));
+    context.reply(request.reply(), OK, JobStatusCodec.writeState(job, state));
   }
 
   /** Where a job stands. */
   void status(UserRequest request, JobId job, JobStatus status) {
-    context.reply(request.reply(), OK, UserMessages.status(job, status));
+    context.reply(request.reply(), OK, JobStatusCodec.writeStatus(job, status));
   }
 
   /** The job was never accepted. */
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.CapacityRequest;
+import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.PeerMessages.CapacityRequest;
-import shorecrank.protocol.PeerMessages.UnavailableOffer;
 
 /** Says which machines a shard asks the leader to rent, and which to return to the cloud. */
 public final class Autoscaler {
--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -11,8 +11,8 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.HeartbeatMessages.CapacityRequest;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.CapacityRequest;
 
 /** Scale out: which machines would clear the queue in good time, the cheapest first. */
 final class CapacityPlanner {
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -97,7 +97,7 @@
       JobSpec spec = attempt.job().spec();
       double remainingS = attempt.remainingSeconds(context.now());
       double heartbeatS = context.config.workers().reportS();
-      double moveS = spec.saveS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
+      double moveS = spec.checkpointDurationS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
       if (attempt.canMoveByCheckpoint()
           && attempt.runSeconds(context.now()) > Autoscaler.SETTLED_S) {
         move.attempts.add(attempt);
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -78,7 +78,7 @@
    * @param isNeeded whether a job is still waited for
    */
   void tick(Predicate<JobId> isNeeded) {
-    if (pending.isEmpty() || context.now().before(nextAt)) {
+    if (pending.isEmpty() || context.now().isBefore(nextAt)) {
       return;
     }
     ArrayDeque<JobId> next = new ArrayDeque<>(pending);
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -81,7 +81,7 @@
         last = machine.info() == null ? "" : machine.info().zone();
         tasksByZone.merge(last, 1, Integer::sum);
       }
-      zone = spec.oneZone() ? last : null;
+      zone = spec.singleZone() ? last : null;
     }
 
     /** The machines with room, but those where the job has failed if there are others. */
@@ -94,7 +94,7 @@
           machines = room;
         }
       }
-      return spec.spread() ? new ArrayList<>(machines) : machines;
+      return spec.spreadOverZones() ? new ArrayList<>(machines) : machines;
     }
 
     void placeAll() {
@@ -125,10 +125,10 @@
     /** How many tasks go to a machine; 0 if its zone has as many as the job allows. */
     private int tasksFor(Machine machine) {
       int tasks = Math.min(wanted, machine.fits(spec));
-      if (!spec.spread()) {
+      if (!spec.spreadOverZones()) {
         return tasks;
       }
-      int left = spec.zoneCap() - tasksByZone.getOrDefault(machine.info().zone(), 0);
+      int left = spec.maxTasksPerZone() - tasksByZone.getOrDefault(machine.info().zone(), 0);
       return Math.min(tasks, left);
     }
 
@@ -143,7 +143,7 @@
       wanted -= tasks;
       String machineZone = machine.info().zone();
       tasksByZone.merge(machineZone, tasks, Integer::sum);
-      if (spec.oneZone()) {
+      if (spec.singleZone()) {
         zone = machineZone;
       }
       if (!machine.hasFreeCpus()) {
@@ -177,7 +177,7 @@
 
     void preempt() {
       if (wanted > 0
-          && !spec.spread()
+          && !spec.spreadOverZones()
           && !job.scheduling().isBackingOff()
           && preemption.mayPreempt(job)) {
         placed |= preemption.makeRoom(job, wanted, index, zone);
--- a/src/main/java/shorecrank/coordination/scheduling/OfferAvailability.java
+++ b/src/main/java/shorecrank/coordination/scheduling/OfferAvailability.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.UnavailableOffer;
 
 /** Which offers the cloud has refused lately for lack of capacity, as the leader tells. */
 final class OfferAvailability {
@@ -27,7 +27,7 @@
   /** Whether the offer may be asked for. */
   boolean isAvailable(Offer offer, MonotonicTime now) {
     MonotonicTime until = unavailableUntil.get(offer);
-    return until == null || !now.before(until);
+    return until == null || !now.isBefore(until);
   }
 
   /** Whether the offer was refused lately, so that not many machines of it should be counted on. */
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -116,7 +116,7 @@
       stop(victims);
       place(job, index, victims.machine);
       placed++;
-      if (job.spec().oneZone()) {
+      if (job.spec().singleZone()) {
         zone = victims.machine.info().zone();
       }
     }
@@ -218,7 +218,7 @@
     return !attempt.isRevoked()
         && attempt.isCommitted()
         && attempt.job().record().isClaimed()
-        && attempt.state() != TaskState.FLUSHING
-        && attempt.job().spec().checkpointS() <= 0;
+        && attempt.state() != TaskState.CHECKPOINTING
+        && attempt.job().spec().checkpointIntervalS() <= 0;
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -54,7 +54,7 @@
     List<WorkerCommand> stops = new ArrayList<>();
     Set<TaskAttemptId> listed = new HashSet<>();
     for (TaskStatus status : heartbeat.tasks()) {
-      listed.add(status.run());
+      listed.add(status.attemptId());
       addStopIfCancelled(status, stops);
     }
     addStopsOfUnlisted(machine, listed, stops);
@@ -62,8 +62,8 @@
   }
 
   private void addStopIfCancelled(TaskStatus status, List<WorkerCommand> stops) {
-    if (status.state() != TaskState.EXITED && isCancelled(status.run().job())) {
-      stops.add(new Stop(status.run(), AT_ONCE));
+    if (status.state() != TaskState.EXITED && isCancelled(status.attemptId().job())) {
+      stops.add(new Stop(status.attemptId(), AT_ONCE));
     }
   }
 
@@ -100,7 +100,7 @@
       addForListed(machine, status, direct, listed, commands);
     }
     Set<TaskAttemptId> listedIds = new HashSet<>();
-    machine.session().lastHeartbeat().tasks().forEach(status -> listedIds.add(status.run()));
+    machine.session().lastHeartbeat().tasks().forEach(status -> listedIds.add(status.attemptId()));
     addStopsOfUnlisted(machine, listedIds, commands);
     addStarts(machine, direct, listed, commands);
     return commands;
@@ -112,9 +112,9 @@
       boolean direct,
       Set<TaskAttempt> listed,
       List<WorkerCommand> commands) {
-    JobId id = status.run().job();
+    JobId id = status.attemptId().job();
     Job job = jobs.find(id);
-    TaskAttempt attempt = job == null ? null : job.tasks().attempt(status.run().index());
+    TaskAttempt attempt = job == null ? null : job.tasks().attempt(status.attemptId().index());
     if (jobs.isRelinquished(id) || (job != null && !job.record().isFreeOfEarlierOwner())) {
       // Not this owner's, or not yet: nothing is commanded for it, but that a cancelled one ends.
       addStopIfCancelled(status, commands);
@@ -123,7 +123,7 @@
       }
     } else if (attempt != null
         && attempt.machine() == machine
-        && attempt.number().equals(status.run().attempt())) {
+        && attempt.number().equals(status.attemptId().attempt())) {
       listed.add(attempt);
       addStopIfDue(machine, attempt, status, commands);
     } else {
@@ -134,7 +134,7 @@
   /** No record names the attempt that the worker lists. */
   private void addForUnexpected(
       Machine machine, Job job, TaskStatus status, boolean direct, List<WorkerCommand> commands) {
-    TaskAttemptId id = status.run();
+    TaskAttemptId id = status.attemptId();
     if (job == null
         && (status.state() == TaskState.EXITED || !isCancelled(id.job()))
         && !machines.mayClear(machine, id)) {
@@ -159,14 +159,14 @@
   private static void addStopIfDue(
       Machine machine, TaskAttempt attempt, TaskStatus status, List<WorkerCommand> commands) {
     Job job = attempt.job();
-    double saveS = job.spec().saveS();
+    double saveS = job.spec().checkpointDurationS();
     if (job.isCancelled()) {
       commands.add(new Stop(attempt.id(), AT_ONCE));
-    } else if (status.state() == TaskState.FLUSHING) {
+    } else if (status.state() == TaskState.CHECKPOINTING) {
       return;
     } else if (attempt.isRevoked() || machine.isReleasing()) {
       commands.add(new Stop(attempt.id(), saveS + SAVE_MARGIN_S));
-    } else if (machine.isPreemptionNoticed() && job.spec().checkpointS() > 0) {
+    } else if (machine.isPreemptionNoticed() && job.spec().checkpointIntervalS() > 0) {
       double noticeS = machine.session().lastHeartbeat().noticeS();
       commands.add(new Stop(attempt.id(), Math.max(saveS, noticeS)));
     }
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -9,6 +9,7 @@
 import shorecrank.coordination.model.WorkerSession;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.WorkerCommandCodec;
 import shorecrank.protocol.WorkerMessages;
 import shorecrank.protocol.WorkerMessages.Start;
 import shorecrank.protocol.WorkerMessages.WorkerCommand;
@@ -94,7 +95,7 @@
     FencingToken token = tokens.current(lease.epoch());
     for (WorkerCommand command : commands) {
       if (command instanceof Start) {
-        tokens.directStartSent(command.run(), token);
+        tokens.directStartSent(command.attemptId(), token);
       }
     }
     unanswered++;
@@ -102,8 +103,8 @@
     context.count("orders.direct");
     context.worker(
         session.address(),
-        WorkerMessages.ORDERS,
-        WorkerMessages.direct(token, session.incarnation(), commands),
+        WorkerMessages.DIRECT_COMMANDS_PATH,
+        WorkerCommandCodec.writeDirect(token, session.incarnation(), commands),
         TIMEOUT_MS,
         (status, body) -> {
           unanswered--;
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -4,8 +4,8 @@
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.WorkerSession;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
@@ -42,12 +42,12 @@
    * @param mayCommand whether the lease is valid; if not, only workers' leases are renewed
    */
   void handle(long reply, WorkerHeartbeat heartbeat, boolean mayCommand) {
-    Machine machine = machines.machine(heartbeat.host());
+    Machine machine = machines.machine(heartbeat.machine());
     machines.describe(
         machine,
-        new MachineInfo(heartbeat.host(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
+        new MachineInfo(heartbeat.machine(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
     WorkerSession session = machine.session();
-    if (session.isStale(heartbeat) || heartbeat.token().epoch().above(lease.epoch())) {
+    if (session.isStale(heartbeat) || heartbeat.token().epoch().isAbove(lease.epoch())) {
       context.count("report.late");
       replies.refuse(reply, "not entitled, or the report is late");
       return;
@@ -107,7 +107,7 @@
   }
 
   private boolean reconcile(Machine machine, WorkerHeartbeat heartbeat, boolean isConsecutive) {
-    machine.setPreemptionNoticed(heartbeat.preemptionNoticed());
+    machine.setPreemptionNoticed(heartbeat.hasPreemptionNotice());
     boolean freed = reconciler.reconcile(machine, heartbeat);
     recordResponsiveness(machine, isConsecutive);
     machine.session().recordReconciled(heartbeat);
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -39,13 +39,13 @@
     machine.clearUnrecordedTasks();
     Set<TaskAttempt> unlisted = new LinkedHashSet<>(machine.attempts());
     for (TaskStatus status : heartbeat.tasks()) {
-      Job job = jobs.find(status.run().job());
-      int index = status.run().index();
+      Job job = jobs.find(status.attemptId().job());
+      int index = status.attemptId().index();
       TaskAttempt attempt = job == null ? null : job.tasks().attempt(index);
       boolean exited = status.state() == TaskState.EXITED;
       if (attempt != null
           && attempt.machine() == machine
-          && attempt.number().equals(status.run().attempt())
+          && attempt.number().equals(status.attemptId().attempt())
           && attempt.incarnation().equals(heartbeat.incarnation())) {
         unlisted.remove(attempt);
         freed |= exited;
@@ -111,20 +111,20 @@
   private void exited(Machine machine, TaskAttempt attempt, TaskStatus status) {
     MonotonicTime now = context.now();
     Job job = attempt.job();
-    switch (status.why()) {
+    switch (status.exitReason()) {
       case DONE -> {
         job.tasks().markDone(attempt.index());
         job.scheduling().taskSucceeded();
         machine.health().taskSucceeded();
       }
-      case HALTED -> {}
-      case FULL -> machine.health().pauseUntil(now.plus(FULL_PAUSE_MS));
+      case STOPPED -> {}
+      case INSUFFICIENT_RESOURCES -> machine.health().pauseUntil(now.plus(FULL_PAUSE_MS));
       case BUSY -> machine.health().pauseUntil(now.plus(BUSY_PAUSE_MS));
-      case ERROR, UNKNOWN -> failed(machine, job, status.why());
+      case ERROR, UNKNOWN -> failed(machine, job, status.exitReason());
     }
     jobs.detach(attempt);
     // The write in flight does not hold this exit; the one after it will.
-    job.tasks().recordExit(status.run(), job.record().nextSequence());
+    job.tasks().recordExit(status.attemptId(), job.record().nextSequence());
     job.requestWrite(WriteUrgency.LATER, now);
   }
 
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -9,7 +9,7 @@
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.WorkerMessages;
+import shorecrank.protocol.WorkerCommandCodec;
 import shorecrank.protocol.WorkerMessages.TaskState;
 import shorecrank.protocol.WorkerMessages.TaskStatus;
 import shorecrank.protocol.WorkerMessages.WorkerCommand;
@@ -60,7 +60,7 @@
     context.reply(
         reply,
         OK,
-        WorkerMessages.answer(
+        WorkerCommandCodec.writeAnswer(
             machine.session().tokens().aboveDirectStarts(lease.epoch()), commands));
   }
 
@@ -104,7 +104,7 @@
     }
     for (Machine machine : new ArrayList<>(deferred)) {
       boolean settled = isSettled(machine);
-      if (all || settled || !context.now().before(machine.session().deferredUntil())) {
+      if (all || settled || !context.now().isBefore(machine.session().deferredUntil())) {
         context.count(settled ? "report.parked.settled" : "report.parked.expired");
         deferred.remove(machine);
         long reply = machine.session().takeDeferredReply();
@@ -123,8 +123,10 @@
       return false;
     }
     for (TaskStatus status : machine.session().lastHeartbeat().tasks()) {
-      Job job = status.state() == TaskState.EXITED ? jobs.find(status.run().job()) : null;
-      if (job != null && job.record().isInFlight() && job.tasks().hasPendingExit(status.run())) {
+      Job job = status.state() == TaskState.EXITED ? jobs.find(status.attemptId().job()) : null;
+      if (job != null
+          && job.record().isInFlight()
+          && job.tasks().hasPendingExit(status.attemptId())) {
         return false;
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -114,7 +114,7 @@
   /** Writes the records that are due, as far as rate limits and transactions in flight allow. */
   void writeDue() {
     MonotonicTime now = context.now();
-    if (now.before(pausedUntil) || inFlight >= MAX_IN_FLIGHT) {
+    if (now.isBefore(pausedUntil) || inFlight >= MAX_IN_FLIGHT) {
       return;
     }
     List<Job> due = dueJobs(now);
@@ -196,7 +196,7 @@
               && (job.record().isSeparate() || writes.get(0).job().record().isSeparate());
       int operations = operations(job);
       return !mustStandAlone
-          && transaction.ops() + operations <= context.config.state().txnOps()
+          && transaction.operationCount() + operations <= context.config.state().txnOps()
           && (bytes == 0 || bytes + maxValueBytes() <= StoreMessages.TXN_FILL_BYTES)
           && limiter(job).has(operations, now);
     }
@@ -214,7 +214,9 @@
       int done = job.tasks().doneCount();
       JobState state =
           job.tasks().isComplete() && !job.isCancelled() ? JobState.DONE : JobState.CANCELLED;
-      transaction.drop(key).write(JobRecord.finalKey(job.id()), JobRecord.writeFinal(state, done));
+      transaction
+          .delete(key)
+          .write(JobRecord.finalKey(job.id()), JobRecord.writeFinal(state, done));
       resolver.sentFinal(job);
       writes.add(
           new RecordWrite(job, job.record().sequence(), true, new JobStatus(state, done, 0)));
--- a/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.WorkerLiveness;
+import shorecrank.protocol.HeartbeatMessages.MachineHandover;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.PeerMessages.MachineHandover;
 import shorecrank.protocol.WorkerMessages.TaskStatus;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
@@ -74,7 +74,8 @@
       return false;
     }
     for (TaskStatus status : heartbeat.tasks()) {
-      if (foreign.verdict(machine.name(), status.run()) != ForeignTasks.Verdict.NAMED_ELSEWHERE) {
+      if (foreign.verdict(machine.name(), status.attemptId())
+          != ForeignTasks.Verdict.NAMED_ELSEWHERE) {
         return false;
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -83,7 +83,7 @@
       return;
     }
     Reference reference = references.computeIfAbsent(job, absent -> new Reference());
-    if (at.after(reference.revision)) {
+    if (at.isAfter(reference.revision)) {
       settle(reference, at, machines);
     }
     writableByOthers(reference, othersMayWrite);
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -14,12 +14,12 @@
 import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
+import shorecrank.protocol.HeartbeatMessages.MachineHandover;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.TaskAttemptId;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.PeerMessages.MachineHandover;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
@@ -117,7 +117,7 @@
     Set<MachineName> named = new HashSet<>();
     for (MachineAssignment assignment : all) {
       updateAssignment(assignment);
-      named.add(assignment.host().name());
+      named.add(assignment.machine().name());
     }
     for (MachineName name : new ArrayList<>(machines.keySet())) {
       if (!named.contains(name)) {
@@ -128,7 +128,7 @@
 
   /** An assignment is new or has changed. */
   public void updateAssignment(MachineAssignment assignment) {
-    MachineName name = assignment.host().name();
+    MachineName name = assignment.machine().name();
     if (!assignment.shard().equals(lease.shard())) {
       handovers.forget(name);
       removeAssignment(name);
@@ -139,7 +139,7 @@
       return;
     }
     Machine machine = machine(name);
-    describe(machine, assignment.host());
+    describe(machine, assignment.machine());
     if (machine.assignment().assign(assignment, context.now())) {
       machine.session().forgetConfirmation();
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -21,10 +21,10 @@
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.JobSpec.Priority;
-import shorecrank.protocol.ShareMessages.Candidate;
-import shorecrank.protocol.ShareMessages.DrainProgress;
-import shorecrank.protocol.ShareMessages.DrainState;
-import shorecrank.protocol.ShareMessages.ShardDemand;
+import shorecrank.protocol.ShardDemandMessages.Candidate;
+import shorecrank.protocol.ShardDemandMessages.DrainProgress;
+import shorecrank.protocol.ShardDemandMessages.DrainState;
+import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 
 /** What a shard's owner tells the leader of its share: what it has, needs and could give up. */
 final class ShardDemandReporter {
@@ -100,7 +100,7 @@
     double longest = 0;
     for (TaskAttempt attempt : machine.attempts()) {
       double left = attempt.remainingSeconds(context.now());
-      if (attempt.job().spec().checkpointS() > 0) {
+      if (attempt.job().spec().checkpointIntervalS() > 0) {
         left =
             Math.min(left, Math.max(0, Autoscaler.SETTLED_S - attempt.runSeconds(context.now())));
       }
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -60,13 +60,13 @@
    * @return whether the epoch has risen
    */
   boolean renew(Epoch granted, MonotonicTime until) {
-    boolean raised = granted.above(epoch);
+    boolean raised = granted.isAbove(epoch);
     if (raised) {
       context.info("shard.epoch.raised shard=%s from=%s epoch=%s", shard, epoch, granted);
       epoch = granted;
       refusedBy = Epoch.NONE;
     }
-    if (validUntil.before(until)) {
+    if (validUntil.isBefore(until)) {
       validUntil = until;
     }
     relinquished = false;
@@ -80,7 +80,7 @@
 
   /** Whether this process may command and write at a time. */
   boolean isValidAt(MonotonicTime time) {
-    return time.before(validUntil);
+    return time.isBefore(validUntil);
   }
 
   /**
@@ -143,7 +143,7 @@
 
   /** Whether a record is another owner's: of a higher epoch, or of this one but another process. */
   boolean isRefusedBy(JobRecord record) {
-    return record.epoch().above(epoch)
+    return record.epoch().isAbove(epoch)
         || (record.epoch().equals(epoch) && !record.writer().equals(context.writer));
   }
 
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -16,13 +16,13 @@
 import shorecrank.coordination.step.Input.RoundBudget;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.MachineHandover;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineHandover;
-import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.protocol.UserMessages.JobStatus;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 import shorecrank.rollout.FeatureGate;
@@ -133,8 +133,8 @@
     @Override
     public void ended(Job job, JobStatus status) {
       statusQueries.ended(job.id(), status);
-      lifecycle.ended(job, status.phase());
-      context.info("job.ended job=%s state=%s epoch=%s", job.id(), status.phase(), lease.epoch());
+      lifecycle.ended(job, status.state());
+      context.info("job.ended job=%s state=%s epoch=%s", job.id(), status.state(), lease.epoch());
       context.count(job.isCancelled() ? "job.withdrawn" : "job.done");
     }
 
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -115,7 +115,7 @@
 
   /** Begins to read all records, unless that is under way or it is too soon to try again. */
   void listIfDue() {
-    if (!listingUnderWay && !context.now().before(listRetryAt)) {
+    if (!listingUnderWay && !context.now().isBefore(listRetryAt)) {
       list();
     }
   }
@@ -183,7 +183,7 @@
   }
 
   private void shownUpTo(MonotonicTime sent) {
-    if (knownUpTo.before(sent)) {
+    if (knownUpTo.isBefore(sent)) {
       knownUpTo = sent;
     }
   }
@@ -196,7 +196,7 @@
    * needs. So there is no watch without a lease.
    */
   void watchIfDue() {
-    if (!watching && lease.isValid() && !context.now().before(watchRetryAt)) {
+    if (!watching && lease.isValid() && !context.now().isBefore(watchRetryAt)) {
       watch();
     }
   }
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -79,7 +79,7 @@
       guard(job, keys);
       keysByJob.put(job.id(), keys);
       JobStatus status = job.record().status();
-      boolean cancelledSince = job.isCancelled() && status.phase() != JobState.CANCELLED;
+      boolean cancelledSince = job.isCancelled() && status.state() != JobState.CANCELLED;
       statuses.put(job.id(), cancelledSince ? null : status);
     }
 
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -28,7 +28,7 @@
         double cpus = attempt.job().spec().cpus();
         if (attempt.state() == null) {
           commanded += cpus;
-        } else if (attempt.state() == TaskState.PULLING) {
+        } else if (attempt.state() == TaskState.WAITING_FOR_IMAGE) {
           pulling += cpus;
         } else {
           running += cpus;
--- a/src/main/java/shorecrank/coordination/step/HeartbeatResult.java
+++ b/src/main/java/shorecrank/coordination/step/HeartbeatResult.java
@@ -1,6 +1,6 @@
 package shorecrank.coordination.step;
 
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
 
 /** What became of a heartbeat to the leader. */
 public sealed interface HeartbeatResult {
--- a/src/main/java/shorecrank/coordination/step/PeerClient.java
+++ b/src/main/java/shorecrank/coordination/step/PeerClient.java
@@ -9,13 +9,15 @@
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
 import java.util.function.IntPredicate;
+import shorecrank.protocol.HeartbeatAnswerCodec;
+import shorecrank.protocol.HeartbeatCodec;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerMessages.Heartbeat;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerRequests;
+import shorecrank.protocol.PeerPaths;
+import shorecrank.protocol.StatusQueryCodec;
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
@@ -34,8 +36,8 @@
       ControllerName to, Heartbeat heartbeat, int timeoutMs, Consumer<HeartbeatResult> then) {
     context.peer(
         to,
-        PeerMessages.HEARTBEAT,
-        PeerMessages.write(heartbeat),
+        PeerPaths.HEARTBEAT,
+        HeartbeatCodec.write(heartbeat),
         timeoutMs,
         (status, body) -> then.accept(heartbeatResult(status, body)));
   }
@@ -43,12 +45,12 @@
   private static HeartbeatResult heartbeatResult(int status, JsonNode body) {
     return switch (status) {
       case OK -> {
-        HeartbeatAnswer answer = PeerMessages.readAnswer(body);
+        HeartbeatAnswer answer = HeartbeatAnswerCodec.read(body).orElse(null);
         yield answer == null
             ? new HeartbeatResult.Malformed()
             : new HeartbeatResult.Answered(answer);
       }
-      case UNAVAILABLE -> new HeartbeatResult.Refused(PeerRequests.reachesStore(body));
+      case UNAVAILABLE -> new HeartbeatResult.Refused(HeartbeatAnswerCodec.isStoreReachable(body));
       default -> new HeartbeatResult.Unanswered();
     };
   }
@@ -66,11 +68,12 @@
       Consumer<Map<JobId, JobStatus>> then) {
     context.peer(
         owner,
-        PeerMessages.ASK,
-        PeerMessages.ask(shard, jobs),
+        PeerPaths.STATUS_QUERY,
+        StatusQueryCodec.writeQuery(shard, jobs),
         timeoutMs,
         (status, body) ->
-            then.accept(status == OK ? PeerMessages.told(body) : Map.<JobId, JobStatus>of()));
+            then.accept(
+                status == OK ? StatusQueryCodec.readAnswer(body) : Map.<JobId, JobStatus>of()));
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -9,8 +9,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
 import shorecrank.protocol.Ids.Revision;
+import shorecrank.protocol.StoreCodec;
 import shorecrank.protocol.StoreMessages;
 import shorecrank.protocol.StoreMessages.Transaction;
+import shorecrank.protocol.StorePaths;
 import shorecrank.storage.CommitResult;
 import shorecrank.storage.ListResult;
 import shorecrank.storage.ReadResult;
@@ -32,7 +34,7 @@
   public void read(String key, int timeoutMs, Consumer<ReadResult> then) {
     context.state(
         "GET",
-        StoreMessages.key(key),
+        StorePaths.key(key),
         null,
         timeoutMs,
         (status, body) -> then.accept(readResult(status, body)));
@@ -40,8 +42,8 @@
 
   private static ReadResult readResult(int status, JsonNode body) {
     return switch (status) {
-      case OK -> new ReadResult.Found(StoreMessages.entry(body));
-      case NOT_FOUND -> new ReadResult.Absent(StoreMessages.revision(body));
+      case OK -> new ReadResult.Found(StoreCodec.readEntry(body));
+      case NOT_FOUND -> new ReadResult.Absent(StoreCodec.readRevision(body));
       default -> new ReadResult.Unavailable(status);
     };
   }
@@ -51,7 +53,7 @@
       String prefix, String after, int limit, int timeoutMs, Consumer<ListResult> then) {
     context.state(
         "GET",
-        StoreMessages.list(prefix, after, limit),
+        StorePaths.list(prefix, after, limit),
         null,
         timeoutMs,
         (status, body) -> then.accept(listResult(status, body)));
@@ -62,14 +64,14 @@
       return new ListResult.Unavailable(status);
     }
     return new ListResult.Page(
-        StoreMessages.entries(body), StoreMessages.revision(body), StoreMessages.more(body));
+        StoreCodec.readEntries(body), StoreCodec.readRevision(body), StoreCodec.hasMore(body));
   }
 
   @Override
   public void watch(String prefix, long afterRevision, int holdMs, Consumer<WatchResult> then) {
     context.state(
         "GET",
-        StoreMessages.watch(prefix, afterRevision, holdMs),
+        StorePaths.watch(prefix, afterRevision, holdMs),
         null,
         holdMs + WATCH_MARGIN_MS,
         (status, body) -> then.accept(watchResult(status, body)));
@@ -80,7 +82,7 @@
       String prefix, long afterRevision, int timeoutMs, Consumer<WatchResult> then) {
     context.state(
         "GET",
-        StoreMessages.watch(prefix, afterRevision, 0),
+        StorePaths.watch(prefix, afterRevision, 0),
         null,
         timeoutMs,
         (status, body) -> then.accept(watchResult(status, body)));
@@ -88,7 +90,8 @@
 
   private static WatchResult watchResult(int status, JsonNode body) {
     return switch (status) {
-      case OK -> new WatchResult.Changes(StoreMessages.changes(body), StoreMessages.revision(body));
+      case OK ->
+          new WatchResult.Changes(StoreCodec.readChanges(body), StoreCodec.readRevision(body));
       case GONE -> new WatchResult.Compacted();
       default -> new WatchResult.Unavailable(status);
     };
@@ -98,7 +101,7 @@
   public void commit(Transaction transaction, int timeoutMs, Consumer<CommitResult> then) {
     context.state(
         "POST",
-        StoreMessages.MULTI,
+        StorePaths.TRANSACTION,
         transaction.body(),
         timeoutMs,
         (status, body) -> then.accept(commitResult(status, body)));
@@ -106,11 +109,11 @@
 
   private static CommitResult commitResult(int status, JsonNode body) {
     return switch (status) {
-      case OK -> new CommitResult.Committed(new Revision(StoreMessages.revision(body)));
-      case CONFLICT -> new CommitResult.Conflict(StoreMessages.failed(body));
+      case OK -> new CommitResult.Committed(new Revision(StoreCodec.readRevision(body)));
+      case CONFLICT -> new CommitResult.Conflict(StoreCodec.readFailedKeys(body));
       case BAD_REQUEST -> new CommitResult.TooLarge(body.toString());
       default ->
-          StoreMessages.notCarriedOut(status)
+          StoreMessages.isNotCarriedOut(status)
               ? new CommitResult.Refused(status)
               : new CommitResult.Unknown(status);
     };
--- a/src/main/java/shorecrank/coordination/step/StorePages.java
+++ b/src/main/java/shorecrank/coordination/step/StorePages.java
@@ -2,7 +2,7 @@
 
 import static shorecrank.protocol.HttpStatus.OK;
 
-import shorecrank.protocol.StoreMessages;
+import shorecrank.protocol.StorePaths;
 
 /** Pages of keys that go to an operator just as the state service answers them. */
 public final class StorePages {
@@ -25,7 +25,7 @@
       String prefix, String after, int limit, int timeoutMs, long reply, Runnable unavailable) {
     context.state(
         "GET",
-        StoreMessages.list(prefix, after, limit),
+        StorePaths.list(prefix, after, limit),
         null,
         timeoutMs,
         (status, body) -> {
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -203,7 +203,8 @@
     if (!known) {
       environment.refused("state.unreadable", "state.unreadable key=%s".formatted(codec.key()));
     }
-    Reading reading = new Reading(pendingUnder, readUnder, term, foundAt.after(revision), mayWrite);
+    Reading reading =
+        new Reading(pendingUnder, readUnder, term, foundAt.isAfter(revision), mayWrite);
     V before = value;
     value = found.orElse(value);
     revision = foundAt;
--- a/src/main/java/shorecrank/leadership/SequentialStore.java
+++ b/src/main/java/shorecrank/leadership/SequentialStore.java
@@ -34,7 +34,7 @@
 
   /** Whether no call is under way and the last pause is over. */
   public boolean isReady() {
-    return !busy && !environment.now().before(pausedUntil);
+    return !busy && !environment.now().isBefore(pausedUntil);
   }
 
   /** Makes {@link #isReady} false for a while from now on. */
--- /dev/null
+++ b/src/main/java/shorecrank/protocol/ForwardedRequestCodec.java
@@ -0,0 +1,29 @@
+package shorecrank.protocol;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import shorecrank.protocol.PeerRequests.ForwardedRequest;
+
+/** Users' requests that one controller forwards to another, as JSON. */
+public final class ForwardedRequestCodec {
+  private static final String METHOD = "method";
+  private static final String PATH = "path";
+  private static final String BODY = "body";
+
+  private ForwardedRequestCodec() {}
+
+  /** A request as JSON; a body that is not JSON is left out. */
+  public static ObjectNode write(ForwardedRequest request) {
+    ObjectNode message = Json.object().put(METHOD, request.method()).put(PATH, request.path());
+    message.set(BODY, Json.parse(request.body()));
+    return message;
+  }
+
+  /** Reads a request; what the message does not hold is empty. */
+  public static ForwardedRequest read(JsonNode message) {
+    return new ForwardedRequest(
+        Json.text(message.path(METHOD)),
+        Json.text(message.path(PATH)),
+        Json.bytes(message.path(BODY)));
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/protocol/HeartbeatCodec.java
@@ -0,0 +1,176 @@
+package shorecrank.protocol;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import shorecrank.protocol.HeartbeatMessages.CapacityRequest;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
+import shorecrank.protocol.HeartbeatMessages.MachineHandover;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
+import shorecrank.protocol.HeartbeatMessages.WorkerReachability;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+import shorecrank.protocol.Ids.WriterId;
+
+/** Controllers' heartbeats to the leader as JSON. */
+public final class HeartbeatCodec {
+  private static final String SENDER = "from";
+  private static final String WRITER = "writer";
+  private static final String STORE_REACHABLE = "stateOk";
+  private static final String ASSIGNMENT_VERSION = "ver";
+  private static final String SHARDS = "parts";
+  private static final String SEEN_MACHINES = "seen";
+  private static final String MISROUTED_WORKERS = "strays";
+
+  private static final String REFUSED_EPOCH = "fenced";
+  private static final String HAS_QUEUED_TASKS = "queued";
+  private static final String EXPECTED = "expected";
+  private static final String UNHEARD = "unheard";
+  private static final String UNREACHABLE_ZONES = "deafTo";
+  private static final String CAPACITY_REQUESTS = "wants";
+  private static final String COUNT = "count";
+  private static final String MACHINES_TO_RELEASE = "retire";
+  private static final String SPARE_MACHINES = "spare";
+  private static final String HANDOVERS = "back";
+  private static final String MOVES = "moves";
+  private static final String MISPLACED = "misplaced";
+  private static final String DEMAND = "demand";
+
+  private HeartbeatCodec() {}
+
+  /** A heartbeat as JSON. */
+  public static ObjectNode write(Heartbeat heartbeat) {
+    ObjectNode message = Json.object();
+    message.put(SENDER, heartbeat.sender().value()).put(WRITER, heartbeat.writer().value());
+    message.put(STORE_REACHABLE, heartbeat.storeReachable());
+    message.put(ASSIGNMENT_VERSION, heartbeat.assignmentVersion());
+    ArrayNode shards = message.putArray(SHARDS);
+    for (ShardReport report : heartbeat.shards()) {
+      putReport(shards.addObject(), report);
+    }
+    ArrayNode seen = message.putArray(SEEN_MACHINES);
+    heartbeat.seenMachines().forEach(machine -> PeerFields.putMachine(seen.addObject(), machine));
+    ArrayNode misrouted = message.putArray(MISROUTED_WORKERS);
+    heartbeat
+        .misroutedWorkers()
+        .forEach((shard, count) -> misrouted.addArray().add(shard.value()).add(count));
+    if (heartbeat.announcement() != null) {
+      message.set(
+          RolloutCodec.HEARTBEAT_FIELD, RolloutCodec.writeAnnouncement(heartbeat.announcement()));
+    }
+    return message;
+  }
+
+  private static void putReport(ObjectNode object, ShardReport report) {
+    object.put(PeerFields.SHARD, report.shard().value());
+    object.put(PeerFields.EPOCH, report.epoch().value());
+    object.put(REFUSED_EPOCH, report.refusedEpoch().value());
+    object.put(HAS_QUEUED_TASKS, report.hasQueuedTasks());
+    WorkerReachability reachability = report.reachability();
+    object.put(EXPECTED, reachability.expected()).put(UNHEARD, reachability.unheard());
+    ArrayNode zones = object.putArray(UNREACHABLE_ZONES);
+    reachability.unreachableZones().forEach(zones::add);
+    ArrayNode requests = object.putArray(CAPACITY_REQUESTS);
+    for (CapacityRequest request : report.capacityRequests()) {
+      PeerFields.putOffer(requests.addObject(), request.offer()).put(COUNT, request.count());
+    }
+    PeerFields.putNames(object, MACHINES_TO_RELEASE, report.machinesToRelease());
+    PeerFields.putNames(object, SPARE_MACHINES, report.spareMachines());
+    putMoves(object, report);
+  }
+
+  /** The fields of moves; those that not every version knows are left out where they are empty. */
+  private static void putMoves(ObjectNode object, ShardReport report) {
+    ArrayNode machines = object.putArray(HANDOVERS);
+    report.handovers().forEach(handover -> machines.add(handover.machine().value()));
+    if (report.repeatsMoves()) {
+      ArrayNode moves = object.putArray(MOVES);
+      report.handovers().forEach(handover -> moves.add(handover.move().value()));
+    }
+    if (!report.misplaced().isEmpty()) {
+      PeerFields.putNames(object, MISPLACED, report.misplaced());
+    }
+    if (report.demand() != null) {
+      object.set(DEMAND, ShardDemandCodec.write(report.demand()));
+    }
+  }
+
+  /**
+   * Reads a heartbeat.
+   *
+   * @throws MalformedMessageException if a name or number is missing or out of range
+   */
+  public static Heartbeat read(JsonNode message) throws MalformedMessageException {
+    ControllerName sender = new ControllerName(Fields.name(message.path(SENDER), SENDER));
+    WriterId writer = new WriterId(Fields.name(message.path(WRITER), WRITER));
+    List<ShardReport> shards = new ArrayList<>();
+    for (JsonNode report : message.path(SHARDS)) {
+      shards.add(readReport(report));
+    }
+    List<MachineInfo> seen = new ArrayList<>();
+    for (JsonNode machine : message.path(SEEN_MACHINES)) {
+      seen.add(PeerFields.machine(machine));
+    }
+    Map<ShardId, Integer> misrouted = new HashMap<>();
+    for (JsonNode pair : message.path(MISROUTED_WORKERS)) {
+      misrouted.put(new ShardId(pair.path(0).asInt()), Math.max(0, pair.path(1).asInt()));
+    }
+    return new Heartbeat(
+        sender,
+        writer,
+        message.path(STORE_REACHABLE).asBoolean(),
+        message.path(ASSIGNMENT_VERSION).asLong(-1),
+        shards,
+        seen,
+        misrouted,
+        RolloutCodec.readAnnouncement(message.path(RolloutCodec.HEARTBEAT_FIELD)).orElse(null));
+  }
+
+  private static ShardReport readReport(JsonNode object) throws MalformedMessageException {
+    List<CapacityRequest> requests = new ArrayList<>();
+    for (JsonNode request : object.path(CAPACITY_REQUESTS)) {
+      requests.add(new CapacityRequest(PeerFields.offer(request), intCount(request, COUNT)));
+    }
+    List<String> zones = new ArrayList<>();
+    object.path(UNREACHABLE_ZONES).forEach(zone -> zones.add(zone.asText()));
+    return new ShardReport(
+        PeerFields.shard(object),
+        PeerFields.epoch(object),
+        // From the record that refused the owner, whatever it held: no bound but that of a long.
+        new Epoch(Fields.count(object.path(REFUSED_EPOCH), REFUSED_EPOCH)),
+        object.path(HAS_QUEUED_TASKS).asBoolean(),
+        new WorkerReachability(intCount(object, EXPECTED), intCount(object, UNHEARD), zones),
+        requests,
+        PeerFields.names(object, MACHINES_TO_RELEASE),
+        PeerFields.names(object, SPARE_MACHINES),
+        readHandovers(object),
+        PeerFields.names(object, MISPLACED),
+        object.path(MOVES).isArray(),
+        ShardDemandCodec.read(object.path(DEMAND)).orElse(null));
+  }
+
+  private static List<MachineHandover> readHandovers(JsonNode object)
+      throws MalformedMessageException {
+    List<MachineName> machines = PeerFields.names(object, HANDOVERS);
+    JsonNode moves = object.path(MOVES);
+    if (moves.isArray() && moves.size() != machines.size()) {
+      throw new MalformedMessageException(MOVES, "must have an element for each of " + HANDOVERS);
+    }
+    List<MachineHandover> handovers = new ArrayList<>();
+    for (int i = 0; i < machines.size(); i++) {
+      handovers.add(new MachineHandover(machines.get(i), Fields.moveOrNone(moves.path(i))));
+    }
+    return handovers;
+  }
+
+  private static int intCount(JsonNode object, String field) throws MalformedMessageException {
+    return (int) Fields.count(object.path(field), field, Integer.MAX_VALUE);
+  }
+}
--- a/src/main/java/shorecrank/protocol/Json.java
+++ b/src/main/java/shorecrank/protocol/Json.java
@@ -10,23 +10,30 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** The one JSON mapper, with bounds fit for messages from strangers. */
+/** The one JSON mapper, with bounds for messages from senders that are not trusted. */
 public final class Json {
+  private static final int MAX_NESTING_DEPTH = 32;
+  private static final int MAX_NUMBER_LENGTH = 40;
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   static {
     MAPPER
         .getFactory()
         .setStreamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(32).maxNumberLength(40).build());
+            StreamReadConstraints.builder()
+                .maxNestingDepth(MAX_NESTING_DEPTH)
+                .maxNumberLength(MAX_NUMBER_LENGTH)
+                .build());
   }
 
   private Json() {}
 
+  /** A new object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
+  /** A new array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
@@ -37,31 +44,36 @@
       return MissingNode.getInstance();
     }
     try {
-      JsonNode n = MAPPER.readTree(body);
-      return n == null ? MissingNode.getInstance() : n;
+      JsonNode node = MAPPER.readTree(body);
+      return node == null ? MissingNode.getInstance() : node;
     } catch (IOException e) {
       return MissingNode.getInstance();
     }
   }
 
-  public static byte[] bytes(JsonNode n) {
+  /** JSON text in UTF-8. */
+  public static byte[] bytes(JsonNode node) {
     try {
-      return MAPPER.writeValueAsBytes(n);
+      return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  public static ObjectNode error(String what) {
-    return object().put("error", what);
+  /** The body of an answer that refuses a request; the reason is one line. */
+  public static ObjectNode error(String reason) {
+    return object().put("error", reason);
   }
 
   /** A whole number from 0 up, or -1 if the field holds anything else. */
-  public static long count(JsonNode n) {
-    return n.isIntegralNumber() && n.canConvertToLong() && n.longValue() >= 0 ? n.longValue() : -1;
+  public static long count(JsonNode value) {
+    boolean isCount =
+        value.isIntegralNumber() && value.canConvertToLong() && value.longValue() >= 0;
+    return isCount ? value.longValue() : -1;
   }
 
-  public static String text(JsonNode n) {
-    return n.isTextual() ? n.textValue() : "";
+  /** A text, or an empty one if the field holds anything else. */
+  public static String text(JsonNode value) {
+    return value.isTextual() ? value.textValue() : "";
   }
 }
--- /dev/null
+++ b/src/main/java/shorecrank/protocol/PeerFields.java
@@ -0,0 +1,111 @@
+package shorecrank.protocol;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
+import shorecrank.protocol.Ids.ControllerName;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.ShardId;
+
+/** Parts that several messages between controllers share. */
+final class PeerFields {
+  static final String SHARD = "part";
+  static final String EPOCH = "epoch";
+  static final String OWNERS = "owners";
+  static final String JOB_IDS = "ids";
+  private static final String CONTROLLER = "label";
+  private static final String MACHINE = "h";
+  private static final String TYPE = "type";
+  private static final String ZONE = "zone";
+  private static final String SPOT = "spot";
+  private static final int MAX_SHARDS = 1_000_000;
+
+  private PeerFields() {}
+
+  /** Puts owners under their field. */
+  static void putOwners(ObjectNode message, Collection<OwnerInfo> owners) {
+    ArrayNode array = message.putArray(OWNERS);
+    for (OwnerInfo owner : owners) {
+      array
+          .addObject()
+          .put(SHARD, owner.shard().value())
+          .put(CONTROLLER, owner.controller().value())
+          .put(EPOCH, owner.epoch().value());
+    }
+  }
+
+  /** The owners under their field; empty if it is absent. */
+  static List<OwnerInfo> owners(JsonNode message) throws MalformedMessageException {
+    List<OwnerInfo> owners = new ArrayList<>();
+    for (JsonNode owner : message.path(OWNERS)) {
+      owners.add(
+          new OwnerInfo(
+              shard(owner),
+              new ControllerName(Fields.name(owner.path(CONTROLLER), CONTROLLER)),
+              epoch(owner)));
+    }
+    return owners;
+  }
+
+  /** Puts a machine's fields into an object. */
+  static ObjectNode putMachine(ObjectNode object, MachineInfo machine) {
+    return object
+        .put(MACHINE, machine.name().value())
+        .put(TYPE, machine.type())
+        .put(ZONE, machine.zone())
+        .put(SPOT, machine.spot());
+  }
+
+  /** The machine whose fields an object holds. */
+  static MachineInfo machine(JsonNode object) throws MalformedMessageException {
+    return new MachineInfo(
+        new MachineName(Fields.name(object.path(MACHINE), MACHINE)),
+        Json.text(object.path(TYPE)),
+        Json.text(object.path(ZONE)),
+        object.path(SPOT).asBoolean());
+  }
+
+  /** Puts an offer's fields into an object. */
+  static ObjectNode putOffer(ObjectNode object, Offer offer) {
+    return object.put(TYPE, offer.type()).put(ZONE, offer.zone()).put(SPOT, offer.spot());
+  }
+
+  /** The offer whose fields an object holds. */
+  static Offer offer(JsonNode object) {
+    return new Offer(
+        Json.text(object.path(TYPE)), Json.text(object.path(ZONE)), object.path(SPOT).asBoolean());
+  }
+
+  /** Puts machines' names under a field. */
+  static void putNames(ObjectNode object, String field, Collection<MachineName> machines) {
+    ArrayNode array = object.putArray(field);
+    machines.forEach(machine -> array.add(machine.value()));
+  }
+
+  /** The machines' names under a field; empty if it is absent. */
+  static List<MachineName> names(JsonNode object, String field) throws MalformedMessageException {
+    List<MachineName> names = new ArrayList<>();
+    for (JsonNode name : object.path(field)) {
+      names.add(new MachineName(Fields.name(name, field)));
+    }
+    return names;
+  }
+
+  /** The shard's number under its field. */
+  static ShardId shard(JsonNode object) throws MalformedMessageException {
+    return new ShardId((int) Fields.count(object.path(SHARD), SHARD, MAX_SHARDS));
+  }
+
+  /** The epoch under its field; one that no fencing token could hold is malformed. */
+  static Epoch epoch(JsonNode object) throws MalformedMessageException {
+    return new Epoch(Fields.count(object.path(EPOCH), EPOCH, FencingToken.MAX_EPOCH));
+  }
+}
--- /dev/null
+++ b/src/main/java/shorecrank/protocol/ShareStateCodec.java
@@ -0,0 +1,179 @@
+package shorecrank.protocol;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import shorecrank.protocol.Ids.Epoch;
+import shorecrank.protocol.Ids.MoveId;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.ShareOutcome;
+import shorecrank.protocol.ShareStateMessages.SharesState;
+import shorecrank.protocol.ShareStateMessages.TeamShare;
+
+/** The value of the shares' key as JSON. */
+public final class ShareStateCodec {
+  static final String MOVES = "moves";
+  static final String ENDED = "ended";
+  static final String TEAMS = "teams";
+
+  private static final String FORMAT = "v";
+  private static final String SHARDS = "parts";
+  private static final String NEXT_MOVE = "next";
+  private static final String OUTCOMES = "orders";
+
+  private static final String TEAM = "team";
+  private static final String WEIGHT = "weight";
+  private static final String MIN_CPUS = "minCpus";
+  private static final String MAX_CPUS = "maxCpus";
+
+  private static final String ORDER_ID = "id";
+  private static final String CONTENT = "content";
+  private static final String ACCEPTED = "accepted";
+  private static final String TEXT = "text";
+
+  /** The form of the value; another one is not read. */
+  private static final long FORMAT_VERSION = 1;
+
+  private static final int MAX_ELEMENTS = 4096;
+  private static final double MAX_AMOUNT = 1e9;
+
+  private ShareStateCodec() {}
+
+  /** The key's value as JSON. */
+  public static ObjectNode write(SharesState state) {
+    ObjectNode value = Json.object().put(FORMAT, FORMAT_VERSION);
+    value.put(SHARDS, state.shards()).put(NEXT_MOVE, state.nextMove());
+    ArrayNode moves = value.putArray(MOVES);
+    state.active().forEach(move -> moves.add(writeColumns(move)));
+    ArrayNode ended = value.putArray(ENDED);
+    state.ended().forEach(move -> ended.add(writeColumns(move)));
+    ArrayNode teams = value.putArray(TEAMS);
+    state.teams().forEach(share -> teams.add(writeTeamShare(share)));
+    ArrayNode outcomes = value.putArray(OUTCOMES);
+    state.recentOrders().forEach(outcome -> outcomes.add(writeOutcome(outcome)));
+    return value;
+  }
+
+  /** Many moves are to fit into one value, so their fields have no names there. */
+  private static ArrayNode writeColumns(Move move) {
+    ArrayNode columns = Json.array().add(move.id().value()).add(move.machine().value());
+    columns.add(move.from().value()).add(move.to().value()).add(move.term().value());
+    columns.add(move.phase().wireName()).add(move.order());
+    return columns.add(move.beganMs()).add(move.reason());
+  }
+
+  /** A team's share as JSON. */
+  static ObjectNode writeTeamShare(TeamShare share) {
+    return Json.object()
+        .put(TEAM, share.team())
+        .put(WEIGHT, share.weight())
+        .put(MIN_CPUS, share.minCpus())
+        .put(MAX_CPUS, share.maxCpus());
+  }
+
+  /** An order's outcome, as it stands in the key and as the client gets it. */
+  public static ObjectNode writeOutcome(ShareOutcome outcome) {
+    ObjectNode object = Json.object().put(ORDER_ID, outcome.id()).put(CONTENT, outcome.content());
+    object.put(ACCEPTED, outcome.accepted()).put(TEXT, outcome.text());
+    ArrayNode moves = object.putArray(MOVES);
+    outcome.moves().forEach(move -> moves.add(move.value()));
+    return object;
+  }
+
+  /** Reads the key's value; empty if it is not of this form, or holds what no version writes. */
+  public static Optional<SharesState> read(JsonNode value) {
+    try {
+      return Optional.of(readChecked(value));
+    } catch (MalformedMessageException malformed) {
+      return Optional.empty();
+    }
+  }
+
+  private static SharesState readChecked(JsonNode value) throws MalformedMessageException {
+    if (Json.count(value.path(FORMAT)) != FORMAT_VERSION) {
+      throw new MalformedMessageException(FORMAT, "must be " + FORMAT_VERSION);
+    }
+    long next = Fields.count(value.path(NEXT_MOVE), NEXT_MOVE);
+    List<Move> active = new ArrayList<>();
+    for (JsonNode columns : list(value, MOVES)) {
+      Move move = readMove(columns, MOVES);
+      boolean twice = active.stream().anyMatch(other -> other.machine().equals(move.machine()));
+      if (move.phase().isEnd() || move.id().value() >= next || twice) {
+        throw new MalformedMessageException(
+            MOVES, "must be under way, below the next number, and one a machine");
+      }
+      active.add(move);
+    }
+    List<Move> ended = new ArrayList<>();
+    for (JsonNode columns : list(value, ENDED)) {
+      ended.add(readMove(columns, ENDED));
+    }
+    List<TeamShare> teams = new ArrayList<>();
+    for (JsonNode share : list(value, TEAMS)) {
+      teams.add(readTeamShare(share));
+    }
+    List<ShareOutcome> outcomes = new ArrayList<>();
+    for (JsonNode outcome : list(value, OUTCOMES)) {
+      outcomes.add(readOutcome(outcome));
+    }
+    return new SharesState(
+        Fields.shard(value.path(SHARDS), SHARDS).value(),
+        next,
+        List.copyOf(active),
+        List.copyOf(ended),
+        List.copyOf(teams),
+        List.copyOf(outcomes));
+  }
+
+  private static JsonNode list(JsonNode value, String field) throws MalformedMessageException {
+    return Fields.list(value.path(field), field, MAX_ELEMENTS);
+  }
+
+  private static Move readMove(JsonNode columns, String field) throws MalformedMessageException {
+    return new Move(
+        Fields.move(columns.path(0), field),
+        Fields.machine(columns.path(1), field),
+        Fields.shard(columns.path(2), field),
+        Fields.shard(columns.path(3), field),
+        new Epoch(Fields.count(columns.path(4), field)),
+        readPhase(columns.path(5), field),
+        Json.text(columns.path(6)),
+        Fields.count(columns.path(7), field),
+        Json.text(columns.path(8)));
+  }
+
+  private static MovePhase readPhase(JsonNode value, String field)
+      throws MalformedMessageException {
+    for (MovePhase phase : MovePhase.values()) {
+      if (phase.wireName().equals(Json.text(value))) {
+        return phase;
+      }
+    }
+    throw new MalformedMessageException(field, "must name a known phase");
+  }
+
+  private static TeamShare readTeamShare(JsonNode share) throws MalformedMessageException {
+    return new TeamShare(
+        Fields.text(share.path(TEAM), TEAM),
+        Fields.amount(share.path(WEIGHT), WEIGHT, MAX_AMOUNT),
+        Fields.amount(share.path(MIN_CPUS), MIN_CPUS, MAX_AMOUNT),
+        Fields.amount(share.path(MAX_CPUS), MAX_CPUS, MAX_AMOUNT));
+  }
+
+  private static ShareOutcome readOutcome(JsonNode outcome) throws MalformedMessageException {
+    List<MoveId> moves = new ArrayList<>();
+    for (JsonNode move : list(outcome, MOVES)) {
+      moves.add(Fields.move(move, MOVES));
+    }
+    return new ShareOutcome(
+        Fields.text(outcome.path(ORDER_ID), ORDER_ID),
+        Json.text(outcome.path(CONTENT)),
+        outcome.path(ACCEPTED).asBoolean(),
+        Json.text(outcome.path(TEXT)),
+        List.copyOf(moves));
+  }
+}
--- a/src/main/java/shorecrank/protocol/StoreMessages.java
+++ b/src/main/java/shorecrank/protocol/StoreMessages.java
@@ -3,138 +3,81 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
 import shorecrank.protocol.Ids.Revision;
 
-/** Messages to and from the state service. */
+/** What the state service holds, and transactions on it. */
 public final class StoreMessages {
-  private StoreMessages() {}
-
-  public record Entry(String key, JsonNode value, Revision revision, long hold) {}
-
-  /** A change seen by a watch; value is null if the key was dropped. */
-  public record Change(String key, JsonNode value, Revision revision) {}
-
-  public static final String GRANTS = "/grants";
-  public static final String MULTI = "/multi";
-
   /** A transaction is filled up to here: the service takes 64 KiB, guards included. */
   public static final int TXN_FILL_BYTES = 56 * 1024;
 
-  /** Whether a status says that the request was not carried out and never will be. */
-  public static boolean notCarriedOut(int status) {
-    return status == 400 || status == 409 || status == 429 || status == 503;
-  }
-
-  public static String key(String key) {
-    return "/store/" + key;
-  }
-
-  public static String list(String prefix, String after, int limit) {
-    return "/store?prefix=" + prefix + (after.isEmpty() ? "" : "&from=" + after) + "&page=" + limit;
-  }
-
-  public static String watch(String prefix, long from, long holdMs) {
-    return "/changes?prefix=" + prefix + "&from=" + from + "&holdMs=" + holdMs;
-  }
-
-  public static String grant(long hold) {
-    return "/grants/" + hold;
-  }
-
-  public static String touch(long hold) {
-    return "/grants/" + hold + "/touch";
-  }
-
-  public static ObjectNode ttl(long ms) {
-    return Json.object().put("ttlMs", ms);
-  }
+  private StoreMessages() {}
 
-  public static long hold(JsonNode n) {
-    return Json.count(n.path("hold"));
+  /** Whether a status says that the request was not carried out and never will be. */
+  public static boolean isNotCarriedOut(int status) {
+    return status == HttpStatus.BAD_REQUEST
+        || status == HttpStatus.CONFLICT
+        || status == HttpStatus.TOO_MANY_REQUESTS
+        || status == HttpStatus.UNAVAILABLE;
   }
 
-  public static long revision(JsonNode n) {
-    return Json.count(n.path("ledgerRev"));
-  }
+  /**
+   * A key and its value.
+   *
+   * @param revision of the key's last change
+   * @param grantId the grant that the key is attached to and is removed with; 0 if none
+   */
+  public record Entry(String key, JsonNode value, Revision revision, long grantId) {}
+
+  /**
+   * A change that a watch has seen.
+   *
+   * @param value null if the key was deleted
+   */
+  public record Change(String key, JsonNode value, Revision revision) {}
 
-  /** A transaction being put together. */
+  /**
+   * A transaction while it is put together. It is carried out as a whole, if every guard holds, or
+   * not at all. Not safe for use by several threads.
+   */
   public static final class Transaction {
     private final ObjectNode body = Json.object();
-    private final ArrayNode guards = body.putArray("guards");
-    private final ArrayNode apply = body.putArray("apply");
+    private final ArrayNode guards = body.putArray(StoreCodec.GUARDS);
+    private final ArrayNode operations = body.putArray(StoreCodec.OPERATIONS);
 
+    /** Requires a key's revision; {@link Revision#ABSENT} requires that it does not exist. */
     public Transaction guard(String key, Revision revision) {
-      guards.addObject().put("k", key).put("stamp", revision.value());
+      guards.addObject().put(StoreCodec.KEY, key).put(StoreCodec.REVISION, revision.value());
       return this;
     }
 
+    /** Writes a key's value and detaches it from its grant. */
     public Transaction write(String key, JsonNode value) {
-      apply.addObject().put("write", key).set("data", value);
+      operations.addObject().put(StoreCodec.WRITE, key).set(StoreCodec.VALUE, value);
       return this;
     }
 
-    public Transaction write(String key, JsonNode value, long hold) {
-      ObjectNode o = apply.addObject().put("write", key).put("hold", hold);
-      o.set("data", value);
+    /** Writes a key's value and attaches it to a grant. */
+    public Transaction write(String key, JsonNode value, long grantId) {
+      ObjectNode operation = operations.addObject();
+      operation.put(StoreCodec.WRITE, key).put(StoreCodec.GRANT_ID, grantId);
+      operation.set(StoreCodec.VALUE, value);
       return this;
     }
 
-    public Transaction drop(String key) {
-      apply.addObject().put("drop", key);
+    /** Deletes a key. */
+    public Transaction delete(String key) {
+      operations.addObject().put(StoreCodec.DELETE, key);
       return this;
     }
 
-    public int ops() {
-      return apply.size();
-    }
-
-    public int guards() {
-      return guards.size();
+    /** The number of writes and deletions. */
+    public int operationCount() {
+      return operations.size();
     }
 
+    /** The request's body. */
     public ObjectNode body() {
       return body;
     }
   }
-
-  public static Entry entry(JsonNode n) {
-    return new Entry(
-        Json.text(n.path("k")),
-        n.path("data"),
-        new Revision(n.path("stamp").asLong()),
-        n.path("hold").asLong());
-  }
-
-  public static List<Entry> entries(JsonNode n) {
-    List<Entry> l = new ArrayList<>();
-    n.path("entries").forEach(e -> l.add(entry(e)));
-    return l;
-  }
-
-  public static boolean more(JsonNode n) {
-    return n.path("truncated").asBoolean(false);
-  }
-
-  public static Set<String> failed(JsonNode n) {
-    Set<String> s = new HashSet<>();
-    n.path("failed").forEach(k -> s.add(k.asText()));
-    return s;
-  }
-
-  public static List<Change> changes(JsonNode n) {
-    List<Change> l = new ArrayList<>();
-    for (JsonNode c : n.path("news")) {
-      Revision s = new Revision(c.path("stamp").asLong());
-      if (c.has("write")) {
-        l.add(new Change(c.path("write").asText(), c.path("data"), s));
-      } else if (c.has("drop")) {
-        l.add(new Change(c.path("drop").asText(), null, s));
-      }
-    }
-    return l;
-  }
 }
--- a/src/main/java/shorecrank/protocol/UserMessages.java
+++ b/src/main/java/shorecrank/protocol/UserMessages.java
@@ -1,44 +1,26 @@
 package shorecrank.protocol;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import shorecrank.protocol.Ids.JobId;
-
-/** Answers to users. */
+/** What users are told of their jobs. */
 public final class UserMessages {
   private UserMessages() {}
 
   /** Where a job stands, as its user sees it. */
   public enum JobState {
-    QUEUED("queued"),
-    RUNNING("running"),
-    DONE("done"),
-    CANCELLED("withdrawn");
-
-    final String wire;
-
-    JobState(String wire) {
-      this.wire = wire;
-    }
-
-    /** Null if there is no such phase. */
-    static JobState of(String wire) {
-      for (JobState p : values()) {
-        if (p.wire.equals(wire)) {
-          return p;
-        }
-      }
-      return null;
-    }
+    /** Accepted, none of its tasks runs. */
+    QUEUED,
+    /** At least one task runs. */
+    RUNNING,
+    /** All tasks are done. */
+    DONE,
+    /** Called off by its user. */
+    CANCELLED
   }
 
-  /** What a user is told of a job. */
-  public record JobStatus(JobState phase, int done, int running) {}
-
-  public static ObjectNode status(JobId id, JobStatus s) {
-    return phase(id, s.phase).put("done", s.done).put("running", s.running);
-  }
-
-  public static ObjectNode phase(JobId id, JobState phase) {
-    return Json.object().put("nameId", id.value()).put("phase", phase.wire);
-  }
+  /**
+   * A job's status.
+   *
+   * @param done the number of tasks that are done
+   * @param running the number of tasks that run
+   */
+  public record JobStatus(JobState state, int done, int running) {}
 }
--- /dev/null
+++ b/src/main/java/shorecrank/protocol/WorkerHeartbeatCodec.java
@@ -0,0 +1,152 @@
+package shorecrank.protocol;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.regex.Pattern;
+import shorecrank.protocol.Ids.AttemptNumber;
+import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.Ids.Incarnation;
+import shorecrank.protocol.Ids.JobId;
+import shorecrank.protocol.Ids.MachineName;
+import shorecrank.protocol.Ids.TaskAttemptId;
+import shorecrank.protocol.WorkerMessages.ExitReason;
+import shorecrank.protocol.WorkerMessages.TaskState;
+import shorecrank.protocol.WorkerMessages.TaskStatus;
+import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
+
+/** Workers' heartbeats as JSON. */
+public final class WorkerHeartbeatCodec {
+  private static final String MACHINE = "host";
+  private static final String TYPE = "hosttype";
+  private static final String ZONE = "site";
+  private static final String SPOT = "loaner";
+  private static final String INCARNATION = "tenure";
+  private static final String SEQUENCE = "serial";
+  private static final String TOKEN = "epoch";
+  private static final String ADDRESS = "addr";
+  private static final String NOTICE_S = "reclaimInS";
+  private static final String TASKS = "pieces";
+
+  private static final String TASK = "piece";
+  private static final String ATTEMPT = "try";
+  private static final String STATE = "phase";
+  private static final String EXIT_REASON = "cause";
+
+  /** Machines' names are parts of keys, which hold 200 bytes at most. */
+  private static final int MAX_MACHINE_NAME = 150;
+
+  private static final double NO_NOTICE = -1;
+
+  /** Host names are not looked up. */
+  private static final Pattern IP_ADDRESS_AND_PORT =
+      Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[1-9][0-9]{0,4}");
+
+  private static final int MAX_PORT = 65_535;
+  private static final int MAX_BYTE = 255;
+
+  private WorkerHeartbeatCodec() {}
+
+  /**
+   * Reads a heartbeat.
+   *
+   * @throws MalformedMessageException if the machine's name, a number or a task is not well formed
+   */
+  public static WorkerHeartbeat read(JsonNode message) throws MalformedMessageException {
+    MachineName machine = readMachine(message.path(MACHINE));
+    long incarnation = Fields.count(message.path(INCARNATION), INCARNATION);
+    long sequence = Fields.count(message.path(SEQUENCE), SEQUENCE);
+    long token = Fields.count(message.path(TOKEN), TOKEN);
+    JsonNode statuses = message.path(TASKS);
+    if (!(statuses.isArray() || statuses.isMissingNode() || statuses.isNull())) {
+      throw new MalformedMessageException(TASKS, "must be a list or null");
+    }
+    List<TaskStatus> tasks = new ArrayList<>(statuses.size());
+    for (JsonNode status : statuses) {
+      tasks.add(readTask(status));
+    }
+    JsonNode notice = message.path(NOTICE_S);
+    return new WorkerHeartbeat(
+        machine,
+        Json.text(message.path(TYPE)),
+        Json.text(message.path(ZONE)),
+        message.path(SPOT).asBoolean(false),
+        new Incarnation(incarnation),
+        sequence,
+        new FencingToken(token),
+        addressOrEmpty(Json.text(message.path(ADDRESS))),
+        notice.isNumber() ? Math.max(0, notice.doubleValue()) : NO_NOTICE,
+        tasks);
+  }
+
+  private static MachineName readMachine(JsonNode value) throws MalformedMessageException {
+    String name = Json.text(value);
+    if (name.isEmpty()
+        || name.length() > MAX_MACHINE_NAME
+        || name.indexOf(' ') >= 0
+        || name.indexOf('/') >= 0) {
+      throw new MalformedMessageException(
+          MACHINE,
+          "must be a name of at most " + MAX_MACHINE_NAME + " characters, without ' ' and '/'");
+    }
+    return new MachineName(name);
+  }
+
+  /** Empty if the text is no address: commands then go in answers only. */
+  private static String addressOrEmpty(String text) {
+    if (!IP_ADDRESS_AND_PORT.matcher(text).matches()) {
+      return "";
+    }
+    int colon = text.indexOf(':');
+    boolean valid = Integer.parseInt(text.substring(colon + 1)) <= MAX_PORT;
+    for (String number : text.substring(0, colon).split("\\.")) {
+      valid &= Integer.parseInt(number) <= MAX_BYTE;
+    }
+    return valid ? text : "";
+  }
+
+  private static TaskStatus readTask(JsonNode status) throws MalformedMessageException {
+    String task = Json.text(status.path(TASK));
+    int slash = task.lastIndexOf('/');
+    int index = slash <= 0 ? -1 : indexOrNegative(task.substring(slash + 1));
+    if (index < 0) {
+      throw new MalformedMessageException(TASK, "must be a job's id, '/' and the task's number");
+    }
+    long attempt = Fields.count(status.path(ATTEMPT), ATTEMPT);
+    TaskState state = readState(status.path(STATE));
+    return new TaskStatus(
+        new TaskAttemptId(new JobId(task.substring(0, slash)), index, new AttemptNumber(attempt)),
+        state,
+        state == TaskState.EXITED ? readExitReason(status.path(EXIT_REASON)) : null);
+  }
+
+  private static int indexOrNegative(String text) {
+    try {
+      return Integer.parseInt(text);
+    } catch (NumberFormatException noNumber) {
+      return -1;
+    }
+  }
+
+  private static TaskState readState(JsonNode value) throws MalformedMessageException {
+    return switch (Json.text(value)) {
+      case "pulling" -> TaskState.WAITING_FOR_IMAGE;
+      case "running" -> TaskState.RUNNING;
+      case "flushing" -> TaskState.CHECKPOINTING;
+      case "exited" -> TaskState.EXITED;
+      default -> throw new MalformedMessageException(STATE, "must name a known state");
+    };
+  }
+
+  /** A reason that this version does not know counts as a failure. */
+  private static ExitReason readExitReason(JsonNode value) {
+    return switch (Json.text(value)) {
+      case "done" -> ExitReason.DONE;
+      case "halted" -> ExitReason.STOPPED;
+      case "full" -> ExitReason.INSUFFICIENT_RESOURCES;
+      case "busy" -> ExitReason.BUSY;
+      case "unknown" -> ExitReason.UNKNOWN;
+      default -> ExitReason.ERROR;
+    };
+  }
+}
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -1,51 +1,64 @@
 package shorecrank.protocol;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.regex.Pattern;
-import shorecrank.protocol.Ids.AttemptNumber;
-import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.Ids.Incarnation;
-import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.TaskAttemptId;
 
-/** What workers report and what they are told. */
+/** Workers' heartbeats and the commands that workers are given. */
 public final class WorkerMessages {
-  private WorkerMessages() {}
-
-  /** Where a worker takes commands outside the answers to its reports. */
-  public static final String ORDERS = "/orders";
+  /** Where a worker takes commands outside the answers to its heartbeats. */
+  public static final String DIRECT_COMMANDS_PATH = "/orders";
 
-  /** Host names are not looked up. */
-  private static final Pattern ADDRESS =
-      Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[1-9][0-9]{0,4}");
+  private WorkerMessages() {}
 
+  /** The state of an attempt on its machine. */
   public enum TaskState {
-    PULLING,
+    /** The machine does not have the task's image yet. */
+    WAITING_FOR_IMAGE,
+    /** The task runs. */
     RUNNING,
-    FLUSHING,
+    /** The task was told to stop and saves its progress. */
+    CHECKPOINTING,
+    /** The task has ended, or its start was refused. */
     EXITED
   }
 
-  /** Why a task exited. */
+  /** Why an attempt exited. */
   public enum ExitReason {
+    /** The task is complete. */
     DONE,
-    HALTED,
+    /** It was stopped by a command. */
+    STOPPED,
+    /** It failed. */
     ERROR,
-    FULL,
+    /** Its start was refused: not enough is free on the machine. */
+    INSUFFICIENT_RESOURCES,
+    /** Its start was refused: the machine has another attempt of the task. */
     BUSY,
+    /** Its start was refused: there is no such job or task. */
     UNKNOWN
   }
 
-  public record TaskStatus(TaskAttemptId run, TaskState state, ExitReason why) {}
-
+  /**
+   * What a worker reports of one attempt.
+   *
+   * @param exitReason why it exited; null while it has not
+   */
+  public record TaskStatus(TaskAttemptId attemptId, TaskState state, ExitReason exitReason) {}
+
+  /**
+   * A worker's heartbeat. Of two with the same incarnation that with the larger sequence number is
+   * the newer one.
+   *
+   * @param token the highest fencing token that the worker has seen
+   * @param address where it takes direct commands, as IP address and port; empty if it names none
+   * @param noticeS seconds until the cloud takes the machine back; negative if there is no notice
+   * @param tasks all attempts on the machine, also those that have exited and are not reaped yet
+   */
   public record WorkerHeartbeat(
-      MachineName host,
+      MachineName machine,
       String type,
       String zone,
       boolean spot,
@@ -55,154 +68,28 @@
       String address,
       double noticeS,
       List<TaskStatus> tasks) {
-    public boolean preemptionNoticed() {
+    /** Whether the cloud has announced that it takes the machine back. */
+    public boolean hasPreemptionNotice() {
       return noticeS >= 0;
     }
   }
 
+  /** What a worker is told to do with an attempt. */
   public sealed interface WorkerCommand {
-    TaskAttemptId run();
-  }
-
-  public record Start(TaskAttemptId run) implements WorkerCommand {}
-
-  public record Stop(TaskAttemptId run, double graceS) implements WorkerCommand {}
-
-  public record Reap(TaskAttemptId run) implements WorkerCommand {}
-
-  /** Null if the report is malformed. */
-  public static WorkerHeartbeat read(JsonNode n) {
-    String host = Json.text(n.path("host"));
-    long incarnation = Json.count(n.path("tenure"));
-    long sequence = Json.count(n.path("serial"));
-    long token = Json.count(n.path("epoch"));
-    JsonNode pieces = n.path("pieces");
-    if (host.isEmpty()
-        || host.length() > 150
-        || host.indexOf(' ') >= 0
-        || host.indexOf('/') >= 0
-        || incarnation < 0
-        || sequence < 0
-        || token < 0
-        || !(pieces.isArray() || pieces.isMissingNode() || pieces.isNull())) {
-      return null;
-    }
-    List<TaskStatus> tasks = new ArrayList<>(pieces.size());
-    for (JsonNode p : pieces) {
-      TaskStatus t = task(p);
-      if (t == null) {
-        return null;
-      }
-      tasks.add(t);
-    }
-    JsonNode notice = n.path("reclaimInS");
-    return new WorkerHeartbeat(
-        new MachineName(host),
-        Json.text(n.path("hosttype")),
-        Json.text(n.path("site")),
-        n.path("loaner").asBoolean(false),
-        new Incarnation(incarnation),
-        sequence,
-        new FencingToken(token),
-        address(Json.text(n.path("addr"))),
-        notice.isNumber() ? Math.max(0, notice.doubleValue()) : -1,
-        tasks);
-  }
-
-  /** Empty if it is no address: commands then go in answers only. */
-  private static String address(String s) {
-    if (!ADDRESS.matcher(s).matches()) {
-      return "";
-    }
-    int colon = s.indexOf(':');
-    boolean ok = Integer.parseInt(s.substring(colon + 1)) < 65_536;
-    for (String part : s.substring(0, colon).split("\\.")) {
-      ok &= Integer.parseInt(part) < 256;
-    }
-    return ok ? s : "";
-  }
-
-  private static TaskStatus task(JsonNode p) {
-    String piece = Json.text(p.path("piece"));
-    int slash = piece.lastIndexOf('/');
-    long attempt = Json.count(p.path("try"));
-    if (slash <= 0 || attempt < 0) {
-      return null;
-    }
-    int index;
-    try {
-      index = Integer.parseInt(piece.substring(slash + 1));
-    } catch (NumberFormatException e) {
-      return null;
-    }
-    TaskState state =
-        switch (Json.text(p.path("phase"))) {
-          case "pulling" -> TaskState.PULLING;
-          case "running" -> TaskState.RUNNING;
-          case "flushing" -> TaskState.FLUSHING;
-          case "exited" -> TaskState.EXITED;
-          default -> null;
-        };
-    if (state == null || index < 0) {
-      return null;
-    }
-    ExitReason why = null;
-    if (state == TaskState.EXITED) {
-      why =
-          switch (Json.text(p.path("cause"))) {
-            case "done" -> ExitReason.DONE;
-            case "halted" -> ExitReason.HALTED;
-            case "full" -> ExitReason.FULL;
-            case "busy" -> ExitReason.BUSY;
-            case "unknown" -> ExitReason.UNKNOWN;
-            default -> ExitReason.ERROR;
-          };
-    }
-    return new TaskStatus(
-        new TaskAttemptId(new JobId(piece.substring(0, slash)), index, new AttemptNumber(attempt)),
-        state,
-        why);
+    /** The attempt that the command is for. */
+    TaskAttemptId attemptId();
   }
 
-  public static ObjectNode answer(FencingToken token, List<WorkerCommand> orders) {
-    return write(Json.object().put("epoch", token.value()), orders);
-  }
+  /** Start an attempt. */
+  public record Start(TaskAttemptId attemptId) implements WorkerCommand {}
 
-  /** What goes straight to a worker, which takes it only in this session and under this token. */
-  public static ObjectNode direct(
-      FencingToken token, Incarnation incarnation, List<WorkerCommand> orders) {
-    return write(
-        Json.object().put("epoch", token.value()).put("tenure", incarnation.value()), orders);
-  }
+  /**
+   * Stop an attempt.
+   *
+   * @param graceS seconds that it has to save its progress; 0 ends it at once
+   */
+  public record Stop(TaskAttemptId attemptId, double graceS) implements WorkerCommand {}
 
-  private static ObjectNode write(ObjectNode n, List<WorkerCommand> orders) {
-    ArrayNode a = n.putArray("orders");
-    for (WorkerCommand o : orders) {
-      ObjectNode e = a.addObject();
-      String verb;
-      if (o instanceof Start) {
-        verb = "start";
-      } else if (o instanceof Stop) {
-        verb = "stop";
-      } else {
-        verb = "reap";
-      }
-      e.put("verb", verb)
-          .put("piece", o.run().job().value() + "/" + o.run().index())
-          .put("try", o.run().attempt().value());
-      if (o instanceof Stop s) {
-        e.put("windDownS", s.graceS());
-      }
-    }
-    return n;
-  }
-
-  /** Sends a worker elsewhere; null if it is not known where. */
-  public static ObjectNode elsewhere(ControllerName steward) {
-    ObjectNode n = Json.object();
-    if (steward != null) {
-      n.put("steward", steward.value());
-    }
-    return n;
-  }
+  /** Forget an attempt that has exited. */
+  public record Reap(TaskAttemptId attemptId) implements WorkerCommand {}
 }
--- a/src/main/java/shorecrank/rebalance/MoveCapacity.java
+++ b/src/main/java/shorecrank/rebalance/MoveCapacity.java
@@ -1,7 +1,7 @@
 package shorecrank.rebalance;
 
 import shorecrank.leadership.LeaderEnvironment;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 
 /** How much the shares' key may hold, so that it stays below the size of a value. */
 final class MoveCapacity {
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -3,8 +3,8 @@
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rebalance.ShareFleet.Handover;
 import shorecrank.storage.CommitResult;
@@ -134,7 +134,12 @@
       if (!before.active().contains(move)) {
         environment.info(
             "move.%s id=%s machine=%s from=%s to=%s order=%s",
-            move.phase().wire(), move.id(), move.machine(), move.from(), move.to(), move.order());
+            move.phase().wireName(),
+            move.id(),
+            move.machine(),
+            move.from(),
+            move.to(),
+            move.order());
       }
     }
     for (Move move : after.ended()) {
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -6,14 +6,14 @@
 import java.util.function.Supplier;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.Leadership;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.ShardReport;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.ShareOrder;
-import shorecrank.protocol.ShareMessages.ShareOutcome;
-import shorecrank.protocol.ShareMessages.SharesState;
-import shorecrank.protocol.ShareMessages.SharesStatus;
+import shorecrank.protocol.ShareOrderMessages.ShareOrder;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.ShareOutcome;
+import shorecrank.protocol.ShareStateMessages.SharesState;
+import shorecrank.protocol.ShareStatusMessages.SharesStatus;
 import shorecrank.rollout.FeatureGate;
 
 /**
@@ -192,7 +192,7 @@
     }
     environment.info("shares.ordered id=%s text=\"%s\"", order.id(), outcome.text());
     committer.write(
-        next.get().withShards(fleet.shards()).with(outcome, MoveCapacity.KEPT_ORDERS),
+        next.get().withShards(fleet.shards()).withOutcome(outcome, MoveCapacity.KEPT_ORDERS),
         isCommitted -> then.outcome(isCommitted ? outcome : null));
   }
 
--- a/src/main/java/shorecrank/rebalance/MoveOrders.java
+++ b/src/main/java/shorecrank/rebalance/MoveOrders.java
@@ -2,8 +2,8 @@
 
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
 
 /**
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -11,8 +11,8 @@
 import java.util.function.Predicate;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.Candidate;
-import shorecrank.protocol.ShareMessages.ShardDemand;
+import shorecrank.protocol.ShardDemandMessages.Candidate;
+import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
 
 /**
@@ -111,7 +111,7 @@
               && machine.shard().equals(from)
               && !taken.contains(machine.name())
               && situation.movable().test(machine.name())
-              && situation.demands().get(to).kinds().contains(machine.offer());
+              && situation.demands().get(to).usableOffers().contains(machine.offer());
       if (isUsable && isGain(from, to, machine.cpus())) {
         return new Planned(machine.name(), from, to);
       }
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -2,10 +2,10 @@
 
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.DrainProgress;
-import shorecrank.protocol.ShareMessages.DrainState;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MovePhase;
+import shorecrank.protocol.ShardDemandMessages.DrainProgress;
+import shorecrank.protocol.ShardDemandMessages.DrainState;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
 
 /**
  * Decides the next step of a move from what the leader knows. It has no state: any leader, at any
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -8,9 +8,9 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MovePhase;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rebalance.MoveRules.Observation;
 import shorecrank.rebalance.MoveRules.Reason;
 import shorecrank.rebalance.MoveRules.Step;
@@ -114,7 +114,7 @@
         "move.aborted id=%s machine=%s from=%s to=%s reason=\"%s\"",
         move.id(), move.machine(), move.from(), move.to(), reason.text());
     environment.count("shares.moves.aborted", 1);
-    return move.cancelled(reason.text());
+    return move.aborted(reason.text());
   }
 
   /**
@@ -128,7 +128,7 @@
     if (fleet.owner(move.to()).isEmpty()) {
       return false;
     }
-    if (!fleet.epoch(move.to()).above(least)) {
+    if (!fleet.epoch(move.to()).isAbove(least)) {
       fleet.raiseAbove(move.to(), least);
       return false;
     }
--- a/src/main/java/shorecrank/rebalance/MoveTimes.java
+++ b/src/main/java/shorecrank/rebalance/MoveTimes.java
@@ -6,8 +6,8 @@
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
 
 /** How long moves take, and for how long their machines stay where they are afterwards. */
 final class MoveTimes {
@@ -48,7 +48,7 @@
   /** Whether a machine moved so lately that it may not move by need again. */
   boolean isResting(MachineName machine) {
     MonotonicTime until = restingUntil.get(machine);
-    if (until != null && until.before(environment.now())) {
+    if (until != null && until.isBefore(environment.now())) {
       restingUntil.remove(machine);
       until = null;
     }
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 import shorecrank.leadership.LeaderEnvironment;
+import shorecrank.protocol.HeartbeatMessages.MachineHandover;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineHandover;
-import shorecrank.protocol.PeerMessages.ShardReport;
-import shorecrank.protocol.ShareMessages.Candidate;
-import shorecrank.protocol.ShareMessages.DrainProgress;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.ShardDemand;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.ShardDemandMessages.Candidate;
+import shorecrank.protocol.ShardDemandMessages.DrainProgress;
+import shorecrank.protocol.ShardDemandMessages.ShardDemand;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 
 /** The last reports of shards' owners on demand, on machines that move, and on misplaced ones. */
 final class OwnerReports {
--- a/src/main/java/shorecrank/rebalance/ShareFleet.java
+++ b/src/main/java/shorecrank/rebalance/ShareFleet.java
@@ -10,8 +10,8 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /** Shards and machines as the leader knows them, and the changes of them that moves make. */
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -12,16 +12,16 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.AbortMoves;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MoveMachines;
-import shorecrank.protocol.ShareMessages.MovePhase;
-import shorecrank.protocol.ShareMessages.SetShare;
-import shorecrank.protocol.ShareMessages.ShareOrder;
-import shorecrank.protocol.ShareMessages.ShareOutcome;
-import shorecrank.protocol.ShareMessages.SharesState;
-import shorecrank.protocol.ShareMessages.TeamShare;
+import shorecrank.protocol.ShareOrderCodec;
+import shorecrank.protocol.ShareOrderMessages.AbortMoves;
+import shorecrank.protocol.ShareOrderMessages.MoveMachines;
+import shorecrank.protocol.ShareOrderMessages.SetShare;
+import shorecrank.protocol.ShareOrderMessages.ShareOrder;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.ShareOutcome;
+import shorecrank.protocol.ShareStateMessages.SharesState;
+import shorecrank.protocol.ShareStateMessages.TeamShare;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
 
 /**
@@ -110,7 +110,7 @@
 
   /** A digest of all that an order says but its id and whether it is a dry run. */
   private static String digest(ShareOrder order) {
-    byte[] bytes = Json.bytes(ShareMessages.write(order).without(List.of("id", "dryRun")));
+    byte[] bytes = Json.bytes(ShareOrderCodec.write(order).without(List.of("id", "dryRun")));
     long[] hash = MurmurHash3.hash128x64(bytes);
     return "%016x".formatted(hash[0]);
   }
@@ -147,7 +147,7 @@
       throw new Refused(
           "min %s is above max %s".formatted(number(share.minCpus()), number(share.maxCpus())));
     }
-    SharesState next = state.with(share);
+    SharesState next = state.withTeamShare(share);
     checkAllShares(next);
     String text =
         "team %s: weight %s, min %s, max %s"
@@ -284,7 +284,7 @@
       if (isMeant && move.phase() == MovePhase.HANDED_OVER) {
         areHandedOver = true;
       } else if (isMeant) {
-        Move cancelled = move.cancelled(MoveRules.Reason.ORDERED.text());
+        Move cancelled = move.aborted(MoveRules.Reason.ORDERED.text());
         next = next.withChanged(cancelled, MoveCapacity.KEPT_ENDED);
         ended.add(move.id());
       }
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -10,7 +10,7 @@
 import shorecrank.config.TextProto;
 import shorecrank.config.TextProto.Field;
 import shorecrank.config.TextProto.Group;
-import shorecrank.protocol.ShareMessages.TeamShare;
+import shorecrank.protocol.ShareStateMessages.TeamShare;
 
 /**
  * The operators' settings of shares, in protobuf text format.
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.ShardDemand;
+import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.rebalance.TeamShares.ShardShare;
 
 /**
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -10,8 +10,9 @@
 import shorecrank.leadership.Leadership;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.RolloutMessages;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.ShareStateCodec;
+import shorecrank.protocol.ShareStateMessages;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.FeatureGate;
@@ -24,7 +25,10 @@
 final class SharesStore {
   private static final LeaderKeyCodec<SharesState> CODEC =
       new LeaderKeyCodec<>(
-          ShareMessages.KEY, SharesState.INITIAL, ShareMessages::readState, ShareMessages::write);
+          ShareStateMessages.KEY,
+          SharesState.INITIAL,
+          ShareStateCodec::read,
+          ShareStateCodec::write);
 
   /** Told once a change of unknown outcome is settled. */
   @FunctionalInterface
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/StatusView.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.Optional;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.DrainProgress;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MoveStatus;
-import shorecrank.protocol.ShareMessages.ShardDemand;
-import shorecrank.protocol.ShareMessages.ShardStatus;
-import shorecrank.protocol.ShareMessages.SharesState;
-import shorecrank.protocol.ShareMessages.SharesStatus;
+import shorecrank.protocol.ShardDemandMessages.DrainProgress;
+import shorecrank.protocol.ShardDemandMessages.ShardDemand;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.SharesState;
+import shorecrank.protocol.ShareStatusMessages.MoveStatus;
+import shorecrank.protocol.ShareStatusMessages.ShardStatus;
+import shorecrank.protocol.ShareStatusMessages.SharesStatus;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
 
 /**
--- a/src/main/java/shorecrank/rebalance/TeamShares.java
+++ b/src/main/java/shorecrank/rebalance/TeamShares.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.TeamShare;
+import shorecrank.protocol.ShareStateMessages.TeamShare;
 
 /**
  * The share of each team, and so of each shard: as operators have ordered, else as configured, else
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -116,7 +116,7 @@
     for (int i = 0; i < count; i++) {
       batch.add(toRemove.poll());
     }
-    batch.forEach(transaction::drop);
+    batch.forEach(transaction::delete);
     store.commit(transaction, result -> removed(batch, result));
   }
 
--- a/src/main/java/shorecrank/rollout/Archiver.java
+++ b/src/main/java/shorecrank/rollout/Archiver.java
@@ -56,7 +56,7 @@
 
   /** Begins an archive unless one is being made, or one failed lately. */
   void startIfPossible(FeatureLevel level) {
-    if (task == null && !environment.now().before(retryAt)) {
+    if (task == null && !environment.now().isBefore(retryAt)) {
       start(newId(), level);
     }
   }
--- a/src/main/java/shorecrank/rollout/DowngradeCodec.java
+++ b/src/main/java/shorecrank/rollout/DowngradeCodec.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.ShareStateCodec;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.protocol.StoreMessages.Entry;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.JobRecord;
@@ -77,16 +77,16 @@
   static final class OfShares extends DowngradeCodec {
     @Override
     boolean isNewerForm(Entry entry) {
-      SharesState state = ShareMessages.readState(entry.value());
+      SharesState state = ShareStateCodec.read(entry.value()).orElse(null);
       return state != null && (!state.active().isEmpty() || state.shards() > 0);
     }
 
     @Override
     List<? extends JsonNode> earlierForms(JsonNode stored) {
-      SharesState state = ShareMessages.readState(stored);
+      SharesState state = ShareStateCodec.read(stored).orElse(null);
       return state == null
           ? List.of()
-          : List.of(ShareMessages.write(state.withActive(List.of()).withShards(0)));
+          : List.of(ShareStateCodec.write(state.withActive(List.of()).withShards(0)));
     }
   }
 }
--- a/src/main/java/shorecrank/rollout/Feature.java
+++ b/src/main/java/shorecrank/rollout/Feature.java
@@ -4,7 +4,7 @@
 import java.util.stream.Stream;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.LevelRange;
-import shorecrank.protocol.ShareMessages;
+import shorecrank.protocol.ShareStateMessages;
 import shorecrank.storage.JobRecord;
 
 /**
@@ -22,8 +22,8 @@
   /** Job records in the dense form ({@link JobRecord#writeDense}). */
   DENSE_RECORDS(1, JobRecord.LIVE, new DowngradeCodec.OfJobRecords()),
 
-  /** Moves of machines between shards, which {@link ShareMessages#KEY} holds. */
-  SHARES(2, ShareMessages.KEY, new DowngradeCodec.OfShares());
+  /** Moves of machines between shards, which {@link ShareStateMessages#KEY} holds. */
+  SHARES(2, ShareStateMessages.KEY, new DowngradeCodec.OfShares());
 
   private final FeatureLevel level;
   private final String prefix;
--- a/src/main/java/shorecrank/rollout/FeatureGate.java
+++ b/src/main/java/shorecrank/rollout/FeatureGate.java
@@ -3,7 +3,7 @@
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
-import shorecrank.protocol.RolloutMessages.Notice;
+import shorecrank.protocol.RolloutMessages.RolloutNotice;
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
@@ -15,14 +15,14 @@
  */
 public final class FeatureGate {
   /** The latest notice; null before the first. */
-  private Notice known;
+  private RolloutNotice known;
 
   /** Notices up to this revision permit nothing, since a guard on it has failed. */
   private Revision refused = Revision.ABSENT;
 
   /** Takes a notice from the leader or the state service; null and earlier ones are ignored. */
-  public void observe(Notice notice) {
-    if (notice != null && (known == null || notice.revision().after(known.revision()))) {
+  public void observe(RolloutNotice notice) {
+    if (notice != null && (known == null || notice.revision().isAfter(known.revision()))) {
       known = notice;
     }
   }
@@ -30,7 +30,7 @@
   /** Whether the feature's forms may be written, behind {@link #guard}. */
   public boolean permits(Feature feature) {
     return known != null
-        && known.revision().after(refused)
+        && known.revision().isAfter(refused)
         && known.state().writeLevel().includes(feature.level());
   }
 
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -9,9 +9,10 @@
 import shorecrank.leadership.LeaderKey.Settlement;
 import shorecrank.leadership.LeaderKeyCodec;
 import shorecrank.leadership.Leadership;
+import shorecrank.protocol.RolloutCodec;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
-import shorecrank.protocol.RolloutMessages.Notice;
+import shorecrank.protocol.RolloutMessages.RolloutNotice;
 import shorecrank.protocol.RolloutMessages.RolloutState;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.CommitResult;
@@ -28,8 +29,8 @@
       new LeaderKeyCodec<>(
           RolloutMessages.KEY,
           RolloutState.INITIAL,
-          RolloutMessages::readState,
-          RolloutMessages::write);
+          RolloutCodec::readState,
+          RolloutCodec::writeState);
 
   private final Leadership leadership;
   private final FeatureLevel highest;
@@ -65,9 +66,9 @@
   }
 
   /** What other controllers are told; empty while the level is not known for sure. */
-  Optional<Notice> notice() {
+  Optional<RolloutNotice> notice() {
     return key.isReadable() && key.pending().isEmpty()
-        ? Optional.of(new Notice(key.value(), key.revision()))
+        ? Optional.of(new RolloutNotice(key.value(), key.revision()))
         : Optional.empty();
   }
 
