--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -13,13 +13,13 @@
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.LevelRange;
-import shorecrank.protocol.RolloutMessages.Member;
-import shorecrank.protocol.RolloutMessages.Notice;
-import shorecrank.protocol.RolloutMessages.Order;
 import shorecrank.protocol.RolloutMessages.OrderOutcome;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutMember;
+import shorecrank.protocol.RolloutMessages.RolloutNotice;
+import shorecrank.protocol.RolloutMessages.RolloutOrder;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.protocol.RolloutMessages.RolloutState;
-import shorecrank.protocol.RolloutMessages.Status;
+import shorecrank.protocol.RolloutMessages.RolloutStatus;
 import shorecrank.storage.CommitResult;
 
 /**
@@ -107,7 +107,7 @@
   }
 
   /** What other controllers are told of the level; null while it is not known for sure. */
-  public Notice notice() {
+  public RolloutNotice notice() {
     return store.notice().orElse(null);
   }
 
@@ -177,7 +177,7 @@
     if (!environment.takeWrites(1)) {
       return;
     }
-    if (next.phase() != Phase.FALLING) {
+    if (next.phase() != RolloutPhase.FALLING) {
       rewriter = null;
     }
     store.write(next, then);
@@ -185,7 +185,7 @@
 
   private void recordArchive(String id) {
     change(
-        store.state().archivedAs(id),
+        store.state().withArchive(id),
         result -> {
           if (result.isCommitted()) {
             archiver.release();
@@ -210,7 +210,7 @@
     boolean isDue = isAutomatic && target.compareTo(state.level()) > 0;
     if (isDue && reasonsAgainst(target).isEmpty()) {
       environment.info("rollout.started level=%s target=%s", state.level(), target);
-      change(state.toward(Phase.RAISING, target).archivedAs(""), result -> {});
+      change(state.toward(RolloutPhase.RAISING, target).withArchive(""), result -> {});
     }
   }
 
@@ -226,7 +226,7 @@
     }
     environment.info("rollout.raising level=%s target=%s", state.level(), state.target());
     change(
-        state.settled(state.target()),
+        state.stableAt(state.target()),
         result -> {
           if (result.isCommitted()) {
             environment.info("rollout.finalized level=%s", store.state().level());
@@ -251,14 +251,14 @@
     } else if (!rewriter.cursor().equals(state.cursor())
         && environment.now().since(cursorWrittenAt) >= CURSOR_PAUSE_MS) {
       cursorWrittenAt = environment.now();
-      change(state.scannedTo(rewriter.cursor()), result -> {});
+      change(state.withCursor(rewriter.cursor()), result -> {});
     }
   }
 
   private void finishLowering(RolloutState state) {
     environment.info("rollout.lowering level=%s target=%s", state.level(), state.target());
     change(
-        state.settled(state.target()),
+        state.stableAt(state.target()),
         result -> {
           if (result.isCommitted()) {
             environment.info("rollout.reversed level=%s", store.state().level());
@@ -270,7 +270,7 @@
   // ---- operators -------------------------------------------------------------------------------
 
   /** Carries an order out, once for each id. */
-  public void order(Order order, OnOutcome then) {
+  public void order(RolloutOrder order, OnOutcome then) {
     if (!store.isIdle()) {
       then.outcome(null);
       return;
@@ -295,10 +295,10 @@
     }
     environment.info(
         "rollout.ordered id=%s order=%s text=\"%s\"",
-        order.id(), order.kind().wire(), decision.text());
+        order.id(), order.kind().wireName(), decision.text());
     rewriter = null;
     store.write(
-        decision.next().get().with(outcome, KEPT_ORDERS),
+        decision.next().get().withOutcome(outcome, KEPT_ORDERS),
         result -> {
           boolean isCommitted = result.isCommitted();
           if (isCommitted && !decision.archiveId().isEmpty() && archiver.currentId().isEmpty()) {
@@ -309,22 +309,22 @@
   }
 
   /** All that an operator is told of the rollout; null while the level is not known. */
-  public Status status() {
+  public RolloutStatus status() {
     if (!store.isReadable()) {
       return null;
     }
     RolloutState state = store.state();
-    List<Member> all = new ArrayList<>();
+    List<RolloutMember> all = new ArrayList<>();
     for (ControllerName member : members) {
       all.add(
-          new Member(
+          new RolloutMember(
               member.value(),
               votes.announcement(member),
               votes.heardMsAgo(member, environment.now()),
               votes.settingsDiffer(member)));
     }
     Optional<RecordRewriter> pass = Optional.ofNullable(rewriter);
-    return new Status(
+    return new RolloutStatus(
         state,
         settings.automatic(),
         all,
@@ -336,10 +336,10 @@
 
   private List<String> waitingFor(RolloutState state) {
     List<String> waiting = new ArrayList<>();
-    if (state.phase() == Phase.RAISING) {
+    if (state.phase() == RolloutPhase.RAISING) {
       archiver.currentId().ifPresent(id -> waiting.add("archive %s to be written".formatted(id)));
       waiting.addAll(reasonsAgainst(state.target()));
-    } else if (state.phase() == Phase.FALLING && rewriter != null) {
+    } else if (state.phase() == RolloutPhase.FALLING && rewriter != null) {
       waiting.add("records to be rewritten, up to key \"%s\" so far".formatted(rewriter.cursor()));
       if (!rewriter.tooLargeKey().isEmpty()) {
         waiting.add(
--- a/src/main/java/shorecrank/rollout/RolloutOrders.java
+++ b/src/main/java/shorecrank/rollout/RolloutOrders.java
@@ -5,9 +5,9 @@
 import java.util.function.Function;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
-import shorecrank.protocol.RolloutMessages.Order;
 import shorecrank.protocol.RolloutMessages.OrderOutcome;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutOrder;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.protocol.RolloutMessages.RolloutState;
 
 /**
@@ -49,13 +49,13 @@
     }
 
     /** What the operator is answered. */
-    OrderOutcome outcomeOf(Order order) {
+    OrderOutcome outcomeOf(RolloutOrder order) {
       return new OrderOutcome(order.id(), order.kind(), isAccepted, text, archiveId);
     }
   }
 
   /** Decides an order that was not carried out before. */
-  Decision decide(Order order, RolloutState state) {
+  Decision decide(RolloutOrder order, RolloutState state) {
     return switch (order.kind()) {
       case FINALIZE -> finalizeLevel(state, order.target());
       case DOWNGRADE -> downgrade(state, order.target());
@@ -71,12 +71,12 @@
           "level %s is out of range: the leader's build %s supports %s"
               .formatted(target, own.build(), own.supported()));
     }
-    if (state.phase() == Phase.FALLING) {
+    if (state.phase() == RolloutPhase.FALLING) {
       return Decision.refuse(
           "the level is falling from %s to %s: abort that first"
               .formatted(state.level(), state.target()));
     }
-    if (state.phase() == Phase.RAISING) {
+    if (state.phase() == RolloutPhase.RAISING) {
       return state.target().equals(target)
           ? Decision.alreadyDone("level %s is being raised to already".formatted(target))
           : Decision.refuse(
@@ -96,16 +96,16 @@
       return Decision.refuse(against.get(0));
     }
     return Decision.change(
-        state.toward(Phase.RAISING, target).archivedAs("").heldBack(false),
+        state.toward(RolloutPhase.RAISING, target).withArchive("").withHeld(false),
         "level rises from %s to %s".formatted(state.level(), target));
   }
 
   private static Decision downgrade(RolloutState state, int asked) {
     FeatureLevel target = asked < 0 ? FeatureLevel.LOWEST : new FeatureLevel(asked);
-    if (state.phase() == Phase.FALLING && state.target().equals(target)) {
+    if (state.phase() == RolloutPhase.FALLING && state.target().equals(target)) {
       return Decision.alreadyDone("level %s is being lowered to already".formatted(target));
     }
-    if (state.phase() != Phase.STABLE) {
+    if (state.phase() != RolloutPhase.STABLE) {
       return Decision.refuse(
           "the level is on its way from %s to %s: abort that first"
               .formatted(state.level(), state.target()));
@@ -118,17 +118,17 @@
           "level %s is above %s, which is in force: use finalize".formatted(target, state.level()));
     }
     return Decision.change(
-        state.toward(Phase.FALLING, target).heldBack(true),
+        state.toward(RolloutPhase.FALLING, target).withHeld(true),
         "level falls from %s to %s".formatted(state.level(), target));
   }
 
   private static Decision abort(RolloutState state) {
-    if (state.phase() == Phase.STABLE) {
+    if (state.phase() == RolloutPhase.STABLE) {
       return Decision.refuse(
           "level %s is in force, and nothing is under way".formatted(state.level()));
     }
     return Decision.change(
-        state.settled(state.level()).heldBack(state.phase() == Phase.RAISING),
+        state.stableAt(state.level()).withHeld(state.phase() == RolloutPhase.RAISING),
         "level stays at %s, no longer on its way to %s".formatted(state.level(), state.target()));
   }
 
--- a/src/main/java/shorecrank/storage/DenseBodyCodec.java
+++ b/src/main/java/shorecrank/storage/DenseBodyCodec.java
@@ -19,7 +19,9 @@
 import shorecrank.protocol.Ids.Incarnation;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.JobSpecCodec;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.MalformedMessageException;
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
@@ -59,7 +61,7 @@
   /** Encodes a body as text. */
   static String write(RecordBody body) {
     ArrayNode columns = Json.array();
-    columns.add(body.spec().write());
+    columns.add(JobSpecCodec.write(body.spec()));
     columns.add(
         body.done().isEmpty()
             ? ""
@@ -123,8 +125,8 @@
     JsonNode columns = CompressedJson.decompress(field, text);
     JobSpec spec;
     try {
-      spec = JobSpec.read(Column.SPEC.of(columns));
-    } catch (JobSpec.Malformed e) {
+      spec = JobSpecCodec.read(Column.SPEC.of(columns));
+    } catch (MalformedMessageException e) {
       throw new MalformedRecordException(field, e);
     }
     BitSet done = readDone(Column.DONE.of(columns), spec);
--- a/src/main/java/shorecrank/storage/JobRecordCodec.java
+++ b/src/main/java/shorecrank/storage/JobRecordCodec.java
@@ -14,7 +14,9 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.JobSpecCodec;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.MalformedMessageException;
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
@@ -114,7 +116,7 @@
             .add(range.attempt().value());
       }
     }
-    value.set(SPEC, record.spec().write());
+    value.set(SPEC, JobSpecCodec.write(record.spec()));
     return value;
   }
 
@@ -126,7 +128,7 @@
     if (bits.length() < Json.bytes(Column.DONE.of(columns)).length) {
       columns.set(Column.DONE.ordinal(), TextNode.valueOf(bits));
     }
-    columns.add(record.spec().write());
+    columns.add(JobSpecCodec.write(record.spec()));
     return writeHead(record).put(COMPACT_BODY, CompressedJson.compress(columns));
   }
 
@@ -228,8 +230,8 @@
 
   private static JobSpec readSpec(JsonNode spec) throws MalformedRecordException {
     try {
-      return JobSpec.read(spec);
-    } catch (JobSpec.Malformed e) {
+      return JobSpecCodec.read(spec);
+    } catch (MalformedMessageException e) {
       throw new MalformedRecordException(SPEC, e);
     }
   }
--- a/src/test/java/shorecrank/coordination/OwnerTableTest.java
+++ b/src/test/java/shorecrank/coordination/OwnerTableTest.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import shorecrank.coordination.step.StepDriver;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 
 /** Which controller is taken for a shard's owner, and when the store is asked. */
 class OwnerTableTest {
--- a/src/test/java/shorecrank/coordination/WorkerSightingsTest.java
+++ b/src/test/java/shorecrank/coordination/WorkerSightingsTest.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import shorecrank.coordination.step.StepDriver;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /** What the leader is told of workers that came to the wrong controller. */
 class WorkerSightingsTest {
--- a/src/test/java/shorecrank/coordination/leader/BucketValuesTest.java
+++ b/src/test/java/shorecrank/coordination/leader/BucketValuesTest.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /** A bucket's machines are written in as many values as the limit on one asks for. */
--- a/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
+++ b/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
@@ -16,12 +16,12 @@
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.Output;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
-import shorecrank.protocol.PeerMessages.Heartbeat;
 
 /**
  * Steps of controller n1, which leads a fleet of four: n1 and n2 in zone a, n3 in b, n4 in c; with
--- a/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.protocol.HeartbeatMessages.WorkerReachability;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /** An owner is replaced for silence of workers only when others hear them. */
 class OwnerFailureDetectorTest {
--- a/src/test/java/shorecrank/coordination/leader/StoredFormsTest.java
+++ b/src/test/java/shorecrank/coordination/leader/StoredFormsTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 
 /** The leader's values are read and written to the letter as fleets in production hold them. */
--- a/src/test/java/shorecrank/coordination/model/MachineBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/MachineBuilder.java
@@ -3,6 +3,8 @@
 import java.util.HashSet;
 import java.util.List;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.Ids.Incarnation;
@@ -10,8 +12,6 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /** Puts together machines for tests: assigned to the shard, in zone "a", not heard yet. */
--- a/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.WorkerReachability;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /**
  * What the silence of workers proves: heartbeats come every 4 s, leases last 30 s, and an earlier
--- a/src/test/java/shorecrank/coordination/request/JobLookupTest.java
+++ b/src/test/java/shorecrank/coordination/request/JobLookupTest.java
@@ -67,7 +67,7 @@
 
   private JobState foundState() {
     assertEquals(1, results.size(), results.toString());
-    return ((LookupResult.Found) results.get(0)).job().status().phase();
+    return ((LookupResult.Found) results.get(0)).job().status().state();
   }
 
   @Test
--- a/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
@@ -19,10 +19,10 @@
 import shorecrank.coordination.model.StepContextBuilder;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.Offer;
+import shorecrank.protocol.HeartbeatMessages.CapacityRequest;
+import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.CapacityRequest;
-import shorecrank.protocol.PeerMessages.UnavailableOffer;
 
 /**
  * Which machines are rented and returned. Queues should be cleared in 120 s, machines boot in 60 s
--- a/src/test/java/shorecrank/coordination/step/PeerClientTest.java
+++ b/src/test/java/shorecrank/coordination/step/PeerClientTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages.Heartbeat;
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /** What the answers of other controllers mean. */
--- a/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
@@ -26,7 +26,7 @@
 
   private CommitResult commit(int status, String body) {
     return driver.resultOf(
-        then -> store.commit(new Transaction().drop("k"), TIMEOUT_MS, then),
+        then -> store.commit(new Transaction().delete("k"), TIMEOUT_MS, then),
         status,
         Json.parse(body.getBytes()));
   }
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -9,6 +9,7 @@
 import com.fasterxml.jackson.databind.node.TextNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
@@ -217,7 +218,7 @@
       new LeaderKeyCodec<>(
           "key",
           "initial",
-          stored -> stored.isTextual() ? stored.asText() : null,
+          stored -> Optional.ofNullable(stored.isTextual() ? stored.asText() : null),
           TextNode::valueOf);
 
   private final ManualEnvironment environment = new ManualEnvironment();
--- a/src/test/java/shorecrank/rebalance/ModelState.java
+++ b/src/test/java/shorecrank/rebalance/ModelState.java
@@ -1,7 +1,7 @@
 package shorecrank.rebalance;
 
 import java.util.List;
-import shorecrank.protocol.ShareMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
 
 /**
  * One machine, its move, the leader, both owners and the state service, with as little state as
--- a/src/test/java/shorecrank/rebalance/MoveExplorationTest.java
+++ b/src/test/java/shorecrank/rebalance/MoveExplorationTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import shorecrank.protocol.ShareMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
 import shorecrank.rebalance.MoveModel.Fault;
 
 /**
--- a/src/test/java/shorecrank/rebalance/ShareFormsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareFormsTest.java
@@ -20,14 +20,16 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MoveMachines;
-import shorecrank.protocol.ShareMessages.MovePhase;
-import shorecrank.protocol.ShareMessages.SetShare;
-import shorecrank.protocol.ShareMessages.ShareOutcome;
-import shorecrank.protocol.ShareMessages.SharesState;
-import shorecrank.protocol.ShareMessages.TeamShare;
+import shorecrank.protocol.MalformedMessageException;
+import shorecrank.protocol.ShareOrderCodec;
+import shorecrank.protocol.ShareOrderMessages.MoveMachines;
+import shorecrank.protocol.ShareOrderMessages.SetShare;
+import shorecrank.protocol.ShareStateCodec;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.ShareOutcome;
+import shorecrank.protocol.ShareStateMessages.SharesState;
+import shorecrank.protocol.ShareStateMessages.TeamShare;
 
 /** The shares' key, orders and settings, against malformed and contradictory input. */
 class ShareFormsTest {
@@ -60,7 +62,8 @@
   @Test
   void sharesKeyIsReadAsWritten() {
     assertEquals(
-        STATE, ShareMessages.readState(Json.parse(Json.bytes(ShareMessages.write(STATE)))));
+        STATE,
+        ShareStateCodec.read(Json.parse(Json.bytes(ShareStateCodec.write(STATE)))).orElse(null));
   }
 
   @Test
@@ -91,15 +94,15 @@
         "{'v':1,'parts':2,'next':2,'teams':[{'team':'t','weight':-1,'minCpus':0,'maxCpus':0}]}"
       })
   void malformedKeyIsNotRead(String text) {
-    assertNull(ShareMessages.readState(json(text)));
+    assertNull(ShareStateCodec.read(json(text)).orElse(null));
   }
 
   @Test
-  void ordersAreReadAsWritten() {
+  void ordersAreReadAsWritten() throws MalformedMessageException {
     SetShare set = new SetShare("s", false, "t", 2.0, null, -1.0);
-    assertEquals(set, ShareMessages.readOrder(ShareMessages.write(set)));
+    assertEquals(set, ShareOrderCodec.read(ShareOrderCodec.write(set)));
     MoveMachines move = new MoveMachines("m", true, List.of(), new ShardId(0), 3, new ShardId(1));
-    assertEquals(move, ShareMessages.readOrder(ShareMessages.write(move)));
+    assertEquals(move, ShareOrderCodec.read(ShareOrderCodec.write(move)));
   }
 
   @ParameterizedTest
@@ -115,7 +118,7 @@
         "{'id':'a','order':'move','count':1,'from':0}"
       })
   void malformedOrderIsNotRead(String text) {
-    assertNull(ShareMessages.readOrder(json(text)));
+    assertThrows(MalformedMessageException.class, () -> ShareOrderCodec.read(json(text)));
   }
 
   @ParameterizedTest
--- a/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.ShardDemand;
+import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.rebalance.ShareTargets.Claim;
 import shorecrank.rebalance.TeamShares.ShardShare;
 
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -21,20 +21,22 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.MalformedMessageException;
+import shorecrank.protocol.RolloutCodec;
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.LevelRange;
 import shorecrank.protocol.RolloutMessages.OrderKind;
 import shorecrank.protocol.RolloutMessages.OrderOutcome;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.protocol.RolloutMessages.RolloutState;
+import shorecrank.protocol.RolloutOrderCodec;
 
 /** The level's key, the settings and the votes, against malformed and contradictory input. */
 class RolloutFormsTest {
   private static final RolloutState STATE =
       new RolloutState(
-          Phase.FALLING,
+          RolloutPhase.FALLING,
           new FeatureLevel(2),
           new FeatureLevel(1),
           "j/wk-7",
@@ -44,10 +46,10 @@
 
   @Test
   void levelKeyIsReadAsWritten() {
-    ObjectNode written = RolloutMessages.write(STATE);
-    assertEquals(STATE, RolloutMessages.readState(Json.parse(Json.bytes(written))));
+    ObjectNode written = RolloutCodec.writeState(STATE);
+    assertEquals(STATE, RolloutCodec.readState(Json.parse(Json.bytes(written))).orElse(null));
     assertEquals(1, STATE.writeLevel().value());
-    assertEquals(2, STATE.settled(STATE.level()).writeLevel().value());
+    assertEquals(2, STATE.stableAt(STATE.level()).writeLevel().value());
   }
 
   @ParameterizedTest
@@ -67,7 +69,7 @@
       })
   void malformedKeyIsNotRead(String text) {
     byte[] json = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-    assertNull(RolloutMessages.readState(Json.parse(json)));
+    assertNull(RolloutCodec.readState(Json.parse(json)).orElse(null));
   }
 
   @ParameterizedTest
@@ -81,7 +83,7 @@
       })
   void malformedOrderIsNotRead(String text) {
     byte[] json = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-    assertNull(RolloutMessages.readOrder(Json.parse(json)));
+    assertThrows(MalformedMessageException.class, () -> RolloutOrderCodec.read(Json.parse(json)));
   }
 
   @Test
--- a/src/test/java/shorecrank/sim/PlantedWorld.java
+++ b/src/test/java/shorecrank/sim/PlantedWorld.java
@@ -16,7 +16,9 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.JobSpecCodec;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.MalformedMessageException;
 import shorecrank.sim.UserRequest.Kind;
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.AttemptRange;
@@ -157,8 +159,8 @@
   }
 
   /** The record of a job whose first task is live on a machine. */
-  JobRecord record(String job, int machine) throws JobSpec.Malformed {
-    JobSpec spec = JobSpec.read(UserRequest.write(job, jobs.plan(job)));
+  JobRecord record(String job, int machine) throws MalformedMessageException {
+    JobSpec spec = JobSpecCodec.read(UserRequest.write(job, jobs.plan(job)));
     MachineName name = new MachineName(machine(machine).name());
     AttemptRange live = new AttemptRange(0, 1, name, new Incarnation(1), new AttemptNumber(1));
     return new JobRecord(
--- a/src/test/java/shorecrank/sim/RolloutExpectations.java
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -1,7 +1,7 @@
 package shorecrank.sim;
 
 import java.util.Map;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 
 /** The feature level, the forms of records, and answers to operators' orders of the level. */
 final class RolloutExpectations {
@@ -29,7 +29,7 @@
 
   /** {@code phase PHASE}. */
   private static Expectation phase(ScenarioLine line) {
-    Phase phase = line.constant(1, Phase.class);
+    RolloutPhase phase = line.constant(1, RolloutPhase.class);
     return of(world -> world.rollouts.state().phase() == phase);
   }
 
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.ArchiveValueCodec;
 import shorecrank.storage.JobRecord;
@@ -42,7 +42,7 @@
         world -> {
           world.store.beforeTransactions(
               operations -> {
-                if (world.rollouts.state().phase() == Phase.FALLING) {
+                if (world.rollouts.state().phase() == RolloutPhase.FALLING) {
                   count(world, traffic, operations);
                 }
               });
--- a/src/test/java/shorecrank/sim/RolloutProcessTest.java
+++ b/src/test/java/shorecrank/sim/RolloutProcessTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.sim.ProcessFleet.Run;
 
 /**
@@ -93,7 +93,7 @@
     assertTrue(order.out().contains("\"accepted\" : true"), order.out());
     fleet.await(
         "level 0",
-        () -> fleet.state().level().value() == 0 && fleet.state().phase() == Phase.STABLE);
+        () -> fleet.state().level().value() == 0 && fleet.state().phase() == RolloutPhase.STABLE);
     assertEquals(0, fleet.world.rollouts.denseRecords());
   }
 }
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -1,6 +1,7 @@
 package shorecrank.sim;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import shorecrank.protocol.RolloutCodec;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.RolloutState;
@@ -45,7 +46,7 @@
     RolloutState after = before;
     for (JsonNode operation : operations) {
       if (operation.path("write").asText().equals(RolloutMessages.KEY)) {
-        after = RolloutMessages.readState(operation.path("data"));
+        after = RolloutCodec.readState(operation.path("data")).orElse(null);
       }
     }
     operations.forEach(operation -> checkOperation(operation, before));
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.sim.ProcessFleet.Run;
 
 /**
@@ -105,7 +105,7 @@
   }
 
   private void lower(ProcessFleet fleet) {
-    if (fleet.state().level().value() == 0 && fleet.state().phase() == Phase.STABLE) {
+    if (fleet.state().level().value() == 0 && fleet.state().phase() == RolloutPhase.STABLE) {
       return;
     }
     fleet.await(
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -9,12 +9,15 @@
 import shorecrank.config.Settings;
 import shorecrank.config.SettingsFile;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.OperatorPaths;
+import shorecrank.protocol.RolloutCodec;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.RolloutMessages.LevelRange;
-import shorecrank.protocol.RolloutMessages.Order;
 import shorecrank.protocol.RolloutMessages.OrderKind;
+import shorecrank.protocol.RolloutMessages.RolloutOrder;
 import shorecrank.protocol.RolloutMessages.RolloutState;
+import shorecrank.protocol.RolloutOrderCodec;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.RolloutSettings;
 import shorecrank.rollout.RolloutSetup;
@@ -58,7 +61,7 @@
 
   Rollouts(World world) {
     this.world = world;
-    this.orders = new OrderSender(world, RolloutMessages.ORDERS);
+    this.orders = new OrderSender(world, OperatorPaths.ROLLOUT_ORDERS);
   }
 
   /** Controllers know feature levels, with the settings of an operators' file. */
@@ -160,7 +163,7 @@
   /** The rollout as the state service has it. */
   RolloutState state() {
     JsonNode value = world.store.peek(RolloutMessages.KEY);
-    RolloutState state = value.isMissingNode() ? null : RolloutMessages.readState(value);
+    RolloutState state = value.isMissingNode() ? null : RolloutCodec.readState(value).orElse(null);
     return state == null ? RolloutState.INITIAL : state;
   }
 
@@ -173,7 +176,7 @@
 
   /** Sends an order to a controller until it is answered, like an operator's client. */
   void sendOrder(int index, String id, OrderKind kind, int level) {
-    orders.send(index, id, RolloutMessages.write(new Order(id, kind, level)));
+    orders.send(index, id, RolloutOrderCodec.write(new RolloutOrder(id, kind, level)));
   }
 
   /** Operators' orders and the answers to them. */
@@ -188,7 +191,7 @@
         .put("rises", rule.rises())
         .put("falls", rule.falls())
         .put("dense", denseRecords())
-        .put("state", RolloutMessages.write(state()).toString())
+        .put("state", RolloutCodec.writeState(state()).toString())
         .put("outcomes", orders.describe())
         .toString();
   }
--- a/src/test/java/shorecrank/sim/ShareActions.java
+++ b/src/test/java/shorecrank/sim/ShareActions.java
@@ -6,10 +6,10 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShareMessages.AbortMoves;
-import shorecrank.protocol.ShareMessages.MoveMachines;
-import shorecrank.protocol.ShareMessages.SetShare;
-import shorecrank.protocol.ShareMessages.ShareOrder;
+import shorecrank.protocol.ShareOrderMessages.AbortMoves;
+import shorecrank.protocol.ShareOrderMessages.MoveMachines;
+import shorecrank.protocol.ShareOrderMessages.SetShare;
+import shorecrank.protocol.ShareOrderMessages.ShareOrder;
 
 /** Operators' orders of shares and moves. */
 final class ShareActions {
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -6,10 +6,11 @@
 import java.util.Map;
 import java.util.Set;
 import shorecrank.protocol.Ids.MachineName;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MovePhase;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.ShareStateCodec;
+import shorecrank.protocol.ShareStateMessages;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rollout.Feature;
 
 /**
@@ -42,9 +43,9 @@
     SharesState before = world().shares.state();
     SharesState after = before;
     for (JsonNode operation : operations) {
-      if (operation.path("write").asText().equals(ShareMessages.KEY)) {
+      if (operation.path("write").asText().equals(ShareStateMessages.KEY)) {
         storeOperations += operations.size();
-        after = ShareMessages.readState(operation.path("data"));
+        after = ShareStateCodec.read(operation.path("data")).orElse(null);
       }
     }
     if (after == null) {
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -7,9 +7,12 @@
 import java.util.TreeMap;
 import shorecrank.config.InvalidConfigException;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.ShareOrder;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.OperatorPaths;
+import shorecrank.protocol.ShareOrderCodec;
+import shorecrank.protocol.ShareOrderMessages.ShareOrder;
+import shorecrank.protocol.ShareStateCodec;
+import shorecrank.protocol.ShareStateMessages;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rebalance.ShareSettings;
 
 /** The settings of shares, operators' orders of them, and what controllers wrote of both. */
@@ -28,7 +31,7 @@
 
   Shares(World world) {
     this.world = world;
-    this.orders = new OrderSender(world, ShareMessages.ORDERS);
+    this.orders = new OrderSender(world, OperatorPaths.SHARES_ORDERS);
   }
 
   /** Adds a line to the operators' file. */
@@ -57,8 +60,8 @@
 
   /** Shares and moves as the state service has them. */
   SharesState state() {
-    JsonNode value = world.store.peek(ShareMessages.KEY);
-    SharesState state = value.isMissingNode() ? null : ShareMessages.readState(value);
+    JsonNode value = world.store.peek(ShareStateMessages.KEY);
+    SharesState state = value.isMissingNode() ? null : ShareStateCodec.read(value).orElse(null);
     return state == null ? SharesState.INITIAL : state;
   }
 
@@ -76,7 +79,7 @@
 
   /** Sends an order to a controller until it is answered, like an operator's client. */
   void sendOrder(int index, ShareOrder order) {
-    orders.send(index, order.id(), ShareMessages.write(order));
+    orders.send(index, order.id(), ShareOrderCodec.write(order));
   }
 
   /** Operators' orders and the answers to them. */
@@ -87,7 +90,7 @@
   /** What there is, for the report of a failure. */
   String describe() {
     return Json.object()
-        .put("state", ShareMessages.write(state()).toString())
+        .put("state", ShareStateCodec.write(state()).toString())
         .put("assigned", assigned().toString())
         .put("counts", world.counters.countsOf("shares.").toString())
         .put("outcomes", orders.describe())
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -8,14 +8,16 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.RolloutCodec;
 import shorecrank.protocol.RolloutMessages;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.protocol.RolloutMessages.RolloutState;
-import shorecrank.protocol.ShareMessages;
-import shorecrank.protocol.ShareMessages.Move;
-import shorecrank.protocol.ShareMessages.MovePhase;
-import shorecrank.protocol.ShareMessages.SharesState;
+import shorecrank.protocol.ShareStateCodec;
+import shorecrank.protocol.ShareStateMessages;
+import shorecrank.protocol.ShareStateMessages.Move;
+import shorecrank.protocol.ShareStateMessages.MovePhase;
+import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rollout.Feature;
 import shorecrank.sim.Rollouts.Version;
 import shorecrank.storage.JobRecord;
@@ -25,8 +27,8 @@
   private static final String TWO_SHARDS = "parts: 2";
 
   private static JsonNode level(FeatureLevel level) {
-    return RolloutMessages.write(
-        new RolloutState(Phase.STABLE, level, level, "", "", false, List.of()));
+    return RolloutCodec.writeState(
+        new RolloutState(RolloutPhase.STABLE, level, level, "", "", false, List.of()));
   }
 
   private static PlantedWorld ofLevels(String... versions) throws Exception {
@@ -199,34 +201,34 @@
   }
 
   private static JsonNode shares(long nextMove, Move... moves) {
-    return ShareMessages.write(
+    return ShareStateCodec.write(
         new SharesState(2, nextMove, List.of(moves), List.of(), List.of(), List.of()));
   }
 
   @Test
   void aMoveWithAnIdThatWasUsedIsFound() throws Exception {
     PlantedWorld world = ofShares();
-    world.write(ShareMessages.KEY, shares(3));
-    world.write(ShareMessages.KEY, shares(4, move(3, MovePhase.REQUESTED)));
+    world.write(ShareStateMessages.KEY, shares(3));
+    world.write(ShareStateMessages.KEY, shares(4, move(3, MovePhase.REQUESTED)));
     world.assertSound();
-    world.write(ShareMessages.KEY, shares(4, move(2, MovePhase.REQUESTED)));
+    world.write(ShareStateMessages.KEY, shares(4, move(2, MovePhase.REQUESTED)));
     world.assertBroken("move_id_reused: ");
   }
 
   @Test
   void aMoveThatGoesBackAStepIsFound() throws Exception {
     PlantedWorld world = ofShares();
-    world.write(ShareMessages.KEY, shares(2, move(1, MovePhase.REQUESTED)));
-    world.write(ShareMessages.KEY, shares(2, move(1, MovePhase.DRAINING)));
+    world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.REQUESTED)));
+    world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.DRAINING)));
     world.assertSound();
-    world.write(ShareMessages.KEY, shares(2, move(1, MovePhase.REQUESTED)));
+    world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.REQUESTED)));
     world.assertBroken("move_went_back: ");
   }
 
   @Test
   void anAssignmentThatChangesWithoutItsMoveIsFound() throws Exception {
     PlantedWorld world = ofShares();
-    world.write(ShareMessages.KEY, shares(2, move(1, MovePhase.DRAINING)));
+    world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.DRAINING)));
     world.writeAssignment(1, 1);
     world.assertBroken("moved_unwritten: n-000001 from 0 to 1");
   }
@@ -234,7 +236,7 @@
   @Test
   void sharesThatNobodyCanReadAreFound() throws Exception {
     PlantedWorld world = ofShares();
-    world.write(ShareMessages.KEY, Json.object().put("v", 1).put("moves", "none"));
+    world.write(ShareStateMessages.KEY, Json.object().put("v", 1).put("moves", "none"));
     world.assertBroken("shares_unreadable: ");
   }
 }
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -18,14 +18,16 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.JobSpecCodec;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.MalformedMessageException;
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /** The dense form says the same as the others; damaged it is not read. */
 class DenseRecordTest {
   private static final int MACHINES = 4000;
 
-  private static JobSpec spec(int tasks) throws JobSpec.Malformed {
+  private static JobSpec spec(int tasks) throws MalformedMessageException {
     String text =
         """
         {"nameId":"wk-000412","jobclass":"train","owner":"vision","shape":"array",
@@ -35,11 +37,11 @@
          "dueS":900.0}
         """
             .formatted(tasks);
-    return JobSpec.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)));
+    return JobSpecCodec.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)));
   }
 
   /** Every other task live, each on a machine of its own; every fourth of the rest done. */
-  private static JobRecord scattered(int ranges, String machine) throws JobSpec.Malformed {
+  private static JobRecord scattered(int ranges, String machine) throws MalformedMessageException {
     Random random = new Random(7);
     BitSet done = new BitSet();
     List<AttemptRange> live = new ArrayList<>();
--- a/src/test/java/shorecrank/storage/JobRecordCodecTest.java
+++ b/src/test/java/shorecrank/storage/JobRecordCodecTest.java
@@ -18,7 +18,9 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.JobSpecCodec;
 import shorecrank.protocol.Json;
+import shorecrank.protocol.MalformedMessageException;
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /** Each form reads as what was written; a malformed value is rejected with the field's name. */
@@ -28,9 +30,9 @@
   }
 
   /** Four tasks: the first done, two running on one machine. */
-  private static JobRecord record() throws JobSpec.Malformed {
+  private static JobRecord record() throws MalformedMessageException {
     JobSpec spec =
-        JobSpec.read(
+        JobSpecCodec.read(
             json(
                 "{'nameId':'wk-1','jobclass':'c','owner':'t','shape':'array','urgency':'low',"
                     + "'pieces':4,'cpus':1.0,'accelerators':0.0,'memoryGb':1.0,'bundle':'i',"
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/ProductionFormsTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -22,10 +23,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import shorecrank.protocol.CancellationCodec;
+import shorecrank.protocol.CancellationMessages;
+import shorecrank.protocol.ForwardedRequestCodec;
+import shorecrank.protocol.HeartbeatAnswerCodec;
+import shorecrank.protocol.HeartbeatCodec;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.JobSpec;
+import shorecrank.protocol.JobSpecCodec;
 import shorecrank.protocol.Json;
-import shorecrank.protocol.PeerMessages;
+import shorecrank.protocol.MalformedMessageException;
+import shorecrank.protocol.StatusQueryCodec;
 
 /**
  * What earlier versions write is read here, and written again to the letter: so they read ours. The
@@ -76,7 +84,7 @@
   void recordsWithPrerequisites() throws Exception {
     for (JsonNode n : of(PIPELINES, "key j/ prereqs")) {
       assertSame(n);
-      assertFalse(JobRecord.read(n).spec().prerequisites().isEmpty());
+      assertFalse(JobRecord.read(n).spec().dependencies().isEmpty());
     }
   }
 
@@ -132,22 +140,28 @@
   @ValueSource(strings = {PRODUCTION, PIPELINES})
   void messages(String file) throws Exception {
     for (JsonNode n : of(file, "ask /peer/beat")) {
-      assertEquals(n, Json.parse(Json.bytes(PeerMessages.write(PeerMessages.readHeartbeat(n)))));
+      assertEquals(n, Json.parse(Json.bytes(HeartbeatCodec.write(HeartbeatCodec.read(n)))));
     }
     for (JsonNode n : of(file, "answer /peer/beat")) {
-      assertEquals(n, Json.parse(Json.bytes(PeerMessages.write(PeerMessages.readAnswer(n)))));
+      assertEquals(
+          n,
+          Json.parse(
+              Json.bytes(HeartbeatAnswerCodec.write(HeartbeatAnswerCodec.read(n).orElse(null)))));
     }
     for (JsonNode n : of(file, "ask /peer/ask")) {
-      List<JobId> ids = PeerMessages.asked(n);
+      List<JobId> ids = StatusQueryCodec.readQuery(n).jobs();
       assertFalse(ids.isEmpty());
-      assertEquals(n, Json.parse(Json.bytes(PeerMessages.ask(PeerMessages.askedPart(n), ids))));
+      assertEquals(
+          n,
+          Json.parse(
+              Json.bytes(StatusQueryCodec.writeQuery(StatusQueryCodec.readQuery(n).shard(), ids))));
     }
     for (JsonNode n : of(file, "answer /peer/ask")) {
-      assertEquals(n.path("told").size(), PeerMessages.told(n).size());
+      assertEquals(n.path("told").size(), StatusQueryCodec.readAnswer(n).size());
     }
     for (JsonNode n : of(file, "ask /peer/relay")) {
-      assertFalse(PeerMessages.relayedMethod(n).isEmpty());
-      assertFalse(PeerMessages.relayedPath(n).isEmpty());
+      assertFalse(ForwardedRequestCodec.read(n).method().isEmpty());
+      assertFalse(ForwardedRequestCodec.read(n).path().isEmpty());
     }
   }
 
@@ -165,7 +179,8 @@
           List.of(IntNode.valueOf(-1), TextNode.valueOf("x"), NullNode.instance)) {
         ObjectNode n = heartbeat.deepCopy();
         ((ObjectNode) n.path("parts").path(0)).set(field, value);
-        assertNull(PeerMessages.readHeartbeat(n), field + " " + value);
+        assertThrows(
+            MalformedMessageException.class, () -> HeartbeatCodec.read(n), field + " " + value);
       }
     }
     ObjectNode answer =
@@ -178,29 +193,35 @@
       for (String field : List.of("part", "epoch")) {
         ObjectNode n = answer.deepCopy();
         ((ObjectNode) n.path(list).path(0)).remove(field);
-        assertNull(PeerMessages.readAnswer(n), list + " " + field);
+        assertNull(HeartbeatAnswerCodec.read(n).orElse(null), list + " " + field);
         ((ObjectNode) n.path(list).path(0)).put(field, Long.MAX_VALUE);
-        assertNull(PeerMessages.readAnswer(n), list + " " + field);
+        assertNull(HeartbeatAnswerCodec.read(n).orElse(null), list + " " + field);
       }
     }
     ObjectNode confirmed = of(PIPELINES, "answer /peer/confirmed").get(0).deepCopy();
     confirmed.putArray("owners").addObject().put("part", 0).put("label", "").put("epoch", 9);
-    assertNull(PeerMessages.readConfirmed(confirmed, PeerMessages.DEFAULT_CONFIRMED));
+    assertNull(
+        CancellationCodec.read(confirmed, CancellationMessages.DEFAULT_MAX_CANCELLATIONS)
+            .orElse(null));
   }
 
   /** Since b9fa1f3 the answer also names owners; what it held before is the same. */
   @Test
   void confirmedCancellations() throws Exception {
     for (JsonNode n : of(PIPELINES, "ask /peer/confirmed")) {
-      long within = PeerMessages.readConfirmedWithin(n);
+      long within = CancellationCodec.readQuery(n).withinMs();
       assertEquals(
           n,
           Json.parse(
-              Json.bytes(PeerMessages.confirmedWithin(within, PeerMessages.DEFAULT_CONFIRMED))));
+              Json.bytes(
+                  CancellationCodec.writeQuery(
+                      within, CancellationMessages.DEFAULT_MAX_CANCELLATIONS))));
     }
     for (JsonNode n : of(PIPELINES, "answer /peer/confirmed")) {
       ObjectNode ours =
-          PeerMessages.write(PeerMessages.readConfirmed(n, PeerMessages.DEFAULT_CONFIRMED));
+          CancellationCodec.write(
+              CancellationCodec.read(n, CancellationMessages.DEFAULT_MAX_CANCELLATIONS)
+                  .orElse(null));
       assertTrue(ours.remove("owners").isEmpty());
       assertEquals(n, Json.parse(Json.bytes(ours)));
     }
@@ -238,8 +259,8 @@
   void prerequisites() throws Exception {
     ObjectNode spec = (ObjectNode) of(PRODUCTION, "key j/").get(0).path("s").deepCopy();
     spec.putArray("prereqs").add("wk-7").add("wk-8").add("wk-7");
-    JobSpec s = JobSpec.read(spec);
-    assertEquals(List.of(new JobId("wk-7"), new JobId("wk-8")), s.prerequisites());
-    assertEquals(s, JobSpec.read(Json.parse(Json.bytes(s.write()))));
+    JobSpec s = JobSpecCodec.read(spec);
+    assertEquals(List.of(new JobId("wk-7"), new JobId("wk-8")), s.dependencies());
+    assertEquals(s, JobSpecCodec.read(Json.parse(Json.bytes(JobSpecCodec.write(s)))));
   }
 }
