--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination.model;
 
+import static shorecrank.protocol.HttpStatus.OK;
+
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.Collection;
@@ -25,7 +27,6 @@
  * since; one that is not heard, or that has begun anew since, says nothing.
  */
 public final class CancellationLog {
-  private static final int OK = 200;
   private static final int CALL_TIMEOUT_MS = 900;
   private static final int CALL_INTERVAL_MS = 1000;
 
@@ -201,7 +202,8 @@
           }
           ConfirmedCancellations confirmed = PeerMessages.readConfirmed(body, mostAsked);
           if (confirmed == null) {
-            context.refused("peer.malformed", "malformed cancellations of " + name + " refused");
+            context.refused(
+                "peer.malformed", "peer.message.malformed kind=confirmations controller=" + name);
           } else {
             answered(peer, confirmed, sent);
           }
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination.shard;
 
+import static shorecrank.protocol.HttpStatus.OK;
+
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -15,8 +17,6 @@
 
 /** Sends starts straight to their machines, without waiting for the next heartbeat. */
 final class DirectCommandSender {
-  private static final int OK = 200;
-
   /** A machine whose heartbeat is due so soon is told in the answer. */
   private static final int SOON_MS = 100;
 
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -1,5 +1,8 @@
 package shorecrank.coordination.shard;
 
+import static shorecrank.protocol.HttpStatus.OK;
+import static shorecrank.protocol.HttpStatus.UNAVAILABLE;
+
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -20,9 +23,6 @@
  * is committed, so that its commands go out in this answer and not in the next.
  */
 final class HeartbeatReplies {
-  private static final int OK = 200;
-  private static final int UNAVAILABLE = 503;
-
   private final StepContext context;
   private final ShardLease lease;
   private final ShardJobs jobs;
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -333,8 +333,8 @@
    */
   private void tooLarge(List<RecordWrite> writes, String answer, MonotonicTime now) {
     context.info(
-        "store.transaction.too_large shard=%s writes=%d answer=%s",
-        lease.shard(), writes.size(), answer);
+        "store.transaction.too_large shard=%s writes=%d answer=\"%s\"",
+        lease.shard(), writes.size(), answer.replace('"', '\''));
     context.count("txn.too_large");
     for (RecordWrite write : writes) {
       JobRecordState record = write.job().record();
