--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination.model;
 
+import static shorecrank.protocol.HttpStatus.OK;
+
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.Collection;
@@ -27,7 +29,6 @@
  * since; one that is not heard, or that has begun anew since, says nothing.
  */
 public final class CancellationLog {
-  private static final int OK = 200;
   private static final int CALL_TIMEOUT_MS = 900;
   private static final int CALL_INTERVAL_MS = 1000;
 
@@ -204,7 +205,8 @@
           }
           ConfirmedCancellations confirmed = CancellationCodec.read(body, mostAsked).orElse(null);
           if (confirmed == null) {
-            context.refused("peer.malformed", "malformed cancellations of " + name + " refused");
+            context.refused(
+                "peer.malformed", "peer.message.malformed kind=confirmations controller=" + name);
           } else {
             answered(peer, confirmed, sent);
           }
