--- a/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -1,6 +1,8 @@
 package shorecrank.coordination.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 import static shorecrank.coordination.model.JobBuilder.job;
 import static shorecrank.coordination.model.MachineBuilder.machine;
 
@@ -63,6 +65,15 @@
     assertEquals(out, liveness.isLeaseExpired(unconfirmed), "unconfirmed");
   }
 
+  @Test
+  void aWorkerIsNotFreshBeforeAHeartbeatWasReconciled() {
+    Machine machine = machine(1).heardAt(GRANTED_AT).build();
+    msAfterGrant(0);
+    assertTrue(liveness.isFresh(machine), "reconciled");
+    machine.session().forgetReconciliation();
+    assertFalse(liveness.isFresh(machine), "not reconciled");
+  }
+
   @Test
   void silenceBeforeTheGrantDoesNotCount() {
     Machine machine = machine(1).heardAt(GRANTED_AT.plus(-50_000)).build();
--- a/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
@@ -118,13 +118,13 @@
 
   @Test
   void anOfferThatIsUsedUpIsLeftOutAndThenAskedForInSmallNumbersBesideOthers() {
-    shard.add(work(40));
+    shard.add(work(60));
     refuse("a", 30_000);
-    assertEquals("20 t8@b/spot", requested());
+    assertEquals("30 t8@b/spot", requested());
     atMs(30_000);
-    assertEquals("10 t8@a/spot, 20 t8@b/spot", requested());
+    assertEquals("10 t8@a/spot, 30 t8@b/spot", requested());
     atMs(MINUTE_MS);
-    assertEquals("10 t8@a/spot, 10 t8@b/spot", requested());
+    assertEquals("15 t8@a/spot, 15 t8@b/spot", requested());
   }
 
   // ---- scale in --------------------------------------------------------------------------------
