--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -12,7 +12,7 @@
  * @param zone where this controller runs; empty if that is not known
  * @param publicAddr where users and workers reach this controller
  * @param peerBind where this controller listens to its peers and operators
- * @param members all controllers of the fleet
+ * @param members the other controllers of the fleet
  * @param cloudAddr the cloud's interface
  * @param stateAddr the state service
  * @param teams by name, in the order of names
--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -131,15 +131,15 @@
 
   private RolloutCoordinator newRolloutCoordinator(RolloutSetup setup) {
     List<ControllerName> members = new ArrayList<>();
-    members.add(context.config.label());
-    context.config.members().forEach(member -> members.add(member.label()));
+    members.add(context.config().label());
+    context.config().members().forEach(member -> members.add(member.label()));
     return new RolloutCoordinator(
         new StepLeaderEnvironment(context),
         election,
         setup.settings(),
         setup.announcement(),
         members,
-        context.tuning.renewMs());
+        context.settings().renewMs());
   }
 
   /**
@@ -173,7 +173,7 @@
       context.error(
           "settings.cancellation.unsafe cancel_s=%.1f lease_s=%.1f"
               + " effect=\"without the state service cancelled tasks may outlast cancel_s\"",
-          context.config.workers().cancelS(), context.config.workers().leaseS());
+          context.config().workers().cancelS(), context.config().workers().leaseS());
     }
   }
 
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -99,7 +99,7 @@
   private void send() {
     MonotonicTime sentAt = context.now();
     ControllerName to = election.leader();
-    int interval = context.tuning.renewMs();
+    int interval = context.settings().renewMs();
     scheduleIn(interval - interval / 10 + context.random().nextInt(interval / 5 + 1));
     Heartbeat heartbeat = compose();
     if (election.holding()) {
@@ -129,8 +129,8 @@
       scheduleIn(NEWS_MS);
     }
     return new Heartbeat(
-        context.config.label(),
-        context.writer,
+        context.config().label(),
+        context.writer(),
         context.stateOk(),
         assignments.version(),
         reports,
@@ -170,7 +170,7 @@
       }
     }
     int served = shards.countServed();
-    context.allotStoreBudget((double) served / context.tuning.shards(), election.holding());
+    context.allotStoreBudget((double) served / context.settings().shards(), election.holding());
     shards.updateMachines(answer);
     if (isNews && shards.hasCapacityRequests()) {
       // The leader takes requests for machines only from an owner that knows the last assignments:
--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -108,7 +108,7 @@
     ShardOwner shardOwner = shardOwners.get(owner.shard());
     if (shardOwner != null
         && owner.epoch().isAbove(shardOwner.epoch())
-        && !owner.controller().equals(context.config.label())) {
+        && !owner.controller().equals(context.config().label())) {
       giveUp(owner.shard(), "owner is " + owner.controller() + " at epoch " + owner.epoch());
     }
   }
--- a/src/main/java/shorecrank/coordination/OwnerTable.java
+++ b/src/main/java/shorecrank/coordination/OwnerTable.java
@@ -56,7 +56,7 @@
   /** The label of the shard's owner if that is known and is another controller. */
   Optional<ControllerName> findOther(ShardId shard) {
     OwnerInfo owner = owners.get(shard);
-    if (owner == null || owner.controller().equals(context.config.label())) {
+    if (owner == null || owner.controller().equals(context.config().label())) {
       return Optional.empty();
     }
     return Optional.of(owner.controller());
--- a/src/main/java/shorecrank/coordination/RequestForwarder.java
+++ b/src/main/java/shorecrank/coordination/RequestForwarder.java
@@ -44,8 +44,8 @@
       return false;
     }
     ControllerName to = election.leader();
-    if (to == null || to.equals(context.config.label())) {
-      List<Member> others = context.config.members();
+    if (to == null || to.equals(context.config().label())) {
+      List<Member> others = context.config().members();
       if (others.isEmpty()) {
         return false;
       }
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -108,7 +108,7 @@
   /** A held heartbeat keeps its connection, and there are no more than sockets. */
   private boolean mayHold(HeldHeartbeat received) {
     return context.now().since(received.receivedAt) < MAX_HOLD_MS
-        && held.size() < context.config.limits().sockets();
+        && held.size() < context.config().limits().sockets();
   }
 
   private void redirectUnassigned(HeldHeartbeat received) {
@@ -117,7 +117,7 @@
         new MachineInfo(heartbeat.machine(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
     heartbeats.requestSoon();
     ControllerName leader = election.leader();
-    redirect(received, leader == null || leader.equals(context.config.label()) ? null : leader);
+    redirect(received, leader == null || leader.equals(context.config().label()) ? null : leader);
   }
 
   /** Sends the worker elsewhere; null if it is not known where. */
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -103,7 +103,7 @@
       revisions.put(entry.key(), entry.revision());
       MachineRecordCodec.readEach(
           entry.value(),
-          context.tuning.shards(),
+          context.settings().shards(),
           assignment ->
               assignment.ifPresentOrElse(
                   assignments::add,
@@ -161,7 +161,8 @@
 
   /** The values of a bucket that holds these machines. */
   BucketValues values(int bucket, List<StoredAssignment> machines) {
-    return BucketValues.of(bucket, machines, revisions.keySet(), context.config.state().valueKb());
+    return BucketValues.of(
+        bucket, machines, revisions.keySet(), context.config().state().valueKb());
   }
 
   /** Adds guarded writes of values to a transaction. */
@@ -178,10 +179,10 @@
       return;
     }
     Batch batch = nextBatch(machines);
-    if (!context.writes.has(batch.values().size(), now)) {
+    if (!context.writeBudget().has(batch.values().size(), now)) {
       return;
     }
-    context.writes.take(batch.values().size(), now);
+    context.writeBudget().take(batch.values().size(), now);
     saving = true;
     saveAt = now.plus(SAVE_PAUSE_MS);
     unsaved.removeAll(batch.buckets().keySet());
@@ -211,7 +212,9 @@
       }
     }
     int maxValues =
-        (int) Math.max(1, Math.min(context.config.state().txnOps(), context.writes.rate() / 2));
+        (int)
+            Math.max(
+                1, Math.min(context.config().state().txnOps(), context.writeBudget().rate() / 2));
     Batch batch = new Batch(new TreeMap<>(), new TreeMap<>());
     int bytes = 0;
     for (Map.Entry<Integer, List<AssignedMachine>> entry : byBucket.entrySet()) {
--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -64,7 +64,7 @@
 
   CloudClient(StepContext context) {
     this.context = context;
-    this.calls = new RateLimiter(context.config.cloud().rps() * RATE_SHARE);
+    this.calls = new RateLimiter(context.config().cloud().rps() * RATE_SHARE);
   }
 
   /** Takes one call out of the rate limit, if it is there. */
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -54,12 +54,13 @@
   /** Whether a controller could serve a shard: it is heard and reaches the state service. */
   boolean canServe(ControllerState controller) {
     return controller.isStateOk()
-        && controller.silentMs(context.now()) <= context.tuning.renewMs() * 2L + SERVING_MARGIN_MS;
+        && controller.silentMs(context.now())
+            <= context.settings().renewMs() * 2L + SERVING_MARGIN_MS;
   }
 
   /** Whether a controller other than {@code except} reaches the state service. */
   boolean isStateOkElsewhere(ControllerName except) {
-    if (!except.equals(context.config.label()) && context.stateOk()) {
+    if (!except.equals(context.config().label()) && context.stateOk()) {
       return true;
     }
     for (Map.Entry<ControllerName, ControllerState> entry : controllers.entrySet()) {
@@ -75,11 +76,11 @@
 
   /** The zone of a controller; that of this one if it is not configured. */
   String zoneOf(ControllerName controller) {
-    for (Member member : context.config.members()) {
+    for (Member member : context.config().members()) {
       if (member.label().equals(controller)) {
         return member.location();
       }
     }
-    return context.config.zone();
+    return context.config().zone();
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -215,7 +215,7 @@
   private void handleFound(Entry entry) {
     watchedRevision = entry.revision().value();
     observe(LeaderNameCodec.readLeader(entry.value()), entry.revision());
-    boolean ownName = context.config.label().equals(leader);
+    boolean ownName = context.config().label().equals(leader);
     if (!ownName || entry.grantId() <= 0) {
       enter(State.WATCHING, 0);
       return;
@@ -295,7 +295,7 @@
     callUnderWay = true;
     MonotonicTime sent = context.now();
     grants.create(
-        context.tuning.leaderTtlMs(),
+        context.settings().leaderTtlMs(),
         created -> {
           if (created.isPresent()) {
             takeKey(created.getAsLong(), sent);
@@ -327,38 +327,40 @@
     callUnderWay = false;
     state = State.LEADING;
     grant = newGrant;
-    leader = context.config.label();
+    leader = context.config().label();
     term = committed.revision();
     namingRevision = term;
     watchedRevision = term.value();
     validUntil = validUntil(grantSent);
-    renewAt = context.now().plus(context.tuning.leaderTtlMs() / RENEWALS_PER_TTL);
+    renewAt = context.now().plus(context.settings().leaderTtlMs() / RENEWALS_PER_TTL);
     context.info("leader.elected term=%s", term);
     context.count("leader.elected");
   }
 
   /** Writes this process's name to a key that hangs on its grant. */
   private void writeName(Transaction transaction, String key, long ofGrant) {
-    transaction.write(key, LeaderNameCodec.write(context.config.label(), context.writer), ofGrant);
+    transaction.write(
+        key, LeaderNameCodec.write(context.config().label(), context.writer()), ofGrant);
   }
 
   /** Writes to {@link #KEY} that this process leads by the other key, at a feature level. */
   private void writeMovedName(Transaction transaction, FeatureLevel at) {
     transaction.write(
-        KEY, LeaderNameCodec.writeMoved(context.config.label(), context.writer, PROTECTED_KEY, at));
+        KEY,
+        LeaderNameCodec.writeMoved(context.config().label(), context.writer(), PROTECTED_KEY, at));
   }
 
   // ---- leading ---------------------------------------------------------------------------------
 
   private MonotonicTime validUntil(MonotonicTime grantSent) {
-    long ttlMs = context.tuning.leaderTtlMs();
+    long ttlMs = context.settings().leaderTtlMs();
     return grantSent.plus(ttlMs - ttlMs / DRIFT_DIVISOR - VALIDITY_MARGIN_MS);
   }
 
   private void renew() {
     MonotonicTime sent = context.now();
     long renewed = grant;
-    renewAt = sent.plus(context.tuning.leaderTtlMs() / RENEWALS_PER_TTL);
+    renewAt = sent.plus(context.settings().leaderTtlMs() / RENEWALS_PER_TTL);
     grants.renew(
         renewed,
         renewal -> {
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -177,7 +177,7 @@
         mint.id(), owner.epoch(), owner.controller(), mint.writer());
     context.count("epoch.minted");
     // The owner begins at once, and the others can tell the workers where to go.
-    for (Member member : context.config.members()) {
+    for (Member member : context.config().members()) {
       context.peer(
           member.label(), PeerPaths.HEARTBEAT_NOW, Json.object(), NUDGE_MS, (status, body) -> {});
     }
--- a/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -42,7 +42,7 @@
       if (shard.isOwnedBy(heartbeat.sender())
           && mayRenew(entry.getKey(), shard, heartbeat, sender)) {
         shard.renewLease(shards.leaseBound());
-        leases.add(new Lease(entry.getKey(), shard.epoch(), context.tuning.leaseMs()));
+        leases.add(new Lease(entry.getKey(), shard.epoch(), context.settings().leaseMs()));
       }
     }
     return leases;
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -172,7 +172,7 @@
     if (store.isSaving()) {
       return Optional.empty();
     }
-    int maxOperations = context.config.state().txnOps() - otherOperations;
+    int maxOperations = context.config().state().txnOps() - otherOperations;
     MachineTransfer transfer = new MachineTransfer(this, store, otherBytes);
     assignments.forEach(
         (name, next) -> {
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListing.java
@@ -159,13 +159,13 @@
     if (machines.size() == 0) {
       return EMPTY_PAUSE_MS;
     }
-    double callsPerMs = context.config.cloud().rps() * CALL_SHARE / MS_PER_S;
+    double callsPerMs = context.config().cloud().rps() * CALL_SHARE / MS_PER_S;
     return Math.max(PAUSE_MS, (long) (pages / callsPerMs));
   }
 
   private void compareAll(Collection<ListedMachine> listed) {
     MonotonicTime now = context.now();
-    long lagMs = (long) (context.config.cloud().listLagS() * 2 * MS_PER_S) + LAG_MARGIN_MS;
+    long lagMs = (long) (context.config().cloud().listLagS() * 2 * MS_PER_S) + LAG_MARGIN_MS;
     listed.forEach(machine -> compareOne(machine, lagMs, now));
     returnUnlisted(lagMs);
     releases.forgetOld(now);
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -80,7 +80,7 @@
   }
 
   private int maxRequested() {
-    double calls = context.config.cloud().rps() * REQUEST_HORIZON_S;
+    double calls = context.config().cloud().rps() * REQUEST_HORIZON_S;
     return (int) Math.max(1, calls) * CloudMessages.MAX_RENT;
   }
 
--- a/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
@@ -83,7 +83,7 @@
    * Shards are spread over controllers first, then over zones.
    */
   private int load(ShardState shard, ControllerName candidate) {
-    int load = candidate.equals(context.config.label()) ? LEADER_LOAD : 0;
+    int load = candidate.equals(context.config().label()) ? LEADER_LOAD : 0;
     String zone = controllers.zoneOf(candidate);
     ControllerName unreached = shard.unreachedOwner();
     if (unreached != null && shard.sinceMovedMs(context.now()) < AVOID_MS) {
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -35,7 +35,7 @@
   /** Starts anew with all shards vacant. */
   void reset() {
     shards.clear();
-    for (int i = 0; i < context.tuning.shards(); i++) {
+    for (int i = 0; i < context.settings().shards(); i++) {
       shards.put(new ShardId(i), new ShardState());
     }
   }
@@ -97,7 +97,7 @@
 
   /** Until when a lease that is granted now may run, by the clock of this process. */
   MonotonicTime leaseBound() {
-    int leaseMs = context.tuning.leaseMs();
+    int leaseMs = context.settings().leaseMs();
     return context.now().plus(leaseMs + leaseMs / DRIFT_DIVISOR + LEASE_MARGIN_MS);
   }
 
@@ -107,7 +107,7 @@
    * expired lease say anything about its owner.
    */
   void awaitOwners() {
-    MonotonicTime heardBy = context.now().plus(context.tuning.renewMs() * OWNER_HEARTBEATS);
+    MonotonicTime heardBy = context.now().plus(context.settings().renewMs() * OWNER_HEARTBEATS);
     for (ShardState shard : shards.values()) {
       shard.extendLease(heardBy);
     }
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -58,7 +58,7 @@
             gate,
             this,
             settings,
-            List.copyOf(context.config.teams().keySet()),
+            List.copyOf(context.config().teams().keySet()),
             this::reasonsAgainstMoves);
   }
 
@@ -127,7 +127,7 @@
 
   @Override
   public int shards() {
-    return context.tuning.shards();
+    return context.settings().shards();
   }
 
   @Override
@@ -202,7 +202,7 @@
     Map<MachineName, NextAssignment> next = new TreeMap<>();
     assignments.forEach(
         (name, shard) -> next.put(name, new NextAssignment(shard, shards.epoch(shard))));
-    int valueBytes = (int) (context.config.state().valueKb() * BYTES_PER_KB);
+    int valueBytes = (int) (context.config().state().valueKb() * BYTES_PER_KB);
     return machines
         .prepare(next, OTHER_OPERATIONS, valueBytes)
         .map(DirectoryHandover::new)
--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -1,6 +1,5 @@
 package shorecrank.coordination.leader;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.protocol.Ids.MonotonicTime;
@@ -33,40 +32,35 @@
     return context.store();
   }
 
-  @Override
-  public void state(String method, String path, JsonNode body, OnAnswer then) {
-    context.state(method, path, body, CALL_MS, then::answer);
-  }
-
   @Override
   public boolean hasWrites(int changes) {
-    return context.writes.has(changes, context.now());
+    return context.writeBudget().has(changes, context.now());
   }
 
   @Override
   public boolean takeWrites(int changes) {
-    return context.writes.tryTake(changes, context.now());
+    return context.writeBudget().tryTake(changes, context.now());
   }
 
   @Override
   public boolean takeRequest() {
     // Only asked here: the call itself takes the request out of the rate limit.
-    return context.requests.has(1, context.now());
+    return context.requestBudget().has(1, context.now());
   }
 
   @Override
   public double changesPerSecond() {
-    return context.config.state().writeRps();
+    return context.config().state().writeRps();
   }
 
   @Override
   public int transactionOperations() {
-    return context.config.state().txnOps();
+    return context.config().state().txnOps();
   }
 
   @Override
   public int valueBytes() {
-    return (int) (context.config.state().valueKb() * BYTES_PER_KB);
+    return (int) (context.config().state().valueKb() * BYTES_PER_KB);
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -114,14 +114,14 @@
     this.jobListener = jobListener;
     this.ownerListener = ownerListener;
     // Each confirmation is a change in the state service, which takes so many a second.
-    double changesPerS = context.config.state().writeRps();
+    double changesPerS = context.config().state().writeRps();
     int mostKept = (int) Math.max(LEAST_KEPT, changesPerS * KEPT_S);
     double evidenceS = context.evidenceMs() / MS_PER_S + OVERLAP_S;
     this.mostAsked =
         (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, changesPerS * evidenceS);
     this.history = new ConfirmationHistory(mostKept);
     this.known = Caffeine.newBuilder().maximumSize(mostKept).executor(Runnable::run).build();
-    for (NodeConfig.Member member : context.config.members()) {
+    for (NodeConfig.Member member : context.config().members()) {
       peers.put(member.label(), new Peer());
     }
   }
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -111,7 +111,7 @@
   private boolean isOverdue(Machine machine) {
     long redirectMs = machine.session().lastHeard().isBefore(grantedAt) ? REDIRECT_MS : 0;
     return silentMs(machine)
-        > context.config.workers().reportS() * OVERDUE_MS_PER_S + OVERDUE_MARGIN_MS + redirectMs;
+        > context.config().workers().reportS() * OVERDUE_MS_PER_S + OVERDUE_MARGIN_MS + redirectMs;
   }
 
   /** Whether a silent machine's worker has surely killed its tasks, since its lease ran out. */
@@ -119,12 +119,12 @@
     MonotonicTime from = machine.session().lastHeard();
     if (!machine.session().isConfirmed()) {
       // An earlier owner may have gone on renewing it until its grace period was over.
-      long graceMs = context.tuning.graceMs();
+      long graceMs = context.settings().graceMs();
       MonotonicTime graceEnd =
           grantedAt.plus(graceMs + graceMs / GRACE_DRIFT_DIVISOR + TIMER_MARGIN_MS);
       from = from.isBefore(graceEnd) ? graceEnd : from;
     }
-    double leaseMs = context.config.workers().leaseS() * MS_PER_S;
+    double leaseMs = context.config().workers().leaseS() * MS_PER_S;
     return context.now().since(from) > leaseMs * LEASE_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
 
@@ -138,6 +138,6 @@
   public boolean isFresh(Machine machine) {
     return machine.session().isReconciled()
         && silentMs(machine)
-            < context.config.workers().reportS() * FRESH_MS_PER_S + FRESH_MARGIN_MS;
+            < context.config().workers().reportS() * FRESH_MS_PER_S + FRESH_MARGIN_MS;
   }
 }
--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -66,7 +66,7 @@
   private void cancelStored(UserRequest request, JobId id, StoredJob job, int attemptsLeft) {
     if (!(job instanceof Unfinished unfinished) || unfinished.record().cancelled()) {
       knownJobs.state(request, id, job);
-    } else if (context.userWrites.tryTake(1, context.now())) {
+    } else if (context.userWriteBudget().tryTake(1, context.now())) {
       mark(request, id, unfinished, Form.PLAIN, attemptsLeft);
     } else {
       replies.later(request, RetryReason.NO_WRITES_LEFT);
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -79,7 +79,7 @@
         if (isSeenLately(id)) {
           continue;
         }
-        if (!context.requests.has(1, context.now())) {
+        if (!context.requestBudget().has(1, context.now())) {
           end(new Result.OutOfBudget());
           return;
         }
--- a/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
+++ b/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
@@ -55,7 +55,7 @@
             false,
             context.wallMs(),
             0);
-    double limit = context.config.state().valueKb() * BYTES_PER_KB;
+    double limit = context.config().state().valueKb() * BYTES_PER_KB;
     ObjectNode value = record.write();
     int bytes = Json.bytes(value).length;
     if (spec.dependencies().isEmpty()) {
--- a/src/main/java/shorecrank/coordination/request/JobLookup.java
+++ b/src/main/java/shorecrank/coordination/request/JobLookup.java
@@ -45,7 +45,7 @@
 
   /** Notes which shard the job belongs to. */
   void rememberShard(JobSpec spec) {
-    shards.put(spec.id(), ShardId.of(spec.team(), context.tuning.shards()));
+    shards.put(spec.id(), ShardId.of(spec.team(), context.settings().shards()));
   }
 
   /** The shard of a job that was seen here. */
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -57,7 +57,8 @@
           request.reply(),
           NOT_FOUND,
           Json.error(
-              "%s are not enabled on %s (%s)".formatted(feature, context.config.label(), option)));
+              "%s are not enabled on %s (%s)"
+                  .formatted(feature, context.config().label(), option)));
     }
     return isEnabled;
   }
@@ -75,10 +76,10 @@
     ControllerName leader = election.leader();
     if (election.holding()) {
       here.run();
-    } else if (leader == null || leader.equals(context.config.label())) {
+    } else if (leader == null || leader.equals(context.config().label())) {
       unknown(request, "no controller leads now");
     } else if (OperatorRequestCodec.isForwarded(Json.parse(request.body()))) {
-      unknown(request, context.config.label() + " does not lead any more");
+      unknown(request, context.config().label() + " does not lead any more");
     } else {
       forward(request, path, leader);
     }
@@ -116,7 +117,7 @@
    */
   <S> void replyStatus(Input.Request request, S status, MessageEncoder<S> encoder, String subject) {
     if (status == null) {
-      unknown(request, "the leader, " + context.config.label() + ", can't read the " + subject);
+      unknown(request, "the leader, " + context.config().label() + ", can't read the " + subject);
     } else {
       context.reply(request.reply(), OK, encoder.encode(status));
     }
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -100,7 +100,8 @@
         READ_TIMEOUT_MS,
         request.reply(),
         () ->
-            leader.unknown(request, context.config.label() + " does not reach the state service"));
+            leader.unknown(
+                request, context.config().label() + " does not reach the state service"));
   }
 
   private static boolean isReadable(KeysQuery query) {
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -95,7 +95,7 @@
    */
   private void dependenciesChecked(Submission submission, Result result) {
     if (result instanceof Result.Accepted accepted) {
-      if (context.userWrites.tryTake(1, context.now())) {
+      if (context.userWriteBudget().tryTake(1, context.now())) {
         JobState state = accepted.hasCancelled() ? JobState.CANCELLED : JobState.QUEUED;
         create(submission, state, CREATE_ATTEMPTS);
       } else {
--- a/src/main/java/shorecrank/coordination/request/SubmissionRules.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionRules.java
@@ -29,7 +29,7 @@
 
   /** Why the job can never run; empty if it can. */
   Optional<String> findObstacle(JobSpec spec) {
-    Team team = context.config.teams().get(spec.team());
+    Team team = context.config().teams().get(spec.team());
     if (team == null) {
       return Optional.of("unknown team " + spec.team());
     }
--- a/src/main/java/shorecrank/coordination/request/UserReplies.java
+++ b/src/main/java/shorecrank/coordination/request/UserReplies.java
@@ -93,7 +93,7 @@
    * @return whether a request is left, so that the user has yet to be answered
    */
   boolean requireRequestBudget(UserRequest request) {
-    if (context.requests.has(1, context.now())) {
+    if (context.requestBudget().has(1, context.now())) {
       return true;
     }
     later(request, RetryReason.NO_REQUESTS_LEFT);
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -96,7 +96,7 @@
     for (TaskAttempt attempt : machine.attempts()) {
       JobSpec spec = attempt.job().spec();
       double remainingS = attempt.remainingSeconds(context.now());
-      double heartbeatS = context.config.workers().reportS();
+      double heartbeatS = context.config().workers().reportS();
       double moveS = spec.checkpointDurationS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
       if (attempt.canMoveByCheckpoint()
           && attempt.runSeconds(context.now()) > Autoscaler.SETTLED_S) {
--- a/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilence.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilence.java
@@ -78,7 +78,7 @@
    * lease's time to find their way back.
    */
   boolean mayExplain(Machine machine) {
-    double leaseMs = context.config.workers().leaseS() * MS_PER_S;
+    double leaseMs = context.config().workers().leaseS() * MS_PER_S;
     MonotonicTime zoneSilence =
         machine.info() == null
             ? MonotonicTime.NEVER
--- a/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
@@ -29,7 +29,7 @@
     Job job = demand.job();
     int tasks = demand.tasks();
     double runS = Math.max(SHORTEST_RUN_S, job.spec().estimateS());
-    double parallel = Math.min(tasks, Math.ceil(tasks * runS / context.tuning.clearS()));
+    double parallel = Math.min(tasks, Math.ceil(tasks * runS / context.settings().clearS()));
     return parallel * cpuEquivalent(job.spec(), shard.catalog());
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -84,7 +84,7 @@
     ArrayDeque<JobId> next = new ArrayDeque<>(pending);
     while (!next.isEmpty()
         && inFlight.size() < MAX_IN_FLIGHT
-        && context.requests.has(1, context.now())) {
+        && context.requestBudget().has(1, context.now())) {
       JobId id = next.poll();
       if (!isNeeded.test(id)) {
         pending.remove(id);
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -105,9 +105,9 @@
                     spec,
                     wanted,
                     zone,
-                    new BinPacking.Clock(context.now(), context.config.workers().reportS())),
+                    new BinPacking.Clock(context.now(), context.config().workers().reportS())),
                 candidates,
-                context.tuning.sampleSize(),
+                context.settings().sampleSize(),
                 context.random());
         if (machine == null) {
           return;
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -77,7 +77,7 @@
       // Too late to start in time: nothing is won by what others would lose.
       return false;
     }
-    double heartbeatS = context.config.workers().reportS();
+    double heartbeatS = context.config().workers().reportS();
     return waitedS
         > targetS - longestFetchS(job.spec()) - COMMAND_HEARTBEATS * heartbeatS - COMMAND_MARGIN_S;
   }
@@ -153,7 +153,7 @@
   private Victims cheapestVictims(Job job, String zone) {
     JobSpec spec = job.spec();
     MonotonicTime now = context.now();
-    double heartbeatS = context.config.workers().reportS();
+    double heartbeatS = context.config().workers().reportS();
     double mostLostWork = WORTH * spec.cpus() * Math.max(SHORTEST_RUN_S, spec.estimateS());
     Victims best = Victims.NONE;
     double bestCost = Double.MAX_VALUE;
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -111,12 +111,12 @@
   }
 
   private double earliestReleaseMs() {
-    double heartbeatMs = context.config.workers().reportS() * MS_PER_S;
+    double heartbeatMs = context.config().workers().reportS() * MS_PER_S;
     return SILENT_HEARTBEATS * heartbeatMs + SILENT_MARGIN_MS;
   }
 
   private double leaseMs() {
-    return context.config.workers().leaseS() * MS_PER_S;
+    return context.config().workers().leaseS() * MS_PER_S;
   }
 
   private boolean isUnresponsive(Machine machine) {
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -136,8 +136,8 @@
   public SchedulingQueue(StepContext context, DependencyGraph dependencies) {
     this.context = context;
     this.dependencies = dependencies;
-    this.objectives = new ServiceObjectives(context.config.objectives());
-    this.guarantees = new TeamGuarantees(context.config.teams());
+    this.objectives = new ServiceObjectives(context.config().objectives());
+    this.guarantees = new TeamGuarantees(context.config().teams());
   }
 
   /** Whether users of the job's class wait for the start of its tasks. */
@@ -306,7 +306,7 @@
     return new Duration(
         job.spec().imageGb() / Math.max(LEAST_FETCH_GB_PER_S, fetchGbPerS),
         // On average a command waits for half the time between two heartbeats.
-        context.config.workers().reportS() / 2,
+        context.config().workers().reportS() / 2,
         Math.max(LEAST_RUN_S, job.spec().estimateS()));
   }
 
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -85,7 +85,8 @@
         && unanswered < mostUnanswered()
         && session.isReconciled()
         && session.acceptsDirectCommands(lease.epoch())
-        && session.secondsToNextAnswer(context.now(), context.config.workers().reportS()) * MS_PER_S
+        && session.secondsToNextAnswer(context.now(), context.config().workers().reportS())
+                * MS_PER_S
             >= SOON_MS;
   }
 
@@ -117,6 +118,6 @@
 
   /** Connections to workers come out of what is left beside those of users, workers and peers. */
   private int mostUnanswered() {
-    return Math.max(LEAST_CONNECTIONS, context.config.limits().sockets() / SOCKET_DIVISOR);
+    return Math.max(LEAST_CONNECTIONS, context.config().limits().sockets() / SOCKET_DIVISOR);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -62,7 +62,7 @@
 
   /** What is known of a task now; asks for what is not. With one shard only there is no other. */
   Verdict verdict(MachineName machine, TaskAttemptId run) {
-    if (context.tuning.shards() == 1) {
+    if (context.settings().shards() == 1) {
       return Verdict.UNCLAIMED;
     }
     Lookup lookup = lookups.get(run.job());
@@ -93,7 +93,7 @@
   }
 
   private void ask(JobId job, Lookup lookup) {
-    if (lookup.busy || !context.requests.has(1, context.now())) {
+    if (lookup.busy || !context.requestBudget().has(1, context.now())) {
       return;
     }
     lookup.busy = true;
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -66,7 +66,8 @@
     boolean freed = reconcile(machine, heartbeat, isConsecutive);
     if (!mayCommand) {
       replies.renewOnly(reply, machine, heartbeat);
-    } else if ((freed || HeartbeatReplies.awaitsCommit(machine)) && context.tuning.parkMs() > 0) {
+    } else if ((freed || HeartbeatReplies.awaitsCommit(machine))
+        && context.settings().parkMs() > 0) {
       // What has just come free can be used again in this very answer, once that is written; and
       // what is being written for this machine need not wait for its next heartbeat.
       replies.defer(reply, machine);
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -68,7 +68,7 @@
 
   /** Defers a reply until the next commits, or so long at the most as settings allow. */
   void defer(long reply, Machine machine) {
-    machine.session().deferReply(reply, context.now().plus(context.tuning.parkMs()));
+    machine.session().deferReply(reply, context.now().plus(context.settings().parkMs()));
     deferred.add(machine);
     roundPending = true;
   }
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -152,7 +152,7 @@
       } else if (job.record().isWritable(now)
           && (urgency == WriteUrgency.NOW
               || job.isOver()
-              || now.since(job.record().urgentSince()) >= context.tuning.mergeMs())) {
+              || now.since(job.record().urgentSince()) >= context.settings().mergeMs())) {
         due.add(job);
       }
     }
@@ -174,7 +174,7 @@
 
   /** What a failover has to claim comes before new placements, with all that the service takes. */
   private RateLimiter limiter(Job job) {
-    return job.record().isFreeOfEarlierOwner() ? context.writes : context.userWrites;
+    return job.record().isFreeOfEarlierOwner() ? context.writeBudget() : context.userWriteBudget();
   }
 
   // ---- transactions ----------------------------------------------------------------------------
@@ -196,7 +196,7 @@
               && (job.record().isSeparate() || writes.get(0).job().record().isSeparate());
       int operations = operations(job);
       return !mustStandAlone
-          && transaction.operationCount() + operations <= context.config.state().txnOps()
+          && transaction.operationCount() + operations <= context.config().state().txnOps()
           && (bytes == 0 || bytes + maxValueBytes() <= StoreMessages.TXN_FILL_BYTES)
           && limiter(job).has(operations, now);
     }
@@ -233,11 +233,11 @@
     private int addRecord(Job job, String key) {
       Form form = form(job);
       double maxBytes = maxValueBytes();
-      JobRecord record = job.toRecord(lease.epoch(), context.writer);
+      JobRecord record = job.toRecord(lease.epoch(), context.writer());
       EncodedRecord encoded = RecordValueCodec.encode(record, form);
       if (encoded.boundBytes() > maxBytes * FULL_SHARE) {
         shrink(job);
-        record = job.toRecord(lease.epoch(), context.writer);
+        record = job.toRecord(lease.epoch(), context.writer());
         encoded = RecordValueCodec.encode(record, form);
       }
       // A record without an attempt range always takes one: else its job would never run.
@@ -255,7 +255,7 @@
   }
 
   private double maxValueBytes() {
-    return context.config.state().valueKb() * BYTES_PER_KB;
+    return context.config().state().valueKb() * BYTES_PER_KB;
   }
 
   /** What was not yet written is taken back: no command has been given for it. */
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -153,7 +153,7 @@
     }
     double within = 0;
     for (Map.Entry<String, Double> e : asked.entrySet()) {
-      NodeConfig.Team team = context.config.teams().get(e.getKey());
+      NodeConfig.Team team = context.config().teams().get(e.getKey());
       within += team == null ? 0 : Math.min(team.cpus(), e.getValue());
     }
     return within;
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -41,7 +41,7 @@
 
   /** Whether a team's jobs are of the shard. */
   boolean isOfShard(String team) {
-    return ShardId.of(team, context.tuning.shards()).equals(shard);
+    return ShardId.of(team, context.settings().shards()).equals(shard);
   }
 
   /** The current epoch. */
@@ -129,22 +129,22 @@
    */
   boolean isInGrace(boolean isAlone, boolean missesManyWorkers) {
     long overMs = context.now().since(validUntil);
-    if (overMs < 0 || overMs >= context.tuning.graceMs()) {
+    if (overMs < 0 || overMs >= context.settings().graceMs()) {
       return false;
     }
     if (context.stateOk()) {
       // The store is there, so a leader soon will be: as long as an election and a heartbeat take,
       // counted from the end of an outage.
       long thereMs = Math.min(overMs, context.now().since(context.stateOkSince()));
-      return thereMs < context.tuning.leaderTtlMs() + ELECTION_MS;
+      return thereMs < context.settings().leaderTtlMs() + ELECTION_MS;
     }
-    return !isAlone || missesManyWorkers || overMs < context.tuning.leaseMs() * 2L;
+    return !isAlone || missesManyWorkers || overMs < context.settings().leaseMs() * 2L;
   }
 
   /** Whether a record is another owner's: of a higher epoch, or of this one but another process. */
   boolean isRefusedBy(JobRecord record) {
     return record.epoch().isAbove(epoch)
-        || (record.epoch().equals(epoch) && !record.writer().equals(context.writer));
+        || (record.epoch().equals(epoch) && !record.writer().equals(context.writer()));
   }
 
   /** A record of another owner has refused this one's writes. */
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -82,13 +82,13 @@
     this.context = context;
     this.cancellations = cancellations;
     this.lease = new ShardLease(context, shard, epoch);
-    boolean isOnlyShard = context.tuning.shards() == 1;
+    boolean isOnlyShard = context.settings().shards() == 1;
     MachineReferences references =
         isOnlyShard ? MachineReferences.disabled() : new MachineReferences();
     ForeignTasks foreign = new ForeignTasks(context, lease);
     this.machines = new MachineRegistry(context, lease, references, foreign, new MachineTasks());
     this.liveness = new WorkerLiveness(context, machines.machines().values(), grantedAt);
-    TeamQuotas quotas = new TeamQuotas(context.config.teams(), machines.machines().values());
+    TeamQuotas quotas = new TeamQuotas(context.config().teams(), machines.machines().values());
     this.jobs = new ShardJobs(context, quotas);
     this.dependencies =
         new DependencyGraph(context, jobs.all(), cancellations, this::cancelWithDependency);
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -157,7 +157,7 @@
   }
 
   private int mostGuards() {
-    return context.config.state().txnOps() * GUARDS_PER_OPERATION;
+    return context.config().state().txnOps() * GUARDS_PER_OPERATION;
   }
 
   private void compare(Map<JobId, List<StatusCallback>> queries, int comparisonsLeft) {
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -23,24 +23,9 @@
 public final class StepContext {
   private static final String CHANGES_FIELD = "apply";
 
-  /** The service's configuration. */
-  public final NodeConfig config;
-
-  /** The program's settings. */
-  public final Settings tuning;
-
-  /** The name of this process. */
-  public final WriterId writer;
-
-  /** The requests that may be sent to the state service. */
-  public final RateLimiter requests;
-
-  /** The changes that may be sent to the state service. */
-  public final RateLimiter writes;
-
-  /** Changes that users wait for: these may use all that the state service takes. */
-  public final RateLimiter userWrites;
-
+  private final NodeConfig config;
+  private final Settings settings;
+  private final WriterId writer;
   private final StoreBudget budget;
   private final CancellationEvidence cancellationEvidence;
   private final PendingCalls calls = new PendingCalls();
@@ -56,16 +41,13 @@
   private long lives;
 
   /** Creates the context of a process before its first step. */
-  public StepContext(NodeConfig config, Settings tuning, WriterId writer) {
+  public StepContext(NodeConfig config, Settings settings, WriterId writer) {
     this.config = config;
-    this.tuning = tuning;
+    this.settings = settings;
     this.writer = writer;
     this.budget = new StoreBudget(config);
-    this.requests = budget.requests();
-    this.writes = budget.writes();
-    this.userWrites = budget.userWrites();
     this.cancellationEvidence = new CancellationEvidence(config);
-    this.storeReachability = new StoreReachability(tuning.stateFreshMs());
+    this.storeReachability = new StoreReachability(settings.stateFreshMs());
   }
 
   // ---- the step ----------------------------------------------------------------------------
@@ -91,6 +73,36 @@
     return outputs.take();
   }
 
+  /** The service's configuration. */
+  public NodeConfig config() {
+    return config;
+  }
+
+  /** The program's settings. */
+  public Settings settings() {
+    return settings;
+  }
+
+  /** The name of this process. */
+  public WriterId writer() {
+    return writer;
+  }
+
+  /** The requests that may be sent to the state service. */
+  public RateLimiter requestBudget() {
+    return budget.requests();
+  }
+
+  /** The changes that may be sent to the state service. */
+  public RateLimiter writeBudget() {
+    return budget.writes();
+  }
+
+  /** Changes that users wait for: these may use all that the state service takes. */
+  public RateLimiter userWriteBudget() {
+    return budget.userWrites();
+  }
+
   /** When the first step of this process began. */
   public MonotonicTime startedAt() {
     return startedAt;
@@ -134,7 +146,7 @@
    * @param body null if there is none
    */
   public void state(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
-    requests.take(1, now);
+    budget.requests().take(1, now);
     count("state.requests");
     if (body != null && body.has(CHANGES_FIELD)) {
       count("state.writes", body.path(CHANGES_FIELD).size());
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -111,7 +111,7 @@
     return switch (status) {
       case OK -> new CommitResult.Committed(new Revision(StoreCodec.readRevision(body)));
       case CONFLICT -> new CommitResult.Conflict(StoreCodec.readFailedKeys(body));
-      case BAD_REQUEST -> new CommitResult.TooLarge(body.toString());
+      case BAD_REQUEST -> new CommitResult.TooLarge(String.valueOf(body));
       default ->
           StoreMessages.isNotCarriedOut(status)
               ? new CommitResult.Refused(status)
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -1,6 +1,5 @@
 package shorecrank.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.storage.StateStore;
 
@@ -8,13 +7,6 @@
  * Time, state service, rate limits, log and metrics, as a state machine of the leader sees them.
  */
 public interface LeaderEnvironment {
-  /** Takes an answer; status 0 means there was none, and the call may still be carried out. */
-  @FunctionalInterface
-  interface OnAnswer {
-    /** Called once, with the HTTP status and the body. */
-    void answer(int status, JsonNode body);
-  }
-
   /** This step's time on the steady clock. */
   MonotonicTime now();
 
@@ -24,9 +16,6 @@
   /** The state service. */
   StateStore store();
 
-  /** Calls the state service by method and path; callers go over to {@link #store()}. */
-  void state(String method, String path, JsonNode body, OnAnswer then);
-
   /** Whether that many changes are left of this controller's share of the write rate. */
   boolean hasWrites(int changes);
 
--- a/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
+++ b/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
@@ -28,7 +28,7 @@
 
   FakeShard(StepContext context) {
     liveness = new WorkerLiveness(context, machines.values(), new MonotonicTime(0));
-    quotas = new TeamQuotas(context.config.teams(), machines.values());
+    quotas = new TeamQuotas(context.config().teams(), machines.values());
   }
 
   /** Adds a machine. */
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -42,13 +42,13 @@
 
   @Test
   void aRefusalForLoadEmptiesTheBudgetsOfThisController() {
-    driver.now(() -> assertTrue(context.requests.has(1, context.now())));
+    driver.now(() -> assertTrue(context.requestBudget().has(1, context.now())));
     readAndAnswer(429);
     driver.now(
         () -> {
-          assertFalse(context.requests.has(1, context.now()));
-          assertFalse(context.writes.has(1, context.now()));
-          assertTrue(context.userWrites.has(1, context.now()));
+          assertFalse(context.requestBudget().has(1, context.now()));
+          assertFalse(context.writeBudget().has(1, context.now()));
+          assertTrue(context.userWriteBudget().has(1, context.now()));
         });
   }
 
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -103,11 +103,6 @@
       return store;
     }
 
-    @Override
-    public void state(String method, String path, JsonNode body, OnAnswer then) {
-      throw new AssertionError("not expected");
-    }
-
     @Override
     public boolean hasWrites(int changes) {
       return true;
