--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -7,6 +7,7 @@
 
 /** Time, state service, rate limits, log and metrics of the controller's steps, for the leader. */
 public final class StepLeaderEnvironment implements LeaderEnvironment {
+  private static final int BYTES_PER_KB = 1024;
 
   private final StepContext context;
 
--- a/src/main/java/shorecrank/rollout/RolloutSetup.java
+++ b/src/main/java/shorecrank/rollout/RolloutSetup.java
@@ -18,14 +18,14 @@
    * @param shares whether shares are enabled too
    */
   public static RolloutSetup of(
-      RolloutSettings settings, String build, Settings tuning, boolean shares) {
-    return of(settings, build, tuning, Feature.supported(shares));
+      RolloutSettings settings, String build, Settings sharedSettings, boolean shares) {
+    return of(settings, build, sharedSettings, Feature.supported(shares));
   }
 
   /** The setup of a build that supports other levels. */
   public static RolloutSetup of(
-      RolloutSettings settings, String build, Settings tuning, LevelRange supported) {
+      RolloutSettings settings, String build, Settings sharedSettings, LevelRange supported) {
     return new RolloutSetup(
-        settings, new Announcement(build, supported, SettingsDigest.of(tuning)));
+        settings, new Announcement(build, supported, SettingsDigest.of(sharedSettings)));
   }
 }
--- a/src/main/java/shorecrank/rollout/SettingsDigest.java
+++ b/src/main/java/shorecrank/rollout/SettingsDigest.java
@@ -9,10 +9,10 @@
   private SettingsDigest() {}
 
   /** The digest, 32 hexadecimal digits: the same wherever the shared settings are the same. */
-  public static String of(Settings tuning) {
+  public static String of(Settings shared) {
     String shared =
         "parts=%d lease_ms=%d leader_ttl_ms=%d grace_ms=%d"
-            .formatted(tuning.shards(), tuning.leaseMs(), tuning.leaderTtlMs(), tuning.graceMs());
+            .formatted(shared.shards(), shared.leaseMs(), shared.leaderTtlMs(), shared.graceMs());
     long[] hash = MurmurHash3.hash128x64(shared.getBytes(StandardCharsets.UTF_8));
     return "%016x%016x".formatted(hash[0], hash[1]);
   }
