--- a/src/main/java/shorecrank/rollout/SettingsDigest.java
+++ b/src/main/java/shorecrank/rollout/SettingsDigest.java
@@ -9,10 +9,11 @@
   private SettingsDigest() {}
 
   /** The digest, 32 hexadecimal digits: the same wherever the shared settings are the same. */
-  public static String of(Settings shared) {
+  public static String of(Settings settings) {
     String shared =
         "parts=%d lease_ms=%d leader_ttl_ms=%d grace_ms=%d"
-            .formatted(shared.shards(), shared.leaseMs(), shared.leaderTtlMs(), shared.graceMs());
+            .formatted(
+                settings.shards(), settings.leaseMs(), settings.leaderTtlMs(), settings.graceMs());
     long[] hash = MurmurHash3.hash128x64(shared.getBytes(StandardCharsets.UTF_8));
     return "%016x%016x".formatted(hash[0], hash[1]);
   }
