--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -11,15 +11,15 @@
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.HeartbeatAnswer;
+import shorecrank.protocol.HeartbeatMessages.Lease;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
+import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.HeartbeatAnswer;
-import shorecrank.protocol.PeerMessages.Lease;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
-import shorecrank.protocol.PeerMessages.ShardReport;
 import shorecrank.rollout.FeatureGate;
 
 /** The shards that this process owns: gained by leases, given up, kept in step with the leader. */
@@ -71,7 +71,7 @@
   /** Advances every shard owner by one round. */
   void tick(Input.RoundBudget budget) {
     for (ShardOwner shardOwner : shardOwners.values()) {
-      shardOwner.tick(budget);
+      shardOwner.runRound(budget);
     }
   }
 
@@ -82,8 +82,8 @@
   MonotonicTime oldestStoreView() {
     MonotonicTime oldest = MonotonicTime.NEVER;
     for (ShardOwner shardOwner : shardOwners.values()) {
-      MonotonicTime seen = shardOwner.storeAsOf();
-      if (oldest == MonotonicTime.NEVER || (seen != MonotonicTime.NEVER && seen.before(oldest))) {
+      MonotonicTime seen = shardOwner.cancellationsKnownUpTo();
+      if (oldest == MonotonicTime.NEVER || (seen != MonotonicTime.NEVER && seen.isBefore(oldest))) {
         oldest = seen;
       }
     }
@@ -98,7 +98,7 @@
   /** The types of machines that can be rented have been read. */
   void updateCatalog(Map<String, MachineType> types) {
     machineTypes = types;
-    shardOwners.values().forEach(shardOwner -> shardOwner.catalog(types));
+    shardOwners.values().forEach(shardOwner -> shardOwner.updateCatalog(types));
   }
 
   // ---- gained and given up -----------------------------------------------------------------
@@ -107,17 +107,17 @@
   void yieldTo(OwnerInfo owner) {
     ShardOwner shardOwner = shardOwners.get(owner.shard());
     if (shardOwner != null
-        && owner.epoch().above(shardOwner.epoch())
-        && !owner.label().equals(context.config.label())) {
-      giveUp(owner.shard(), "owner is " + owner.label() + " at epoch " + owner.epoch());
+        && owner.epoch().isAbove(shardOwner.epoch())
+        && !owner.controller().equals(context.config().label())) {
+      giveUp(owner.shard(), "owner is " + owner.controller() + " at epoch " + owner.epoch());
     }
   }
 
   private void giveUp(ShardId shard, String reason) {
     ShardOwner shardOwner = shardOwners.remove(shard);
     usedEpochs.merge(
-        shard, shardOwner.epoch(), (known, epoch) -> known.above(epoch) ? known : epoch);
-    shardOwner.end(reason);
+        shard, shardOwner.epoch(), (known, epoch) -> known.isAbove(epoch) ? known : epoch);
+    shardOwner.endOwnership(reason);
   }
 
   /**
@@ -157,9 +157,11 @@
     MonotonicTime until =
         requestedAt.plus(lease.ttlMs() - lease.ttlMs() / LEASE_DRIFT_PARTS - LEASE_MARGIN_MS);
     ShardOwner shardOwner = shardOwners.get(lease.shard());
-    if (shardOwner != null && lease.epoch().above(shardOwner.epoch()) && !shardOwner.valid()) {
+    if (shardOwner != null
+        && lease.epoch().isAbove(shardOwner.epoch())
+        && !shardOwner.isLeaseValid()) {
       // Since the lease expired another may have owned the shard: what is in memory may be wrong.
-      giveUp(lease.shard(), "its lease had lapsed before epoch " + lease.epoch());
+      giveUp(lease.shard(), "its lease expired before epoch " + lease.epoch());
       shardOwner = null;
     }
     if (shardOwner == null && isUsedUp(lease)) {
@@ -170,7 +172,7 @@
     if (shardOwner == null) {
       shardOwner = takeOver(lease);
     }
-    shardOwner.lease(lease.epoch(), until);
+    shardOwner.renewLease(lease.epoch(), until);
     return true;
   }
 
@@ -181,7 +183,7 @@
    */
   private boolean isUsedUp(Lease lease) {
     Epoch last = usedEpochs.get(lease.shard());
-    return last != null && !lease.epoch().above(last);
+    return last != null && !lease.epoch().isAbove(last);
   }
 
   private ShardOwner takeOver(Lease lease) {
@@ -194,9 +196,9 @@
             lease.epoch(),
             context.now(),
             isSharesEnabled);
-    shardOwner.catalog(machineTypes);
-    shardOwner.machineRegistry().assignedAll(assignments.all());
-    shardOwner.load();
+    shardOwner.updateCatalog(machineTypes);
+    shardOwner.machines().updateAllAssignments(assignments.all());
+    shardOwner.recover();
     shardOwners.put(lease.shard(), shardOwner);
     return shardOwner;
   }
@@ -207,8 +209,8 @@
   List<ShardReport> report() {
     List<ShardReport> reports = new ArrayList<>();
     for (ShardOwner shardOwner : shardOwners.values()) {
-      if (!shardOwner.relinquished()) {
-        reports.add(shardOwner.heartbeat());
+      if (!shardOwner.isRelinquished()) {
+        reports.add(shardOwner.report());
       }
     }
     refusedEpochs.forEach((shard, epoch) -> reports.add(ShardReport.refused(shard, epoch)));
@@ -218,14 +220,14 @@
   /** Tells the shard owners what the leader says of machines and of offers. */
   void updateMachines(HeartbeatAnswer answer) {
     for (ShardOwner shardOwner : shardOwners.values()) {
-      if (answer.whole()) {
-        shardOwner.machineRegistry().assignedAll(assignments.all());
+      if (answer.isComplete()) {
+        shardOwner.machines().updateAllAssignments(assignments.all());
       } else {
-        answer.assigned().forEach(shardOwner.machineRegistry()::assigned);
-        answer.unassigned().forEach(shardOwner.machineRegistry()::unassigned);
+        answer.assigned().forEach(shardOwner.machines()::updateAssignment);
+        answer.unassigned().forEach(shardOwner.machines()::removeAssignment);
       }
-      shardOwner.machineRegistry().gone(answer.gone());
-      shardOwner.autoscaler().updateUnavailableOffers(answer.blocked());
+      shardOwner.machines().removeGone(answer.released());
+      shardOwner.autoscaler().updateUnavailableOffers(answer.offersWithoutCapacity());
     }
   }
 
@@ -243,7 +245,7 @@
   int countServed() {
     int served = 0;
     for (ShardOwner shardOwner : shardOwners.values()) {
-      if (!shardOwner.relinquished()) {
+      if (!shardOwner.isRelinquished()) {
         served++;
       }
     }
@@ -264,7 +266,7 @@
     Map<ShardId, Epoch> epochs = new TreeMap<>();
     shardOwners.forEach(
         (shard, shardOwner) -> {
-          if (shardOwner.validAt(at)) {
+          if (shardOwner.isLeaseValidAt(at)) {
             epochs.put(shard, shardOwner.epoch());
           }
         });
@@ -275,8 +277,8 @@
   Set<MachineName> commandedMachines(MonotonicTime at) {
     Set<MachineName> machines = new HashSet<>();
     for (ShardOwner shardOwner : shardOwners.values()) {
-      if (shardOwner.validAt(at)) {
-        machines.addAll(shardOwner.machineRegistry().commanded());
+      if (shardOwner.isLeaseValidAt(at)) {
+        machines.addAll(shardOwner.machines().commandableMachines());
       }
     }
     return machines;
--- a/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
@@ -1,12 +1,12 @@
 package shorecrank.coordination.leader;
 
+import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.PeerMessages.MachineAssignment;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /**
  * A machine and its assignment to a shard. Another assignment of the same machine is another object
@@ -28,7 +28,7 @@
     this.since = since;
   }
 
-  /** What the machine is. */
+  /** The machine's name and kind. */
   MachineInfo info() {
     return assignment.machine();
   }
@@ -48,7 +48,7 @@
     return assignment.term();
   }
 
-  /** What is written down of it. */
+  /** The part of it that the state service holds. */
   StoredAssignment assignment() {
     return assignment;
   }
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -30,7 +30,7 @@
   private static final int PAGE_KEYS = 500;
   private static final int CALL_MS = 1500;
 
-  /** Machines that come at once are written together. */
+  /** After a write so long passes before the next, so that machines that come at once share one. */
   private static final int SAVE_PAUSE_MS = 1000;
 
   private final StepContext context;
@@ -40,8 +40,8 @@
   private final Set<Integer> unsaved = new TreeSet<>();
 
   /**
-   * The revisions of the keys as last read or written: an own write without an answer may come
-   * after a later one, and must not put what was there before in its place.
+   * The revisions of the keys as last read or written, which guard the next writes: a write of
+   * unknown outcome that is carried out late must not undo a later one.
    */
   private final Map<String, Revision> revisions = new TreeMap<>();
 
@@ -103,7 +103,7 @@
       revisions.put(entry.key(), entry.revision());
       MachineRecordCodec.readEach(
           entry.value(),
-          context.tuning.shards(),
+          context.settings().shards(),
           assignment ->
               assignment.ifPresentOrElse(
                   assignments::add,
@@ -161,7 +161,8 @@
 
   /** The values of a bucket that holds these machines. */
   BucketValues values(int bucket, List<StoredAssignment> machines) {
-    return BucketValues.of(bucket, machines, revisions.keySet(), context.config.state().valueKb());
+    return BucketValues.of(
+        bucket, machines, revisions.keySet(), context.config().state().valueKb());
   }
 
   /** Adds guarded writes of values to a transaction. */
@@ -174,14 +175,14 @@
   /** Writes what is not yet written of all machines, as the budget allows. */
   void save(Collection<AssignedMachine> machines) {
     MonotonicTime now = context.now();
-    if (saving || unsaved.isEmpty() || now.before(saveAt)) {
+    if (saving || unsaved.isEmpty() || now.isBefore(saveAt)) {
       return;
     }
     Batch batch = nextBatch(machines);
-    if (!context.writes.has(batch.values().size(), now)) {
+    if (!context.writeBudget().has(batch.values().size(), now)) {
       return;
     }
-    context.writes.take(batch.values().size(), now);
+    context.writeBudget().take(batch.values().size(), now);
     saving = true;
     saveAt = now.plus(SAVE_PAUSE_MS);
     unsaved.removeAll(batch.buckets().keySet());
@@ -211,7 +212,9 @@
       }
     }
     int maxValues =
-        (int) Math.max(1, Math.min(context.config.state().txnOps(), context.writes.rate() / 2));
+        (int)
+            Math.max(
+                1, Math.min(context.config().state().txnOps(), context.writeBudget().rate() / 2));
     Batch batch = new Batch(new TreeMap<>(), new TreeMap<>());
     int bytes = 0;
     for (Map.Entry<Integer, List<AssignedMachine>> entry : byBucket.entrySet()) {
@@ -239,7 +242,7 @@
     unsaved.addAll(batch.buckets().keySet());
     saveAt = context.now().plus(SAVE_PAUSE_MS);
     if (result instanceof Conflict) {
-      // Something else is there than was written last: an own write that came late.
+      // A write of unknown outcome was carried out late.
       readRevisions();
     }
   }
@@ -250,8 +253,7 @@
     buckets.values().forEach(inBucket -> inBucket.forEach(onRecorded));
   }
 
-  // ---- writes in a transaction of somebody else's
-  // ------------------------------------------------
+  // ---- writes in transactions of others --------------------------------------------------------
 
   /** Buckets are being written in another transaction; until that is over no others are. */
   void beginTransfer(Set<Integer> buckets) {
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 import shorecrank.config.NodeConfig.Member;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.Heartbeat;
 import shorecrank.protocol.Ids.ControllerName;
-import shorecrank.protocol.PeerMessages.Heartbeat;
 
 /** The controllers that the leader has heard in its term, itself among them. */
 final class ControllerTable {
@@ -31,7 +31,7 @@
   /** Takes in a heartbeat, and returns the state of its sender. */
   ControllerState heard(Heartbeat heartbeat) {
     ControllerState sender =
-        controllers.computeIfAbsent(heartbeat.from(), name -> new ControllerState());
+        controllers.computeIfAbsent(heartbeat.sender(), name -> new ControllerState());
     sender.heard(heartbeat, context.now());
     return sender;
   }
@@ -54,12 +54,13 @@
   /** Whether a controller could serve a shard: it is heard and reaches the state service. */
   boolean canServe(ControllerState controller) {
     return controller.isStateOk()
-        && controller.silentMs(context.now()) <= context.tuning.renewMs() * 2L + SERVING_MARGIN_MS;
+        && controller.silentMs(context.now())
+            <= context.settings().renewMs() * 2L + SERVING_MARGIN_MS;
   }
 
   /** Whether a controller other than {@code except} reaches the state service. */
   boolean isStateOkElsewhere(ControllerName except) {
-    if (!except.equals(context.config.label()) && context.stateOk()) {
+    if (!except.equals(context.config().label()) && context.stateOk()) {
       return true;
     }
     for (Map.Entry<ControllerName, ControllerState> entry : controllers.entrySet()) {
@@ -75,11 +76,11 @@
 
   /** The zone of a controller; that of this one if it is not configured. */
   String zoneOf(ControllerName controller) {
-    for (Member member : context.config.members()) {
+    for (Member member : context.config().members()) {
       if (member.label().equals(controller)) {
         return member.location();
       }
     }
-    return context.config.zone();
+    return context.config().zone();
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListing.java
@@ -9,10 +9,10 @@
 import shorecrank.protocol.CloudMessages;
 import shorecrank.protocol.CloudMessages.ListedMachine;
 import shorecrank.protocol.CloudMessages.MachineType;
+import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
-import shorecrank.protocol.PeerMessages.MachineInfo;
 
 /**
  * Compares the cloud's list of machines with those that are known: assigns what is new, and returns
@@ -35,16 +35,21 @@
 
   private static final long RETRY_MS = 2000;
 
-  /** Beyond the list's lag a released machine that is listed has come back under a held request. */
+  /**
+   * A released machine that is listed for so long beyond the list's lag has been rented again, by a
+   * request that was carried out late.
+   */
   private static final long BACK_AGAIN_MS = 10_000;
 
-  /** Beyond twice the list's lag, in which it may go backwards, a change counts. */
+  /** Added to twice the list's lag, in which lists may still go backwards. */
   private static final long LAG_MARGIN_MS = 2000;
 
-  /** Of a machine whose type is not known. */
+  /** The time to boot of a machine whose type is not known. */
   private static final double DEFAULT_BOOT_S = 60;
 
+  /** A machine that takes longer to boot than so many times what its type needs never will. */
   private static final int MAX_BOOT_TIMES = 4;
+
   private static final double BOOT_MARGIN_S = 60;
 
   /** Phases of a machine as the cloud names them. */
@@ -102,7 +107,7 @@
 
   /** Whether a page is to be read now. */
   boolean hasWork() {
-    return !context.now().before(listAt) && (!listing || nextPage != null);
+    return !context.now().isBefore(listAt) && (!listing || nextPage != null);
   }
 
   /** Reads the page that is due: the next one, or the first of a new reading. */
@@ -154,13 +159,13 @@
     if (machines.size() == 0) {
       return EMPTY_PAUSE_MS;
     }
-    double callsPerMs = context.config.cloud().rps() * CALL_SHARE / MS_PER_S;
+    double callsPerMs = context.config().cloud().rps() * CALL_SHARE / MS_PER_S;
     return Math.max(PAUSE_MS, (long) (pages / callsPerMs));
   }
 
   private void compareAll(Collection<ListedMachine> listed) {
     MonotonicTime now = context.now();
-    long lagMs = (long) (context.config.cloud().listLagS() * 2 * MS_PER_S) + LAG_MARGIN_MS;
+    long lagMs = (long) (context.config().cloud().listLagS() * 2 * MS_PER_S) + LAG_MARGIN_MS;
     listed.forEach(machine -> compareOne(machine, lagMs, now));
     returnUnlisted(lagMs);
     releases.forgetOld(now);
@@ -172,8 +177,7 @@
     MonotonicTime releasedAt = releases.releasedAt(name);
     if (releasedAt != null) {
       if (now.since(releasedAt) > lagMs + BACK_AGAIN_MS) {
-        // The release was answered, so this can only be a machine that came back under a held
-        // request; return it.
+        // Its release was answered, so a late request has rented it again: return it.
         releases.releaseAgain(name);
       }
       return;
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination.model;
 
+import static shorecrank.protocol.HttpStatus.OK;
+
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.Collection;
@@ -9,12 +11,14 @@
 import java.util.function.Consumer;
 import shorecrank.config.NodeConfig;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.CancellationCodec;
+import shorecrank.protocol.CancellationMessages;
+import shorecrank.protocol.CancellationMessages.ConfirmedCancellations;
+import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages;
-import shorecrank.protocol.PeerMessages.ConfirmedCancellations;
-import shorecrank.protocol.PeerMessages.OwnerInfo;
+import shorecrank.protocol.PeerPaths;
 
 /**
  * Which cancellations users have been told of, and up to what moment all of them are known here.
@@ -25,7 +29,6 @@
  * since; one that is not heard, or that has begun anew since, says nothing.
  */
 public final class CancellationLog {
-  private static final int OK = 200;
   private static final int CALL_TIMEOUT_MS = 900;
   private static final int CALL_INTERVAL_MS = 1000;
 
@@ -66,15 +69,15 @@
     private MonotonicTime askAt = new MonotonicTime(0);
 
     void add(Span span) {
-      if (span.to.before(span.from)) {
+      if (span.to.isBefore(span.from)) {
         return;
       }
-      if (last == null || last.to.before(span.from)) {
+      if (last == null || last.to.isBefore(span.from)) {
         // It has begun anew: what its predecessor confirmed last is not known.
         previous = last;
         last = span;
       } else {
-        last = new Span(last.from.before(span.from) ? last.from : span.from, span.to);
+        last = new Span(last.from.isBefore(span.from) ? last.from : span.from, span.to);
       }
     }
 
@@ -84,7 +87,7 @@
     }
 
     private static MonotonicTime extend(MonotonicTime horizon, Span span, MonotonicTime known) {
-      boolean reaches = span != null && !known.before(span.from) && horizon.before(span.to);
+      boolean reaches = span != null && !known.isBefore(span.from) && horizon.isBefore(span.to);
       return reaches ? span.to : horizon;
     }
   }
@@ -111,19 +114,20 @@
     this.jobListener = jobListener;
     this.ownerListener = ownerListener;
     // Each confirmation is a change in the state service, which takes so many a second.
-    double changesPerS = context.config.state().writeRps();
+    double changesPerS = context.config().state().writeRps();
     int mostKept = (int) Math.max(LEAST_KEPT, changesPerS * KEPT_S);
     double evidenceS = context.evidenceMs() / MS_PER_S + OVERLAP_S;
-    this.mostAsked = (int) Math.max(PeerMessages.DEFAULT_CONFIRMED, changesPerS * evidenceS);
+    this.mostAsked =
+        (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, changesPerS * evidenceS);
     this.history = new ConfirmationHistory(mostKept);
     this.known = Caffeine.newBuilder().maximumSize(mostKept).executor(Runnable::run).build();
-    for (NodeConfig.Member member : context.config.members()) {
+    for (NodeConfig.Member member : context.config().members()) {
       peers.put(member.label(), new Peer());
     }
   }
 
   /** Whether the job is known to be cancelled. */
-  public boolean known(JobId id) {
+  public boolean isKnown(JobId id) {
     return known.getIfPresent(id) != null;
   }
 
@@ -133,7 +137,7 @@
   }
 
   /** A user is being told that the job is cancelled. */
-  public void confirmed(JobId id) {
+  public void recordConfirmed(JobId id) {
     if (history.add(id, context.now())) {
       learnConfirmed(id);
     }
@@ -141,7 +145,7 @@
 
   /** A user was told that the job is cancelled, here or by another controller. */
   private void learnConfirmed(JobId id) {
-    if (!known(id)) {
+    if (!isKnown(id)) {
       learn(id);
       jobListener.accept(id);
     }
@@ -159,7 +163,7 @@
     MonotonicTime all = context.now();
     for (Peer peer : peers.values()) {
       MonotonicTime ofPeer = peer.horizon(knownUpTo);
-      all = ofPeer.before(all) ? ofPeer : all;
+      all = ofPeer.isBefore(all) ? ofPeer : all;
     }
     return all;
   }
@@ -178,7 +182,7 @@
     boolean blind = blindSince != MonotonicTime.NEVER && now.since(blindSince) > BLIND_MS;
     peers.forEach(
         (name, peer) -> {
-          if (blind && !peer.asking && !now.before(peer.askAt)) {
+          if (blind && !peer.asking && !now.isBefore(peer.askAt)) {
             ask(name, peer, blindSince);
           }
         });
@@ -191,17 +195,18 @@
     context.count("cancellations.asked");
     context.peer(
         name,
-        PeerMessages.CONFIRMED,
-        PeerMessages.confirmedWithin(sent.since(since) + OVERLAP_MS, mostAsked),
+        PeerPaths.CONFIRMED_CANCELLATIONS,
+        CancellationCodec.writeQuery(sent.since(since) + OVERLAP_MS, mostAsked),
         CALL_TIMEOUT_MS,
         (status, body) -> {
           peer.asking = false;
           if (status != OK) {
             return;
           }
-          ConfirmedCancellations confirmed = PeerMessages.readConfirmed(body, mostAsked);
+          ConfirmedCancellations confirmed = CancellationCodec.read(body, mostAsked).orElse(null);
           if (confirmed == null) {
-            context.refused("peer.malformed", "malformed cancellations of " + name + " refused");
+            context.refused(
+                "peer.malformed", "peer.message.malformed kind=confirmations controller=" + name);
           } else {
             answered(peer, confirmed, sent);
           }
@@ -221,7 +226,8 @@
    * What was confirmed here in so many milliseconds, for another controller. It asks because it
    * does not reach the state service, so it is also told who owns what.
    */
-  public ConfirmedCancellations answer(long withinMs, int most, Collection<OwnerInfo> owners) {
+  public ConfirmedCancellations recentlyConfirmed(
+      long withinMs, int most, Collection<OwnerInfo> owners) {
     ConfirmationHistory.Recent recent = history.recent(withinMs, most, context.now());
     return new ConfirmedCancellations(recent.spanMs(), recent.jobs(), List.copyOf(owners));
   }
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import shorecrank.coordination.step.StepContext;
+import shorecrank.protocol.HeartbeatMessages.WorkerReachability;
 import shorecrank.protocol.Ids.MonotonicTime;
-import shorecrank.protocol.PeerMessages.WorkerReachability;
 
 /**
  * The failure detector for the workers of one shard: which of them its owner hears, and what the
@@ -109,9 +109,9 @@
    * last owner gives it up and turns to another controller first, so a new owner waits for that.
    */
   private boolean isOverdue(Machine machine) {
-    long redirectMs = machine.session().lastHeard().before(grantedAt) ? REDIRECT_MS : 0;
+    long redirectMs = machine.session().lastHeard().isBefore(grantedAt) ? REDIRECT_MS : 0;
     return silentMs(machine)
-        > context.config.workers().reportS() * OVERDUE_MS_PER_S + OVERDUE_MARGIN_MS + redirectMs;
+        > context.config().workers().reportS() * OVERDUE_MS_PER_S + OVERDUE_MARGIN_MS + redirectMs;
   }
 
   /** Whether a silent machine's worker has surely killed its tasks, since its lease ran out. */
@@ -119,25 +119,25 @@
     MonotonicTime from = machine.session().lastHeard();
     if (!machine.session().isConfirmed()) {
       // An earlier owner may have gone on renewing it until its grace period was over.
-      long graceMs = context.tuning.graceMs();
+      long graceMs = context.settings().graceMs();
       MonotonicTime graceEnd =
           grantedAt.plus(graceMs + graceMs / GRACE_DRIFT_DIVISOR + TIMER_MARGIN_MS);
-      from = from.before(graceEnd) ? graceEnd : from;
+      from = from.isBefore(graceEnd) ? graceEnd : from;
     }
-    double leaseMs = context.config.workers().leaseS() * MS_PER_S;
+    double leaseMs = context.config().workers().leaseS() * MS_PER_S;
     return context.now().since(from) > leaseMs * LEASE_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
 
   /** Milliseconds since the last confirmed heartbeat, or since this owner could have heard one. */
   public long silentMs(Machine machine) {
     MonotonicTime lastHeard = machine.session().lastHeard();
-    return context.now().since(lastHeard.before(grantedAt) ? grantedAt : lastHeard);
+    return context.now().since(lastHeard.isBefore(grantedAt) ? grantedAt : lastHeard);
   }
 
   /** Whether what is on the machine is known from a heartbeat of late. */
   public boolean isFresh(Machine machine) {
     return machine.session().isReconciled()
         && silentMs(machine)
-            < context.config.workers().reportS() * FRESH_MS_PER_S + FRESH_MARGIN_MS;
+            < context.config().workers().reportS() * FRESH_MS_PER_S + FRESH_MARGIN_MS;
   }
 }
--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -36,7 +36,7 @@
 
   /** Cancels the job of that name, which need not be one that a job can have. */
   public void cancel(UserRequest request, String name) {
-    if (!JobSpec.idOk(name)) {
+    if (!JobSpec.isValidId(name)) {
       replies.noSuchJob(request);
     } else if (!context.stateOk()) {
       replies.storeUnavailable(request);
@@ -66,7 +66,7 @@
   private void cancelStored(UserRequest request, JobId id, StoredJob job, int attemptsLeft) {
     if (!(job instanceof Unfinished unfinished) || unfinished.record().cancelled()) {
       knownJobs.state(request, id, job);
-    } else if (context.userWrites.tryTake(1, context.now())) {
+    } else if (context.userWriteBudget().tryTake(1, context.now())) {
       mark(request, id, unfinished, Form.PLAIN, attemptsLeft);
     } else {
       replies.later(request, RetryReason.NO_WRITES_LEFT);
@@ -91,7 +91,7 @@
       CommitResult result) {
     if (result instanceof CommitResult.Committed) {
       context.count("job.cancelled");
-      cancellations.confirmed(id);
+      cancellations.recordConfirmed(id);
       replies.state(request, id, JobState.CANCELLED);
     } else if (result instanceof CommitResult.Conflict
         || (result instanceof CommitResult.Unknown unknown && unknown.status() == NO_ANSWER)) {
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -79,7 +79,7 @@
         if (isSeenLately(id)) {
           continue;
         }
-        if (!context.requests.has(1, context.now())) {
+        if (!context.requestBudget().has(1, context.now())) {
           end(new Result.OutOfBudget());
           return;
         }
@@ -98,7 +98,7 @@
 
     private void read(JobId id, LookupResult result) {
       if (result instanceof LookupResult.Found found) {
-        found(id, found.job().status().phase());
+        found(id, found.job().status().state());
       } else if (result instanceof LookupResult.Absent) {
         end(new Result.NeverAccepted(id));
       } else {
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -14,8 +14,7 @@
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.MessageEncoder;
-import shorecrank.protocol.OperatorRequests;
-import shorecrank.protocol.RolloutMessages;
+import shorecrank.protocol.OperatorRequestCodec;
 
 /**
  * Operators' requests that only the leader can answer. Every controller takes them and passes them
@@ -58,7 +57,8 @@
           request.reply(),
           NOT_FOUND,
           Json.error(
-              "%s are not enabled on %s (%s)".formatted(feature, context.config.label(), option)));
+              "%s are not enabled on %s (%s)"
+                  .formatted(feature, context.config().label(), option)));
     }
     return isEnabled;
   }
@@ -76,10 +76,10 @@
     ControllerName leader = election.leader();
     if (election.holding()) {
       here.run();
-    } else if (leader == null || leader.equals(context.config.label())) {
+    } else if (leader == null || leader.equals(context.config().label())) {
       unknown(request, "no controller leads now");
-    } else if (OperatorRequests.isForwarded(request.body())) {
-      unknown(request, context.config.label() + " does not lead any more");
+    } else if (OperatorRequestCodec.isForwarded(Json.parse(request.body()))) {
+      unknown(request, context.config().label() + " does not lead any more");
     } else {
       forward(request, path, leader);
     }
@@ -91,7 +91,7 @@
         .forward(
             leader,
             path,
-            OperatorRequests.forwarded(request.body()),
+            OperatorRequestCodec.markForwarded(Json.parse(request.body())),
             FORWARD_TIMEOUT_MS,
             request.reply(),
             status -> status != NO_ANSWER && status != NOT_FOUND,
@@ -106,7 +106,7 @@
   /** Nobody can tell now: the operator asks again. */
   void unknown(Input.Request request, String reason) {
     context.replyLater(
-        request.reply(), UNAVAILABLE, RolloutMessages.unknown(reason), RETRY_AFTER_S);
+        request.reply(), UNAVAILABLE, OperatorRequestCodec.writeUnknown(reason), RETRY_AFTER_S);
   }
 
   /**
@@ -117,7 +117,7 @@
    */
   <S> void replyStatus(Input.Request request, S status, MessageEncoder<S> encoder, String subject) {
     if (status == null) {
-      unknown(request, "the leader, " + context.config.label() + ", can't read the " + subject);
+      unknown(request, "the leader, " + context.config().label() + ", can't read the " + subject);
     } else {
       context.reply(request.reply(), OK, encoder.encode(status));
     }
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -96,8 +96,8 @@
     for (TaskAttempt attempt : machine.attempts()) {
       JobSpec spec = attempt.job().spec();
       double remainingS = attempt.remainingSeconds(context.now());
-      double heartbeatS = context.config.workers().reportS();
-      double moveS = spec.saveS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
+      double heartbeatS = context.config().workers().reportS();
+      double moveS = spec.checkpointDurationS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
       if (attempt.canMoveByCheckpoint()
           && attempt.runSeconds(context.now()) > Autoscaler.SETTLED_S) {
         move.attempts.add(attempt);
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -78,13 +78,13 @@
    * @param isNeeded whether a job is still waited for
    */
   void tick(Predicate<JobId> isNeeded) {
-    if (pending.isEmpty() || context.now().before(nextAt)) {
+    if (pending.isEmpty() || context.now().isBefore(nextAt)) {
       return;
     }
     ArrayDeque<JobId> next = new ArrayDeque<>(pending);
     while (!next.isEmpty()
         && inFlight.size() < MAX_IN_FLIGHT
-        && context.requests.has(1, context.now())) {
+        && context.requestBudget().has(1, context.now())) {
       JobId id = next.poll();
       if (!isNeeded.test(id)) {
         pending.remove(id);
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -1,5 +1,7 @@
 package shorecrank.coordination.shard;
 
+import static shorecrank.protocol.HttpStatus.OK;
+
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -9,14 +11,13 @@
 import shorecrank.coordination.model.WorkerSession;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.FencingToken;
+import shorecrank.protocol.WorkerCommandCodec;
 import shorecrank.protocol.WorkerMessages;
 import shorecrank.protocol.WorkerMessages.Start;
 import shorecrank.protocol.WorkerMessages.WorkerCommand;
 
 /** Sends starts straight to their machines, without waiting for the next heartbeat. */
 final class DirectCommandSender {
-  private static final int OK = 200;
-
   /** A machine whose heartbeat is due so soon is told in the answer. */
   private static final int SOON_MS = 100;
 
@@ -84,7 +85,8 @@
         && unanswered < mostUnanswered()
         && session.isReconciled()
         && session.acceptsDirectCommands(lease.epoch())
-        && session.secondsToNextAnswer(context.now(), context.config.workers().reportS()) * MS_PER_S
+        && session.secondsToNextAnswer(context.now(), context.config().workers().reportS())
+                * MS_PER_S
             >= SOON_MS;
   }
 
@@ -94,7 +96,7 @@
     FencingToken token = tokens.current(lease.epoch());
     for (WorkerCommand command : commands) {
       if (command instanceof Start) {
-        tokens.directStartSent(command.run(), token);
+        tokens.directStartSent(command.attemptId(), token);
       }
     }
     unanswered++;
@@ -102,8 +104,8 @@
     context.count("orders.direct");
     context.worker(
         session.address(),
-        WorkerMessages.ORDERS,
-        WorkerMessages.direct(token, session.incarnation(), commands),
+        WorkerMessages.DIRECT_COMMANDS_PATH,
+        WorkerCommandCodec.writeDirect(token, session.incarnation(), commands),
         TIMEOUT_MS,
         (status, body) -> {
           unanswered--;
@@ -116,6 +118,6 @@
 
   /** Connections to workers come out of what is left beside those of users, workers and peers. */
   private int mostUnanswered() {
-    return Math.max(LEAST_CONNECTIONS, context.config.limits().sockets() / SOCKET_DIVISOR);
+    return Math.max(LEAST_CONNECTIONS, context.config().limits().sockets() / SOCKET_DIVISOR);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -114,7 +114,7 @@
   /** Writes the records that are due, as far as rate limits and transactions in flight allow. */
   void writeDue() {
     MonotonicTime now = context.now();
-    if (now.before(pausedUntil) || inFlight >= MAX_IN_FLIGHT) {
+    if (now.isBefore(pausedUntil) || inFlight >= MAX_IN_FLIGHT) {
       return;
     }
     List<Job> due = dueJobs(now);
@@ -152,7 +152,7 @@
       } else if (job.record().isWritable(now)
           && (urgency == WriteUrgency.NOW
               || job.isOver()
-              || now.since(job.record().urgentSince()) >= context.tuning.mergeMs())) {
+              || now.since(job.record().urgentSince()) >= context.settings().mergeMs())) {
         due.add(job);
       }
     }
@@ -174,7 +174,7 @@
 
   /** What a failover has to claim comes before new placements, with all that the service takes. */
   private RateLimiter limiter(Job job) {
-    return job.record().isFreeOfEarlierOwner() ? context.writes : context.userWrites;
+    return job.record().isFreeOfEarlierOwner() ? context.writeBudget() : context.userWriteBudget();
   }
 
   // ---- transactions ----------------------------------------------------------------------------
@@ -196,7 +196,7 @@
               && (job.record().isSeparate() || writes.get(0).job().record().isSeparate());
       int operations = operations(job);
       return !mustStandAlone
-          && transaction.ops() + operations <= context.config.state().txnOps()
+          && transaction.operationCount() + operations <= context.config().state().txnOps()
           && (bytes == 0 || bytes + maxValueBytes() <= StoreMessages.TXN_FILL_BYTES)
           && limiter(job).has(operations, now);
     }
@@ -214,7 +214,9 @@
       int done = job.tasks().doneCount();
       JobState state =
           job.tasks().isComplete() && !job.isCancelled() ? JobState.DONE : JobState.CANCELLED;
-      transaction.drop(key).write(JobRecord.finalKey(job.id()), JobRecord.writeFinal(state, done));
+      transaction
+          .delete(key)
+          .write(JobRecord.finalKey(job.id()), JobRecord.writeFinal(state, done));
       resolver.sentFinal(job);
       writes.add(
           new RecordWrite(job, job.record().sequence(), true, new JobStatus(state, done, 0)));
@@ -231,11 +233,11 @@
     private int addRecord(Job job, String key) {
       Form form = form(job);
       double maxBytes = maxValueBytes();
-      JobRecord record = job.toRecord(lease.epoch(), context.writer);
+      JobRecord record = job.toRecord(lease.epoch(), context.writer());
       EncodedRecord encoded = RecordValueCodec.encode(record, form);
       if (encoded.boundBytes() > maxBytes * FULL_SHARE) {
         shrink(job);
-        record = job.toRecord(lease.epoch(), context.writer);
+        record = job.toRecord(lease.epoch(), context.writer());
         encoded = RecordValueCodec.encode(record, form);
       }
       // A record without an attempt range always takes one: else its job would never run.
@@ -253,7 +255,7 @@
   }
 
   private double maxValueBytes() {
-    return context.config.state().valueKb() * BYTES_PER_KB;
+    return context.config().state().valueKb() * BYTES_PER_KB;
   }
 
   /** What was not yet written is taken back: no command has been given for it. */
@@ -333,8 +335,8 @@
    */
   private void tooLarge(List<RecordWrite> writes, String answer, MonotonicTime now) {
     context.info(
-        "store.transaction.too_large shard=%s writes=%d answer=%s",
-        lease.shard(), writes.size(), answer);
+        "store.transaction.too_large shard=%s writes=%d answer=\"%s\"",
+        lease.shard(), writes.size(), answer.replace('"', '\''));
     context.count("txn.too_large");
     for (RecordWrite write : writes) {
       JobRecordState record = write.job().record();
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -79,7 +79,7 @@
       guard(job, keys);
       keysByJob.put(job.id(), keys);
       JobStatus status = job.record().status();
-      boolean cancelledSince = job.isCancelled() && status.phase() != JobState.CANCELLED;
+      boolean cancelledSince = job.isCancelled() && status.state() != JobState.CANCELLED;
       statuses.put(job.id(), cancelledSince ? null : status);
     }
 
@@ -157,7 +157,7 @@
   }
 
   private int mostGuards() {
-    return context.config.state().txnOps() * GUARDS_PER_OPERATION;
+    return context.config().state().txnOps() * GUARDS_PER_OPERATION;
   }
 
   private void compare(Map<JobId, List<StatusCallback>> queries, int comparisonsLeft) {
--- a/src/test/java/shorecrank/coordination/request/JobLookupTest.java
+++ b/src/test/java/shorecrank/coordination/request/JobLookupTest.java
@@ -67,7 +67,7 @@
 
   private JobState foundState() {
     assertEquals(1, results.size(), results.toString());
-    return ((LookupResult.Found) results.get(0)).job().status().phase();
+    return ((LookupResult.Found) results.get(0)).job().status().state();
   }
 
   @Test
@@ -100,7 +100,7 @@
     driver.answer(200, record(JOB, false, NEEDED));
     driver.answer(200, record(NEEDED, true));
     assertEquals(JobState.CANCELLED, foundState());
-    assertTrue(cancellations.known(NEEDED));
+    assertTrue(cancellations.isKnown(NEEDED));
   }
 
   @Test
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -9,6 +9,7 @@
 import com.fasterxml.jackson.databind.node.TextNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
@@ -102,11 +103,6 @@
       return store;
     }
 
-    @Override
-    public void state(String method, String path, JsonNode body, OnAnswer then) {
-      throw new AssertionError("not expected");
-    }
-
     @Override
     public boolean hasWrites(int changes) {
       return true;
@@ -217,7 +213,7 @@
       new LeaderKeyCodec<>(
           "key",
           "initial",
-          stored -> stored.isTextual() ? stored.asText() : null,
+          stored -> Optional.ofNullable(stored.isTextual() ? stored.asText() : null),
           TextNode::valueOf);
 
   private final ManualEnvironment environment = new ManualEnvironment();
--- a/src/test/java/shorecrank/sim/RolloutExpectations.java
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -1,7 +1,7 @@
 package shorecrank.sim;
 
 import java.util.Map;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 
 /** The feature level, the forms of records, and answers to operators' orders of the level. */
 final class RolloutExpectations {
@@ -10,7 +10,7 @@
           "level", RolloutExpectations::level,
           "phase", RolloutExpectations::phase,
           "dense", RolloutExpectations::dense,
-          "order", RolloutExpectations::order,
+          "rollout-order", RolloutExpectations::order,
           "rises", RolloutExpectations::rises,
           "falls", RolloutExpectations::falls,
           "archived", RolloutExpectations::archived);
@@ -29,7 +29,7 @@
 
   /** {@code phase PHASE}. */
   private static Expectation phase(ScenarioLine line) {
-    Phase phase = line.constant(1, Phase.class);
+    RolloutPhase phase = line.constant(1, RolloutPhase.class);
     return of(world -> world.rollouts.state().phase() == phase);
   }
 
@@ -39,7 +39,7 @@
     return of(world -> (world.rollouts.denseRecords() == 0) == none);
   }
 
-  /** {@code order ID accepted|refused [words that the answer holds]}. */
+  /** {@code rollout-order ID accepted|refused [words that the answer holds]}. */
   private static Expectation order(ScenarioLine line) {
     OrderAnswer answer = OrderAnswer.read(line);
     return of(world -> answer.isOf(world.rollouts.orders()));
--- a/src/test/java/shorecrank/sim/RolloutProcessTest.java
+++ b/src/test/java/shorecrank/sim/RolloutProcessTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.sim.ProcessFleet.Run;
 
 /**
@@ -18,7 +18,7 @@
   @TempDir Path dir;
 
   @Test
-  void anOperatorsSession() throws Exception {
+  void anOperatorRaisesArchivesAndLowersTheLevel() throws Exception {
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 archives_kept: 1 rewrites_per_s: 50");
     ProgramVersion present = ProgramVersions.present("--rollout", settings.toString());
@@ -93,7 +93,7 @@
     assertTrue(order.out().contains("\"accepted\" : true"), order.out());
     fleet.await(
         "level 0",
-        () -> fleet.state().level().value() == 0 && fleet.state().phase() == Phase.STABLE);
+        () -> fleet.state().level().value() == 0 && fleet.state().phase() == RolloutPhase.STABLE);
     assertEquals(0, fleet.world.rollouts.denseRecords());
   }
 }
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shorecrank.protocol.RolloutMessages.Phase;
+import shorecrank.protocol.RolloutMessages.RolloutPhase;
 import shorecrank.sim.ProcessFleet.Run;
 
 /**
@@ -27,7 +27,7 @@
   private int returnsAtLevel;
 
   @Test
-  void upAndDownInRandomOrder() throws Exception {
+  void everyJobEndsOnceWhileVersionsGoUpAndDown() throws Exception {
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 rewrites_per_s: 50");
     ProgramVersion production = ProgramVersions.production();
@@ -105,7 +105,7 @@
   }
 
   private void lower(ProcessFleet fleet) {
-    if (fleet.state().level().value() == 0 && fleet.state().phase() == Phase.STABLE) {
+    if (fleet.state().level().value() == 0 && fleet.state().phase() == RolloutPhase.STABLE) {
       return;
     }
     fleet.await(
