--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -179,7 +179,8 @@
   /**
    * A shard given up under an epoch is not taken again under it: workers have shown that epoch and
    * have been given numbers under it, so that late heartbeats could not be told from new ones, nor
-   * would the answers be taken. Reported like a refused epoch, it makes the leader mint above it.
+   * would the answers be taken. Reported like a refused epoch, it makes the leader allocation above
+   * it.
    */
   private boolean isUsedUp(Lease lease) {
     Epoch last = usedEpochs.get(lease.shard());
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -18,35 +18,37 @@
 import shorecrank.storage.CommitResult.Committed;
 
 /**
- * Mints epochs: a transaction raises the fleet's counter and writes down the owner that gets the
- * new epoch. One mint is under way at a time, each guarded by the counter's revision, so that no
- * epoch is given twice.
+ * Allocates epochs: a transaction raises the fleet's counter and writes down the owner that gets
+ * the new epoch. One allocation is under way at a time, each guarded by the counter's revision, so
+ * that no epoch is given twice.
  */
 final class EpochAllocator {
   private static final int CALL_MS = 1500;
   private static final int NUDGE_MS = 1000;
 
-  /** After a mint without success everything is loaded again after so long. */
+  /** After an allocation without success everything is loaded again after so long. */
   private static final int RELOAD_PAUSE_MS = 200;
 
   private final StepContext context;
   private final Election election;
   private final LoadedTerm loadedTerm;
   private final ShardLeaseTable shards;
-  private final Consumer<ShardId> onMinted;
+  private final Consumer<ShardId> onAllocated;
   private Revision counterRevision = Revision.ABSENT;
   private long counter;
-  private boolean minting;
+  private boolean allocating;
 
-  /** The term of the latest mint, and its number: an earlier one's answer says nothing new. */
-  private Revision mintTerm = Revision.ABSENT;
+  /**
+   * The term of the latest allocation, and its number: an earlier one's answer says nothing new.
+   */
+  private Revision allocationTerm = Revision.ABSENT;
 
-  private long mints;
+  private long allocations;
 
   /**
    * Shards for which a new owner may yet be written down by a transaction without an answer. The
-   * next committed mint settles it, since all are guarded by the counter's revision; before that
-   * the last owner gets no lease.
+   * next committed allocation settles it, since all are guarded by the counter's revision; before
+   * that the last owner gets no lease.
    */
   private final Set<ShardId> ownerInDoubt = new TreeSet<>();
 
@@ -55,19 +57,19 @@
   /**
    * Creates an allocator.
    *
-   * @param onMinted told of each shard that has a new epoch
+   * @param onAllocated told of each shard that has a new epoch
    */
   EpochAllocator(
       StepContext context,
       Election election,
       LoadedTerm loadedTerm,
       ShardLeaseTable shards,
-      Consumer<ShardId> onMinted) {
+      Consumer<ShardId> onAllocated) {
     this.context = context;
     this.election = election;
     this.loadedTerm = loadedTerm;
     this.shards = shards;
-    this.onMinted = onMinted;
+    this.onAllocated = onAllocated;
   }
 
   /** Takes the counter as it was read; {@link Revision#ABSENT} and 0 if there is none yet. */
@@ -81,18 +83,18 @@
     return counter;
   }
 
-  /** A term has been loaded: what was minted under an earlier one is refused. */
+  /** A term has been loaded: what was allocated under an earlier one is refused. */
   void begin() {
-    minting = false;
+    allocating = false;
   }
 
-  boolean isMinting() {
-    return minting;
+  boolean isAllocating() {
+    return allocating;
   }
 
-  /** Whether a mint of this term has no answer yet. */
+  /** Whether an allocation of this term has no answer yet. */
   boolean isUnsettled() {
-    return minting && mintTerm.equals(election.term());
+    return allocating && allocationTerm.equals(election.term());
   }
 
   /** Marks shards as vacant of which it is not known who is written down as their owner. */
@@ -105,76 +107,82 @@
   }
 
   /**
-   * Begins to mint an epoch for a shard and its owner to be, unless another mint is under way.
+   * Begins to allocate an epoch for a shard and its owner to be, unless another allocation is under
+   * way.
    *
    * @param above an epoch below the new one, beside all that the counter knows of
    */
-  void mint(ShardId id, ShardState shard, ControllerName owner, WriterId writer, Epoch above) {
-    if (minting) {
+  void allocate(ShardId id, ShardState shard, ControllerName owner, WriterId writer, Epoch above) {
+    if (allocating) {
       return;
     }
-    minting = true;
-    shard.beginMint(writer);
+    allocating = true;
+    shard.beginAllocation(writer);
     Epoch next = new Epoch(Math.max(counter, above.value()) + 1);
-    Mint mint = new Mint(id, shard, new OwnerInfo(id, owner, next), writer, loadedTerm.current());
-    mintTerm = mint.term();
-    long number = ++mints;
+    Allocation allocation =
+        new Allocation(id, shard, new OwnerInfo(id, owner, next), writer, loadedTerm.current());
+    allocationTerm = allocation.term();
+    long number = ++allocations;
     Transaction transaction =
         new Transaction()
-            .guard(election.key(), mint.term())
+            .guard(election.key(), allocation.term())
             .guard(EpochCounterCodec.KEY, counterRevision)
             .write(EpochCounterCodec.KEY, EpochCounterCodec.write(next.value()))
-            .write(ShardOwnerCodec.key(id), ShardOwnerCodec.write(mint.owner(), writer));
+            .write(ShardOwnerCodec.key(id), ShardOwnerCodec.write(allocation.owner(), writer));
     context
         .store()
         .commit(
             transaction,
             CALL_MS,
             result -> {
-              if (number == mints) {
-                handleResult(mint, result);
+              if (number == allocations) {
+                handleResult(allocation, result);
               }
             });
   }
 
-  /** A mint under way. */
-  private record Mint(
+  /** An allocation under way. */
+  private record Allocation(
       ShardId id, ShardState shard, OwnerInfo owner, WriterId writer, Revision term) {}
 
-  private void handleResult(Mint mint, CommitResult result) {
-    minting = false;
-    mint.shard().endMint();
-    boolean thisTerm = mint.term().equals(election.term());
-    if (result.isUnknown() && thisTerm && !mint.owner().controller().equals(mint.shard().owner())) {
-      ownerInDoubt.add(mint.id());
-      doubtTerm = mint.term();
+  private void handleResult(Allocation allocation, CommitResult result) {
+    allocating = false;
+    allocation.shard().endAllocation();
+    boolean thisTerm = allocation.term().equals(election.term());
+    if (result.isUnknown()
+        && thisTerm
+        && !allocation.owner().controller().equals(allocation.shard().owner())) {
+      ownerInDoubt.add(allocation.id());
+      doubtTerm = allocation.term();
     }
     if (result.isCommitted() && thisTerm) {
       // Those before it were guarded by the counter's last revision.
       ownerInDoubt.clear();
     }
-    if (!loadedTerm.isCurrent(mint.term())) {
+    if (!loadedTerm.isCurrent(allocation.term())) {
       return;
     }
     if (result instanceof Committed committed) {
-      complete(mint, committed.revision());
+      complete(allocation, committed.revision());
     } else {
       // Also without an answer: what the counter holds now is only known after a new look, and a
-      // later mint behind the same guard is what settles it.
+      // later allocation behind the same guard is what settles it.
       loadedTerm.discard();
       loadedTerm.postponeLoading(RELOAD_PAUSE_MS);
     }
   }
 
-  private void complete(Mint mint, Revision revision) {
-    OwnerInfo owner = mint.owner();
+  private void complete(Allocation allocation, Revision revision) {
+    OwnerInfo owner = allocation.owner();
     counterRevision = revision;
     counter = owner.epoch().value();
-    mint.shard().assignOwner(owner.controller(), mint.writer(), owner.epoch(), shards.leaseBound());
-    onMinted.accept(mint.id());
+    allocation
+        .shard()
+        .assignOwner(owner.controller(), allocation.writer(), owner.epoch(), shards.leaseBound());
+    onAllocated.accept(allocation.id());
     context.info(
-        "shard.epoch.minted shard=%s epoch=%s owner=%s writer=%s",
-        mint.id(), owner.epoch(), owner.controller(), mint.writer());
+        "shard.epoch.allocated shard=%s epoch=%s owner=%s writer=%s",
+        allocation.id(), owner.epoch(), owner.controller(), allocation.writer());
     context.count("epoch.minted");
     // The owner begins at once, and the others can tell the workers where to go.
     for (Member member : context.config().members()) {
--- a/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
@@ -15,7 +15,7 @@
     return Json.object().put(VALUE, epoch);
   }
 
-  /** The highest epoch that was minted; negative if the value can't be read. */
+  /** The highest epoch that was allocated; negative if the value can't be read. */
   static long read(JsonNode value) {
     return Json.count(value.path(VALUE));
   }
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -68,7 +68,7 @@
     this.loadedTerm = new LoadedTerm(context);
     this.shards = new ShardLeaseTable(context);
     this.controllers = new ControllerTable(context);
-    this.epochs = new EpochAllocator(context, election, loadedTerm, shards, this::handleMinted);
+    this.epochs = new EpochAllocator(context, election, loadedTerm, shards, this::handleAllocated);
     this.ownerSelection = new OwnerSelection(context, loadedTerm, shards, controllers, rollout);
     OwnerFailureDetector failures = new OwnerFailureDetector(context, controllers);
     this.leaseRenewal = new LeaseRenewal(context, shards, epochs, failures, rollout);
@@ -163,7 +163,7 @@
       ShardId id = entry.getKey();
       ShardState shard = entry.getValue();
       boolean expired = shard.isLeaseExpired(context.now());
-      if ((!shard.isVacant() && !expired) || shard.isMinting() || epochs.isMinting()) {
+      if ((!shard.isVacant() && !expired) || shard.isAllocating() || epochs.isAllocating()) {
         continue;
       }
       Optional<ControllerName> next = ownerSelection.choose(shard);
@@ -171,12 +171,12 @@
         if (expired) {
           context.info("shard.lease.expired shard=%s owner=%s", id, shard.owner());
         }
-        epochs.mint(id, shard, next.get(), controllers.get(next.get()).writer(), Epoch.NONE);
+        epochs.allocate(id, shard, next.get(), controllers.get(next.get()).writer(), Epoch.NONE);
       }
     }
   }
 
-  private void handleMinted(ShardId shard) {
+  private void handleAllocated(ShardId shard) {
     assigner.handleNewEpoch(shard);
   }
 
@@ -262,8 +262,8 @@
   @Override
   public void raiseAbove(ShardId id, Epoch least) {
     ShardState shard = shards.get(id);
-    if (shard != null && !shard.isVacant() && !shard.isMinting()) {
-      epochs.mint(id, shard, shard.owner(), shard.writer(), least);
+    if (shard != null && !shard.isVacant() && !shard.isAllocating()) {
+      epochs.allocate(id, shard, shard.owner(), shard.writer(), least);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -67,7 +67,7 @@
       }
       return false;
     }
-    if (shard.isMintingForOther(heartbeat.writer())) {
+    if (shard.isAllocatingForOther(heartbeat.writer())) {
       // Its lease has expired and a successor is being written down: a lease granted now would
       // still run when that is committed.
       return false;
@@ -120,10 +120,10 @@
     if (refusedBy.value() >= shard.epoch().value()
         && report.epoch().equals(shard.epoch())
         && refusedBy.value() < FencingToken.MAX_EPOCH / 2
-        && !shard.isMinting()) {
+        && !shard.isAllocating()) {
       context.info(
           "shard.epoch.refused shard=%s epoch=%s refused_by=%s", id, shard.epoch(), refusedBy);
-      epochs.mint(id, shard, shard.owner(), shard.writer(), refusedBy);
+      epochs.allocate(id, shard, shard.owner(), shard.writer(), refusedBy);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -60,7 +60,7 @@
     return shards.get(shard);
   }
 
-  /** The highest epoch that was minted for a shard; {@link Epoch#NONE} if none was. */
+  /** The highest epoch that was allocated for a shard; {@link Epoch#NONE} if none was. */
   Epoch epoch(ShardId shard) {
     ShardState state = shards.get(shard);
     return state == null ? Epoch.NONE : state.epoch();
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -10,8 +10,8 @@
  * One shard as the leader knows it: owner, epoch and lease, and how far the owner's replacement has
  * gone.
  *
- * <p>A shard is vacant until its first epoch is minted, and again once its owner is known to hold
- * no lease. While it is being revoked its owner's lease is not renewed, but may still run.
+ * <p>A shard is vacant until its first epoch is allocated, and again once its owner is known to
+ * hold no lease. While it is being revoked its owner's lease is not renewed, but may still run.
  */
 final class ShardState {
   private ControllerName owner;
@@ -20,10 +20,10 @@
   private MonotonicTime leaseUntil = MonotonicTime.NEVER;
   private boolean vacant = true;
   private boolean revoking;
-  private boolean minting;
+  private boolean allocating;
 
-  /** The process for which an epoch is being minted, or was last. */
-  private WriterId mintedFor;
+  /** The process for which an epoch is being allocated, or was last. */
+  private WriterId allocatedFor;
 
   private boolean queued;
   private ControllerName unreachedOwner;
@@ -40,7 +40,7 @@
     return writer;
   }
 
-  /** The highest epoch that was minted for the shard; {@link Epoch#NONE} if none was. */
+  /** The highest epoch that was allocated for the shard; {@link Epoch#NONE} if none was. */
   Epoch epoch() {
     return epoch;
   }
@@ -55,14 +55,14 @@
     return revoking;
   }
 
-  /** Whether an epoch is being minted for the shard. */
-  boolean isMinting() {
-    return minting;
+  /** Whether an epoch is being allocated for the shard. */
+  boolean isAllocating() {
+    return allocating;
   }
 
-  /** Whether an epoch is being minted for another process than this one. */
-  boolean isMintingForOther(WriterId process) {
-    return minting && !process.equals(mintedFor);
+  /** Whether an epoch is being allocated for another process than this one. */
+  boolean isAllocatingForOther(WriterId process) {
+    return allocating && !process.equals(allocatedFor);
   }
 
   /** Whether the owner may be told to others, and be granted its lease. */
@@ -91,10 +91,10 @@
   }
 
   /** The shard has this owner, under an epoch that is written down. */
-  void assignOwner(ControllerName label, WriterId process, Epoch minted, MonotonicTime until) {
+  void assignOwner(ControllerName label, WriterId process, Epoch allocated, MonotonicTime until) {
     owner = label;
     writer = process;
-    epoch = minted;
+    epoch = allocated;
     vacant = false;
     revoking = false;
     leaseUntil = until;
@@ -149,14 +149,14 @@
     return unreachableZones;
   }
 
-  /** An epoch is being minted for a process. */
-  void beginMint(WriterId process) {
-    minting = true;
-    mintedFor = process;
+  /** An epoch is being allocated for a process. */
+  void beginAllocation(WriterId process) {
+    allocating = true;
+    allocatedFor = process;
   }
 
-  /** The mint is over, whatever became of it. */
-  void endMint() {
-    minting = false;
+  /** The allocation is over, whatever became of it. */
+  void endAllocation() {
+    allocating = false;
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/ShardTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardTable.java
@@ -10,7 +10,7 @@
   /** All shards of the fleet. */
   Set<ShardId> shards();
 
-  /** The highest epoch that was minted for a shard; {@link Epoch#NONE} if none was. */
+  /** The highest epoch that was allocated for a shard; {@link Epoch#NONE} if none was. */
   Epoch epoch(ShardId shard);
 
   /** The label of a shard's owner; null if it has none that may be granted its lease. */
@@ -22,6 +22,6 @@
   /** Reads shards and machines anew: what is known of them may be out of date. */
   void reload();
 
-  /** Has an epoch above {@code least} minted for a shard's present owner. */
+  /** Has an epoch above {@code least} allocated for a shard's present owner. */
   void raiseAbove(ShardId shard, Epoch least);
 }
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -201,7 +201,8 @@
   private void take(Revision term, Optional<V> found, Revision foundAt, boolean mayWrite) {
     known = found.isPresent();
     if (!known) {
-      environment.refused("state.unreadable", "state.unreadable key=%s".formatted(codec.key()));
+      environment.refused(
+          "state.unreadable", "store.value.unreadable key=%s".formatted(codec.key()));
     }
     Reading reading =
         new Reading(pendingUnder, readUnder, term, foundAt.isAfter(revision), mayWrite);
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -155,7 +155,7 @@
               boolean isFree = isElsewhere && state.moveOf(name) == null;
               if (isFree && moves.size() < capacity.room(state)) {
                 environment.info(
-                    "machine.reclaimed machine=%s shard=%s assigned=%s",
+                    "machine.reclaimed machine=%s shard=%s assigned_to=%s",
                     name, shard, machine.shard());
                 moves.add(begin(moves.size(), name, shard, state));
               }
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -68,7 +68,8 @@
     for (Entry stored : page.entries()) {
       Optional<IndexEntry> entry = ArchiveValueCodec.readIndex(stored.key(), stored.value());
       if (entry.isEmpty()) {
-        environment.refused("state.unreadable", "state.unreadable key=%s".formatted(stored.key()));
+        environment.refused(
+            "state.unreadable", "store.value.unreadable key=%s".formatted(stored.key()));
       } else if (entry.get().isComplete()) {
         complete.add(entry.get());
       } else {
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -171,7 +171,8 @@
         pending.add(rewrite);
       } else {
         unreadable++;
-        environment.refused("state.unreadable", "state.unreadable key=%s".formatted(entry.key()));
+        environment.refused(
+            "state.unreadable", "store.value.unreadable key=%s".formatted(entry.key()));
       }
       return;
     }
--- a/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
@@ -27,24 +27,24 @@
   private static final Revision COUNTER_REVISION = new Revision(40);
 
   private final LeaderSteps steps = new LeaderSteps();
-  private final List<ShardId> minted = new ArrayList<>();
+  private final List<ShardId> allocated = new ArrayList<>();
   private final Election election = new Election(steps.context, null);
   private final EpochAllocator epochs =
-      new EpochAllocator(steps.context, election, steps.loadedTerm, steps.shards, minted::add);
+      new EpochAllocator(steps.context, election, steps.loadedTerm, steps.shards, allocated::add);
 
   private ShardState shard() {
     return steps.shards.get(SHARD);
   }
 
-  private void mint(ControllerName owner, long above) {
-    steps.step(() -> epochs.mint(SHARD, shard(), owner, writer(owner), new Epoch(above)));
+  private void allocate(ControllerName owner, long above) {
+    steps.step(() -> epochs.allocate(SHARD, shard(), owner, writer(owner), new Epoch(above)));
   }
 
   private JsonNode committedAt(long revision) {
     return steps.answerState(200, Json.object().put("ledgerRev", revision));
   }
 
-  /** Elects this process, since a mint counts only under the election's own term. */
+  /** Elects this process, since an allocation counts only under the election's own term. */
   @BeforeEach
   void lead() {
     steps.step(election::tick);
@@ -57,9 +57,9 @@
   }
 
   @Test
-  void aCommittedMintGivesTheShardItsOwner() {
-    mint(N2, 0);
-    assertTrue(shard().isMinting());
+  void aCommittedAllocationGivesTheShardItsOwner() {
+    allocate(N2, 0);
+    assertTrue(shard().isAllocating());
     JsonNode sent = committedAt(50);
 
     assertEquals(
@@ -67,38 +67,38 @@
         sent.path("guards").toString());
     assertEquals(new Epoch(18), shard().epoch());
     assertTrue(shard().isOwnedBy(N2));
-    assertFalse(shard().isMinting());
-    assertEquals(List.of(SHARD), minted);
+    assertFalse(shard().isAllocating());
+    assertEquals(List.of(SHARD), allocated);
     assertEquals(18, epochs.highest());
   }
 
   @Test
   void anEpochIsAboveThatByWhichTheOwnerWasRefused() {
-    mint(N2, 30);
+    allocate(N2, 30);
     committedAt(50);
     assertEquals(new Epoch(31), shard().epoch());
   }
 
   @Test
-  void oneMintAtATime() {
-    mint(N2, 0);
-    mint(N3, 0);
+  void oneAllocationAtATime() {
+    allocate(N2, 0);
+    allocate(N3, 0);
     assertEquals(1, steps.openStateCalls());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 500, 504})
-  void anOwnerOfAMintWithoutAnAnswerIsInDoubtUntilALaterOneIsCommitted(int status) {
-    mint(N2, 0);
+  void anOwnerOfAnAllocationWithoutAnAnswerIsInDoubtUntilALaterOneIsCommitted(int status) {
+    allocate(N2, 0);
     committedAt(50);
-    mint(N3, 0);
+    allocate(N3, 0);
     steps.answerState(status, Json.object());
     assertEquals(Revision.ABSENT, steps.loadedTerm.current());
 
     loadedAgainWithOwnerN2();
     assertTrue(shard().isVacant());
 
-    mint(N3, 0);
+    allocate(N3, 0);
     committedAt(60);
     loadedAgainWithOwnerN2();
     assertFalse(shard().isVacant());
@@ -106,10 +106,10 @@
 
   @ParameterizedTest
   @ValueSource(ints = {400, 409, 429, 503})
-  void aRefusedMintLeavesNoDoubt(int status) {
-    mint(N2, 0);
+  void aRefusedAllocationLeavesNoDoubt(int status) {
+    allocate(N2, 0);
     committedAt(50);
-    mint(N3, 0);
+    allocate(N3, 0);
     steps.answerState(status, Json.object());
     assertEquals(Revision.ABSENT, steps.loadedTerm.current());
 
--- a/src/test/java/shorecrank/rebalance/MoveModel.java
+++ b/src/test/java/shorecrank/rebalance/MoveModel.java
@@ -167,11 +167,11 @@
     }
     if (state.source().owner() < MOST_OWNERS) {
       boolean isKept = isWithout(Fault.RELEASE_KEPT_OVER_EPOCH) && leader.released();
-      ModelState minted =
+      ModelState allocated =
           state
               .with(state.source().successor(told(state)))
               .with(new Messages(state.messages().heartbeat(), null));
-      to.accept("a new owner", minted.with(leader.hears(isKept, leader.arrived())));
+      to.accept("a new owner", allocated.with(leader.hears(isKept, leader.arrived())));
     }
     tellSource(state, told(state), to);
     tellTarget(state, to);
