--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -8,6 +8,12 @@
 
 /** One attempt placed on a machine, from before its record is written until it is surely off. */
 public final class TaskAttempt {
+  /**
+   * Seconds that an attempt has run at least before it may be moved: a start that is stopped sooner
+   * than 30 s does not count as one for users.
+   */
+  public static final double SETTLED_S = 32;
+
   private final Job job;
   private final int index;
   private final Machine machine;
@@ -45,6 +51,19 @@
     this.placedAt = placedAt;
   }
 
+  /** An attempt that the next write of its job's record names, on a machine as it is now. */
+  public static TaskAttempt place(
+      Job job, int index, Machine machine, AttemptNumber number, MonotonicTime now) {
+    return new TaskAttempt(
+        job,
+        index,
+        machine,
+        machine.session().incarnation(),
+        number,
+        job.record().nextSequence(),
+        now);
+  }
+
   /** The job that the task is of. */
   public Job job() {
     return job;
@@ -165,13 +184,17 @@
     return runningSince == null ? 0 : now.since(runningSince) / 1000.0;
   }
 
-  /** Whether its progress is kept in a checkpoint when it is stopped, and it is not stopped yet. */
-  public boolean canMoveByCheckpoint() {
+  /**
+   * Whether it may be stopped to run elsewhere: its progress is kept in a checkpoint, its start
+   * counts, and it is not stopped yet.
+   */
+  public boolean canMoveByCheckpoint(MonotonicTime now) {
     return job.spec().checkpointIntervalS() > 0
         && state == TaskState.RUNNING
         && !revoked
         && isCommitted()
-        && job.record().isClaimed();
+        && job.record().isClaimed()
+        && runSeconds(now) > SETTLED_S;
   }
 
   /** Seconds until it ends by its owner's estimate; of one that runs over it a quarter more. */
--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -8,12 +8,6 @@
 
 /** Says which machines a shard asks the leader to rent, and which to return to the cloud. */
 public final class Autoscaler {
-  /**
-   * Seconds that an attempt has run at least before it may be moved: a start that is stopped sooner
-   * than 30 s does not count as one for users.
-   */
-  public static final double SETTLED_S = 32;
-
   private final StepContext context;
   private final OfferAvailability availability = new OfferAvailability();
   private final CorrelatedSilence correlatedSilence;
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -98,8 +98,7 @@
       double remainingS = attempt.remainingSeconds(context.now());
       double heartbeatS = context.config().workers().reportS();
       double moveS = spec.checkpointDurationS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
-      if (attempt.canMoveByCheckpoint()
-          && attempt.runSeconds(context.now()) > Autoscaler.SETTLED_S) {
+      if (attempt.canMoveByCheckpoint(context.now())) {
         move.attempts.add(attempt);
         move.cpus += spec.cpus();
         move.costS += spec.cpus() * moveS / machine.type().cpus();
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -162,15 +162,7 @@
         if (index < 0) {
           return tasks;
         }
-        shard.attach(
-            new TaskAttempt(
-                job,
-                index,
-                machine,
-                machine.session().incarnation(),
-                number,
-                job.record().nextSequence(),
-                context.now()));
+        shard.attach(TaskAttempt.place(job, index, machine, number, context.now()));
       }
       return most;
     }
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -138,15 +138,7 @@
     AttemptNumber number = job.tasks().nextAttemptNumber();
     job.tasks().takeAttemptNumber();
     job.record().takeRange();
-    shard.attach(
-        new TaskAttempt(
-            job,
-            index,
-            machine,
-            machine.session().incarnation(),
-            number,
-            job.record().nextSequence(),
-            context.now()));
+    shard.attach(TaskAttempt.place(job, index, machine, number, context.now()));
   }
 
   /** The tasks whose stop costs the least, over all machines where the job may run. */
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -11,7 +11,6 @@
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.WorkerLiveness;
-import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
@@ -241,8 +240,7 @@
         continue;
       }
       for (TaskAttempt attempt : machine.attempts()) {
-        if (attempt.canMoveByCheckpoint()
-            && attempt.runSeconds(context.now()) > Autoscaler.SETTLED_S) {
+        if (attempt.canMoveByCheckpoint(context.now())) {
           attempt.revoke();
           context.count("task.moved");
         }
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -13,7 +13,6 @@
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.MachineConstraints;
 import shorecrank.coordination.model.TaskAttempt;
-import shorecrank.coordination.scheduling.Autoscaler;
 import shorecrank.coordination.scheduling.QueuedDemand;
 import shorecrank.coordination.scheduling.ShardView;
 import shorecrank.coordination.step.StepContext;
@@ -102,7 +101,7 @@
       double left = attempt.remainingSeconds(context.now());
       if (attempt.job().spec().checkpointIntervalS() > 0) {
         left =
-            Math.min(left, Math.max(0, Autoscaler.SETTLED_S - attempt.runSeconds(context.now())));
+            Math.min(left, Math.max(0, TaskAttempt.SETTLED_S - attempt.runSeconds(context.now())));
       }
       longest = Math.max(longest, left);
     }
