--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -43,7 +43,7 @@
     if (shardOwner != null) {
       shardOwner.queryStatus(job, then);
     } else if (owners.findOther(shard).isEmpty()) {
-      then.told(Optional.empty());
+      then.onStatus(Optional.empty());
     } else {
       pending
           .computeIfAbsent(shard, asked -> new LinkedHashMap<>())
@@ -80,7 +80,7 @@
     queries.forEach(
         (job, callbacks) -> {
           Optional<JobStatus> status = Optional.ofNullable(statuses.get(job));
-          callbacks.forEach(callback -> callback.told(status));
+          callbacks.forEach(callback -> callback.onStatus(status));
         });
   }
 
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -50,7 +50,7 @@
      *
      * @param jobStatus empty if this owner can't tell
      */
-    void told(Optional<JobStatus> jobStatus);
+    void onStatus(Optional<JobStatus> jobStatus);
   }
 
   /** The queries that one transaction answers. */
@@ -124,7 +124,7 @@
   void ask(JobId id, boolean isOwner, StatusCallback callback) {
     Optional<JobStatus> end = findEnded(id);
     if (end.isPresent() || !isOwner || jobs.find(id) == null) {
-      callback.told(end);
+      callback.onStatus(end);
     } else {
       waiting.computeIfAbsent(id, absent -> new ArrayList<>(1)).add(callback);
     }
@@ -141,7 +141,7 @@
   }
 
   private static void tell(List<StatusCallback> callbacks, Optional<JobStatus> status) {
-    callbacks.forEach(callback -> callback.told(status));
+    callbacks.forEach(callback -> callback.onStatus(status));
   }
 
   /** Answers what waits, unless a comparison is under way; once a round. */
