--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -227,7 +227,7 @@
         answer.assigned().forEach(shardOwner.machines()::updateAssignment);
         answer.unassigned().forEach(shardOwner.machines()::removeAssignment);
       }
-      shardOwner.machines().removeGone(answer.released());
+      shardOwner.machines().removeReleased(answer.released());
       shardOwner.autoscaler().updateUnavailableOffers(answer.offersWithoutCapacity());
     }
   }
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -161,7 +161,7 @@
   }
 
   /** Machines that are surely gone, with all that ran on them. */
-  public void removeGone(Collection<MachineName> names) {
+  public void removeReleased(Collection<MachineName> names) {
     for (MachineName name : names) {
       handovers.forget(name);
       Machine machine = machines.get(name);
