--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -51,7 +51,7 @@
     this.jobs = jobs;
     this.cancellations = cancellations;
     this.cancelJob = cancelJob;
-    this.lookups = new DependencyLookups(context, this::cancelledElsewhere, this::ended);
+    this.lookups = new DependencyLookups(context, this::cancelledElsewhere, this::onJobEnded);
     this.urgency = new InheritedUrgency(context, jobs, dependents);
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** A job of the shard has ended or left it; jobs that wait for it go on waiting. */
-  public void forget(Job job) {
+  public void remove(Job job) {
     urgency.forget(job);
     for (JobId dependency : job.scheduling().unmetDependencies()) {
       Set<Job> waiting = dependents.get(dependency);
@@ -89,10 +89,10 @@
   }
 
   /** A job's final record is there, with the state in which it ended. */
-  public void ended(JobId id, JobState state) {
+  public void onJobEnded(JobId id, JobState state) {
     lookups.remove(id);
     if (state != JobState.DONE) {
-      cancelled(id);
+      onJobCancelled(id);
       return;
     }
     Set<Job> waiting = dependents.remove(id);
@@ -108,14 +108,14 @@
   }
 
   /** The live record of a job, perhaps of another shard, was deleted: it has ended. */
-  public void recordDeleted(JobId id) {
+  public void onRecordDeleted(JobId id) {
     if (dependents.containsKey(id)) {
       lookups.addAtOnce(id);
     }
   }
 
   /** A job is cancelled for good: its committed mark was seen, or it depends on one that is. */
-  public void cancelled(JobId id) {
+  public void onJobCancelled(JobId id) {
     Set<Job> waiting = dependents.remove(id);
     if (waiting != null) {
       List.copyOf(waiting).forEach(this::cancel);
@@ -124,7 +124,7 @@
 
   private void cancelledElsewhere(JobId id) {
     cancellations.learn(id);
-    cancelled(id);
+    onJobCancelled(id);
   }
 
   private void cancel(Job job) {
@@ -135,7 +135,7 @@
     cancellations.learn(job.id());
     cancelJob.accept(job);
     urgency.invalidate();
-    cancelled(job.id());
+    onJobCancelled(job.id());
   }
 
   /** Looks up the jobs waited for whose state is not known, a few at a time. */
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -86,7 +86,7 @@
     }
     adoptAttempts(job, record);
     if (job.isCancelled()) {
-      dependencies.cancelled(job.id());
+      dependencies.onJobCancelled(job.id());
       job.requestWrite(WriteUrgency.NOW, context.now());
     } else {
       dependencies.add(job);
@@ -112,7 +112,7 @@
   private void forget(Job job) {
     jobs.remove(job);
     queue.forget(job);
-    dependencies.forget(job);
+    dependencies.remove(job);
   }
 
   /** Forgets all jobs, to read their records anew. */
@@ -135,7 +135,7 @@
     job.cancel();
     jobs.detachUncommitted(job);
     context.info("job.cancelled job=%s", job.id());
-    dependencies.cancelled(job.id());
+    dependencies.onJobCancelled(job.id());
   }
 
   /** A job that it needs is cancelled, so it is too; none of its tasks has ever been placed. */
@@ -147,7 +147,7 @@
   @Override
   public void ended(Job job, JobState state) {
     forget(job);
-    dependencies.ended(job.id(), state);
+    dependencies.onJobEnded(job.id(), state);
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -230,7 +230,7 @@
   public void learnCancelled(JobId id) {
     Job job = jobs.find(id);
     if (job == null) {
-      dependencies.cancelled(id);
+      dependencies.onJobCancelled(id);
     } else if (!job.isCancelled()) {
       lifecycle.cancelled(job);
       if (lease.isValid() && !job.record().isInFlight()) {
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -237,9 +237,9 @@
     boolean marked = JobRecord.isMarked(change.value());
     if (marked) {
       cancellations.learn(id);
-      dependencies.cancelled(id);
+      dependencies.onJobCancelled(id);
     } else if (change.value() == null) {
-      dependencies.recordDeleted(id);
+      dependencies.onRecordDeleted(id);
     }
     if (jobs.isRelinquished(id)) {
       return;
--- a/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
@@ -81,10 +81,10 @@
     add(job(2));
     Job last = add(job(3).dependsOn(1, 2));
     atMs(5000);
-    graph.ended(id(1), JobState.DONE);
+    graph.onJobEnded(id(1), JobState.DONE);
     assertEquals(0, last.queued(), "after the first");
     atMs(7000);
-    graph.ended(id(2), JobState.DONE);
+    graph.onJobEnded(id(2), JobState.DONE);
     assertEquals(1, last.queued(), "after the last");
     assertEquals(2, last.readyS(9000), "seconds since it was ready");
   }
@@ -99,9 +99,9 @@
     add(job(4).dependsOn(3));
     add(job(5));
     Job other = add(job(6).dependsOn(5));
-    graph.cancelled(id(1));
+    graph.onJobCancelled(id(1));
     assertEquals(List.of(id(2), id(3), id(4)), cancelled);
-    graph.ended(id(5), JobState.DONE);
+    graph.onJobEnded(id(5), JobState.DONE);
     assertEquals(1, other.queued(), "a job on another chain");
   }
 
@@ -109,7 +109,7 @@
   void aFinalRecordThatSaysCancelledCancelsDependents() {
     add(job(1));
     add(job(2).dependsOn(1));
-    graph.ended(id(1), JobState.CANCELLED);
+    graph.onJobEnded(id(1), JobState.CANCELLED);
     assertEquals(List.of(id(2)), cancelled);
   }
 
@@ -124,8 +124,8 @@
   @Test
   void aForgottenJobIsNotCancelled() {
     add(job(1));
-    graph.forget(add(job(2).dependsOn(1)));
-    graph.cancelled(id(1));
+    graph.remove(add(job(2).dependsOn(1)));
+    graph.onJobCancelled(id(1));
     assertEquals(List.of(), cancelled);
   }
 
@@ -187,8 +187,8 @@
     add(job(2).dependsOn(1));
     graph.tick();
     answer(200, Json.object());
-    graph.recordDeleted(id(7));
-    graph.recordDeleted(id(1));
+    graph.onRecordDeleted(id(7));
+    graph.onRecordDeleted(id(1));
     graph.tick();
     assertEquals(1, calls().size());
   }
