--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -68,7 +68,7 @@
     if (!queue.objectives().hasTargets(job.spec())) {
       return job.scheduling().priority().compareTo(Priority.URGENT) <= 0;
     }
-    if (!queue.waitsForStart(job.spec())) {
+    if (!queue.hasStartTarget(job.spec())) {
       return false;
     }
     double waitedS = job.readyS(context.wallMs());
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -141,7 +141,7 @@
   }
 
   /** Whether users of the job's class wait for the start of its tasks. */
-  public boolean waitsForStart(JobSpec spec) {
+  public boolean hasStartTarget(JobSpec spec) {
     return objectives.hasStartTarget(spec);
   }
 
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -171,7 +171,7 @@
     if (!job.record().isClaimed() && !job.tasks().hasAttempts()) {
       return Rank.CLAIM;
     }
-    return queue.waitsForStart(job.spec()) ? Rank.PLACEMENT_FOR_WAITING_USER : Rank.PLACEMENT;
+    return queue.hasStartTarget(job.spec()) ? Rank.PLACEMENT_FOR_WAITING_USER : Rank.PLACEMENT;
   }
 
   /** What a failover has to claim comes before new placements, with all that the service takes. */
