--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -169,7 +169,7 @@
    * other owner has the record of a job, whose tasks may still run.
    */
   private boolean isUseKnown() {
-    if (shard.hasRefusedRecord()) {
+    if (shard.hasRecordOfOtherOwner()) {
       return false;
     }
     for (Job job : shard.jobs().values()) {
--- a/src/main/java/shorecrank/coordination/scheduling/ShardView.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ShardView.java
@@ -35,7 +35,7 @@
   MonotonicTime readySince();
 
   /** Whether a record is another owner's, until all are read anew under a higher epoch. */
-  boolean hasRefusedRecord();
+  boolean hasRecordOfOtherOwner();
 
   /** Whether the owner's lease runs. */
   boolean isLeaseValid();
--- a/src/main/java/shorecrank/coordination/shard/ShardState.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardState.java
@@ -80,7 +80,7 @@
   }
 
   @Override
-  public boolean hasRefusedRecord() {
+  public boolean hasRecordOfOtherOwner() {
     return !lease.refusedBy().equals(Epoch.NONE);
   }
 
--- a/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
+++ b/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public boolean hasRefusedRecord() {
+  public boolean hasRecordOfOtherOwner() {
     return false;
   }
 
