--- a/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
+++ b/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
@@ -29,7 +29,7 @@
   }
 
   /** Whether it is assigned to another shard, whose owner may renew its worker's lease. */
-  public boolean isElsewhere() {
+  public boolean isAssignedElsewhere() {
     return elsewhere;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -217,7 +217,7 @@
     for (Machine machine : machines.values()) {
       // The owner of another shard may renew the lease of one that is assigned there.
       if (!machine.isEmpty()
-          && !machine.assignment().isElsewhere()
+          && !machine.assignment().isAssignedElsewhere()
           && liveness.isLeaseExpired(machine)) {
         loseAll(machine, "its worker's lease ran out");
         machine.clearUnrecordedTasks();
@@ -292,7 +292,7 @@
   List<MachineName> misplaced() {
     List<MachineName> names = new ArrayList<>();
     for (Machine machine : machines.values()) {
-      if (machine.assignment().isElsewhere() && !machine.isEmpty()) {
+      if (machine.assignment().isAssignedElsewhere() && !machine.isEmpty()) {
         names.add(machine.name());
       }
     }
