--- a/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
+++ b/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
@@ -49,7 +49,7 @@
   }
 
   /** Whether it has come from another shard, so that it ran before it was assigned here. */
-  public boolean hasArrivedFromShard() {
+  public boolean hasArrivedFromOtherShard() {
     return arrivedFromShard;
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -160,7 +160,7 @@
 
   /** One that takes far longer than usual to boot may never come up, or was gone when it came. */
   private boolean mayStillBoot(Machine machine) {
-    return !machine.assignment().hasArrivedFromShard()
+    return !machine.assignment().hasArrivedFromOtherShard()
         && machine.type() != null
         && context.now().since(machine.assignment().since())
             < LATEST_BOOT * MS_PER_S * machine.type().bootS();
