--- a/src/main/java/shorecrank/coordination/model/CommandTokens.java
+++ b/src/main/java/shorecrank/coordination/model/CommandTokens.java
@@ -89,7 +89,7 @@
   }
 
   /** Whether a direct command may yet be carried out. */
-  public boolean mayDirectCommandAct() {
+  public boolean hasPendingDirectCommand() {
     return unansweredDirectCommands > 0 || !directStarts.isEmpty();
   }
 
--- a/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
@@ -63,7 +63,7 @@
     return machine.isEmpty()
         && machine.session().isConfirmed()
         && liveness.isFresh(machine)
-        && !machine.session().tokens().mayDirectCommandAct()
+        && !machine.session().tokens().hasPendingDirectCommand()
         && !references.mayName(machine.name())
         && listsOnlyForeign(machine);
   }
