--- a/src/main/java/shorecrank/coordination/model/CommandTokens.java
+++ b/src/main/java/shorecrank/coordination/model/CommandTokens.java
@@ -94,7 +94,7 @@
   }
 
   /** Whether a direct command may yet start this attempt. */
-  public boolean mayDirectCommandStart(TaskAttemptId attempt) {
+  public boolean hasPendingDirectStart(TaskAttemptId attempt) {
     return directStarts.containsKey(attempt);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -84,7 +84,7 @@
           && attempt.incarnation().equals(machine.session().incarnation())
           && !listed.contains(attempt.id())
           && (!machine.session().isConfirmed()
-              || machine.session().tokens().mayDirectCommandStart(attempt.id()))) {
+              || machine.session().tokens().hasPendingDirectStart(attempt.id()))) {
         stops.add(new Stop(attempt.id(), AT_ONCE));
       }
     }
@@ -149,7 +149,7 @@
       context.info("task.unexpected machine=%s task=%s", machine.name(), id);
     } else if (isExitRecorded(job, id)
         && !direct
-        && !machine.session().tokens().mayDirectCommandStart(id)) {
+        && !machine.session().tokens().hasPendingDirectStart(id)) {
       // Reaped only once no record names it and no start of it is under way: a repeated start would
       // run it anew.
       commands.add(new Reap(id));
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -94,7 +94,7 @@
 
   private static boolean mayBeStartedByCommandUnderWay(Machine machine, TaskAttempt attempt) {
     return !machine.session().isConfirmed()
-        || machine.session().tokens().mayDirectCommandStart(attempt.id());
+        || machine.session().tokens().hasPendingDirectStart(attempt.id());
   }
 
   /** Why no command that is to come starts the attempt; empty if one may. */
