--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -147,7 +147,7 @@
    * Whether nothing is left to be done but to write its final record: it is complete or cancelled,
    * and surely nothing of it runs.
    */
-  public boolean isOver() {
+  public boolean isReadyForFinalRecord() {
     return record.isFreeOfEarlierOwner()
         && (cancelled || tasks.isComplete())
         && !tasks.hasAttempts()
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -149,11 +149,11 @@
     for (Iterator<Job> i = candidates.iterator(); i.hasNext(); ) {
       Job job = i.next();
       WriteUrgency urgency = job.record().urgency();
-      if (!jobs.isCurrent(job) || (urgency == WriteUrgency.NONE && !job.isOver())) {
+      if (!jobs.isCurrent(job) || (urgency == WriteUrgency.NONE && !job.isReadyForFinalRecord())) {
         i.remove();
       } else if (job.record().isWritable(now)
           && (urgency == WriteUrgency.NOW
-              || job.isOver()
+              || job.isReadyForFinalRecord()
               || now.since(job.record().urgentSince()) >= context.settings().mergeMs())) {
         due.add(job);
       }
@@ -162,7 +162,7 @@
   }
 
   private Rank rank(Job job) {
-    if (job.isOver()) {
+    if (job.isReadyForFinalRecord()) {
       return Rank.FINAL;
     }
     if (job.record().urgency() != WriteUrgency.NOW) {
@@ -209,7 +209,7 @@
       String key = JobRecord.liveKey(job.id());
       transaction.guard(key, job.record().revision());
       job.record().beginWrite();
-      bytes += WRITE_OVERHEAD_BYTES + (job.isOver() ? addFinal(job, key) : addRecord(job, key));
+      bytes += WRITE_OVERHEAD_BYTES + (job.isReadyForFinalRecord() ? addFinal(job, key) : addRecord(job, key));
     }
 
     private int addFinal(Job job, String key) {
@@ -253,7 +253,7 @@
   }
 
   private static int operations(Job job) {
-    return job.isOver() ? 2 : 1;
+    return job.isReadyForFinalRecord() ? 2 : 1;
   }
 
   private double maxValueBytes() {
