--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -160,7 +160,7 @@
   }
 
   /** Seconds that it has waited for nothing but room. */
-  public double readyS(long wallMs) {
+  public double readyForS(long wallMs) {
     return (wallMs - scheduling.readyAtMs()) / MS_PER_S;
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -71,7 +71,7 @@
     if (!queue.waitsForStart(job.spec())) {
       return false;
     }
-    double waitedS = job.readyS(context.wallMs());
+    double waitedS = job.readyForS(context.wallMs());
     double targetS = queue.objectives().nextStartTargetS(job.spec(), waitedS);
     if (targetS == Double.MAX_VALUE) {
       // Too late to start in time: nothing is won by what others would lose.
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -155,7 +155,7 @@
     return !job.tasks().wasPlaced()
         && job.tasks().doneCount() == 0
         && job.scheduling().isReady()
-        && job.readyS(wallMs) > OVERDUE_AFTER_S;
+        && job.readyForS(wallMs) > OVERDUE_AFTER_S;
   }
 
   /**
@@ -269,7 +269,7 @@
       }
     }
     if (job.scheduling().isWithinGuarantee()) {
-      latestStartS = Math.min(latestStartS, GUARANTEED_START_S - job.readyS(wallMs));
+      latestStartS = Math.min(latestStartS, GUARANTEED_START_S - job.readyForS(wallMs));
     }
     if (latestStartS == NO_START) {
       return null;
@@ -284,7 +284,7 @@
   /** The latest start that reaches the target, in seconds from now; NO_START if none does. */
   private static double latestStartS(Target target, Job job, Duration duration, long wallMs) {
     // But for deadlines, times count from when the last job that it depends on was done.
-    double waitedS = job.readyS(wallMs);
+    double waitedS = job.readyForS(wallMs);
     if (target instanceof Target.Start start) {
       // The image may be there and the machine's heartbeat about to come: given up only once past.
       return waitedS >= start.withinS()
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -119,7 +119,7 @@
       Job job = queued.job();
       waiting[job.scheduling().priority().ordinal()] += queued.cpus();
       if (!job.tasks().hasAttempts() && job.tasks().doneCount() == 0) {
-        oldestS = Math.max(oldestS, job.readyS(context.wallMs()));
+        oldestS = Math.max(oldestS, job.readyForS(context.wallMs()));
       }
       addKinds(job, kinds);
     }
--- a/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
@@ -86,7 +86,7 @@
     atMs(7000);
     graph.ended(id(2), JobState.DONE);
     assertEquals(1, last.queued(), "after the last");
-    assertEquals(2, last.readyS(9000), "seconds since it was ready");
+    assertEquals(2, last.readyForS(9000), "seconds since it was ready");
   }
 
   // ---- cancellation ----------------------------------------------------------------------------
