--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -165,7 +165,7 @@
   }
 
   /** What is still to be done, in processor seconds by its user's estimate. */
-  public double workLeft() {
+  public double remainingCpuSeconds() {
     return (spec.tasks() - tasks.doneCount())
         * Math.max(LEAST_CPUS, spec.cpus())
         * spec.estimateS();
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -80,7 +80,7 @@
 
   private static final Comparator<Job> BY_PRIORITY_AND_WORK =
       Comparator.<Job, Priority>comparing(job -> job.scheduling().priority())
-          .thenComparingDouble(Job::workLeft)
+          .thenComparingDouble(Job::remainingCpuSeconds)
           .thenComparing(Job::id);
 
   /**
