--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -135,7 +135,7 @@
   }
 
   /** Whether an owner's late write can't add to the use of the job's team. */
-  public boolean isUseKnown() {
+  public boolean isTeamUseKnown() {
     return claimed || (!hasOwner() && !claimRequired);
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -173,7 +173,7 @@
       return false;
     }
     for (Job job : shard.jobs().values()) {
-      if (!job.record().isUseKnown()) {
+      if (!job.record().isTeamUseKnown()) {
         return false;
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
+++ b/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
@@ -28,7 +28,7 @@
     int toClaim = 0;
     for (Job job : jobs.all().values()) {
       attempts += job.tasks().attemptCount();
-      toClaim += job.record().isUseKnown() ? 0 : 1;
+      toClaim += job.record().isTeamUseKnown() ? 0 : 1;
     }
     context.info(
         "shard.recovered shard=%s epoch=%s jobs=%d revision=%d attempts=%d to_claim=%d read_ms=%d",
--- a/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
@@ -64,12 +64,12 @@
 
   @Test
   void theUseOfATeamIsKnownOnceNoEarlierOwnerCanWrite() {
-    assertTrue(record.isUseKnown(), "nobody has owned it");
+    assertTrue(record.isTeamUseKnown(), "nobody has owned it");
     record.requireClaim();
-    assertFalse(record.isUseKnown());
+    assertFalse(record.isTeamUseKnown());
     record.beginWrite();
     job.recordCommitted(record.sequence(), new Revision(9), EPOCH, QUEUED);
-    assertTrue(record.isUseKnown());
+    assertTrue(record.isTeamUseKnown());
   }
 
   @Test
