--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -86,7 +86,7 @@
   }
 
   /** Whether a record holds a write of this very object, so that memory is as new or newer. */
-  public boolean wrote(JobRecord record, WriterId writer) {
+  public boolean isOwnWrite(JobRecord record, WriterId writer) {
     return record.writer().equals(writer) && record.sequence() > firstSequence;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -185,7 +185,7 @@
       jobs.refused(job, record);
       return;
     }
-    boolean isOwnWrite = job.record().wrote(record, context.writer());
+    boolean isOwnWrite = job.record().isOwnWrite(record, context.writer());
     boolean hasOwner = record.epoch().value() > 0;
     boolean othersMayWrite = !isOwnWrite && (hasOwner || job.record().isClaimRequired());
     references.read(job.id(), revision, record, othersMayWrite);
--- a/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
@@ -56,10 +56,10 @@
 
   @Test
   void aWriteOfThisObjectIsToldByItsWriterAndNumber() {
-    assertFalse(record.wrote(job.toRecord(EPOCH, WRITER), WRITER), "before the first write");
+    assertFalse(record.isOwnWrite(job.toRecord(EPOCH, WRITER), WRITER), "before the first write");
     record.beginWrite();
-    assertTrue(record.wrote(job.toRecord(EPOCH, WRITER), WRITER));
-    assertFalse(record.wrote(job.toRecord(EPOCH, WRITER), new WriterId("w-2")));
+    assertTrue(record.isOwnWrite(job.toRecord(EPOCH, WRITER), WRITER));
+    assertFalse(record.isOwnWrite(job.toRecord(EPOCH, WRITER), new WriterId("w-2")));
   }
 
   @Test
