--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -229,7 +229,7 @@
   }
 
   /** Whether tasks may be placed: the placement goes into a write, of which only one may be out. */
-  public boolean mayTakePlacement() {
+  public boolean canAcceptPlacement() {
     return !inFlight && !rereading && rangesLeft > 0 && isFreeOfEarlierOwner();
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -85,7 +85,7 @@
     MonotonicTime now = context.now();
     for (Job job : shard.jobs().values()) {
       if (job.queued() > 0
-          && job.record().mayTakePlacement()
+          && job.record().canAcceptPlacement()
           && job.scheduling().isPauseOver(now)) {
         waiting.add(job);
       }
--- a/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
@@ -27,7 +27,7 @@
     assertTrue(record.isWritable(NOW));
     record.beginWrite();
     assertFalse(record.isWritable(NOW));
-    assertFalse(record.mayTakePlacement(), "a placement would not be in the write");
+    assertFalse(record.canAcceptPlacement(), "a placement would not be in the write");
     record.endWrite();
     assertTrue(record.isWritable(NOW));
   }
