--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -266,7 +266,7 @@
   }
 
   /** A further attempt range was placed. */
-  public void takeRange() {
+  public void recordPlacedRange() {
     rangesLeft--;
     placementDue = true;
   }
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -138,7 +138,7 @@
         return false;
       }
       job.tasks().takeAttemptNumber();
-      job.record().takeRange();
+      job.record().recordPlacedRange();
       placed = true;
       wanted -= tasks;
       String machineZone = machine.info().zone();
