--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -91,7 +91,7 @@
   }
 
   /** A watch has shown a revision of the record. */
-  public void recordSeen(Revision shown) {
+  public void observeRevision(Revision shown) {
     if (shown.isAfter(seenRevision)) {
       seenRevision = shown;
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -249,7 +249,7 @@
       appeared(id, change);
       return;
     }
-    job.record().recordSeen(change.revision());
+    job.record().observeRevision(change.revision());
     if (marked && !job.isCancelled()) {
       // What the watch shows is committed; reading the record again may fail for long.
       lifecycle.cancelled(job);
--- a/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
@@ -74,8 +74,8 @@
 
   @Test
   void outdatedOnceAWatchShowsALaterRevision() {
-    record.recordSeen(new Revision(5));
-    record.recordSeen(new Revision(3));
+    record.observeRevision(new Revision(5));
+    record.observeRevision(new Revision(3));
     assertTrue(record.isOutdated());
     job.recordCommitted(record.sequence(), new Revision(5), EPOCH, QUEUED);
     assertFalse(record.isOutdated());
