--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -68,13 +68,13 @@
 
   /** Takes over a record that another has written. */
   void adopt(JobRecord record, Revision readRevision) {
-    adoptUnchanged(record, readRevision);
+    adoptRevision(record, readRevision);
     epoch = record.epoch();
     committedSequence = sequence;
   }
 
   /** A record was read that says no more than is known here, but for a mark of a cancellation. */
-  public void adoptUnchanged(JobRecord record, Revision readRevision) {
+  public void adoptRevision(JobRecord record, Revision readRevision) {
     revision = readRevision;
     status = record.jobStatus();
   }
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -210,7 +210,7 @@
   }
 
   private void adoptMark(Job job, JobRecord record, Revision revision) {
-    job.record().adoptUnchanged(record, revision);
+    job.record().adoptRevision(record, revision);
     if (record.cancelled() && !job.isCancelled()) {
       jobs.cancelled(job);
     }
