--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -99,8 +99,8 @@
   }
 
   /** The record holds one of this object's own writes, by its number. */
-  public void adoptWritten(JobRecord stored) {
-    record.adoptWritten(stored);
+  public void adoptOwnWrite(JobRecord stored) {
+    record.adoptOwnWrite(stored);
     tasks.forgetRecordedExits(record.committedSequence());
   }
 
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -80,7 +80,7 @@
   }
 
   /** The record was found to hold one of this object's writes. */
-  void adoptWritten(JobRecord record) {
+  void adoptOwnWrite(JobRecord record) {
     claimed = record.epoch().value() > 0;
     committedSequence = Math.max(committedSequence, record.sequence());
   }
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -192,7 +192,7 @@
     if (isOwnWrite) {
       // By its number; memory already holds all of it. Somebody may have asked to cancel on top.
       boolean isNews = record.sequence() > job.record().committedSequence();
-      job.adoptWritten(record);
+      job.adoptOwnWrite(record);
       adoptMark(job, record, revision);
       if (isNews) {
         jobs.committed(job);
