--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -236,12 +236,12 @@
   // ---- size ------------------------------------------------------------------------------------
 
   /** Whether it goes in a transaction of its own, because one with it was too large. */
-  public boolean isSeparate() {
+  public boolean isOwnTransactionRequired() {
     return separate;
   }
 
   /** A transaction with it was too large; it goes alone until it is through. */
-  public void separate() {
+  public void requireOwnTransaction() {
     separate = true;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -195,7 +195,7 @@
     boolean hasRoomFor(Job job, MonotonicTime now) {
       boolean mustStandAlone =
           !writes.isEmpty()
-              && (job.record().isSeparate() || writes.get(0).job().record().isSeparate());
+              && (job.record().isOwnTransactionRequired() || writes.get(0).job().record().isOwnTransactionRequired());
       int operations = operations(job);
       return !mustStandAlone
           && transaction.operationCount() + operations <= context.config().state().txnOps()
@@ -344,7 +344,7 @@
     context.count("txn.too_large");
     for (RecordWrite write : writes) {
       JobRecordState record = write.job().record();
-      record.separate();
+      record.requireOwnTransaction();
       if (writes.size() == 1) {
         if (record.isCompact()) {
           record.pauseUntil(now.plus(TOO_LARGE_PAUSE_MS));
