--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -246,12 +246,12 @@
   }
 
   /** Whether the state service has refused it for its size, so that the shortest form is used. */
-  public boolean isCompact() {
+  public boolean isCompactFormRequired() {
     return compact;
   }
 
   /** It is written in the shortest form from now on. */
-  public void compact() {
+  public void requireCompactForm() {
     compact = true;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -226,7 +226,7 @@
     }
 
     private Form form(Job job) {
-      if (job.record().isCompact()) {
+      if (job.record().isCompactFormRequired()) {
         return Form.COMPACT;
       }
       return dense ? Form.DENSE : Form.ORDINARY;
@@ -346,10 +346,10 @@
       JobRecordState record = write.job().record();
       record.requireOwnTransaction();
       if (writes.size() == 1) {
-        if (record.isCompact()) {
+        if (record.isCompactFormRequired()) {
           record.pauseUntil(now.plus(TOO_LARGE_PAUSE_MS));
         }
-        record.compact();
+        record.requireCompactForm();
         shrink(write.job());
       }
     }
