--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -255,7 +255,7 @@
   }
 
   /** How many more tasks of a job fit. */
-  public int fits(JobSpec spec) {
+  public int fittingTasks(JobSpec spec) {
     if (type == null) {
       return 0;
     }
--- a/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -80,14 +80,14 @@
     double startS =
         machine.fetchSeconds(spec)
             + machine.session().secondsToNextAnswer(clock.now, clock.heartbeatIntervalS);
-    int tasks = Math.min(request.tasks, machine.fits(spec));
+    int tasks = Math.min(request.tasks, machine.fittingTasks(spec));
     double leftCpus = machine.freeCpus() - tasks * spec.cpus();
     return startS + FREE_MACHINE_COST_S * leftCpus / Math.max(1, machine.type().cpus());
   }
 
   private static boolean fits(Request request, Machine machine) {
     return (request.zone == null || request.zone.equals(machine.info().zone()))
-        && machine.fits(request.spec()) > 0
+        && machine.fittingTasks(request.spec()) > 0
         && machine.isAllowedFor(request.spec());
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
@@ -42,7 +42,7 @@
     if (machine.hasFreeCpus()) {
       for (QueuedDemand demand : demands) {
         JobSpec spec = demand.job().spec();
-        int tasks = Math.min(machine.fits(spec), demand.tasks());
+        int tasks = Math.min(machine.fittingTasks(spec), demand.tasks());
         if (tasks > 0 && machine.isAllowedFor(spec)) {
           best = Math.max(best, tasks * cpuEquivalent(spec, shard.catalog()));
         }
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -124,7 +124,7 @@
 
     /** How many tasks go to a machine; 0 if its zone has as many as the job allows. */
     private int tasksFor(Machine machine) {
-      int tasks = Math.min(wanted, machine.fits(spec));
+      int tasks = Math.min(wanted, machine.fittingTasks(spec));
       if (!spec.spreadOverZones()) {
         return tasks;
       }
