--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -305,7 +305,7 @@
   }
 
   /** A task of the job runs, so its image is there. */
-  public void imageInUse(JobSpec spec) {
+  public void addImage(JobSpec spec) {
     images.store(spec, type);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -133,7 +133,7 @@
       context.count("task.running.ms", now.since(attempt.placedAt()));
     }
     if (status.state() == TaskState.RUNNING) {
-      machine.imageInUse(attempt.job().spec());
+      machine.addImage(attempt.job().spec());
     } else if (status.state() == TaskState.EXITED) {
       exited(machine, attempt, status);
     }
--- a/src/test/java/shorecrank/coordination/scheduling/BinPackingTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/BinPackingTest.java
@@ -54,7 +54,7 @@
     JobBuilder job = job(1).tasks(1, 4, 0).imageGb(2);
     Machine holder = add(heardMsAgo(1, 0).with(16, 0));
     add(heardMsAgo(2, 0).with(4, 0));
-    holder.imageInUse(job.spec());
+    holder.addImage(job.spec());
     assertSame(holder, choose(job, 1, null));
   }
 
