--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -85,7 +85,7 @@
   }
 
   /** What kind of machine it is, which never changes. */
-  public void describe(MachineInfo info) {
+  public void setInfo(MachineInfo info) {
     this.info = info;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -104,7 +104,7 @@
   /** What kind of machine it is. */
   void describe(Machine machine, MachineInfo info) {
     if (machine.info() == null) {
-      machine.describe(info);
+      machine.setInfo(info);
       machine.setType(catalog.get(info.type()));
     }
   }
--- a/src/test/java/shorecrank/coordination/model/MachineBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/MachineBuilder.java
@@ -70,7 +70,7 @@
     MachineType type = type(cpus, gpus);
     MachineInfo info = new MachineInfo(name, type.name(), zone, false);
     Machine machine = new Machine(name, new HashSet<>());
-    machine.describe(info);
+    machine.setInfo(info);
     machine.setType(type);
     MachineAssignment assignment =
         new MachineAssignment(info, new ShardId(0), 0, TERM, false, MoveId.NONE);
