--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -110,7 +110,7 @@
   }
 
   /** Whether its worker has listed it. */
-  public boolean isSeen() {
+  public boolean isListed() {
     return seen;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -208,7 +208,7 @@
   }
 
   private boolean mayStart(Machine machine, TaskAttempt attempt) {
-    return !attempt.isSeen()
+    return !attempt.isListed()
         && attempt.isCommitted()
         && attempt.job().record().isClaimed()
         && attempt.incarnation().equals(machine.session().incarnation())
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -142,7 +142,7 @@
     boolean wasUnresponsive = machine.session().isUnresponsive();
     for (TaskAttempt attempt : machine.attempts()) {
       if (attempt.takeStartInLastAnswer()) {
-        taken &= attempt.isSeen();
+        taken &= attempt.isListed();
       }
     }
     switch (machine.session().recordAnswerTaken(taken, context.now())) {
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -75,7 +75,7 @@
     if (!attempt.isCommitted() || !attempt.job().record().isClaimed()) {
       return false;
     }
-    if (attempt.isSeen()) {
+    if (attempt.isListed()) {
       // It left the list without a reap: only a new incarnation does that.
       context.error("task.vanished machine=%s task=%s", machine.name(), attempt.id());
       withdraw(attempt, WithdrawalReason.VANISHED, log);
