--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -140,7 +140,7 @@
    * @param direct whether it goes out in a command of its own, not in the answer to a heartbeat
    * @return whether it is the first time
    */
-  public boolean commandStart(boolean direct) {
+  public boolean recordStartSent(boolean direct) {
     startInLastAnswer |= !direct;
     boolean first = !commanded;
     commanded = true;
--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -182,7 +182,7 @@
     for (TaskAttempt attempt : machine.attempts()) {
       if (!listed.contains(attempt) && mayStart(machine, attempt)) {
         commands.add(new Start(attempt.id()));
-        if (attempt.commandStart(direct)) {
+        if (attempt.recordStartSent(direct)) {
           first++;
           context.count("task.commanded");
           context.count("task.commanded.ms", context.now().since(attempt.placedAt()));
