--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -148,7 +148,7 @@
   }
 
   /** Whether its start went out at least once. */
-  public boolean isCommanded() {
+  public boolean isStartSent() {
     return commanded;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -70,7 +70,7 @@
       }
       for (TaskAttempt attempt : write.job().tasks().attempts()) {
         if (attempt.writeSequence() == write.sequence()
-            && !attempt.isCommanded()
+            && !attempt.isStartSent()
             && attempt.isCommitted()) {
           machines.add(attempt.machine());
         }
