--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -12,7 +12,7 @@
    * Seconds that an attempt has run at least before it may be moved: a start that is stopped sooner
    * than 30 s does not count as one for users.
    */
-  public static final double SETTLED_S = 32;
+  public static final double MIN_RUN_BEFORE_MOVE_S = 32;
 
   private final Job job;
   private final int index;
@@ -194,7 +194,7 @@
         && !revoked
         && isCommitted()
         && job.record().isClaimed()
-        && runSeconds(now) > SETTLED_S;
+        && runSeconds(now) > MIN_RUN_BEFORE_MOVE_S;
   }
 
   /** Seconds until it ends by its owner's estimate; of one that runs over it a quarter more. */
