--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -68,7 +68,7 @@
     int heard = 0;
     int reported = 0;
     for (Machine machine : machines) {
-      if (machine.session().isReported()) {
+      if (machine.session().hasConfirmedHeartbeat()) {
         reported++;
         heard += isOverdue(machine) ? 0 : 1;
       }
@@ -84,7 +84,7 @@
     for (Machine machine : machines) {
       if (machine.info() != null
           && machine.assignment().isAssigned()
-          && (machine.session().isReported() || !machine.isEmpty())) {
+          && (machine.session().hasConfirmedHeartbeat() || !machine.isEmpty())) {
         ZoneCount zone = byZone.computeIfAbsent(machine.info().zone(), absent -> new ZoneCount());
         expected++;
         zone.expected++;
--- a/src/main/java/shorecrank/coordination/model/WorkerSession.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerSession.java
@@ -79,7 +79,7 @@
   }
 
   /** Whether a confirmed heartbeat has come at all. */
-  public boolean isReported() {
+  public boolean hasConfirmedHeartbeat() {
     return firstHeard != MonotonicTime.NEVER;
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -94,7 +94,7 @@
         continue;
       }
       boolean counts =
-          machine.session().isReported() ? shard.isUsable(machine) : mayStillBoot(machine);
+          machine.session().hasConfirmedHeartbeat() ? shard.isUsable(machine) : mayStillBoot(machine);
       if (counts) {
         cpus += estimator.usableCpus(demands, machine);
       }
@@ -150,7 +150,7 @@
           && !machine.isReleasing()
           && !machine.isPreemptionNoticed()
           && !machine.assignment().isHandoverRequested()
-          && (machine.session().isReported() || mayStillBoot(machine))
+          && (machine.session().hasConfirmedHeartbeat() || mayStillBoot(machine))
           && machine.isAllowedFor(job.spec())) {
         return true;
       }
--- a/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
@@ -85,7 +85,7 @@
       }
       // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
       fleet.usedCpus += machine.usedShare() * machine.type().cpus();
-      if (!machine.session().isReported()
+      if (!machine.session().hasConfirmedHeartbeat()
           || !shard.liveness().isFresh(machine)
           || machine.isReleasing()
           || machine.isPreemptionNoticed()
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -108,7 +108,7 @@
       if (type == null || !machine.assignment().isAssigned() || machine.isLeaving()) {
         continue;
       }
-      if (machine.session().isReported()) {
+      if (machine.session().hasConfirmedHeartbeat()) {
         cpus += type.cpus();
         fetchGbPerS += type.cpus() * type.fetchGbPerS();
       } else {
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -58,7 +58,7 @@
   List<MachineName> machinesToReturn() {
     List<MachineName> names = new ArrayList<>();
     for (Machine machine : shard.machines().values()) {
-      if (!machine.session().isReported()) {
+      if (!machine.session().hasConfirmedHeartbeat()) {
         if (isLostBeforeHeard(machine)) {
           names.add(machine.name());
         }
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -102,7 +102,7 @@
     if (session.isNewIncarnation(heartbeat)) {
       machine.forgetImages();
     }
-    if (!session.isReported()) {
+    if (!session.hasConfirmedHeartbeat()) {
       machine.setIdleSince(now);
     }
     session.recordConfirmed(heartbeat, now);
