--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -156,7 +156,7 @@
    *
    * @param knownUpTo up to when the state service has shown them; NEVER if it has not
    */
-  public MonotonicTime horizon(MonotonicTime knownUpTo) {
+  public MonotonicTime knownUpTo(MonotonicTime knownUpTo) {
     if (knownUpTo == MonotonicTime.NEVER) {
       return knownUpTo;
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -219,7 +219,7 @@
    * is owned.
    */
   public boolean knowsRecentCancellations() {
-    MonotonicTime horizon = cancellations.horizon(recovery.knownUpTo());
+    MonotonicTime horizon = cancellations.knownUpTo(recovery.knownUpTo());
     return context.now().since(horizon) <= context.evidenceMs();
   }
 
