--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -132,7 +132,7 @@
   }
 
   /** A committed mark of a cancellation was seen. */
-  public void learn(JobId id) {
+  public void recordCancelled(JobId id) {
     known.put(id, true);
   }
 
@@ -146,7 +146,7 @@
   /** A user was told that the job is cancelled, here or by another controller. */
   private void learnConfirmed(JobId id) {
     if (!isKnown(id)) {
-      learn(id);
+      recordCancelled(id);
       jobListener.accept(id);
     }
   }
--- a/src/main/java/shorecrank/coordination/request/JobLookup.java
+++ b/src/main/java/shorecrank/coordination/request/JobLookup.java
@@ -166,7 +166,7 @@
       }
       if (result instanceof LookupResult.Found found) {
         if (found.job().status().state() == JobState.CANCELLED) {
-          cancellations.learn(id);
+          cancellations.recordCancelled(id);
           endCancelled();
           return;
         }
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -123,7 +123,7 @@
   }
 
   private void cancelledElsewhere(JobId id) {
-    cancellations.learn(id);
+    cancellations.recordCancelled(id);
     cancelled(id);
   }
 
@@ -132,7 +132,7 @@
       return;
     }
     // Its record names the dependency for good, so this is as final as the mark itself.
-    cancellations.learn(job.id());
+    cancellations.recordCancelled(job.id());
     cancelJob.accept(job);
     urgency.invalidate();
     cancelled(job.id());
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -72,7 +72,7 @@
 
   private Job add(JobRecord record, Revision revision, boolean othersMayWrite) {
     if (record.cancelled()) {
-      cancellations.learn(record.spec().id());
+      cancellations.recordCancelled(record.spec().id());
     }
     Job job = jobs.add(record, revision);
     machines.references().read(job.id(), revision, record, othersMayWrite);
@@ -119,7 +119,7 @@
   void forgetAll() {
     for (Job job : new ArrayList<>(jobs.all().values())) {
       if (job.isCancelled()) {
-        cancellations.learn(job.id());
+        cancellations.recordCancelled(job.id());
       }
       forget(job);
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -236,7 +236,7 @@
   private void changed(JobId id, Change change) {
     boolean marked = JobRecord.isMarked(change.value());
     if (marked) {
-      cancellations.learn(id);
+      cancellations.recordCancelled(id);
       dependencies.cancelled(id);
     } else if (change.value() == null) {
       dependencies.recordDeleted(id);
--- a/src/test/java/shorecrank/coordination/request/JobLookupTest.java
+++ b/src/test/java/shorecrank/coordination/request/JobLookupTest.java
@@ -105,7 +105,7 @@
 
   @Test
   void aJobKnownToBeCancelledNeedsNoSecondRead() {
-    cancellations.learn(NEEDED);
+    cancellations.recordCancelled(NEEDED);
     driver.now(() -> lookup.find(JOB, results::add));
     driver.answer(200, record(JOB, false, NEEDED));
     assertEquals(JobState.CANCELLED, foundState());
--- a/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
@@ -116,7 +116,7 @@
   @Test
   void aJobAddedAfterItsDependencyWasCancelledIsCancelledWithItsDependents() {
     add(job(3).dependsOn(2));
-    cancellations.learn(id(1));
+    cancellations.recordCancelled(id(1));
     add(job(2).dependsOn(1));
     assertEquals(List.of(id(2), id(3)), cancelled);
   }
