--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -139,7 +139,7 @@
   }
 
   /** How many tasks wait to be placed. */
-  public int queued() {
+  public int queuedTaskCount() {
     return cancelled || !scheduling.isReady() ? 0 : tasks.freeCount();
   }
 
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -31,7 +31,7 @@
     public int queuedTasksThatFit(Job job) {
       JobSpec spec = job.spec();
       int withdrawn = job.withdrawn().count();
-      double tasks = job.queued();
+      double tasks = job.queuedTaskCount();
       tasks = fit(tasks, spec.cpus(), cpus + withdrawn * spec.cpus());
       tasks = fit(tasks, spec.gpus(), gpus + withdrawn * spec.gpus());
       return (int) Math.max(0, tasks);
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -86,7 +86,7 @@
       cpus += shard.isUsable(machine) ? machine.freeCpus() : 0;
     }
     for (Job job : shard.jobs().values()) {
-      cpus -= job.queued() * job.spec().cpus();
+      cpus -= job.queuedTaskCount() * job.spec().cpus();
     }
     return cpus * ROOM_SHARE;
   }
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -84,7 +84,7 @@
     List<Job> waiting = new ArrayList<>();
     MonotonicTime now = context.now();
     for (Job job : shard.jobs().values()) {
-      if (job.queued() > 0
+      if (job.queuedTaskCount() > 0
           && job.record().canAcceptPlacement()
           && job.scheduling().isPauseOver(now)) {
         waiting.add(job);
@@ -227,7 +227,7 @@
       if (draining.isEmpty()) {
         break;
       }
-      if (job.queued() > 0) {
+      if (job.queuedTaskCount() > 0) {
         placeIfAllowed(job, useKnown, draining);
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
+++ b/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
@@ -18,7 +18,7 @@
     List<QueuedDemand> demands = new ArrayList<>();
     Map<String, Headroom> headrooms = new HashMap<>();
     for (Job job : shard.jobs().values()) {
-      if (job.queued() == 0 || job.scheduling().isBackingOff()) {
+      if (job.queuedTaskCount() == 0 || job.scheduling().isBackingOff()) {
         continue;
       }
       Headroom headroom = headrooms.computeIfAbsent(job.spec().team(), shard::headroom);
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -276,7 +276,7 @@
     }
     weight *= priorityWeight(job.scheduling().priority());
     double taskS = duration.runS() + duration.fetchS();
-    double work = job.queued() * Math.max(LEAST_CPUS, job.spec().cpus()) * taskS;
+    double work = job.queuedTaskCount() * Math.max(LEAST_CPUS, job.spec().cpus()) * taskS;
     return new Candidate(
         job, latestStartS, duration.totalS(), work, weight, job.scheduling().isWithinGuarantee());
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -147,7 +147,7 @@
   private double guaranteed() {
     Map<String, Double> asked = new HashMap<>();
     for (Job job : shard.jobs().values()) {
-      double cpus = (job.tasks().attemptCount() + job.queued()) * job.spec().cpus();
+      double cpus = (job.tasks().attemptCount() + job.queuedTaskCount()) * job.spec().cpus();
       asked.merge(job.spec().team(), cpus, Double::sum);
     }
     double within = 0;
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -39,7 +39,7 @@
     }
     double waiting = 0;
     for (Job job : shard.jobs().values()) {
-      waiting += job.queued() * job.spec().cpus();
+      waiting += job.queuedTaskCount() * job.spec().cpus();
     }
     context.gauge("cpus.heard", heard);
     context.gauge("cpus.taken", taken);
--- a/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
@@ -17,12 +17,12 @@
   @Test
   void readyOnceTheLastDependencyIsMet() {
     Job job = JobBuilder.job(3).dependsOn(1, 2).acceptedAtMs(5).build();
-    assertEquals(0, job.queued());
+    assertEquals(0, job.queuedTaskCount());
     assertFalse(job.scheduling().dependencyMet(JobBuilder.id(1), 100));
     assertEquals(5, job.scheduling().readyAtMs(), "it still waits");
     assertTrue(job.scheduling().dependencyMet(JobBuilder.id(2), 200));
     assertEquals(200, job.scheduling().readyAtMs());
-    assertEquals(1, job.queued());
+    assertEquals(1, job.queuedTaskCount());
   }
 
   @ParameterizedTest
--- a/src/test/java/shorecrank/coordination/model/JobTasksTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobTasksTest.java
@@ -33,7 +33,7 @@
   void anAttemptTakesItsTaskUntilItIsRemoved() {
     TaskAttempt attempt = place(0, machine, 1);
     assertEquals(1, tasks.nextFree(0));
-    assertEquals(TASKS - 1, job.queued());
+    assertEquals(TASKS - 1, job.queuedTaskCount());
     job.remove(attempt);
     assertEquals(0, tasks.nextFree(0));
     assertTrue(machine.isEmpty());
--- a/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
@@ -82,10 +82,10 @@
     Job last = add(job(3).dependsOn(1, 2));
     atMs(5000);
     graph.ended(id(1), JobState.DONE);
-    assertEquals(0, last.queued(), "after the first");
+    assertEquals(0, last.queuedTaskCount(), "after the first");
     atMs(7000);
     graph.ended(id(2), JobState.DONE);
-    assertEquals(1, last.queued(), "after the last");
+    assertEquals(1, last.queuedTaskCount(), "after the last");
     assertEquals(2, last.readyForS(9000), "seconds since it was ready");
   }
 
@@ -102,7 +102,7 @@
     graph.cancelled(id(1));
     assertEquals(List.of(id(2), id(3), id(4)), cancelled);
     graph.ended(id(5), JobState.DONE);
-    assertEquals(1, other.queued(), "a job on another chain");
+    assertEquals(1, other.queuedTaskCount(), "a job on another chain");
   }
 
   @Test
@@ -161,7 +161,7 @@
     if (finalStatus != null) {
       answer(finalStatus, Json.object().put("p", finalState).put("n", 1));
     }
-    assertEquals(ready ? 1 : 0, job.queued(), "queued tasks");
+    assertEquals(ready ? 1 : 0, job.queuedTaskCount(), "queued tasks");
     assertEquals(isCancelled ? List.of(id(2)) : List.of(), cancelled, "cancelled");
     atMs(499);
     graph.tick();
--- a/src/test/java/shorecrank/coordination/scheduling/SchedulingQueueTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/SchedulingQueueTest.java
@@ -62,7 +62,7 @@
       Job job = builder.build();
       jobs.put(job.id(), job);
       dependencies.add(job);
-      if (job.queued() > 0) {
+      if (job.queuedTaskCount() > 0) {
         queued.add(job);
       }
     }
