--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -107,7 +107,7 @@
   }
 
   /** No record names so many withdrawn attempts of a job any more. */
-  public void settleWithdrawn(JobSpec spec, int attempts) {
+  public void releaseWithdrawn(JobSpec spec, int attempts) {
     usage(spec).withdrawn.add(spec, -attempts);
   }
 
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -93,7 +93,7 @@
   /** Removes all attempts of a job, whose record was read anew or is no more. */
   void detachAll(Job job) {
     job.tasks().copyOfAttempts().forEach(this::detach);
-    quotas.settleWithdrawn(job.spec(), job.clearWithdrawn());
+    quotas.releaseWithdrawn(job.spec(), job.clearWithdrawn());
   }
 
   /** Removes the attempts that no record names: no command has been given for them. */
@@ -123,7 +123,7 @@
   void recordCommitted(Job job) {
     int settled = job.settleWithdrawn();
     if (settled > 0) {
-      quotas.settleWithdrawn(job.spec(), settled);
+      quotas.releaseWithdrawn(job.spec(), settled);
       context.infoLimited(
           "quota.released",
           "job=%s team=%s tasks=%d revision=%s",
--- a/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
+++ b/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
@@ -84,7 +84,7 @@
     quotas.withdraw(spec);
     assertEquals(1, fitting("limited", 5, 2, 0));
     assertEquals(List.of(new TeamUse(TEAMS.get("limited"), 4, 1, 4, 1)), quotas.uses());
-    quotas.settleWithdrawn(spec, 1);
+    quotas.releaseWithdrawn(spec, 1);
     assertEquals(3, fitting("limited", 5, 2, 0));
   }
 
