--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -127,7 +127,7 @@
   }
 
   /** Forgets withdrawn attempts that the record names no more; returns how many. */
-  public int settleWithdrawn() {
+  public int removeSettledWithdrawn() {
     return withdrawn.settle(record.committedSequence());
   }
 
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -121,7 +121,7 @@
 
   /** A write of a job's record is known to be committed. */
   void recordCommitted(Job job) {
-    int settled = job.settleWithdrawn();
+    int settled = job.removeSettledWithdrawn();
     if (settled > 0) {
       quotas.releaseWithdrawn(job.spec(), settled);
       context.infoLimited(
