--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -94,7 +94,9 @@
         continue;
       }
       boolean counts =
-          machine.session().hasConfirmedHeartbeat() ? shard.isUsable(machine) : mayStillBoot(machine);
+          machine.session().hasConfirmedHeartbeat()
+              ? shard.isUsable(machine)
+              : mayStillBoot(machine);
       if (counts) {
         cpus += estimator.usableCpus(demands, machine);
       }
--- a/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilence.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilence.java
@@ -56,7 +56,8 @@
     Map<String, SilenceCount> zones = new HashMap<>();
     for (Machine machine : shard.machines().values()) {
       // One that holds tasks has run before, whether or not this owner has heard it.
-      if (machine.info() != null && (machine.session().hasConfirmedHeartbeat() || !machine.isEmpty())) {
+      if (machine.info() != null
+          && (machine.session().hasConfirmedHeartbeat() || !machine.isEmpty())) {
         boolean silent = !shard.liveness().isFresh(machine);
         fleet.add(silent);
         zones.computeIfAbsent(machine.info().zone(), zone -> new SilenceCount()).add(silent);
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -86,7 +86,9 @@
       return false;
     }
     double patienceMs =
-        machine.assignment().hasArrivedFromOtherShard() ? patienceMs(machine) : latestBootMs(machine);
+        machine.assignment().hasArrivedFromOtherShard()
+            ? patienceMs(machine)
+            : latestBootMs(machine);
     return context.now().since(machine.assignment().since()) > patienceMs;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -195,7 +195,8 @@
     boolean hasRoomFor(Job job, MonotonicTime now) {
       boolean mustStandAlone =
           !writes.isEmpty()
-              && (job.record().isOwnTransactionRequired() || writes.get(0).job().record().isOwnTransactionRequired());
+              && (job.record().isOwnTransactionRequired()
+                  || writes.get(0).job().record().isOwnTransactionRequired());
       int operations = operations(job);
       return !mustStandAlone
           && transaction.operationCount() + operations <= context.config().state().txnOps()
@@ -209,7 +210,9 @@
       String key = JobRecord.liveKey(job.id());
       transaction.guard(key, job.record().revision());
       job.record().beginWrite();
-      bytes += WRITE_OVERHEAD_BYTES + (job.isReadyForFinalRecord() ? addFinal(job, key) : addRecord(job, key));
+      bytes +=
+          WRITE_OVERHEAD_BYTES
+              + (job.isReadyForFinalRecord() ? addFinal(job, key) : addRecord(job, key));
     }
 
     private int addFinal(Job job, String key) {
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -101,7 +101,9 @@
       double left = attempt.remainingSeconds(context.now());
       if (attempt.job().spec().checkpointIntervalS() > 0) {
         left =
-            Math.min(left, Math.max(0, TaskAttempt.MIN_RUN_BEFORE_MOVE_S - attempt.runSeconds(context.now())));
+            Math.min(
+                left,
+                Math.max(0, TaskAttempt.MIN_RUN_BEFORE_MOVE_S - attempt.runSeconds(context.now())));
       }
       longest = Math.max(longest, left);
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -333,7 +333,8 @@
       addSpareMachines(spare);
     }
     boolean hasQueuedTasks =
-        !recovery.isReady() || jobs.all().values().stream().anyMatch(job -> job.queuedTaskCount() > 0);
+        !recovery.isReady()
+            || jobs.all().values().stream().anyMatch(job -> job.queuedTaskCount() > 0);
     return new ShardReport(
         lease.shard(),
         lease.epoch(),
