--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -132,7 +132,7 @@
   }
 
   /** A committed mark of a cancellation was seen. */
-  public void learn(JobId id) {
+  public void recordCancelled(JobId id) {
     known.put(id, true);
   }
 
@@ -146,7 +146,7 @@
   /** A user was told that the job is cancelled, here or by another controller. */
   private void learnConfirmed(JobId id) {
     if (!isKnown(id)) {
-      learn(id);
+      recordCancelled(id);
       jobListener.accept(id);
     }
   }
@@ -156,7 +156,7 @@
    *
    * @param knownUpTo up to when the state service has shown them; NEVER if it has not
    */
-  public MonotonicTime horizon(MonotonicTime knownUpTo) {
+  public MonotonicTime knownUpTo(MonotonicTime knownUpTo) {
     if (knownUpTo == MonotonicTime.NEVER) {
       return knownUpTo;
     }
--- a/src/main/java/shorecrank/coordination/model/CommandTokens.java
+++ b/src/main/java/shorecrank/coordination/model/CommandTokens.java
@@ -89,12 +89,12 @@
   }
 
   /** Whether a direct command may yet be carried out. */
-  public boolean mayDirectCommandAct() {
+  public boolean hasPendingDirectCommand() {
     return unansweredDirectCommands > 0 || !directStarts.isEmpty();
   }
 
   /** Whether a direct command may yet start this attempt. */
-  public boolean mayDirectCommandStart(TaskAttemptId attempt) {
+  public boolean hasPendingDirectStart(TaskAttemptId attempt) {
     return directStarts.containsKey(attempt);
   }
 }
--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -99,8 +99,8 @@
   }
 
   /** The record holds one of this object's own writes, by its number. */
-  public void adoptWritten(JobRecord stored) {
-    record.adoptWritten(stored);
+  public void adoptOwnWrite(JobRecord stored) {
+    record.adoptOwnWrite(stored);
     tasks.forgetRecordedExits(record.committedSequence());
   }
 
@@ -127,7 +127,7 @@
   }
 
   /** Forgets withdrawn attempts that the record names no more; returns how many. */
-  public int settleWithdrawn() {
+  public int removeSettledWithdrawn() {
     return withdrawn.settle(record.committedSequence());
   }
 
@@ -139,7 +139,7 @@
   }
 
   /** How many tasks wait to be placed. */
-  public int queued() {
+  public int queuedTaskCount() {
     return cancelled || !scheduling.isReady() ? 0 : tasks.freeCount();
   }
 
@@ -147,7 +147,7 @@
    * Whether nothing is left to be done but to write its final record: it is complete or cancelled,
    * and surely nothing of it runs.
    */
-  public boolean isOver() {
+  public boolean isReadyForFinalRecord() {
     return record.isFreeOfEarlierOwner()
         && (cancelled || tasks.isComplete())
         && !tasks.hasAttempts()
@@ -160,12 +160,12 @@
   }
 
   /** Seconds that it has waited for nothing but room. */
-  public double readyS(long wallMs) {
+  public double readyForS(long wallMs) {
     return (wallMs - scheduling.readyAtMs()) / MS_PER_S;
   }
 
   /** What is still to be done, in processor seconds by its user's estimate. */
-  public double workLeft() {
+  public double remainingCpuSeconds() {
     return (spec.tasks() - tasks.doneCount())
         * Math.max(LEAST_CPUS, spec.cpus())
         * spec.estimateS();
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -68,30 +68,30 @@
 
   /** Takes over a record that another has written. */
   void adopt(JobRecord record, Revision readRevision) {
-    adoptUnchanged(record, readRevision);
+    adoptRevision(record, readRevision);
     epoch = record.epoch();
     committedSequence = sequence;
   }
 
   /** A record was read that says no more than is known here, but for a mark of a cancellation. */
-  public void adoptUnchanged(JobRecord record, Revision readRevision) {
+  public void adoptRevision(JobRecord record, Revision readRevision) {
     revision = readRevision;
     status = record.jobStatus();
   }
 
   /** The record was found to hold one of this object's writes. */
-  void adoptWritten(JobRecord record) {
+  void adoptOwnWrite(JobRecord record) {
     claimed = record.epoch().value() > 0;
     committedSequence = Math.max(committedSequence, record.sequence());
   }
 
   /** Whether a record holds a write of this very object, so that memory is as new or newer. */
-  public boolean wrote(JobRecord record, WriterId writer) {
+  public boolean isOwnWrite(JobRecord record, WriterId writer) {
     return record.writer().equals(writer) && record.sequence() > firstSequence;
   }
 
   /** A watch has shown a revision of the record. */
-  public void recordSeen(Revision shown) {
+  public void observeRevision(Revision shown) {
     if (shown.isAfter(seenRevision)) {
       seenRevision = shown;
     }
@@ -135,7 +135,7 @@
   }
 
   /** Whether an owner's late write can't add to the use of the job's team. */
-  public boolean isUseKnown() {
+  public boolean isTeamUseKnown() {
     return claimed || (!hasOwner() && !claimRequired);
   }
 
@@ -229,29 +229,29 @@
   }
 
   /** Whether tasks may be placed: the placement goes into a write, of which only one may be out. */
-  public boolean mayTakePlacement() {
+  public boolean canAcceptPlacement() {
     return !inFlight && !rereading && rangesLeft > 0 && isFreeOfEarlierOwner();
   }
 
   // ---- size ------------------------------------------------------------------------------------
 
   /** Whether it goes in a transaction of its own, because one with it was too large. */
-  public boolean isSeparate() {
+  public boolean isOwnTransactionRequired() {
     return separate;
   }
 
   /** A transaction with it was too large; it goes alone until it is through. */
-  public void separate() {
+  public void requireOwnTransaction() {
     separate = true;
   }
 
   /** Whether the state service has refused it for its size, so that the shortest form is used. */
-  public boolean isCompact() {
+  public boolean isCompactFormRequired() {
     return compact;
   }
 
   /** It is written in the shortest form from now on. */
-  public void compact() {
+  public void requireCompactForm() {
     compact = true;
   }
 
@@ -266,7 +266,7 @@
   }
 
   /** A further attempt range was placed. */
-  public void takeRange() {
+  public void recordPlacedRange() {
     rangesLeft--;
     placementDue = true;
   }
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -85,7 +85,7 @@
   }
 
   /** What kind of machine it is, which never changes. */
-  public void describe(MachineInfo info) {
+  public void setInfo(MachineInfo info) {
     this.info = info;
   }
 
@@ -255,7 +255,7 @@
   }
 
   /** How many more tasks of a job fit. */
-  public int fits(JobSpec spec) {
+  public int fittingTasks(JobSpec spec) {
     if (type == null) {
       return 0;
     }
@@ -305,7 +305,7 @@
   }
 
   /** A task of the job runs, so its image is there. */
-  public void imageInUse(JobSpec spec) {
+  public void addImage(JobSpec spec) {
     images.store(spec, type);
   }
 }
--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -12,7 +12,7 @@
    * Seconds that an attempt has run at least before it may be moved: a start that is stopped sooner
    * than 30 s does not count as one for users.
    */
-  public static final double SETTLED_S = 32;
+  public static final double MIN_RUN_BEFORE_MOVE_S = 32;
 
   private final Job job;
   private final int index;
@@ -110,7 +110,7 @@
   }
 
   /** Whether its worker has listed it. */
-  public boolean isSeen() {
+  public boolean isListed() {
     return seen;
   }
 
@@ -140,7 +140,7 @@
    * @param direct whether it goes out in a command of its own, not in the answer to a heartbeat
    * @return whether it is the first time
    */
-  public boolean commandStart(boolean direct) {
+  public boolean recordStartSent(boolean direct) {
     startInLastAnswer |= !direct;
     boolean first = !commanded;
     commanded = true;
@@ -148,7 +148,7 @@
   }
 
   /** Whether its start went out at least once. */
-  public boolean isCommanded() {
+  public boolean isStartSent() {
     return commanded;
   }
 
@@ -194,7 +194,7 @@
         && !revoked
         && isCommitted()
         && job.record().isClaimed()
-        && runSeconds(now) > SETTLED_S;
+        && runSeconds(now) > MIN_RUN_BEFORE_MOVE_S;
   }
 
   /** Seconds until it ends by its owner's estimate; of one that runs over it a quarter more. */
--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -94,7 +94,9 @@
         continue;
       }
       boolean counts =
-          machine.session().isReported() ? shard.isUsable(machine) : mayStillBoot(machine);
+          machine.session().hasConfirmedHeartbeat()
+              ? shard.isUsable(machine)
+              : mayStillBoot(machine);
       if (counts) {
         cpus += estimator.usableCpus(demands, machine);
       }
@@ -150,7 +152,7 @@
           && !machine.isReleasing()
           && !machine.isPreemptionNoticed()
           && !machine.assignment().isHandoverRequested()
-          && (machine.session().isReported() || mayStillBoot(machine))
+          && (machine.session().hasConfirmedHeartbeat() || mayStillBoot(machine))
           && machine.isAllowedFor(job.spec())) {
         return true;
       }
@@ -160,7 +162,7 @@
 
   /** One that takes far longer than usual to boot may never come up, or was gone when it came. */
   private boolean mayStillBoot(Machine machine) {
-    return !machine.assignment().hasArrivedFromShard()
+    return !machine.assignment().hasArrivedFromOtherShard()
         && machine.type() != null
         && context.now().since(machine.assignment().since())
             < LATEST_BOOT * MS_PER_S * machine.type().bootS();
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -84,8 +84,8 @@
     List<Job> waiting = new ArrayList<>();
     MonotonicTime now = context.now();
     for (Job job : shard.jobs().values()) {
-      if (job.queued() > 0
-          && job.record().mayTakePlacement()
+      if (job.queuedTaskCount() > 0
+          && job.record().canAcceptPlacement()
           && job.scheduling().isPauseOver(now)) {
         waiting.add(job);
       }
@@ -108,7 +108,7 @@
       if (type == null || !machine.assignment().isAssigned() || machine.isLeaving()) {
         continue;
       }
-      if (machine.session().isReported()) {
+      if (machine.session().hasConfirmedHeartbeat()) {
         cpus += type.cpus();
         fetchGbPerS += type.cpus() * type.fetchGbPerS();
       } else {
@@ -173,7 +173,7 @@
       return false;
     }
     for (Job job : shard.jobs().values()) {
-      if (!job.record().isUseKnown()) {
+      if (!job.record().isTeamUseKnown()) {
         return false;
       }
     }
@@ -227,7 +227,7 @@
       if (draining.isEmpty()) {
         break;
       }
-      if (job.queued() > 0) {
+      if (job.queuedTaskCount() > 0) {
         placeIfAllowed(job, useKnown, draining);
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -71,7 +71,7 @@
     if (!queue.hasStartTarget(job.spec())) {
       return false;
     }
-    double waitedS = job.readyS(context.wallMs());
+    double waitedS = job.readyForS(context.wallMs());
     double targetS = queue.objectives().nextStartTargetS(job.spec(), waitedS);
     if (targetS == Double.MAX_VALUE) {
       // Too late to start in time: nothing is won by what others would lose.
@@ -137,7 +137,7 @@
   private void place(Job job, int index, Machine machine) {
     AttemptNumber number = job.tasks().nextAttemptNumber();
     job.tasks().takeAttemptNumber();
-    job.record().takeRange();
+    job.record().recordPlacedRange();
     shard.attach(TaskAttempt.place(job, index, machine, number, context.now()));
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -58,7 +58,7 @@
   List<MachineName> machinesToReturn() {
     List<MachineName> names = new ArrayList<>();
     for (Machine machine : shard.machines().values()) {
-      if (!machine.session().isReported()) {
+      if (!machine.session().hasConfirmedHeartbeat()) {
         if (isLostBeforeHeard(machine)) {
           names.add(machine.name());
         }
@@ -86,7 +86,9 @@
       return false;
     }
     double patienceMs =
-        machine.assignment().hasArrivedFromShard() ? patienceMs(machine) : latestBootMs(machine);
+        machine.assignment().hasArrivedFromOtherShard()
+            ? patienceMs(machine)
+            : latestBootMs(machine);
     return context.now().since(machine.assignment().since()) > patienceMs;
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -80,7 +80,7 @@
 
   private static final Comparator<Job> BY_PRIORITY_AND_WORK =
       Comparator.<Job, Priority>comparing(job -> job.scheduling().priority())
-          .thenComparingDouble(Job::workLeft)
+          .thenComparingDouble(Job::remainingCpuSeconds)
           .thenComparing(Job::id);
 
   /**
@@ -155,7 +155,7 @@
     return !job.tasks().wasPlaced()
         && job.tasks().doneCount() == 0
         && job.scheduling().isReady()
-        && job.readyS(wallMs) > OVERDUE_AFTER_S;
+        && job.readyForS(wallMs) > OVERDUE_AFTER_S;
   }
 
   /**
@@ -269,14 +269,14 @@
       }
     }
     if (job.scheduling().isWithinGuarantee()) {
-      latestStartS = Math.min(latestStartS, GUARANTEED_START_S - job.readyS(wallMs));
+      latestStartS = Math.min(latestStartS, GUARANTEED_START_S - job.readyForS(wallMs));
     }
     if (latestStartS == NO_START) {
       return null;
     }
     weight *= priorityWeight(job.scheduling().priority());
     double taskS = duration.runS() + duration.fetchS();
-    double work = job.queued() * Math.max(LEAST_CPUS, job.spec().cpus()) * taskS;
+    double work = job.queuedTaskCount() * Math.max(LEAST_CPUS, job.spec().cpus()) * taskS;
     return new Candidate(
         job, latestStartS, duration.totalS(), work, weight, job.scheduling().isWithinGuarantee());
   }
@@ -284,7 +284,7 @@
   /** The latest start that reaches the target, in seconds from now; NO_START if none does. */
   private static double latestStartS(Target target, Job job, Duration duration, long wallMs) {
     // But for deadlines, times count from when the last job that it depends on was done.
-    double waitedS = job.readyS(wallMs);
+    double waitedS = job.readyForS(wallMs);
     if (target instanceof Target.Start start) {
       // The image may be there and the machine's heartbeat about to come: given up only once past.
       return waitedS >= start.withinS()
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -102,7 +102,7 @@
     if (session.isNewIncarnation(heartbeat)) {
       machine.forgetImages();
     }
-    if (!session.isReported()) {
+    if (!session.hasConfirmedHeartbeat()) {
       machine.setIdleSince(now);
     }
     session.recordConfirmed(heartbeat, now);
@@ -142,7 +142,7 @@
     boolean wasUnresponsive = machine.session().isUnresponsive();
     for (TaskAttempt attempt : machine.attempts()) {
       if (attempt.takeStartInLastAnswer()) {
-        taken &= attempt.isSeen();
+        taken &= attempt.isListed();
       }
     }
     switch (machine.session().recordAnswerTaken(taken, context.now())) {
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -75,7 +75,7 @@
     if (!attempt.isCommitted() || !attempt.job().record().isClaimed()) {
       return false;
     }
-    if (attempt.isSeen()) {
+    if (attempt.isListed()) {
       // It left the list without a reap: only a new incarnation does that.
       context.error("task.vanished machine=%s task=%s", machine.name(), attempt.id());
       withdraw(attempt, WithdrawalReason.VANISHED, log);
@@ -94,7 +94,7 @@
 
   private static boolean mayBeStartedByCommandUnderWay(Machine machine, TaskAttempt attempt) {
     return !machine.session().isConfirmed()
-        || machine.session().tokens().mayDirectCommandStart(attempt.id());
+        || machine.session().tokens().hasPendingDirectStart(attempt.id());
   }
 
   /** Why no command that is to come starts the attempt; empty if one may. */
@@ -133,7 +133,7 @@
       context.count("task.running.ms", now.since(attempt.placedAt()));
     }
     if (status.state() == TaskState.RUNNING) {
-      machine.imageInUse(attempt.job().spec());
+      machine.addImage(attempt.job().spec());
     } else if (status.state() == TaskState.EXITED) {
       exited(machine, attempt, status);
     }
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -149,11 +149,11 @@
     for (Iterator<Job> i = candidates.iterator(); i.hasNext(); ) {
       Job job = i.next();
       WriteUrgency urgency = job.record().urgency();
-      if (!jobs.isCurrent(job) || (urgency == WriteUrgency.NONE && !job.isOver())) {
+      if (!jobs.isCurrent(job) || (urgency == WriteUrgency.NONE && !job.isReadyForFinalRecord())) {
         i.remove();
       } else if (job.record().isWritable(now)
           && (urgency == WriteUrgency.NOW
-              || job.isOver()
+              || job.isReadyForFinalRecord()
               || now.since(job.record().urgentSince()) >= context.settings().mergeMs())) {
         due.add(job);
       }
@@ -162,7 +162,7 @@
   }
 
   private Rank rank(Job job) {
-    if (job.isOver()) {
+    if (job.isReadyForFinalRecord()) {
       return Rank.FINAL;
     }
     if (job.record().urgency() != WriteUrgency.NOW) {
@@ -195,7 +195,8 @@
     boolean hasRoomFor(Job job, MonotonicTime now) {
       boolean mustStandAlone =
           !writes.isEmpty()
-              && (job.record().isSeparate() || writes.get(0).job().record().isSeparate());
+              && (job.record().isOwnTransactionRequired()
+                  || writes.get(0).job().record().isOwnTransactionRequired());
       int operations = operations(job);
       return !mustStandAlone
           && transaction.operationCount() + operations <= context.config().state().txnOps()
@@ -209,7 +210,9 @@
       String key = JobRecord.liveKey(job.id());
       transaction.guard(key, job.record().revision());
       job.record().beginWrite();
-      bytes += WRITE_OVERHEAD_BYTES + (job.isOver() ? addFinal(job, key) : addRecord(job, key));
+      bytes +=
+          WRITE_OVERHEAD_BYTES
+              + (job.isReadyForFinalRecord() ? addFinal(job, key) : addRecord(job, key));
     }
 
     private int addFinal(Job job, String key) {
@@ -226,7 +229,7 @@
     }
 
     private Form form(Job job) {
-      if (job.record().isCompact()) {
+      if (job.record().isCompactFormRequired()) {
         return Form.COMPACT;
       }
       return dense ? Form.DENSE : Form.ORDINARY;
@@ -253,7 +256,7 @@
   }
 
   private static int operations(Job job) {
-    return job.isOver() ? 2 : 1;
+    return job.isReadyForFinalRecord() ? 2 : 1;
   }
 
   private double maxValueBytes() {
@@ -344,12 +347,12 @@
     context.count("txn.too_large");
     for (RecordWrite write : writes) {
       JobRecordState record = write.job().record();
-      record.separate();
+      record.requireOwnTransaction();
       if (writes.size() == 1) {
-        if (record.isCompact()) {
+        if (record.isCompactFormRequired()) {
           record.pauseUntil(now.plus(TOO_LARGE_PAUSE_MS));
         }
-        record.compact();
+        record.requireCompactForm();
         shrink(write.job());
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -101,7 +101,9 @@
       double left = attempt.remainingSeconds(context.now());
       if (attempt.job().spec().checkpointIntervalS() > 0) {
         left =
-            Math.min(left, Math.max(0, TaskAttempt.SETTLED_S - attempt.runSeconds(context.now())));
+            Math.min(
+                left,
+                Math.max(0, TaskAttempt.MIN_RUN_BEFORE_MOVE_S - attempt.runSeconds(context.now())));
       }
       longest = Math.max(longest, left);
     }
@@ -119,7 +121,7 @@
       Job job = queued.job();
       waiting[job.scheduling().priority().ordinal()] += queued.cpus();
       if (!job.tasks().hasAttempts() && job.tasks().doneCount() == 0) {
-        oldestS = Math.max(oldestS, job.readyS(context.wallMs()));
+        oldestS = Math.max(oldestS, job.readyForS(context.wallMs()));
       }
       addKinds(job, kinds);
     }
@@ -147,7 +149,7 @@
   private double guaranteed() {
     Map<String, Double> asked = new HashMap<>();
     for (Job job : shard.jobs().values()) {
-      double cpus = (job.tasks().attemptCount() + job.queued()) * job.spec().cpus();
+      double cpus = (job.tasks().attemptCount() + job.queuedTaskCount()) * job.spec().cpus();
       asked.merge(job.spec().team(), cpus, Double::sum);
     }
     double within = 0;
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -219,7 +219,7 @@
    * is owned.
    */
   public boolean knowsRecentCancellations() {
-    MonotonicTime horizon = cancellations.horizon(recovery.knownUpTo());
+    MonotonicTime horizon = cancellations.knownUpTo(recovery.knownUpTo());
     return context.now().since(horizon) <= context.evidenceMs();
   }
 
@@ -333,7 +333,8 @@
       addSpareMachines(spare);
     }
     boolean hasQueuedTasks =
-        !recovery.isReady() || jobs.all().values().stream().anyMatch(job -> job.queued() > 0);
+        !recovery.isReady()
+            || jobs.all().values().stream().anyMatch(job -> job.queuedTaskCount() > 0);
     return new ShardReport(
         lease.shard(),
         lease.epoch(),
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -236,7 +236,7 @@
   private void changed(JobId id, Change change) {
     boolean marked = JobRecord.isMarked(change.value());
     if (marked) {
-      cancellations.learn(id);
+      cancellations.recordCancelled(id);
       dependencies.onJobCancelled(id);
     } else if (change.value() == null) {
       dependencies.onRecordDeleted(id);
@@ -249,7 +249,7 @@
       appeared(id, change);
       return;
     }
-    job.record().recordSeen(change.revision());
+    job.record().observeRevision(change.revision());
     if (marked && !job.isCancelled()) {
       // What the watch shows is committed; reading the record again may fail for long.
       lifecycle.cancelled(job);
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -185,14 +185,14 @@
       jobs.refused(job, record);
       return;
     }
-    boolean isOwnWrite = job.record().wrote(record, context.writer());
+    boolean isOwnWrite = job.record().isOwnWrite(record, context.writer());
     boolean hasOwner = record.epoch().value() > 0;
     boolean othersMayWrite = !isOwnWrite && (hasOwner || job.record().isClaimRequired());
     references.read(job.id(), revision, record, othersMayWrite);
     if (isOwnWrite) {
       // By its number; memory already holds all of it. Somebody may have asked to cancel on top.
       boolean isNews = record.sequence() > job.record().committedSequence();
-      job.adoptWritten(record);
+      job.adoptOwnWrite(record);
       adoptMark(job, record, revision);
       if (isNews) {
         jobs.committed(job);
@@ -210,7 +210,7 @@
   }
 
   private void adoptMark(Job job, JobRecord record, Revision revision) {
-    job.record().adoptUnchanged(record, revision);
+    job.record().adoptRevision(record, revision);
     if (record.cancelled() && !job.isCancelled()) {
       jobs.cancelled(job);
     }
--- a/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
@@ -27,7 +27,7 @@
     assertTrue(record.isWritable(NOW));
     record.beginWrite();
     assertFalse(record.isWritable(NOW));
-    assertFalse(record.mayTakePlacement(), "a placement would not be in the write");
+    assertFalse(record.canAcceptPlacement(), "a placement would not be in the write");
     record.endWrite();
     assertTrue(record.isWritable(NOW));
   }
@@ -56,26 +56,26 @@
 
   @Test
   void aWriteOfThisObjectIsToldByItsWriterAndNumber() {
-    assertFalse(record.wrote(job.toRecord(EPOCH, WRITER), WRITER), "before the first write");
+    assertFalse(record.isOwnWrite(job.toRecord(EPOCH, WRITER), WRITER), "before the first write");
     record.beginWrite();
-    assertTrue(record.wrote(job.toRecord(EPOCH, WRITER), WRITER));
-    assertFalse(record.wrote(job.toRecord(EPOCH, WRITER), new WriterId("w-2")));
+    assertTrue(record.isOwnWrite(job.toRecord(EPOCH, WRITER), WRITER));
+    assertFalse(record.isOwnWrite(job.toRecord(EPOCH, WRITER), new WriterId("w-2")));
   }
 
   @Test
   void theUseOfATeamIsKnownOnceNoEarlierOwnerCanWrite() {
-    assertTrue(record.isUseKnown(), "nobody has owned it");
+    assertTrue(record.isTeamUseKnown(), "nobody has owned it");
     record.requireClaim();
-    assertFalse(record.isUseKnown());
+    assertFalse(record.isTeamUseKnown());
     record.beginWrite();
     job.recordCommitted(record.sequence(), new Revision(9), EPOCH, QUEUED);
-    assertTrue(record.isUseKnown());
+    assertTrue(record.isTeamUseKnown());
   }
 
   @Test
   void outdatedOnceAWatchShowsALaterRevision() {
-    record.recordSeen(new Revision(5));
-    record.recordSeen(new Revision(3));
+    record.observeRevision(new Revision(5));
+    record.observeRevision(new Revision(3));
     assertTrue(record.isOutdated());
     job.recordCommitted(record.sequence(), new Revision(5), EPOCH, QUEUED);
     assertFalse(record.isOutdated());
