--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -102,7 +102,7 @@
     int interval = context.settings().renewMs();
     scheduleIn(interval - interval / 10 + context.random().nextInt(interval / 5 + 1));
     Heartbeat heartbeat = compose();
-    if (election.holding()) {
+    if (election.isHoldingKey()) {
       HeartbeatAnswer answer = leader.heartbeat(heartbeat);
       if (answer != null) {
         apply(answer, sentAt);
@@ -158,7 +158,7 @@
     if (announcement != null) {
       gate.observe(answer.rolloutNotice());
     }
-    peerReachability.observeAny(answer.storeReachableByOthers() || !election.holding());
+    peerReachability.observeAny(answer.storeReachableByOthers() || !election.isHoldingKey());
     owners.replaceAll(answer.owners());
     if (shards.relinquishUnrenewed(answer.leases())) {
       requestNow();
@@ -170,7 +170,7 @@
       }
     }
     int served = shards.countServed();
-    context.allotStoreBudget((double) served / context.settings().shards(), election.holding());
+    context.allotStoreBudget((double) served / context.settings().shards(), election.isHoldingKey());
     shards.updateMachines(answer);
     if (isNews && shards.hasCapacityRequests()) {
       // The leader takes requests for machines only from an owner that knows the last assignments:
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -129,7 +129,7 @@
   }
 
   /** Whether the key is this process's as far as is known; its grant may be in doubt. */
-  public boolean holding() {
+  public boolean isHoldingKey() {
     return state == State.LEADING;
   }
 
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -74,7 +74,7 @@
       return;
     }
     ControllerName leader = election.leader();
-    if (election.holding()) {
+    if (election.isHoldingKey()) {
       here.run();
     } else if (leader == null || leader.equals(context.config().label())) {
       unknown(request, "no controller leads now");
