--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -103,7 +103,7 @@
     scheduleIn(interval - interval / 10 + context.random().nextInt(interval / 5 + 1));
     Heartbeat heartbeat = compose();
     if (election.isHoldingKey()) {
-      HeartbeatAnswer answer = leader.heartbeat(heartbeat);
+      HeartbeatAnswer answer = leader.handleHeartbeat(heartbeat);
       if (answer != null) {
         apply(answer, sentAt);
       }
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -87,7 +87,7 @@
     }
     context.peerHeard();
     handlers.peerReachability.observePeer(heartbeat.storeReachable());
-    HeartbeatAnswer answer = handlers.leader.heartbeat(heartbeat);
+    HeartbeatAnswer answer = handlers.leader.handleHeartbeat(heartbeat);
     if (answer == null) {
       context.reply(
           request.reply(), UNAVAILABLE, HeartbeatAnswerCodec.writeRefusal(context.stateOk()));
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -183,7 +183,7 @@
   // ---- heartbeats ------------------------------------------------------------------------------
 
   /** Answers a controller's heartbeat; null while this process can't answer for the leader. */
-  public HeartbeatAnswer heartbeat(Heartbeat heartbeat) {
+  public HeartbeatAnswer handleHeartbeat(Heartbeat heartbeat) {
     if (!isReady()) {
       return null;
     }
