--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -126,7 +126,7 @@
                 cancellations,
                 users,
                 new RolloutRequestHandler(context, election, rollout),
-                new ShareRequestHandler(context, election, leader.moves())));
+                new ShareRequestHandler(context, election, leader.moveCoordinator())));
   }
 
   private RolloutCoordinator newRolloutCoordinator(RolloutSetup setup) {
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -170,7 +170,8 @@
       }
     }
     int served = shards.countServed();
-    context.allotStoreBudget((double) served / context.settings().shards(), election.isHoldingKey());
+    context.allotStoreBudget(
+        (double) served / context.settings().shards(), election.isHoldingKey());
     shards.updateMachines(answer);
     if (isNews && shards.hasCapacityRequests()) {
       // The leader takes requests for machines only from an owner that knows the last assignments:
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -101,8 +101,8 @@
   }
 
   /** Moves of machines between shards; null if shares are not enabled. */
-  public MoveCoordinator moves() {
-    return shareAssigner == null ? null : shareAssigner.moves();
+  public MoveCoordinator moveCoordinator() {
+    return shareAssigner == null ? null : shareAssigner.moveCoordinator();
   }
 
   /** Whether this process leads and knows all that it needs to answer for the leader. */
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -63,7 +63,7 @@
   }
 
   /** The coordinator of moves, for operators' requests. */
-  MoveCoordinator moves() {
+  MoveCoordinator moveCoordinator() {
     return moves;
   }
 
