--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -101,8 +101,8 @@
   }
 
   /** Moves of machines between shards; null if shares are not enabled. */
-  public MoveCoordinator moves() {
-    return shareAssigner == null ? null : shareAssigner.moves();
+  public MoveCoordinator moveCoordinator() {
+    return shareAssigner == null ? null : shareAssigner.moveCoordinator();
   }
 
   /** Whether this process leads and knows all that it needs to answer for the leader. */
@@ -183,7 +183,7 @@
   // ---- heartbeats ------------------------------------------------------------------------------
 
   /** Answers a controller's heartbeat; null while this process can't answer for the leader. */
-  public HeartbeatAnswer heartbeat(Heartbeat heartbeat) {
+  public HeartbeatAnswer handleHeartbeat(Heartbeat heartbeat) {
     if (!isReady()) {
       return null;
     }
