--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -131,7 +131,7 @@
     return new Heartbeat(
         context.config().label(),
         context.writer(),
-        context.stateOk(),
+        context.isStoreReachable(),
         assignments.version(),
         reports,
         unassigned,
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -90,7 +90,7 @@
     HeartbeatAnswer answer = handlers.leader.heartbeat(heartbeat);
     if (answer == null) {
       context.reply(
-          request.reply(), UNAVAILABLE, HeartbeatAnswerCodec.writeRefusal(context.stateOk()));
+          request.reply(), UNAVAILABLE, HeartbeatAnswerCodec.writeRefusal(context.isStoreReachable()));
     } else {
       context.reply(request.reply(), OK, HeartbeatAnswerCodec.write(answer));
     }
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -60,7 +60,7 @@
 
   /** Whether a controller other than {@code except} reaches the state service. */
   boolean isStateOkElsewhere(ControllerName except) {
-    if (!except.equals(context.config().label()) && context.stateOk()) {
+    if (!except.equals(context.config().label()) && context.isStoreReachable()) {
       return true;
     }
     for (Map.Entry<ControllerName, ControllerState> entry : controllers.entrySet()) {
--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -38,7 +38,7 @@
   public void cancel(UserRequest request, String name) {
     if (!JobSpec.isValidId(name)) {
       replies.noSuchJob(request);
-    } else if (!context.stateOk()) {
+    } else if (!context.isStoreReachable()) {
       replies.storeUnavailable(request);
     } else if (replies.requireRequestBudget(request)) {
       cancel(request, new JobId(name), ATTEMPTS);
--- a/src/main/java/shorecrank/coordination/request/StatusHandler.java
+++ b/src/main/java/shorecrank/coordination/request/StatusHandler.java
@@ -72,7 +72,7 @@
 
   private void answerFromStore(UserRequest request, JobId id) {
     if (!jobs.isFinished(id)) {
-      if (!context.stateOk()) {
+      if (!context.isStoreReachable()) {
         replies.storeUnavailable(request);
         return;
       }
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -76,7 +76,7 @@
     Optional<String> obstacle = rules.findObstacle(spec);
     if (obstacle.isPresent()) {
       refuse(request, spec, obstacle.get());
-    } else if (!context.stateOk()) {
+    } else if (!context.isStoreReachable()) {
       replies.storeUnavailable(request);
     } else {
       Optional<Transaction> creation = codec.create(spec);
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -132,7 +132,7 @@
     if (overMs < 0 || overMs >= context.settings().graceMs()) {
       return false;
     }
-    if (context.stateOk()) {
+    if (context.isStoreReachable()) {
       // The store is there, so a leader soon will be: as long as an election and a heartbeat take,
       // counted from the end of an outage.
       long thereMs = Math.min(overMs, context.now().since(context.stateOkSince()));
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -208,7 +208,7 @@
   // ---- what is known of other processes ----------------------------------------------------
 
   /** Whether the state service has answered lately. */
-  public boolean stateOk() {
+  public boolean isStoreReachable() {
     return storeReachability.isReachable(now);
   }
 
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -26,14 +26,14 @@
   @CsvSource({"200, true", "404, true", "429, true", "500, false", "503, false", "0, false"})
   void anAnswerOfTheServiceShowsThatItWorks(int status, boolean isReachable) {
     readAndAnswer(status);
-    assertEquals(isReachable, context.stateOk());
+    assertEquals(isReachable, context.isStoreReachable());
   }
 
   @Test
   void theServiceIsReachableForAsLongAsTheSettingsSay() {
     readAndAnswer(200);
-    driver.after(StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.stateOk()));
-    driver.after(1, () -> assertFalse(context.stateOk()));
+    driver.after(StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.isStoreReachable()));
+    driver.after(1, () -> assertFalse(context.isStoreReachable()));
     driver.after(500, () -> {});
     readAndAnswer(200);
     assertEquals(
