--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -200,7 +200,7 @@
       return;
     }
     nextProbeAt = now.plus(PROBE_INTERVAL_MS);
-    if (now.since(context.stateOkAt()) > PROBE_IDLE_MS) {
+    if (now.since(context.storeLastAnsweredAt()) > PROBE_IDLE_MS) {
       context.store().read(Election.KEY, PROBE_TIMEOUT_MS, result -> {});
     }
   }
--- a/src/main/java/shorecrank/coordination/HealthCheck.java
+++ b/src/main/java/shorecrank/coordination/HealthCheck.java
@@ -32,7 +32,7 @@
     if (catalog.isEmpty()) {
       return false;
     }
-    if (context.now().since(context.stateOkAt()) < STORE_MISSED_MS) {
+    if (context.now().since(context.storeLastAnsweredAt()) < STORE_MISSED_MS) {
       return true;
     }
     boolean othersServe = peerReachability.isReached() && peerReachability.ageMs() < PEERS_FRESH_MS;
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -213,7 +213,7 @@
   }
 
   /** When the state service last answered; NEVER if it has not. */
-  public MonotonicTime stateOkAt() {
+  public MonotonicTime storeLastAnsweredAt() {
     return storeReachability.answeredAt();
   }
 
