--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -40,8 +40,8 @@
     if (since == MonotonicTime.NEVER) {
       return false;
     }
-    if (since.isBefore(context.stateOkSince())) {
-      since = context.stateOkSince();
+    if (since.isBefore(context.storeReachableSince())) {
+      since = context.storeReachableSince();
     }
     return context.now().since(since) > STATE_LOST_MS;
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -135,7 +135,7 @@
     if (context.isStoreReachable()) {
       // The store is there, so a leader soon will be: as long as an election and a heartbeat take,
       // counted from the end of an outage.
-      long thereMs = Math.min(overMs, context.now().since(context.stateOkSince()));
+      long thereMs = Math.min(overMs, context.now().since(context.storeReachableSince()));
       return thereMs < context.settings().leaderTtlMs() + ELECTION_MS;
     }
     return !isAlone || missesManyWorkers || overMs < context.settings().leaseMs() * 2L;
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -218,7 +218,7 @@
   }
 
   /** When the state service began to answer again after it had not, or first. */
-  public MonotonicTime stateOkSince() {
+  public MonotonicTime storeReachableSince() {
     return storeReachability.reachableSince();
   }
 
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -37,7 +37,7 @@
     driver.after(500, () -> {});
     readAndAnswer(200);
     assertEquals(
-        new MonotonicTime(StepDriver.SETTINGS.stateFreshMs() + 500), context.stateOkSince());
+        new MonotonicTime(StepDriver.SETTINGS.stateFreshMs() + 500), context.storeReachableSince());
   }
 
   @Test
