--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -126,7 +126,7 @@
   }
 
   private void handOver(HeldHeartbeat received, ShardOwner shardOwner) {
-    boolean isAlone = context.aloneMs() > ALONE_MS;
+    boolean isAlone = context.msSincePeerContact() > ALONE_MS;
     if (shardOwner.isLeaseValid() || shardOwner.isInGrace(isAlone)) {
       if (shardOwner.knowsRecentCancellations()) {
         shardOwner.handleHeartbeat(received.reply, received.heartbeat, shardOwner.isLeaseValid());
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -228,7 +228,7 @@
   }
 
   /** For how many milliseconds no other controller has been heard; very many if none ever was. */
-  public long aloneMs() {
+  public long msSincePeerContact() {
     return now.since(peerHeardAt);
   }
 
--- a/src/test/java/shorecrank/coordination/step/PeerClientTest.java
+++ b/src/test/java/shorecrank/coordination/step/PeerClientTest.java
@@ -108,11 +108,11 @@
         () ->
             driver.context().peer(LEADER, "/peer/nudge", Json.object(), TIMEOUT_MS, (s, b) -> {}));
     driver.answer(NOT_FOUND);
-    driver.after(3000, () -> assertEquals(3000, driver.context().aloneMs()));
+    driver.after(3000, () -> assertEquals(3000, driver.context().msSincePeerContact()));
     driver.now(
         () ->
             driver.context().peer(LEADER, "/peer/nudge", Json.object(), TIMEOUT_MS, (s, b) -> {}));
     driver.answer(0);
-    driver.now(() -> assertEquals(3000, driver.context().aloneMs()));
+    driver.now(() -> assertEquals(3000, driver.context().msSincePeerContact()));
   }
 }
