--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -85,7 +85,7 @@
       refuseMalformed(request, "heartbeat", "beat");
       return;
     }
-    context.peerHeard();
+    context.recordPeerContact();
     handlers.peerReachability.observePeer(heartbeat.storeReachable());
     HeartbeatAnswer answer = handlers.leader.heartbeat(heartbeat);
     if (answer == null) {
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -194,7 +194,7 @@
       return;
     }
     if (call.target() instanceof Output.Peer && answer.status() != NO_ANSWER) {
-      peerHeard();
+      recordPeerContact();
     }
     if (call.target() == Output.Service.STATE
         && storeReachability.observe(answer.status(), now)
@@ -223,7 +223,7 @@
   }
 
   /** Another controller has answered, whatever it was asked, or asks something. */
-  public void peerHeard() {
+  public void recordPeerContact() {
     peerHeardAt = now;
   }
 
