--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -116,7 +116,7 @@
     // Each confirmation is a change in the state service, which takes so many a second.
     double changesPerS = context.config().state().writeRps();
     int mostKept = (int) Math.max(LEAST_KEPT, changesPerS * KEPT_S);
-    double evidenceS = context.evidenceMs() / MS_PER_S + OVERLAP_S;
+    double evidenceS = context.maxCancellationStalenessMs() / MS_PER_S + OVERLAP_S;
     this.mostAsked =
         (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, changesPerS * evidenceS);
     this.history = new ConfirmationHistory(mostKept);
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -220,7 +220,7 @@
    */
   public boolean knowsRecentCancellations() {
     MonotonicTime horizon = cancellations.horizon(recovery.knownUpTo());
-    return context.now().since(horizon) <= context.evidenceMs();
+    return context.now().since(horizon) <= context.maxCancellationStalenessMs();
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -247,7 +247,7 @@
    * The greatest age, in milliseconds, of what an owner knows of confirmed cancellations while it
    * renews workers' leases.
    */
-  public long evidenceMs() {
+  public long maxCancellationStalenessMs() {
     return cancellationEvidence.maxAgeMs();
   }
 
