--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -169,7 +169,7 @@
   }
 
   private void checkCancellationTime() {
-    if (!context.cancelsInTime()) {
+    if (!context.canCancelInTime()) {
       context.error(
           "settings.cancellation.unsafe cancel_s=%.1f lease_s=%.1f"
               + " effect=\"without the state service cancelled tasks may outlast cancel_s\"",
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -252,7 +252,7 @@
   }
 
   /** Whether the platform leaves enough time between the lease and the end of cancelled tasks. */
-  public boolean cancelsInTime() {
+  public boolean canCancelInTime() {
     return cancellationEvidence.isSafe();
   }
 
