--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -53,7 +53,7 @@
 
   /** Adds the job of a record, without its attempts. */
   Job add(JobRecord record, Revision revision) {
-    Job job = new Job(record, revision, context.nextLife(), jobsToWrite);
+    Job job = new Job(record, revision, context.nextInstanceNumber(), jobsToWrite);
     jobs.put(job.id(), job);
     return job;
   }
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -39,7 +39,7 @@
   private long wallMs;
   private SplittableRandom random = new SplittableRandom(0);
   private MonotonicTime peerHeardAt = MonotonicTime.NEVER;
-  private long lives;
+  private long lastInstanceNumber;
 
   /** Creates the context of a process before its first step. */
   public StepContext(NodeConfig config, Settings settings, WriterId writer) {
@@ -125,8 +125,8 @@
   }
 
   /** Numbers objects that write records, so that their writes can be told apart. */
-  public long nextLife() {
-    return ++lives;
+  public long nextInstanceNumber() {
+    return ++lastInstanceNumber;
   }
 
   // ---- calls -------------------------------------------------------------------------------
