--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -105,7 +105,7 @@
 
   /** Nobody can tell now: the operator asks again. */
   void unknown(Input.Request request, String reason) {
-    context.replyLater(
+    context.replyWithRetryAfter(
         request.reply(), UNAVAILABLE, OperatorRequestCodec.writeUnknown(reason), RETRY_AFTER_S);
   }
 
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -264,7 +264,7 @@
   }
 
   /** Answers a request, which may be repeated after so many seconds. */
-  public void replyLater(long reply, int status, JsonNode body, int retryAfterS) {
+  public void replyWithRetryAfter(long reply, int status, JsonNode body, int retryAfterS) {
     outputs.reply(reply, status, body, retryAfterS);
   }
 
