--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -108,7 +108,7 @@
               assignment.ifPresentOrElse(
                   assignments::add,
                   // Met again, the machine is assigned anew.
-                  () -> context.unreadable(entry.key())));
+                  () -> context.reportUnreadableValue(entry.key())));
     }
     return assignments;
   }
--- a/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
@@ -66,7 +66,7 @@
       long epoch = EpochCounterCodec.read(found.entry().value());
       if (epoch < 0) {
         // Taken for 0, epochs would begin again.
-        context.unreadable(EpochCounterCodec.KEY);
+        context.reportUnreadableValue(EpochCounterCodec.KEY);
         retryLater();
         return;
       }
--- a/src/main/java/shorecrank/coordination/request/JobLookup.java
+++ b/src/main/java/shorecrank/coordination/request/JobLookup.java
@@ -102,7 +102,7 @@
   private LookupResult readUnfinished(String key, Entry entry) {
     JobRecord record = JobRecord.read(entry.value());
     if (record == null) {
-      context.unreadable(key);
+      context.reportUnreadableValue(key);
       return new LookupResult.Unknown();
     }
     rememberShard(record.spec());
@@ -123,7 +123,7 @@
     }
     Final end = Final.read(found.entry().value());
     if (end == null) {
-      context.unreadable(key);
+      context.reportUnreadableValue(key);
       return new LookupResult.Unknown();
     }
     finished.put(id, end);
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -130,7 +130,7 @@
         onEnded.accept(id, end.phase());
         return;
       }
-      context.unreadable(JobRecord.finalKey(id));
+      context.reportUnreadableValue(JobRecord.finalKey(id));
     } else if (result instanceof ReadResult.Absent) {
       context.error("dependency.record.missing job=%s", id);
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -160,7 +160,7 @@
       last = entry.key();
       JobRecord record = JobRecord.read(entry.value());
       if (record == null) {
-        context.unreadable(entry.key());
+        context.reportUnreadableValue(entry.key());
       } else if (isOfShard(record)) {
         lifecycle.addListed(record, entry.revision());
       }
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -293,7 +293,7 @@
   }
 
   /** A key of the state service holds nothing that this version reads; it is left alone. */
-  public void unreadable(String key) {
+  public void reportUnreadableValue(String key) {
     refused("state.unreadable", "store.value.unreadable key=" + key);
   }
 
