--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -146,7 +146,7 @@
       return;
     }
     if (result instanceof HeartbeatResult.Malformed) {
-      context.refused("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
+      context.reportRefusal("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
     } else if (result instanceof HeartbeatResult.Refused refused && !refused.reachesStore()) {
       peerReachability.observeLeaderUnreached();
     }
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -129,7 +129,7 @@
 
   /** Refuses a message; its sender and the log call it by different names. */
   private void refuseMalformed(Input.Request request, String logged, String told) {
-    context.refused("peer.malformed", "peer.message.malformed kind=" + logged);
+    context.reportRefusal("peer.malformed", "peer.message.malformed kind=" + logged);
     context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + told));
   }
 }
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -65,7 +65,7 @@
     try {
       heartbeat = WorkerHeartbeatCodec.read(Json.parse(request.body()));
     } catch (MalformedMessageException malformed) {
-      context.refused("report.malformed", "worker.heartbeat.malformed");
+      context.reportRefusal("report.malformed", "worker.heartbeat.malformed");
       context.reply(request.reply(), BAD_REQUEST, Json.error("malformed report"));
       return;
     }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -286,7 +286,7 @@
 
   private void campaign() {
     if (isProtected() && !supported.supports(level)) {
-      context.refused(
+      context.reportRefusal(
           "leader.unfit",
           "leader.unfit level=" + level + " supported=\"" + supported + "\" reason=unsupported");
       enter(State.READING, UNFIT_PAUSE_MS);
--- a/src/main/java/shorecrank/coordination/leader/RolloutView.java
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -49,7 +49,7 @@
     if (reason == null) {
       return true;
     }
-    context.refused(
+    context.reportRefusal(
         "shard.owner_refused",
         "shard.owner.refused controller=" + controller + " reason=\"" + reason + "\"");
     return false;
--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -68,8 +68,8 @@
   }
 
   @Override
-  public void refused(String metric, String what) {
-    context.refused(metric, what);
+  public void reportRefusal(String metric, String what) {
+    context.reportRefusal(metric, what);
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -205,7 +205,7 @@
           }
           ConfirmedCancellations confirmed = CancellationCodec.read(body, mostAsked).orElse(null);
           if (confirmed == null) {
-            context.refused(
+            context.reportRefusal(
                 "peer.malformed", "peer.message.malformed kind=confirmations controller=" + name);
           } else {
             answered(peer, confirmed, sent);
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -140,7 +140,7 @@
 
   /** Refuses an order that makes no sense. */
   void refuseMalformed(Input.Request request, String metric, String event, String error) {
-    context.refused(metric, event);
+    context.reportRefusal(metric, event);
     context.reply(request.reply(), BAD_REQUEST, Json.error(error));
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
+++ b/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
@@ -47,7 +47,7 @@
     for (TeamUse use : quotas.uses()) {
       if (use.isAboveLimit() && isUseKnown(use.team().name())) {
         knownAboveLimit.add(use.team().name());
-        context.refused("quota.exceeded", "team.quota.exceeded " + use.logFields());
+        context.reportRefusal("quota.exceeded", "team.quota.exceeded " + use.logFields());
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -294,12 +294,12 @@
 
   /** A key of the state service holds nothing that this version reads; it is left alone. */
   public void reportUnreadableValue(String key) {
-    refused("state.unreadable", "store.value.unreadable key=" + key);
+    reportRefusal("state.unreadable", "store.value.unreadable key=" + key);
   }
 
   /** Something from outside was refused: counted, and logged at a bounded rate. */
-  public void refused(String metric, String event) {
-    outputs.refused(metric, event, now);
+  public void reportRefusal(String metric, String event) {
+    outputs.reportRefusal(metric, event, now);
   }
 
   /** Raises a counter by one. */
--- a/src/main/java/shorecrank/coordination/step/StepOutputs.java
+++ b/src/main/java/shorecrank/coordination/step/StepOutputs.java
@@ -48,7 +48,7 @@
   }
 
   /** Counts a refusal, and logs it unless one of the same metric was logged lately. */
-  void refused(String metric, String event, MonotonicTime now) {
+  void reportRefusal(String metric, String event, MonotonicTime now) {
     count(metric, 1);
     MonotonicTime loggedAt = refusalLoggedAt.getOrDefault(metric, MonotonicTime.NEVER);
     if (now.since(loggedAt) >= REFUSAL_LOG_PAUSE_MS) {
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -47,7 +47,7 @@
    * @param metric the counter; of each only one line is logged in a few seconds
    * @param what the event's name and its fields
    */
-  void refused(String metric, String what);
+  void reportRefusal(String metric, String what);
 
   /** Sets a gauge. */
   void gauge(String metric, double value);
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -201,7 +201,7 @@
   private void take(Revision term, Optional<V> found, Revision foundAt, boolean mayWrite) {
     known = found.isPresent();
     if (!known) {
-      environment.refused(
+      environment.reportRefusal(
           "state.unreadable", "store.value.unreadable key=%s".formatted(codec.key()));
     }
     Reading reading =
--- a/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
@@ -62,7 +62,7 @@
     if (result instanceof ListResult.Page page) {
       jobsAreGone = page.entries().isEmpty();
       if (!jobsAreGone) {
-        environment.refused(
+        environment.reportRefusal(
             "shares.parts_refused",
             "shards.refused configured=%d in_force=%d reason=\"jobs exist: set it back\""
                 .formatted(configured, shares.state().shards()));
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -171,7 +171,7 @@
         pending.add(rewrite);
       } else {
         unreadable++;
-        environment.refused(
+        environment.reportRefusal(
             "state.unreadable", "store.value.unreadable key=%s".formatted(entry.key()));
       }
       return;
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -97,7 +97,7 @@
 
   private List<String> refuse(long atMs) {
     context.begin(new MonotonicTime(atMs), atMs, 1);
-    context.refused("report.malformed", "worker.heartbeat.malformed");
+    context.reportRefusal("report.malformed", "worker.heartbeat.malformed");
     return context.end().stream().map(output -> output.getClass().getSimpleName()).toList();
   }
 }
