--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -159,7 +159,7 @@
     if (input instanceof Input.Request request) {
       route(request);
     } else if (input instanceof Input.Answer answer) {
-      context.answered(answer);
+      context.handleAnswer(answer);
       // The answer may tell where held heartbeats belong.
       workers.retryHeld();
     } else if (input instanceof Input.Tick tick) {
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -188,7 +188,7 @@
   }
 
   /** Takes the answer to a call; a second one to the same call is ignored. */
-  public void answered(Input.Answer answer) {
+  public void handleAnswer(Input.Answer answer) {
     PendingCall call = calls.remove(answer.call());
     if (call == null) {
       return;
--- a/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
+++ b/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
@@ -100,7 +100,7 @@
   /** Answers the first call of the state service that is open; returns what was sent. */
   JsonNode answerState(int status, JsonNode body) {
     Output.Call call = stateCalls.remove();
-    step(() -> context.answered(new Input.Answer(call.call(), status, body)));
+    step(() -> context.handleAnswer(new Input.Answer(call.call(), status, body)));
     return call.body();
   }
 
--- a/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
@@ -66,7 +66,7 @@
     ObjectNode entry = Json.object();
     entry.set("data", value);
     JsonNode body = status == 200 ? entry : Json.object();
-    context.answered(new Input.Answer(calls.get(0).call(), status, body));
+    context.handleAnswer(new Input.Answer(calls.get(0).call(), status, body));
   }
 
   private void atMs(long ms) {
@@ -177,7 +177,7 @@
     graph.tick();
     List<Output.Call> calls = calls();
     assertEquals(4, calls.size());
-    context.answered(new Input.Answer(calls.get(0).call(), 200, Json.object()));
+    context.handleAnswer(new Input.Answer(calls.get(0).call(), 200, Json.object()));
     graph.tick();
     assertEquals(1, calls().size());
   }
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -58,7 +58,7 @@
     driver.now(() -> context.store().read("k", 1000, result -> answers[0]++));
     Output.Call call = driver.openCalls().get(0);
     driver.answer(404);
-    driver.now(() -> context.answered(new Input.Answer(call.call(), 404, null)));
+    driver.now(() -> context.handleAnswer(new Input.Answer(call.call(), 404, null)));
     assertEquals(1, answers[0]);
   }
 
--- a/src/test/java/shorecrank/coordination/step/StepDriver.java
+++ b/src/test/java/shorecrank/coordination/step/StepDriver.java
@@ -83,7 +83,7 @@
   /** Answers the oldest open call in a step. */
   public void answer(int status, JsonNode body) {
     Output.Call call = calls.remove(0);
-    now(() -> context.answered(new Input.Answer(call.call(), status, body)));
+    now(() -> context.handleAnswer(new Input.Answer(call.call(), status, body)));
   }
 
   /** Answers the oldest open call without a body. */
