--- a/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
+++ b/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
@@ -81,7 +81,7 @@
 
   private void askCloud() {
     isBusy = true;
-    context.cloud(
+    context.callCloud(
         "GET",
         CloudMessages.CATALOG_PATH,
         null,
--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -88,7 +88,7 @@
    * @param claim names the request: a second one of the same name rents nothing more
    */
   void rent(String claim, Offer offer, int count, Consumer<RentResult> then) {
-    context.cloud(
+    context.callCloud(
         "POST",
         CloudMessages.RENTAL_PATH,
         CloudCodec.writeRental(claim, offer, count),
@@ -108,7 +108,7 @@
 
   /** Returns machines; {@code then} is told whether the cloud has taken them all. */
   void release(List<MachineName> machines, Consumer<Boolean> then) {
-    context.cloud(
+    context.callCloud(
         "POST",
         CloudMessages.RELEASE_PATH,
         CloudCodec.writeRelease(machines),
@@ -122,7 +122,7 @@
    * @param after the last machine of the page before; empty for the first page
    */
   void list(String after, Consumer<ListingResult> then) {
-    context.cloud(
+    context.callCloud(
         "GET",
         CloudMessages.listPath(after),
         null,
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -186,7 +186,7 @@
     context.count("epoch.minted");
     // The owner begins at once, and the others can tell the workers where to go.
     for (Member member : context.config().members()) {
-      context.peer(
+      context.callPeer(
           member.label(), PeerPaths.HEARTBEAT_NOW, Json.object(), NUDGE_MS, (status, body) -> {});
     }
   }
--- a/src/main/java/shorecrank/coordination/leader/GrantClient.java
+++ b/src/main/java/shorecrank/coordination/leader/GrantClient.java
@@ -34,7 +34,7 @@
 
   /** Asks for a grant; {@code then} takes its number, or empty if it is not known to exist. */
   void create(long ttlMs, Consumer<OptionalLong> then) {
-    context.state(
+    context.callStore(
         "POST",
         StorePaths.GRANTS,
         StoreCodec.writeGrantRequest(ttlMs),
@@ -47,7 +47,7 @@
 
   /** Renews a grant. */
   void renew(long grant, Consumer<Renewal> then) {
-    context.state(
+    context.callStore(
         "POST",
         StorePaths.grantRenewal(grant),
         Json.object(),
@@ -63,7 +63,7 @@
 
   /** Ends a grant; {@code then} is told whether it is known to have ended. */
   void revoke(long grant, Consumer<Boolean> then) {
-    context.state(
+    context.callStore(
         "DELETE",
         StorePaths.grant(grant),
         null,
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -193,7 +193,7 @@
     MonotonicTime sent = context.now();
     peer.askAt = sent.plus(CALL_INTERVAL_MS);
     context.count("cancellations.asked");
-    context.peer(
+    context.callPeer(
         name,
         PeerPaths.CONFIRMED_CANCELLATIONS,
         CancellationCodec.writeQuery(sent.since(since) + OVERLAP_MS, mostAsked),
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -102,7 +102,7 @@
     unanswered++;
     tokens.directCommandSent();
     context.count("orders.direct");
-    context.worker(
+    context.callWorker(
         session.address(),
         WorkerMessages.DIRECT_COMMANDS_PATH,
         WorkerCommandCodec.writeDirect(token, session.incarnation(), commands),
--- a/src/main/java/shorecrank/coordination/step/PeerClient.java
+++ b/src/main/java/shorecrank/coordination/step/PeerClient.java
@@ -34,7 +34,7 @@
   /** Sends a heartbeat to the leader. */
   public void sendHeartbeat(
       ControllerName to, Heartbeat heartbeat, int timeoutMs, Consumer<HeartbeatResult> then) {
-    context.peer(
+    context.callPeer(
         to,
         PeerPaths.HEARTBEAT,
         HeartbeatCodec.write(heartbeat),
@@ -66,7 +66,7 @@
       Collection<JobId> jobs,
       int timeoutMs,
       Consumer<Map<JobId, JobStatus>> then) {
-    context.peer(
+    context.callPeer(
         owner,
         PeerPaths.STATUS_QUERY,
         StatusQueryCodec.writeQuery(shard, jobs),
@@ -92,7 +92,7 @@
       long reply,
       IntPredicate isPassedOn,
       IntConsumer otherwise) {
-    context.peer(
+    context.callPeer(
         to,
         path,
         message,
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -146,7 +146,7 @@
    *
    * @param body null if there is none
    */
-  public void state(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
+  public void callStore(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     budget.requests().take(1, now);
     count("state.requests");
     if (body != null && body.has(CHANGES_FIELD)) {
@@ -160,18 +160,18 @@
    *
    * @param body null if there is none
    */
-  public void cloud(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
+  public void callCloud(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(Output.Service.CLOUD, method, path, body, timeoutMs, then);
   }
 
   /** Calls a worker. */
-  public void worker(
+  public void callWorker(
       String address, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(new Output.Worker(address), "POST", path, body, timeoutMs, then);
   }
 
   /** Calls another controller by path; {@link #peers()} is the typed way. */
-  public void peer(
+  public void callPeer(
       ControllerName to, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(new Output.Peer(to), "POST", path, body, timeoutMs, then);
   }
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -32,7 +32,7 @@
 
   @Override
   public void read(String key, int timeoutMs, Consumer<ReadResult> then) {
-    context.state(
+    context.callStore(
         "GET",
         StorePaths.key(key),
         null,
@@ -51,7 +51,7 @@
   @Override
   public void list(
       String prefix, String after, int limit, int timeoutMs, Consumer<ListResult> then) {
-    context.state(
+    context.callStore(
         "GET",
         StorePaths.list(prefix, after, limit),
         null,
@@ -69,7 +69,7 @@
 
   @Override
   public void watch(String prefix, long afterRevision, int holdMs, Consumer<WatchResult> then) {
-    context.state(
+    context.callStore(
         "GET",
         StorePaths.watch(prefix, afterRevision, holdMs),
         null,
@@ -80,7 +80,7 @@
   @Override
   public void readChanges(
       String prefix, long afterRevision, int timeoutMs, Consumer<WatchResult> then) {
-    context.state(
+    context.callStore(
         "GET",
         StorePaths.watch(prefix, afterRevision, 0),
         null,
@@ -99,7 +99,7 @@
 
   @Override
   public void commit(Transaction transaction, int timeoutMs, Consumer<CommitResult> then) {
-    context.state(
+    context.callStore(
         "POST",
         StorePaths.TRANSACTION,
         transaction.body(),
--- a/src/main/java/shorecrank/coordination/step/StorePages.java
+++ b/src/main/java/shorecrank/coordination/step/StorePages.java
@@ -23,7 +23,7 @@
    */
   public void forward(
       String prefix, String after, int limit, int timeoutMs, long reply, Runnable unavailable) {
-    context.state(
+    context.callStore(
         "GET",
         StorePaths.list(prefix, after, limit),
         null,
