--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -143,7 +143,7 @@
       start = placeUrgent(ordered, room, useKnown, budget);
     }
     for (int i = start; i < ordered.size(); i++) {
-      if (budget.spent()) {
+      if (budget.isExhausted()) {
         resumeAt = ordered.get(i).id();
         return;
       }
@@ -194,7 +194,7 @@
     }
     int placed = 0;
     int end = Math.min(ordered.size(), urgent + JOBS_PLACED_BY_IMAGE);
-    for (int i = 0; i < end && !budget.spent(); i++) {
+    for (int i = 0; i < end && !budget.isExhausted(); i++) {
       Job job = ordered.get(i);
       if (i < urgent) {
         placeIfAllowed(job, useKnown, room);
--- a/src/main/java/shorecrank/coordination/step/Input.java
+++ b/src/main/java/shorecrank/coordination/step/Input.java
@@ -34,6 +34,6 @@
   @FunctionalInterface
   interface RoundBudget {
     /** Whether the round's time is spent. */
-    boolean spent();
+    boolean isExhausted();
   }
 }
