--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -8,7 +8,7 @@
 import shorecrank.coordination.leader.Election;
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.StepContext;
-import shorecrank.coordination.step.StorePages;
+import shorecrank.coordination.step.StorePageForwarder;
 import shorecrank.protocol.Json;
 import shorecrank.protocol.MalformedMessageException;
 import shorecrank.protocol.OperatorPaths;
@@ -33,7 +33,7 @@
           .toList();
 
   private final StepContext context;
-  private final StorePages pages;
+  private final StorePageForwarder pages;
   private final LeaderForwarder leader;
   private final RolloutCoordinator rollout;
 
@@ -44,7 +44,7 @@
    */
   public RolloutRequestHandler(StepContext context, Election election, RolloutCoordinator rollout) {
     this.context = context;
-    this.pages = new StorePages(context);
+    this.pages = new StorePageForwarder(context);
     this.leader =
         new LeaderForwarder(context, election, rollout != null, "rollouts", "--rollout FILE");
     this.rollout = rollout;
--- a/src/main/java/shorecrank/coordination/step/StorePages.java
+++ b/src/main/java/shorecrank/coordination/step/StorePageForwarder.java
@@ -5,11 +5,11 @@
 import shorecrank.protocol.StorePaths;
 
 /** Pages of keys that go to an operator just as the state service answers them. */
-public final class StorePages {
+public final class StorePageForwarder {
   private final StepContext context;
 
   /** Creates the access of one controller. */
-  public StorePages(StepContext context) {
+  public StorePageForwarder(StepContext context) {
     this.context = context;
   }
 
