--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public boolean hasWrites(int changes) {
+  public boolean hasWriteBudget(int changes) {
     return context.writeBudget().has(changes, context.now());
   }
 
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -17,7 +17,7 @@
   StateStore store();
 
   /** Whether that many changes are left of this controller's share of the write rate. */
-  boolean hasWrites(int changes);
+  boolean hasWriteBudget(int changes);
 
   /** Takes that many changes out of this controller's share; false if they are not there. */
   boolean takeWrites(int changes);
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -92,7 +92,7 @@
 
   /** Null if nothing is to be assigned, or not now. */
   private Handover prepare(Map<MachineName, ShardId> assignments) {
-    boolean isAffordable = environment.hasWrites(1 + assignments.size());
+    boolean isAffordable = environment.hasWriteBudget(1 + assignments.size());
     return assignments.isEmpty() || !isAffordable ? null : fleet.prepare(assignments);
   }
 
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public boolean hasWrites(int changes) {
+    public boolean hasWriteBudget(int changes) {
       return true;
     }
 
