--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -37,12 +37,12 @@
   }
 
   @Override
-  public boolean takeWrites(int changes) {
+  public boolean tryTakeWrites(int changes) {
     return context.writeBudget().tryTake(changes, context.now());
   }
 
   @Override
-  public boolean takeRequest() {
+  public boolean hasRequestBudget() {
     // Only asked here: the call itself takes the request out of the rate limit.
     return context.requestBudget().has(1, context.now());
   }
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -20,10 +20,10 @@
   boolean hasWriteBudget(int changes);
 
   /** Takes that many changes out of this controller's share; false if they are not there. */
-  boolean takeWrites(int changes);
+  boolean tryTakeWrites(int changes);
 
   /** Whether a request that can wait may be sent to the state service now. */
-  boolean takeRequest();
+  boolean hasRequestBudget();
 
   /** How many changes per second the state service takes from all controllers together. */
   double changesPerSecond();
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -74,7 +74,7 @@
    */
   void write(SharesState next, Handover handover, CommitListener then) {
     int operations = 1 + (handover == null ? 0 : handover.operations());
-    if (!environment.takeWrites(operations)) {
+    if (!environment.tryTakeWrites(operations)) {
       refused(handover, false);
       then.finished(false);
       return;
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -53,7 +53,7 @@
     }
     if (!toRemove.isEmpty()) {
       remove();
-    } else if (due && environment.takeRequest()) {
+    } else if (due && environment.hasRequestBudget()) {
       store.list(ArchiveKeys.INDEX, "", MAX_ARCHIVES, this::archivesListed);
     }
   }
@@ -108,7 +108,7 @@
 
   private void remove() {
     int count = Math.min(toRemove.size(), environment.transactionOperations());
-    if (!environment.takeWrites(count)) {
+    if (!environment.tryTakeWrites(count)) {
       return;
     }
     Transaction transaction = new Transaction();
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -110,7 +110,7 @@
 
   /** Goes on with the archive, by one call at most. */
   void tick() {
-    if (isDone() || isFailed() || !store.isReady() || !environment.takeRequest()) {
+    if (isDone() || isFailed() || !store.isReady() || !environment.hasRequestBudget()) {
       return;
     }
     // What is ready is written before more is read, so that little is held in memory.
@@ -218,7 +218,7 @@
   }
 
   private void writeChunk() {
-    if (!environment.takeWrites(1)) {
+    if (!environment.tryTakeWrites(1)) {
       return;
     }
     if (chunk == null) {
@@ -246,7 +246,7 @@
   }
 
   private void writeIndex(boolean isComplete, Step next) {
-    if (!environment.takeWrites(1)) {
+    if (!environment.tryTakeWrites(1)) {
       return;
     }
     IndexEntry entry = new IndexEntry(id, isComplete, chunksWritten, bytesWritten);
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -123,7 +123,7 @@
       rewrite();
     } else if (pageEnd != null) {
       endPage();
-    } else if (environment.takeRequest()) {
+    } else if (environment.hasRequestBudget()) {
       list();
     }
   }
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -174,7 +174,7 @@
   }
 
   private void change(RolloutState next, Consumer<CommitResult> then) {
-    if (!environment.takeWrites(1)) {
+    if (!environment.tryTakeWrites(1)) {
       return;
     }
     if (next.phase() != RolloutPhase.FALLING) {
@@ -289,7 +289,7 @@
       then.outcome(outcome);
       return;
     }
-    if (!environment.takeWrites(1)) {
+    if (!environment.tryTakeWrites(1)) {
       then.outcome(null);
       return;
     }
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -109,12 +109,12 @@
     }
 
     @Override
-    public boolean takeWrites(int changes) {
+    public boolean tryTakeWrites(int changes) {
       return true;
     }
 
     @Override
-    public boolean takeRequest() {
+    public boolean hasRequestBudget() {
       return true;
     }
 
