--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -48,17 +48,17 @@
   }
 
   @Override
-  public double changesPerSecond() {
+  public double maxChangesPerSecond() {
     return context.config().state().writeRps();
   }
 
   @Override
-  public int transactionOperations() {
+  public int maxTransactionOperations() {
     return context.config().state().txnOps();
   }
 
   @Override
-  public int valueBytes() {
+  public int maxValueBytes() {
     return (int) (context.config().state().valueKb() * BYTES_PER_KB);
   }
 
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -26,13 +26,13 @@
   boolean hasRequestBudget();
 
   /** How many changes per second the state service takes from all controllers together. */
-  double changesPerSecond();
+  double maxChangesPerSecond();
 
   /** The most operations in a transaction. */
-  int transactionOperations();
+  int maxTransactionOperations();
 
   /** The most bytes in a value. */
-  int valueBytes();
+  int maxValueBytes();
 
   /**
    * Logs an event.
--- a/src/main/java/shorecrank/rebalance/MoveCapacity.java
+++ b/src/main/java/shorecrank/rebalance/MoveCapacity.java
@@ -30,7 +30,7 @@
 
   /** How many moves may be under way at the same time. */
   int mostActive() {
-    double left = environment.valueBytes() * VALUE_FILL - KEPT_BYTES;
+    double left = environment.maxValueBytes() * VALUE_FILL - KEPT_BYTES;
     return (int) Math.max(1, left / MOVE_BYTES);
   }
 
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -107,7 +107,7 @@
   }
 
   private void remove() {
-    int count = Math.min(toRemove.size(), environment.transactionOperations());
+    int count = Math.min(toRemove.size(), environment.maxTransactionOperations());
     if (!environment.tryTakeWrites(count)) {
       return;
     }
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -135,7 +135,7 @@
   }
 
   private int chunkBytes() {
-    return ArchiveKeys.chunkBytes(environment.valueBytes());
+    return ArchiveKeys.chunkBytes(environment.maxValueBytes());
   }
 
   // ---- reading ---------------------------------------------------------------------------------
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -83,7 +83,7 @@
     features.forEach(feature -> sorted.add(feature.prefix()));
     this.prefixes = List.copyOf(sorted);
     // A limiter of its own, since the leader needs little for its other writes.
-    double most = environment.changesPerSecond() * CAPACITY_FRACTION;
+    double most = environment.maxChangesPerSecond() * CAPACITY_FRACTION;
     this.rate = new RateLimiter(Math.min(rewritesPerS, most));
     this.cursor = cursor;
     this.done = prefixes.isEmpty();
@@ -184,7 +184,7 @@
     leadership.guard(transaction);
     List<Rewrite> batch = new ArrayList<>();
     int bytes = 0;
-    int most = isOneByOne ? 1 : environment.transactionOperations();
+    int most = isOneByOne ? 1 : environment.maxTransactionOperations();
     while (!pending.isEmpty() && batch.size() < most) {
       Rewrite next = pending.peek();
       bytes += next.bytes();
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -119,17 +119,17 @@
     }
 
     @Override
-    public double changesPerSecond() {
+    public double maxChangesPerSecond() {
       return 100;
     }
 
     @Override
-    public int transactionOperations() {
+    public int maxTransactionOperations() {
       return 100;
     }
 
     @Override
-    public int valueBytes() {
+    public int maxValueBytes() {
       return 10_000;
     }
 
