--- a/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
+++ b/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
@@ -61,7 +61,7 @@
     if (types.isEmpty()) {
       isBusy = true;
       context.store().read(KEY, READ_TIMEOUT_MS, this::storeRead);
-    } else if (election.leading()) {
+    } else if (election.isLeading()) {
       askCloud();
     } else {
       nextAt = now.plus(FOLLOWER_PAUSE_MS);
@@ -96,7 +96,7 @@
           }
           nextAt = context.now().plus(REFRESH_MS);
           update(read);
-          if (!isStored && election.leading()) {
+          if (!isStored && election.isLeading()) {
             store(new Transaction().guard(election.key(), election.term()).write(KEY, body));
           }
         });
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -134,7 +134,7 @@
   }
 
   @Override
-  public boolean leading() {
+  public boolean isLeading() {
     return state == State.LEADING && context.now().isBefore(validUntil);
   }
 
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -108,13 +108,13 @@
   /** Whether this process leads and knows all that it needs to answer for the leader. */
   private boolean isReady() {
     boolean levelKnown = rollout.isReady();
-    boolean loaded = election.leading() && loadedTerm.isCurrent(election.term());
+    boolean loaded = election.isLeading() && loadedTerm.isCurrent(election.term());
     return loaded && levelKnown && assigner.isReady();
   }
 
   /** Once a round. */
   public void tick() {
-    if (!election.leading()) {
+    if (!election.isLeading()) {
       interrupted = true;
       return;
     }
--- a/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
@@ -112,7 +112,7 @@
       return;
     }
     loading = false;
-    if (election.term().equals(term) && election.leading()) {
+    if (election.term().equals(term) && election.isLeading()) {
       loadedTerm.begin(term);
       onLoaded.run();
       context.info(
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -117,7 +117,7 @@
 
   /** Whether the key was read under the present term, whatever it holds. */
   public boolean isRead() {
-    return leadership.leading() && readUnder.equals(leadership.term());
+    return leadership.isLeading() && readUnder.equals(leadership.term());
   }
 
   /** Whether the key was read under the present term, and holds a value that this build reads. */
@@ -157,7 +157,7 @@
 
   /** Reads the key, or settles a write that is in doubt, if that is due. */
   public void tick() {
-    if (!leadership.leading()) {
+    if (!leadership.isLeading()) {
       readUnder = Revision.ABSENT;
       return;
     }
--- a/src/main/java/shorecrank/leadership/Leadership.java
+++ b/src/main/java/shorecrank/leadership/Leadership.java
@@ -7,7 +7,7 @@
 /** The election as a state machine of the leader sees it: its term, and the keys that show it. */
 public interface Leadership {
   /** Whether no other process can lead now, by this process's clock. */
-  boolean leading();
+  boolean isLeading();
 
   /** The revision of the leader's key under which this process leads, or last saw another lead. */
   Revision term();
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -131,11 +131,11 @@
 
   /** Takes the next step of a rollout, if one is due; called once a round. */
   public void tick() {
-    if (leadership.leading() && !leadership.term().equals(term)) {
+    if (leadership.isLeading() && !leadership.term().equals(term)) {
       termBegan();
     }
     store.tick();
-    if (!leadership.leading() || !store.isIdle()) {
+    if (!leadership.isLeading() || !store.isIdle()) {
       return;
     }
     updateGauges();
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -154,7 +154,7 @@
     private Revision term = new Revision(1);
 
     @Override
-    public boolean leading() {
+    public boolean isLeading() {
       return isLeading;
     }
 
