--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -27,12 +27,12 @@
   private static final long READ_AGAIN_MS = 1000;
 
   /** What a new reading of the key says of a write whose outcome was unknown. */
-  public enum Settlement {
+  public enum WriteOutcome {
     /** It may still be carried out. */
-    OPEN,
-    CARRIED_OUT,
+    UNKNOWN,
+    COMMITTED,
     /** It was not carried out and never will be. */
-    NOT_CARRIED_OUT
+    NOT_COMMITTED
   }
 
   /**
@@ -71,14 +71,14 @@
     boolean isConflictInDoubt();
 
     /** Says what a new reading shows of the write that is in doubt. */
-    Settlement settle(Reading reading);
+    WriteOutcome resolveOutcome(Reading reading);
 
     /**
      * The key is no longer in doubt.
      *
      * @param before the value that was known while it was in doubt
      */
-    void settled(boolean isCarriedOut, V before);
+    void outcomeResolved(boolean isCommitted, V before);
   }
 
   private final LeaderEnvironment environment;
@@ -210,16 +210,16 @@
     value = found.orElse(value);
     revision = foundAt;
     readUnder = term;
-    Settlement settlement = inDoubt ? rules.settle(reading) : Settlement.OPEN;
-    if (settlement != Settlement.OPEN) {
-      settled(settlement == Settlement.CARRIED_OUT, before);
+    WriteOutcome outcome = inDoubt ? rules.resolveOutcome(reading) : WriteOutcome.UNKNOWN;
+    if (outcome != WriteOutcome.UNKNOWN) {
+      finishWrite(outcome == WriteOutcome.COMMITTED, before);
     }
   }
 
-  private void settled(boolean isCarriedOut, V before) {
+  private void finishWrite(boolean isCommitted, V before) {
     pending = null;
     inDoubt = false;
-    rules.settled(isCarriedOut, before);
+    rules.outcomeResolved(isCommitted, before);
   }
 
   /**
@@ -252,7 +252,7 @@
         transaction -> {},
         result -> {
           if (result.isCommitted()) {
-            settled(false, value);
+            finishWrite(false, value);
           }
         });
   }
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -5,7 +5,7 @@
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.LeaderKey;
 import shorecrank.leadership.LeaderKey.Reading;
-import shorecrank.leadership.LeaderKey.Settlement;
+import shorecrank.leadership.LeaderKey.WriteOutcome;
 import shorecrank.leadership.LeaderKeyCodec;
 import shorecrank.leadership.Leadership;
 import shorecrank.protocol.Ids.Revision;
@@ -125,21 +125,21 @@
     }
 
     @Override
-    public Settlement settle(Reading reading) {
+    public WriteOutcome resolveOutcome(Reading reading) {
       if (reading.isChanged()) {
         // Nobody else writes the key.
-        return Settlement.CARRIED_OUT;
+        return WriteOutcome.COMMITTED;
       }
       boolean isSameTerm =
           reading.lastReadUnder().equals(Revision.ABSENT)
               || reading.lastReadUnder().equals(reading.readUnder());
       // If the level forbids changes, the level's key, which guards every change, has moved on.
-      return isSameTerm && reading.mayWrite() ? Settlement.OPEN : Settlement.NOT_CARRIED_OUT;
+      return isSameTerm && reading.mayWrite() ? WriteOutcome.UNKNOWN : WriteOutcome.NOT_COMMITTED;
     }
 
     @Override
-    public void settled(boolean isCarriedOut, SharesState before) {
-      listener.settled(isCarriedOut);
+    public void outcomeResolved(boolean isCommitted, SharesState before) {
+      listener.settled(isCommitted);
     }
   }
 }
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -6,7 +6,7 @@
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.leadership.LeaderKey;
 import shorecrank.leadership.LeaderKey.Reading;
-import shorecrank.leadership.LeaderKey.Settlement;
+import shorecrank.leadership.LeaderKey.WriteOutcome;
 import shorecrank.leadership.LeaderKeyCodec;
 import shorecrank.leadership.Leadership;
 import shorecrank.protocol.RolloutCodec;
@@ -136,19 +136,19 @@
     }
 
     @Override
-    public Settlement settle(Reading reading) {
+    public WriteOutcome resolveOutcome(Reading reading) {
       if (!reading.readUnder().equals(reading.sentUnder())) {
         // Sent under an earlier term of this process: its guard refuses it.
-        return Settlement.NOT_CARRIED_OUT;
+        return WriteOutcome.NOT_COMMITTED;
       }
       // Under one term nobody else writes the key.
-      return reading.isChanged() ? Settlement.CARRIED_OUT : Settlement.OPEN;
+      return reading.isChanged() ? WriteOutcome.COMMITTED : WriteOutcome.UNKNOWN;
     }
 
     @Override
-    public void settled(boolean isCarriedOut, RolloutState before) {
+    public void outcomeResolved(boolean isCommitted, RolloutState before) {
       FeatureLevel level = key.value().level();
-      if (isCarriedOut && key.isKnown() && !level.equals(before.level())) {
+      if (isCommitted && key.isKnown() && !level.equals(before.level())) {
         levelSwitched(level);
       }
     }
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import shorecrank.leadership.LeaderKey.Reading;
-import shorecrank.leadership.LeaderKey.Settlement;
+import shorecrank.leadership.LeaderKey.WriteOutcome;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Json;
@@ -199,13 +199,13 @@
     }
 
     @Override
-    public Settlement settle(Reading reading) {
-      return reading.isChanged() ? Settlement.CARRIED_OUT : Settlement.OPEN;
+    public WriteOutcome resolveOutcome(Reading reading) {
+      return reading.isChanged() ? WriteOutcome.COMMITTED : WriteOutcome.UNKNOWN;
     }
 
     @Override
-    public void settled(boolean isCarriedOut, String before) {
-      settlements.add(isCarriedOut);
+    public void outcomeResolved(boolean isCommitted, String before) {
+      settlements.add(isCommitted);
     }
   }
 
