--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -38,19 +38,19 @@
   /**
    * A new reading of the key while a write is in doubt.
    *
-   * @param sentUnder the term under which the write was sent
-   * @param lastReadUnder the term of the reading before; {@link Revision#ABSENT} if that one does
+   * @param writeTerm the term under which the write was sent
+   * @param previousReadTerm the term of the reading before; {@link Revision#ABSENT} if that one does
    *     not count any more
-   * @param readUnder the term of this reading
+   * @param readTerm the term of this reading
    * @param isChanged whether the key's revision is above the one that the write expected
-   * @param mayWrite whether the key might be written when the reading began
+   * @param wasWritable whether the key might be written when the reading began
    */
   public record Reading(
-      Revision sentUnder,
-      Revision lastReadUnder,
-      Revision readUnder,
+      Revision writeTerm,
+      Revision previousReadTerm,
+      Revision readTerm,
       boolean isChanged,
-      boolean mayWrite) {}
+      boolean wasWritable) {}
 
   /**
    * What holds for one key beyond the rules of all of them.
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -131,10 +131,10 @@
         return WriteOutcome.COMMITTED;
       }
       boolean isSameTerm =
-          reading.lastReadUnder().equals(Revision.ABSENT)
-              || reading.lastReadUnder().equals(reading.readUnder());
+          reading.previousReadTerm().equals(Revision.ABSENT)
+              || reading.previousReadTerm().equals(reading.readTerm());
       // If the level forbids changes, the level's key, which guards every change, has moved on.
-      return isSameTerm && reading.mayWrite() ? WriteOutcome.UNKNOWN : WriteOutcome.NOT_COMMITTED;
+      return isSameTerm && reading.wasWritable() ? WriteOutcome.UNKNOWN : WriteOutcome.NOT_COMMITTED;
     }
 
     @Override
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -137,7 +137,7 @@
 
     @Override
     public WriteOutcome resolveOutcome(Reading reading) {
-      if (!reading.readUnder().equals(reading.sentUnder())) {
+      if (!reading.readTerm().equals(reading.writeTerm())) {
         // Sent under an earlier term of this process: its guard refuses it.
         return WriteOutcome.NOT_COMMITTED;
       }
