--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -59,7 +59,7 @@
    */
   public interface Rules<V> {
     /** Whether the key may be written now; if not, it is read again from time to time. */
-    boolean mayWrite();
+    boolean canWrite();
 
     /** Adds guards beyond the leader's term and the key's revision. */
     void addGuards(Transaction transaction);
@@ -137,7 +137,7 @@
 
   /** Whether a write can be begun. */
   public boolean isIdle() {
-    return isReadable() && store.isIdle() && !inDoubt && rules.mayWrite();
+    return isReadable() && store.isIdle() && !inDoubt && rules.canWrite();
   }
 
   /** The value last read or written; the initial one before the first reading. */
@@ -166,7 +166,7 @@
     }
     if (!isRead()) {
       read();
-    } else if (!rules.mayWrite()) {
+    } else if (!rules.canWrite()) {
       if (environment.now().since(readAt) >= READ_AGAIN_MS) {
         read();
       }
@@ -183,7 +183,7 @@
   private void read() {
     readAt = environment.now();
     Revision term = leadership.term();
-    boolean mayWrite = rules.mayWrite();
+    boolean mayWrite = rules.canWrite();
     store.read(
         codec.key(),
         result -> {
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -103,7 +103,7 @@
   /** The guard of the feature level, and when a change of unknown outcome is settled. */
   private final class SharesKeyRules implements LeaderKey.Rules<SharesState> {
     @Override
-    public boolean mayWrite() {
+    public boolean canWrite() {
       return isPermitted();
     }
 
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -119,7 +119,7 @@
   /** When a change of unknown outcome is settled. */
   private final class LevelKeyRules implements LeaderKey.Rules<RolloutState> {
     @Override
-    public boolean mayWrite() {
+    public boolean canWrite() {
       return true;
     }
 
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -181,7 +181,7 @@
     private boolean mayWrite = true;
 
     @Override
-    public boolean mayWrite() {
+    public boolean canWrite() {
       return mayWrite;
     }
 
