--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -248,7 +248,7 @@
   }
 
   /** The epochs of the shards whose workers this process may command at a moment. */
-  public Map<ShardId, Epoch> commanded(MonotonicTime at) {
+  public Map<ShardId, Epoch> commandedEpochs(MonotonicTime at) {
     return shards.commandedEpochs(at);
   }
 
@@ -258,7 +258,7 @@
   }
 
   /** The epochs of the shards owned here. */
-  public Map<ShardId, Epoch> owned() {
+  public Map<ShardId, Epoch> ownedEpochs() {
     return shards.epochs();
   }
 }
--- a/src/test/java/shorecrank/sim/SimulatedController.java
+++ b/src/test/java/shorecrank/sim/SimulatedController.java
@@ -86,7 +86,7 @@
     }
     step(new Input.Tick(() -> false));
     world().checker.stepped(this);
-    world().counters.addRounds(core.owned().size());
+    world().counters.addRounds(core.ownedEpochs().size());
     sim.after(TICK_MS, () -> tick(mine));
   }
 
@@ -116,7 +116,7 @@
 
   @Override
   Map<ShardId, Epoch> owned() {
-    return core.owned();
+    return core.ownedEpochs();
   }
 
   @Override
@@ -126,7 +126,7 @@
 
   @Override
   Map<ShardId, Epoch> commanded() {
-    return isUp() ? core.commanded(steadyTime()) : Map.of();
+    return isUp() ? core.commandedEpochs(steadyTime()) : Map.of();
   }
 
   private MonotonicTime steadyTime() {
