--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -159,7 +159,7 @@
     if (input instanceof Input.Request request) {
       route(request);
     } else if (input instanceof Input.Answer answer) {
-      context.answered(answer);
+      context.handleAnswer(answer);
       // The answer may tell where held heartbeats belong.
       workers.retryHeld();
     } else if (input instanceof Input.Tick tick) {
@@ -169,7 +169,7 @@
   }
 
   private void checkCancellationTime() {
-    if (!context.cancelsInTime()) {
+    if (!context.canCancelInTime()) {
       context.error(
           "settings.cancellation.unsafe cancel_s=%.1f lease_s=%.1f"
               + " effect=\"without the state service cancelled tasks may outlast cancel_s\"",
@@ -200,7 +200,7 @@
       return;
     }
     nextProbeAt = now.plus(PROBE_INTERVAL_MS);
-    if (now.since(context.stateOkAt()) > PROBE_IDLE_MS) {
+    if (now.since(context.storeLastAnsweredAt()) > PROBE_IDLE_MS) {
       context.store().read(Election.KEY, PROBE_TIMEOUT_MS, result -> {});
     }
   }
@@ -248,7 +248,7 @@
   }
 
   /** The epochs of the shards whose workers this process may command at a moment. */
-  public Map<ShardId, Epoch> commanded(MonotonicTime at) {
+  public Map<ShardId, Epoch> commandedEpochs(MonotonicTime at) {
     return shards.commandedEpochs(at);
   }
 
@@ -258,7 +258,7 @@
   }
 
   /** The epochs of the shards owned here. */
-  public Map<ShardId, Epoch> owned() {
+  public Map<ShardId, Epoch> ownedEpochs() {
     return shards.epochs();
   }
 }
--- a/src/main/java/shorecrank/coordination/HealthCheck.java
+++ b/src/main/java/shorecrank/coordination/HealthCheck.java
@@ -32,11 +32,11 @@
     if (catalog.isEmpty()) {
       return false;
     }
-    if (context.now().since(context.stateOkAt()) < STORE_MISSED_MS) {
+    if (context.now().since(context.storeLastAnsweredAt()) < STORE_MISSED_MS) {
       return true;
     }
     boolean othersServe = peerReachability.isReached() && peerReachability.ageMs() < PEERS_FRESH_MS;
-    boolean isIsolated = !context.config().members().isEmpty() && context.aloneMs() > ISOLATED_MS;
+    boolean isIsolated = !context.config().members().isEmpty() && context.msSincePeerContact() > ISOLATED_MS;
     return !othersServe && !isIsolated;
   }
 }
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -131,7 +131,7 @@
     return new Heartbeat(
         context.config().label(),
         context.writer(),
-        context.stateOk(),
+        context.isStoreReachable(),
         assignments.version(),
         reports,
         unassigned,
@@ -146,7 +146,7 @@
       return;
     }
     if (result instanceof HeartbeatResult.Malformed) {
-      context.refused("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
+      context.reportRefusal("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
     } else if (result instanceof HeartbeatResult.Refused refused && !refused.reachesStore()) {
       peerReachability.observeLeaderUnreached();
     }
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -85,12 +85,12 @@
       refuseMalformed(request, "heartbeat", "beat");
       return;
     }
-    context.peerHeard();
+    context.recordPeerContact();
     handlers.peerReachability.observePeer(heartbeat.storeReachable());
     HeartbeatAnswer answer = handlers.leader.handleHeartbeat(heartbeat);
     if (answer == null) {
       context.reply(
-          request.reply(), UNAVAILABLE, HeartbeatAnswerCodec.writeRefusal(context.stateOk()));
+          request.reply(), UNAVAILABLE, HeartbeatAnswerCodec.writeRefusal(context.isStoreReachable()));
     } else {
       context.reply(request.reply(), OK, HeartbeatAnswerCodec.write(answer));
     }
@@ -129,7 +129,7 @@
 
   /** Refuses a message; its sender and the log call it by different names. */
   private void refuseMalformed(Input.Request request, String logged, String told) {
-    context.refused("peer.malformed", "peer.message.malformed kind=" + logged);
+    context.reportRefusal("peer.malformed", "peer.message.malformed kind=" + logged);
     context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + told));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -32,33 +32,33 @@
   }
 
   @Override
-  public boolean hasWrites(int changes) {
+  public boolean hasWriteBudget(int changes) {
     return context.writeBudget().has(changes, context.now());
   }
 
   @Override
-  public boolean takeWrites(int changes) {
+  public boolean tryTakeWrites(int changes) {
     return context.writeBudget().tryTake(changes, context.now());
   }
 
   @Override
-  public boolean takeRequest() {
+  public boolean hasRequestBudget() {
     // Only asked here: the call itself takes the request out of the rate limit.
     return context.requestBudget().has(1, context.now());
   }
 
   @Override
-  public double changesPerSecond() {
+  public double maxChangesPerSecond() {
     return context.config().state().writeRps();
   }
 
   @Override
-  public int transactionOperations() {
+  public int maxTransactionOperations() {
     return context.config().state().txnOps();
   }
 
   @Override
-  public int valueBytes() {
+  public int maxValueBytes() {
     return (int) (context.config().state().valueKb() * BYTES_PER_KB);
   }
 
@@ -68,8 +68,8 @@
   }
 
   @Override
-  public void refused(String metric, String what) {
-    context.refused(metric, what);
+  public void reportRefusal(String metric, String what) {
+    context.reportRefusal(metric, what);
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -116,7 +116,7 @@
     // Each confirmation is a change in the state service, which takes so many a second.
     double changesPerS = context.config().state().writeRps();
     int mostKept = (int) Math.max(LEAST_KEPT, changesPerS * KEPT_S);
-    double evidenceS = context.evidenceMs() / MS_PER_S + OVERLAP_S;
+    double evidenceS = context.maxCancellationStalenessMs() / MS_PER_S + OVERLAP_S;
     this.mostAsked =
         (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, changesPerS * evidenceS);
     this.history = new ConfirmationHistory(mostKept);
@@ -193,7 +193,7 @@
     MonotonicTime sent = context.now();
     peer.askAt = sent.plus(CALL_INTERVAL_MS);
     context.count("cancellations.asked");
-    context.peer(
+    context.callPeer(
         name,
         PeerPaths.CONFIRMED_CANCELLATIONS,
         CancellationCodec.writeQuery(sent.since(since) + OVERLAP_MS, mostAsked),
@@ -205,7 +205,7 @@
           }
           ConfirmedCancellations confirmed = CancellationCodec.read(body, mostAsked).orElse(null);
           if (confirmed == null) {
-            context.refused(
+            context.reportRefusal(
                 "peer.malformed", "peer.message.malformed kind=confirmations controller=" + name);
           } else {
             answered(peer, confirmed, sent);
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -39,7 +39,7 @@
   private long wallMs;
   private SplittableRandom random = new SplittableRandom(0);
   private MonotonicTime peerHeardAt = MonotonicTime.NEVER;
-  private long lives;
+  private long lastInstanceNumber;
 
   /** Creates the context of a process before its first step. */
   public StepContext(NodeConfig config, Settings settings, WriterId writer) {
@@ -125,8 +125,8 @@
   }
 
   /** Numbers objects that write records, so that their writes can be told apart. */
-  public long nextLife() {
-    return ++lives;
+  public long nextInstanceNumber() {
+    return ++lastInstanceNumber;
   }
 
   // ---- calls -------------------------------------------------------------------------------
@@ -146,7 +146,7 @@
    *
    * @param body null if there is none
    */
-  public void state(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
+  public void callStore(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     budget.requests().take(1, now);
     count("state.requests");
     if (body != null && body.has(CHANGES_FIELD)) {
@@ -160,18 +160,18 @@
    *
    * @param body null if there is none
    */
-  public void cloud(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
+  public void callCloud(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(Output.Service.CLOUD, method, path, body, timeoutMs, then);
   }
 
   /** Calls a worker. */
-  public void worker(
+  public void callWorker(
       String address, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(new Output.Worker(address), "POST", path, body, timeoutMs, then);
   }
 
   /** Calls another controller by path; {@link #peers()} is the typed way. */
-  public void peer(
+  public void callPeer(
       ControllerName to, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(new Output.Peer(to), "POST", path, body, timeoutMs, then);
   }
@@ -188,13 +188,13 @@
   }
 
   /** Takes the answer to a call; a second one to the same call is ignored. */
-  public void answered(Input.Answer answer) {
+  public void handleAnswer(Input.Answer answer) {
     PendingCall call = calls.remove(answer.call());
     if (call == null) {
       return;
     }
     if (call.target() instanceof Output.Peer && answer.status() != NO_ANSWER) {
-      peerHeard();
+      recordPeerContact();
     }
     if (call.target() == Output.Service.STATE
         && storeReachability.observe(answer.status(), now)
@@ -208,27 +208,27 @@
   // ---- what is known of other processes ----------------------------------------------------
 
   /** Whether the state service has answered lately. */
-  public boolean stateOk() {
+  public boolean isStoreReachable() {
     return storeReachability.isReachable(now);
   }
 
   /** When the state service last answered; NEVER if it has not. */
-  public MonotonicTime stateOkAt() {
+  public MonotonicTime storeLastAnsweredAt() {
     return storeReachability.answeredAt();
   }
 
   /** When the state service began to answer again after it had not, or first. */
-  public MonotonicTime stateOkSince() {
+  public MonotonicTime storeReachableSince() {
     return storeReachability.reachableSince();
   }
 
   /** Another controller has answered, whatever it was asked, or asks something. */
-  public void peerHeard() {
+  public void recordPeerContact() {
     peerHeardAt = now;
   }
 
   /** For how many milliseconds no other controller has been heard; very many if none ever was. */
-  public long aloneMs() {
+  public long msSincePeerContact() {
     return now.since(peerHeardAt);
   }
 
@@ -247,12 +247,12 @@
    * The greatest age, in milliseconds, of what an owner knows of confirmed cancellations while it
    * renews workers' leases.
    */
-  public long evidenceMs() {
+  public long maxCancellationStalenessMs() {
     return cancellationEvidence.maxAgeMs();
   }
 
   /** Whether the platform leaves enough time between the lease and the end of cancelled tasks. */
-  public boolean cancelsInTime() {
+  public boolean canCancelInTime() {
     return cancellationEvidence.isSafe();
   }
 
@@ -264,7 +264,7 @@
   }
 
   /** Answers a request, which may be repeated after so many seconds. */
-  public void replyLater(long reply, int status, JsonNode body, int retryAfterS) {
+  public void replyWithRetryAfter(long reply, int status, JsonNode body, int retryAfterS) {
     outputs.reply(reply, status, body, retryAfterS);
   }
 
@@ -293,13 +293,13 @@
   }
 
   /** A key of the state service holds nothing that this version reads; it is left alone. */
-  public void unreadable(String key) {
-    refused("state.unreadable", "store.value.unreadable key=" + key);
+  public void reportUnreadableValue(String key) {
+    reportRefusal("state.unreadable", "store.value.unreadable key=" + key);
   }
 
   /** Something from outside was refused: counted, and logged at a bounded rate. */
-  public void refused(String metric, String event) {
-    outputs.refused(metric, event, now);
+  public void reportRefusal(String metric, String event) {
+    outputs.reportRefusal(metric, event, now);
   }
 
   /** Raises a counter by one. */
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -17,22 +17,22 @@
   StateStore store();
 
   /** Whether that many changes are left of this controller's share of the write rate. */
-  boolean hasWrites(int changes);
+  boolean hasWriteBudget(int changes);
 
   /** Takes that many changes out of this controller's share; false if they are not there. */
-  boolean takeWrites(int changes);
+  boolean tryTakeWrites(int changes);
 
   /** Whether a request that can wait may be sent to the state service now. */
-  boolean takeRequest();
+  boolean hasRequestBudget();
 
   /** How many changes per second the state service takes from all controllers together. */
-  double changesPerSecond();
+  double maxChangesPerSecond();
 
   /** The most operations in a transaction. */
-  int transactionOperations();
+  int maxTransactionOperations();
 
   /** The most bytes in a value. */
-  int valueBytes();
+  int maxValueBytes();
 
   /**
    * Logs an event.
@@ -47,7 +47,7 @@
    * @param metric the counter; of each only one line is logged in a few seconds
    * @param what the event's name and its fields
    */
-  void refused(String metric, String what);
+  void reportRefusal(String metric, String what);
 
   /** Sets a gauge. */
   void gauge(String metric, double value);
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -27,30 +27,30 @@
   private static final long READ_AGAIN_MS = 1000;
 
   /** What a new reading of the key says of a write whose outcome was unknown. */
-  public enum Settlement {
+  public enum WriteOutcome {
     /** It may still be carried out. */
-    OPEN,
-    CARRIED_OUT,
+    UNKNOWN,
+    COMMITTED,
     /** It was not carried out and never will be. */
-    NOT_CARRIED_OUT
+    NOT_COMMITTED
   }
 
   /**
    * A new reading of the key while a write is in doubt.
    *
-   * @param sentUnder the term under which the write was sent
-   * @param lastReadUnder the term of the reading before; {@link Revision#ABSENT} if that one does
+   * @param writeTerm the term under which the write was sent
+   * @param previousReadTerm the term of the reading before; {@link Revision#ABSENT} if that one does
    *     not count any more
-   * @param readUnder the term of this reading
+   * @param readTerm the term of this reading
    * @param isChanged whether the key's revision is above the one that the write expected
-   * @param mayWrite whether the key might be written when the reading began
+   * @param wasWritable whether the key might be written when the reading began
    */
   public record Reading(
-      Revision sentUnder,
-      Revision lastReadUnder,
-      Revision readUnder,
+      Revision writeTerm,
+      Revision previousReadTerm,
+      Revision readTerm,
       boolean isChanged,
-      boolean mayWrite) {}
+      boolean wasWritable) {}
 
   /**
    * What holds for one key beyond the rules of all of them.
@@ -59,7 +59,7 @@
    */
   public interface Rules<V> {
     /** Whether the key may be written now; if not, it is read again from time to time. */
-    boolean mayWrite();
+    boolean canWrite();
 
     /** Adds guards beyond the leader's term and the key's revision. */
     void addGuards(Transaction transaction);
@@ -71,14 +71,14 @@
     boolean isConflictInDoubt();
 
     /** Says what a new reading shows of the write that is in doubt. */
-    Settlement settle(Reading reading);
+    WriteOutcome resolveOutcome(Reading reading);
 
     /**
      * The key is no longer in doubt.
      *
      * @param before the value that was known while it was in doubt
      */
-    void settled(boolean isCarriedOut, V before);
+    void outcomeResolved(boolean isCommitted, V before);
   }
 
   private final LeaderEnvironment environment;
@@ -117,7 +117,7 @@
 
   /** Whether the key was read under the present term, whatever it holds. */
   public boolean isRead() {
-    return leadership.leading() && readUnder.equals(leadership.term());
+    return leadership.isLeading() && readUnder.equals(leadership.term());
   }
 
   /** Whether the key was read under the present term, and holds a value that this build reads. */
@@ -137,7 +137,7 @@
 
   /** Whether a write can be begun. */
   public boolean isIdle() {
-    return isReadable() && store.isIdle() && !inDoubt && rules.mayWrite();
+    return isReadable() && store.isIdle() && !inDoubt && rules.canWrite();
   }
 
   /** The value last read or written; the initial one before the first reading. */
@@ -157,7 +157,7 @@
 
   /** Reads the key, or settles a write that is in doubt, if that is due. */
   public void tick() {
-    if (!leadership.leading()) {
+    if (!leadership.isLeading()) {
       readUnder = Revision.ABSENT;
       return;
     }
@@ -166,7 +166,7 @@
     }
     if (!isRead()) {
       read();
-    } else if (!rules.mayWrite()) {
+    } else if (!rules.canWrite()) {
       if (environment.now().since(readAt) >= READ_AGAIN_MS) {
         read();
       }
@@ -183,7 +183,7 @@
   private void read() {
     readAt = environment.now();
     Revision term = leadership.term();
-    boolean mayWrite = rules.mayWrite();
+    boolean mayWrite = rules.canWrite();
     store.read(
         codec.key(),
         result -> {
@@ -201,7 +201,7 @@
   private void take(Revision term, Optional<V> found, Revision foundAt, boolean mayWrite) {
     known = found.isPresent();
     if (!known) {
-      environment.refused(
+      environment.reportRefusal(
           "state.unreadable", "store.value.unreadable key=%s".formatted(codec.key()));
     }
     Reading reading =
@@ -210,16 +210,16 @@
     value = found.orElse(value);
     revision = foundAt;
     readUnder = term;
-    Settlement settlement = inDoubt ? rules.settle(reading) : Settlement.OPEN;
-    if (settlement != Settlement.OPEN) {
-      settled(settlement == Settlement.CARRIED_OUT, before);
+    WriteOutcome outcome = inDoubt ? rules.resolveOutcome(reading) : WriteOutcome.UNKNOWN;
+    if (outcome != WriteOutcome.UNKNOWN) {
+      finishWrite(outcome == WriteOutcome.COMMITTED, before);
     }
   }
 
-  private void settled(boolean isCarriedOut, V before) {
+  private void finishWrite(boolean isCommitted, V before) {
     pending = null;
     inDoubt = false;
-    rules.settled(isCarriedOut, before);
+    rules.outcomeResolved(isCommitted, before);
   }
 
   /**
@@ -252,7 +252,7 @@
         transaction -> {},
         result -> {
           if (result.isCommitted()) {
-            settled(false, value);
+            finishWrite(false, value);
           }
         });
   }
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -53,7 +53,7 @@
     }
     if (!toRemove.isEmpty()) {
       remove();
-    } else if (due && environment.takeRequest()) {
+    } else if (due && environment.hasRequestBudget()) {
       store.list(ArchiveKeys.INDEX, "", MAX_ARCHIVES, this::archivesListed);
     }
   }
@@ -68,7 +68,7 @@
     for (Entry stored : page.entries()) {
       Optional<IndexEntry> entry = ArchiveValueCodec.readIndex(stored.key(), stored.value());
       if (entry.isEmpty()) {
-        environment.refused(
+        environment.reportRefusal(
             "state.unreadable", "store.value.unreadable key=%s".formatted(stored.key()));
       } else if (entry.get().isComplete()) {
         complete.add(entry.get());
@@ -107,8 +107,8 @@
   }
 
   private void remove() {
-    int count = Math.min(toRemove.size(), environment.transactionOperations());
-    if (!environment.takeWrites(count)) {
+    int count = Math.min(toRemove.size(), environment.maxTransactionOperations());
+    if (!environment.tryTakeWrites(count)) {
       return;
     }
     Transaction transaction = new Transaction();
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -131,11 +131,11 @@
 
   /** Takes the next step of a rollout, if one is due; called once a round. */
   public void tick() {
-    if (leadership.leading() && !leadership.term().equals(term)) {
+    if (leadership.isLeading() && !leadership.term().equals(term)) {
       termBegan();
     }
     store.tick();
-    if (!leadership.leading() || !store.isIdle()) {
+    if (!leadership.isLeading() || !store.isIdle()) {
       return;
     }
     updateGauges();
@@ -174,7 +174,7 @@
   }
 
   private void change(RolloutState next, Consumer<CommitResult> then) {
-    if (!environment.takeWrites(1)) {
+    if (!environment.tryTakeWrites(1)) {
       return;
     }
     if (next.phase() != RolloutPhase.FALLING) {
@@ -289,7 +289,7 @@
       then.outcome(outcome);
       return;
     }
-    if (!environment.takeWrites(1)) {
+    if (!environment.tryTakeWrites(1)) {
       then.outcome(null);
       return;
     }
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -26,18 +26,18 @@
   @CsvSource({"200, true", "404, true", "429, true", "500, false", "503, false", "0, false"})
   void anAnswerOfTheServiceShowsThatItWorks(int status, boolean isReachable) {
     readAndAnswer(status);
-    assertEquals(isReachable, context.stateOk());
+    assertEquals(isReachable, context.isStoreReachable());
   }
 
   @Test
   void theServiceIsReachableForAsLongAsTheSettingsSay() {
     readAndAnswer(200);
-    driver.after(StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.stateOk()));
-    driver.after(1, () -> assertFalse(context.stateOk()));
+    driver.after(StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.isStoreReachable()));
+    driver.after(1, () -> assertFalse(context.isStoreReachable()));
     driver.after(500, () -> {});
     readAndAnswer(200);
     assertEquals(
-        new MonotonicTime(StepDriver.SETTINGS.stateFreshMs() + 500), context.stateOkSince());
+        new MonotonicTime(StepDriver.SETTINGS.stateFreshMs() + 500), context.storeReachableSince());
   }
 
   @Test
@@ -58,7 +58,7 @@
     driver.now(() -> context.store().read("k", 1000, result -> answers[0]++));
     Output.Call call = driver.openCalls().get(0);
     driver.answer(404);
-    driver.now(() -> context.answered(new Input.Answer(call.call(), 404, null)));
+    driver.now(() -> context.handleAnswer(new Input.Answer(call.call(), 404, null)));
     assertEquals(1, answers[0]);
   }
 
@@ -97,7 +97,7 @@
 
   private List<String> refuse(long atMs) {
     context.begin(new MonotonicTime(atMs), atMs, 1);
-    context.refused("report.malformed", "worker.heartbeat.malformed");
+    context.reportRefusal("report.malformed", "worker.heartbeat.malformed");
     return context.end().stream().map(output -> output.getClass().getSimpleName()).toList();
   }
 }
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import shorecrank.leadership.LeaderKey.Reading;
-import shorecrank.leadership.LeaderKey.Settlement;
+import shorecrank.leadership.LeaderKey.WriteOutcome;
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Json;
@@ -104,32 +104,32 @@
     }
 
     @Override
-    public boolean hasWrites(int changes) {
+    public boolean hasWriteBudget(int changes) {
       return true;
     }
 
     @Override
-    public boolean takeWrites(int changes) {
+    public boolean tryTakeWrites(int changes) {
       return true;
     }
 
     @Override
-    public boolean takeRequest() {
+    public boolean hasRequestBudget() {
       return true;
     }
 
     @Override
-    public double changesPerSecond() {
+    public double maxChangesPerSecond() {
       return 100;
     }
 
     @Override
-    public int transactionOperations() {
+    public int maxTransactionOperations() {
       return 100;
     }
 
     @Override
-    public int valueBytes() {
+    public int maxValueBytes() {
       return 10_000;
     }
 
@@ -137,7 +137,7 @@
     public void info(String format, Object... args) {}
 
     @Override
-    public void refused(String metric, String what) {
+    public void reportRefusal(String metric, String what) {
       refusals.add(metric);
     }
 
@@ -154,7 +154,7 @@
     private Revision term = new Revision(1);
 
     @Override
-    public boolean leading() {
+    public boolean isLeading() {
       return isLeading;
     }
 
@@ -181,7 +181,7 @@
     private boolean mayWrite = true;
 
     @Override
-    public boolean mayWrite() {
+    public boolean canWrite() {
       return mayWrite;
     }
 
@@ -199,13 +199,13 @@
     }
 
     @Override
-    public Settlement settle(Reading reading) {
-      return reading.isChanged() ? Settlement.CARRIED_OUT : Settlement.OPEN;
+    public WriteOutcome resolveOutcome(Reading reading) {
+      return reading.isChanged() ? WriteOutcome.COMMITTED : WriteOutcome.UNKNOWN;
     }
 
     @Override
-    public void settled(boolean isCarriedOut, String before) {
-      settlements.add(isCarriedOut);
+    public void outcomeResolved(boolean isCommitted, String before) {
+      settlements.add(isCommitted);
     }
   }
 
