--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -23,10 +23,10 @@
 /** Decides what a worker is told, from its last heartbeat and the records that are committed. */
 final class CommandPlanner {
   /** A stop at once, without time to save. */
-  private static final double AT_ONCE = 0;
+  private static final double NO_GRACE_S = 0;
 
   /** Seconds that a task that saves gets beyond what it says that it takes. */
-  private static final double SAVE_MARGIN_S = 1;
+  private static final double CHECKPOINT_MARGIN_S = 1;
 
   private final StepContext context;
   private final ShardJobs jobs;
@@ -54,20 +54,20 @@
    * whatever else it may not command: the lease would keep it running. A start on its way straight
    * to the machine may come before it.
    */
-  List<WorkerCommand> stopsOfCancelled(Machine machine, WorkerHeartbeat heartbeat) {
+  List<WorkerCommand> planCancellationStops(Machine machine, WorkerHeartbeat heartbeat) {
     List<WorkerCommand> stops = new ArrayList<>();
     Set<TaskAttemptId> listed = new HashSet<>();
     for (TaskStatus status : heartbeat.tasks()) {
       listed.add(status.attemptId());
       addStopIfCancelled(status, stops);
     }
-    addStopsOfUnlisted(machine, listed, stops);
+    addStopsForUnlisted(machine, listed, stops);
     return stops;
   }
 
   private void addStopIfCancelled(TaskStatus status, List<WorkerCommand> stops) {
     if (status.state() != TaskState.EXITED && isCancelled(status.attemptId().job())) {
-      stops.add(new Stop(status.attemptId(), AT_ONCE));
+      stops.add(new Stop(status.attemptId(), NO_GRACE_S));
     }
   }
 
@@ -76,7 +76,7 @@
     return (job != null && job.isCancelled()) || cancellations.isKnown(id);
   }
 
-  private static void addStopsOfUnlisted(
+  private static void addStopsForUnlisted(
       Machine machine, Set<TaskAttemptId> listed, List<WorkerCommand> stops) {
     for (TaskAttempt attempt : machine.attempts()) {
       if (attempt.job().isCancelled()
@@ -85,7 +85,7 @@
           && !listed.contains(attempt.id())
           && (!machine.session().isConfirmed()
               || machine.session().tokens().hasPendingDirectStart(attempt.id()))) {
-        stops.add(new Stop(attempt.id(), AT_ONCE));
+        stops.add(new Stop(attempt.id(), NO_GRACE_S));
       }
     }
   }
@@ -97,7 +97,7 @@
    *
    * @param direct whether they go out in a command of their own, not in the answer to a heartbeat
    */
-  List<WorkerCommand> commands(Machine machine, boolean direct) {
+  List<WorkerCommand> planCommands(Machine machine, boolean direct) {
     List<WorkerCommand> commands = new ArrayList<>();
     Set<TaskAttempt> listed = new HashSet<>();
     for (TaskStatus status : machine.session().lastHeartbeat().tasks()) {
@@ -105,7 +105,7 @@
     }
     Set<TaskAttemptId> listedIds = new HashSet<>();
     machine.session().lastHeartbeat().tasks().forEach(status -> listedIds.add(status.attemptId()));
-    addStopsOfUnlisted(machine, listedIds, commands);
+    addStopsForUnlisted(machine, listedIds, commands);
     addStarts(machine, direct, listed, commands);
     return commands;
   }
@@ -141,11 +141,11 @@
     TaskAttemptId id = status.attemptId();
     if (job == null
         && (status.state() == TaskState.EXITED || !isCancelled(id.job()))
-        && !machines.mayClear(machine, id)) {
+        && !machines.mayDiscard(machine, id)) {
       // Its own shard's owner may not have taken its result yet.
       context.count("foreign.kept");
     } else if (status.state() != TaskState.EXITED) {
-      commands.add(new Stop(id, AT_ONCE));
+      commands.add(new Stop(id, NO_GRACE_S));
       context.info("task.unexpected machine=%s task=%s", machine.name(), id);
     } else if (isExitRecorded(job, id)
         && !direct
@@ -163,34 +163,34 @@
   private static void addStopIfDue(
       Machine machine, TaskAttempt attempt, TaskStatus status, List<WorkerCommand> commands) {
     Job job = attempt.job();
-    double saveS = job.spec().checkpointDurationS();
+    double checkpointS = job.spec().checkpointDurationS();
     if (job.isCancelled()) {
-      commands.add(new Stop(attempt.id(), AT_ONCE));
+      commands.add(new Stop(attempt.id(), NO_GRACE_S));
     } else if (status.state() == TaskState.CHECKPOINTING) {
       return;
     } else if (attempt.isRevoked() || machine.isReleasing()) {
-      commands.add(new Stop(attempt.id(), saveS + SAVE_MARGIN_S));
+      commands.add(new Stop(attempt.id(), checkpointS + CHECKPOINT_MARGIN_S));
     } else if (machine.isPreemptionNoticed() && job.spec().checkpointIntervalS() > 0) {
       double noticeS = machine.session().lastHeartbeat().noticeS();
-      commands.add(new Stop(attempt.id(), Math.max(saveS, noticeS)));
+      commands.add(new Stop(attempt.id(), Math.max(checkpointS, noticeS)));
     }
   }
 
   private void addStarts(
       Machine machine, boolean direct, Set<TaskAttempt> listed, List<WorkerCommand> commands) {
-    int first = 0;
+    int firstStarts = 0;
     for (TaskAttempt attempt : machine.attempts()) {
       if (!listed.contains(attempt) && mayStart(machine, attempt)) {
         commands.add(new Start(attempt.id()));
         if (attempt.recordStartSent(direct)) {
-          first++;
+          firstStarts++;
           context.count("task.commanded");
           context.count("task.commanded.ms", context.now().since(attempt.placedAt()));
         }
       }
     }
-    if (first > 0) {
-      logStarts(machine, first, direct);
+    if (firstStarts > 0) {
+      logStarts(machine, firstStarts, direct);
     }
   }
 
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -19,12 +19,12 @@
 /** Sends starts straight to their machines, without waiting for the next heartbeat. */
 final class DirectCommandSender {
   /** A machine whose heartbeat is due so soon is told in the answer. */
-  private static final int SOON_MS = 100;
+  private static final int MIN_TIME_TO_ANSWER_MS = 100;
 
   /** So long a worker may take to answer; what is not answered may yet be carried out. */
   private static final int TIMEOUT_MS = 1000;
 
-  private static final int LEAST_CONNECTIONS = 4;
+  private static final int MIN_CONNECTIONS = 4;
 
   /** The part of all sockets that direct commands may use, as a divisor. */
   private static final int SOCKET_DIVISOR = 20;
@@ -52,9 +52,9 @@
    * nothing is concluded from what it does not list, and what it has done is not reaped.
    */
   void sendStarts(List<RecordWrite> committed) {
-    for (Machine machine : machinesOfStarts(committed)) {
+    for (Machine machine : machinesToStartOn(committed)) {
       if (mayCommand(machine)) {
-        List<WorkerCommand> commands = planner.commands(machine, true);
+        List<WorkerCommand> commands = planner.planCommands(machine, true);
         if (commands.stream().anyMatch(Start.class::isInstance)) {
           send(machine, commands);
         }
@@ -62,7 +62,7 @@
     }
   }
 
-  private Set<Machine> machinesOfStarts(List<RecordWrite> committed) {
+  private Set<Machine> machinesToStartOn(List<RecordWrite> committed) {
     Set<Machine> machines = new LinkedHashSet<>();
     for (RecordWrite write : committed) {
       if (write.isFinal() || !jobs.isCurrent(write.job())) {
@@ -82,12 +82,12 @@
   private boolean mayCommand(Machine machine) {
     WorkerSession session = machine.session();
     return lease.isValid()
-        && unanswered < mostUnanswered()
+        && unanswered < maxUnanswered()
         && session.isReconciled()
         && session.acceptsDirectCommands(lease.epoch())
         && session.secondsToNextAnswer(context.now(), context.config().workers().reportS())
                 * MS_PER_S
-            >= SOON_MS;
+            >= MIN_TIME_TO_ANSWER_MS;
   }
 
   private void send(Machine machine, List<WorkerCommand> commands) {
@@ -117,7 +117,7 @@
   }
 
   /** Connections to workers come out of what is left beside those of users, workers and peers. */
-  private int mostUnanswered() {
-    return Math.max(LEAST_CONNECTIONS, context.config().limits().sockets() / SOCKET_DIVISOR);
+  private int maxUnanswered() {
+    return Math.max(MIN_CONNECTIONS, context.config().limits().sockets() / SOCKET_DIVISOR);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -22,33 +22,33 @@
   private static final int READ_TIMEOUT_MS = 2000;
 
   /** What was found is asked for again after so long. */
-  private static final long FRESH_MS = 2000;
+  private static final long LOOKUP_TTL_MS = 2000;
 
   /** Answers older than this are dropped. */
-  private static final long KEPT_MS = 30_000;
+  private static final long LOOKUP_RETENTION_MS = 30_000;
 
-  private static final int MAX_KEPT = 10_000;
+  private static final int MAX_LOOKUPS = 10_000;
 
   /** What may be done with a task. */
-  enum Verdict {
+  enum ReferenceStatus {
     /** Not known yet. */
     UNKNOWN,
     /** Another shard's record names it. */
-    NAMED_ELSEWHERE,
+    REFERENCED,
     /** No record of another shard names it. */
-    UNCLAIMED
+    UNREFERENCED
   }
 
   /** An attempt that a record names on a machine. */
-  private record Named(MachineName machine, TaskAttemptId run) {}
+  private record NamedAttempt(MachineName machine, TaskAttemptId attempt) {}
 
   /** A job's record as it was read. */
   private static final class Lookup {
     MonotonicTime answeredAt = MonotonicTime.NEVER;
-    boolean busy;
+    boolean inFlight;
     boolean isOfOtherShard;
     boolean unreadable;
-    final Set<Named> named = new HashSet<>();
+    final Set<NamedAttempt> namedAttempts = new HashSet<>();
   }
 
   private final StepContext context;
@@ -61,42 +61,45 @@
   }
 
   /** What is known of a task now; asks for what is not. With one shard only there is no other. */
-  Verdict verdict(MachineName machine, TaskAttemptId run) {
+  ReferenceStatus referenceStatus(MachineName machine, TaskAttemptId attempt) {
     if (context.settings().shards() == 1) {
-      return Verdict.UNCLAIMED;
+      return ReferenceStatus.UNREFERENCED;
     }
-    Lookup lookup = lookups.get(run.job());
+    Lookup lookup = lookups.get(attempt.job());
     if (lookup == null) {
-      if (lookups.size() >= MAX_KEPT) {
-        return Verdict.UNKNOWN;
+      if (lookups.size() >= MAX_LOOKUPS) {
+        return ReferenceStatus.UNKNOWN;
       }
       lookup = new Lookup();
-      lookups.put(run.job(), lookup);
+      lookups.put(attempt.job(), lookup);
     }
     MonotonicTime now = context.now();
-    boolean fresh = now.since(lookup.answeredAt) < FRESH_MS;
-    if (!fresh) {
-      ask(run.job(), lookup);
-      return Verdict.UNKNOWN;
+    boolean isFresh = now.since(lookup.answeredAt) < LOOKUP_TTL_MS;
+    if (!isFresh) {
+      lookUp(attempt.job(), lookup);
+      return ReferenceStatus.UNKNOWN;
     }
     if (lookup.unreadable) {
-      return Verdict.UNKNOWN;
+      return ReferenceStatus.UNKNOWN;
     }
-    boolean named = lookup.isOfOtherShard && lookup.named.contains(new Named(machine, run));
-    return named ? Verdict.NAMED_ELSEWHERE : Verdict.UNCLAIMED;
+    boolean named =
+        lookup.isOfOtherShard && lookup.namedAttempts.contains(new NamedAttempt(machine, attempt));
+    return named ? ReferenceStatus.REFERENCED : ReferenceStatus.UNREFERENCED;
   }
 
   /** Once a second: forgets what nobody asks for any more. */
-  void tidy() {
+  void removeExpired() {
     MonotonicTime now = context.now();
-    lookups.values().removeIf(lookup -> !lookup.busy && now.since(lookup.answeredAt) > KEPT_MS);
+    lookups
+        .values()
+        .removeIf(lookup -> !lookup.inFlight && now.since(lookup.answeredAt) > LOOKUP_RETENTION_MS);
   }
 
-  private void ask(JobId job, Lookup lookup) {
-    if (lookup.busy || !context.requestBudget().has(1, context.now())) {
+  private void lookUp(JobId job, Lookup lookup) {
+    if (lookup.inFlight || !context.requestBudget().has(1, context.now())) {
       return;
     }
-    lookup.busy = true;
+    lookup.inFlight = true;
     context.count("foreign.lookups");
     context
         .store()
@@ -104,16 +107,16 @@
             JobRecord.liveKey(job),
             READ_TIMEOUT_MS,
             result -> {
-              lookup.busy = false;
+              lookup.inFlight = false;
               if (!(result instanceof ReadResult.Unavailable)) {
                 lookup.answeredAt = context.now();
-                take(lookup, result);
+                recordResult(lookup, result);
               }
             });
   }
 
-  private void take(Lookup lookup, ReadResult result) {
-    lookup.named.clear();
+  private void recordResult(Lookup lookup, ReadResult result) {
+    lookup.namedAttempts.clear();
     lookup.isOfOtherShard = false;
     lookup.unreadable = false;
     if (!(result instanceof ReadResult.Found found)) {
@@ -128,8 +131,8 @@
     for (AttemptRange range : record.live()) {
       for (int i = range.first(); i < range.first() + range.count(); i++) {
         if (!record.done().get(i)) {
-          TaskAttemptId run = new TaskAttemptId(record.spec().id(), i, range.attempt());
-          lookup.named.add(new Named(range.machine(), run));
+          TaskAttemptId attempt = new TaskAttemptId(record.spec().id(), i, range.attempt());
+          lookup.namedAttempts.add(new NamedAttempt(range.machine(), attempt));
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -54,11 +54,11 @@
     }
     session.setAddress(heartbeat.address());
     if (!machines.isConfirmedBy(machine, heartbeat, lease.firstEpoch())) {
-      takeUnconfirmed(machine, heartbeat);
+      handleUnconfirmed(machine, heartbeat);
       replies.renewOnly(reply, machine, heartbeat);
       return;
     }
-    boolean isConsecutive = takeConfirmed(machine, heartbeat);
+    boolean isConsecutive = handleConfirmed(machine, heartbeat);
     if (!recovery.isReady()) {
       context.count("report.renewed.recovering");
       replies.renewOnly(reply, machine, heartbeat);
@@ -68,13 +68,13 @@
     if (!mayCommand) {
       context.count("report.renewed.no_lease");
       replies.renewOnly(reply, machine, heartbeat);
-    } else if ((freed || HeartbeatReplies.awaitsCommit(machine))
+    } else if ((freed || HeartbeatReplies.hasUncommittedAttempt(machine))
         && context.settings().parkMs() > 0) {
       // What has just come free can be used again in this very answer, once that is written; and
       // what is being written for this machine need not wait for its next heartbeat.
       replies.defer(reply, machine);
     } else {
-      replies.command(reply, machine);
+      replies.replyWithCommands(reply, machine);
     }
   }
 
@@ -82,7 +82,7 @@
    * The worker has not seen the epoch, or this is a copy of a heartbeat from before it did, which
    * may come a lease late. It gets the token; its next heartbeat shows it, and only that counts.
    */
-  private void takeUnconfirmed(Machine machine, WorkerHeartbeat heartbeat) {
+  private void handleUnconfirmed(Machine machine, WorkerHeartbeat heartbeat) {
     context.count("report.unconfirmed");
     machine.session().recordUnconfirmed(heartbeat);
     // Copy or not: an incarnation of this number has begun, so those before it have ended.
@@ -94,11 +94,11 @@
    *
    * @return whether it has stayed with this owner since its last heartbeat
    */
-  private boolean takeConfirmed(Machine machine, WorkerHeartbeat heartbeat) {
+  private boolean handleConfirmed(Machine machine, WorkerHeartbeat heartbeat) {
     MonotonicTime now = context.now();
     WorkerSession session = machine.session();
     boolean isConsecutive = session.isConsecutive(heartbeat);
-    replies.supersede(machine);
+    replies.refuseDeferred(machine);
     if (session.isNewIncarnation(heartbeat)) {
       machine.forgetImages();
     }
@@ -138,21 +138,21 @@
    * controllers in between. And what it was told to start, it lists.
    */
   private void recordResponsiveness(Machine machine, boolean isConsecutive) {
-    boolean taken = isConsecutive;
+    boolean answerReceived = isConsecutive;
     boolean wasUnresponsive = machine.session().isUnresponsive();
     for (TaskAttempt attempt : machine.attempts()) {
       if (attempt.takeStartInLastAnswer()) {
-        taken &= attempt.isListed();
+        answerReceived &= attempt.isListed();
       }
     }
-    switch (machine.session().recordAnswerTaken(taken, context.now())) {
+    switch (machine.session().recordAnswerTaken(answerReceived, context.now())) {
       case REGAINED -> context.info("machine.responsive machine=%s", machine.name());
       case LOST -> {
         context.info("machine.unresponsive machine=%s", machine.name());
         context.count("machine.deaf");
       }
       case UNCHANGED -> {
-        if (!taken && !wasUnresponsive) {
+        if (!answerReceived && !wasUnresponsive) {
           logMissedAnswer(machine, isConsecutive);
         }
       }
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -17,7 +17,7 @@
 /** Squares what a worker's heartbeat lists with what the records of the shard say. */
 final class HeartbeatReconciler {
   /** A machine that has no room left for a task gets nothing for so long. */
-  private static final long FULL_PAUSE_MS = 2000;
+  private static final long INSUFFICIENT_RESOURCES_PAUSE_MS = 2000;
 
   /** A machine that is too busy for a task gets nothing for so long. */
   private static final long BUSY_PAUSE_MS = 1000;
@@ -45,15 +45,15 @@
       Job job = jobs.find(status.attemptId().job());
       int index = status.attemptId().index();
       TaskAttempt attempt = job == null ? null : job.tasks().attempt(index);
-      boolean exited = status.state() == TaskState.EXITED;
+      boolean hasExited = status.state() == TaskState.EXITED;
       if (attempt != null
           && attempt.machine() == machine
           && attempt.number().equals(status.attemptId().attempt())
           && attempt.incarnation().equals(heartbeat.incarnation())) {
         unlisted.remove(attempt);
-        freed |= exited;
-        observed(machine, attempt, status);
-      } else if (!exited && job != null && index < job.spec().tasks()) {
+        freed |= hasExited;
+        recordObserved(machine, attempt, status);
+      } else if (!hasExited && job != null && index < job.spec().tasks()) {
         // An attempt that no record names: nothing of that task starts elsewhere meanwhile.
         machine.addUnrecordedTask(job, index);
       }
@@ -81,24 +81,24 @@
       withdraw(attempt, WithdrawalReason.VANISHED, log);
       return false;
     }
-    if (mayBeStartedByCommandUnderWay(machine, attempt)) {
+    if (mayBeStartedByPendingCommand(machine, attempt)) {
       return false;
     }
     // The worker executes what an answer says or drops it whole, and this heartbeat is younger
     // than all earlier answers: what it does not list was never started, and never will be if
     // nothing is to start it.
-    Optional<WithdrawalReason> reason = reasonNotToStart(machine, attempt);
-    reason.ifPresent(found -> withdraw(attempt, found, log));
+    Optional<WithdrawalReason> reason = withdrawalReason(machine, attempt);
+    reason.ifPresent(reasonFound -> withdraw(attempt, reasonFound, log));
     return reason.isPresent();
   }
 
-  private static boolean mayBeStartedByCommandUnderWay(Machine machine, TaskAttempt attempt) {
+  private static boolean mayBeStartedByPendingCommand(Machine machine, TaskAttempt attempt) {
     return !machine.session().isConfirmed()
         || machine.session().tokens().hasPendingDirectStart(attempt.id());
   }
 
   /** Why no command that is to come starts the attempt; empty if one may. */
-  private Optional<WithdrawalReason> reasonNotToStart(Machine machine, TaskAttempt attempt) {
+  private Optional<WithdrawalReason> withdrawalReason(Machine machine, TaskAttempt attempt) {
     if (attempt.job().isCancelled()) {
       return Optional.of(WithdrawalReason.CANCELLED);
     }
@@ -126,7 +126,7 @@
     log.add(attempt, reason);
   }
 
-  private void observed(Machine machine, TaskAttempt attempt, TaskStatus status) {
+  private void recordObserved(Machine machine, TaskAttempt attempt, TaskStatus status) {
     MonotonicTime now = context.now();
     if (attempt.observe(status.state(), now)) {
       context.count("task.running");
@@ -135,11 +135,11 @@
     if (status.state() == TaskState.RUNNING) {
       machine.addImage(attempt.job().spec());
     } else if (status.state() == TaskState.EXITED) {
-      exited(machine, attempt, status);
+      recordExit(machine, attempt, status);
     }
   }
 
-  private void exited(Machine machine, TaskAttempt attempt, TaskStatus status) {
+  private void recordExit(Machine machine, TaskAttempt attempt, TaskStatus status) {
     MonotonicTime now = context.now();
     Job job = attempt.job();
     switch (status.exitReason()) {
@@ -149,9 +149,10 @@
         machine.health().taskSucceeded();
       }
       case STOPPED -> {}
-      case INSUFFICIENT_RESOURCES -> machine.health().pauseUntil(now.plus(FULL_PAUSE_MS));
+      case INSUFFICIENT_RESOURCES ->
+          machine.health().pauseUntil(now.plus(INSUFFICIENT_RESOURCES_PAUSE_MS));
       case BUSY -> machine.health().pauseUntil(now.plus(BUSY_PAUSE_MS));
-      case ERROR, UNKNOWN -> failed(machine, job, status.exitReason());
+      case ERROR, UNKNOWN -> recordFailure(machine, job, status.exitReason());
     }
     jobs.detach(attempt);
     // The write in flight does not hold this exit; the one after it will.
@@ -160,7 +161,7 @@
   }
 
   /** Tells faulty machines from faulty jobs: a job that fails on many machines is at fault. */
-  private void failed(Machine machine, Job job, ExitReason reason) {
+  private void recordFailure(Machine machine, Job job, ExitReason reason) {
     MonotonicTime now = context.now();
     context.count("task.failed");
     boolean isJobAtFault = reason == ExitReason.UNKNOWN;
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -47,13 +47,13 @@
   }
 
   /** Renews the worker's lease and gives it all commands. */
-  void command(long reply, Machine machine) {
-    renew(reply, machine, planner.commands(machine, false));
+  void replyWithCommands(long reply, Machine machine) {
+    renew(reply, machine, planner.planCommands(machine, false));
   }
 
   /** Renews the worker's lease without commands, but for the stops of cancelled tasks. */
   void renewOnly(long reply, Machine machine, WorkerHeartbeat heartbeat) {
-    renew(reply, machine, planner.stopsOfCancelled(machine, heartbeat));
+    renew(reply, machine, planner.planCancellationStops(machine, heartbeat));
   }
 
   private void renew(long reply, Machine machine, List<WorkerCommand> commands) {
@@ -79,7 +79,7 @@
   }
 
   /** Whether a placement on the machine is not committed yet. */
-  static boolean awaitsCommit(Machine machine) {
+  static boolean hasUncommittedAttempt(Machine machine) {
     for (TaskAttempt attempt : machine.attempts()) {
       if (!attempt.isCommitted()) {
         return true;
@@ -109,7 +109,7 @@
         deferred.remove(machine);
         long reply = machine.session().takeDeferredReply();
         if (lease.isValid() && !lease.isEnded()) {
-          command(reply, machine);
+          replyWithCommands(reply, machine);
         } else {
           renewOnly(reply, machine, machine.session().lastHeartbeat());
         }
@@ -119,7 +119,7 @@
 
   /** Whether nothing about the machine waits for a write. */
   private boolean isSettled(Machine machine) {
-    if (roundPending || awaitsCommit(machine)) {
+    if (roundPending || hasUncommittedAttempt(machine)) {
       return false;
     }
     for (TaskStatus status : machine.session().lastHeartbeat().tasks()) {
@@ -134,7 +134,7 @@
   }
 
   /** A later heartbeat of the machine has come, or it has gone: a deferred reply is refused. */
-  void supersede(Machine machine) {
+  void refuseDeferred(Machine machine) {
     if (machine.session().hasDeferredReply()) {
       deferred.remove(machine);
       refuse(machine.session().refuseDeferredReply(), "superseded by a later report");
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -21,7 +21,7 @@
  * How a job comes to a shard's owner and how it leaves it: taken over from its record, cancelled,
  * replaced, ended, or relinquished to another owner.
  */
-final class JobLifecycle implements WriteOutcomeResolver.Jobs {
+final class JobLifecycle implements WriteOutcomeResolver.JobHandler {
   private final StepContext context;
   private final ShardLease lease;
   private final ShardJobs jobs;
@@ -58,8 +58,8 @@
    */
   void addListed(JobRecord record, Revision revision) {
     Job job = add(record, revision, true);
-    boolean useMatters = machines.references().isTracking() || jobs.isLimited(record.spec().team());
-    if (useMatters && !job.record().isClaimed()) {
+    boolean needsClaim = machines.references().isTracking() || jobs.isLimited(record.spec().team());
+    if (needsClaim && !job.record().isClaimed()) {
       job.record().requireClaim();
       job.requestWrite(WriteUrgency.NOW, context.now());
     }
@@ -75,7 +75,7 @@
       cancellations.recordCancelled(record.spec().id());
     }
     Job job = jobs.add(record, revision);
-    machines.references().read(job.id(), revision, record, othersMayWrite);
+    machines.references().recordRead(job.id(), revision, record, othersMayWrite);
     if (record.epoch().value() > 0) {
       if (lease.isRefusedBy(record)) {
         relinquish(job, record);
@@ -154,7 +154,7 @@
   public void committed(Job job) {
     jobs.recordCommitted(job);
     JobRecordState record = job.record();
-    placementLog.committed(job, record.committedSequence(), record.revision(), lease.epoch());
+    placementLog.logCommitted(job, record.committedSequence(), record.revision(), lease.epoch());
   }
 
   @Override
@@ -173,12 +173,12 @@
     forget(job);
     jobs.relinquish(id);
     if (record == null) {
-      machines.references().removed(id);
+      machines.references().recordRemoved(id);
       context.info(
           "job.relinquished job=%s shard=%s epoch=%s reason=\"no record any more\"",
           id, lease.shard(), lease.epoch());
     } else {
-      machines.references().read(id, Revision.ABSENT, Set.of(), true);
+      machines.references().recordRead(id, Revision.ABSENT, Set.of(), true);
       context.info(
           "job.relinquished job=%s shard=%s epoch=%s record_epoch=%s record_writer=%s",
           id, lease.shard(), lease.epoch(), record.epoch(), record.writer());
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -46,7 +46,7 @@
   private static final int BYTES_PER_KB = 1024;
 
   /** A record that takes more than this share of the largest value places nothing more. */
-  private static final double FULL_SHARE = 0.95;
+  private static final double SHRINK_SHARE = 0.95;
 
   /** Attempt ranges are added up to this share of the largest value. */
   private static final double FILL_SHARE = 0.9;
@@ -146,11 +146,11 @@
     List<Job> due = new ArrayList<>();
     Set<Job> candidates = jobs.jobsToWrite();
     context.count("round.looks", candidates.size());
-    for (Iterator<Job> i = candidates.iterator(); i.hasNext(); ) {
-      Job job = i.next();
+    for (Iterator<Job> iterator = candidates.iterator(); iterator.hasNext(); ) {
+      Job job = iterator.next();
       WriteUrgency urgency = job.record().urgency();
       if (!jobs.isCurrent(job) || (urgency == WriteUrgency.NONE && !job.isReadyForFinalRecord())) {
-        i.remove();
+        iterator.remove();
       } else if (job.record().isWritable(now)
           && (urgency == WriteUrgency.NOW
               || job.isReadyForFinalRecord()
@@ -193,12 +193,12 @@
     }
 
     boolean hasRoomFor(Job job, MonotonicTime now) {
-      boolean mustStandAlone =
+      boolean mustBeSeparate =
           !writes.isEmpty()
               && (job.record().isOwnTransactionRequired()
                   || writes.get(0).job().record().isOwnTransactionRequired());
       int operations = operations(job);
-      return !mustStandAlone
+      return !mustBeSeparate
           && transaction.operationCount() + operations <= context.config().state().txnOps()
           && (bytes == 0 || bytes + maxValueBytes() <= StoreMessages.TXN_FILL_BYTES)
           && limiter(job).has(operations, now);
@@ -222,7 +222,7 @@
       transaction
           .delete(key)
           .write(JobRecord.finalKey(job.id()), JobRecord.writeFinal(state, done));
-      resolver.sentFinal(job);
+      resolver.recordFinalSent(job);
       writes.add(
           new RecordWrite(job, job.record().sequence(), true, new JobStatus(state, done, 0)));
       return FINAL_RECORD_BYTES;
@@ -232,7 +232,7 @@
       if (job.record().isCompactFormRequired()) {
         return Form.COMPACT;
       }
-      return dense ? Form.DENSE : Form.ORDINARY;
+      return dense ? Form.DENSE : Form.PLAIN;
     }
 
     private int addRecord(Job job, String key) {
@@ -240,7 +240,7 @@
       double maxBytes = maxValueBytes();
       JobRecord record = job.toRecord(lease.epoch(), context.writer());
       EncodedRecord encoded = RecordValueCodec.encode(record, form);
-      if (encoded.boundBytes() > maxBytes * FULL_SHARE) {
+      if (encoded.boundBytes() > maxBytes * SHRINK_SHARE) {
         shrink(job);
         record = job.toRecord(lease.epoch(), context.writer());
         encoded = RecordValueCodec.encode(record, form);
@@ -249,7 +249,7 @@
       int rangesLeft = (int) ((maxBytes * FILL_SHARE - encoded.boundBytes()) / RANGE_BYTES);
       job.record().setRangesLeft(Math.max(job.tasks().hasAttempts() ? 0 : 1, rangesLeft));
       encoded.addTo(transaction, key);
-      resolver.sent(job, record);
+      resolver.recordSent(job, record);
       writes.add(new RecordWrite(job, job.record().sequence(), false, record.jobStatus()));
       return encoded.bytes();
     }
@@ -285,12 +285,12 @@
             result -> {
               inFlight--;
               if (!lease.isEnded()) {
-                answered(batch.writes, result);
+                handleAnswer(batch.writes, result);
               }
             });
   }
 
-  private void answered(List<RecordWrite> writes, CommitResult result) {
+  private void handleAnswer(List<RecordWrite> writes, CommitResult result) {
     MonotonicTime now = context.now();
     Set<String> failedKeys =
         result instanceof CommitResult.Conflict conflict ? conflict.failedKeys() : Set.of();
@@ -300,12 +300,12 @@
     for (RecordWrite write : writes) {
       Job job = write.job();
       job.record().endWrite();
-      resolver.answered(write, result);
+      resolver.recordAnswer(write, result);
       if (!jobs.isCurrent(job)) {
         continue;
       }
       if (result instanceof CommitResult.Committed committed) {
-        committed(write, committed.revision());
+        handleCommitted(write, committed.revision());
       } else {
         // Not applied for another's sake, refused for the load, or not known: the next write
         // behind the same guard settles it.
@@ -316,7 +316,7 @@
       }
     }
     if (result instanceof CommitResult.TooLarge tooLarge) {
-      tooLarge(writes, tooLarge.answer(), now);
+      handleTooLarge(writes, tooLarge.answer(), now);
     } else if (!result.isCommitted() && !(result instanceof CommitResult.Conflict)) {
       context.count("txn.unanswered");
       pausedUntil = now.plus(UNKNOWN_PAUSE_MS + context.random().nextInt(UNKNOWN_PAUSE_SPREAD_MS));
@@ -324,14 +324,14 @@
     listener.answered(writes, result.isCommitted());
   }
 
-  private void committed(RecordWrite write, Revision revision) {
+  private void handleCommitted(RecordWrite write, Revision revision) {
     Job job = write.job();
     job.recordCommitted(write.sequence(), revision, lease.epoch(), write.status());
     if (write.isFinal()) {
       listener.ended(job, write.status());
     } else {
       jobs.recordCommitted(job);
-      placementLog.committed(job, write.sequence(), revision, lease.epoch());
+      placementLog.logCommitted(job, write.sequence(), revision, lease.epoch());
       resolver.rereadIfOutdated(job);
     }
   }
@@ -340,7 +340,7 @@
    * One of the records is larger than the service takes now. Alone, each shows which; that one is
    * written in its shortest form, and if that is too long, shrinks as its tasks end.
    */
-  private void tooLarge(List<RecordWrite> writes, String answer, MonotonicTime now) {
+  private void handleTooLarge(List<RecordWrite> writes, String answer, MonotonicTime now) {
     context.info(
         "store.transaction.too_large shard=%s writes=%d answer=\"%s\"",
         lease.shard(), writes.size(), answer.replace('"', '\''));
--- a/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
@@ -16,7 +16,7 @@
 /** Which machines of a shard may be handed over, and which were, so that they are not commanded. */
 final class MachineHandovers {
   private final MachineReferences references;
-  private final ForeignTasks foreign;
+  private final ForeignTasks foreignTasks;
 
   /**
    * The orders under which machines were handed over: that holds until a machine may be used again,
@@ -24,9 +24,9 @@
    */
   private final Map<MachineName, MoveId> handedOver = new HashMap<>();
 
-  MachineHandovers(MachineReferences references, ForeignTasks foreign) {
+  MachineHandovers(MachineReferences references, ForeignTasks foreignTasks) {
     this.references = references;
-    this.foreign = foreign;
+    this.foreignTasks = foreignTasks;
   }
 
   /** The machines that are to be handed over and have nothing of this shard left. */
@@ -74,8 +74,8 @@
       return false;
     }
     for (TaskStatus status : heartbeat.tasks()) {
-      if (foreign.verdict(machine.name(), status.attemptId())
-          != ForeignTasks.Verdict.NAMED_ELSEWHERE) {
+      if (foreignTasks.referenceStatus(machine.name(), status.attemptId())
+          != ForeignTasks.ReferenceStatus.REFERENCED) {
         return false;
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -65,10 +65,10 @@
     return machines;
   }
 
-  /** A record was read, as {@link #read(JobId, Revision, Set, boolean)} takes it. */
-  void read(JobId job, Revision at, JobRecord record, boolean othersMayWrite) {
+  /** A record was read, as {@link #recordRead(JobId, Revision, Set, boolean)} takes it. */
+  void recordRead(JobId job, Revision revision, JobRecord record, boolean othersMayWrite) {
     if (tracking) {
-      read(job, at, machinesOf(record), othersMayWrite);
+      recordRead(job, revision, machinesOf(record), othersMayWrite);
     }
   }
 
@@ -78,69 +78,69 @@
    * @param othersMayWrite whether a write of another process may still change it: this owner has
    *     not written it yet, or has been refused by a higher epoch
    */
-  void read(JobId job, Revision at, Set<MachineName> machines, boolean othersMayWrite) {
+  void recordRead(JobId job, Revision revision, Set<MachineName> machines, boolean othersMayWrite) {
     if (!tracking) {
       return;
     }
     Reference reference = references.computeIfAbsent(job, absent -> new Reference());
-    if (at.isAfter(reference.revision)) {
-      settle(reference, at, machines);
+    if (revision.isAfter(reference.revision)) {
+      settle(reference, revision, machines);
     }
-    writableByOthers(reference, othersMayWrite);
+    setWritableByOthers(reference, othersMayWrite);
   }
 
   /** A write was sent that replaces the record, guarded by its revision. */
-  void sent(JobId job, long sequence, Revision guard, JobRecord record) {
+  void recordSent(JobId job, long sequence, Revision guard, JobRecord record) {
     if (tracking) {
-      sent(job, sequence, guard, machinesOf(record));
+      recordSent(job, sequence, guard, machinesOf(record));
     }
   }
 
   /** A write was sent, guarded by the record's revision. */
-  void sent(JobId job, long sequence, Revision guard, Set<MachineName> machines) {
+  void recordSent(JobId job, long sequence, Revision guard, Set<MachineName> machines) {
     if (!tracking) {
       return;
     }
     Reference reference = references.computeIfAbsent(job, absent -> new Reference());
     reference.pending.add(new PendingWrite(sequence, guard, machines));
-    count(machines, 1);
+    addToCounts(machines, 1);
   }
 
   /** A write was carried out: those before it were guarded by an earlier revision. */
-  void committed(JobId job, long sequence, Revision at) {
+  void recordCommitted(JobId job, long sequence, Revision revision) {
     Reference reference = references.get(job);
     if (reference == null) {
       return;
     }
     for (PendingWrite write : List.copyOf(reference.pending)) {
       if (write.sequence == sequence) {
-        settle(reference, at, write.machines);
-        writableByOthers(reference, false);
+        settle(reference, revision, write.machines);
+        setWritableByOthers(reference, false);
       }
     }
   }
 
   /** A write was refused, and never will be carried out. */
-  void refused(JobId job, long sequence) {
+  void recordRefused(JobId job, long sequence) {
     Reference reference = references.get(job);
     if (reference != null) {
       reference.pending.removeIf(
           write -> {
-            boolean same = write.sequence == sequence;
-            if (same) {
-              count(write.machines, -1);
+            boolean matches = write.sequence == sequence;
+            if (matches) {
+              addToCounts(write.machines, -1);
             }
-            return same;
+            return matches;
           });
     }
   }
 
   /** The record is known to be no more. */
-  void removed(JobId job) {
+  void recordRemoved(JobId job) {
     Reference reference = references.remove(job);
     if (reference != null) {
       settle(reference, reference.revision, Set.of());
-      writableByOthers(reference, false);
+      setWritableByOthers(reference, false);
     }
   }
 
@@ -156,31 +156,31 @@
     return writableByOthers > 0 || counts.getInt(machine) > 0;
   }
 
-  private void settle(Reference reference, Revision at, Set<MachineName> machines) {
-    count(reference.stored, -1);
+  private void settle(Reference reference, Revision revision, Set<MachineName> machines) {
+    addToCounts(reference.stored, -1);
     reference.stored = Set.copyOf(machines);
-    count(reference.stored, 1);
-    reference.revision = at;
+    addToCounts(reference.stored, 1);
+    reference.revision = revision;
     reference.pending.removeIf(
         write -> {
-          boolean over = !write.guard.equals(at);
-          if (over) {
-            count(write.machines, -1);
+          boolean settled = !write.guard.equals(revision);
+          if (settled) {
+            addToCounts(write.machines, -1);
           }
-          return over;
+          return settled;
         });
   }
 
-  private void writableByOthers(Reference reference, boolean writable) {
+  private void setWritableByOthers(Reference reference, boolean writable) {
     if (reference.writableByOthers != writable) {
       reference.writableByOthers = writable;
       writableByOthers += writable ? 1 : -1;
     }
   }
 
-  private void count(Set<MachineName> machines, int by) {
+  private void addToCounts(Set<MachineName> machines, int delta) {
     for (MachineName machine : machines) {
-      if (counts.addTo(machine, by) + by == 0) {
+      if (counts.addTo(machine, delta) + delta == 0) {
         counts.removeInt(machine);
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -27,24 +27,24 @@
  */
 public final class MachineRegistry {
   /** What the owner does with the tasks of a machine, and with an answer that it waits for. */
-  interface Tasks {
+  interface Callbacks {
     /** The attempt is surely off its machine, without a result. */
-    void lost(TaskAttempt attempt);
+    void loseAttempt(TaskAttempt attempt);
 
     /** A heartbeat whose answer was deferred gets none any more. */
-    void supersede(Machine machine);
+    void refuseDeferredReply(Machine machine);
   }
 
   private final StepContext context;
   private final ShardLease lease;
   private final MachineReferences references;
-  private final ForeignTasks foreign;
-  private final Tasks tasks;
+  private final ForeignTasks foreignTasks;
+  private final Callbacks callbacks;
   private final MachineHandovers handovers;
   private final Map<MachineName, Machine> machines = new TreeMap<>();
 
   /** Machines with free processors, so that a round in a full fleet looks at few. */
-  private final Set<Machine> withRoom = new ObjectLinkedOpenHashSet<>();
+  private final Set<Machine> machinesWithFreeCpus = new ObjectLinkedOpenHashSet<>();
 
   private Map<String, MachineType> catalog = Map.of();
 
@@ -56,14 +56,14 @@
       StepContext context,
       ShardLease lease,
       MachineReferences references,
-      ForeignTasks foreign,
-      Tasks tasks) {
+      ForeignTasks foreignTasks,
+      Callbacks callbacks) {
     this.context = context;
     this.lease = lease;
     this.references = references;
-    this.foreign = foreign;
-    this.tasks = tasks;
-    this.handovers = new MachineHandovers(references, foreign);
+    this.foreignTasks = foreignTasks;
+    this.callbacks = callbacks;
+    this.handovers = new MachineHandovers(references, foreignTasks);
   }
 
   /** All machines in the order of their names; not to be changed by the caller. */
@@ -72,13 +72,13 @@
   }
 
   /** A live view of the machines with free processors. */
-  Set<Machine> withRoom() {
-    return withRoom;
+  Set<Machine> machinesWithFreeCpus() {
+    return machinesWithFreeCpus;
   }
 
   /** The machine of that name, which is known from now on. */
   Machine machine(MachineName name) {
-    return machines.computeIfAbsent(name, absent -> new Machine(absent, withRoom));
+    return machines.computeIfAbsent(name, absent -> new Machine(absent, machinesWithFreeCpus));
   }
 
   /** Which machines the shard's records may name. */
@@ -154,8 +154,8 @@
       machine.assignment().unassign();
       machine.session().forgetReconciliation();
       if (machine.isEmpty()) {
-        tasks.supersede(machine);
-        drop(machine);
+        callbacks.refuseDeferredReply(machine);
+        remove(machine);
       }
     }
   }
@@ -167,16 +167,16 @@
       Machine machine = machines.get(name);
       if (machine != null) {
         loseAll(machine, "released");
-        tasks.supersede(machine);
+        callbacks.refuseDeferredReply(machine);
         machine.clearUnrecordedTasks();
-        drop(machine);
+        remove(machine);
       }
     }
   }
 
-  private void drop(Machine machine) {
+  private void remove(Machine machine) {
     machines.remove(machine.name());
-    withRoom.remove(machine);
+    machinesWithFreeCpus.remove(machine);
   }
 
   // ---- tasks that are surely off ---------------------------------------------------------------
@@ -185,7 +185,7 @@
   void loseAll(Machine machine, String reason) {
     int count = machine.attempts().size();
     for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
-      tasks.lost(attempt);
+      callbacks.loseAttempt(attempt);
     }
     if (count > 0) {
       context.info(
@@ -199,7 +199,7 @@
   void loseEarlierIncarnations(Machine machine) {
     for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
       if (attempt.incarnation().compareTo(machine.session().incarnation()) < 0) {
-        tasks.lost(attempt);
+        callbacks.loseAttempt(attempt);
       }
     }
   }
@@ -207,7 +207,7 @@
   /** What the workers run is no longer known: the records are read anew. */
   void forgetReconciliation() {
     for (Machine machine : machines.values()) {
-      tasks.supersede(machine);
+      callbacks.refuseDeferredReply(machine);
       machine.session().forgetReconciliation();
     }
   }
@@ -224,14 +224,14 @@
         machine.session().endIncarnation();
       }
     }
-    foreign.tidy();
+    foreignTasks.removeExpired();
   }
 
   /**
    * Tasks that save don't keep a machine that is to be handed over, once they have run so long that
    * their start counts; all others run to their end.
    */
-  void stopSavingTasks() {
+  void revokeMovableAttempts() {
     if (!references.isTracking()) {
       return;
     }
@@ -254,8 +254,8 @@
    * Whether a heartbeat shows an epoch of this ownership, so that no earlier owner's answers reach
    * the worker and the heartbeat is no copy from before it.
    */
-  boolean isConfirmedBy(Machine machine, WorkerHeartbeat heartbeat, Epoch firstOfOwnership) {
-    Epoch required = Epoch.higher(machine.assignment().requiredEpoch(), firstOfOwnership);
+  boolean isConfirmedBy(Machine machine, WorkerHeartbeat heartbeat, Epoch firstEpoch) {
+    Epoch required = Epoch.higher(machine.assignment().requiredEpoch(), firstEpoch);
     return heartbeat.token().epoch().compareTo(required) >= 0;
   }
 
@@ -263,8 +263,9 @@
    * Whether a task that no job of this shard explains may be stopped, or its result discarded:
    * never while the record of another shard names it, nor before that is known.
    */
-  boolean mayClear(Machine machine, TaskAttemptId run) {
-    return foreign.verdict(machine.name(), run) == ForeignTasks.Verdict.UNCLAIMED;
+  boolean mayDiscard(Machine machine, TaskAttemptId attempt) {
+    return foreignTasks.referenceStatus(machine.name(), attempt)
+        == ForeignTasks.ReferenceStatus.UNREFERENCED;
   }
 
   // ---- handing over ----------------------------------------------------------------------------
--- a/src/main/java/shorecrank/coordination/shard/PlacementLog.java
+++ b/src/main/java/shorecrank/coordination/shard/PlacementLog.java
@@ -15,7 +15,7 @@
 /** Logs the placements that committed writes hold. */
 final class PlacementLog {
   /** So many machines of one placement are named in the log. */
-  private static final int MOST_MACHINES = 8;
+  private static final int MAX_MACHINES = 8;
 
   private final StepContext context;
 
@@ -24,7 +24,7 @@
   }
 
   /** A write of a job's record is known to be committed at a revision, under an epoch. */
-  void committed(Job job, long sequence, Revision revision, Epoch epoch) {
+  void logCommitted(Job job, long sequence, Revision revision, Epoch epoch) {
     JobRecordState record = job.record();
     if (!record.isPlacementSent() || sequence != record.sequence()) {
       return;
@@ -52,8 +52,8 @@
   private static String summary(Map<MachineName, Integer> tasksByMachine) {
     List<String> machines = new ArrayList<>();
     for (Map.Entry<MachineName, Integer> placed : tasksByMachine.entrySet()) {
-      if (machines.size() == MOST_MACHINES) {
-        machines.add("and-" + (tasksByMachine.size() - MOST_MACHINES) + "-more");
+      if (machines.size() == MAX_MACHINES) {
+        machines.add("and-" + (tasksByMachine.size() - MAX_MACHINES) + "-more");
         break;
       }
       machines.add(placed.getKey() + ":" + placed.getValue());
--- a/src/main/java/shorecrank/coordination/shard/RecordValueCodec.java
+++ b/src/main/java/shorecrank/coordination/shard/RecordValueCodec.java
@@ -12,7 +12,7 @@
   /** The form of a record's value. */
   enum Form {
     /** The form that every version reads. */
-    ORDINARY,
+    PLAIN,
     /** The shortest form that needs no feature level. */
     COMPACT,
     /** The form that only a raised feature level allows. */
@@ -37,7 +37,7 @@
   static EncodedRecord encode(JobRecord record, Form form) {
     ObjectNode value =
         switch (form) {
-          case ORDINARY -> record.write();
+          case PLAIN -> record.write();
           case COMPACT -> record.writeCompact();
           case DENSE -> record.writeDense();
         };
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -28,7 +28,7 @@
 /** What a shard's owner tells the leader of its share: what it has, needs and could give up. */
 final class ShardDemandReporter {
   /** So many machines are named that the shard could give up. */
-  private static final int MOST_CANDIDATES = 32;
+  private static final int MAX_CANDIDATES = 32;
 
   /** A machine that should be empty in more than this is not named. */
   private static final double MAX_EMPTY_S = 1e6;
@@ -54,36 +54,37 @@
     for (Machine machine : shard.machines().values()) {
       running += machine.type() == null ? 0 : Math.min(machine.usedCpus(), machine.type().cpus());
       if (machine.assignment().isHandoverRequested()) {
-        draining.add(progress(machine));
+        draining.add(drainProgress(machine));
       } else if (machine.assignment().isAssigned() && machine.type() != null) {
         capacity += machine.type().cpus();
         if (machine.assignment().move().isSet() && machine.session().isReconciled()) {
           arrived.add(machine.assignment().move());
         }
         if (shard.isUsable(machine) || machine.isDraining()) {
-          candidates.add(new Candidate(machine.name(), machine.type().cpus(), emptyInS(machine)));
+          candidates.add(
+              new Candidate(machine.name(), machine.type().cpus(), secondsUntilEmpty(machine)));
         }
       }
     }
     candidates.sort(
         Comparator.comparingDouble(Candidate::emptyInS).thenComparing(Candidate::machine));
     List<Candidate> soonest =
-        List.copyOf(candidates.subList(0, Math.min(MOST_CANDIDATES, candidates.size())));
-    Queue queue = queue();
+        List.copyOf(candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size())));
+    QueueSummary queue = queue();
     return Optional.of(
         new ShardDemand(
             capacity,
             running,
             queue.waiting,
-            guaranteed(),
-            queue.oldestS,
-            queue.kinds,
+            guaranteedCpus(),
+            queue.oldestWaitS,
+            queue.usableOffers,
             soonest,
             draining,
             arrived));
   }
 
-  private DrainProgress progress(Machine machine) {
+  private DrainProgress drainProgress(Machine machine) {
     DrainState state = DrainState.DRAINING;
     if (machine.isPreemptionNoticed()) {
       state = DrainState.NOTICED;
@@ -91,11 +92,11 @@
       state = DrainState.SILENT;
     }
     return new DrainProgress(
-        machine.assignment().move(), state, machine.attempts().size(), emptyInS(machine));
+        machine.assignment().move(), state, machine.attempts().size(), secondsUntilEmpty(machine));
   }
 
   /** Seconds until the machine's tasks should have ended, or can be stopped with their progress. */
-  private double emptyInS(Machine machine) {
+  private double secondsUntilEmpty(Machine machine) {
     double longest = 0;
     for (TaskAttempt attempt : machine.attempts()) {
       double left = attempt.remainingSeconds(context.now());
@@ -111,34 +112,34 @@
   }
 
   /** What waits: processors by priority, the age of the oldest job without a task, and for what. */
-  private record Queue(List<Double> waiting, double oldestS, List<Offer> kinds) {}
+  private record QueueSummary(List<Double> waiting, double oldestWaitS, List<Offer> usableOffers) {}
 
-  private Queue queue() {
+  private QueueSummary queue() {
     double[] waiting = new double[Priority.values().length];
-    double oldestS = 0;
-    Set<Offer> kinds = new LinkedHashSet<>();
+    double oldestWaitS = 0;
+    Set<Offer> usableOffers = new LinkedHashSet<>();
     for (QueuedDemand queued : QueuedDemand.of(shard)) {
       Job job = queued.job();
       waiting[job.scheduling().priority().ordinal()] += queued.cpus();
       if (!job.tasks().hasAttempts() && job.tasks().doneCount() == 0) {
-        oldestS = Math.max(oldestS, job.readyForS(context.wallMs()));
+        oldestWaitS = Math.max(oldestWaitS, job.readyForS(context.wallMs()));
       }
-      addKinds(job, kinds);
+      addUsableOffers(job, usableOffers);
     }
     List<Double> byPriority = new ArrayList<>();
     for (double cpus : waiting) {
       byPriority.add(cpus);
     }
-    return new Queue(byPriority, oldestS, List.copyOf(kinds));
+    return new QueueSummary(byPriority, oldestWaitS, List.copyOf(usableOffers));
   }
 
-  private void addKinds(Job job, Set<Offer> kinds) {
+  private void addUsableOffers(Job job, Set<Offer> usableOffers) {
     for (MachineType type : shard.catalog().values()) {
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
           Offer offer = new Offer(type.name(), zone, spot);
-          if (!kinds.contains(offer) && MachineConstraints.allows(job.spec(), offer, type)) {
-            kinds.add(offer);
+          if (!usableOffers.contains(offer) && MachineConstraints.allows(job.spec(), offer, type)) {
+            usableOffers.add(offer);
           }
         }
       }
@@ -146,17 +147,17 @@
   }
 
   /** Of what each team has and asks for, what is within its guarantee. */
-  private double guaranteed() {
-    Map<String, Double> asked = new HashMap<>();
+  private double guaranteedCpus() {
+    Map<String, Double> requestedCpus = new HashMap<>();
     for (Job job : shard.jobs().values()) {
       double cpus = (job.tasks().attemptCount() + job.queuedTaskCount()) * job.spec().cpus();
-      asked.merge(job.spec().team(), cpus, Double::sum);
+      requestedCpus.merge(job.spec().team(), cpus, Double::sum);
     }
-    double within = 0;
-    for (Map.Entry<String, Double> e : asked.entrySet()) {
-      NodeConfig.Team team = context.config().teams().get(e.getKey());
-      within += team == null ? 0 : Math.min(team.cpus(), e.getValue());
+    double guaranteedTotal = 0;
+    for (Map.Entry<String, Double> entry : requestedCpus.entrySet()) {
+      NodeConfig.Team team = context.config().teams().get(entry.getKey());
+      guaranteedTotal += team == null ? 0 : Math.min(team.cpus(), entry.getValue());
     }
-    return within;
+    return guaranteedTotal;
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -148,7 +148,7 @@
   }
 
   /** Has the writer look at all jobs, for what became due without a change. */
-  void reviewAll() {
+  void queueAllForReview() {
     jobsToWrite.addAll(jobs.values());
   }
 
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -128,17 +128,17 @@
    * @param missesManyWorkers whether a share of the machines has just fallen silent
    */
   boolean isInGrace(boolean isAlone, boolean missesManyWorkers) {
-    long overMs = context.now().since(validUntil);
-    if (overMs < 0 || overMs >= context.settings().graceMs()) {
+    long expiredForMs = context.now().since(validUntil);
+    if (expiredForMs < 0 || expiredForMs >= context.settings().graceMs()) {
       return false;
     }
     if (context.isStoreReachable()) {
       // The store is there, so a leader soon will be: as long as an election and a heartbeat take,
       // counted from the end of an outage.
-      long thereMs = Math.min(overMs, context.now().since(context.storeReachableSince()));
-      return thereMs < context.settings().leaderTtlMs() + ELECTION_MS;
+      long reachableForMs = Math.min(expiredForMs, context.now().since(context.storeReachableSince()));
+      return reachableForMs < context.settings().leaderTtlMs() + ELECTION_MS;
     }
-    return !isAlone || missesManyWorkers || overMs < context.settings().leaseMs() * 2L;
+    return !isAlone || missesManyWorkers || expiredForMs < context.settings().leaseMs() * 2L;
   }
 
   /** Whether a record is another owner's: of a higher epoch, or of this one but another process. */
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -37,7 +37,7 @@
   private static final int REVIEW_INTERVAL_MS = 1000;
 
   /** A machine that has been empty for so long is one that the shard can spare. */
-  private static final int SPARE_MS = 5000;
+  private static final int SPARE_IDLE_MS = 5000;
 
   private final StepContext context;
   private final CancellationLog cancellations;
@@ -59,7 +59,7 @@
   private final ShardState state;
   private final QuotaGuard quotaGuard;
 
-  private final ShardDemandReporter demand;
+  private final ShardDemandReporter demandReporter;
 
   /** Whether the leader is told what the shard needs. */
   private final boolean sharesEnabled;
@@ -87,8 +87,9 @@
     boolean isOnlyShard = context.settings().shards() == 1;
     MachineReferences references =
         isOnlyShard ? MachineReferences.disabled() : new MachineReferences();
-    ForeignTasks foreign = new ForeignTasks(context, lease);
-    this.machines = new MachineRegistry(context, lease, references, foreign, new MachineTasks());
+    ForeignTasks foreignTasks = new ForeignTasks(context, lease);
+    this.machines =
+        new MachineRegistry(context, lease, references, foreignTasks, new RegistryCallbacks());
     this.liveness = new WorkerLiveness(context, machines.machines().values(), grantedAt);
     TeamQuotas quotas = new TeamQuotas(context.config().teams(), machines.machines().values());
     this.jobs = new ShardJobs(context, quotas);
@@ -102,17 +103,18 @@
         new ShardRecovery(context, lease, jobs, lifecycle, resolver, dependencies, cancellations);
     this.state = new ShardState(context, lease, recovery, jobs, machines, liveness, quotas);
     this.writer =
-        new JobRecordWriter(context, lease, gate, jobs, queue, resolver, new CommittedWrites());
+        new JobRecordWriter(context, lease, gate, jobs, queue, resolver, new WriteListener());
     this.quotaGuard = new QuotaGuard(context, jobs, quotas);
     CommandPlanner planner = new CommandPlanner(context, jobs, machines, cancellations, quotaGuard);
     this.replies = new HeartbeatReplies(context, lease, jobs, planner);
     this.directCommands = new DirectCommandSender(context, lease, jobs, planner);
     HeartbeatReconciler reconciler = new HeartbeatReconciler(context, jobs, quotaGuard);
     this.heartbeats = new HeartbeatHandler(context, lease, recovery, machines, reconciler, replies);
-    this.placement = new PlacementRound(context, state, quotas, queue, machines.withRoom());
+    this.placement =
+        new PlacementRound(context, state, quotas, queue, machines.machinesWithFreeCpus());
     this.autoscaler = new Autoscaler(context, state);
     this.statusQueries = new StatusQueries(context, jobs, dependencies);
-    this.demand = new ShardDemandReporter(context, state);
+    this.demandReporter = new ShardDemandReporter(context, state);
     this.sharesEnabled = sharesEnabled;
     context.info(
         "shard.acquired shard=%s epoch=%s token=%s writer=%s",
@@ -121,23 +123,23 @@
   }
 
   /** What becomes of the tasks of a machine that goes, and of an answer that it waits for. */
-  private final class MachineTasks implements MachineRegistry.Tasks {
+  private final class RegistryCallbacks implements MachineRegistry.Callbacks {
     @Override
-    public void lost(TaskAttempt attempt) {
+    public void loseAttempt(TaskAttempt attempt) {
       jobs.lose(attempt);
     }
 
     @Override
-    public void supersede(Machine machine) {
-      replies.supersede(machine);
+    public void refuseDeferredReply(Machine machine) {
+      replies.refuseDeferred(machine);
     }
   }
 
   /** What follows from writes that have their answer. */
-  private final class CommittedWrites implements JobRecordWriter.Listener {
+  private final class WriteListener implements JobRecordWriter.Listener {
     @Override
     public void ended(Job job, JobStatus status) {
-      statusQueries.ended(job.id(), status);
+      statusQueries.recordEnded(job.id(), status);
       lifecycle.ended(job, status.state());
       context.info("job.ended job=%s state=%s epoch=%s", job.id(), status.state(), lease.epoch());
       context.count(job.isCancelled() ? "job.withdrawn" : "job.done");
@@ -269,7 +271,7 @@
       recovery.listIfDue();
     }
     replies.sendDue();
-    statusQueries.answer();
+    statusQueries.answerPending();
   }
 
   /** Looks at all machines and jobs, for what became due without a change. */
@@ -280,12 +282,12 @@
     reviewedAt = context.now();
     context.count("round.looks", machines.machines().size());
     machines.expireLeases(liveness);
-    machines.stopSavingTasks();
+    machines.revokeMovableAttempts();
     UtilizationGauges.update(context, state);
     UtilizationGauges.updateTeams(context, jobs.teamUses());
     quotaGuard.review();
     missesManyWorkers = liveness.missesManyWorkers();
-    jobs.reviewAll();
+    jobs.queueAllForReview();
   }
 
   // ---- workers and users -----------------------------------------------------------------------
@@ -301,8 +303,8 @@
   }
 
   /** Tells where a job stands, if this owner can. */
-  public void queryStatus(JobId id, StatusQueries.StatusCallback then) {
-    statusQueries.ask(id, recovery.isReady() && lease.isValid(), then);
+  public void queryStatus(JobId id, StatusQueries.StatusCallback callback) {
+    statusQueries.query(id, recovery.isReady() && lease.isValid(), callback);
   }
 
   // ---- leader ----------------------------------------------------------------------------------
@@ -324,13 +326,13 @@
 
   /** The shard's part of the heartbeat to the leader. */
   public ShardReport report() {
-    List<MachineName> retire = new ArrayList<>();
-    List<MachineName> spare = new ArrayList<>();
+    List<MachineName> machinesToRelease = new ArrayList<>();
+    List<MachineName> spareMachines = new ArrayList<>();
     List<MachineHandover> handovers = List.of();
     if (recovery.isReady() && lease.isValid()) {
-      retire.addAll(autoscaler.scaleIn());
+      machinesToRelease.addAll(autoscaler.scaleIn());
       handovers = machines.handOver(liveness);
-      addSpareMachines(spare);
+      addSpareMachines(spareMachines);
     }
     boolean hasQueuedTasks =
         !recovery.isReady()
@@ -342,21 +344,21 @@
         hasQueuedTasks,
         liveness.reachability(),
         autoscaler.capacityRequests(),
-        retire,
-        spare,
+        machinesToRelease,
+        spareMachines,
         handovers,
         machines.misplaced(),
         machines.references().isTracking(),
-        sharesEnabled ? demand.current().orElse(null) : null);
+        sharesEnabled ? demandReporter.current().orElse(null) : null);
   }
 
-  private void addSpareMachines(List<MachineName> spare) {
+  private void addSpareMachines(List<MachineName> spareMachines) {
     for (Machine machine : machines.machines().values()) {
       if (!machine.assignment().isHandoverRequested()
           && (state.isUsable(machine) || machine.isDraining())
           && machine.isEmpty()
-          && context.now().since(machine.idleSince()) > SPARE_MS) {
-        spare.add(machine.name());
+          && context.now().since(machine.idleSince()) > SPARE_IDLE_MS) {
+        spareMachines.add(machine.name());
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -45,11 +45,11 @@
   private boolean restartRequested;
 
   /** Rises with each listing, so that answers to an earlier one are told apart. */
-  private long listing;
+  private long listingNumber;
 
-  private boolean listingUnderWay;
+  private boolean listingInProgress;
   private MonotonicTime listRetryAt = new MonotonicTime(0);
-  private boolean watching;
+  private boolean watchInProgress;
   private MonotonicTime watchRetryAt = new MonotonicTime(0);
 
   /** The revision of the store up to which all changes are known. */
@@ -107,27 +107,27 @@
   private void restart() {
     lifecycle.forgetAll();
     ready = false;
-    listingUnderWay = false;
-    listing++;
+    listingInProgress = false;
+    listingNumber++;
   }
 
   // ---- listing ---------------------------------------------------------------------------------
 
   /** Begins to read all records, unless that is under way or it is too soon to try again. */
   void listIfDue() {
-    if (!listingUnderWay && !context.now().isBefore(listRetryAt)) {
+    if (!listingInProgress && !context.now().isBefore(listRetryAt)) {
       list();
     }
   }
 
   /** Begins to read all records. */
   void list() {
-    listingUnderWay = true;
+    listingInProgress = true;
     knownRevision = -1;
-    listPage("", ++listing, context.now());
+    listPage("", ++listingNumber, context.now());
   }
 
-  private void listPage(String after, long ofListing, MonotonicTime began) {
+  private void listPage(String after, long ofListingNumber, MonotonicTime began) {
     context
         .store()
         .list(
@@ -136,11 +136,11 @@
             PAGE_ENTRIES,
             LIST_TIMEOUT_MS,
             result -> {
-              if (ofListing != listing || lease.isEnded()) {
+              if (ofListingNumber != listingNumber || lease.isEnded()) {
                 return;
               }
               if (result instanceof ListResult.Page page) {
-                listed(page, ofListing, began);
+                handlePage(page, ofListingNumber, began);
               } else {
                 listRetryAt =
                     context
@@ -151,7 +151,7 @@
             });
   }
 
-  private void listed(ListResult.Page page, long ofListing, MonotonicTime began) {
+  private void handlePage(ListResult.Page page, long ofListingNumber, MonotonicTime began) {
     if (knownRevision < 0) {
       knownRevision = page.revision();
     }
@@ -166,21 +166,21 @@
       }
     }
     if (page.more() && !last.isEmpty()) {
-      listPage(last, ofListing, began);
+      listPage(last, ofListingNumber, began);
       return;
     }
-    listingUnderWay = false;
-    shownUpTo(began);
+    listingInProgress = false;
+    advanceKnownUpTo(began);
     ready = true;
     readyAt = context.now();
-    new TakeoverLog(context, lease, jobs).recovered(knownRevision, began);
+    new TakeoverLog(context, lease, jobs).logRecovered(knownRevision, began);
   }
 
   private boolean isOfShard(JobRecord record) {
     return lease.isOfShard(record.spec().team());
   }
 
-  private void shownUpTo(MonotonicTime sent) {
+  private void advanceKnownUpTo(MonotonicTime sent) {
     if (knownUpTo.isBefore(sent)) {
       knownUpTo = sent;
     }
@@ -194,14 +194,14 @@
    * needs. So there is no watch without a lease.
    */
   void watchIfDue() {
-    if (!watching && lease.isValid() && !context.now().isBefore(watchRetryAt)) {
+    if (!watchInProgress && lease.isValid() && !context.now().isBefore(watchRetryAt)) {
       watch();
     }
   }
 
   private void watch() {
-    watching = true;
-    long ofListing = listing;
+    watchInProgress = true;
+    long ofListingNumber = listingNumber;
     MonotonicTime sent = context.now();
     context
         .store()
@@ -210,22 +210,22 @@
             knownRevision,
             WATCH_HOLD_MS,
             result -> {
-              watching = false;
-              if (!lease.isEnded() && ofListing == listing) {
-                watched(result, sent);
+              watchInProgress = false;
+              if (!lease.isEnded() && ofListingNumber == listingNumber) {
+                handleWatchResult(result, sent);
               }
             });
   }
 
-  private void watched(WatchResult result, MonotonicTime sent) {
+  private void handleWatchResult(WatchResult result, MonotonicTime sent) {
     if (result instanceof WatchResult.Compacted) {
       restart();
     } else if (result instanceof WatchResult.Changes changes) {
       for (Change change : changes.changes()) {
-        changed(new JobId(change.key().substring(JobRecord.LIVE.length())), change);
+        handleChange(new JobId(change.key().substring(JobRecord.LIVE.length())), change);
       }
       knownRevision = Math.max(knownRevision, changes.revision());
-      shownUpTo(sent);
+      advanceKnownUpTo(sent);
       watchRetryAt = context.now().plus(WATCH_PAUSE_MS);
     } else {
       watchRetryAt = context.now().plus(WATCH_RETRY_MS + context.random().nextInt(WATCH_RETRY_MS));
@@ -233,9 +233,9 @@
   }
 
   /** A record has changed: a new job, a mark of a user, a write of this owner, or another's. */
-  private void changed(JobId id, Change change) {
-    boolean marked = JobRecord.isMarked(change.value());
-    if (marked) {
+  private void handleChange(JobId id, Change change) {
+    boolean isMarked = JobRecord.isMarked(change.value());
+    if (isMarked) {
       cancellations.recordCancelled(id);
       dependencies.onJobCancelled(id);
     } else if (change.value() == null) {
@@ -246,18 +246,18 @@
     }
     Job job = jobs.find(id);
     if (job == null) {
-      appeared(id, change);
+      addIfNewJob(id, change);
       return;
     }
     job.record().observeRevision(change.revision());
-    if (marked && !job.isCancelled()) {
+    if (isMarked && !job.isCancelled()) {
       // What the watch shows is committed; reading the record again may fail for long.
       lifecycle.cancelled(job);
     }
     resolver.rereadIfOutdated(job);
   }
 
-  private void appeared(JobId id, Change change) {
+  private void addIfNewJob(JobId id, Change change) {
     // Later changes of a job that is over may still come; only an acceptance begins one.
     JobRecord record =
         JobRecord.isUnclaimed(change.value()) ? JobRecord.read(change.value()) : null;
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -32,16 +32,16 @@
   private static final int COMPARE_TIMEOUT_MS = 1000;
 
   /** How often a query is compared at the most. */
-  private static final int COMPARISONS = 2;
+  private static final int MAX_COMPARISONS = 2;
 
   /** Guards in a transaction that only compares, for each write that one may hold. */
   private static final int GUARDS_PER_OPERATION = 4;
 
   /** A query compares at most this part of the guards of a transaction, as a divisor. */
-  private static final int SHARE_OF_QUERY = 4;
+  private static final int QUERY_GUARD_DIVISOR = 4;
 
   /** How many ended jobs are remembered. */
-  private static final int MOST_ENDED = 2000;
+  private static final int MAX_ENDED_JOBS = 2000;
 
   /** Takes what the store holds of a job now. */
   public interface StatusCallback {
@@ -100,9 +100,9 @@
 
   /** Jobs that ended here: what never changes again needs no comparison. */
   private final Cache<JobId, JobStatus> ended =
-      Caffeine.newBuilder().maximumSize(MOST_ENDED).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(MAX_ENDED_JOBS).executor(Runnable::run).build();
 
-  private final Map<JobId, List<StatusCallback>> waiting = new LinkedHashMap<>();
+  private final Map<JobId, List<StatusCallback>> pending = new LinkedHashMap<>();
   private boolean comparing;
 
   StatusQueries(StepContext context, ShardJobs jobs, DependencyGraph dependencies) {
@@ -112,7 +112,7 @@
   }
 
   /** A job's final record is committed. */
-  void ended(JobId id, JobStatus status) {
+  void recordEnded(JobId id, JobStatus status) {
     ended.put(id, status);
   }
 
@@ -121,12 +121,12 @@
    *
    * @param isOwner whether this process owns the shard and knows its records
    */
-  void ask(JobId id, boolean isOwner, StatusCallback callback) {
-    Optional<JobStatus> end = findEnded(id);
-    if (end.isPresent() || !isOwner || jobs.find(id) == null) {
-      callback.onStatus(end);
+  void query(JobId id, boolean isOwner, StatusCallback callback) {
+    Optional<JobStatus> endStatus = findEnded(id);
+    if (endStatus.isPresent() || !isOwner || jobs.find(id) == null) {
+      callback.onStatus(endStatus);
     } else {
-      waiting.computeIfAbsent(id, absent -> new ArrayList<>(1)).add(callback);
+      pending.computeIfAbsent(id, absent -> new ArrayList<>(1)).add(callback);
     }
   }
 
@@ -136,38 +136,38 @@
 
   /** The ownership is over: others have to be asked. */
   void close() {
-    waiting.values().forEach(callbacks -> tell(callbacks, Optional.empty()));
-    waiting.clear();
+    pending.values().forEach(callbacks -> complete(callbacks, Optional.empty()));
+    pending.clear();
   }
 
-  private static void tell(List<StatusCallback> callbacks, Optional<JobStatus> status) {
+  private static void complete(List<StatusCallback> callbacks, Optional<JobStatus> status) {
     callbacks.forEach(callback -> callback.onStatus(status));
   }
 
   /** Answers what waits, unless a comparison is under way; once a round. */
-  void answer() {
-    if (waiting.isEmpty() || comparing) {
+  void answerPending() {
+    if (pending.isEmpty() || comparing) {
       return;
     }
     Map<JobId, List<StatusCallback>> batch = new LinkedHashMap<>();
-    int most = mostGuards();
-    for (Iterator<Map.Entry<JobId, List<StatusCallback>>> i = waiting.entrySet().iterator();
-        i.hasNext() && batch.size() < most; ) {
-      Map.Entry<JobId, List<StatusCallback>> query = i.next();
+    int limit = maxGuards();
+    for (Iterator<Map.Entry<JobId, List<StatusCallback>>> iterator = pending.entrySet().iterator();
+        iterator.hasNext() && batch.size() < limit; ) {
+      Map.Entry<JobId, List<StatusCallback>> query = iterator.next();
       batch.put(query.getKey(), query.getValue());
-      i.remove();
+      iterator.remove();
     }
-    compare(batch, COMPARISONS);
+    compare(batch, MAX_COMPARISONS);
   }
 
-  private int mostGuards() {
+  private int maxGuards() {
     return context.config().state().txnOps() * GUARDS_PER_OPERATION;
   }
 
   private void compare(Map<JobId, List<StatusCallback>> queries, int comparisonsLeft) {
     Comparison comparison = new Comparison(queries);
     for (JobId id : new ArrayList<>(queries.keySet())) {
-      prepare(comparison, id);
+      addToComparison(comparison, id);
     }
     if (queries.isEmpty()) {
       return;
@@ -180,50 +180,50 @@
             COMPARE_TIMEOUT_MS,
             result -> {
               comparing = false;
-              compared(comparison, result, comparisonsLeft);
+              handleResult(comparison, result, comparisonsLeft);
             });
   }
 
   /** Adds a query to a comparison, or answers it if it can't be compared. */
-  private void prepare(Comparison comparison, JobId id) {
+  private void addToComparison(Comparison comparison, JobId id) {
     Job job = jobs.find(id);
     if (job == null || job.record().status() == null) {
-      tell(comparison.queries.remove(id), findEnded(id));
+      complete(comparison.queries.remove(id), findEnded(id));
       return;
     }
     // A job that waits is cancelled with any that it needs: those must be as they were, too.
-    int most = mostGuards();
+    int limit = maxGuards();
     Optional<Collection<Job>> needed =
-        dependencies.transitiveDependencies(job, most / SHARE_OF_QUERY);
-    if (needed.isEmpty() || comparison.guardedKeys.size() + needed.get().size() + 1 > most) {
-      tell(comparison.queries.remove(id), Optional.empty());
+        dependencies.transitiveDependencies(job, limit / QUERY_GUARD_DIVISOR);
+    if (needed.isEmpty() || comparison.guardedKeys.size() + needed.get().size() + 1 > limit) {
+      complete(comparison.queries.remove(id), Optional.empty());
     } else {
       comparison.guard(job, needed.get());
     }
   }
 
-  private void compared(Comparison comparison, CommitResult result, int comparisonsLeft) {
+  private void handleResult(Comparison comparison, CommitResult result, int comparisonsLeft) {
     Set<String> failedKeys =
         result instanceof CommitResult.Conflict conflict ? conflict.failedKeys() : Set.of();
-    Map<JobId, List<StatusCallback>> again = new LinkedHashMap<>();
+    Map<JobId, List<StatusCallback>> toRetry = new LinkedHashMap<>();
     comparison.queries.forEach(
         (id, callbacks) -> {
           if (result.isCommitted()) {
             context.count("status.unchanged");
-            tell(callbacks, Optional.ofNullable(comparison.statuses.get(id)));
+            complete(callbacks, Optional.ofNullable(comparison.statuses.get(id)));
           } else if (comparisonsLeft > 1
               && !failedKeys.isEmpty()
               && Collections.disjoint(failedKeys, comparison.keysByJob.get(id))) {
             // Whether a refusal names all that differ is not said: what it does not name is
             // compared once more.
-            again.put(id, callbacks);
+            toRetry.put(id, callbacks);
           } else {
             context.count("status.changed");
-            tell(callbacks, findEnded(id));
+            complete(callbacks, findEnded(id));
           }
         });
-    if (!again.isEmpty()) {
-      compare(again, comparisonsLeft - 1);
+    if (!toRetry.isEmpty()) {
+      compare(toRetry, comparisonsLeft - 1);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
+++ b/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
@@ -23,7 +23,7 @@
    * @param revision of the store at the first page
    * @param began when the first page was asked for
    */
-  void recovered(long revision, MonotonicTime began) {
+  void logRecovered(long revision, MonotonicTime began) {
     int attempts = 0;
     int toClaim = 0;
     for (Job job : jobs.all().values()) {
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -25,7 +25,7 @@
   private static final int FINAL_RETRY_MS = 300;
 
   /** What the owner does with a job once its record is known. */
-  interface Jobs {
+  interface JobHandler {
     /** Whether the owner still works with this very object. */
     boolean isCurrent(Job job);
 
@@ -51,39 +51,39 @@
   private final StepContext context;
   private final ShardLease lease;
   private final MachineReferences references;
-  private final Jobs jobs;
+  private final JobHandler jobHandler;
 
   WriteOutcomeResolver(
-      StepContext context, ShardLease lease, MachineReferences references, Jobs jobs) {
+      StepContext context, ShardLease lease, MachineReferences references, JobHandler jobHandler) {
     this.context = context;
     this.lease = lease;
     this.references = references;
-    this.jobs = jobs;
+    this.jobHandler = jobHandler;
   }
 
   // ---- the machines that records name ----------------------------------------------------------
 
   /** The current write of a job's record was sent. */
-  void sent(Job job, JobRecord record) {
-    references.sent(job.id(), job.record().sequence(), job.record().revision(), record);
+  void recordSent(Job job, JobRecord record) {
+    references.recordSent(job.id(), job.record().sequence(), job.record().revision(), record);
   }
 
   /** The write that replaces a job's record by the final one was sent. */
-  void sentFinal(Job job) {
-    references.sent(job.id(), job.record().sequence(), job.record().revision(), Set.of());
+  void recordFinalSent(Job job) {
+    references.recordSent(job.id(), job.record().sequence(), job.record().revision(), Set.of());
   }
 
   /** A write has its answer, or none in time: what that settles of the machines that it names. */
-  void answered(RecordWrite write, CommitResult result) {
+  void recordAnswer(RecordWrite write, CommitResult result) {
     JobId id = write.job().id();
     if (result instanceof CommitResult.Committed committed) {
       if (write.isFinal()) {
-        references.removed(id);
+        references.recordRemoved(id);
       } else {
-        references.committed(id, write.sequence(), committed.revision());
+        references.recordCommitted(id, write.sequence(), committed.revision());
       }
     } else if (!result.isUnknown()) {
-      references.refused(id, write.sequence());
+      references.recordRefused(id, write.sequence());
     }
   }
 
@@ -108,16 +108,16 @@
             JobRecord.liveKey(job.id()),
             READ_TIMEOUT_MS,
             result -> {
-              if (jobs.isCurrent(job)) {
+              if (jobHandler.isCurrent(job)) {
                 job.record().setRereading(false);
-                recordAnswered(job, result);
+                handleRead(job, result);
               }
             });
   }
 
-  private void recordAnswered(Job job, ReadResult result) {
+  private void handleRead(Job job, ReadResult result) {
     if (result instanceof ReadResult.Found found) {
-      found(job, found.entry());
+      handleFound(job, found.entry());
     } else if (result instanceof ReadResult.Absent) {
       readFinal(job);
     } else {
@@ -125,14 +125,14 @@
     }
   }
 
-  private void found(Job job, Entry entry) {
+  private void handleFound(Job job, Entry entry) {
     JobRecord record = JobRecord.read(entry.value());
     if (record == null) {
-      jobs.recordMissing(job);
+      jobHandler.recordMissing(job);
       return;
     }
     reconcile(job, record, entry.revision());
-    if (jobs.isCurrent(job)) {
+    if (jobHandler.isCurrent(job)) {
       rereadIfOutdated(job);
     }
   }
@@ -156,23 +156,23 @@
             READ_TIMEOUT_MS,
             result -> {
               job.record().setRereading(false);
-              if (jobs.isCurrent(job)) {
-                finalAnswered(job, result);
+              if (jobHandler.isCurrent(job)) {
+                handleFinalRead(job, result);
               }
             });
   }
 
-  private void finalAnswered(Job job, ReadResult result) {
-    JobRecord.Final end =
+  private void handleFinalRead(Job job, ReadResult result) {
+    JobRecord.Final finalRecord =
         result instanceof ReadResult.Found found
             ? JobRecord.Final.read(found.entry().value())
             : null;
-    if (end != null) {
-      references.removed(job.id());
-      jobs.ended(job, end.phase());
-      context.info("job.found_ended job=%s state=%s", job.id(), end.phase());
+    if (finalRecord != null) {
+      references.recordRemoved(job.id());
+      jobHandler.ended(job, finalRecord.phase());
+      context.info("job.found_ended job=%s state=%s", job.id(), finalRecord.phase());
     } else if (result instanceof ReadResult.Absent) {
-      jobs.recordMissing(job);
+      jobHandler.recordMissing(job);
     } else {
       retryLater(job, FINAL_RETRY_MS);
     }
@@ -182,37 +182,37 @@
 
   private void reconcile(Job job, JobRecord record, Revision revision) {
     if (lease.isRefusedBy(record)) {
-      jobs.refused(job, record);
+      jobHandler.refused(job, record);
       return;
     }
     boolean isOwnWrite = job.record().isOwnWrite(record, context.writer());
     boolean hasOwner = record.epoch().value() > 0;
     boolean othersMayWrite = !isOwnWrite && (hasOwner || job.record().isClaimRequired());
-    references.read(job.id(), revision, record, othersMayWrite);
+    references.recordRead(job.id(), revision, record, othersMayWrite);
     if (isOwnWrite) {
       // By its number; memory already holds all of it. Somebody may have asked to cancel on top.
-      boolean isNews = record.sequence() > job.record().committedSequence();
+      boolean isNewlyCommitted = record.sequence() > job.record().committedSequence();
       job.adoptOwnWrite(record);
-      adoptMark(job, record, revision);
-      if (isNews) {
-        jobs.committed(job);
+      adoptCancellation(job, record, revision);
+      if (isNewlyCommitted) {
+        jobHandler.committed(job);
       }
     } else if (!hasOwner && !job.record().hasOwner()) {
       // Nobody has claimed it: only a request to cancel changes such a record.
-      adoptMark(job, record, revision);
+      adoptCancellation(job, record, revision);
     } else {
       context.info(
           "job.record.replaced job=%s record_epoch=%s epoch=%s",
           job.id(), record.epoch(), lease.epoch());
-      jobs.replaced(job, record, revision);
+      jobHandler.replaced(job, record, revision);
     }
     job.requestWrite(WriteUrgency.NOW, context.now());
   }
 
-  private void adoptMark(Job job, JobRecord record, Revision revision) {
+  private void adoptCancellation(Job job, JobRecord record, Revision revision) {
     job.record().adoptRevision(record, revision);
     if (record.cancelled() && !job.isCancelled()) {
-      jobs.cancelled(job);
+      jobHandler.cancelled(job);
     }
   }
 }
--- a/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
+++ b/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
@@ -11,87 +11,87 @@
 /** Which machines records may name, while writes have no answer, are refused, or come late. */
 class MachineReferencesTest {
   private static final JobId JOB = new JobId("wk-1");
-  private static final MachineName ONE = new MachineName("n-1");
-  private static final MachineName TWO = new MachineName("n-2");
+  private static final MachineName FIRST = new MachineName("n-1");
+  private static final MachineName SECOND = new MachineName("n-2");
 
   private final MachineReferences references = new MachineReferences();
 
-  private static Revision at(long revision) {
+  private static Revision revision(long revision) {
     return new Revision(revision);
   }
 
-  private void named(boolean one, boolean two) {
-    assertEquals(one, references.mayName(ONE), "n-1");
-    assertEquals(two, references.mayName(TWO), "n-2");
+  private void assertMayBeNamed(boolean first, boolean second) {
+    assertEquals(first, references.mayName(FIRST), "n-1");
+    assertEquals(second, references.mayName(SECOND), "n-2");
   }
 
-  private void ownRecordNamesOne() {
-    references.read(JOB, at(5), Set.of(ONE), false);
-    named(true, false);
+  private void readOwnRecordNamingFirst() {
+    references.recordRead(JOB, revision(5), Set.of(FIRST), false);
+    assertMayBeNamed(true, false);
   }
 
   @Test
-  void aCommittedWriteReplacesWhatWasThere() {
-    ownRecordNamesOne();
-    references.sent(JOB, 1, at(5), Set.of(TWO));
-    named(true, true);
-    references.committed(JOB, 1, at(6));
-    named(false, true);
-    references.removed(JOB);
-    named(false, false);
+  void committedWriteReplacesReferencedMachines() {
+    readOwnRecordNamingFirst();
+    references.recordSent(JOB, 1, revision(5), Set.of(SECOND));
+    assertMayBeNamed(true, true);
+    references.recordCommitted(JOB, 1, revision(6));
+    assertMayBeNamed(false, true);
+    references.recordRemoved(JOB);
+    assertMayBeNamed(false, false);
   }
 
   @Test
-  void aRefusedWriteChangesNothing() {
-    ownRecordNamesOne();
-    references.sent(JOB, 1, at(5), Set.of(TWO));
-    references.refused(JOB, 1);
-    named(true, false);
+  void refusedWriteChangesNothing() {
+    readOwnRecordNamingFirst();
+    references.recordSent(JOB, 1, revision(5), Set.of(SECOND));
+    references.recordRefused(JOB, 1);
+    assertMayBeNamed(true, false);
   }
 
   @Test
-  void aWriteWithoutAnswerCountsUntilOneBehindItIsCommitted() {
-    ownRecordNamesOne();
-    references.sent(JOB, 1, at(5), Set.of(TWO));
-    references.sent(JOB, 2, at(5), Set.of());
-    named(true, true);
-    references.committed(JOB, 2, at(7));
-    named(false, false);
+  void unansweredWriteCountsUntilLaterWriteIsCommitted() {
+    readOwnRecordNamingFirst();
+    references.recordSent(JOB, 1, revision(5), Set.of(SECOND));
+    references.recordSent(JOB, 2, revision(5), Set.of());
+    assertMayBeNamed(true, true);
+    references.recordCommitted(JOB, 2, revision(7));
+    assertMayBeNamed(false, false);
   }
 
   @Test
-  void aWriteWithoutAnswerIsSettledByALaterRevisionOnly() {
-    ownRecordNamesOne();
-    references.sent(JOB, 1, at(5), Set.of(TWO));
-    references.read(JOB, at(5), Set.of(ONE), false);
-    named(true, true);
-    references.read(JOB, at(6), Set.of(ONE), false);
-    named(true, false);
+  void unansweredWriteIsSettledOnlyByLaterRevision() {
+    readOwnRecordNamingFirst();
+    references.recordSent(JOB, 1, revision(5), Set.of(SECOND));
+    references.recordRead(JOB, revision(5), Set.of(FIRST), false);
+    assertMayBeNamed(true, true);
+    references.recordRead(JOB, revision(6), Set.of(FIRST), false);
+    assertMayBeNamed(true, false);
   }
 
   @Test
-  void anOlderReadingChangesNothing() {
-    ownRecordNamesOne();
-    references.read(JOB, at(4), Set.of(TWO), false);
-    named(true, false);
+  void readOfOlderRevisionChangesNothing() {
+    readOwnRecordNamingFirst();
+    references.recordRead(JOB, revision(4), Set.of(SECOND), false);
+    assertMayBeNamed(true, false);
   }
 
   @Test
-  void untilItIsClaimedARecordMayNameAnyMachine() {
-    references.read(JOB, at(5), Set.of(), true);
-    named(true, true);
-    references.sent(JOB, 1, at(5), Set.of());
-    references.committed(JOB, 1, at(6));
-    named(false, false);
+  void unclaimedRecordMayNameAnyMachine() {
+    references.recordRead(JOB, revision(5), Set.of(), true);
+    assertMayBeNamed(true, true);
+    references.recordSent(JOB, 1, revision(5), Set.of());
+    references.recordCommitted(JOB, 1, revision(6));
+    assertMayBeNamed(false, false);
   }
 
   @Test
-  void anAnswerToAWriteOfBeforeAReloadChangesNothing() {
-    ownRecordNamesOne();
-    references.sent(JOB, 1, at(5), Set.of());
+  void answerToWriteFromBeforeReloadChangesNothing() {
+    readOwnRecordNamingFirst();
+    references.recordSent(JOB, 1, revision(5), Set.of());
     references.clear();
-    references.read(JOB, at(5), Set.of(ONE), true);
-    references.committed(JOB, 1, at(6));
-    named(true, true);
+    references.recordRead(JOB, revision(5), Set.of(FIRST), true);
+    references.recordCommitted(JOB, 1, revision(6));
+    assertMayBeNamed(true, true);
   }
 }
--- a/src/test/java/shorecrank/coordination/shard/ShardJobsTest.java
+++ b/src/test/java/shorecrank/coordination/shard/ShardJobsTest.java
@@ -46,51 +46,51 @@
     jobs.recordCommitted(job);
   }
 
-  private void assertRoomForOther(int tasks) {
+  private void assertHeadroomForOther(int tasks) {
     assertEquals(tasks, quotas.headroom(TEAM).queuedTasksThatFit(other));
   }
 
   @Test
-  void aWithdrawnAttemptCountsUntilItsRecordIsWrittenWithoutIt() {
+  void withdrawnAttemptCountsUntilRecordIsWrittenWithoutIt() {
     TaskAttempt attempt = attach();
     write();
     jobs.withdraw(attempt);
-    assertRoomForOther(2);
+    assertHeadroomForOther(2);
     assertEquals(1, quotas.headroom(TEAM).queuedTasksThatFit(job));
     assertEquals(WriteUrgency.NOW, job.record().urgency());
     write();
-    assertRoomForOther(8);
+    assertHeadroomForOther(8);
   }
 
   @Test
-  void aWriteThatWasSentBeforeTheWithdrawalReleasesNothing() {
+  void writeSentBeforeWithdrawalReleasesNothing() {
     TaskAttempt attempt = attach();
     write();
     job.record().beginWrite();
     jobs.withdraw(attempt);
     commit();
-    assertRoomForOther(2);
+    assertHeadroomForOther(2);
     write();
-    assertRoomForOther(8);
+    assertHeadroomForOther(8);
   }
 
   @Test
-  void anAttemptThatCanRunNoMoreIsReleasedAtOnce() {
+  void lostAttemptIsReleasedAtOnce() {
     TaskAttempt attempt = attach();
     write();
     jobs.lose(attempt);
-    assertRoomForOther(8);
+    assertHeadroomForOther(8);
     assertEquals(WriteUrgency.LATER, job.record().urgency());
   }
 
   @Test
-  void aJobThatIsReadAnewCountsByItsRecordOnly() {
+  void rereadJobCountsOnlyAttemptsInItsRecord() {
     TaskAttempt attempt = attach();
     write();
     jobs.withdraw(attempt);
     jobs.detachAll(job);
-    assertRoomForOther(8);
+    assertHeadroomForOther(8);
     write();
-    assertRoomForOther(8);
+    assertHeadroomForOther(8);
   }
 }
--- a/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
+++ b/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void validOnlyBeforeTheEndThatWasGranted() {
+  void isValidOnlyBeforeGrantedEnd() {
     assertFalse(lease.isValid(), "not granted yet");
     lease.renew(EPOCH, at(100));
     assertTrue(lease.isValidAt(at(99)));
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void relinquishedOnceUntilItIsRenewed() {
+  void staysRelinquishedUntilRenewed() {
     lease.renew(EPOCH, at(100));
     assertTrue(lease.relinquish("test"));
     assertFalse(lease.isValid());
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aHigherEpochIsNotRefusedByWhatRefusedTheLastOne() {
+  void higherEpochClearsEarlierRefusal() {
     lease.recordRefusal(HIGHER);
     lease.recordRefusal(EPOCH);
     assertEquals(HIGHER, lease.refusedBy());
@@ -70,7 +70,7 @@
     "59999, false, false, true",
     "60000, false, true, false",
   })
-  void aloneTheGracePeriodIsTwoLeases(
+  void gracePeriodLastsTwoLeasesWhenAlone(
       long overMs, boolean isAlone, boolean missesManyWorkers, boolean isInGrace) {
     lease.renew(EPOCH, at(100));
     context.begin(at(100 + overMs), 0, 1);
