--- a/src/main/java/shorecrank/coordination/HealthCheck.java
+++ b/src/main/java/shorecrank/coordination/HealthCheck.java
@@ -36,7 +36,8 @@
       return true;
     }
     boolean othersServe = peerReachability.isReached() && peerReachability.ageMs() < PEERS_FRESH_MS;
-    boolean isIsolated = !context.config().members().isEmpty() && context.msSincePeerContact() > ISOLATED_MS;
+    boolean isIsolated =
+        !context.config().members().isEmpty() && context.msSincePeerContact() > ISOLATED_MS;
     return !othersServe && !isIsolated;
   }
 }
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -90,7 +90,9 @@
     HeartbeatAnswer answer = handlers.leader.handleHeartbeat(heartbeat);
     if (answer == null) {
       context.reply(
-          request.reply(), UNAVAILABLE, HeartbeatAnswerCodec.writeRefusal(context.isStoreReachable()));
+          request.reply(),
+          UNAVAILABLE,
+          HeartbeatAnswerCodec.writeRefusal(context.isStoreReachable()));
     } else {
       context.reply(request.reply(), OK, HeartbeatAnswerCodec.write(answer));
     }
--- a/src/main/java/shorecrank/coordination/request/UserReplies.java
+++ b/src/main/java/shorecrank/coordination/request/UserReplies.java
@@ -73,7 +73,8 @@
   /** The user is to repeat the request. */
   void later(UserRequest request, RetryReason reason) {
     context.count(reason.metric());
-    context.replyWithRetryAfter(request.reply(), UNAVAILABLE, Json.error(reason.text()), RETRY_AFTER_S);
+    context.replyWithRetryAfter(
+        request.reply(), UNAVAILABLE, Json.error(reason.text()), RETRY_AFTER_S);
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -146,7 +146,8 @@
    *
    * @param body null if there is none
    */
-  public void callStore(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
+  public void callStore(
+      String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     budget.requests().take(1, now);
     count("state.requests");
     if (body != null && body.has(CHANGES_FIELD)) {
@@ -160,7 +161,8 @@
    *
    * @param body null if there is none
    */
-  public void callCloud(String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
+  public void callCloud(
+      String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(Output.Service.CLOUD, method, path, body, timeoutMs, then);
   }
 
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -39,8 +39,8 @@
    * A new reading of the key while a write is in doubt.
    *
    * @param writeTerm the term under which the write was sent
-   * @param previousReadTerm the term of the reading before; {@link Revision#ABSENT} if that one does
-   *     not count any more
+   * @param previousReadTerm the term of the reading before; {@link Revision#ABSENT} if that one
+   *     does not count any more
    * @param readTerm the term of this reading
    * @param isChanged whether the key's revision is above the one that the write expected
    * @param wasWritable whether the key might be written when the reading began
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -134,7 +134,9 @@
           reading.previousReadTerm().equals(Revision.ABSENT)
               || reading.previousReadTerm().equals(reading.readTerm());
       // If the level forbids changes, the level's key, which guards every change, has moved on.
-      return isSameTerm && reading.wasWritable() ? WriteOutcome.UNKNOWN : WriteOutcome.NOT_COMMITTED;
+      return isSameTerm && reading.wasWritable()
+          ? WriteOutcome.UNKNOWN
+          : WriteOutcome.NOT_COMMITTED;
     }
 
     @Override
--- a/src/test/java/shorecrank/coordination/step/PeerClientTest.java
+++ b/src/test/java/shorecrank/coordination/step/PeerClientTest.java
@@ -106,12 +106,16 @@
   void anyAnswerShowsThatTheOtherControllerIsThere() {
     driver.now(
         () ->
-            driver.context().callPeer(LEADER, "/peer/nudge", Json.object(), TIMEOUT_MS, (s, b) -> {}));
+            driver
+                .context()
+                .callPeer(LEADER, "/peer/nudge", Json.object(), TIMEOUT_MS, (s, b) -> {}));
     driver.answer(NOT_FOUND);
     driver.after(3000, () -> assertEquals(3000, driver.context().msSincePeerContact()));
     driver.now(
         () ->
-            driver.context().callPeer(LEADER, "/peer/nudge", Json.object(), TIMEOUT_MS, (s, b) -> {}));
+            driver
+                .context()
+                .callPeer(LEADER, "/peer/nudge", Json.object(), TIMEOUT_MS, (s, b) -> {}));
     driver.answer(0);
     driver.now(() -> assertEquals(3000, driver.context().msSincePeerContact()));
   }
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -32,7 +32,8 @@
   @Test
   void theServiceIsReachableForAsLongAsTheSettingsSay() {
     readAndAnswer(200);
-    driver.after(StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.isStoreReachable()));
+    driver.after(
+        StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.isStoreReachable()));
     driver.after(1, () -> assertFalse(context.isStoreReachable()));
     driver.after(500, () -> {});
     readAndAnswer(200);
