--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -20,12 +20,12 @@
 import shorecrank.protocol.WorkerMessages.WorkerCommand;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
-/** Decides what a worker is told, from its last heartbeat and the records that are committed. */
+/** Plans the commands to a worker from its last heartbeat and the committed records. */
 final class CommandPlanner {
-  /** A stop at once, without time to save. */
+  /** Grace period, in seconds, of a stop that leaves the task no time to write a checkpoint. */
   private static final double NO_GRACE_S = 0;
 
-  /** Seconds that a task that saves gets beyond what it says that it takes. */
+  /** Added to the checkpoint duration that a job states, in seconds. */
   private static final double CHECKPOINT_MARGIN_S = 1;
 
   private final StepContext context;
@@ -47,12 +47,14 @@
     this.quotaGuard = quotaGuard;
   }
 
-  // ---- without the right to command ------------------------------------------------------------
+  // ---- cancellation stops -----------------------------------------------------------------------
 
   /**
-   * The stops of cancelled tasks. Every answer that renews a worker's lease ends what is cancelled,
-   * whatever else it may not command: the lease would keep it running. A start on its way straight
-   * to the machine may come before it.
+   * Plans the stops of cancelled tasks. Every answer that renews the worker's lease carries them,
+   * even where this owner may command nothing else, because the lease would otherwise keep the
+   * tasks running. Attempts that a delayed direct command may still start are stopped as well.
+   *
+   * @return the stops; empty if nothing on the machine is cancelled
    */
   List<WorkerCommand> planCancellationStops(Machine machine, WorkerHeartbeat heartbeat) {
     List<WorkerCommand> stops = new ArrayList<>();
@@ -93,9 +95,10 @@
   // ---- all commands ----------------------------------------------------------------------------
 
   /**
-   * All commands to a machine, which count as given from now on.
+   * Plans all commands to a machine and marks its starts as commanded.
    *
-   * @param direct whether they go out in a command of their own, not in the answer to a heartbeat
+   * @param direct whether the commands are sent in a direct command, not in the answer to a
+   *     heartbeat
    */
   List<WorkerCommand> planCommands(Machine machine, boolean direct) {
     List<WorkerCommand> commands = new ArrayList<>();
@@ -120,7 +123,8 @@
     Job job = jobs.find(id);
     TaskAttempt attempt = job == null ? null : job.tasks().attempt(status.attemptId().index());
     if (jobs.isRelinquished(id) || (job != null && !job.record().isFreeOfEarlierOwner())) {
-      // Not this owner's, or not yet: nothing is commanded for it, but that a cancelled one ends.
+      // The job has another owner, or its record is not claimed yet: only a cancelled task is
+      // stopped.
       addStopIfCancelled(status, commands);
       if (attempt != null) {
         listed.add(attempt);
@@ -135,14 +139,15 @@
     }
   }
 
-  /** No record names the attempt that the worker lists. */
+  /** Adds the command for an attempt that the worker lists and no record of this shard names. */
   private void addForUnexpected(
       Machine machine, Job job, TaskStatus status, boolean direct, List<WorkerCommand> commands) {
     TaskAttemptId id = status.attemptId();
     if (job == null
         && (status.state() == TaskState.EXITED || !isCancelled(id.job()))
         && !machines.mayDiscard(machine, id)) {
-      // Its own shard's owner may not have taken its result yet.
+      // Another shard's record may name the attempt, and its owner may not have recorded the
+      // result.
       context.count("foreign.kept");
     } else if (status.state() != TaskState.EXITED) {
       commands.add(new Stop(id, NO_GRACE_S));
@@ -150,8 +155,8 @@
     } else if (isExitRecorded(job, id)
         && !direct
         && !machine.session().tokens().hasPendingDirectStart(id)) {
-      // Reaped only once no record names it and no start of it is under way: a repeated start would
-      // run it anew.
+      // Reaped only once no record names the attempt and no direct command may still start it: a
+      // worker that receives a repeated start after the reap would run the task again.
       commands.add(new Reap(id));
     }
   }
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -16,17 +16,19 @@
 import shorecrank.protocol.WorkerMessages.Start;
 import shorecrank.protocol.WorkerMessages.WorkerCommand;
 
-/** Sends starts straight to their machines, without waiting for the next heartbeat. */
+/**
+ * Sends starts in direct commands, so that they need not wait for the machines' next heartbeats.
+ */
 final class DirectCommandSender {
-  /** A machine whose heartbeat is due so soon is told in the answer. */
+  /** A machine whose next heartbeat is due sooner than this gets its commands in the answer. */
   private static final int MIN_TIME_TO_ANSWER_MS = 100;
 
-  /** So long a worker may take to answer; what is not answered may yet be carried out. */
+  /** Time within which a worker must answer. An unanswered command may still be executed. */
   private static final int TIMEOUT_MS = 1000;
 
   private static final int MIN_CONNECTIONS = 4;
 
-  /** The part of all sockets that direct commands may use, as a divisor. */
+  /** Direct commands may use the number of sockets divided by this. */
   private static final int SOCKET_DIVISOR = 20;
 
   private static final int MS_PER_S = 1000;
@@ -46,10 +48,14 @@
   }
 
   /**
-   * Sends the starts that committed writes have placed. A start need not wait for its machine's
-   * next heartbeat. What goes straight to a worker may be held back or come twice, so it is under a
-   * token of its own: the next answer carries a higher one, and until the worker has shown that,
-   * nothing is concluded from what it does not list, and what it has done is not reaped.
+   * Sends the starts that committed writes have placed.
+   *
+   * <p>A direct command may be delayed or duplicated, so it is sent under a fencing token of its
+   * own, and the next answer carries a higher one. Until the worker has shown the higher token, a
+   * missing entry in its heartbeat proves nothing about a started attempt, and the attempt's exit
+   * is not reaped.
+   *
+   * @param committed the writes of one committed transaction
    */
   void sendStarts(List<RecordWrite> committed) {
     for (Machine machine : machinesToStartOn(committed)) {
@@ -116,7 +122,10 @@
         });
   }
 
-  /** Connections to workers come out of what is left beside those of users, workers and peers. */
+  /**
+   * Returns how many direct commands may be unanswered at once. They share the sockets that users,
+   * workers' heartbeats and peers leave free.
+   */
   private int maxUnanswered() {
     return Math.max(MIN_CONNECTIONS, context.config().limits().sockets() / SOCKET_DIVISOR);
   }
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -14,35 +14,35 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * Tasks on a shard's machines that none of its jobs explains. Before such a task is stopped or its
- * result discarded, the state service is asked whether the record of another shard names it there:
- * that shard's owner has not taken its result yet.
+ * Looks up tasks on a shard's machines that belong to no job of the shard. Before such a task is
+ * stopped or its result discarded, the state service is asked whether another shard's record names
+ * the attempt on that machine: that shard's owner has not recorded its result yet.
  */
 final class ForeignTasks {
   private static final int READ_TIMEOUT_MS = 2000;
 
-  /** What was found is asked for again after so long. */
+  /** Age in milliseconds after which a lookup is repeated. */
   private static final long LOOKUP_TTL_MS = 2000;
 
-  /** Answers older than this are dropped. */
+  /** Age in milliseconds after which a lookup is removed. */
   private static final long LOOKUP_RETENTION_MS = 30_000;
 
   private static final int MAX_LOOKUPS = 10_000;
 
-  /** What may be done with a task. */
+  /** Whether a record of another shard names an attempt on a machine. */
   enum ReferenceStatus {
-    /** Not known yet. */
+    /** The record has not been read, or can't be decoded. */
     UNKNOWN,
-    /** Another shard's record names it. */
+    /** Another shard's record names the attempt. */
     REFERENCED,
-    /** No record of another shard names it. */
+    /** No record of another shard names the attempt. */
     UNREFERENCED
   }
 
-  /** An attempt that a record names on a machine. */
+  /** An attempt that a record names, and the machine that it names for it. */
   private record NamedAttempt(MachineName machine, TaskAttemptId attempt) {}
 
-  /** A job's record as it was read. */
+  /** The last read of a job's record. */
   private static final class Lookup {
     MonotonicTime answeredAt = MonotonicTime.NEVER;
     boolean inFlight;
@@ -60,7 +60,10 @@
     this.lease = lease;
   }
 
-  /** What is known of a task now; asks for what is not. With one shard only there is no other. */
+  /**
+   * Returns what is known of an attempt on a machine, and starts a lookup if that is out of date.
+   * With a single shard, no attempt belongs to another one.
+   */
   ReferenceStatus referenceStatus(MachineName machine, TaskAttemptId attempt) {
     if (context.settings().shards() == 1) {
       return ReferenceStatus.UNREFERENCED;
@@ -87,7 +90,7 @@
     return named ? ReferenceStatus.REFERENCED : ReferenceStatus.UNREFERENCED;
   }
 
-  /** Once a second: forgets what nobody asks for any more. */
+  /** Removes lookups that have not been repeated lately; called once a second. */
   void removeExpired() {
     MonotonicTime now = context.now();
     lookups
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -9,8 +9,8 @@
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
- * Takes workers' heartbeats in: refuses late ones, has workers confirm the shard's epoch, records
- * that they live, and has the rest reconciled and answered.
+ * Handles workers' heartbeats: refuses late ones, makes workers confirm the shard's epoch, records
+ * their liveness, and has the listed tasks reconciled and the heartbeat answered.
  */
 final class HeartbeatHandler {
   private final StepContext context;
@@ -36,10 +36,10 @@
   }
 
   /**
-   * Takes a heartbeat in and answers it, now or after the next commit.
+   * Handles a heartbeat and answers it, now or after the next commit.
    *
-   * @param reply the request to be answered
-   * @param mayCommand whether the lease is valid; if not, only workers' leases are renewed
+   * @param reply the number of the request to answer
+   * @param mayCommand whether the lease is valid; if not, only the worker's lease is renewed
    */
   void handle(long reply, WorkerHeartbeat heartbeat, boolean mayCommand) {
     Machine machine = machines.machine(heartbeat.machine());
@@ -70,8 +70,9 @@
       replies.renewOnly(reply, machine, heartbeat);
     } else if ((freed || HeartbeatReplies.hasUncommittedAttempt(machine))
         && context.settings().parkMs() > 0) {
-      // What has just come free can be used again in this very answer, once that is written; and
-      // what is being written for this machine need not wait for its next heartbeat.
+      // The freed capacity can be used again in this answer once the next placement is
+      // committed, and commands that wait for a commit need not wait for the machine's next
+      // heartbeat.
       replies.defer(reply, machine);
     } else {
       replies.replyWithCommands(reply, machine);
@@ -79,20 +80,23 @@
   }
 
   /**
-   * The worker has not seen the epoch, or this is a copy of a heartbeat from before it did, which
-   * may come a lease late. It gets the token; its next heartbeat shows it, and only that counts.
+   * Handles a heartbeat that does not show an epoch of this ownership. Either the worker has not
+   * seen the epoch, or the heartbeat is a delayed copy from before, which may arrive as late as one
+   * lease after it was sent. The answer carries the current token; only a heartbeat that shows it
+   * proves liveness.
    */
   private void handleUnconfirmed(Machine machine, WorkerHeartbeat heartbeat) {
     context.count("report.unconfirmed");
     machine.session().recordUnconfirmed(heartbeat);
-    // Copy or not: an incarnation of this number has begun, so those before it have ended.
+    // Even a delayed copy proves that its incarnation has begun, so all earlier ones have ended.
     machines.loseEarlierIncarnations(machine);
   }
 
   /**
-   * Records that the worker lives.
+   * Records that the worker is alive.
    *
-   * @return whether it has stayed with this owner since its last heartbeat
+   * @return whether its last heartbeat was answered here, and the numbers leave no room for a
+   *     heartbeat to another controller in between
    */
   private boolean handleConfirmed(Machine machine, WorkerHeartbeat heartbeat) {
     MonotonicTime now = context.now();
@@ -133,9 +137,10 @@
   }
 
   /**
-   * Records whether the machine gets the answers, as far as its heartbeats show. A worker that gets
-   * a 200 stays here and takes the next number for its next heartbeat; one that does not asks other
-   * controllers in between. And what it was told to start, it lists.
+   * Records whether the machine receives the answers to its heartbeats. A worker that receives a
+   * 200 sends its next heartbeat here, under the next number, and lists the tasks that the answer
+   * started; a worker that does not receive it turns to other controllers, which leaves a gap in
+   * the numbers.
    */
   private void recordResponsiveness(Machine machine, boolean isConsecutive) {
     boolean answerReceived = isConsecutive;
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -14,12 +14,15 @@
 import shorecrank.protocol.WorkerMessages.TaskStatus;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
-/** Squares what a worker's heartbeat lists with what the records of the shard say. */
+/** Reconciles the tasks that a worker's heartbeat lists with the records of the shard. */
 final class HeartbeatReconciler {
-  /** A machine that has no room left for a task gets nothing for so long. */
+  /** Pause of placements on a machine that refused a start for lack of free resources. */
   private static final long INSUFFICIENT_RESOURCES_PAUSE_MS = 2000;
 
-  /** A machine that is too busy for a task gets nothing for so long. */
+  /**
+   * Pause of placements on a machine that refused a start because it still holds another attempt of
+   * the task.
+   */
   private static final long BUSY_PAUSE_MS = 1000;
 
   private final StepContext context;
@@ -33,9 +36,9 @@
   }
 
   /**
-   * Takes in what a heartbeat lists, and what it does not list.
+   * Reconciles the attempts on a machine with those that a heartbeat lists.
    *
-   * @return whether room has come free on the machine
+   * @return whether capacity has become free on the machine
    */
   boolean reconcile(Machine machine, WorkerHeartbeat heartbeat) {
     boolean freed = false;
@@ -54,7 +57,7 @@
         freed |= hasExited;
         recordObserved(machine, attempt, status);
       } else if (!hasExited && job != null && index < job.spec().tasks()) {
-        // An attempt that no record names: nothing of that task starts elsewhere meanwhile.
+        // No record names the attempt: the task must not start elsewhere while it runs here.
         machine.addUnrecordedTask(job, index);
       }
     }
@@ -76,7 +79,8 @@
       return false;
     }
     if (attempt.isListed()) {
-      // It left the list without a reap: only a new incarnation does that.
+      // A worker drops an attempt from its list only after a reap or in a new incarnation, and
+      // neither applies here.
       context.error("task.vanished machine=%s task=%s", machine.name(), attempt.id());
       withdraw(attempt, WithdrawalReason.VANISHED, log);
       return false;
@@ -84,9 +88,9 @@
     if (mayBeStartedByPendingCommand(machine, attempt)) {
       return false;
     }
-    // The worker executes what an answer says or drops it whole, and this heartbeat is younger
-    // than all earlier answers: what it does not list was never started, and never will be if
-    // nothing is to start it.
+    // A worker executes an answer completely or not at all, and it sent this heartbeat after all
+    // earlier answers. So the attempt was never started, and if no further command may start it,
+    // it never will be.
     Optional<WithdrawalReason> reason = withdrawalReason(machine, attempt);
     reason.ifPresent(reasonFound -> withdraw(attempt, reasonFound, log));
     return reason.isPresent();
@@ -97,7 +101,7 @@
         || machine.session().tokens().hasPendingDirectStart(attempt.id());
   }
 
-  /** Why no command that is to come starts the attempt; empty if one may. */
+  /** Returns why no further command starts the attempt; empty if one may. */
   private Optional<WithdrawalReason> withdrawalReason(Machine machine, TaskAttempt attempt) {
     if (attempt.job().isCancelled()) {
       return Optional.of(WithdrawalReason.CANCELLED);
@@ -118,7 +122,8 @@
 
   private void withdraw(TaskAttempt attempt, WithdrawalReason reason, WithdrawalLog log) {
     if (reason == WithdrawalReason.CANCELLED) {
-      // The mark of the cancellation is in the record: no later owner starts it either.
+      // The record is marked as cancelled, so a later owner does not start the attempt either, and
+      // its quota can be released at once.
       jobs.lose(attempt);
     } else {
       jobs.withdraw(attempt);
@@ -155,12 +160,15 @@
       case ERROR, UNKNOWN -> recordFailure(machine, job, status.exitReason());
     }
     jobs.detach(attempt);
-    // The write in flight does not hold this exit; the one after it will.
+    // The write in flight was sent before this exit; the next one records it.
     job.tasks().recordExit(status.attemptId(), job.record().nextSequence());
     job.requestWrite(WriteUrgency.LATER, now);
   }
 
-  /** Tells faulty machines from faulty jobs: a job that fails on many machines is at fault. */
+  /**
+   * Records a task's failure and attributes it to the job or to the machine: a job that fails on
+   * many machines is itself at fault.
+   */
   private void recordFailure(Machine machine, Job job, ExitReason reason) {
     MonotonicTime now = context.now();
     context.count("task.failed");
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -19,8 +19,8 @@
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
- * Replies to workers' heartbeats: at once, or deferred until what is being written for the machine
- * is committed, so that its commands go out in this answer and not in the next.
+ * Replies to workers' heartbeats at once, or after the writes that concern the machine are
+ * committed, so that the resulting commands go out in this answer and not in the next.
  */
 final class HeartbeatReplies {
   private final StepContext context;
@@ -28,10 +28,13 @@
   private final ShardJobs jobs;
   private final CommandPlanner planner;
 
-  /** Machines whose worker waits for its answer. */
+  /** Machines with a deferred reply. */
   private final Set<Machine> deferred = new LinkedHashSet<>();
 
-  /** Whether a reply was deferred since the last round: what came free is not placed yet. */
+  /**
+   * Whether a reply was deferred since the last round, so that the freed capacity is not placed
+   * yet.
+   */
   private boolean roundPending;
 
   HeartbeatReplies(StepContext context, ShardLease lease, ShardJobs jobs, CommandPlanner planner) {
@@ -41,17 +44,17 @@
     this.planner = planner;
   }
 
-  /** Refuses a heartbeat; the worker's lease is not renewed. */
+  /** Refuses a heartbeat without renewing the worker's lease. */
   void refuse(long reply, String reason) {
     context.reply(reply, UNAVAILABLE, Json.error(reason));
   }
 
-  /** Renews the worker's lease and gives it all commands. */
+  /** Renews the worker's lease and sends all commands to it. */
   void replyWithCommands(long reply, Machine machine) {
     renew(reply, machine, planner.planCommands(machine, false));
   }
 
-  /** Renews the worker's lease without commands, but for the stops of cancelled tasks. */
+  /** Renews the worker's lease without commands, except the stops of cancelled tasks. */
   void renewOnly(long reply, Machine machine, WorkerHeartbeat heartbeat) {
     renew(reply, machine, planner.planCancellationStops(machine, heartbeat));
   }
@@ -66,19 +69,22 @@
 
   // ---- deferred replies ------------------------------------------------------------------------
 
-  /** Defers a reply until the next commits, or so long at the most as settings allow. */
+  /**
+   * Defers a reply until the writes that concern the machine are committed, but no longer than the
+   * settings allow.
+   */
   void defer(long reply, Machine machine) {
     machine.session().deferReply(reply, context.now().plus(context.settings().parkMs()));
     deferred.add(machine);
     roundPending = true;
   }
 
-  /** A round places what has come free. */
+  /** Records that a round is about to place tasks on the freed capacity. */
   void beginRound() {
     roundPending = false;
   }
 
-  /** Whether a placement on the machine is not committed yet. */
+  /** Reports whether a placement on the machine is not committed yet. */
   static boolean hasUncommittedAttempt(Machine machine) {
     for (TaskAttempt attempt : machine.attempts()) {
       if (!attempt.isCommitted()) {
@@ -88,12 +94,15 @@
     return false;
   }
 
-  /** Gives the deferred replies that wait for nothing any more, or have waited too long. */
+  /**
+   * Sends the deferred replies that need not wait any more or have waited for the longest time
+   * allowed.
+   */
   void sendDue() {
     sendDeferred(false);
   }
 
-  /** Gives all deferred replies. */
+  /** Sends all deferred replies. */
   void sendAll() {
     sendDeferred(true);
   }
@@ -117,7 +126,10 @@
     }
   }
 
-  /** Whether nothing about the machine waits for a write. */
+  /**
+   * Reports whether no write that concerns the machine is outstanding: no placement on it is
+   * uncommitted, and no exit on it is in a write in flight.
+   */
   private boolean isSettled(Machine machine) {
     if (roundPending || hasUncommittedAttempt(machine)) {
       return false;
@@ -133,7 +145,10 @@
     return true;
   }
 
-  /** A later heartbeat of the machine has come, or it has gone: a deferred reply is refused. */
+  /**
+   * Refuses the machine's deferred reply, if it has one, because a later heartbeat has arrived or
+   * the machine is gone.
+   */
   void refuseDeferred(Machine machine) {
     if (machine.session().hasDeferredReply()) {
       deferred.remove(machine);
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -18,7 +18,7 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * How a job comes to a shard's owner and how it leaves it: taken over from its record, cancelled,
+ * Adds jobs to a shard's owner and removes them: jobs are taken over from their records, cancelled,
  * replaced, ended, or relinquished to another owner.
  */
 final class JobLifecycle implements WriteOutcomeResolver.JobHandler {
@@ -49,12 +49,13 @@
     this.placementLog = new PlacementLog(context);
   }
 
-  // ---- taking over -----------------------------------------------------------------------------
+  // ---- takeover ---------------------------------------------------------------------------------
 
   /**
-   * Takes over a record that was listed when the ownership began. A write that the last owner sent
-   * in time may still place tasks of it: they would count for its team's limit, and hold their
-   * machine in this shard, so the record is claimed first where that matters.
+   * Takes over a record that was listed when the ownership began. A write that an earlier owner has
+   * sent may still be applied and place more tasks of the job, which would count for its team's
+   * limit and keep machines from being handed over. Where one of these matters, the record is
+   * claimed first.
    */
   void addListed(JobRecord record, Revision revision) {
     Job job = add(record, revision, true);
@@ -65,7 +66,7 @@
     }
   }
 
-  /** Takes over a record that was written since. */
+  /** Takes over a record that was written after the listing. */
   void addWatched(JobRecord record, Revision revision) {
     add(record, revision, false);
   }
@@ -81,7 +82,8 @@
         relinquish(job, record);
         return job;
       }
-      // The fence goes up before anything is made of the record.
+      // Claims the record before tasks are placed: after the claim, a late write of an earlier
+      // owner fails.
       job.requestWrite(WriteUrgency.NOW, context.now());
     }
     adoptAttempts(job, record);
@@ -107,7 +109,7 @@
     }
   }
 
-  // ---- leaving ---------------------------------------------------------------------------------
+  // ---- removal ----------------------------------------------------------------------------------
 
   private void forget(Job job) {
     jobs.remove(job);
@@ -115,7 +117,7 @@
     dependencies.remove(job);
   }
 
-  /** Forgets all jobs, to read their records anew. */
+  /** Removes all jobs, so that their records can be read again. */
   void forgetAll() {
     for (Job job : new ArrayList<>(jobs.all().values())) {
       if (job.isCancelled()) {
@@ -129,7 +131,10 @@
     machines.references().clear();
   }
 
-  /** A mark of a cancellation is committed, or follows from another job's. */
+  /**
+   * Cancels a job, since the mark of its cancellation is committed or a job that it depends on is
+   * cancelled.
+   */
   @Override
   public void cancelled(Job job) {
     job.cancel();
@@ -138,7 +143,10 @@
     dependencies.onJobCancelled(job.id());
   }
 
-  /** A job that it needs is cancelled, so it is too; none of its tasks has ever been placed. */
+  /**
+   * Cancels a job because one that it depends on is cancelled. None of its tasks has been placed,
+   * since all dependencies come first.
+   */
   void cancelWithDependency(Job job) {
     cancelled(job);
     job.requestWrite(WriteUrgency.NOW, context.now());
@@ -167,7 +175,10 @@
     relinquish(job, record);
   }
 
-  /** From the first refusal on nothing more is written or commanded for the job. */
+  /**
+   * Removes a job that another owner has, or whose record is gone. From the first refusal on, this
+   * owner neither writes the job's record nor commands its tasks.
+   */
   private void relinquish(Job job, JobRecord record) {
     JobId id = job.id();
     forget(job);
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -27,39 +27,42 @@
 import shorecrank.storage.RateLimiter;
 
 /**
- * Writes the records of a shard's jobs in batches, each behind a compare-and-swap guard of the
- * revision known here, so that a stale owner can write nothing.
+ * Writes the records of a shard's jobs in batches. A compare-and-swap guard on each record's last
+ * known revision makes the writes of a stale owner fail.
  */
 final class JobRecordWriter {
   private static final int COMMIT_TIMEOUT_MS = 2000;
   private static final int MAX_IN_FLIGHT = 3;
 
-  /** What an attempt range takes of a packed record, at the most. */
+  /** Largest size, in bytes, of an attempt range in a compressed record. */
   private static final int RANGE_BYTES = 12;
 
-  /** What a final record takes of a transaction, at the most. */
+  /** Largest size, in bytes, of a final record in a transaction. */
   private static final int FINAL_RECORD_BYTES = 200;
 
-  /** What a write takes of a transaction beside the value. */
+  /** Bytes that a write takes in a transaction in addition to its value. */
   private static final int WRITE_OVERHEAD_BYTES = 300;
 
   private static final int BYTES_PER_KB = 1024;
 
-  /** A record that takes more than this share of the largest value places nothing more. */
+  /** Above this share of the largest value, a record drops its uncommitted placements. */
   private static final double SHRINK_SHARE = 0.95;
 
-  /** Attempt ranges are added up to this share of the largest value. */
+  /** New attempt ranges are added while the record is below this share of the largest value. */
   private static final double FILL_SHARE = 0.9;
 
-  /** A record larger than the state service takes is tried again after so long. */
+  /** Pause before a record is written again that is too large even in the compact form. */
   private static final int TOO_LARGE_PAUSE_MS = 2000;
 
-  /** After an unknown outcome nothing is written for so long, and up to the spread more. */
+  /**
+   * Pause of all writes after a transaction with an unknown outcome, to which a random part of the
+   * spread is added.
+   */
   private static final int UNKNOWN_PAUSE_MS = 80;
 
   private static final int UNKNOWN_PAUSE_SPREAD_MS = 200;
 
-  /** In which order records are written that have something to write. */
+  /** Priority of a record's write, highest first. */
   private enum Rank {
     FINAL,
     PLACEMENT_FOR_WAITING_USER,
@@ -68,12 +71,12 @@
     DEFERRED
   }
 
-  /** Learns what became of writes. */
+  /** Receives the outcomes of writes. */
   interface Listener {
-    /** The final record of a job is committed. */
+    /** Called when the final record of a job is committed. */
     void ended(Job job, JobStatus status);
 
-    /** A transaction has its answer, or none in time; all of its jobs know what that means. */
+    /** Called when a transaction has its answer or has timed out, after its jobs are up to date. */
     void answered(List<RecordWrite> writes, boolean isCommitted);
   }
 
@@ -106,14 +109,17 @@
     this.placementLog = new PlacementLog(context);
   }
 
-  /** Whether a transaction has no answer yet. */
+  /** Reports whether any transaction is unanswered. */
   boolean isWriteInFlight() {
     return inFlight > 0;
   }
 
-  // ---- what is due -----------------------------------------------------------------------------
+  // ---- due writes -------------------------------------------------------------------------------
 
-  /** Writes the records that are due, as far as rate limits and transactions in flight allow. */
+  /**
+   * Writes the records that are due, as far as rate limits and the limit of transactions in flight
+   * allow.
+   */
   void writeDue() {
     MonotonicTime now = context.now();
     if (now.isBefore(pausedUntil) || inFlight >= MAX_IN_FLIGHT) {
@@ -174,14 +180,17 @@
     return queue.hasStartTarget(job.spec()) ? Rank.PLACEMENT_FOR_WAITING_USER : Rank.PLACEMENT;
   }
 
-  /** What a failover has to claim comes before new placements, with all that the service takes. */
+  /**
+   * Returns the limiter of a job's writes. Claims of an earlier owner's records after a failover
+   * may use everything that the state service takes, before new placements.
+   */
   private RateLimiter limiter(Job job) {
     return job.record().isFreeOfEarlierOwner() ? context.writeBudget() : context.userWriteBudget();
   }
 
   // ---- transactions ----------------------------------------------------------------------------
 
-  /** A transaction that is being put together. */
+  /** A transaction under construction. */
   private final class Batch {
     private final StoreMessages.Transaction transaction = new Transaction();
     private final List<RecordWrite> writes = new ArrayList<>();
@@ -204,7 +213,7 @@
           && limiter(job).has(operations, now);
     }
 
-    /** Adds the write of a job's record, behind the guard of its revision. */
+    /** Adds the write of a job's record, guarded by the record's last known revision. */
     void add(Job job, MonotonicTime now) {
       limiter(job).take(operations(job), now);
       String key = JobRecord.liveKey(job.id());
@@ -245,7 +254,7 @@
         record = job.toRecord(lease.epoch(), context.writer());
         encoded = RecordValueCodec.encode(record, form);
       }
-      // A record without an attempt range always takes one: else its job would never run.
+      // A record without attempts always accepts one range: otherwise its job would never run.
       int rangesLeft = (int) ((maxBytes * FILL_SHARE - encoded.boundBytes()) / RANGE_BYTES);
       job.record().setRangesLeft(Math.max(job.tasks().hasAttempts() ? 0 : 1, rangesLeft));
       encoded.addTo(transaction, key);
@@ -263,7 +272,7 @@
     return context.config().state().valueKb() * BYTES_PER_KB;
   }
 
-  /** What was not yet written is taken back: no command has been given for it. */
+  /** Removes the placements that are not committed, for which no command has been given. */
   private void shrink(Job job) {
     for (TaskAttempt attempt : job.tasks().copyOfAttempts()) {
       if (!attempt.isCommitted() && attempt.writeSequence() >= job.record().sequence()) {
@@ -307,8 +316,8 @@
       if (result instanceof CommitResult.Committed committed) {
         handleCommitted(write, committed.revision());
       } else {
-        // Not applied for another's sake, refused for the load, or not known: the next write
-        // behind the same guard settles it.
+        // Another job's guard failed, the service was overloaded, or the outcome is unknown: the
+        // next write under the same guard settles it.
         job.requestWrite(WriteUrgency.NOW, now);
         if (failedKeys.contains(JobRecord.liveKey(job.id()))) {
           resolver.reread(job);
@@ -337,8 +346,9 @@
   }
 
   /**
-   * One of the records is larger than the service takes now. Alone, each shows which; that one is
-   * written in its shortest form, and if that is too long, shrinks as its tasks end.
+   * Handles the refusal of a transaction because a value in it is too large. Each record is first
+   * written alone to find the one. That record is written in the compact form from then on, and if
+   * this is too large as well, it is retried after a pause until it shrinks as its tasks end.
    */
   private void handleTooLarge(List<RecordWrite> writes, String answer, MonotonicTime now) {
     context.info(
--- a/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
@@ -13,14 +13,17 @@
 import shorecrank.protocol.WorkerMessages.TaskStatus;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
-/** Which machines of a shard may be handed over, and which were, so that they are not commanded. */
+/**
+ * Decides which machines of a shard may be handed over, and remembers those that were, so that they
+ * are not commanded any more.
+ */
 final class MachineHandovers {
   private final MachineReferences references;
   private final ForeignTasks foreignTasks;
 
   /**
-   * The orders under which machines were handed over: that holds until a machine may be used again,
-   * also while the leader says that it is nobody's.
+   * Move under which each machine was handed over. An entry stays until the machine may be used
+   * here again, even while the leader reports the machine as assigned to no shard.
    */
   private final Map<MachineName, MoveId> handedOver = new HashMap<>();
 
@@ -29,7 +32,10 @@
     this.foreignTasks = foreignTasks;
   }
 
-  /** The machines that are to be handed over and have nothing of this shard left. */
+  /**
+   * Returns the machines whose handover is requested and that hold nothing of this shard any more,
+   * and remembers them as handed over.
+   */
   List<MachineHandover> handOver(Collection<Machine> machines, WorkerLiveness liveness) {
     List<MachineHandover> handovers = new ArrayList<>();
     for (Machine machine : machines) {
@@ -42,22 +48,25 @@
     return handovers;
   }
 
-  /** The machine may be used again here, or is assigned to another shard, or gone. */
+  /**
+   * Forgets the handover of a machine that may be used here again, is assigned to another shard, or
+   * is gone.
+   */
   void forget(MachineName machine) {
     handedOver.remove(machine);
   }
 
-  /** Whether a machine was handed over under the order that holds now. */
+  /** Reports whether the machine was handed over under the move that the leader requests now. */
   boolean isHandedOver(Machine machine) {
     return machine.assignment().isHandoverRequested()
         && machine.assignment().move().equals(handedOver.get(machine.name()));
   }
 
   /**
-   * Whether nothing of this shard is on the machine, can come to it, or is said of it by a record:
-   * the worker has shown this owner's token and lists nothing of the shard in its last heartbeat,
-   * no command is under way to it, and no record names it, not even by a write that is carried out
-   * late.
+   * Reports whether nothing of this shard is on the machine or can reach it, and no record names
+   * it. The worker has shown this owner's token, its last heartbeat lists no task of the shard, no
+   * direct command to it may still act, and no record names the machine, not even through a write
+   * that is applied late.
    */
   private boolean isSettled(Machine machine, WorkerLiveness liveness) {
     return machine.isEmpty()
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -14,18 +14,18 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * Which machines the job records of a shard may name in the state service, counting every write
- * that has no answer and may yet be carried out.
+ * Tracks which machines the job records of a shard may name in the state service, including those
+ * named by writes that are unanswered and may still be applied.
  *
  * <p>A write is settled by its own answer, or once the record is known at a later revision than the
- * one that guards it. Until an owner has written a record itself, a write of an earlier owner may
- * still put any machine into it.
+ * one that guards the write. Until an owner has written a record itself, a write of an earlier
+ * owner may still add any machine to it.
  */
 final class MachineReferences {
-  /** A write without an answer so far. */
+  /** An unanswered write. */
   private record PendingWrite(long sequence, Revision guard, Set<MachineName> machines) {}
 
-  /** A record as last known, and what may yet replace it. */
+  /** A record as last known, and the writes that may still replace it. */
   private static final class Reference {
     Revision revision = Revision.ABSENT;
     Set<MachineName> stored = Set.of();
@@ -38,7 +38,7 @@
   private final Object2IntOpenHashMap<MachineName> counts = new Object2IntOpenHashMap<>();
   private int writableByOthers;
 
-  /** Keeps track of the machines that records name. */
+  /** Creates an instance that tracks the machines named by records. */
   MachineReferences() {
     this(true);
   }
@@ -47,12 +47,14 @@
     this.tracking = tracking;
   }
 
-  /** Keeps track of nothing: where there is only one shard, no machine is ever handed over. */
+  /**
+   * Returns an instance that tracks nothing, for a single shard, where no machine is handed over.
+   */
   static MachineReferences disabled() {
     return new MachineReferences(false);
   }
 
-  /** Whether machines are kept track of; if not, any call is without effect. */
+  /** Reports whether machines are tracked; if not, updates have no effect. */
   boolean isTracking() {
     return tracking;
   }
@@ -65,7 +67,10 @@
     return machines;
   }
 
-  /** A record was read, as {@link #recordRead(JobId, Revision, Set, boolean)} takes it. */
+  /**
+   * Records that a record was read, as {@link #recordRead(JobId, Revision, Set, boolean)} does with
+   * the machines that it names.
+   */
   void recordRead(JobId job, Revision revision, JobRecord record, boolean othersMayWrite) {
     if (tracking) {
       recordRead(job, revision, machinesOf(record), othersMayWrite);
@@ -73,10 +78,12 @@
   }
 
   /**
-   * A record was read.
+   * Records that a record was read.
    *
-   * @param othersMayWrite whether a write of another process may still change it: this owner has
-   *     not written it yet, or has been refused by a higher epoch
+   * @param revision at which it was read; earlier revisions than the one known are ignored
+   * @param machines those that the record names
+   * @param othersMayWrite whether another process's write may still change the record: this owner
+   *     has not written it yet, or has been refused by a higher epoch
    */
   void recordRead(JobId job, Revision revision, Set<MachineName> machines, boolean othersMayWrite) {
     if (!tracking) {
@@ -89,14 +96,17 @@
     setWritableByOthers(reference, othersMayWrite);
   }
 
-  /** A write was sent that replaces the record, guarded by its revision. */
+  /** Records that a write was sent that replaces the record, guarded by the record's revision. */
   void recordSent(JobId job, long sequence, Revision guard, JobRecord record) {
     if (tracking) {
       recordSent(job, sequence, guard, machinesOf(record));
     }
   }
 
-  /** A write was sent, guarded by the record's revision. */
+  /**
+   * Records that a write was sent whose record names the given machines, guarded by the record's
+   * revision.
+   */
   void recordSent(JobId job, long sequence, Revision guard, Set<MachineName> machines) {
     if (!tracking) {
       return;
@@ -106,7 +116,10 @@
     addToCounts(machines, 1);
   }
 
-  /** A write was carried out: those before it were guarded by an earlier revision. */
+  /**
+   * Records that a write was committed. Earlier writes can't be applied any more, since their
+   * guards name an earlier revision.
+   */
   void recordCommitted(JobId job, long sequence, Revision revision) {
     Reference reference = references.get(job);
     if (reference == null) {
@@ -120,7 +133,7 @@
     }
   }
 
-  /** A write was refused, and never will be carried out. */
+  /** Records that a write was refused and can't be applied any more. */
   void recordRefused(JobId job, long sequence) {
     Reference reference = references.get(job);
     if (reference != null) {
@@ -135,7 +148,7 @@
     }
   }
 
-  /** The record is known to be no more. */
+  /** Records that a job's record has been deleted. */
   void recordRemoved(JobId job) {
     Reference reference = references.remove(job);
     if (reference != null) {
@@ -144,14 +157,14 @@
     }
   }
 
-  /** Everything is read anew. */
+  /** Removes everything, before all records are read again. */
   void clear() {
     references.clear();
     counts.clear();
     writableByOthers = 0;
   }
 
-  /** Whether any record may name the machine, now or once a late write is carried out. */
+  /** Reports whether any record may name the machine, now or once a late write is applied. */
   boolean mayName(MachineName machine) {
     return writableByOthers > 0 || counts.getInt(machine) > 0;
   }
