--- a/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
@@ -39,7 +39,7 @@
   List<MachineHandover> handOver(Collection<Machine> machines, WorkerLiveness liveness) {
     List<MachineHandover> handovers = new ArrayList<>();
     for (Machine machine : machines) {
-      if (machine.assignment().isHandoverRequested() && isSettled(machine, liveness)) {
+      if (machine.assignment().isHandoverRequested() && isReadyForHandover(machine, liveness)) {
         MoveId move = machine.assignment().move();
         handovers.add(new MachineHandover(machine.name(), move));
         handedOver.put(machine.name(), move);
@@ -68,16 +68,16 @@
    * direct command to it may still act, and no record names the machine, not even through a write
    * that is applied late.
    */
-  private boolean isSettled(Machine machine, WorkerLiveness liveness) {
+  private boolean isReadyForHandover(Machine machine, WorkerLiveness liveness) {
     return machine.isEmpty()
         && machine.session().isConfirmed()
         && liveness.isFresh(machine)
         && !machine.session().tokens().hasPendingDirectCommand()
         && !references.mayName(machine.name())
-        && listsOnlyForeign(machine);
+        && listsOnlyForeignTasks(machine);
   }
 
-  private boolean listsOnlyForeign(Machine machine) {
+  private boolean listsOnlyForeignTasks(Machine machine) {
     WorkerHeartbeat heartbeat = machine.session().lastHeartbeat();
     if (heartbeat == null) {
       return false;
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Records that a record was read, as {@link #recordRead(JobId, Revision, Set, boolean)} does with
-   * the machines that it names.
+   * Updates a job's references after its record was read, as {@link #recordRead(JobId, Revision,
+   * Set, boolean)} does with the machines that the record names.
    */
   void recordRead(JobId job, Revision revision, JobRecord record, boolean othersMayWrite) {
     if (tracking) {
@@ -78,10 +78,11 @@
   }
 
   /**
-   * Records that a record was read.
+   * Updates a job's references after its record was read.
    *
-   * @param revision at which it was read; earlier revisions than the one known are ignored
-   * @param machines those that the record names
+   * @param revision the record's revision; the machines count only if it is later than the one
+   *     known
+   * @param machines the machines that the record names
    * @param othersMayWrite whether another process's write may still change the record: this owner
    *     has not written it yet, or has been refused by a higher epoch
    */
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -22,16 +22,16 @@
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
- * The machines that a shard's owner knows of: which are assigned to the shard, which are to be
- * handed over, and when nothing of the shard is left on one so that it may be.
+ * The machines that a shard's owner knows: which are assigned to the shard, which are to be handed
+ * over, and when a machine holds nothing of the shard any more, so that it may be handed over.
  */
 public final class MachineRegistry {
-  /** What the owner does with the tasks of a machine, and with an answer that it waits for. */
+  /** Actions of the owner on a machine's attempts and on its deferred reply. */
   interface Callbacks {
-    /** The attempt is surely off its machine, without a result. */
+    /** Gives up an attempt that is certainly not running any more and has left no result. */
     void loseAttempt(TaskAttempt attempt);
 
-    /** A heartbeat whose answer was deferred gets none any more. */
+    /** Refuses the deferred reply to the machine's heartbeat, if there is one. */
     void refuseDeferredReply(Machine machine);
   }
 
@@ -43,14 +43,17 @@
   private final MachineHandovers handovers;
   private final Map<MachineName, Machine> machines = new TreeMap<>();
 
-  /** Machines with free processors, so that a round in a full fleet looks at few. */
+  /** Machines with free processors, so that a round in a full fleet examines only a few. */
   private final Set<Machine> machinesWithFreeCpus = new ObjectLinkedOpenHashSet<>();
 
   private Map<String, MachineType> catalog = Map.of();
 
   /**
-   * @param references machines that records may name
-   * @param foreign tasks of other shards
+   * Creates the registry without a machine.
+   *
+   * @param references the machines that records may name
+   * @param foreignTasks the tasks that belong to other shards
+   * @param callbacks actions of the owner
    */
   MachineRegistry(
       StepContext context,
@@ -66,32 +69,32 @@
     this.handovers = new MachineHandovers(references, foreignTasks);
   }
 
-  /** All machines in the order of their names; not to be changed by the caller. */
+  /** Returns all machines in the order of their names; the caller must not change the map. */
   Map<MachineName, Machine> machines() {
     return machines;
   }
 
-  /** A live view of the machines with free processors. */
+  /** Returns a live view of the machines with free processors. */
   Set<Machine> machinesWithFreeCpus() {
     return machinesWithFreeCpus;
   }
 
-  /** The machine of that name, which is known from now on. */
+  /** Returns the machine of the given name; adds it if it is not known. */
   Machine machine(MachineName name) {
     return machines.computeIfAbsent(name, absent -> new Machine(absent, machinesWithFreeCpus));
   }
 
-  /** Which machines the shard's records may name. */
+  /** Returns the machines that the shard's records may name. */
   MachineReferences references() {
     return references;
   }
 
-  /** The machine types that can be rented, by name. */
+  /** Returns the machine types that can be rented, by name. */
   Map<String, MachineType> catalog() {
     return catalog;
   }
 
-  /** The machine types that can be rented have changed. */
+  /** Updates the machine types that can be rented, by name. */
   void updateCatalog(Map<String, MachineType> types) {
     catalog = types;
     for (Machine machine : machines.values()) {
@@ -101,7 +104,7 @@
     }
   }
 
-  /** What kind of machine it is. */
+  /** Sets the type, zone and kind of a machine, if they are not known yet. */
   void describe(Machine machine, MachineInfo info) {
     if (machine.info() == null) {
       machine.setInfo(info);
@@ -111,7 +114,11 @@
 
   // ---- assignment ------------------------------------------------------------------------------
 
-  /** All assignments, to whichever shard. */
+  /**
+   * Replaces the assignments of all machines.
+   *
+   * @param all the assignments to every shard; a machine that they do not name is unassigned
+   */
   public void updateAllAssignments(Collection<MachineAssignment> all) {
     Set<MachineName> named = new HashSet<>();
     for (MachineAssignment assignment : all) {
@@ -125,7 +132,7 @@
     }
   }
 
-  /** An assignment is new or has changed. */
+  /** Updates one machine's assignment, to this shard or to another. */
   public void updateAssignment(MachineAssignment assignment) {
     MachineName name = assignment.machine().name();
     if (!assignment.shard().equals(lease.shard())) {
@@ -147,7 +154,7 @@
     }
   }
 
-  /** The machine is not assigned to this shard. */
+  /** Records that the machine is not assigned to this shard. */
   public void removeAssignment(MachineName name) {
     Machine machine = machines.get(name);
     if (machine != null) {
@@ -160,7 +167,7 @@
     }
   }
 
-  /** Machines that are surely gone, with all that ran on them. */
+  /** Removes machines that were released, and gives up all attempts on them. */
   public void removeReleased(Collection<MachineName> names) {
     for (MachineName name : names) {
       handovers.forget(name);
@@ -179,9 +186,9 @@
     machinesWithFreeCpus.remove(machine);
   }
 
-  // ---- tasks that are surely off ---------------------------------------------------------------
+  // ---- lost attempts ----------------------------------------------------------------------------
 
-  /** All of a machine's tasks are surely off it. */
+  /** Gives up all attempts on a machine, none of which is running any more. */
   void loseAll(Machine machine, String reason) {
     int count = machine.attempts().size();
     for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
@@ -195,7 +202,7 @@
     }
   }
 
-  /** Gives the tasks of incarnations before the one that has begun up. */
+  /** Gives up a machine's attempts of incarnations before its current one. */
   void loseEarlierIncarnations(Machine machine) {
     for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
       if (attempt.incarnation().compareTo(machine.session().incarnation()) < 0) {
@@ -204,7 +211,7 @@
     }
   }
 
-  /** What the workers run is no longer known: the records are read anew. */
+  /** Forgets what workers have reported of their tasks, before all records are read again. */
   void forgetReconciliation() {
     for (Machine machine : machines.values()) {
       callbacks.refuseDeferredReply(machine);
@@ -212,10 +219,12 @@
     }
   }
 
-  /** Takes the tasks of machines whose worker's lease has surely run out. */
+  /** Gives up the attempts on machines whose worker's lease has certainly expired. */
   void expireLeases(WorkerLiveness liveness) {
     for (Machine machine : machines.values()) {
-      // The owner of another shard may renew the lease of one that is assigned there.
+      // If the machine is assigned to another shard, that shard's owner may be renewing its
+      // worker's
+      // lease, so silence towards this owner proves nothing.
       if (!machine.isEmpty()
           && !machine.assignment().isAssignedElsewhere()
           && liveness.isLeaseExpired(machine)) {
@@ -228,8 +237,8 @@
   }
 
   /**
-   * Tasks that save don't keep a machine that is to be handed over, once they have run so long that
-   * their start counts; all others run to their end.
+   * Revokes attempts on machines that are to be handed over, if a checkpoint keeps their progress
+   * and they have run long enough for their start to count. All other tasks there run to their end.
    */
   void revokeMovableAttempts() {
     if (!references.isTracking()) {
@@ -251,8 +260,8 @@
   // ---- heartbeats ------------------------------------------------------------------------------
 
   /**
-   * Whether a heartbeat shows an epoch of this ownership, so that no earlier owner's answers reach
-   * the worker and the heartbeat is no copy from before it.
+   * Reports whether a heartbeat shows an epoch of this ownership. If so, answers of earlier owners
+   * no longer reach the worker, and the heartbeat is not a copy from before the ownership.
    */
   boolean isConfirmedBy(Machine machine, WorkerHeartbeat heartbeat, Epoch firstEpoch) {
     Epoch required = Epoch.higher(machine.assignment().requiredEpoch(), firstEpoch);
@@ -260,24 +269,28 @@
   }
 
   /**
-   * Whether a task that no job of this shard explains may be stopped, or its result discarded:
-   * never while the record of another shard names it, nor before that is known.
+   * Reports whether an attempt that belongs to no job of this shard may be stopped, or its result
+   * discarded. Returns false while another shard's record names the attempt, and until the record
+   * has been read.
    */
   boolean mayDiscard(Machine machine, TaskAttemptId attempt) {
     return foreignTasks.referenceStatus(machine.name(), attempt)
         == ForeignTasks.ReferenceStatus.UNREFERENCED;
   }
 
-  // ---- handing over ----------------------------------------------------------------------------
+  // ---- handover ---------------------------------------------------------------------------------
 
-  /** Machines that were to be handed over and have nothing of this shard left. */
+  /**
+   * Returns the machines whose handover is requested and that hold nothing of this shard any more,
+   * and remembers them as handed over.
+   */
   List<MachineHandover> handOver(WorkerLiveness liveness) {
     return handovers.handOver(machines.values(), liveness);
   }
 
   /**
-   * Machines that this owner may command: those assigned here that it has not handed over. For
-   * observers.
+   * Returns the machines that this owner may command: those assigned to the shard that it has not
+   * handed over. Observers use it to check that no two owners command one machine.
    */
   public Set<MachineName> commandableMachines() {
     Set<MachineName> names = new HashSet<>();
@@ -289,7 +302,9 @@
     return names;
   }
 
-  /** Machines that records of this shard name although they are assigned to another. */
+  /**
+   * Returns the machines that hold tasks of this shard although they are assigned to another one.
+   */
   List<MachineName> misplaced() {
     List<MachineName> names = new ArrayList<>();
     for (Machine machine : machines.values()) {
--- a/src/main/java/shorecrank/coordination/shard/PlacementLog.java
+++ b/src/main/java/shorecrank/coordination/shard/PlacementLog.java
@@ -12,9 +12,9 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 
-/** Logs the placements that committed writes hold. */
+/** Logs the placements in committed writes. */
 final class PlacementLog {
-  /** So many machines of one placement are named in the log. */
+  /** Maximum number of machines of one placement that a log line names. */
   private static final int MAX_MACHINES = 8;
 
   private final StepContext context;
@@ -23,7 +23,13 @@
     this.context = context;
   }
 
-  /** A write of a job's record is known to be committed at a revision, under an epoch. */
+  /**
+   * Logs the placement in a write of a job's record, if it holds one.
+   *
+   * @param sequence the number of the write
+   * @param revision the revision at which it was committed
+   * @param epoch the epoch under which it was committed
+   */
   void logCommitted(Job job, long sequence, Revision revision, Epoch epoch) {
     JobRecordState record = job.record();
     if (!record.isPlacementSent() || sequence != record.sequence()) {
--- a/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
+++ b/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
@@ -9,16 +9,19 @@
 import shorecrank.coordination.step.StepContext;
 
 /**
- * Keeps what records name of a team from being started above the team's limit. An owner never
- * places so much, but may find it in the records: of tasks that have ended since, or because an
- * earlier version did not count what it had given up.
+ * Keeps attempts that records name from being started above their team's limit. An owner never
+ * places that many, but may find them in the records: some may have ended since, or an earlier
+ * version placed too many because it did not count withdrawn attempts.
  */
 final class QuotaGuard {
   private final StepContext context;
   private final ShardJobs jobs;
   private final TeamQuotas quotas;
 
-  /** Teams above their limits at the last review, of all of whose attempts workers had told. */
+  /**
+   * Teams above their limits at the last review whose attempts were all on machines with reconciled
+   * heartbeats.
+   */
   private final Set<String> knownAboveLimit = new HashSet<>();
 
   QuotaGuard(StepContext context, ShardJobs jobs, TeamQuotas quotas) {
@@ -27,21 +30,22 @@
     this.quotas = quotas;
   }
 
-  /** Whether attempts of a job may be started, as far as its team's limit goes. */
+  /** Reports whether the limit of a job's team allows the job's attempts to be started. */
   boolean mayStart(Job job) {
     return !quotas.isAboveLimit(job.spec().team());
   }
 
   /**
-   * Whether an attempt that was never started has to be withdrawn: its team is above the limit, and
-   * the workers have told of all its attempts, so that none is left that may have ended.
+   * Reports whether an attempt that was never started must be withdrawn: its team is above the
+   * limit, and the heartbeats of all machines with attempts of the team are reconciled, so that
+   * none of these attempts has ended unnoticed.
    */
   boolean mustWithdraw(Job job) {
     String team = job.spec().team();
     return knownAboveLimit.contains(team) && quotas.isAboveLimit(team);
   }
 
-  /** Finds the teams that are known to be above their limits, and raises an alarm for each. */
+  /** Finds the teams that are certainly above their limits and logs each as an error. */
   void review() {
     knownAboveLimit.clear();
     for (TeamUse use : quotas.uses()) {
--- a/src/main/java/shorecrank/coordination/shard/RecordValueCodec.java
+++ b/src/main/java/shorecrank/coordination/shard/RecordValueCodec.java
@@ -5,26 +5,27 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.JobRecord;
 
-/** Encodes job records in the form that the feature level and their size ask for. */
+/** Encodes job records in the form that the feature level and the record's size require. */
 final class RecordValueCodec {
   private RecordValueCodec() {}
 
-  /** The form of a record's value. */
+  /** Form of a record's value. */
   enum Form {
-    /** The form that every version reads. */
+    /** Readable by every version. */
     PLAIN,
     /** The shortest form that needs no feature level. */
     COMPACT,
-    /** The form that only a raised feature level allows. */
+    /** Allowed only by a raised feature level. */
     DENSE
   }
 
   /**
-   * A record in the form in which it is written.
+   * An encoded record.
    *
-   * @param bytes the size of the value
-   * @param boundBytes what must fit into a value: where the form depends on the feature level, the
-   *     size of the earlier form that it is put back into when the level falls
+   * @param bytes size of the value
+   * @param boundBytes size that must fit into a value: that of the earlier form to which a record
+   *     in the dense form is converted back when the feature level is lowered, otherwise that of
+   *     the value
    */
   record EncodedRecord(ObjectNode value, int bytes, int boundBytes) {
     /** Adds the write of the value to a transaction. */
@@ -33,7 +34,7 @@
     }
   }
 
-  /** Encodes a record. */
+  /** Encodes a record in the given form. */
   static EncodedRecord encode(JobRecord record, Form form) {
     ObjectNode value =
         switch (form) {
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -25,12 +25,12 @@
 import shorecrank.protocol.ShardDemandMessages.DrainState;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 
-/** What a shard's owner tells the leader of its share: what it has, needs and could give up. */
+/** Reports a shard's demand for machines to the leader: what it has, needs and could give up. */
 final class ShardDemandReporter {
-  /** So many machines are named that the shard could give up. */
+  /** Maximum number of machines that are reported as ones the shard could give up. */
   private static final int MAX_CANDIDATES = 32;
 
-  /** A machine that should be empty in more than this is not named. */
+  /** Upper bound of the seconds that are reported until a machine is empty. */
   private static final double MAX_EMPTY_S = 1e6;
 
   private final StepContext context;
@@ -41,7 +41,9 @@
     this.shard = shard;
   }
 
-  /** The demand as of now; empty while the records are not read or the lease is not valid. */
+  /**
+   * Returns the current demand; empty until all records are read or while the lease is not valid.
+   */
   Optional<ShardDemand> current() {
     if (!shard.isReady() || !shard.isLeaseValid()) {
       return Optional.empty();
@@ -95,7 +97,10 @@
         machine.assignment().move(), state, machine.attempts().size(), secondsUntilEmpty(machine));
   }
 
-  /** Seconds until the machine's tasks should have ended, or can be stopped with their progress. */
+  /**
+   * Returns the seconds until the machine's tasks should have ended or can be stopped without
+   * losing their progress.
+   */
   private double secondsUntilEmpty(Machine machine) {
     double longest = 0;
     for (TaskAttempt attempt : machine.attempts()) {
@@ -111,7 +116,13 @@
     return Math.min(MAX_EMPTY_S, longest);
   }
 
-  /** What waits: processors by priority, the age of the oldest job without a task, and for what. */
+  /**
+   * The queued tasks.
+   *
+   * @param waiting the processors that they need, by priority
+   * @param oldestWaitS seconds for which the oldest job without any task has been ready
+   * @param usableOffers the offers of machines that they could run on
+   */
   private record QueueSummary(List<Double> waiting, double oldestWaitS, List<Offer> usableOffers) {}
 
   private QueueSummary queue() {
@@ -146,7 +157,7 @@
     }
   }
 
-  /** Of what each team has and asks for, what is within its guarantee. */
+  /** Returns the processors that teams use or request within their guarantees. */
   private double guaranteedCpus() {
     Map<String, Double> requestedCpus = new HashMap<>();
     for (Job job : shard.jobs().values()) {
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -17,18 +17,19 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * The unfinished jobs of a shard and the attempts of their tasks, which of them have something to
- * write, and which were relinquished. Each attempt of a job here counts for its team's quota.
+ * The unfinished jobs of a shard, the attempts of their tasks, the jobs that need a write, and the
+ * jobs that were relinquished. Attempts are counted for their teams' quotas when they are added and
+ * removed here.
  */
 final class ShardJobs {
   private final StepContext context;
   private final TeamQuotas quotas;
   private final Map<JobId, Job> jobs = new TreeMap<>();
 
-  /** Jobs that another owner has; nothing is written or commanded for them any more. */
+  /** Jobs that another owner has; no records are written and no commands given for them. */
   private final Set<JobId> relinquished = new HashSet<>();
 
-  /** Jobs with something to write; each adds itself. */
+  /** Jobs that need a write; each job adds itself. */
   private final Set<Job> jobsToWrite = new ObjectLinkedOpenHashSet<>();
 
   ShardJobs(StepContext context, TeamQuotas quotas) {
@@ -36,22 +37,22 @@
     this.quotas = quotas;
   }
 
-  /** All jobs in the order of their ids; not to be changed by the caller. */
+  /** Returns all jobs in the order of their ids; the caller must not change the map. */
   Map<JobId, Job> all() {
     return jobs;
   }
 
-  /** The job of that id; null if there is none. */
+  /** Returns the job with the given id, or null if the shard has no such job. */
   Job find(JobId id) {
     return jobs.get(id);
   }
 
-  /** Whether this very object is the shard's job of its id. */
+  /** Reports whether this object, and not another one for the same id, is the shard's job. */
   boolean isCurrent(Job job) {
     return jobs.get(job.id()) == job;
   }
 
-  /** Adds the job of a record, without its attempts. */
+  /** Adds a job for a record, without the attempts that the record names. */
   Job add(JobRecord record, Revision revision) {
     Job job = new Job(record, revision, context.nextInstanceNumber(), jobsToWrite);
     jobs.put(job.id(), job);
@@ -64,12 +65,12 @@
     jobs.remove(job.id());
   }
 
-  /** Whether the usage of a team is limited. */
+  /** Reports whether the team has a limit. */
   boolean isLimited(String team) {
     return quotas.isLimited(team);
   }
 
-  /** What the teams with a limit use. */
+  /** Returns the usage of the teams with a limit. */
   List<TeamUse> teamUses() {
     return quotas.uses();
   }
@@ -82,7 +83,7 @@
     quotas.allocate(attempt.job().spec());
   }
 
-  /** Removes an attempt from its job and machine; none if its task has another one. */
+  /** Removes an attempt from its job and machine; does nothing if its task has another attempt. */
   void detach(TaskAttempt attempt) {
     if (attempt.job().tasks().isCurrent(attempt)) {
       attempt.job().remove(attempt);
@@ -90,13 +91,15 @@
     }
   }
 
-  /** Removes all attempts of a job, whose record was read anew or is no more. */
+  /**
+   * Removes all attempts of a job, for instance because its record was read again or is deleted.
+   */
   void detachAll(Job job) {
     job.tasks().copyOfAttempts().forEach(this::detach);
     quotas.releaseWithdrawn(job.spec(), job.clearWithdrawn());
   }
 
-  /** Removes the attempts that no record names: no command has been given for them. */
+  /** Removes the attempts whose placement is not committed, for which no command has been given. */
   void detachUncommitted(Job job) {
     for (TaskAttempt attempt : job.tasks().copyOfAttempts()) {
       if (!attempt.isCommitted()) {
@@ -106,8 +109,9 @@
   }
 
   /**
-   * Gives an attempt up that was never started, though it may be by whoever finds it in the record:
-   * its task is free, its team's quota only once the record names it no more.
+   * Withdraws an attempt that was never started but that a later owner may start if it finds it in
+   * the record. Its task can be placed again at once; the team's quota is released only once a
+   * committed write no longer names the attempt.
    */
   void withdraw(TaskAttempt attempt) {
     Job job = attempt.job();
@@ -119,7 +123,9 @@
     job.requestWrite(isWaitedFor ? WriteUrgency.NOW : WriteUrgency.LATER, context.now());
   }
 
-  /** A write of a job's record is known to be committed. */
+  /**
+   * Releases the quota of the attempts that the job's record, as last committed, no longer names.
+   */
   void recordCommitted(Job job) {
     int settled = job.removeSettledWithdrawn();
     if (settled > 0) {
@@ -134,7 +140,10 @@
     }
   }
 
-  /** The attempt is surely off its machine, without a result, and can't be started any more. */
+  /**
+   * Gives up an attempt that is certainly not running any more, has left no result and can't be
+   * started again.
+   */
   void lose(TaskAttempt attempt) {
     detach(attempt);
     attempt.job().requestWrite(WriteUrgency.LATER, context.now());
@@ -142,34 +151,36 @@
 
   // ---- writes ----------------------------------------------------------------------------------
 
-  /** The jobs that may have something to write; the writer removes those that have not. */
+  /** Returns the jobs that may need a write; the writer removes those that do not. */
   Set<Job> jobsToWrite() {
     return jobsToWrite;
   }
 
-  /** Has the writer look at all jobs, for what became due without a change. */
+  /**
+   * Adds all jobs to those that the writer examines, since a write may become due without a change.
+   */
   void queueAllForReview() {
     jobsToWrite.addAll(jobs.values());
   }
 
   // ---- relinquished jobs -----------------------------------------------------------------------
 
-  /** The job of that id is another owner's. */
+  /** Records that another owner has the job. */
   void relinquish(JobId id) {
     relinquished.add(id);
   }
 
-  /** Whether the job is another owner's. */
+  /** Reports whether another owner has the job. */
   boolean isRelinquished(JobId id) {
     return relinquished.contains(id);
   }
 
-  /** Whether any job is another owner's. */
+  /** Reports whether another owner has any of the jobs. */
   boolean hasRelinquished() {
     return !relinquished.isEmpty();
   }
 
-  /** Under a higher epoch all jobs may be this owner's again. */
+  /** Forgets the relinquished jobs, which this owner may own again under a higher epoch. */
   void forgetRelinquished() {
     relinquished.clear();
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -7,13 +7,16 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * The right of this process to command and write a shard: its epoch, until when it holds, and the
- * grace period after it.
+ * This process's right to command a shard's workers and to write its records: the epoch, the end of
+ * the lease, and the grace period after it.
  *
- * <p>No other controller owns the shard before the lease ends, by this process's clock.
+ * <p>By this process's clock, no other controller owns the shard before the lease ends.
  */
 final class ShardLease {
-  /** After a leader's grant has ended: until another leads, has read its keys and is heard. */
+  /**
+   * Time after the expiry of a leader's key within which a new leader is elected, has read its keys
+   * and answers heartbeats.
+   */
   private static final int ELECTION_MS = 4000;
 
   private final StepContext context;
@@ -24,7 +27,7 @@
   private boolean relinquished;
   private boolean ended;
 
-  /** The highest epoch by which a write under the current one was refused. */
+  /** The highest epoch of a record that has refused a write under the current epoch. */
   private Epoch refusedBy = Epoch.NONE;
 
   ShardLease(StepContext context, ShardId shard, Epoch epoch) {
@@ -34,29 +37,30 @@
     this.firstEpoch = epoch;
   }
 
-  /** The shard. */
+  /** Returns the shard. */
   ShardId shard() {
     return shard;
   }
 
-  /** Whether a team's jobs are of the shard. */
+  /** Reports whether the team's jobs belong to the shard. */
   boolean isOfShard(String team) {
     return ShardId.of(team, context.settings().shards()).equals(shard);
   }
 
-  /** The current epoch. */
+  /** Returns the current epoch. */
   Epoch epoch() {
     return epoch;
   }
 
-  /** The epoch with which the ownership began: memory goes back to it. */
+  /** Returns the epoch with which the ownership began; all state in memory was built since then. */
   Epoch firstEpoch() {
     return firstEpoch;
   }
 
   /**
-   * The leader has granted the lease, or renewed it.
+   * Records that the leader has granted or renewed the lease.
    *
+   * @param until the end of the lease by this process's clock; an earlier one does not shorten it
    * @return whether the epoch has risen
    */
   boolean renew(Epoch granted, MonotonicTime until) {
@@ -73,22 +77,23 @@
     return raised;
   }
 
-  /** Whether this process may command and write now. */
+  /** Reports whether this process may command and write now. */
   boolean isValid() {
     return isValidAt(context.now());
   }
 
-  /** Whether this process may command and write at a time. */
+  /** Reports whether this process may command and write at the given time. */
   boolean isValidAt(MonotonicTime time) {
     return time.isBefore(validUntil);
   }
 
   /**
-   * The leader has not renewed the lease. From now on nothing is commanded or written, as after the
-   * lease has expired; but until a successor is named, which an outage of the state service may
-   * delay, workers' leases are renewed like in the grace period, whose length counts from here.
+   * Ends the lease because the leader has not renewed it. From now on nothing is commanded or
+   * written. The grace period starts now, unless the lease has already expired: until a successor
+   * is named, which an outage of the state service may delay, workers' leases may still be renewed.
    *
-   * @return whether this is news
+   * @param reason for the log
+   * @return false if the lease was already relinquished
    */
   boolean relinquish(String reason) {
     if (relinquished) {
@@ -103,29 +108,33 @@
     return true;
   }
 
-  /** Whether the leader did not renew the lease when it last could. */
+  /** Reports whether the lease is relinquished: the leader has stopped renewing it. */
   boolean isRelinquished() {
     return relinquished;
   }
 
-  /** The ownership is over for good: a successor is known, or the memory is out of date. */
+  /**
+   * Ends the ownership for good, because a successor is known or the state in memory is out of
+   * date.
+   */
   void end(String reason) {
     ended = true;
     context.info("shard.given_up shard=%s epoch=%s reason=\"%s\"", shard, epoch, reason);
     context.count("part.given_up");
   }
 
-  /** Whether the ownership is over for good. */
+  /** Reports whether the ownership has ended for good. */
   boolean isEnded() {
     return ended;
   }
 
   /**
-   * Whether workers' own leases may still be renewed, without commands, so that running work
-   * outlives an outage of the state service. Bounded: a new owner counts on silence after it.
+   * Reports whether workers' leases may still be renewed, without commands, so that running tasks
+   * outlive an outage of the state service. The grace period is bounded because a new owner relies
+   * on no lease being renewed after it.
    *
-   * @param isAlone whether no other controller is heard
-   * @param missesManyWorkers whether a share of the machines has just fallen silent
+   * @param isAlone whether no other controller has been heard lately
+   * @param missesManyWorkers whether a part of the machines has just stopped sending heartbeats
    */
   boolean isInGrace(boolean isAlone, boolean missesManyWorkers) {
     long expiredForMs = context.now().since(validUntil);
@@ -133,8 +142,8 @@
       return false;
     }
     if (context.isStoreReachable()) {
-      // The store is there, so a leader soon will be: as long as an election and a heartbeat take,
-      // counted from the end of an outage.
+      // The state service is reachable, so a new leader follows within the time that an election
+      // and a heartbeat take, counted from the end of the outage.
       long reachableForMs =
           Math.min(expiredForMs, context.now().since(context.storeReachableSince()));
       return reachableForMs < context.settings().leaderTtlMs() + ELECTION_MS;
@@ -142,20 +151,27 @@
     return !isAlone || missesManyWorkers || expiredForMs < context.settings().leaseMs() * 2L;
   }
 
-  /** Whether a record is another owner's: of a higher epoch, or of this one but another process. */
+  /**
+   * Reports whether a record belongs to another owner: its epoch is higher, or it is the current
+   * one and another process has written the record.
+   */
   boolean isRefusedBy(JobRecord record) {
     return record.epoch().isAbove(epoch)
         || (record.epoch().equals(epoch) && !record.writer().equals(context.writer()));
   }
 
-  /** A record of another owner has refused this one's writes. */
+  /**
+   * Records that a record of another owner has refused a write under the current epoch.
+   *
+   * @param refusing the epoch of that record
+   */
   void recordRefusal(Epoch refusing) {
     if (refusing.compareTo(refusedBy) > 0) {
       refusedBy = refusing;
     }
   }
 
-  /** The highest epoch that has refused this one; {@link Epoch#NONE} if none has. */
+  /** Returns the highest epoch that has refused the current one; {@link Epoch#NONE} if none has. */
   Epoch refusedBy() {
     return refusedBy;
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -29,14 +29,16 @@
 import shorecrank.rollout.FeatureGate;
 
 /**
- * The owner of one shard, from the grant of its epoch until a successor is known: it serves the
- * shard's jobs and machines and makes every write to its records.
+ * Owner of one shard, from the grant of its epoch until a successor is known. It serves the shard's
+ * jobs and machines and makes every write to its records.
  */
 public final class ShardOwner {
-  /** How often all machines and jobs are looked at; rounds between look at what has changed. */
+  /**
+   * Interval at which all machines and jobs are examined; rounds in between examine only changes.
+   */
   private static final int REVIEW_INTERVAL_MS = 1000;
 
-  /** A machine that has been empty for so long is one that the shard can spare. */
+  /** Time for which a machine must have been empty before it is reported as spare. */
   private static final int SPARE_IDLE_MS = 5000;
 
   private final StepContext context;
@@ -61,17 +63,19 @@
 
   private final ShardDemandReporter demandReporter;
 
-  /** Whether the leader is told what the shard needs. */
+  /** Whether the shard's demand is reported to the leader. */
   private final boolean sharesEnabled;
 
   private MonotonicTime reviewedAt = MonotonicTime.NEVER;
   private boolean missesManyWorkers;
 
   /**
-   * @param grantedAt when the epoch was granted: nobody could command the shard's workers here
-   *     before
+   * Creates the owner of a shard and logs its epoch.
+   *
+   * @param grantedAt when the epoch was granted; before then, this process handled no heartbeat of
+   *     the shard's workers as their owner
    * @param sharesEnabled whether the shard's share of the machines is balanced against those of
-   *     others
+   *     other shards
    */
   public ShardOwner(
       StepContext context,
@@ -122,7 +126,7 @@
     context.count("part.takeover");
   }
 
-  /** What becomes of the tasks of a machine that goes, and of an answer that it waits for. */
+  /** Applies the registry's decisions to the jobs and the deferred replies. */
   private final class RegistryCallbacks implements MachineRegistry.Callbacks {
     @Override
     public void loseAttempt(TaskAttempt attempt) {
@@ -135,7 +139,7 @@
     }
   }
 
-  /** What follows from writes that have their answer. */
+  /** Acts on the outcomes of writes. */
   private final class WriteListener implements JobRecordWriter.Listener {
     @Override
     public void ended(Job job, JobStatus status) {
@@ -156,52 +160,63 @@
 
   // ---- lease -----------------------------------------------------------------------------------
 
-  /** The epoch under which the shard is owned. */
+  /** Returns the epoch under which the shard is owned. */
   public Epoch epoch() {
     return lease.epoch();
   }
 
-  /** The leader has granted the lease until a time, by this process's clock, or renewed it. */
+  /**
+   * Records that the leader has granted or renewed the lease.
+   *
+   * @param until the end of the lease by this process's clock
+   */
   public void renewLease(Epoch granted, MonotonicTime until) {
     if (lease.renew(granted, until)) {
       recovery.epochRaised();
     }
   }
 
-  /** Whether this process may command and write the shard now. */
+  /** Reports whether this process may command and write the shard now. */
   public boolean isLeaseValid() {
     return lease.isValid();
   }
 
-  /** Whether this process may command and write the shard at a time. */
+  /** Reports whether this process may command and write the shard at the given time. */
   public boolean isLeaseValidAt(MonotonicTime time) {
     return lease.isValidAt(time);
   }
 
   /**
-   * The leader has not renewed the lease: nothing is commanded or written from now on.
+   * Ends the lease because the leader has not renewed it: nothing is commanded or written any more.
    *
-   * @return whether this is news
+   * @param reason for the log
+   * @return false if the lease was already relinquished
    */
   public boolean relinquish(String reason) {
     return lease.relinquish(reason);
   }
 
-  /** Whether the leader did not renew the lease when it last could. */
+  /** Reports whether the lease is relinquished: the leader has stopped renewing it. */
   public boolean isRelinquished() {
     return lease.isRelinquished();
   }
 
   /**
-   * Whether workers' leases may still be renewed, without commands, after the lease has expired.
+   * Reports whether workers' leases may still be renewed, without commands, after the lease has
+   * expired.
    *
-   * @param isAlone whether no other controller is heard
+   * @param isAlone whether no other controller has been heard lately
    */
   public boolean isInGrace(boolean isAlone) {
     return lease.isInGrace(isAlone, missesManyWorkers);
   }
 
-  /** The ownership is over for good: a successor is known, or the memory is out of date. */
+  /**
+   * Ends the ownership for good, because a successor is known or the state in memory is out of
+   * date.
+   *
+   * @param reason for the log
+   */
   public void endOwnership(String reason) {
     lease.end(reason);
     replies.sendAll();
@@ -210,15 +225,18 @@
 
   // ---- cancellations ---------------------------------------------------------------------------
 
-  /** Up to when the state service has shown this owner all cancellations. */
+  /**
+   * Returns the time up to which the state service has shown this owner all cancellations; NEVER
+   * until all records are read.
+   */
   public MonotonicTime cancellationsKnownUpTo() {
     return recovery.knownUpTo();
   }
 
   /**
-   * Whether this owner knows of all cancellations that must end before the workers' lease that it
-   * would renew does. Without that knowledge the lease has to take the tasks, also while the shard
-   * is owned.
+   * Reports whether this owner's knowledge of confirmed cancellations is recent enough to renew
+   * workers' leases. If not, the leases must be left to expire, even by a valid owner: their expiry
+   * ends the tasks whose cancellation this owner may have missed.
    */
   public boolean knowsRecentCancellations() {
     MonotonicTime horizon = cancellations.knownUpTo(recovery.knownUpTo());
@@ -226,8 +244,9 @@
   }
 
   /**
-   * A user has been told that a job is cancelled. The mark is committed and final, so its tasks may
-   * be stopped by whoever the workers still listen to, also in the grace period.
+   * Records that a user has been told that a job is cancelled. The mark of the cancellation is
+   * committed and final, so every controller that the workers still obey may stop the tasks, also
+   * in the grace period.
    */
   public void learnCancelled(JobId id) {
     Job job = jobs.find(id);
@@ -247,12 +266,15 @@
 
   // ---- rounds ----------------------------------------------------------------------------------
 
-  /** Begins to read the shard's records. */
+  /** Starts to read the shard's records. */
   public void recover() {
     recovery.list();
   }
 
-  /** One round: reads, places and writes what is due, and answers what waited for it. */
+  /**
+   * Runs one round: processes changed records, places tasks, writes records that are due, and sends
+   * the replies that waited for this.
+   */
   public void runRound(RoundBudget budget) {
     if (lease.isEnded()) {
       return;
@@ -274,7 +296,7 @@
     statusQueries.answerPending();
   }
 
-  /** Looks at all machines and jobs, for what became due without a change. */
+  /** Examines all machines and jobs once per interval, for what becomes due without a change. */
   private void reviewIfDue() {
     if (context.now().since(reviewedAt) < REVIEW_INTERVAL_MS) {
       return;
@@ -293,38 +315,45 @@
   // ---- workers and users -----------------------------------------------------------------------
 
   /**
-   * Takes a worker's heartbeat in and answers it, now or after the next commit.
+   * Handles a worker's heartbeat and answers it, now or after the next commit.
    *
-   * @param reply the request to be answered
-   * @param mayCommand whether the worker may be commanded, or its lease renewed only
+   * @param reply the number of the request to answer
+   * @param mayCommand whether the worker may be commanded; if not, only its lease is renewed
    */
   public void handleHeartbeat(long reply, WorkerHeartbeat heartbeat, boolean mayCommand) {
     heartbeats.handle(reply, heartbeat, mayCommand);
   }
 
-  /** Tells where a job stands, if this owner can. */
+  /**
+   * Queries the status of a job.
+   *
+   * @param callback receives the status; empty if this owner can't tell it
+   */
   public void queryStatus(JobId id, StatusQueries.StatusCallback callback) {
     statusQueries.query(id, recovery.isReady() && lease.isValid(), callback);
   }
 
   // ---- leader ----------------------------------------------------------------------------------
 
-  /** The machines of the shard, for what the leader says of them. */
+  /** Returns the machines of the shard. */
   public MachineRegistry machines() {
     return machines;
   }
 
-  /** Which machines the shard asks the leader to rent and to return. */
+  /**
+   * Returns the autoscaler, which decides the machines that the leader is asked to rent and to
+   * return.
+   */
   public Autoscaler autoscaler() {
     return autoscaler;
   }
 
-  /** The machine types that can be rented, by name, have changed. */
+  /** Updates the machine types that can be rented, by name. */
   public void updateCatalog(Map<String, MachineType> types) {
     machines.updateCatalog(types);
   }
 
-  /** The shard's part of the heartbeat to the leader. */
+  /** Returns the shard's part of the heartbeat to the leader. */
   public ShardReport report() {
     List<MachineName> machinesToRelease = new ArrayList<>();
     List<MachineName> spareMachines = new ArrayList<>();
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -14,22 +14,30 @@
 
 /**
  * Reads a shard's records from the state service: all of them when the ownership begins, then their
- * changes from that revision on. Where changes were missed, it begins anew.
+ * changes from that revision on. If changes were missed, all records are read again.
  */
 final class ShardRecovery {
   private static final int PAGE_ENTRIES = 200;
   private static final int LIST_TIMEOUT_MS = 4000;
 
-  /** A page that could not be read is read again after so long, and up to that much more. */
+  /**
+   * Pause before the listing starts again after an unreadable page, to which a random part of the
+   * spread is added.
+   */
   private static final int LIST_RETRY_MS = 200;
 
   private static final int LIST_RETRY_SPREAD_MS = 300;
   private static final int WATCH_RETRY_MS = 200;
 
-  /** Each opened watch is a request: a few a second carry as many changes as there are. */
+  /**
+   * Pause between watches. Each watch costs a request, and a few per second carry any number of
+   * changes.
+   */
   private static final int WATCH_PAUSE_MS = 250;
 
-  /** A watch is answered after so long at the latest: so fresh is what it proves at least. */
+  /**
+   * Longest time that the state service holds a watch open, which bounds the age of what it shows.
+   */
   private static final int WATCH_HOLD_MS = 2000;
 
   private final StepContext context;
@@ -44,7 +52,7 @@
   private MonotonicTime readyAt = MonotonicTime.NEVER;
   private boolean restartRequested;
 
-  /** Rises with each listing, so that answers to an earlier one are told apart. */
+  /** Increases with each listing, so that answers to an earlier one are recognized. */
   private long listingNumber;
 
   private boolean listingInProgress;
@@ -52,10 +60,12 @@
   private boolean watchInProgress;
   private MonotonicTime watchRetryAt = new MonotonicTime(0);
 
-  /** The revision of the store up to which all changes are known. */
+  /** Revision of the state service up to which all changes are known; -1 until the first page. */
   private long knownRevision;
 
-  /** Up to when the state service has shown all changes of records, cancellations among them. */
+  /**
+   * Time up to which the state service has shown all changes of records, including cancellations.
+   */
   private MonotonicTime knownUpTo = MonotonicTime.NEVER;
 
   ShardRecovery(
@@ -75,27 +85,33 @@
     this.cancellations = cancellations;
   }
 
-  /** Whether all records have been read. */
+  /** Reports whether all records have been read. */
   boolean isReady() {
     return ready;
   }
 
-  /** Since when all records have been read. */
+  /** Returns when the last complete listing of all records ended; NEVER if there was none. */
   MonotonicTime readyAt() {
     return readyAt;
   }
 
-  /** Up to when the state service has shown all changes; NEVER before all records were read. */
+  /**
+   * Returns the time up to which the state service has shown all changes; NEVER until all records
+   * have been read.
+   */
   MonotonicTime knownUpTo() {
     return knownUpTo;
   }
 
-  /** The epoch has risen: what was relinquished may be this owner's again. */
+  /**
+   * Requests that all records be read again if any job is relinquished, since it may belong to this
+   * owner again under the higher epoch.
+   */
   void epochRaised() {
     restartRequested |= jobs.hasRelinquished();
   }
 
-  /** Reads all records anew if the epoch has risen for it and no write is in flight. */
+  /** Reads all records again if that is requested and no write is in flight. */
   void restartIfRequested(boolean isWriteInFlight) {
     if (restartRequested && !isWriteInFlight) {
       restartRequested = false;
@@ -103,7 +119,7 @@
     }
   }
 
-  /** Forgets all jobs, to read all records anew. */
+  /** Removes all jobs, so that a new listing can begin. */
   private void restart() {
     lifecycle.forgetAll();
     ready = false;
@@ -113,14 +129,14 @@
 
   // ---- listing ---------------------------------------------------------------------------------
 
-  /** Begins to read all records, unless that is under way or it is too soon to try again. */
+  /** Starts a listing of all records, unless one is in progress or it is too soon to try again. */
   void listIfDue() {
     if (!listingInProgress && !context.now().isBefore(listRetryAt)) {
       list();
     }
   }
 
-  /** Begins to read all records. */
+  /** Starts a listing of all records. */
   void list() {
     listingInProgress = true;
     knownRevision = -1;
@@ -189,9 +205,9 @@
   // ---- watch -----------------------------------------------------------------------------------
 
   /**
-   * Waits for further changes. An answer holds all changes since the last, whatever their number:
-   * after a cut, those of the owner that has come in between, megabytes of them, which nobody here
-   * needs. So there is no watch without a lease.
+   * Opens a watch for further changes. Its answer holds all changes since the last one, whatever
+   * their number. After a network partition that would be megabytes of changes by the owner that
+   * has taken over meanwhile, all of them useless here, so there is no watch without a valid lease.
    */
   void watchIfDue() {
     if (!watchInProgress && lease.isValid() && !context.now().isBefore(watchRetryAt)) {
@@ -232,7 +248,10 @@
     }
   }
 
-  /** A record has changed: a new job, a mark of a user, a write of this owner, or another's. */
+  /**
+   * Handles a change of a record: a new job, a user's cancellation mark, or a write of this owner
+   * or another.
+   */
   private void handleChange(JobId id, Change change) {
     boolean isMarked = JobRecord.isMarked(change.value());
     if (isMarked) {
@@ -251,14 +270,16 @@
     }
     job.record().observeRevision(change.revision());
     if (isMarked && !job.isCancelled()) {
-      // What the watch shows is committed; reading the record again may fail for long.
+      // The mark is committed, since the watch shows it; reading the record again may fail for
+      // long.
       lifecycle.cancelled(job);
     }
     resolver.rereadIfOutdated(job);
   }
 
   private void addIfNewJob(JobId id, Change change) {
-    // Later changes of a job that is over may still come; only an acceptance begins one.
+    // Changes of a job that has ended may still arrive, so a job is added only for a record that no
+    // owner has written yet.
     JobRecord record =
         JobRecord.isUnclaimed(change.value()) ? JobRecord.read(change.value()) : null;
     if (record != null && record.spec().id().equals(id) && isOfShard(record)) {
--- a/src/main/java/shorecrank/coordination/shard/ShardState.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardState.java
@@ -15,7 +15,10 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** A shard as scheduling sees it: its jobs and machines, and whether they are known and owned. */
+/**
+ * View of the shard for scheduling: its jobs and machines, and whether the shard is ready and
+ * owned.
+ */
 final class ShardState implements ShardView {
   private final StepContext context;
   private final ShardLease lease;
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -24,31 +24,37 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * Answers where a shard's jobs stand. One transaction that only compares finds all records in
- * question unchanged, so no answer is older than one given elsewhere, and a burst of questions
- * costs the state service few requests.
+ * Answers queries for the status of the shard's jobs. One transaction of guards only confirms that
+ * all records concerned are unchanged. So no answer is older than one given elsewhere, and a burst
+ * of queries costs few requests to the state service.
  */
 public final class StatusQueries {
   private static final int COMPARE_TIMEOUT_MS = 1000;
 
-  /** How often a query is compared at the most. */
+  /**
+   * Maximum number of comparisons of a query, after which it is answered without the store or not
+   * at all.
+   */
   private static final int MAX_COMPARISONS = 2;
 
-  /** Guards in a transaction that only compares, for each write that one may hold. */
+  /**
+   * Number of guards that a transaction without writes may hold for each operation that a
+   * transaction with writes may hold.
+   */
   private static final int GUARDS_PER_OPERATION = 4;
 
-  /** A query compares at most this part of the guards of a transaction, as a divisor. */
+  /** A query may use at most the number of guards of one transaction divided by this. */
   private static final int QUERY_GUARD_DIVISOR = 4;
 
-  /** How many ended jobs are remembered. */
+  /** Maximum number of ended jobs whose final status is kept in memory. */
   private static final int MAX_ENDED_JOBS = 2000;
 
-  /** Takes what the store holds of a job now. */
+  /** Receives the status of a job. */
   public interface StatusCallback {
     /**
-     * A query has its answer.
+     * Called once with the answer to a query.
      *
-     * @param jobStatus empty if this owner can't tell
+     * @param jobStatus the status; empty if this owner can't tell it
      */
     void onStatus(Optional<JobStatus> jobStatus);
   }
@@ -58,10 +64,13 @@
     final Map<JobId, List<StatusCallback>> queries;
     final Transaction transaction = new Transaction();
 
-    /** What is told of each job if all its records are unchanged; jobs that can't be told lack. */
+    /**
+     * Status of each job, valid if all its guarded records are unchanged; jobs without an entry are
+     * answered with an empty status.
+     */
     final Map<JobId, JobStatus> statuses = new HashMap<>();
 
-    /** The keys that have to be unchanged, by job. */
+    /** Keys of the records that must be unchanged, by job. */
     final Map<JobId, Set<String>> keysByJob = new HashMap<>();
 
     final Set<String> guardedKeys = new HashSet<>();
@@ -70,7 +79,7 @@
       this.queries = queries;
     }
 
-    /** Guards the records of a job and of all that it needs. */
+    /** Adds guards for the records of a job and of all jobs that it depends on. */
     void guard(Job job, Collection<Job> needed) {
       Set<String> keys = new HashSet<>();
       for (Job each : needed) {
@@ -98,7 +107,7 @@
   private final ShardJobs jobs;
   private final DependencyGraph dependencies;
 
-  /** Jobs that ended here: what never changes again needs no comparison. */
+  /** Final status of jobs that ended here, which never changes again and needs no comparison. */
   private final Cache<JobId, JobStatus> ended =
       Caffeine.newBuilder().maximumSize(MAX_ENDED_JOBS).executor(Runnable::run).build();
 
@@ -111,13 +120,13 @@
     this.dependencies = dependencies;
   }
 
-  /** A job's final record is committed. */
+  /** Records the status of a job whose final record is committed. */
   void recordEnded(JobId id, JobStatus status) {
     ended.put(id, status);
   }
 
   /**
-   * Takes a query, to be answered now or by the next comparison.
+   * Answers a query now, or adds it to the next comparison.
    *
    * @param isOwner whether this process owns the shard and knows its records
    */
@@ -134,7 +143,7 @@
     return Optional.ofNullable(ended.getIfPresent(id));
   }
 
-  /** The ownership is over: others have to be asked. */
+  /** Answers all pending queries with an empty status, since the ownership has ended. */
   void close() {
     pending.values().forEach(callbacks -> complete(callbacks, Optional.empty()));
     pending.clear();
@@ -144,7 +153,10 @@
     callbacks.forEach(callback -> callback.onStatus(status));
   }
 
-  /** Answers what waits, unless a comparison is under way; once a round. */
+  /**
+   * Compares the records of the pending queries, unless a comparison is in progress; called once a
+   * round.
+   */
   void answerPending() {
     if (pending.isEmpty() || comparing) {
       return;
@@ -191,7 +203,8 @@
       complete(comparison.queries.remove(id), findEnded(id));
       return;
     }
-    // A job that waits is cancelled with any that it needs: those must be as they were, too.
+    // A job is cancelled with any job that it depends on, so the records of those are guarded
+    // too.
     int limit = maxGuards();
     Optional<Collection<Job>> needed =
         dependencies.transitiveDependencies(job, limit / QUERY_GUARD_DIVISOR);
@@ -214,8 +227,8 @@
           } else if (comparisonsLeft > 1
               && !failedKeys.isEmpty()
               && Collections.disjoint(failedKeys, comparison.keysByJob.get(id))) {
-            // Whether a refusal names all that differ is not said: what it does not name is
-            // compared once more.
+            // A conflict need not name every guard that failed, so queries whose records it does
+            // not name are compared again.
             toRetry.put(id, callbacks);
           } else {
             context.count("status.changed");
--- a/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
+++ b/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
@@ -5,7 +5,10 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Logs what an owner has read of its shard's records, and where that leaves the teams. */
+/**
+ * Logs what an owner has read of its shard's records when it takes over, and the resulting usage of
+ * the teams.
+ */
 final class TakeoverLog {
   private final StepContext context;
   private final ShardLease lease;
@@ -18,10 +21,10 @@
   }
 
   /**
-   * All records have been read.
+   * Logs that all records have been read.
    *
-   * @param revision of the store at the first page
-   * @param began when the first page was asked for
+   * @param revision of the state service at the first page
+   * @param began when the first page was requested
    */
   void logRecovered(long revision, MonotonicTime began) {
     int attempts = 0;
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -9,11 +9,13 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.WorkerMessages.TaskState;
 
-/** Gauges of what a shard's processors do: where time goes while jobs wait. */
+/**
+ * Gauges of how a shard's processors are used, which show where capacity is lost while jobs wait.
+ */
 final class UtilizationGauges {
   private UtilizationGauges() {}
 
-  /** Sets the gauges to what is known now. */
+  /** Sets the gauges that count the shard's processors by what they are used for. */
   static void update(StepContext context, ShardView shard) {
     double heard = 0;
     double commanded = 0;
@@ -49,7 +51,7 @@
     context.gauge("cpus.waited_for", waiting);
   }
 
-  /** Sets the gauges of what teams use, for each team with a limit. */
+  /** Sets the usage gauges of each team with a limit. */
   static void updateTeams(StepContext context, List<TeamUse> uses) {
     for (TeamUse use : uses) {
       String team = use.team().name();
--- a/src/main/java/shorecrank/coordination/shard/WithdrawalLog.java
+++ b/src/main/java/shorecrank/coordination/shard/WithdrawalLog.java
@@ -7,9 +7,12 @@
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.step.StepContext;
 
-/** Logs the attempts that are given up on one heartbeat of one machine, a line for each job. */
+/**
+ * Logs the attempts that are withdrawn on one heartbeat of one machine, one line per job and
+ * reason.
+ */
 final class WithdrawalLog {
-  /** What is logged in one line. */
+  /** The attempts that one line counts. */
   private record Withdrawal(Job job, WithdrawalReason reason) {}
 
   private final StepContext context;
@@ -21,12 +24,12 @@
     this.machine = machine;
   }
 
-  /** An attempt is given up. */
+  /** Adds a withdrawn attempt. */
   void add(TaskAttempt attempt, WithdrawalReason reason) {
     counts.merge(new Withdrawal(attempt.job(), reason), 1, Integer::sum);
   }
 
-  /** Logs what was given up. */
+  /** Writes the log lines. */
   void write() {
     counts.forEach(this::write);
   }
--- a/src/main/java/shorecrank/coordination/shard/WithdrawalReason.java
+++ b/src/main/java/shorecrank/coordination/shard/WithdrawalReason.java
@@ -2,27 +2,29 @@
 
 import java.util.Locale;
 
-/** Why an attempt that its worker does not list is given up. */
+/** Why an attempt that its worker does not list is withdrawn. */
 enum WithdrawalReason {
-  /** Its job is cancelled. */
+  /** The job is cancelled. */
   CANCELLED,
 
-  /** It is to be stopped for other work, or because its machine is vacated. */
+  /**
+   * The attempt is to be stopped to make room for others, or because its machine is being emptied.
+   */
   REVOKED,
 
-  /** Its machine goes away soon. */
+  /** The machine is being released, or the cloud has announced that it takes the machine back. */
   MACHINE_LEAVING,
 
-  /** Its machine does not get the answers to its heartbeats. */
+  /** The machine does not receive the answers to its heartbeats. */
   MACHINE_UNRESPONSIVE,
 
-  /** Records name more of its team than the team may use. */
+  /** The attempts that records name exceed the team's limit. */
   TEAM_ABOVE_LIMIT,
 
-  /** Its worker has listed it before and does so no more. */
+  /** The worker listed the attempt before and no longer does. */
   VANISHED;
 
-  /** As the log has it. */
+  /** Returns the name in log lines. */
   String logName() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -13,38 +13,41 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * Finds out what became of writes that were refused or got no answer: what the record says now
- * decides whether the job is still this owner's.
+ * Determines the outcome of writes that were refused or got no answer. It reads the record again,
+ * which shows whether the job still belongs to this owner.
  */
 final class WriteOutcomeResolver {
   private static final int READ_TIMEOUT_MS = 2000;
 
-  /** A record that could not be read is read again after so long, and up to as much again. */
+  /** Shortest pause before an unreadable record is read again; the longest is twice that. */
   private static final int RETRY_MS = 200;
 
   private static final int FINAL_RETRY_MS = 300;
 
-  /** What the owner does with a job once its record is known. */
+  /** Handles what a record that was read again says about its job. */
   interface JobHandler {
-    /** Whether the owner still works with this very object. */
+    /** Reports whether this object is still the owner's object for its job. */
     boolean isCurrent(Job job);
 
-    /** The record is another owner's now: the job is relinquished. */
+    /** Called when the record belongs to another owner, so that the job must be relinquished. */
     void refused(Job job, JobRecord record);
 
-    /** A write of this owner was found to be committed. */
+    /** Called when a write of this owner turns out to be committed. */
     void committed(Job job);
 
-    /** There is no record that can be read: the job is relinquished. */
+    /** Called when there is no readable record, so that the job must be relinquished. */
     void recordMissing(Job job);
 
-    /** A user's cancellation is marked on the record. */
+    /** Called when the record is marked as cancelled by a user. */
     void cancelled(Job job);
 
-    /** The job is over. */
+    /** Called when the job has ended. */
     void ended(Job job, JobState state);
 
-    /** An earlier owner's write came in before this one's: its record is what counts. */
+    /**
+     * Called when a write of an earlier owner was committed before this owner's, so that the job
+     * must be rebuilt from its record.
+     */
     void replaced(Job job, JobRecord record, Revision revision);
   }
 
@@ -61,19 +64,22 @@
     this.jobHandler = jobHandler;
   }
 
-  // ---- the machines that records name ----------------------------------------------------------
+  // ---- machine references -----------------------------------------------------------------------
 
-  /** The current write of a job's record was sent. */
+  /** Records that the current write of a job's record was sent. */
   void recordSent(Job job, JobRecord record) {
     references.recordSent(job.id(), job.record().sequence(), job.record().revision(), record);
   }
 
-  /** The write that replaces a job's record by the final one was sent. */
+  /** Records that the write was sent that replaces a job's record with the final one. */
   void recordFinalSent(Job job) {
     references.recordSent(job.id(), job.record().sequence(), job.record().revision(), Set.of());
   }
 
-  /** A write has its answer, or none in time: what that settles of the machines that it names. */
+  /**
+   * Updates the references to the machines that a write names, once it has its answer or has timed
+   * out.
+   */
   void recordAnswer(RecordWrite write, CommitResult result) {
     JobId id = write.job().id();
     if (result instanceof CommitResult.Committed committed) {
@@ -87,16 +93,16 @@
     }
   }
 
-  // ---- reading a record again ------------------------------------------------------------------
+  // ---- rereading records ------------------------------------------------------------------------
 
-  /** Reads a record again if a later revision was seen that no write in flight explains. */
+  /** Reads a record again if a later revision was seen and no write in flight explains it. */
   void rereadIfOutdated(Job job) {
     if (job.record().isOutdated() && !job.record().isInFlight()) {
       reread(job);
     }
   }
 
-  /** Reads a record again, to settle whose it is. */
+  /** Reads a record again to determine its owner. */
   void reread(Job job) {
     if (job.record().isRereading()) {
       return;
@@ -143,9 +149,9 @@
   }
 
   /**
-   * The record is no more. Either the job is over, by a write of this owner without an answer or by
-   * a later owner's: what is left of it on machines is stopped. Or it is not, and this owner is
-   * refused.
+   * Reads the final record of a job whose live record is gone. If there is one, the job has ended,
+   * by an unanswered write of this owner or a write of a later one, and what is left of it on
+   * machines is stopped. Otherwise the job no longer belongs to this owner.
    */
   private void readFinal(Job job) {
     job.record().setRereading(true);
@@ -178,7 +184,7 @@
     }
   }
 
-  // ---- what the record says --------------------------------------------------------------------
+  // ---- reconciliation ---------------------------------------------------------------------------
 
   private void reconcile(Job job, JobRecord record, Revision revision) {
     if (lease.isRefusedBy(record)) {
@@ -190,7 +196,8 @@
     boolean othersMayWrite = !isOwnWrite && (hasOwner || job.record().isClaimRequired());
     references.recordRead(job.id(), revision, record, othersMayWrite);
     if (isOwnWrite) {
-      // By its number; memory already holds all of it. Somebody may have asked to cancel on top.
+      // The record's number shows that it is a write of this object, so memory already holds its
+      // contents. Only a user's cancellation mark may have been added.
       boolean isNewlyCommitted = record.sequence() > job.record().committedSequence();
       job.adoptOwnWrite(record);
       adoptCancellation(job, record, revision);
@@ -198,7 +205,7 @@
         jobHandler.committed(job);
       }
     } else if (!hasOwner && !job.record().hasOwner()) {
-      // Nobody has claimed it: only a request to cancel changes such a record.
+      // No owner has written the record, so only a user's cancellation mark can have changed it.
       adoptCancellation(job, record, revision);
     } else {
       context.info(
--- a/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
+++ b/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
@@ -8,7 +8,11 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 
-/** Which machines records may name, while writes have no answer, are refused, or come late. */
+/**
+ * Tests which machines records may name while writes are unanswered, refused or applied late. A
+ * reference that is forgotten too soon would let a machine be handed over while a record still
+ * names it.
+ */
 class MachineReferencesTest {
   private static final JobId JOB = new JobId("wk-1");
   private static final MachineName FIRST = new MachineName("n-1");
--- a/src/test/java/shorecrank/coordination/shard/ShardJobsTest.java
+++ b/src/test/java/shorecrank/coordination/shard/ShardJobsTest.java
@@ -15,7 +15,11 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.Revision;
 
-/** Until when attempts count for their team, which may use 8 processors. */
+/**
+ * Tests how long attempts count for the quota of a team whose limit is 8 processors. A quota
+ * released too soon would let the team run more than its limit once a later owner starts a
+ * withdrawn attempt.
+ */
 class ShardJobsTest {
   private static final String TEAM = "limited";
   private static final Epoch EPOCH = new Epoch(1);
--- a/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
+++ b/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
@@ -13,7 +13,9 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
 
-/** When a shard may be commanded, and when workers' leases may still be renewed. */
+/**
+ * Tests when a shard's lease is valid, and how long workers' leases may be renewed after its end.
+ */
 class ShardLeaseTest {
   private static final Epoch EPOCH = new Epoch(5);
   private static final Epoch HIGHER = new Epoch(6);
@@ -60,7 +62,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // ms over the end, alone, misses many workers, in grace; without the state service
+    // expiredForMs, isAlone, missesManyWorkers, isInGrace; the state service is unreachable
     "-1, false, false, false",
     "0, true, false, true",
     "11999, true, false, true",
@@ -71,9 +73,9 @@
     "60000, false, true, false",
   })
   void gracePeriodLastsTwoLeasesWhenAlone(
-      long overMs, boolean isAlone, boolean missesManyWorkers, boolean isInGrace) {
+      long expiredForMs, boolean isAlone, boolean missesManyWorkers, boolean isInGrace) {
     lease.renew(EPOCH, at(100));
-    context.begin(at(100 + overMs), 0, 1);
+    context.begin(at(100 + expiredForMs), 0, 1);
     assertEquals(isInGrace, lease.isInGrace(isAlone, missesManyWorkers));
   }
 }
