--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -238,7 +238,8 @@
 
   /**
    * Revokes attempts on machines that are to be handed over, if a checkpoint keeps their progress
-   * and they have run long enough for their start to count. All other tasks there run to their end.
+   * and they have run long enough that users count the start as one. All other tasks on these
+   * machines run to their end.
    */
   void revokeMovableAttempts() {
     if (!references.isTracking()) {
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -65,7 +65,7 @@
     jobs.remove(job.id());
   }
 
-  /** Reports whether the team has a limit. */
+  /** Reports whether the team has a limit on processors or accelerators. */
   boolean isLimited(String team) {
     return quotas.isLimited(team);
   }
--- a/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
+++ b/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
@@ -42,7 +42,7 @@
     lease.renew(EPOCH, at(100));
     assertTrue(lease.relinquish("test"));
     assertFalse(lease.isValid());
-    assertFalse(lease.relinquish("test"), "no news");
+    assertFalse(lease.relinquish("test"), "already relinquished");
     lease.renew(EPOCH, at(100));
     assertFalse(lease.isRelinquished());
     assertTrue(lease.isValid());
