--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -238,7 +238,7 @@
 
   /**
    * Revokes attempts on machines that are to be handed over, if a checkpoint keeps their progress
-   * and they have run long enough that users count the start as one. All other tasks on these
+   * and they have run for {@link TaskAttempt#MIN_RUN_BEFORE_MOVE_S}. All other tasks on these
    * machines run to their end.
    */
   void revokeMovableAttempts() {
