--- a/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
+++ b/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
@@ -5,59 +5,74 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
 
-/** Which shard a machine is assigned to, as far as one shard's owner has been told. */
+/**
+ * A machine's assignment as far as the owner of one shard knows it: to this shard, to another one,
+ * or to none.
+ */
 public final class AssignmentStatus {
   private boolean assigned;
   private MonotonicTime since = MonotonicTime.NEVER;
   private boolean elsewhere;
 
-  /** Under an epoch below this its worker may have been another shard's. */
+  /** Heartbeats under a lower epoch may come from the time when another shard had the machine. */
   private Epoch requiredEpoch = Epoch.NONE;
 
   private boolean handoverRequested;
   private MoveId move = MoveId.NONE;
   private boolean arrivedFromShard;
 
-  /** Whether it is assigned to this shard. */
+  /** Reports whether the machine is assigned to this shard. */
   public boolean isAssigned() {
     return assigned;
   }
 
-  /** Since when it is assigned to this shard; it has been rented about as long. */
+  /**
+   * Returns when the machine was assigned to this shard. A machine that came straight from the
+   * cloud was rented at about that time.
+   */
   public MonotonicTime since() {
     return since;
   }
 
-  /** Whether it is assigned to another shard, whose owner may renew its worker's lease. */
+  /**
+   * Reports whether the machine is assigned to another shard, whose owner may renew the lease of
+   * its worker.
+   */
   public boolean isAssignedElsewhere() {
     return elsewhere;
   }
 
-  /** The epoch from which on the worker's heartbeats count. */
+  /** Returns the lowest epoch under which heartbeats of the machine's worker count. */
   public Epoch requiredEpoch() {
     return requiredEpoch;
   }
 
-  /** Whether it is to be emptied and handed over: nothing new is placed on it. */
+  /** Reports whether the machine has to be emptied and handed over; no task is placed on it. */
   public boolean isHandoverRequested() {
     return handoverRequested;
   }
 
-  /** The order under which it is to be handed over, or has come; {@link MoveId#NONE} if none. */
+  /**
+   * Returns the move by which the machine is to leave this shard or has come to it; {@link
+   * MoveId#NONE} if there is none.
+   */
   public MoveId move() {
     return move;
   }
 
-  /** Whether it has come from another shard, so that it ran before it was assigned here. */
+  /**
+   * Reports whether the machine came from another shard, so that it was already running when it was
+   * assigned to this one.
+   */
   public boolean hasArrivedFromOtherShard() {
     return arrivedFromShard;
   }
 
   /**
-   * It is assigned to this shard.
+   * Records that the machine is assigned to this shard.
    *
-   * @return whether it has been with another shard since, so that what its worker showed before
-   *     proves nothing now
+   * @return whether the required epoch has risen: the machine may have belonged to another shard in
+   *     between, so earlier heartbeats of its worker no longer count
    */
   public boolean assign(MachineAssignment assignment, MonotonicTime now) {
     elsewhere = false;
@@ -75,12 +90,12 @@
     return raised;
   }
 
-  /** It is assigned to another shard. */
+  /** Records that the machine is assigned to another shard. */
   public void assignElsewhere() {
     elsewhere = true;
   }
 
-  /** It is not assigned to this shard, and to no other as far as is known. */
+  /** Records that the machine is not assigned to this shard, nor to another one that is known. */
   public void unassign() {
     assigned = false;
     elsewhere = false;
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -21,74 +21,91 @@
 import shorecrank.protocol.PeerPaths;
 
 /**
- * Which cancellations users have been told of, and up to what moment all of them are known here.
+ * The cancellations that controllers have confirmed to users, and the time up to which this
+ * controller knows all of them.
  *
- * <p>A worker's lease must not be renewed by one who may have missed a cancellation for long: the
- * lease is what ends the tasks where no command does. What the state service shows counts first.
- * While it shows nothing, the other controllers can say which cancellations they have confirmed
- * since; one that is not heard, or that has begun anew since, says nothing.
+ * <p>A shard owner that may have missed a cancellation for too long must not renew workers' leases:
+ * the expiry of its worker's lease is what ends a cancelled task that no command stops. Normally an
+ * owner sees cancellations in the state service. While the state service is unreachable, this class
+ * queries the other controllers for the cancellations that they have confirmed in the meantime. A
+ * controller that does not answer, or that has restarted in the meantime, leaves a gap, and the
+ * time up to which all cancellations are known stays before that gap.
  */
 public final class CancellationLog {
-  private static final int CALL_TIMEOUT_MS = 900;
-  private static final int CALL_INTERVAL_MS = 1000;
+  private static final int QUERY_TIMEOUT_MS = 900;
+  private static final int QUERY_INTERVAL_MS = 1000;
 
-  /** A watch shows something every two seconds; after this the other controllers are asked. */
-  private static final int BLIND_MS = 3000;
+  /**
+   * The other controllers are queried once the state service has shown nothing for this long. A
+   * working watch shows something every two seconds.
+   */
+  private static final int WATCH_SILENCE_MS = 3000;
 
-  /** At least so many confirmations are kept, and as many as can be made in {@link #KEPT_S}. */
-  private static final int LEAST_KEPT = 10_000;
+  /** Lower bound on the number of confirmations to keep. */
+  private static final int MIN_HISTORY_SIZE = 10_000;
 
-  /** An owner that is without the state service for longer does not renew leases anyway. */
-  private static final int KEPT_S = 120;
+  /**
+   * The history has room for the confirmations of this many seconds at the full write rate. A shard
+   * owner cut off from the state service for longer renews no leases, so it needs no older ones.
+   */
+  private static final int HISTORY_S = 120;
 
-  /** Another controller is asked for this much more than is not known. */
-  private static final int OVERLAP_MS = 2000;
+  /** A query reaches back this much further than the time up to which cancellations are known. */
+  private static final int QUERY_OVERLAP_MS = 2000;
 
-  /** Seconds beyond the evidence's age for which an answer may name confirmations. */
-  private static final int OVERLAP_S = 2;
+  /** An answer may name confirmations this much older than the greatest useful age. */
+  private static final int ANSWER_OVERLAP_S = 2;
 
-  /** Steady clocks of two machines may drift apart by 0.05%; twice that is allowed for. */
-  private static final double DRIFT = 0.001;
+  /** Monotonic clocks of two machines may drift apart by 0.05%; twice that is allowed for. */
+  private static final double CLOCK_DRIFT = 0.001;
 
-  /** What clocks that count in milliseconds may leave out. */
-  private static final int ROUNDING_MS = 20;
+  /** Allowance for clocks that count in whole milliseconds. */
+  private static final int CLOCK_ROUNDING_MS = 20;
 
   private static final double MS_PER_S = 1000.0;
 
-  /** A span within which a controller has told all that it confirmed, by this process's clock. */
-  private record Span(MonotonicTime from, MonotonicTime to) {}
+  /** An interval of this process's clock for which all confirmations of a controller are known. */
+  private record Interval(MonotonicTime from, MonotonicTime to) {}
 
-  /** What another controller has told. */
+  /** The intervals for which another controller's confirmations are known. */
   private static final class Peer {
-    private Span last;
+    private Interval last;
 
-    /** The span before the last, if the two don't meet. */
-    private Span previous;
+    /** The interval before {@link #last}, if there is a gap between the two. */
+    private Interval previous;
 
-    private boolean asking;
-    private MonotonicTime askAt = new MonotonicTime(0);
+    private boolean queryInFlight;
+    private MonotonicTime nextQueryAt = new MonotonicTime(0);
 
-    void add(Span span) {
-      if (span.to.isBefore(span.from)) {
+    void add(Interval interval) {
+      if (interval.to.isBefore(interval.from)) {
         return;
       }
-      if (last == null || last.to.isBefore(span.from)) {
-        // It has begun anew: what its predecessor confirmed last is not known.
+      if (last == null || last.to.isBefore(interval.from)) {
+        // After a restart of the controller, its last confirmations before it are unknown.
         previous = last;
-        last = span;
+        last = interval;
       } else {
-        last = new Span(last.from.isBefore(span.from) ? last.from : span.from, span.to);
+        last =
+            new Interval(
+                last.from.isBefore(interval.from) ? last.from : interval.from, interval.to);
       }
     }
 
-    /** Up to when all that it confirmed is known, if all is known up to a time. */
-    MonotonicTime horizon(MonotonicTime known) {
+    /**
+     * Returns the time up to which all confirmations of this controller are known.
+     *
+     * @param known the time up to which they are known from the state service
+     */
+    MonotonicTime completeUpTo(MonotonicTime known) {
       return extend(extend(known, previous, known), last, known);
     }
 
-    private static MonotonicTime extend(MonotonicTime horizon, Span span, MonotonicTime known) {
-      boolean reaches = span != null && !known.isBefore(span.from) && horizon.isBefore(span.to);
-      return reaches ? span.to : horizon;
+    private static MonotonicTime extend(
+        MonotonicTime complete, Interval interval, MonotonicTime known) {
+      boolean extendsIt =
+          interval != null && !known.isBefore(interval.from) && complete.isBefore(interval.to);
+      return extendsIt ? interval.to : complete;
     }
   }
 
@@ -98,53 +115,58 @@
   private final Consumer<OwnerInfo> ownerListener;
   private final ConfirmationHistory history;
 
-  /** Jobs known to be cancelled, whoever told it. */
-  private final Cache<JobId, Boolean> known;
+  /** Jobs known to be cancelled, from the state service, a user's request or another controller. */
+  private final Cache<JobId, Boolean> cancelledJobs;
 
-  /** So many jobs an answer of another controller may name: all within the evidence's age. */
-  private final int mostAsked;
+  /**
+   * How many jobs an answer of another controller may name at most: as many as can be confirmed
+   * within {@link StepContext#evidenceMs()}.
+   */
+  private final int maxJobsPerAnswer;
 
   /**
-   * @param jobListener takes each job that a controller has confirmed as cancelled
-   * @param ownerListener takes the owners that another controller knows of
+   * @param jobListener receives each job whose cancellation a controller has confirmed and that was
+   *     not known to be cancelled before
+   * @param ownerListener receives the shard owners that another controller names in its answer
    */
   public CancellationLog(
       StepContext context, Consumer<JobId> jobListener, Consumer<OwnerInfo> ownerListener) {
     this.context = context;
     this.jobListener = jobListener;
     this.ownerListener = ownerListener;
-    // Each confirmation is a change in the state service, which takes so many a second.
-    double changesPerS = context.config().state().writeRps();
-    int mostKept = (int) Math.max(LEAST_KEPT, changesPerS * KEPT_S);
-    double evidenceS = context.maxCancellationStalenessMs() / MS_PER_S + OVERLAP_S;
-    this.mostAsked =
-        (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, changesPerS * evidenceS);
-    this.history = new ConfirmationHistory(mostKept);
-    this.known = Caffeine.newBuilder().maximumSize(mostKept).executor(Runnable::run).build();
+    // Each confirmation needs a write, so the write rate of the state service bounds them.
+    double writesPerS = context.config().state().writeRps();
+    int historySize = (int) Math.max(MIN_HISTORY_SIZE, writesPerS * HISTORY_S);
+    double evidenceS = context.maxCancellationStalenessMs() / MS_PER_S + ANSWER_OVERLAP_S;
+    this.maxJobsPerAnswer =
+        (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, writesPerS * evidenceS);
+    this.history = new ConfirmationHistory(historySize);
+    this.cancelledJobs =
+        Caffeine.newBuilder().maximumSize(historySize).executor(Runnable::run).build();
     for (NodeConfig.Member member : context.config().members()) {
       peers.put(member.label(), new Peer());
     }
   }
 
-  /** Whether the job is known to be cancelled. */
+  /** Reports whether the job is known to be cancelled. */
   public boolean isKnown(JobId id) {
-    return known.getIfPresent(id) != null;
+    return cancelledJobs.getIfPresent(id) != null;
   }
 
-  /** A committed mark of a cancellation was seen. */
+  /** Records a job whose cancellation is committed in the state service. */
   public void recordCancelled(JobId id) {
-    known.put(id, true);
+    cancelledJobs.put(id, true);
   }
 
-  /** A user is being told that the job is cancelled. */
+  /** Records that this controller confirms the cancellation of a job to a user. */
   public void recordConfirmed(JobId id) {
     if (history.add(id, context.now())) {
-      learnConfirmed(id);
+      cancelAndNotify(id);
     }
   }
 
-  /** A user was told that the job is cancelled, here or by another controller. */
-  private void learnConfirmed(JobId id) {
+  /** Records a job as cancelled, and passes it to the listener if it was not known before. */
+  private void cancelAndNotify(JobId id) {
     if (!isKnown(id)) {
       recordCancelled(id);
       jobListener.accept(id);
@@ -152,83 +174,91 @@
   }
 
   /**
-   * The moment up to which all confirmed cancellations are known here.
+   * Returns the time up to which all confirmed cancellations are known to this controller.
    *
-   * @param knownUpTo up to when the state service has shown them; NEVER if it has not
+   * @param shownUpTo the time up to which the state service has shown all cancellations; {@link
+   *     MonotonicTime#NEVER} if it has shown none
    */
-  public MonotonicTime knownUpTo(MonotonicTime knownUpTo) {
-    if (knownUpTo == MonotonicTime.NEVER) {
-      return knownUpTo;
+  public MonotonicTime knownUpTo(MonotonicTime shownUpTo) {
+    if (shownUpTo == MonotonicTime.NEVER) {
+      return shownUpTo;
     }
-    MonotonicTime all = context.now();
+    MonotonicTime earliest = context.now();
     for (Peer peer : peers.values()) {
-      MonotonicTime ofPeer = peer.horizon(knownUpTo);
-      all = ofPeer.isBefore(all) ? ofPeer : all;
+      MonotonicTime complete = peer.completeUpTo(shownUpTo);
+      earliest = complete.isBefore(earliest) ? complete : earliest;
     }
-    return all;
+    return earliest;
   }
 
   // ---- other controllers -----------------------------------------------------------------------
 
   /**
-   * Asks the other controllers if the state service shows nothing; once a round.
+   * Queries the other controllers if the state service has shown nothing for a while. Called once a
+   * round.
    *
-   * @param blindSince up to when the owner here that knows least knows all cancellations; NEVER if
-   *     there is none
+   * @param shownUpTo the time up to which the state service has shown all cancellations to every
+   *     shard owner of this process; {@link MonotonicTime#NEVER} if the process owns no shard
    */
-  public void tick(MonotonicTime blindSince) {
+  public void tick(MonotonicTime shownUpTo) {
     MonotonicTime now = context.now();
     history.tick(now);
-    boolean blind = blindSince != MonotonicTime.NEVER && now.since(blindSince) > BLIND_MS;
+    boolean isWatchSilent =
+        shownUpTo != MonotonicTime.NEVER && now.since(shownUpTo) > WATCH_SILENCE_MS;
     peers.forEach(
         (name, peer) -> {
-          if (blind && !peer.asking && !now.isBefore(peer.askAt)) {
-            ask(name, peer, blindSince);
+          if (isWatchSilent && !peer.queryInFlight && !now.isBefore(peer.nextQueryAt)) {
+            query(name, peer, shownUpTo);
           }
         });
   }
 
-  private void ask(ControllerName name, Peer peer, MonotonicTime since) {
-    peer.asking = true;
+  private void query(ControllerName name, Peer peer, MonotonicTime since) {
+    peer.queryInFlight = true;
     MonotonicTime sent = context.now();
-    peer.askAt = sent.plus(CALL_INTERVAL_MS);
+    peer.nextQueryAt = sent.plus(QUERY_INTERVAL_MS);
     context.count("cancellations.asked");
     context.callPeer(
         name,
         PeerPaths.CONFIRMED_CANCELLATIONS,
-        CancellationCodec.writeQuery(sent.since(since) + OVERLAP_MS, mostAsked),
-        CALL_TIMEOUT_MS,
+        CancellationCodec.writeQuery(sent.since(since) + QUERY_OVERLAP_MS, maxJobsPerAnswer),
+        QUERY_TIMEOUT_MS,
         (status, body) -> {
-          peer.asking = false;
+          peer.queryInFlight = false;
           if (status != OK) {
             return;
           }
-          ConfirmedCancellations confirmed = CancellationCodec.read(body, mostAsked).orElse(null);
+          ConfirmedCancellations confirmed =
+              CancellationCodec.read(body, maxJobsPerAnswer).orElse(null);
           if (confirmed == null) {
             context.reportRefusal(
                 "peer.malformed", "peer.message.malformed kind=confirmations controller=" + name);
           } else {
-            answered(peer, confirmed, sent);
+            recordAnswer(peer, confirmed, sent);
           }
         });
   }
 
-  private void answered(Peer peer, ConfirmedCancellations confirmed, MonotonicTime sent) {
-    confirmed.ids().forEach(this::learnConfirmed);
+  private void recordAnswer(Peer peer, ConfirmedCancellations confirmed, MonotonicTime sent) {
+    confirmed.ids().forEach(this::cancelAndNotify);
     confirmed.owners().forEach(ownerListener);
-    // What it says holds up to some moment after the question, and back from the answer at the
-    // most.
-    long spanMs = (long) (confirmed.spanMs() * (1 - DRIFT));
-    peer.add(new Span(context.now().plus(-spanMs + ROUNDING_MS), sent));
+    // The controller wrote its answer at an unknown time between the sending of the query and now,
+    // and reaches back spanMs from there. The interval that it covers in any case is shorter.
+    long spanMs = (long) (confirmed.spanMs() * (1 - CLOCK_DRIFT));
+    peer.add(new Interval(context.now().plus(-spanMs + CLOCK_ROUNDING_MS), sent));
   }
 
   /**
-   * What was confirmed here in so many milliseconds, for another controller. It asks because it
-   * does not reach the state service, so it is also told who owns what.
+   * Returns the cancellations that this controller has confirmed lately, as the answer to another
+   * controller. That controller queries because it does not reach the state service, so the answer
+   * also names the shard owners.
+   *
+   * @param withinMs the greatest age of a confirmation, in milliseconds
+   * @param maxJobs how many cancelled jobs to name at most
    */
   public ConfirmedCancellations recentlyConfirmed(
-      long withinMs, int most, Collection<OwnerInfo> owners) {
-    ConfirmationHistory.Recent recent = history.recent(withinMs, most, context.now());
+      long withinMs, int maxJobs, Collection<OwnerInfo> owners) {
+    ConfirmationHistory.Recent recent = history.recent(withinMs, maxJobs, context.now());
     return new ConfirmedCancellations(recent.spanMs(), recent.jobs(), List.copyOf(owners));
   }
 }
--- a/src/main/java/shorecrank/coordination/model/CommandTokens.java
+++ b/src/main/java/shorecrank/coordination/model/CommandTokens.java
@@ -7,34 +7,39 @@
 import shorecrank.protocol.Ids.TaskAttemptId;
 
 /**
- * The fencing tokens of the commands to one worker, and the direct commands that may yet act.
+ * The fencing tokens for commands to one worker, and the direct commands to it that may still take
+ * effect.
  *
- * <p>A direct command may be delayed or duplicated on its way. It goes out under a token of its
- * own; once the worker has shown a higher one, the command can have no effect any more.
+ * <p>The network may delay or duplicate a direct command. A worker rejects commands whose token is
+ * below the highest one that it has seen: once a heartbeat shows a higher token than that of a
+ * direct command, that command can no longer take effect.
  */
 public final class CommandTokens {
-  /** What answers and commands carry; numbers under one epoch only rise. */
+  /** The token for heartbeat answers and direct commands; never decreases. */
   private FencingToken current = FencingToken.NONE;
 
-  /** The highest token that the worker has shown: below that it takes no command any more. */
+  /** The highest token that the worker has shown; it rejects commands with a lower one. */
   private FencingToken shown = FencingToken.NONE;
 
-  /** Attempts started by a direct command that may yet act, and its token. */
+  /** The tokens of direct start commands that may still take effect, by the attempt to start. */
   private final Map<TaskAttemptId, FencingToken> directStarts = new HashMap<>();
 
   private int unansweredDirectCommands;
   private int answeredDirectCommands;
 
-  /** The token to use at this epoch. */
+  /** Returns the token to send with a command under an epoch. */
   public FencingToken current(Epoch epoch) {
-    FencingToken least = FencingToken.of(epoch);
-    if (least.isAbove(current)) {
-      current = least;
+    FencingToken lowest = FencingToken.of(epoch);
+    if (lowest.isAbove(current)) {
+      current = lowest;
     }
     return current;
   }
 
-  /** The token of an answer: above that of all direct starts, so that it ends them. */
+  /**
+   * Returns the token to send with a heartbeat answer. It is above the tokens of all direct start
+   * commands, so that those have no effect once the worker has seen it.
+   */
   public FencingToken aboveDirectStarts(Epoch epoch) {
     FencingToken token = current(epoch);
     if (!token.isLast() && directStarts.containsValue(token)) {
@@ -43,57 +48,63 @@
     return current;
   }
 
-  /** The highest token that the worker has shown. */
+  /** Returns the highest token that the worker has shown. */
   public FencingToken shown() {
     return shown;
   }
 
-  /** Takes in the token that a heartbeat shows. */
-  void show(FencingToken token) {
+  /** Records the token that a heartbeat shows and forgets direct starts with a lower token. */
+  void recordShown(FencingToken token) {
     shown = token;
     directStarts.values().removeIf(token::isAbove);
   }
 
-  /** The worker has begun a new incarnation, which takes no command of an earlier one. */
+  /**
+   * Forgets all direct starts, because the worker has begun a new incarnation, which rejects
+   * commands sent to an earlier one.
+   */
   void forgetDirectStarts() {
     directStarts.clear();
   }
 
-  /** A direct command is on its way; {@link #directCommandAnswered()} follows in any case. */
+  /**
+   * Records that a direct command was sent. The caller calls {@link #directCommandAnswered()} once
+   * it is answered or times out.
+   */
   public void directCommandSent() {
     unansweredDirectCommands++;
   }
 
-  /** A direct start is on its way under a token. */
+  /** Records that a direct command to start an attempt was sent under a token. */
   public void directStartSent(TaskAttemptId attempt, FencingToken token) {
     directStarts.put(attempt, token);
   }
 
-  /** A direct command was answered or has timed out. */
+  /** Records that a direct command was answered or has timed out. */
   public void directCommandAnswered() {
     unansweredDirectCommands--;
     answeredDirectCommands++;
   }
 
   /**
-   * The direct commands since the last heartbeat that may have been answered; the worker numbers
-   * their answers together with its heartbeats.
+   * Returns how many direct commands the worker may have answered since its last heartbeat. The
+   * worker numbers these answers and its heartbeats in one sequence.
    */
   int possiblyAnsweredDirectCommands() {
     return answeredDirectCommands + unansweredDirectCommands;
   }
 
-  /** Counts the direct commands answered before the next heartbeat anew. */
+  /** Resets the count of answered direct commands, because a heartbeat has arrived. */
   void resetAnsweredDirectCommands() {
     answeredDirectCommands = 0;
   }
 
-  /** Whether a direct command may yet be carried out. */
+  /** Reports whether the worker may still execute a direct command that was sent to it. */
   public boolean hasPendingDirectCommand() {
     return unansweredDirectCommands > 0 || !directStarts.isEmpty();
   }
 
-  /** Whether a direct command may yet start this attempt. */
+  /** Reports whether a direct command that was sent may still start an attempt. */
   public boolean hasPendingDirectStart(TaskAttemptId attempt) {
     return directStarts.containsKey(attempt);
   }
--- a/src/main/java/shorecrank/coordination/model/ConfirmationHistory.java
+++ b/src/main/java/shorecrank/coordination/model/ConfirmationHistory.java
@@ -8,55 +8,65 @@
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Which cancellations this controller has confirmed to users itself, and when first. */
+/**
+ * The cancellations that this controller has itself confirmed to users, with the time of the first
+ * confirmation of each.
+ */
 final class ConfirmationHistory {
-  /** So long confirmations are kept to be told to others; a grace period is never that long. */
-  private static final int KEPT_MS = 900_000;
+  /**
+   * How long a confirmation is kept. Other controllers ask for confirmations only during a grace
+   * period, which is always shorter.
+   */
+  private static final int RETENTION_MS = 900_000;
 
   /**
-   * What was confirmed lately.
+   * The jobs whose cancellation was confirmed lately.
    *
-   * @param spanMs how far back the list is complete
-   * @param jobs the jobs, the last first
+   * @param spanMs how far back from now the list is complete, in milliseconds
+   * @param jobs the jobs, the most recently confirmed first
    */
   record Recent(long spanMs, List<JobId> jobs) {}
 
-  /** The first confirmation of each job, in the order of time. */
+  /** When the cancellation of each job was first confirmed, the oldest first. */
   private final Map<JobId, MonotonicTime> confirmedAt = new LinkedHashMap<>();
 
-  /** From when on the history is complete: this process's start, or what was dropped for room. */
+  /**
+   * The time since which the history is complete: when it began, or when the confirmation that was
+   * dropped last was made. {@link MonotonicTime#NEVER} until the history has begun.
+   */
   private MonotonicTime completeFrom = MonotonicTime.NEVER;
 
-  private final int most;
+  private final int maxConfirmations;
 
   /**
-   * @param most how many confirmations are kept
+   * @param maxConfirmations how many confirmations to keep at most
    */
-  ConfirmationHistory(int most) {
-    this.most = most;
+  ConfirmationHistory(int maxConfirmations) {
+    this.maxConfirmations = maxConfirmations;
   }
 
   /**
-   * A user is being told that a job is cancelled.
+   * Records that the cancellation of a job is confirmed to a user.
    *
-   * @return whether it is the first time
+   * @return whether the history did not hold a confirmation of this job yet
    */
   boolean add(JobId id, MonotonicTime now) {
     if (confirmedAt.putIfAbsent(id, now) != null) {
       return false;
     }
-    if (confirmedAt.size() > most) {
+    if (confirmedAt.size() > maxConfirmations) {
       dropOldest();
     }
     return true;
   }
 
-  /** Begins the history if it has not begun, and drops what nobody asks for any more. */
+  /** Begins the history if it has not begun yet, and drops confirmations that are too old. */
   void tick(MonotonicTime now) {
     if (completeFrom == MonotonicTime.NEVER) {
       completeFrom = now;
     }
-    while (!confirmedAt.isEmpty() && now.since(confirmedAt.values().iterator().next()) > KEPT_MS) {
+    while (!confirmedAt.isEmpty()
+        && now.since(confirmedAt.values().iterator().next()) > RETENTION_MS) {
       dropOldest();
     }
   }
@@ -68,18 +78,20 @@
   }
 
   /**
-   * What was confirmed in the last milliseconds.
+   * Returns the jobs whose cancellation was confirmed within the last {@code withinMs}
+   * milliseconds.
    *
-   * @param mostJobs how many jobs may be named; if there are more, the span is shorter
+   * @param maxJobs how many jobs to return at most; if more were confirmed, the returned span is
+   *     shorter than {@code withinMs}
    */
-  Recent recent(long withinMs, int mostJobs, MonotonicTime now) {
+  Recent recent(long withinMs, int maxJobs, MonotonicTime now) {
     boolean hasBegun = completeFrom != MonotonicTime.NEVER;
     long spanMs = Math.min(withinMs, hasBegun ? now.since(completeFrom) : 0);
     List<JobId> jobs = new ArrayList<>();
     List<Map.Entry<JobId, MonotonicTime>> all =
         new ArrayList<>(withinMs > 0 ? confirmedAt.entrySet() : List.of());
     for (int i = all.size() - 1; i >= 0 && now.since(all.get(i).getValue()) <= spanMs; i--) {
-      if (jobs.size() == mostJobs) {
+      if (jobs.size() == maxJobs) {
         spanMs = now.since(all.get(i).getValue());
         break;
       }
--- a/src/main/java/shorecrank/coordination/model/ImageCache.java
+++ b/src/main/java/shorecrank/coordination/model/ImageCache.java
@@ -5,31 +5,39 @@
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.JobSpec;
 
-/** The images that a machine should hold or fetches now, by what was started there. */
+/**
+ * An estimate of which container images a machine holds or is fetching. It is derived from the
+ * tasks that were started on the machine, since heartbeats do not list images.
+ */
 final class ImageCache {
-  /** The least fetch rate that is believed, in gigabytes per second. */
-  private static final double LEAST_FETCH_GB_PER_S = 0.01;
+  /** Lower bound on a machine type's fetch rate; keeps estimated fetch times finite. */
+  private static final double MIN_FETCH_GB_PER_S = 0.01;
 
-  /** Images by size in gigabytes, the most lately used last. */
+  /** Sizes in gigabytes by image, the most recently used image last. */
   private final Object2DoubleLinkedOpenHashMap<String> images =
       new Object2DoubleLinkedOpenHashMap<>();
 
-  /** Tasks on the machine by their image: one of them fetches it for all. */
+  /** How many tasks on the machine use each image; the first of them fetches it for the others. */
   private final Object2IntOpenHashMap<String> tasksByImage = new Object2IntOpenHashMap<>();
 
-  /** A task with this image is placed on the machine, which fetches it if it is not there. */
+  /** Counts a task placed on the machine, which fetches the image if it does not hold it. */
   void taskAdded(String image) {
     tasksByImage.addTo(image, 1);
   }
 
-  /** A task with this image is off the machine. */
+  /** Uncounts a task with this image that has left the machine. */
   void taskRemoved(String image) {
     if (tasksByImage.addTo(image, -1) <= 1) {
       tasksByImage.removeInt(image);
     }
   }
 
-  /** A task with this image runs, so the machine holds it; others may have been evicted for it. */
+  /**
+   * Records that the machine holds the image of a job, because a task of the job runs there. Drops
+   * the least recently used images that no longer fit into the machine type's image cache.
+   *
+   * @param type the machine's type; null if it is not known, then nothing is dropped
+   */
   void store(JobSpec spec, MachineType type) {
     images.putAndMoveToLast(spec.image(), spec.imageGb());
     double sumGb = 0;
@@ -41,28 +49,28 @@
     }
   }
 
-  /** The worker has begun anew, without images. */
+  /** Forgets all images held, because a new incarnation of the worker starts without any. */
   void clear() {
     images.clear();
   }
 
-  /** Whether the image is there or on its way. */
+  /** Reports whether the machine holds the image or is fetching it. */
   boolean holdsOrFetches(String image) {
     return images.containsKey(image) || tasksByImage.containsKey(image);
   }
 
-  /** Seconds until the image is there, if a task that needs it is started now. */
+  /** Returns the estimated seconds until the machine holds the image if a task starts now. */
   double fetchSeconds(JobSpec spec, MachineType type) {
     if (images.containsKey(spec.image())) {
       return 0;
     }
     double full = fullFetchSeconds(spec, type);
-    // A fetch that is under way has done half of it on average.
+    // A fetch in progress is half done on average.
     return tasksByImage.containsKey(spec.image()) ? full / 2 : full;
   }
 
-  /** Seconds that a fetch takes from its beginning. */
+  /** Returns the estimated seconds that a complete fetch of the image takes. */
   static double fullFetchSeconds(JobSpec spec, MachineType type) {
-    return spec.imageGb() / Math.max(LEAST_FETCH_GB_PER_S, type.fetchGbPerS());
+    return spec.imageGb() / Math.max(MIN_FETCH_GB_PER_S, type.fetchGbPerS());
   }
 }
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -8,21 +8,22 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * A job's record as its owner last knew it in the state service, and the writes that are to replace
- * it: at most one at a time, each guarded by the revision of the one before.
+ * The record of a job as the shard owner last saw it in the state service, and the state of the
+ * owner's writes to it. At most one write is in flight at a time, and it is conditional on the
+ * revision that the owner saw last.
  */
 public final class JobRecordState {
-  /** Writes of one object are numbered in a range of this many bits of its own. */
+  /** Each object numbers its writes within a range of its own, of this many bits. */
   private static final int SEQUENCE_BITS = 24;
 
-  /** Writes of this object are numbered above it; no other of this process shares the range. */
+  /** Writes of this object are numbered from here on; no other object of the process overlaps. */
   private final long firstSequence;
 
   private Revision revision;
   private Epoch epoch;
   private JobStatus status;
 
-  /** The latest revision that a watch has shown. */
+  /** The latest revision of the record that a watch has shown. */
   private Revision seenRevision = Revision.ABSENT;
 
   private long sequence;
@@ -37,131 +38,154 @@
   private MonotonicTime urgentSince = MonotonicTime.NEVER;
   private MonotonicTime pausedUntil = MonotonicTime.NEVER;
 
-  /** So many more attempt ranges fit into the record; known from its last write on. */
+  /** How many more attempt ranges fit into the record; unlimited until the record is written. */
   private int rangesLeft = Integer.MAX_VALUE;
 
-  /** Whether something was placed that the next write holds. */
+  /** Whether tasks were placed since the last write was sent. */
   private boolean placementDue;
 
-  /** Whether the last write that was sent holds a placement. */
+  /** Whether the last write that was sent contains a new placement. */
   private boolean placementSent;
 
   /**
-   * @param life a number that no other object of this process has that writes this record
+   * @param instanceNumber a number that this process gives to no other object that writes records
    */
-  JobRecordState(long life) {
-    this.firstSequence = life << SEQUENCE_BITS;
+  JobRecordState(long instanceNumber) {
+    this.firstSequence = instanceNumber << SEQUENCE_BITS;
     this.sequence = firstSequence;
   }
 
-  // ---- what the store holds --------------------------------------------------------------------
+  // ---- the stored record -----------------------------------------------------------------------
 
-  /** The revision that guards the next write. */
+  /** Returns the revision of the record that the next write is conditional on. */
   public Revision revision() {
     return revision;
   }
 
-  /** What the record of {@link #revision()} says; users are told it while the revision holds. */
+  /**
+   * Returns the job's status in the record at {@link #revision()}. It may be shown to users as long
+   * as the stored record still has that revision.
+   */
   public JobStatus status() {
     return status;
   }
 
-  /** Takes over a record that another has written. */
+  /** Takes over a record that another writer has stored. */
   void adopt(JobRecord record, Revision readRevision) {
     adoptRevision(record, readRevision);
     epoch = record.epoch();
     committedSequence = sequence;
   }
 
-  /** A record was read that says no more than is known here, but for a mark of a cancellation. */
+  /**
+   * Takes over only the revision and the status of a stored record, because the rest is known. The
+   * record may differ from what is known by a request to cancel the job.
+   */
   public void adoptRevision(JobRecord record, Revision readRevision) {
     revision = readRevision;
     status = record.jobStatus();
   }
 
-  /** The record was found to hold one of this object's writes. */
+  /** Records that the stored record is one of this object's writes, which is thus committed. */
   void adoptOwnWrite(JobRecord record) {
     claimed = record.epoch().value() > 0;
     committedSequence = Math.max(committedSequence, record.sequence());
   }
 
-  /** Whether a record holds a write of this very object, so that memory is as new or newer. */
+  /**
+   * Reports whether a record was written by this very object, so that the state in memory is at
+   * least as new.
+   *
+   * @param writer this process
+   */
   public boolean isOwnWrite(JobRecord record, WriterId writer) {
     return record.writer().equals(writer) && record.sequence() > firstSequence;
   }
 
-  /** A watch has shown a revision of the record. */
+  /** Records a revision of the record that a watch has shown. */
   public void observeRevision(Revision shown) {
     if (shown.isAfter(seenRevision)) {
       seenRevision = shown;
     }
   }
 
-  /** Whether a watch has shown a later revision than the one known here. */
+  /** Reports whether a watch has shown a later revision than {@link #revision()}. */
   public boolean isOutdated() {
     return seenRevision.isAfter(revision);
   }
 
   // ---- claims ----------------------------------------------------------------------------------
 
-  /** Whether this owner has written the record, so that no earlier owner's write can follow. */
+  /**
+   * Reports whether this shard owner has written the record, so that an earlier owner's conditional
+   * write can no longer succeed.
+   */
   public boolean isClaimed() {
     return claimed;
   }
 
-  /** Whether an owner had written the record when it was last read or written. */
+  /** Reports whether any shard owner had written the record when it was last read or written. */
   public boolean hasOwner() {
     return epoch.value() > 0;
   }
 
-  /** Whether no write of an earlier owner can follow: it is claimed, or nobody has owned it. */
+  /**
+   * Reports whether no write of an earlier owner can follow: this owner has claimed the record, or
+   * no owner has ever written it.
+   */
   public boolean isFreeOfEarlierOwner() {
     return claimed || !hasOwner();
   }
 
-  /** This owner has not written the record yet. */
+  /** Records that this owner still has to claim the record, because another one has written it. */
   public void unclaim() {
     claimed = false;
   }
 
-  /** The record has to be claimed before its team's limit can be relied on. */
+  /**
+   * Requires this owner to claim the record, even if no owner has written it, before the quota use
+   * of the job's team counts as known.
+   */
   public void requireClaim() {
     claimRequired = true;
   }
 
-  /** Whether a record that nobody has owned has to be claimed all the same. */
+  /** Reports whether the record has to be claimed even if no owner has written it. */
   public boolean isClaimRequired() {
     return claimRequired;
   }
 
-  /** Whether an owner's late write can't add to the use of the job's team. */
+  /**
+   * Reports whether the quota use of the job's team is known as far as this record goes: no late
+   * write of an earlier owner can add attempts to it.
+   */
   public boolean isTeamUseKnown() {
     return claimed || (!hasOwner() && !claimRequired);
   }
 
   // ---- writes ----------------------------------------------------------------------------------
 
-  /** The number of the last write that was sent. */
+  /** Returns the sequence number of the last write that was sent. */
   public long sequence() {
     return sequence;
   }
 
-  /** The number that the next write gets. */
+  /** Returns the sequence number that the next write will have. */
   public long nextSequence() {
     return sequence + 1;
   }
 
-  /** The highest number of a write that is known to be committed. */
+  /** Returns the highest sequence number of a write that is known to be committed. */
   public long committedSequence() {
     return committedSequence;
   }
 
-  /** Whether a write has no answer yet. */
+  /** Reports whether a write was sent that has neither been answered nor timed out. */
   public boolean isInFlight() {
     return inFlight;
   }
 
-  /** A write is being sent, with all that is to be written. */
+  /** Records that a write with all pending changes is being sent. */
   public void beginWrite() {
     inFlight = true;
     sequence++;
@@ -170,12 +194,18 @@
     urgency = WriteUrgency.NONE;
   }
 
-  /** A write has its answer, or none in time. */
+  /** Records that the write in flight was answered or has timed out. */
   public void endWrite() {
     inFlight = false;
   }
 
-  /** A write is committed at a revision, under an epoch. */
+  /**
+   * Records that a write is committed.
+   *
+   * @param committed the sequence number of the write
+   * @param underEpoch the epoch that the write carried
+   * @param writtenStatus the job's status in that write
+   */
   void recordCommitted(
       long committed, Revision atRevision, Epoch underEpoch, JobStatus writtenStatus) {
     revision = atRevision;
@@ -186,92 +216,101 @@
     separate = false;
   }
 
-  /** Whether the record is being read again to settle whose it is. */
+  /** Reports whether the record is being read again to find out who wrote it last. */
   public boolean isRereading() {
     return rereading;
   }
 
-  /** The record is read again, or that has ended. */
+  /** Sets whether the record is being read again. */
   public void setRereading(boolean rereading) {
     this.rereading = rereading;
   }
 
-  // ---- what is to be written -------------------------------------------------------------------
+  // ---- pending changes -------------------------------------------------------------------------
 
-  /** How soon the record has to be written. */
+  /** Returns how soon the record has to be written. */
   public WriteUrgency urgency() {
     return urgency;
   }
 
-  /** Since when there has been something to write. */
+  /** Returns when the oldest change that is still to be written was requested. */
   public MonotonicTime urgentSince() {
     return urgentSince;
   }
 
-  /** There is something to write; an urgency asked for before is not lowered. */
-  void raiseUrgency(WriteUrgency least, MonotonicTime now) {
+  /** Raises the urgency of the next write; a higher urgency that was set before is kept. */
+  void raiseUrgency(WriteUrgency minUrgency, MonotonicTime now) {
     if (urgency == WriteUrgency.NONE) {
       urgentSince = now;
     }
-    if (least.compareTo(urgency) > 0) {
-      urgency = least;
+    if (minUrgency.compareTo(urgency) > 0) {
+      urgency = minUrgency;
     }
   }
 
-  /** Writes nothing before then. */
+  /** Sends no write before a time. */
   public void pauseUntil(MonotonicTime until) {
     pausedUntil = until;
   }
 
-  /** Whether a write may be sent now. */
+  /** Reports whether a write may be sent now. */
   public boolean isWritable(MonotonicTime now) {
     return !inFlight && !rereading && !now.isBefore(pausedUntil);
   }
 
-  /** Whether tasks may be placed: the placement goes into a write, of which only one may be out. */
+  /**
+   * Reports whether tasks of the job may be placed. A placement goes into the next write, so none
+   * is possible while a write is in flight or an earlier owner can still write the record.
+   */
   public boolean canAcceptPlacement() {
     return !inFlight && !rereading && rangesLeft > 0 && isFreeOfEarlierOwner();
   }
 
   // ---- size ------------------------------------------------------------------------------------
 
-  /** Whether it goes in a transaction of its own, because one with it was too large. */
+  /** Reports whether the record has to be written in a transaction of its own. */
   public boolean isOwnTransactionRequired() {
     return separate;
   }
 
-  /** A transaction with it was too large; it goes alone until it is through. */
+  /**
+   * Requires the record to be written in a transaction of its own until a write is committed,
+   * because a transaction that contained it was too large.
+   */
   public void requireOwnTransaction() {
     separate = true;
   }
 
-  /** Whether the state service has refused it for its size, so that the shortest form is used. */
+  /** Reports whether the record has to be written in its most compact form. */
   public boolean isCompactFormRequired() {
     return compact;
   }
 
-  /** It is written in the shortest form from now on. */
+  /**
+   * Requires the record to be written in its most compact form from now on, because the state
+   * service has rejected it as too large.
+   */
   public void requireCompactForm() {
     compact = true;
   }
 
-  /** Whether a further attempt range fits into the record. */
+  /** Reports whether another attempt range fits into the record. */
   public boolean hasRoomForRange() {
     return rangesLeft > 0;
   }
 
-  /** How many more attempt ranges fit into the record. */
+  /** Sets how many more attempt ranges fit into the record. */
   public void setRangesLeft(int ranges) {
     rangesLeft = ranges;
   }
 
-  /** A further attempt range was placed. */
+  /** Records that the tasks of another attempt range were placed. */
   public void recordPlacedRange() {
     rangesLeft--;
     placementDue = true;
   }
 
-  /** Whether the last write that was sent holds a placement. */
+  /** Reports whether the last write that was sent contains a new placement. */
   public boolean isPlacementSent() {
     return placementSent;
   }
--- a/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
+++ b/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
@@ -10,17 +10,20 @@
 import shorecrank.protocol.JobSpec;
 import shorecrank.protocol.JobSpec.Priority;
 
-/** When and how urgently a job's tasks are placed: dependencies, priority, failures. */
+/**
+ * The state that decides when and how urgently a job's tasks are placed: its unmet dependencies,
+ * its effective priority and slack, and the pauses after failures.
+ */
 public final class JobSchedulingState {
-  /** A job that fails on more machines than this is itself at fault. */
-  private static final int MOST_FAULTY_MACHINES = 2;
+  /** A job that fails on more machines than this is taken to be at fault itself. */
+  private static final int MAX_FAULTY_MACHINES = 2;
 
-  /** The pause after failures doubles so many times at the most. */
-  private static final int MOST_BACKOFF = 6;
+  /** Limits the exponential backoff to 64 times {@link #BACKOFF_MS}. */
+  private static final int MAX_BACKOFF_EXPONENT = 6;
 
   private static final long BACKOFF_MS = 1000;
 
-  /** Pause after a failure that is taken for the machine's. */
+  /** Pause of the job after a failure for which the machine is taken to be at fault. */
   private static final long RETRY_MS = 300;
 
   private final Set<JobId> unmetDependencies = new LinkedHashSet<>();
@@ -31,7 +34,9 @@
   private double slackS;
   private boolean withinGuarantee;
   private final Set<MachineName> failedOn = new ObjectOpenHashSet<>();
-  private int backoff;
+
+  /** Failures through the job's own fault since its last success; bounds the length of pauses. */
+  private int backoffExponent;
 
   JobSchedulingState(JobSpec spec, long readyAtMs) {
     this.readyAtMs = readyAtMs;
@@ -41,25 +46,31 @@
 
   // ---- dependencies ----------------------------------------------------------------------------
 
-  /** Jobs that have to be done first, as far as they are not known to be recorded as done. */
+  /**
+   * Returns the jobs on which this job depends and that are not known to be recorded as done, as a
+   * live view.
+   */
   public Set<JobId> unmetDependencies() {
     return unmetView;
   }
 
-  /** Whether it waits for no other job. */
+  /** Reports whether all dependencies of the job are met. */
   public boolean isReady() {
     return unmetDependencies.isEmpty();
   }
 
-  /** Since when it waits for no other job, on the wall clock; its acceptance if it names none. */
+  /**
+   * Returns when the job's dependencies were met, in milliseconds of the wall clock. For a job
+   * without dependencies, this is when it was accepted.
+   */
   public long readyAtMs() {
     return readyAtMs;
   }
 
   /**
-   * A job that it needs is recorded as done.
+   * Records that a job on which this one depends is recorded as done.
    *
-   * @return whether it waits for no other now
+   * @return whether all dependencies are met now
    */
   public boolean dependencyMet(JobId dependency, long wallMs) {
     unmetDependencies.remove(dependency);
@@ -70,87 +81,97 @@
     return false;
   }
 
-  /** It was placed once, so all that it needs was recorded as done. */
+  /** Marks all dependencies as met, because a task of the job was placed before. */
   void meetAllDependencies() {
     unmetDependencies.clear();
   }
 
   // ---- order -----------------------------------------------------------------------------------
 
-  /** The most urgent of its own priority and of those of jobs that need it. */
+  /** Returns the highest of the job's own priority and the priorities of jobs that depend on it. */
   public Priority priority() {
     return priority;
   }
 
-  /** Its priority, as those that need it make it. */
+  /** Sets the priority that takes the jobs that depend on this one into account. */
   public void setPriority(Priority priority) {
     this.priority = priority;
   }
 
-  /** Seconds until it must get room to reach an objective, as of the last ordering of jobs. */
+  /**
+   * Returns the seconds within which the job's tasks must be placed for it to reach an objective,
+   * as of the last sorting of the queue.
+   */
   public double slackS() {
     return slackS;
   }
 
-  /** Seconds until it must get room to reach an objective; the largest value if there is none. */
+  /**
+   * Sets the seconds within which the job's tasks must be placed for it to reach an objective.
+   *
+   * @param slackS {@link Double#MAX_VALUE} if the job has no objective or can't reach one any more
+   */
   public void setSlackS(double slackS) {
     this.slackS = slackS;
   }
 
-  /** Whether it is within its team's guarantee, so that it waits for no other team. */
+  /**
+   * Reports whether the job is within its team's guaranteed capacity, so that it does not wait for
+   * jobs of other teams.
+   */
   public boolean isWithinGuarantee() {
     return withinGuarantee;
   }
 
-  /** Whether it is within its team's guarantee. */
+  /** Sets whether the job is within its team's guaranteed capacity. */
   public void setWithinGuarantee(boolean withinGuarantee) {
     this.withinGuarantee = withinGuarantee;
   }
 
   // ---- failures --------------------------------------------------------------------------------
 
-  /** Whether its tasks may be placed, as far as earlier failures go. */
+  /** Reports whether the pause after the job's last failure is over. */
   public boolean isPauseOver(MonotonicTime now) {
     return pausedUntil.isBefore(now);
   }
 
-  /** Whether it is held back because it fails wherever it is started. */
+  /** Reports whether the job is taken to be at fault for its failures and is held back for it. */
   public boolean isBackingOff() {
-    return backoff > 0;
+    return backoffExponent > 0;
   }
 
-  /** Whether a task failed on some machine since the last success. */
+  /** Reports whether a task of the job has failed since one last succeeded. */
   public boolean hasFailed() {
     return !failedOn.isEmpty();
   }
 
-  /** Whether a task failed on that machine since the last success. */
+  /** Reports whether a task has failed on the machine since one of the job last succeeded. */
   public boolean hasFailedOn(MachineName machine) {
     return failedOn.contains(machine);
   }
 
-  /** On how many machines tasks failed since the last success. */
+  /** Returns on how many machines tasks of the job have failed since one last succeeded. */
   public int failedMachines() {
     return failedOn.size();
   }
 
-  /** A task has succeeded, so the job itself is sound. */
+  /** Records that a task has succeeded, which shows that the job itself is not at fault. */
   public void taskSucceeded() {
     failedOn.clear();
-    backoff = 0;
+    backoffExponent = 0;
   }
 
   /**
-   * A task has failed on a machine.
+   * Records that a task has failed on a machine.
    *
-   * @param jobAtFault whether the failure can't be the machine's
-   * @return whether the job is taken to be at fault, not the machine
+   * @param jobAtFault whether the machine is known not to be at fault
+   * @return whether the job is taken to be at fault rather than the machine
    */
   public boolean taskFailed(MachineName machine, boolean jobAtFault, MonotonicTime now) {
     failedOn.add(machine);
-    if (failedOn.size() > MOST_FAULTY_MACHINES || jobAtFault) {
-      backoff = Math.min(backoff + 1, MOST_BACKOFF);
-      pausedUntil = now.plus(BACKOFF_MS << backoff);
+    if (failedOn.size() > MAX_FAULTY_MACHINES || jobAtFault) {
+      backoffExponent = Math.min(backoffExponent + 1, MAX_BACKOFF_EXPONENT);
+      pausedUntil = now.plus(BACKOFF_MS << backoffExponent);
       return true;
     }
     pausedUntil = now.plus(RETRY_MS);
--- a/src/main/java/shorecrank/coordination/model/JobTasks.java
+++ b/src/main/java/shorecrank/coordination/model/JobTasks.java
@@ -13,26 +13,26 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * The tasks of one job: which are done, which run or may run somewhere, and which are free to be
- * placed.
+ * The tasks of one job: which of them are done, which may be running on a machine, and which are
+ * free to be placed.
  *
- * <p>A task is free only if it is not done, has no attempt, and no attempt of it runs that no
- * record names.
+ * <p>A task is free if it is not done, has no attempt, and no worker runs an attempt of it that the
+ * job's record does not name (an unrecorded task).
  */
 public final class JobTasks {
   private final int size;
   private final BitSet done = new BitSet();
 
-  /** All tasks that are not free to be placed. */
+  /** The tasks that are not free to be placed. */
   private final BitSet taken = new BitSet();
 
-  /** Attempts by task index, until they are surely off their machines. */
+  /** Attempts by task index. An attempt stays until it can no longer run on its machine. */
   private final Int2ObjectAVLTreeMap<TaskAttempt> attempts = new Int2ObjectAVLTreeMap<>();
 
-  /** How many attempts of a task run that no record names, by task index. */
+  /** Numbers of running attempts that the record does not name, by task index. */
   private final Int2IntOpenHashMap unrecordedTasks = new Int2IntOpenHashMap();
 
-  /** Exits that were seen and are not yet recorded, with the write that will hold them. */
+  /** Attempts whose exit is not in the record yet, with the number of the write that adds it. */
   private final Map<TaskAttemptId, Long> exits = new HashMap<>();
 
   private long lastAttemptNumber;
@@ -41,7 +41,7 @@
     this.size = size;
   }
 
-  /** Takes over what a record says of the tasks, but for its attempts. */
+  /** Takes over which tasks are done and the last attempt number from a record. */
   void adopt(BitSet recordedDone, long recordedAttemptNumber) {
     lastAttemptNumber = Math.max(lastAttemptNumber, recordedAttemptNumber);
     done.clear();
@@ -52,72 +52,72 @@
 
   // ---- done ------------------------------------------------------------------------------------
 
-  /** Whether a task has succeeded. */
+  /** Reports whether a task has succeeded. */
   public boolean isDone(int index) {
     return done.get(index);
   }
 
-  /** How many tasks have succeeded. */
+  /** Returns how many tasks have succeeded. */
   public int doneCount() {
     return done.cardinality();
   }
 
-  /** Whether all tasks have succeeded. */
+  /** Reports whether all tasks have succeeded. */
   public boolean isComplete() {
     return done.cardinality() == size;
   }
 
-  /** A task has succeeded. */
+  /** Marks a task as succeeded. */
   public void markDone(int index) {
     done.set(index);
     taken.set(index);
   }
 
-  /** The tasks that have succeeded, as of now. */
+  /** Returns a copy of the set of tasks that have succeeded. */
   BitSet copyOfDone() {
     return (BitSet) done.clone();
   }
 
   // ---- attempts --------------------------------------------------------------------------------
 
-  /** The attempt of a task; null if it has none. */
+  /** Returns the attempt of a task, or null if the task has none. */
   public TaskAttempt attempt(int index) {
     return attempts.get(index);
   }
 
-  /** All attempts in the order of their tasks; not to be changed by the caller. */
+  /** Returns a live view of all attempts in task order; the caller must not change it. */
   public Collection<TaskAttempt> attempts() {
     return attempts.values();
   }
 
-  /** All attempts in the order of their tasks, for a caller that removes some of them. */
+  /** Returns all attempts in task order, as a copy for callers that remove attempts meanwhile. */
   public List<TaskAttempt> copyOfAttempts() {
     return new ArrayList<>(attempts.values());
   }
 
-  /** How many tasks have an attempt. */
+  /** Returns how many tasks have an attempt. */
   public int attemptCount() {
     return attempts.size();
   }
 
-  /** Whether any task has an attempt. */
+  /** Reports whether any task has an attempt. */
   public boolean hasAttempts() {
     return !attempts.isEmpty();
   }
 
-  /** Whether this very attempt is the one that its task has. */
+  /** Reports whether this attempt is its task's current one, and not an earlier one. */
   public boolean isCurrent(TaskAttempt attempt) {
     return attempts.get(attempt.index()) == attempt;
   }
 
-  /** Adds an attempt here and on its machine. */
+  /** Adds an attempt to its task and to its machine. */
   void add(TaskAttempt attempt) {
     attempts.put(attempt.index(), attempt);
     taken.set(attempt.index());
     attempt.machine().add(attempt);
   }
 
-  /** Removes an attempt here and from its machine. */
+  /** Removes an attempt from its machine, and from its task if it is the current one there. */
   void remove(TaskAttempt attempt) {
     if (isCurrent(attempt)) {
       attempts.remove(attempt.index());
@@ -132,34 +132,34 @@
     }
   }
 
-  /** Whether any attempt was ever numbered, so that all that the job needs was done. */
+  /** Reports whether any task was ever placed, which implies that the dependencies were met. */
   public boolean wasPlaced() {
     return lastAttemptNumber > 0;
   }
 
-  /** The highest number of an attempt so far; 0 if there was none. */
+  /** Returns the highest attempt number used so far; 0 if there was no attempt. */
   long lastAttemptNumber() {
     return lastAttemptNumber;
   }
 
-  /** The number that the next attempts get. */
+  /** Returns the number for the next attempts that are placed together. */
   public AttemptNumber nextAttemptNumber() {
     return new AttemptNumber(lastAttemptNumber + 1);
   }
 
-  /** The next attempt number has been given away and is never used again. */
+  /** Marks the next attempt number as used, so that no later attempt gets it. */
   public void takeAttemptNumber() {
     lastAttemptNumber++;
   }
 
-  // ---- tasks that are free ---------------------------------------------------------------------
+  // ---- free tasks ------------------------------------------------------------------------------
 
-  /** How many tasks are free to be placed, if nothing holds the whole job back. */
+  /** Returns how many tasks are free to be placed, whether or not the job itself has to wait. */
   int freeCount() {
     return Math.max(0, size - taken.cardinality());
   }
 
-  /** The first free task from an index on; -1 if there is none. */
+  /** Returns the index of the first free task from an index on, or -1 if there is none. */
   public int nextFree(int from) {
     int index = taken.nextClearBit(from);
     return index < size ? index : -1;
@@ -167,13 +167,16 @@
 
   // ---- unrecorded tasks ------------------------------------------------------------------------
 
-  /** An attempt that no record names is on a machine: the task must not start elsewhere. */
+  /**
+   * Records that a machine runs an attempt of the task that the record does not name. The task must
+   * not start on another machine meanwhile.
+   */
   void markUnrecorded(int index) {
     taken.set(index);
     unrecordedTasks.addTo(index, 1);
   }
 
-  /** An attempt that no record names is off its machine. */
+  /** Records that an unrecorded attempt of the task no longer runs on its machine. */
   void unmarkUnrecorded(int index) {
     if (unrecordedTasks.addTo(index, -1) <= 1) {
       unrecordedTasks.remove(index);
@@ -181,43 +184,51 @@
     release(index);
   }
 
-  /** Whether attempts run that no record names. */
+  /** Reports whether any machine runs an attempt that the record does not name. */
   public boolean hasUnrecorded() {
     return !unrecordedTasks.isEmpty();
   }
 
   // ---- exits -----------------------------------------------------------------------------------
 
-  /** An exit was seen; a write of that number will hold it. */
+  /**
+   * Records that an attempt has exited.
+   *
+   * @param writeSequence the sequence number of the write that will remove it from the record
+   */
   public void recordExit(TaskAttemptId attempt, long writeSequence) {
     exits.put(attempt, writeSequence);
   }
 
-  /** Whether an exit was seen that is not forgotten as recorded. */
+  /** Reports whether an attempt has exited and no write without it is known to be committed. */
   public boolean hasPendingExit(TaskAttemptId attempt) {
     return exits.containsKey(attempt);
   }
 
-  /** Whether no record names the attempt any more, given the last write that was committed. */
+  /**
+   * Reports whether the record no longer names an attempt that has exited.
+   *
+   * @param committedSequence the sequence number of the last committed write
+   */
   public boolean isExitRecorded(TaskAttemptId attempt, long committedSequence) {
     Long recorded = exits.get(attempt);
     return recorded == null || recorded <= committedSequence;
   }
 
-  /** Forgets exits that a committed write holds. */
+  /** Forgets the exits that are in the record once a write is committed. */
   void forgetRecordedExits(long committedSequence) {
     exits.values().removeIf(sequence -> sequence <= committedSequence);
   }
 
   // ---- record ----------------------------------------------------------------------------------
 
-  /** The attempts as a record holds them: neighbouring tasks placed together are one range. */
+  /** Returns the attempts as ranges for the record: adjacent tasks placed together form one. */
   List<AttemptRange> ranges() {
     List<AttemptRange> ranges = new ArrayList<>();
     TaskAttempt first = null;
     int end = 0;
     for (TaskAttempt attempt : attempts.values()) {
-      // A range may span tasks that are done: they do not count as live.
+      // A range may include done tasks: readers of the record ignore those.
       if (first != null
           && attempt.machine() == first.machine()
           && attempt.incarnation().equals(first.incarnation())
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -11,12 +11,15 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
 
-/** A machine as the owner of a shard sees it. */
+/**
+ * A machine in the memory of a shard owner: its assignment, its worker's session, its health, and
+ * the tasks, images and free capacity on it.
+ */
 public final class Machine {
-  /** Absorbs the rounding errors of sums of fractional processors. */
+  /** Tolerance for the rounding errors of sums of fractional processors. */
   private static final double EPSILON = 1e-9;
 
-  /** A task that runs on the machine although no record of its job names the attempt. */
+  /** A task of which the machine runs an attempt that the job's record does not name. */
   public record UnrecordedTask(Job job, int index) {}
 
   private final MachineName name;
@@ -36,103 +39,120 @@
   private double usedGpus;
   private double usedMemoryGb;
 
-  /** The shard's machines with free processors; each keeps its own place there up to date. */
-  private final Set<Machine> withRoom;
+  /** The shard's machines with free processors; each machine adds and removes itself. */
+  private final Set<Machine> withFreeCpus;
 
-  public Machine(MachineName name, Set<Machine> withRoom) {
+  /**
+   * @param withFreeCpus a set to which the machine adds itself while it has free processors
+   */
+  public Machine(MachineName name, Set<Machine> withFreeCpus) {
     this.name = name;
-    this.withRoom = withRoom;
+    this.withFreeCpus = withFreeCpus;
   }
 
-  /** Its name. */
+  /** Returns the machine's name. */
   public MachineName name() {
     return name;
   }
 
-  /** Its type, zone and kind; null until somebody has said. */
+  /** Returns the machine's type, its zone and whether it is a spot machine; null until known. */
   public MachineInfo info() {
     return info;
   }
 
-  /** Its machine type; null while that is not known. */
+  /** Returns the machine's type in the catalog, or null if it is not known. */
   public MachineType type() {
     return type;
   }
 
-  /** What its worker's heartbeats prove. */
+  /** Returns what the heartbeats of the machine's worker have shown. */
   public WorkerSession session() {
     return session;
   }
 
-  /** Which shard it is assigned to. */
+  /** Returns which shard the machine is assigned to. */
   public AssignmentStatus assignment() {
     return assignment;
   }
 
-  /** Whether it runs what is started on it. */
+  /** Returns whether failures or a lack of room keep new tasks off the machine. */
   public MachineHealth health() {
     return health;
   }
 
-  /** The attempts placed on it, until they are surely off; not to be changed by the caller. */
+  /**
+   * Returns a live view of the attempts placed on the machine, including those that may still run
+   * there; the caller must not change it.
+   */
   public Set<TaskAttempt> attempts() {
     return attempts;
   }
 
-  /** The tasks on it whose attempts no record names; not to be changed by the caller. */
+  /**
+   * Returns a live view of the tasks that run on the machine in attempts that no record names; the
+   * caller must not change it.
+   */
   public List<UnrecordedTask> unrecordedTasks() {
     return unrecordedTasks;
   }
 
-  /** What kind of machine it is, which never changes. */
+  /** Sets the machine's type, its zone and whether it is a spot machine; they never change. */
   public void setInfo(MachineInfo info) {
     this.info = info;
   }
 
-  /** Its machine type, as the catalog now gives it; null if the catalog does not name it. */
+  /**
+   * Sets the machine's type from the catalog.
+   *
+   * @param type null if the catalog does not contain the type
+   */
   public void setType(MachineType type) {
     this.type = type;
-    updateWithRoom();
+    updateWithFreeCpus();
   }
 
-  private void updateWithRoom() {
+  private void updateWithFreeCpus() {
     if (freeCpus() > EPSILON) {
-      withRoom.add(this);
+      withFreeCpus.add(this);
     } else {
-      withRoom.remove(this);
+      withFreeCpus.remove(this);
     }
   }
 
   // ---- life cycle ------------------------------------------------------------------------------
 
-  /** Whether the cloud has given notice that it takes the machine back. */
+  /** Reports whether the cloud has announced that it will take the machine back. */
   public boolean isPreemptionNoticed() {
     return preemptionNoticed;
   }
 
-  /** Whether the machine's last heartbeat gives notice that the cloud takes it back. */
+  /**
+   * Sets whether the worker's last heartbeat announces that the cloud will take the machine back.
+   */
   public void setPreemptionNoticed(boolean preemptionNoticed) {
     this.preemptionNoticed = preemptionNoticed;
   }
 
-  /** Whether it is being returned to the cloud, for good. */
+  /** Reports whether this shard owner returns the machine to the cloud; this is never revoked. */
   public boolean isReleasing() {
     return releasing;
   }
 
-  /** Returns it to the cloud once it is empty. */
+  /** Marks the machine to be returned to the cloud; this is never revoked. */
   public void release() {
     releasing = true;
   }
 
-  /** Whether it goes away soon, by the owner's decision or the cloud's. */
+  /**
+   * Reports whether the shard owner returns the machine to the cloud or the cloud takes it back.
+   */
   public boolean isLeaving() {
     return releasing || preemptionNoticed;
   }
 
   /**
-   * Whether tasks may be placed on it, as far as is known of the machine itself; whether its worker
-   * is heard is not looked at, nor whether it is draining.
+   * Reports whether the machine's own state allows tasks to be placed on it. The caller also has to
+   * check that its worker's heartbeats arrive and that it is not draining.
    */
   public boolean acceptsTasks(MonotonicTime now) {
     return assignment.isAssigned()
@@ -143,39 +163,42 @@
         && health.acceptsTasks(now);
   }
 
-  /** Whether it is more than is needed: nothing new is placed, and it is returned once empty. */
+  /**
+   * Reports whether the machine is drained because the shard does not need it: no task is placed on
+   * it, and it is returned to the cloud once it is empty.
+   */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Places nothing new on it, so that it runs empty. */
+  /** Begins to drain the machine: no further task is placed on it. */
   public void drain() {
     draining = true;
   }
 
-  /** Takes it back into use. */
+  /** Stops draining the machine, so that tasks may be placed on it again. */
   public void cancelDrain() {
     draining = false;
   }
 
-  /** Since when nothing is known to run on it. */
+  /** Returns since when no task has been known to run on the machine. */
   public MonotonicTime idleSince() {
     return idleSince;
   }
 
-  /** Something ran on it at that time. */
+  /** Sets since when no task has been known to run on the machine. */
   public void setIdleSince(MonotonicTime time) {
     idleSince = time;
   }
 
-  /** Its worker has begun a new incarnation, which holds no image. */
+  /** Forgets which images the machine holds, because a new incarnation of its worker has none. */
   public void forgetImages() {
     images.clear();
   }
 
   // ---- attempts --------------------------------------------------------------------------------
 
-  /** An attempt is placed here. */
+  /** Adds an attempt that is placed on this machine. */
   void add(TaskAttempt attempt) {
     if (attempts.add(attempt)) {
       images.taskAdded(attempt.job().spec().image());
@@ -183,7 +206,7 @@
     }
   }
 
-  /** An attempt is surely off the machine, or its placement is taken back. */
+  /** Removes an attempt that can no longer run here, or whose placement is revoked. */
   void remove(TaskAttempt attempt) {
     if (!attempts.remove(attempt)) {
       return;
@@ -194,7 +217,10 @@
     }
   }
 
-  /** The attempt's room is given to another, which starts only after it has been stopped. */
+  /**
+   * Frees the capacity of an attempt for another one, which is placed now but is only started once
+   * this attempt has been stopped.
+   */
   public void reassignRoom(TaskAttempt attempt) {
     if (!attempt.isRoomReassigned()) {
       attempt.setRoomReassigned();
@@ -202,14 +228,14 @@
     }
   }
 
-  /** A task of the job runs here although no record names the attempt. */
+  /** Records that the machine runs an attempt of a task that the job's record does not name. */
   public void addUnrecordedTask(Job job, int index) {
     unrecordedTasks.add(new UnrecordedTask(job, index));
     job.tasks().markUnrecorded(index);
     use(job.spec(), 1);
   }
 
-  /** Nothing is known any more of tasks that no record names. */
+  /** Forgets all running tasks whose attempts no record names. */
   public void clearUnrecordedTasks() {
     for (UnrecordedTask task : unrecordedTasks) {
       task.job().tasks().unmarkUnrecorded(task.index());
@@ -222,39 +248,39 @@
     usedCpus += sign * spec.cpus();
     usedGpus += sign * spec.gpus();
     usedMemoryGb += sign * spec.memoryGb();
-    updateWithRoom();
+    updateWithFreeCpus();
   }
 
-  /** Whether nothing runs on it, as far as is known. */
+  /** Reports whether no task of this shard is known to be on the machine. */
   public boolean isEmpty() {
     return attempts.isEmpty() && unrecordedTasks.isEmpty();
   }
 
   // ---- capacity --------------------------------------------------------------------------------
 
-  /** The processors that its tasks take. */
+  /** Returns the processors that the tasks on the machine use. */
   public double usedCpus() {
     return usedCpus;
   }
 
-  /** The share of it that is taken, of what there is the least of. */
+  /** Returns the used share of the scarcest of processors, accelerators and memory, from 0 to 1. */
   public double usedShare() {
     double share = usedCpus / Math.max(EPSILON, type.cpus());
     share = Math.max(share, usedMemoryGb / Math.max(EPSILON, type.memoryGb()));
     return type.gpus() > 0 ? Math.max(share, usedGpus / type.gpus()) : share;
   }
 
-  /** The processors that no task takes; 0 while the type is not known. */
+  /** Returns the processors that no task uses; 0 if the machine's type is not known. */
   public double freeCpus() {
     return type == null ? 0 : type.cpus() - usedCpus;
   }
 
-  /** Whether it has processors that no task takes. */
+  /** Reports whether the machine has processors that no task uses. */
   public boolean hasFreeCpus() {
     return freeCpus() > EPSILON;
   }
 
-  /** How many more tasks of a job fit. */
+  /** Returns how many more tasks of a job fit on the machine, up to all tasks of the job. */
   public int fittingTasks(JobSpec spec) {
     if (type == null) {
       return 0;
@@ -270,7 +296,7 @@
     return each <= 0 ? tasks : Math.min(tasks, Math.floor(free / each + EPSILON));
   }
 
-  /** Whether a task fits once that much more is free. */
+  /** Reports whether a task of the job would fit if the given amounts were freed in addition. */
   public boolean fitsWith(JobSpec spec, double moreCpus, double moreGpus, double moreMemoryGb) {
     return type != null
         && spec.cpus() <= type.cpus() - usedCpus + moreCpus + EPSILON
@@ -278,7 +304,7 @@
         && spec.memoryGb() <= type.memoryGb() - usedMemoryGb + moreMemoryGb + EPSILON;
   }
 
-  /** Whether type, zone and kind are such as the job allows. */
+  /** Reports whether the job's constraints allow it to run on this machine when it is empty. */
   public boolean isAllowedFor(JobSpec spec) {
     return info != null && type != null && MachineConstraints.allows(spec, offer(), type);
   }
@@ -289,22 +315,22 @@
 
   // ---- images ----------------------------------------------------------------------------------
 
-  /** Seconds that a fetch of the job's image to a machine of this type takes. */
+  /** Returns the estimated seconds that a complete fetch of the job's image takes. */
   public double fullFetchSeconds(JobSpec spec) {
     return ImageCache.fullFetchSeconds(spec, type);
   }
 
-  /** Seconds until the job's image is there, if a task is started now. */
+  /** Returns the estimated seconds until the machine holds the job's image if a task starts now. */
   public double fetchSeconds(JobSpec spec) {
     return images.fetchSeconds(spec, type);
   }
 
-  /** Whether the job's image is there or on its way. */
+  /** Reports whether the machine holds the job's image or is fetching it. */
   public boolean holdsOrFetchesImage(JobSpec spec) {
     return images.holdsOrFetches(spec.image());
   }
 
-  /** A task of the job runs, so its image is there. */
+  /** Records that the machine holds the job's image, because a task of the job runs on it. */
   public void addImage(JobSpec spec) {
     images.store(spec, type);
   }
--- a/src/main/java/shorecrank/coordination/model/MachineConstraints.java
+++ b/src/main/java/shorecrank/coordination/model/MachineConstraints.java
@@ -5,11 +5,14 @@
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.JobSpec;
 
-/** Which machines a job's tasks may run on, whatever else runs there. */
+/** Decides which machines a job's tasks may run on, regardless of what else runs there. */
 public final class MachineConstraints {
   private MachineConstraints() {}
 
-  /** Whether type, zone, kind and size of an empty machine are such as the job allows. */
+  /**
+   * Reports whether a task of a job may run on an otherwise empty machine: the job allows its type
+   * and zone, allows spot machines if it is one, and needs no more than the machine has.
+   */
   public static boolean allows(JobSpec spec, Offer offer, MachineType type) {
     return (spec.machineTypes() == null || spec.machineTypes().contains(offer.type()))
         && (spec.zone() == null || spec.zone().equals(offer.zone()))
@@ -19,7 +22,9 @@
         && spec.memoryGb() <= type.memoryGb();
   }
 
-  /** Whether a task fits some machine type that the job allows. */
+  /**
+   * Reports whether the catalog has a machine type and a zone in which a task of the job may run.
+   */
   public static boolean isSatisfiable(JobSpec spec, Map<String, MachineType> catalog) {
     for (MachineType type : catalog.values()) {
       for (String zone : type.zones()) {
--- a/src/main/java/shorecrank/coordination/model/MachineHealth.java
+++ b/src/main/java/shorecrank/coordination/model/MachineHealth.java
@@ -2,44 +2,49 @@
 
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Whether a machine runs what is started on it: quarantine after failures, pauses when full. */
+/**
+ * Whether a machine is healthy enough for new tasks. It is quarantined after several failures in a
+ * row, and paused for a while when it has reported that it has no room.
+ */
 public final class MachineHealth {
   /** Failures in a row after which a machine is quarantined. */
   private static final int FAILURES_TO_QUARANTINE = 2;
 
   private static final long FIRST_QUARANTINE_MS = 30_000;
-  private static final int MOST_DOUBLINGS = 4;
+
+  /** Limits a quarantine to 16 times the first one. */
+  private static final int MAX_DOUBLINGS = 4;
 
   private MonotonicTime quarantinedUntil = MonotonicTime.NEVER;
   private MonotonicTime pausedUntil = MonotonicTime.NEVER;
   private int failuresInRow;
   private int quarantines;
 
-  /** Whether new tasks may be placed, as far as its health goes. */
+  /** Reports whether the machine is neither quarantined nor paused. */
   public boolean acceptsTasks(MonotonicTime now) {
     return quarantinedUntil.isBefore(now) && pausedUntil.isBefore(now);
   }
 
-  /** How often it has been quarantined. */
+  /** Returns how often the machine has been quarantined. */
   public int quarantines() {
     return quarantines;
   }
 
-  /** A task has succeeded. */
+  /** Records that a task on the machine has succeeded. */
   public void taskSucceeded() {
     failuresInRow = 0;
   }
 
-  /** Nothing is placed until then: the machine says that it has no room. */
+  /** Keeps new tasks off the machine until a time, because it has reported that it has no room. */
   public void pauseUntil(MonotonicTime until) {
     pausedUntil = until;
   }
 
   /**
-   * A task has failed for a reason that may be the machine's. Each quarantine is twice as long as
-   * the one before.
+   * Records that a task has failed, possibly through the machine's fault. Each quarantine lasts
+   * twice as long as the one before, up to a limit.
    *
-   * @return whether the machine is now quarantined and was not before
+   * @return whether this failure puts the machine into quarantine
    */
   public boolean taskFailed(MonotonicTime now) {
     failuresInRow++;
@@ -47,7 +52,7 @@
       return false;
     }
     quarantines++;
-    int doublings = Math.min(quarantines - 1, MOST_DOUBLINGS);
+    int doublings = Math.min(quarantines - 1, MAX_DOUBLINGS);
     quarantinedUntil = now.plus(FIRST_QUARANTINE_MS << doublings);
     return true;
   }
--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -6,11 +6,14 @@
 import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.protocol.WorkerMessages.TaskState;
 
-/** One attempt placed on a machine, from before its record is written until it is surely off. */
+/**
+ * An attempt of a task on a machine. It exists from the placement, before the job's record names
+ * it, until it can no longer run on the machine.
+ */
 public final class TaskAttempt {
   /**
-   * Seconds that an attempt has run at least before it may be moved: a start that is stopped sooner
-   * than 30 s does not count as one for users.
+   * Seconds that an attempt must have run before it is stopped to be moved. For users, a start that
+   * is stopped within 30 s does not count as a start.
    */
   public static final double MIN_RUN_BEFORE_MOVE_S = 32;
 
@@ -30,9 +33,10 @@
   private boolean roomReassigned;
 
   /**
-   * @param index of the task in its job
-   * @param incarnation of the worker under which the attempt may start
-   * @param writeSequence the write of the job's record that holds this placement
+   * @param index the index of the task in its job
+   * @param incarnation the only incarnation of the worker that may start the attempt
+   * @param writeSequence the sequence number of the write of the job's record that contains this
+   *     placement
    */
   public TaskAttempt(
       Job job,
@@ -51,7 +55,10 @@
     this.placedAt = placedAt;
   }
 
-  /** An attempt that the next write of its job's record names, on a machine as it is now. */
+  /**
+   * Creates an attempt for the present incarnation of a machine's worker. The next write of the
+   * job's record contains it.
+   */
   public static TaskAttempt place(
       Job job, int index, Machine machine, AttemptNumber number, MonotonicTime now) {
     return new TaskAttempt(
@@ -64,65 +71,65 @@
         now);
   }
 
-  /** The job that the task is of. */
+  /** Returns the job to which the task belongs. */
   public Job job() {
     return job;
   }
 
-  /** The task's index in its job. */
+  /** Returns the index of the task in its job. */
   public int index() {
     return index;
   }
 
-  /** Where it was placed. */
+  /** Returns the machine on which the attempt was placed. */
   public Machine machine() {
     return machine;
   }
 
-  /** The worker's incarnation under which it may start. */
+  /** Returns the only incarnation of the machine's worker that may start the attempt. */
   public Incarnation incarnation() {
     return incarnation;
   }
 
-  /** Its number among the attempts of the job. */
+  /** Returns the attempt's number; tasks of the job that are placed together share a number. */
   public AttemptNumber number() {
     return number;
   }
 
-  /** The attempt's id. */
+  /** Returns the attempt's id. */
   public TaskAttemptId id() {
     return new TaskAttemptId(job.spec().id(), index, number);
   }
 
-  /** The write of the job's record that holds this placement. */
+  /** Returns the sequence number of the write of the job's record that contains this placement. */
   public long writeSequence() {
     return writeSequence;
   }
 
-  /** Whether a record names the attempt, so that it may be commanded. */
+  /** Reports whether the committed record names the attempt, so that it may be started. */
   public boolean isCommitted() {
     return writeSequence <= job.record().committedSequence();
   }
 
-  /** When it was placed. */
+  /** Returns when the attempt was placed. */
   public MonotonicTime placedAt() {
     return placedAt;
   }
 
-  /** Whether its worker has listed it. */
+  /** Reports whether a heartbeat of the machine's worker has listed the attempt. */
   public boolean isListed() {
     return seen;
   }
 
-  /** Its state as last listed; null before that. */
+  /** Returns the attempt's state in the last heartbeat that listed it, or null if none has. */
   public TaskState state() {
     return state;
   }
 
   /**
-   * Its worker has listed it.
+   * Records the attempt's state in a heartbeat that lists it.
    *
-   * @return whether it is the first time that it runs
+   * @return whether this is the first heartbeat in which the attempt is running
    */
   public boolean observe(TaskState observed, MonotonicTime now) {
     seen = true;
@@ -135,10 +142,10 @@
   }
 
   /**
-   * Its start goes out.
+   * Records that a command to start the attempt is sent.
    *
-   * @param direct whether it goes out in a command of its own, not in the answer to a heartbeat
-   * @return whether it is the first time
+   * @param direct whether it is sent as a direct command instead of in a heartbeat answer
+   * @return whether it is the first start command for this attempt
    */
   public boolean recordStartSent(boolean direct) {
     startInLastAnswer |= !direct;
@@ -147,46 +154,55 @@
     return first;
   }
 
-  /** Whether its start went out at least once. */
+  /** Reports whether a command to start the attempt was ever sent. */
   public boolean isStartSent() {
     return commanded;
   }
 
-  /** Whether its start was in the answer to the machine's last heartbeat; forgotten by the call. */
+  /**
+   * Reports whether the answer to the worker's last heartbeat contained a start of this attempt,
+   * and resets that.
+   */
   public boolean takeStartInLastAnswer() {
     boolean was = startInLastAnswer;
     startInLastAnswer = false;
     return was;
   }
 
-  /** Whether it is to be stopped for other work, or because its machine is vacated. */
+  /**
+   * Reports whether the attempt has to be stopped to make room for other tasks or to empty its
+   * machine.
+   */
   public boolean isRevoked() {
     return revoked;
   }
 
-  /** Stops it for other work, or because its machine is vacated. */
+  /** Marks the attempt to be stopped, to make room for other tasks or to empty its machine. */
   public void revoke() {
     revoked = true;
   }
 
-  /** Whether its room was given to another attempt, which starts once this one was stopped. */
+  /**
+   * Reports whether the capacity that this attempt uses is already given to another attempt, which
+   * is started once this one has been stopped.
+   */
   boolean isRoomReassigned() {
     return roomReassigned;
   }
 
-  /** Its room is given to another attempt. */
+  /** Marks the capacity that this attempt uses as given to another attempt. */
   void setRoomReassigned() {
     roomReassigned = true;
   }
 
-  /** Seconds of work that stopping it now throws away. */
+  /** Returns the seconds that the attempt has been running; 0 if it has not started. */
   public double runSeconds(MonotonicTime now) {
     return runningSince == null ? 0 : now.since(runningSince) / 1000.0;
   }
 
   /**
-   * Whether it may be stopped to run elsewhere: its progress is kept in a checkpoint, its start
-   * counts, and it is not stopped yet.
+   * Reports whether the attempt may be stopped to continue on another machine: its job writes
+   * checkpoints, it has run for long enough, and it is not being stopped already.
    */
   public boolean canMoveByCheckpoint(MonotonicTime now) {
     return job.spec().checkpointIntervalS() > 0
@@ -197,7 +213,10 @@
         && runSeconds(now) > MIN_RUN_BEFORE_MOVE_S;
   }
 
-  /** Seconds until it ends by its owner's estimate; of one that runs over it a quarter more. */
+  /**
+   * Returns the seconds until the attempt ends by the user's estimate of the run time, but at least
+   * a quarter of that estimate.
+   */
   public double remainingSeconds(MonotonicTime now) {
     double estimate = Math.max(1, job.spec().estimateS());
     return Math.max(estimate / 4, estimate - runSeconds(now));
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -9,12 +9,18 @@
 import shorecrank.config.NodeConfig.Team;
 import shorecrank.protocol.JobSpec;
 
-/** What the teams of one shard use of their limits on processors and accelerators. */
+/**
+ * The quota use of the teams of one shard: the processors and accelerators of their attempts,
+ * compared with each team's limits.
+ */
 public final class TeamQuotas {
-  /** Absorbs the rounding errors of sums of fractional processors. */
+  /** Tolerance for the rounding errors of sums of fractional processors. */
   private static final double EPSILON = 1e-9;
 
-  /** What a team may still take; counts down as tasks are added in thought. */
+  /**
+   * What a team may still use. Callers subtract the tasks that they plan to place; nothing is
+   * allocated by that.
+   */
   public static final class Headroom {
     private double cpus;
     private double gpus;
@@ -25,8 +31,9 @@
     }
 
     /**
-     * How many of a job's queued tasks fit. They may take the place of the job's own withdrawn
-     * attempts: the write that names the ones is the one that names the others no more.
+     * Returns how many of a job's queued tasks fit. They may replace withdrawn attempts of the same
+     * job, because one write of the job's record removes the withdrawn attempts and adds the new
+     * ones.
      */
     public int queuedTasksThatFit(Job job) {
       JobSpec spec = job.spec();
@@ -37,18 +44,18 @@
       return (int) Math.max(0, tasks);
     }
 
-    private static double fit(double tasks, double each, double room) {
-      return each <= 0 ? tasks : Math.min(tasks, Math.floor(room / each + EPSILON));
+    private static double fit(double tasks, double each, double available) {
+      return each <= 0 ? tasks : Math.min(tasks, Math.floor(available / each + EPSILON));
     }
 
-    /** Takes room for that many tasks. */
+    /** Subtracts the processors and accelerators of a number of tasks. */
     public void take(JobSpec spec, int tasks) {
       cpus -= tasks * spec.cpus();
       gpus -= tasks * spec.gpus();
     }
   }
 
-  /** Processors and accelerators of some attempts. */
+  /** The sum of processors and accelerators of a set of attempts. */
   private static final class Amount {
     double cpus;
     double gpus;
@@ -59,12 +66,12 @@
     }
   }
 
-  /** What counts of one team. */
+  /** The attempts that count against the limits of one team. */
   private static final class Usage {
-    /** Attempts from their placement until they are surely off their machines. */
+    /** Attempts from their placement until they can no longer run. */
     final Amount placed = new Amount();
 
-    /** Attempts that were given up before they started, while records may still name them. */
+    /** Attempts that were given up before they started and that records may still name. */
     final Amount withdrawn = new Amount();
   }
 
@@ -73,7 +80,7 @@
   private final Map<String, Usage> usageByTeam = new HashMap<>();
 
   /**
-   * @param teams the teams of the platform's file, by name
+   * @param teams the configured teams, by name
    * @param machines a live view of the machines of the shard
    */
   public TeamQuotas(Map<String, Team> teams, Collection<Machine> machines) {
@@ -81,7 +88,7 @@
     this.machines = machines;
   }
 
-  /** Whether a team has a limit. */
+  /** Reports whether a team has a limit on processors or accelerators. */
   public boolean isLimited(String team) {
     return isLimited(teams.get(team));
   }
@@ -90,23 +97,26 @@
     return team != null && (team.cpusMax() > 0 || team.gpusMax() > 0);
   }
 
-  /** Counts an attempt of a job. */
+  /** Adds an attempt of a job to the use of the job's team. */
   public void allocate(JobSpec spec) {
     usage(spec).placed.add(spec, 1);
   }
 
-  /** No longer counts an attempt of a job, which can't run from now on. */
+  /** Removes an attempt of a job that can no longer run from the use of the job's team. */
   public void release(JobSpec spec) {
     usage(spec).placed.add(spec, -1);
   }
 
-  /** An attempt was given up before it started; it counts until it is settled. */
+  /**
+   * Marks an attempt that was given up before it started as withdrawn. It counts until {@link
+   * #releaseWithdrawn} is called for it.
+   */
   public void withdraw(JobSpec spec) {
     usage(spec).placed.add(spec, -1);
     usage(spec).withdrawn.add(spec, 1);
   }
 
-  /** No record names so many withdrawn attempts of a job any more. */
+  /** Removes withdrawn attempts of a job, which no record names any more, from the team's use. */
   public void releaseWithdrawn(JobSpec spec, int attempts) {
     usage(spec).withdrawn.add(spec, -attempts);
   }
@@ -115,7 +125,7 @@
     return usageByTeam.computeIfAbsent(spec.team(), name -> new Usage());
   }
 
-  /** Whether the attempts that are placed take more than the team's limit. */
+  /** Reports whether the placed attempts, without the withdrawn ones, exceed the team's limits. */
   public boolean isAboveLimit(String name) {
     Team team = teams.get(name);
     Usage usage = usageByTeam.get(name);
@@ -128,7 +138,7 @@
     return new TeamUse(team, placed.cpus, placed.gpus, withdrawn.cpus, withdrawn.gpus);
   }
 
-  /** What the teams with a limit use, in the order of their names, once they have used any. */
+  /** Returns the use of each team that has a limit and has ever used something, by team name. */
   public List<TeamUse> uses() {
     List<TeamUse> uses = new ArrayList<>();
     usageByTeam.forEach(
@@ -141,7 +151,10 @@
     return uses;
   }
 
-  /** What a team may still take; nothing if the platform's file does not name the team. */
+  /**
+   * Returns what a team may still use, after placed and withdrawn attempts and the running tasks
+   * that no record names. A team that is not configured may use nothing.
+   */
   public Headroom headroom(String name) {
     Team team = teams.get(name);
     if (team == null) {
--- a/src/main/java/shorecrank/coordination/model/WithdrawnAttempts.java
+++ b/src/main/java/shorecrank/coordination/model/WithdrawnAttempts.java
@@ -5,25 +5,26 @@
 import java.util.TreeMap;
 
 /**
- * Attempts of one job that were given up before they started, while its record in the state service
- * may still name them. A later owner would start what the record names, so they count for the
- * team's quota until a committed write names them no more.
+ * Counts the attempts of one job that were given up before they started, as long as the job's
+ * record in the state service may still name them. A later shard owner would start every attempt
+ * that the record names, so these attempts count against the team's quota until a write without
+ * them is committed.
  */
 public final class WithdrawnAttempts {
-  /** How many attempts the write of that number is the first not to name. */
+  /** Numbers of attempts, by the sequence number of the first write that does not name them. */
   private final TreeMap<Long, Integer> countByWrite = new TreeMap<>();
 
   private int count;
 
-  /** How many attempts the record may still name. */
+  /** Returns how many withdrawn attempts the record may still name. */
   public int count() {
     return count;
   }
 
   /**
-   * Adds an attempt.
+   * Adds a withdrawn attempt.
    *
-   * @param writeSequence the number of the first write that does not name it
+   * @param writeSequence the sequence number of the first write that does not name the attempt
    */
   void add(long writeSequence) {
     countByWrite.merge(writeSequence, 1, Integer::sum);
@@ -31,35 +32,35 @@
   }
 
   /**
-   * Removes the attempts that the record names no more.
+   * Removes the attempts that the record no longer names.
    *
-   * @param committedSequence the number of the last committed write
+   * @param committedSequence the sequence number of the last committed write
    * @return how many were removed
    */
-  int settle(long committedSequence) {
-    int settled = 0;
+  int removeSettled(long committedSequence) {
+    int removed = 0;
     Iterator<Map.Entry<Long, Integer>> writes = countByWrite.entrySet().iterator();
     while (writes.hasNext()) {
       Map.Entry<Long, Integer> write = writes.next();
       if (write.getKey() > committedSequence) {
         break;
       }
-      settled += write.getValue();
+      removed += write.getValue();
       writes.remove();
     }
-    count -= settled;
-    return settled;
+    count -= removed;
+    return removed;
   }
 
   /**
-   * Removes all: the record is no more, or has been read anew.
+   * Removes all attempts, because the record was deleted or has been read again.
    *
    * @return how many were removed
    */
   int clear() {
-    int cleared = count;
+    int removed = count;
     countByWrite.clear();
     count = 0;
-    return cleared;
+    return removed;
   }
 }
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -10,33 +10,39 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /**
- * The failure detector for the workers of one shard: which of them its owner hears, and what the
- * silence of the others proves.
+ * The failure detector for the workers of one shard. It finds out from which workers heartbeats
+ * arrive, and what follows from the silence of the others.
  */
 public final class WorkerLiveness {
-  /** A worker gives a heartbeat up after 4 s and tries the next controller 1 s later. */
+  /** A heartbeat times out after 4 s, and the worker tries the next controller 1 s later. */
   private static final long REDIRECT_MS = 5000;
 
-  /** Heartbeats come this much later than their interval at the most, in milliseconds per s. */
-  private static final double OVERDUE_MS_PER_S = 1250;
+  /**
+   * A heartbeat is overdue after 1.25 heartbeat intervals and {@link #OVERDUE_MARGIN_MS}; in
+   * milliseconds per second of the interval.
+   */
+  private static final double OVERDUE_MS_PER_INTERVAL_S = 1250;
 
   private static final long OVERDUE_MARGIN_MS = 2000;
 
-  /** A machine is fresh for two and a half heartbeat intervals, in milliseconds per s. */
-  private static final double FRESH_MS_PER_S = 2500;
+  /**
+   * A heartbeat is fresh for 2.5 heartbeat intervals and {@link #FRESH_MARGIN_MS}; in milliseconds
+   * per second of the interval.
+   */
+  private static final double FRESH_MS_PER_INTERVAL_S = 2500;
 
   private static final long FRESH_MARGIN_MS = 1500;
 
-  /** A worker's lease is at most so many times longer on this clock than on its own. */
+  /** Bounds the clock drift: a worker's lease lasts at most this much longer on this clock. */
   private static final double LEASE_DRIFT_FACTOR = 1.002;
 
-  /** The grace period of an earlier owner is longer by this part on its clock, as a divisor. */
+  /** Bounds the clock drift: an earlier owner's grace period is longer by 1/500 at most. */
   private static final long GRACE_DRIFT_DIVISOR = 500;
 
   private static final long TIMER_MARGIN_MS = 1000;
   private static final double MS_PER_S = 1000;
 
-  /** Machines of one zone, and how many of them are not heard. */
+  /** The machines of a zone from which heartbeats are expected, and those that are overdue. */
   private static final class ZoneCount {
     int expected;
     int unheard;
@@ -45,7 +51,7 @@
   private final StepContext context;
   private final Collection<Machine> machines;
 
-  /** When the shard was granted: before it no worker could send its heartbeats here. */
+  /** When the shard was granted to this owner; no worker could send its heartbeats here before. */
   private final MonotonicTime grantedAt;
 
   /**
@@ -60,9 +66,13 @@
   }
 
   /**
-   * Whether part of the fleet has just fallen silent. Alone and with the whole fleet around it, an
-   * owner is better replaced soon; alone with a share of it, both are cut off together, and those
-   * workers have nobody else.
+   * Reports whether heartbeats arrive from less than two thirds of the workers that have sent any
+   * to this owner.
+   *
+   * <p>This matters for an owner that reaches neither the state service nor another controller. If
+   * it still hears nearly all workers, another controller can serve them, so it should be replaced
+   * soon. If it hears only some of them, it is probably cut off together with these; no other
+   * controller can renew their leases, so it goes on doing that.
    */
   public boolean missesManyWorkers() {
     int heard = 0;
@@ -76,7 +86,10 @@
     return heard * 3 < reported * 2;
   }
 
-  /** Which workers this owner should hear and does not, for the leader to compare with others. */
+  /**
+   * Returns how many workers' heartbeats are expected and how many are overdue. The leader compares
+   * these numbers between controllers.
+   */
   public WorkerReachability reachability() {
     int expected = 0;
     int unheard = 0;
@@ -105,20 +118,26 @@
   }
 
   /**
-   * Whether its next heartbeat should have come by now. A worker whose heartbeat was lost with the
-   * last owner gives it up and turns to another controller first, so a new owner waits for that.
+   * Reports whether the next heartbeat of a machine's worker should have arrived by now. A worker
+   * whose last heartbeat went to the previous owner first waits for that heartbeat to time out and
+   * then tries another controller, so a new owner allows it that time in addition.
    */
   private boolean isOverdue(Machine machine) {
     long redirectMs = machine.session().lastHeard().isBefore(grantedAt) ? REDIRECT_MS : 0;
     return silentMs(machine)
-        > context.config().workers().reportS() * OVERDUE_MS_PER_S + OVERDUE_MARGIN_MS + redirectMs;
+        > context.config().workers().reportS() * OVERDUE_MS_PER_INTERVAL_S
+            + OVERDUE_MARGIN_MS
+            + redirectMs;
   }
 
-  /** Whether a silent machine's worker has surely killed its tasks, since its lease ran out. */
+  /**
+   * Reports whether the lease of a machine's worker has expired for certain, so that the worker has
+   * killed all its tasks.
+   */
   public boolean isLeaseExpired(Machine machine) {
     MonotonicTime from = machine.session().lastHeard();
     if (!machine.session().isConfirmed()) {
-      // An earlier owner may have gone on renewing it until its grace period was over.
+      // An earlier owner may have renewed the lease until the end of its grace period.
       long graceMs = context.settings().graceMs();
       MonotonicTime graceEnd =
           grantedAt.plus(graceMs + graceMs / GRACE_DRIFT_DIVISOR + TIMER_MARGIN_MS);
@@ -128,16 +147,19 @@
     return context.now().since(from) > leaseMs * LEASE_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
 
-  /** Milliseconds since the last confirmed heartbeat, or since this owner could have heard one. */
+  /**
+   * Returns the milliseconds since the last confirmed heartbeat of a machine's worker, or since the
+   * shard was granted to this owner if that is later.
+   */
   public long silentMs(Machine machine) {
     MonotonicTime lastHeard = machine.session().lastHeard();
     return context.now().since(lastHeard.isBefore(grantedAt) ? grantedAt : lastHeard);
   }
 
-  /** Whether what is on the machine is known from a heartbeat of late. */
+  /** Reports whether a recent heartbeat shows which tasks are on the machine. */
   public boolean isFresh(Machine machine) {
     return machine.session().isReconciled()
         && silentMs(machine)
-            < context.config().workers().reportS() * FRESH_MS_PER_S + FRESH_MARGIN_MS;
+            < context.config().workers().reportS() * FRESH_MS_PER_INTERVAL_S + FRESH_MARGIN_MS;
   }
 }
--- a/src/main/java/shorecrank/coordination/model/WorkerSession.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerSession.java
@@ -6,131 +6,150 @@
 import shorecrank.protocol.WorkerMessages.TaskState;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
-/** What the heartbeats of one worker prove: its incarnation, its liveness, and what it has seen. */
+/**
+ * What a shard owner knows of one worker from its heartbeats: the worker's incarnation, when it was
+ * last alive, which epoch and which answers of this owner it has received, and the heartbeat whose
+ * answer is deferred.
+ */
 public final class WorkerSession {
   private static final long NO_REPLY = -1;
 
-  /** A worker that missed so many answers in a row does not get them at all. */
-  private static final int UNRESPONSIVE_AFTER = 2;
+  /** A worker that has missed this many answers in a row is reported as unresponsive. */
+  private static final int MISSED_ANSWERS_TO_REPORT = 2;
 
-  /** A change of whether the worker gets the answers to its heartbeats. */
+  /** A change of whether the worker receives the answers to its heartbeats. */
   public enum Responsiveness {
+    /** Nothing to report. */
     UNCHANGED,
+    /** The worker has now missed several answers in a row. */
     LOST,
+    /** The worker has received an answer after it missed several in a row. */
     REGAINED
   }
 
   private final CommandTokens tokens = new CommandTokens();
   private Incarnation incarnation = new Incarnation(0);
 
-  /** The last incarnation whose tasks were given up as surely gone. */
+  /** The last incarnation that has ended because the worker's lease expired. */
   private Incarnation endedIncarnation = new Incarnation(-1);
 
   private long sequence = -1;
   private MonotonicTime firstHeard = MonotonicTime.NEVER;
   private MonotonicTime lastHeard = MonotonicTime.NEVER;
 
-  /** Where it takes direct commands; empty if it has not said. */
+  /** The address for direct commands, or empty if the worker has named none. */
   private String address = "";
 
-  /** It has shown this owner's epoch, so no earlier owner can renew its lease. */
+  /**
+   * Whether the worker has shown this owner's epoch, so that no earlier owner can renew its lease.
+   */
   private boolean confirmed;
 
-  /** A heartbeat was reconciled with the records, so what is on the machine is known. */
+  /** Whether a heartbeat was reconciled with the records, so that the machine's tasks are known. */
   private boolean reconciled;
 
   private WorkerHeartbeat lastHeartbeat;
 
-  /** The tasks in the last heartbeat that had not exited. */
+  /** How many tasks in the last reconciled heartbeat had not exited. */
   private int listedTasks;
 
-  /** The last heartbeat was answered with 200. */
+  /** Whether the last heartbeat was answered with status 200, or will be. */
   private boolean answered;
 
-  /** Heartbeats in a row that show that the answer before them was not taken. */
+  /** How many heartbeats in a row show that the worker has missed the answer before them. */
   private int missedAnswers;
 
   private boolean unresponsive;
   private MonotonicTime unresponsiveSince = MonotonicTime.NEVER;
 
-  /** The request whose answer waits for a commit. */
+  /** The heartbeat request whose answer is deferred until a write is committed. */
   private long deferredReply = NO_REPLY;
 
   private MonotonicTime deferredUntil = MonotonicTime.NEVER;
 
-  /** The fencing tokens of the commands to the worker. */
+  /** Returns the fencing tokens for commands to the worker. */
   public CommandTokens tokens() {
     return tokens;
   }
 
-  /** The worker's incarnation, as of its last heartbeat. */
+  /** Returns the worker's incarnation as of its last heartbeat. */
   public Incarnation incarnation() {
     return incarnation;
   }
 
-  /** The number of its last heartbeat; -1 before the first. */
+  /** Returns the sequence number of the worker's last heartbeat; -1 before the first one. */
   public long sequence() {
     return sequence;
   }
 
-  /** When its last confirmed heartbeat came; {@link MonotonicTime#NEVER} before the first. */
+  /**
+   * Returns when the last confirmed heartbeat arrived; {@link MonotonicTime#NEVER} before the first
+   * one.
+   */
   public MonotonicTime lastHeard() {
     return lastHeard;
   }
 
-  /** Whether a confirmed heartbeat has come at all. */
+  /** Reports whether a confirmed heartbeat has ever arrived. */
   public boolean hasConfirmedHeartbeat() {
     return firstHeard != MonotonicTime.NEVER;
   }
 
-  /** Where it takes direct commands; empty if it has not said. */
+  /** Returns the address for direct commands, or an empty string if the worker has named none. */
   public String address() {
     return address;
   }
 
-  /** Whether it has shown this owner's epoch, so that no earlier owner can renew its lease. */
+  /**
+   * Reports whether the worker has shown this owner's epoch, so that no earlier owner can renew its
+   * lease.
+   */
   public boolean isConfirmed() {
     return confirmed;
   }
 
-  /** Whether what is on the machine is known: a heartbeat was reconciled with the records. */
+  /**
+   * Reports whether a heartbeat was reconciled with the records, so that the tasks on the machine
+   * are known.
+   */
   public boolean isReconciled() {
     return reconciled;
   }
 
-  /** The last heartbeat that was reconciled; null before the first. */
+  /** Returns the last heartbeat that was reconciled with the records, or null before the first. */
   public WorkerHeartbeat lastHeartbeat() {
     return lastHeartbeat;
   }
 
-  /** The tasks in the last reconciled heartbeat that had not exited. */
+  /** Returns how many tasks in the last reconciled heartbeat had not exited. */
   public int listedTasks() {
     return listedTasks;
   }
 
-  /** Whether its heartbeats arrive although it seems not to get the answers. */
+  /** Reports whether the worker's heartbeats arrive while it seems to miss the answers to them. */
   public boolean isUnresponsive() {
     return unresponsive;
   }
 
-  /** Since when it has been unresponsive. */
+  /** Returns when the worker last became unresponsive. */
   public MonotonicTime unresponsiveSince() {
     return unresponsiveSince;
   }
 
-  /** How many answers in a row it has missed. */
+  /** Returns how many answers in a row the worker has missed. */
   public int missedAnswers() {
     return missedAnswers;
   }
 
-  /** Whether a heartbeat is of an incarnation that began after the one known. */
+  /** Reports whether a heartbeat is from a later incarnation than {@link #incarnation()}. */
   public boolean isNewIncarnation(WorkerHeartbeat heartbeat) {
     return heartbeat.incarnation().compareTo(incarnation) > 0;
   }
 
   /**
-   * Whether a heartbeat is a late or repeated one: incarnation and number must rise, and an
-   * incarnation whose tasks were given up as surely gone is not listened to again.
+   * Reports whether a heartbeat is delayed or duplicated and must be ignored. Its incarnation or
+   * sequence number has to be higher than the last one, and its incarnation must not have ended by
+   * the expiry of the worker's lease: the tasks of that incarnation count as lost.
    */
   public boolean isStale(WorkerHeartbeat heartbeat) {
     int order = heartbeat.incarnation().compareTo(incarnation);
@@ -140,25 +159,25 @@
   }
 
   /**
-   * Whether the worker has stayed with this owner since its last heartbeat: it got the answer, and
-   * its numbers leave room for no other controller in between.
+   * Reports whether the worker has sent its heartbeats to no other controller since its last one to
+   * this owner: the owner has answered that one, and no sequence number is missing in between.
    */
   public boolean isConsecutive(WorkerHeartbeat heartbeat) {
-    // Answers to direct commands are numbered with its heartbeats.
+    // The worker numbers its answers to direct commands and its heartbeats in one sequence.
     return heartbeat.incarnation().equals(incarnation)
         && heartbeat.sequence() <= sequence + 1 + tokens.possiblyAnsweredDirectCommands()
         && answered
         && !hasDeferredReply();
   }
 
-  /** Where the worker takes direct commands. */
+  /** Sets the address for direct commands; empty if the worker has named none. */
   public void setAddress(String address) {
     this.address = address;
   }
 
   /**
-   * Takes in a heartbeat that has not shown this owner's epoch, which may be a late copy of an old
-   * one.
+   * Records a heartbeat that does not show this owner's epoch. It may be a delayed copy, so it does
+   * not prove that the worker is alive.
    */
   public void recordUnconfirmed(WorkerHeartbeat heartbeat) {
     incarnation = heartbeat.incarnation();
@@ -166,13 +185,13 @@
     answered = true;
   }
 
-  /** Takes in a heartbeat that has shown this owner's epoch, which proves that the worker lives. */
+  /** Records a heartbeat that shows this owner's epoch, which proves that the worker is alive. */
   public void recordConfirmed(WorkerHeartbeat heartbeat, MonotonicTime now) {
     tokens.resetAnsweredDirectCommands();
     if (isNewIncarnation(heartbeat)) {
       tokens.forgetDirectStarts();
     }
-    tokens.show(heartbeat.token());
+    tokens.recordShown(heartbeat.token());
     lastHeard = now;
     if (firstHeard == MonotonicTime.NEVER) {
       firstHeard = now;
@@ -183,7 +202,7 @@
     answered = true;
   }
 
-  /** A heartbeat has been reconciled with the records. */
+  /** Records that a heartbeat was reconciled with the records. */
   public void recordReconciled(WorkerHeartbeat heartbeat) {
     lastHeartbeat = heartbeat;
     listedTasks = 0;
@@ -192,13 +211,14 @@
   }
 
   /**
-   * Takes in whether the last heartbeat shows that the answer before it was taken.
+   * Records whether the last heartbeat shows that the worker has received the answer before it. The
+   * first missed answer makes the worker unresponsive; only several in a row are reported.
    *
-   * @return whether the worker has just become unresponsive or responsive again
+   * @return the change to report
    */
   public Responsiveness recordAnswerTaken(boolean taken, MonotonicTime now) {
     if (taken) {
-      boolean regained = unresponsive && missedAnswers >= UNRESPONSIVE_AFTER;
+      boolean regained = unresponsive && missedAnswers >= MISSED_ANSWERS_TO_REPORT;
       unresponsive = false;
       missedAnswers = 0;
       return regained ? Responsiveness.REGAINED : Responsiveness.UNCHANGED;
@@ -208,21 +228,23 @@
       unresponsiveSince = now;
     }
     missedAnswers++;
-    return missedAnswers == UNRESPONSIVE_AFTER ? Responsiveness.LOST : Responsiveness.UNCHANGED;
+    return missedAnswers == MISSED_ANSWERS_TO_REPORT
+        ? Responsiveness.LOST
+        : Responsiveness.UNCHANGED;
   }
 
-  /** What is on the machine is no longer known. */
+  /** Records that the tasks on the machine are no longer known. */
   public void forgetReconciliation() {
     reconciled = false;
   }
 
-  /** What the worker has shown before proves nothing any more. */
+  /** Records that the worker has to show this owner's epoch again before its heartbeats count. */
   public void forgetConfirmation() {
     confirmed = false;
     reconciled = false;
   }
 
-  /** The worker's lease has surely run out, and with it the incarnation. */
+  /** Records that the worker's lease has expired for certain, which ends its incarnation. */
   public void endIncarnation() {
     reconciled = false;
     if (endedIncarnation.compareTo(incarnation) < 0) {
@@ -230,7 +252,7 @@
     }
   }
 
-  /** Whether it can be sent direct commands under an epoch. */
+  /** Reports whether direct commands may be sent to the worker under an epoch. */
   public boolean acceptsDirectCommands(Epoch epoch) {
     return !address.isEmpty()
         && confirmed
@@ -239,7 +261,10 @@
         && !tokens.current(epoch).isLast();
   }
 
-  /** Seconds until it can be told something: in the answer to its next heartbeat. */
+  /**
+   * Returns the seconds until a heartbeat answer can carry a command: 0 if an answer is deferred,
+   * else until the next heartbeat is due.
+   */
   public double secondsToNextAnswer(MonotonicTime now, double heartbeatIntervalS) {
     if (hasDeferredReply()) {
       return 0;
@@ -247,30 +272,34 @@
     return Math.max(0, heartbeatIntervalS - now.since(lastHeard) / 1000.0);
   }
 
-  /** Whether the answer to its last heartbeat waits for a commit. */
+  /** Reports whether the answer to the last heartbeat is deferred until a write is committed. */
   public boolean hasDeferredReply() {
     return deferredReply != NO_REPLY;
   }
 
-  /** Until when the answer may wait. */
+  /** Returns until when the answer to the last heartbeat may be deferred. */
   public MonotonicTime deferredUntil() {
     return deferredUntil;
   }
 
-  /** Holds the answer to the last heartbeat back. */
+  /**
+   * Defers the answer to the last heartbeat.
+   *
+   * @param reply identifies the heartbeat request to answer
+   */
   public void deferReply(long reply, MonotonicTime until) {
     deferredReply = reply;
     deferredUntil = until;
   }
 
-  /** Takes the request whose answer was held back, which is answered now with 200. */
+  /** Returns the request whose answer was deferred; the caller answers it now with status 200. */
   public long takeDeferredReply() {
     long reply = deferredReply;
     deferredReply = NO_REPLY;
     return reply;
   }
 
-  /** Takes the request whose answer was held back, which is refused. */
+  /** Returns the request whose answer was deferred; the caller refuses it now. */
   public long refuseDeferredReply() {
     answered = false;
     return takeDeferredReply();
--- a/src/main/java/shorecrank/coordination/model/WriteUrgency.java
+++ b/src/main/java/shorecrank/coordination/model/WriteUrgency.java
@@ -1,11 +1,11 @@
 package shorecrank.coordination.model;
 
-/** How soon a change of a job's record has to be written. */
+/** How soon a job's record has to be written to the state service. */
 public enum WriteUrgency {
-  /** There is nothing to write. */
+  /** The record has no changes to write. */
   NONE,
-  /** It may wait for a while, to go with another change of the record. */
+  /** The changes may wait for a while, to be written together with later ones. */
   LATER,
-  /** It goes with the next transaction. */
+  /** The record goes into the next transaction. */
   NOW
 }
--- a/src/main/java/shorecrank/coordination/model/package-info.java
+++ b/src/main/java/shorecrank/coordination/model/package-info.java
@@ -1,12 +1,13 @@
 /**
- * What a shard's owner knows of its jobs and machines: each class keeps the invariants of one part
- * of the state, and decides and sends nothing.
+ * The state that a shard owner holds of its jobs and machines. Each class keeps the invariants of
+ * one part of that state; scheduling decisions and commands to workers are made in other packages.
  *
- * <p>{@link shorecrank.coordination.model.Job} joins a job's tasks, its record with the writes to
- * it, and when it may be placed; {@link shorecrank.coordination.model.Machine} joins a machine's
- * worker session, assignment, health, images and capacity. {@link
+ * <p>{@link shorecrank.coordination.model.Job} combines a job's tasks, its record with the writes
+ * to it, and its scheduling state. {@link shorecrank.coordination.model.Machine} combines a
+ * machine's worker session, assignment, health, images and capacity. {@link
  * shorecrank.coordination.model.WorkerLiveness} is the failure detector for workers, and {@link
- * shorecrank.coordination.model.CancellationLog} the evidence of confirmed cancellations.
+ * shorecrank.coordination.model.CancellationLog} keeps the cancellations that were confirmed to
+ * users.
  *
  * <p>It may import {@code shorecrank.coordination.step}, {@code shorecrank.storage} for the records
  * of jobs, {@code shorecrank.config} and {@code shorecrank.protocol}. Its callers are {@code
