--- a/src/test/java/shorecrank/coordination/model/ConfirmationHistoryTest.java
+++ b/src/test/java/shorecrank/coordination/model/ConfirmationHistoryTest.java
@@ -10,7 +10,7 @@
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** How far back a controller can say which cancellations it has confirmed. */
+/** Tests how far back the history of confirmed cancellations is reported as complete. */
 class ConfirmationHistoryTest {
   private static final JobId ONE = JobBuilder.id(1);
   private static final JobId TWO = JobBuilder.id(2);
@@ -23,12 +23,12 @@
   }
 
   @Test
-  void saysNothingBeforeItBegins() {
+  void isEmptyBeforeItBegins() {
     assertEquals(new Recent(0, List.of()), history.recent(5000, 10, at(1000)));
   }
 
   @Test
-  void reachesBackToItsBeginning() {
+  void isCompleteSinceItsBeginning() {
     history.tick(at(1000));
     assertTrue(history.add(ONE, at(1500)));
     assertFalse(history.add(ONE, at(1600)), "confirmed before");
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void reachesBackToTheLastConfirmationThatWasDroppedForRoom() {
+  void isCompleteSinceTheConfirmationDroppedLastForItsSize() {
     history.tick(at(1000));
     history.add(ONE, at(1100));
     history.add(TWO, at(1200));
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void reachesBackToTheFirstConfirmationThatIsNotNamed() {
+  void isCompleteSinceTheConfirmationThatExceedsMaxJobs() {
     history.tick(at(1000));
     history.add(ONE, at(1100));
     history.add(TWO, at(1200));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void dropsWhatNobodyAsksForAnyMore() {
+  void dropsConfirmationsAfterTheRetentionTime() {
     history.tick(at(1000));
     history.add(ONE, at(1100));
     history.tick(at(901_101));
--- a/src/test/java/shorecrank/coordination/model/JobBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/JobBuilder.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.JobSpec.Priority;
 import shorecrank.storage.JobRecord;
 
-/** Puts together jobs for tests: by default one task of one processor that runs for 10 s. */
+/** Builds jobs for tests, by default with one task that needs one processor and runs for 10 s. */
 public final class JobBuilder {
   private final JobId id;
   private String jobClass = "plain";
@@ -31,35 +31,35 @@
     this.id = id;
   }
 
-  /** A job named by a number. */
+  /** Returns a builder for a job whose id contains a number. */
   public static JobBuilder job(int number) {
     return new JobBuilder(id(number));
   }
 
-  /** The id of the job with a number. */
+  /** Returns the id of the job with a number. */
   public static JobId id(int number) {
     return new JobId("wk-" + number);
   }
 
-  /** Sets its class, by which objectives are found. */
+  /** Sets the job class, which selects the objectives for the job. */
   public JobBuilder ofClass(String name) {
     jobClass = name;
     return this;
   }
 
-  /** Sets its team. */
+  /** Sets the job's team. */
   public JobBuilder ofTeam(String name) {
     team = name;
     return this;
   }
 
-  /** Sets its own priority. */
+  /** Sets the job's own priority. */
   public JobBuilder priority(Priority value) {
     priority = value;
     return this;
   }
 
-  /** Sets how many tasks it has, and the processors and accelerators of each. */
+  /** Sets the number of tasks, and the processors and accelerators that each of them needs. */
   public JobBuilder tasks(int count, double cpusEach, double gpusEach) {
     tasks = count;
     cpus = cpusEach;
@@ -67,31 +67,31 @@
     return this;
   }
 
-  /** Sets the size of its image. */
+  /** Sets the size of the job's image in gigabytes. */
   public JobBuilder imageGb(double value) {
     imageGb = value;
     return this;
   }
 
-  /** Sets how long a task runs by its owner's estimate. */
+  /** Sets the user's estimate of a task's run time, in seconds. */
   public JobBuilder estimateS(double value) {
     estimateS = value;
     return this;
   }
 
-  /** Sets its own deadline, from its acceptance on. */
+  /** Sets the job's own deadline, in seconds after it was accepted. */
   public JobBuilder deadlineS(double value) {
     deadlineS = value;
     return this;
   }
 
-  /** Sets when it was accepted, on the wall clock. */
+  /** Sets when the job was accepted, in milliseconds of the wall clock. */
   public JobBuilder acceptedAtMs(long value) {
     acceptedAtMs = value;
     return this;
   }
 
-  /** Adds jobs that have to be done first. */
+  /** Adds jobs, by their numbers, on which the job depends. */
   public JobBuilder dependsOn(int... numbers) {
     for (int number : numbers) {
       dependencies.add(id(number));
@@ -99,7 +99,7 @@
     return this;
   }
 
-  /** What its user asks for. */
+  /** Returns the specification of the job. */
   public JobSpec spec() {
     return new JobSpec(
         id,
@@ -124,13 +124,13 @@
         List.copyOf(dependencies));
   }
 
-  /** The record of the job, accepted and not yet claimed. */
+  /** Returns a record of the job that no shard owner has claimed yet. */
   public JobRecord record() {
     return new JobRecord(
         spec(), Epoch.NONE, WriterId.NONE, 0, new BitSet(), List.of(), 0, false, acceptedAtMs, 0);
   }
 
-  /** The job, accepted and not yet claimed. */
+  /** Returns the job, with a record that no shard owner has claimed yet. */
   public Job build() {
     return new Job(record(), new Revision(1), 1, new HashSet<>());
   }
--- a/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.protocol.UserMessages.JobStatus;
 
-/** What is known of a job's record while writes to it are sent, committed and found again. */
+/** Tests what is known of a job's record while writes to it are in flight, committed and read. */
 class JobRecordStateTest {
   private static final MonotonicTime NOW = new MonotonicTime(1000);
   private static final Epoch EPOCH = new Epoch(7);
@@ -23,17 +23,17 @@
   private final JobRecordState record = job.record();
 
   @Test
-  void oneWriteIsInFlightAtATime() {
+  void onlyOneWriteIsInFlightAtATime() {
     assertTrue(record.isWritable(NOW));
     record.beginWrite();
     assertFalse(record.isWritable(NOW));
-    assertFalse(record.canAcceptPlacement(), "a placement would not be in the write");
+    assertFalse(record.canAcceptPlacement(), "the write in flight would not contain a placement");
     record.endWrite();
     assertTrue(record.isWritable(NOW));
   }
 
   @Test
-  void aCommitClaimsTheRecordAtItsRevision() {
+  void committedWriteClaimsTheRecordAtItsRevision() {
     assertFalse(record.isClaimed());
     record.beginWrite();
     job.recordCommitted(record.sequence(), new Revision(9), EPOCH, QUEUED);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void urgencyIsRaisedAndNeverLoweredUntilItIsWritten() {
+  void urgencyIsNeverLoweredBeforeTheNextWrite() {
     job.requestWrite(WriteUrgency.LATER, NOW);
     job.requestWrite(WriteUrgency.NOW, NOW.plus(5));
     job.requestWrite(WriteUrgency.LATER, NOW.plus(9));
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void aWriteOfThisObjectIsToldByItsWriterAndNumber() {
+  void ownWriteIsRecognizedByItsWriterAndSequenceNumber() {
     assertFalse(record.isOwnWrite(job.toRecord(EPOCH, WRITER), WRITER), "before the first write");
     record.beginWrite();
     assertTrue(record.isOwnWrite(job.toRecord(EPOCH, WRITER), WRITER));
@@ -63,8 +63,8 @@
   }
 
   @Test
-  void theUseOfATeamIsKnownOnceNoEarlierOwnerCanWrite() {
-    assertTrue(record.isTeamUseKnown(), "nobody has owned it");
+  void teamUseIsKnownOnceNoEarlierOwnerCanWrite() {
+    assertTrue(record.isTeamUseKnown(), "no owner has written the record");
     record.requireClaim();
     assertFalse(record.isTeamUseKnown());
     record.beginWrite();
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void outdatedOnceAWatchShowsALaterRevision() {
+  void recordIsOutdatedOnceAWatchShowsALaterRevision() {
     record.observeRevision(new Revision(5));
     record.observeRevision(new Revision(3));
     assertTrue(record.isOutdated());
--- a/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
@@ -10,16 +10,16 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** When a job's tasks may be placed: after its dependencies, and after failures. */
+/** Tests when dependencies and failures allow a job's tasks to be placed. */
 class JobSchedulingStateTest {
   private static final MonotonicTime NOW = new MonotonicTime(1000);
 
   @Test
-  void readyOnceTheLastDependencyIsMet() {
+  void jobIsReadyOnceItsLastDependencyIsMet() {
     Job job = JobBuilder.job(3).dependsOn(1, 2).acceptedAtMs(5).build();
     assertEquals(0, job.queuedTaskCount());
     assertFalse(job.scheduling().dependencyMet(JobBuilder.id(1), 100));
-    assertEquals(5, job.scheduling().readyAtMs(), "it still waits");
+    assertEquals(5, job.scheduling().readyAtMs(), "one dependency is not met");
     assertTrue(job.scheduling().dependencyMet(JobBuilder.id(2), 200));
     assertEquals(200, job.scheduling().readyAtMs());
     assertEquals(1, job.queuedTaskCount());
@@ -27,7 +27,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // failures on machines of their own, whether the last is surely the job's, pause, at fault
+    // failures, each on another machine; whether the machine is known not to be at fault for the
+    // last one; pause in ms; whether the job is taken to be at fault
     "1, false, 300, false",
     "2, false, 300, false",
     "3, false, 2000, true",
@@ -35,12 +36,12 @@
     "4, false, 4000, true",
     "20, false, 64000, true",
   })
-  void failuresOnManyMachinesAreTheJobs(
-      int failures, boolean lastIsJobs, long pauseMs, boolean isAtFault) {
+  void jobThatFailsOnManyMachinesIsAtFault(
+      int failures, boolean isLastJobsFault, long pauseMs, boolean isAtFault) {
     JobSchedulingState state = JobBuilder.job(1).build().scheduling();
     boolean atFault = false;
     for (int i = 1; i <= failures; i++) {
-      atFault = state.taskFailed(new MachineName("m-" + i), lastIsJobs && i == failures, NOW);
+      atFault = state.taskFailed(new MachineName("m-" + i), isLastJobsFault && i == failures, NOW);
     }
     assertEquals(isAtFault, atFault);
     assertEquals(isAtFault, state.isBackingOff());
@@ -49,7 +50,7 @@
   }
 
   @Test
-  void aSuccessClearsFailures() {
+  void successClearsFailures() {
     JobSchedulingState state = JobBuilder.job(1).build().scheduling();
     MachineName machine = new MachineName("m-1");
     state.taskFailed(machine, true, NOW);
--- a/src/test/java/shorecrank/coordination/model/JobTasksTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobTasksTest.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.Ids.TaskAttemptId;
 import shorecrank.storage.JobRecord.AttemptRange;
 
-/** When a task is free to be placed, and how attempts stand in the record. */
+/** Tests when a task is free to be placed, and which attempt ranges go into the record. */
 class JobTasksTest {
   private static final int TASKS = 4;
   private static final Incarnation INCARNATION = new Incarnation(1);
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void anAttemptTakesItsTaskUntilItIsRemoved() {
+  void taskIsNotFreeUntilItsAttemptIsRemoved() {
     TaskAttempt attempt = place(0, machine, 1);
     assertEquals(1, tasks.nextFree(0));
     assertEquals(TASKS - 1, job.queuedTaskCount());
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aDoneTaskIsNeverFreeAgain() {
+  void doneTaskIsNeverFreeAgain() {
     TaskAttempt attempt = place(0, machine, 1);
     tasks.markDone(0);
     job.remove(attempt);
@@ -49,12 +49,12 @@
   }
 
   @Test
-  void aTaskIsFreeOnlyOnceNoUnrecordedAttemptRuns() {
+  void taskIsNotFreeWhileAnUnrecordedAttemptRuns() {
     machine.addUnrecordedTask(job, 0);
     Machine other = MachineBuilder.machine(2).build();
     other.addUnrecordedTask(job, 0);
     machine.clearUnrecordedTasks();
-    assertEquals(1, tasks.nextFree(0), "one runs still");
+    assertEquals(1, tasks.nextFree(0), "the other machine still runs one");
     other.clearUnrecordedTasks();
     assertEquals(0, tasks.nextFree(0));
     assertFalse(tasks.hasUnrecorded());
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void attemptNumbersOnlyRise() {
+  void attemptNumbersIncrease() {
     assertFalse(tasks.wasPlaced());
     AttemptNumber first = tasks.nextAttemptNumber();
     tasks.takeAttemptNumber();
@@ -79,9 +79,9 @@
   }
 
   @Test
-  void anExitIsRecordedOnceTheWriteThatHoldsItIsCommitted() {
+  void exitIsRecordedOnceTheWriteThatContainsItIsCommitted() {
     TaskAttemptId attempt = place(0, machine, 1).id();
-    assertTrue(tasks.isExitRecorded(attempt, 0), "no exit was seen");
+    assertTrue(tasks.isExitRecorded(attempt, 0), "the attempt has not exited");
     tasks.recordExit(attempt, 7);
     assertFalse(tasks.isExitRecorded(attempt, 6));
     assertTrue(tasks.isExitRecorded(attempt, 7));
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void neighboursOfOneAttemptAreOneRangeThatMaySpanDoneTasks() {
+  void adjacentTasksOfOneAttemptNumberFormARangeThatMayIncludeDoneTasks() {
     place(0, machine, 1);
     tasks.markDone(1);
     place(2, machine, 1);
--- a/src/test/java/shorecrank/coordination/model/MachineBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/MachineBuilder.java
@@ -14,7 +14,10 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
-/** Puts together machines for tests: assigned to the shard, in zone "a", not heard yet. */
+/**
+ * Builds machines for tests, by default assigned to shard 0, in zone "a", and without a heartbeat
+ * of their worker.
+ */
 public final class MachineBuilder {
   private static final Epoch TERM = new Epoch(1);
 
@@ -29,43 +32,43 @@
     this.name = name;
   }
 
-  /** A machine named by a number. */
+  /** Returns a builder for a machine whose name contains a number. */
   public static MachineBuilder machine(int number) {
     return new MachineBuilder(new MachineName("m-" + number));
   }
 
-  /** Sets its zone. */
+  /** Sets the machine's zone. */
   public MachineBuilder inZone(String value) {
     zone = value;
     return this;
   }
 
-  /** Sets its processors and accelerators. */
+  /** Sets the machine's processors and accelerators. */
   public MachineBuilder with(double cpuCount, double gpuCount) {
     cpus = cpuCount;
     gpus = gpuCount;
     return this;
   }
 
-  /** Its worker sent an empty heartbeat, which was reconciled. */
+  /** Adds a reconciled heartbeat of the machine's worker without tasks, which arrived at a time. */
   public MachineBuilder heardAt(MonotonicTime time) {
     heardAt = time;
     return this;
   }
 
-  /** Its worker has been heard under another owner's epoch only. */
+  /** Makes the worker one that has not shown this owner's epoch. */
   public MachineBuilder unconfirmed() {
     confirmed = false;
     return this;
   }
 
-  /** A machine type of so many processors and accelerators, which fetches 0.5 GB in a second. */
+  /** Returns a machine type that fetches images at 0.5 GB per second. */
   public static MachineType type(double cpus, double gpus) {
     return new MachineType(
         "t" + (int) cpus, cpus, gpus, 1000, 50, 0.5, cpus, cpus / 4, 60, List.of("a", "b"));
   }
 
-  /** The machine. */
+  /** Returns the machine. */
   public Machine build() {
     MachineType type = type(cpus, gpus);
     MachineInfo info = new MachineInfo(name, type.name(), zone, false);
--- a/src/test/java/shorecrank/coordination/model/StepContextBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/StepContextBuilder.java
@@ -19,8 +19,8 @@
 import shorecrank.protocol.Ids.WriterId;
 
 /**
- * Puts together contexts for tests: heartbeats every 4 s, leases of 30 s, a grace period of 60 s,
- * and whatever objectives and teams a test adds.
+ * Builds step contexts for tests, with a heartbeat interval of 4 s, worker leases of 30 s, a grace
+ * period of 60 s, and the objectives and teams that a test adds.
  */
 public final class StepContextBuilder {
   private static final Address NOWHERE = new Address("127.0.0.1", 1);
@@ -30,19 +30,19 @@
   private final List<Objective> objectives = new ArrayList<>();
   private final Map<String, Team> teams = new TreeMap<>();
 
-  /** Adds an objective; {@code times} is the factor of a job's own deadline. */
+  /** Adds an objective; {@code times} is the factor by which a job's own deadline is multiplied. */
   public StepContextBuilder objective(String kind, String jobClass, double withinS, double times) {
     objectives.add(new Objective(kind, jobClass, withinS, 0.9, times));
     return this;
   }
 
-  /** Adds a team with its guarantee and its limit of processors; 0 for none. */
+  /** Adds a team with its guaranteed and its maximum number of processors; 0 means none. */
   public StepContextBuilder team(String name, double cpus, double cpusMax) {
     teams.put(name, new Team(name, cpus, cpusMax, 0, 0));
     return this;
   }
 
-  /** The context, at time 0. */
+  /** Returns the context, whose clocks are at 0. */
   public StepContext build() {
     ControllerName label = new ControllerName("n1");
     NodeConfig config =
--- a/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
+++ b/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
@@ -17,7 +17,7 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
 
-/** How many more tasks a team's limits let run. */
+/** Tests how many more tasks may be placed within a team's limits. */
 class TeamQuotasTest {
   private static final Map<String, Team> TEAMS =
       Map.of(
@@ -34,7 +34,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // team, tasks, processors and accelerators of each, tasks that fit
+    // team, number of tasks, processors of each, accelerators of each, how many tasks fit
     "limited, 5, 2, 0, 5",
     "limited, 6, 2, 0, 5",
     "limited, 6, 2, 1, 2",
@@ -44,20 +44,20 @@
     "unlimited, 5000, 64, 8, 5000",
     "unknown, 1, 1, 0, 0",
   })
-  void asManyTasksFitAsTheScarcerLimitAllows(
+  void tasksFitUpToTheMoreRestrictiveLimit(
       String team, int tasks, double cpus, double gpus, int expected) {
     assertEquals(expected, fitting(team, tasks, cpus, gpus));
   }
 
   @Test
-  void onlyTeamsWithALimitAreLimited() {
+  void onlyTeamWithAMaximumIsLimited() {
     assertTrue(quotas.isLimited("limited"));
     assertFalse(quotas.isLimited("unlimited"));
     assertFalse(quotas.isLimited("unknown"));
   }
 
   @Test
-  void attemptsCountUntilTheyAreReleased() {
+  void attemptsCountUntilReleased() {
     JobSpec spec = job(2).ofTeam("limited").tasks(1, 6, 0).spec();
     quotas.allocate(spec);
     assertEquals(2, fitting("limited", 5, 2, 0));
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void tasksThatNoRecordNamesCountForTheirOwnTeam() {
+  void unrecordedTasksCountForTheirOwnTeam() {
     Machine machine = machine(1).build();
     machines.add(machine);
     machine.addUnrecordedTask(job(2).ofTeam("limited").tasks(1, 6, 0).build(), 0);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void withdrawnAttemptsCountUntilTheyAreSettled() {
+  void withdrawnAttemptsCountUntilReleased() {
     JobSpec spec = job(2).ofTeam("limited").tasks(2, 4, 1).spec();
     quotas.allocate(spec);
     quotas.allocate(spec);
@@ -89,14 +89,14 @@
   }
 
   @Test
-  void aJobsOwnTasksMayTakeThePlaceOfItsWithdrawnAttempts() {
+  void queuedTasksMayReplaceWithdrawnAttemptsOfTheSameJob() {
     Job job = job(2).ofTeam("limited").tasks(3, 4, 0).build();
     TaskAttempt attempt = placedAttempt(job);
     assertEquals(1, quotas.headroom("limited").queuedTasksThatFit(job));
     job.withdraw(attempt);
     quotas.withdraw(job.spec());
     assertEquals(2, quotas.headroom("limited").queuedTasksThatFit(job));
-    assertEquals(1, fitting("limited", 3, 4, 0), "another job's");
+    assertEquals(1, fitting("limited", 3, 4, 0), "tasks of another job");
   }
 
   private TaskAttempt placedAttempt(Job job) {
@@ -109,20 +109,20 @@
   }
 
   @Test
-  void aTeamIsAboveItsLimitByWhatIsPlaced() {
+  void onlyPlacedAttemptsPutATeamAboveItsLimit() {
     JobSpec spec = job(2).ofTeam("limited").tasks(2, 6, 0).spec();
     quotas.allocate(spec);
     assertFalse(quotas.isAboveLimit("limited"));
     quotas.allocate(spec);
     assertTrue(quotas.isAboveLimit("limited"));
     quotas.withdraw(spec);
-    assertFalse(quotas.isAboveLimit("limited"), "what is withdrawn is not started here");
+    assertFalse(quotas.isAboveLimit("limited"), "withdrawn attempts are not started");
     assertFalse(quotas.isAboveLimit("unlimited"));
     assertFalse(quotas.isAboveLimit("unknown"));
   }
 
   @Test
-  void headroomCountsDownWithWhatIsTakenFromIt() {
+  void takingTasksReducesTheHeadroom() {
     Job first = job(2).ofTeam("limited").tasks(3, 2, 0).build();
     Job second = job(3).ofTeam("limited").tasks(9, 1, 0).build();
     TeamQuotas.Headroom headroom = quotas.headroom("limited");
--- a/src/test/java/shorecrank/coordination/model/WithdrawnAttemptsTest.java
+++ b/src/test/java/shorecrank/coordination/model/WithdrawnAttemptsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Until which write withdrawn attempts count. */
+/** Tests which committed write ends the counting of withdrawn attempts. */
 class WithdrawnAttemptsTest {
   private final WithdrawnAttempts withdrawn = new WithdrawnAttempts();
 
@@ -13,20 +13,20 @@
     withdrawn.add(5);
     withdrawn.add(5);
     withdrawn.add(7);
-    assertEquals(0, withdrawn.settle(4));
+    assertEquals(0, withdrawn.removeSettled(4));
     assertEquals(3, withdrawn.count());
-    assertEquals(2, withdrawn.settle(6));
+    assertEquals(2, withdrawn.removeSettled(6));
     assertEquals(1, withdrawn.count());
-    assertEquals(1, withdrawn.settle(9));
+    assertEquals(1, withdrawn.removeSettled(9));
     assertEquals(0, withdrawn.count());
   }
 
   @Test
-  void nothingCountsOnceTheRecordIsReadAnew() {
+  void clearRemovesAllAttempts() {
     withdrawn.add(5);
     withdrawn.add(6);
     assertEquals(2, withdrawn.clear());
     assertEquals(0, withdrawn.count());
-    assertEquals(0, withdrawn.settle(9));
+    assertEquals(0, withdrawn.removeSettled(9));
   }
 }
--- a/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -16,8 +16,8 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /**
- * What the silence of workers proves: heartbeats come every 4 s, leases last 30 s, and an earlier
- * owner may renew them for a grace period of 60 s.
+ * Tests what follows from the silence of workers. Heartbeats arrive every 4 s, leases last 30 s,
+ * and an earlier owner may renew the leases for a grace period of 60 s.
  */
 class WorkerLivenessTest {
   private static final MonotonicTime GRANTED_AT = new MonotonicTime(1_000_000);
@@ -26,7 +26,7 @@
   private final List<Machine> machines = new ArrayList<>();
   private final WorkerLiveness liveness = new WorkerLiveness(context, machines, GRANTED_AT);
 
-  private void msAfterGrant(long ms) {
+  private void advanceToMsAfterGrant(long ms) {
     context.begin(GRANTED_AT.plus(ms), 0, 1);
   }
 
@@ -36,39 +36,40 @@
 
   @ParameterizedTest
   @CsvSource({
-    // ms since the last heartbeat, fresh, lease surely out
+    // ms since the last heartbeat, whether it is fresh, whether the lease has expired for certain
     "0, true, false",
     "11499, true, false",
     "11500, false, false",
     "31060, false, false",
     "31061, false, true",
   })
-  void verdictsOnAWorkerThatHasShownThisOwnersEpoch(long silentMs, boolean fresh, boolean out) {
+  void heartbeatIsFreshAndThenTheLeaseExpires(long silentMs, boolean fresh, boolean expired) {
     Machine machine = machine(1).heardAt(GRANTED_AT).build();
-    msAfterGrant(silentMs);
+    advanceToMsAfterGrant(silentMs);
     assertEquals(fresh, liveness.isFresh(machine), "fresh");
-    assertEquals(out, liveness.isLeaseExpired(machine), "lease out");
+    assertEquals(expired, liveness.isLeaseExpired(machine), "lease expired");
   }
 
   @ParameterizedTest
   @CsvSource({
-    // ms since the shard was granted, lease surely out: a lease after the grace period and a margin
+    // ms since the shard was granted, whether the lease has expired for certain: one lease after
+    // the end of the grace period, with a margin
     "31061, false",
     "92180, false",
     "92181, true",
   })
-  void anEarlierOwnerMayHaveRenewedAnUnconfirmedWorkersLease(long ms, boolean out) {
+  void leaseOfAnUnconfirmedWorkerExpiresOnlyAfterTheGracePeriod(long ms, boolean expired) {
     Machine unheard = machine(1).build();
     Machine unconfirmed = machine(2).heardAt(GRANTED_AT.plus(-1)).unconfirmed().build();
-    msAfterGrant(ms);
-    assertEquals(out, liveness.isLeaseExpired(unheard), "never heard");
-    assertEquals(out, liveness.isLeaseExpired(unconfirmed), "unconfirmed");
+    advanceToMsAfterGrant(ms);
+    assertEquals(expired, liveness.isLeaseExpired(unheard), "never heard");
+    assertEquals(expired, liveness.isLeaseExpired(unconfirmed), "unconfirmed");
   }
 
   @Test
-  void aWorkerIsNotFreshBeforeAHeartbeatWasReconciled() {
+  void heartbeatIsNotFreshBeforeItIsReconciled() {
     Machine machine = machine(1).heardAt(GRANTED_AT).build();
-    msAfterGrant(0);
+    advanceToMsAfterGrant(0);
     assertTrue(liveness.isFresh(machine), "reconciled");
     machine.session().forgetReconciliation();
     assertFalse(liveness.isFresh(machine), "not reconciled");
@@ -77,27 +78,28 @@
   @Test
   void silenceBeforeTheGrantDoesNotCount() {
     Machine machine = machine(1).heardAt(GRANTED_AT.plus(-50_000)).build();
-    msAfterGrant(300);
+    advanceToMsAfterGrant(300);
     assertEquals(300, liveness.silentMs(machine));
   }
 
   @ParameterizedTest
   @CsvSource({
-    // ms since the grant, machines overdue of the one heard at it and the one heard before it
+    // ms since the grant, how many are overdue of two workers: one was heard at the grant, the
+    // other before it
     "7000, 0",
     "7001, 1",
     "12000, 1",
     "12001, 2",
   })
-  void workersOfTheLastOwnerAreWaitedForWhileTheyTurnToThisOne(long ms, int overdue) {
+  void workersOfThePreviousOwnerAreOverdueLater(long ms, int overdue) {
     add(machine(1).heardAt(GRANTED_AT));
     add(machine(2).heardAt(GRANTED_AT.plus(-1)));
-    msAfterGrant(ms);
+    advanceToMsAfterGrant(ms);
     assertEquals(overdue, liveness.reachability().unheard());
   }
 
   @Test
-  void aZoneIsUnreachableIfMostOfItsWorkersAreOverdue() {
+  void zoneIsUnreachableIfMostOfItsWorkersAreOverdue() {
     MonotonicTime now = GRANTED_AT.plus(20_000);
     add(machine(1).inZone("a").heardAt(now));
     add(machine(2).inZone("a").heardAt(GRANTED_AT));
@@ -105,35 +107,35 @@
     add(machine(4).inZone("b").heardAt(GRANTED_AT));
     add(machine(5).inZone("b").heardAt(GRANTED_AT));
     add(machine(6).inZone("b"));
-    msAfterGrant(20_000);
+    advanceToMsAfterGrant(20_000);
     assertEquals(new WorkerReachability(5, 3, List.of("b")), liveness.reachability());
   }
 
   @Test
-  void aMachineWithTasksIsExpectedThoughItWasNeverHeard() {
+  void heartbeatIsExpectedFromAMachineWithTasksThatWasNeverHeard() {
     Machine machine = machine(1).build();
     machine.addUnrecordedTask(job(1).build(), 0);
     machines.add(machine);
-    msAfterGrant(20_000);
+    advanceToMsAfterGrant(20_000);
     assertEquals(new WorkerReachability(1, 1, List.of("a")), liveness.reachability());
   }
 
   @ParameterizedTest
   @CsvSource({
-    // workers heard, workers overdue, whether many are missed: fewer than two thirds are heard
+    // workers heard, workers overdue, whether fewer than two thirds are heard
     "3, 0, false",
     "2, 1, false",
     "1, 1, true",
     "0, 1, true",
   })
-  void manyWorkersAreMissedIfLessThanTwoThirdsAreHeard(int heard, int overdue, boolean many) {
+  void missesManyWorkersIfFewerThanTwoThirdsAreHeard(int heard, int overdue, boolean many) {
     for (int number = 0; number < heard; number++) {
       add(machine(number).heardAt(GRANTED_AT.plus(20_000)));
     }
     for (int number = 0; number < overdue; number++) {
       add(machine(heard + number).heardAt(GRANTED_AT));
     }
-    msAfterGrant(20_000);
+    advanceToMsAfterGrant(20_000);
     assertEquals(many, liveness.missesManyWorkers());
   }
 }
