--- a/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
+++ b/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
@@ -19,7 +19,7 @@
 
   private boolean handoverRequested;
   private MoveId move = MoveId.NONE;
-  private boolean arrivedFromShard;
+  private boolean arrivedFromOtherShard;
 
   /** Reports whether the machine is assigned to this shard. */
   public boolean isAssigned() {
@@ -65,7 +65,7 @@
    * assigned to this one.
    */
   public boolean hasArrivedFromOtherShard() {
-    return arrivedFromShard;
+    return arrivedFromOtherShard;
   }
 
   /**
@@ -86,7 +86,7 @@
     }
     handoverRequested = assignment.handoverRequested();
     move = assignment.move();
-    arrivedFromShard |= move.isSet() && !handoverRequested;
+    arrivedFromOtherShard |= move.isSet() && !handoverRequested;
     return raised;
   }
 
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -25,8 +25,8 @@
  * controller knows all of them.
  *
  * <p>A shard owner that may have missed a cancellation for too long must not renew workers' leases:
- * the expiry of its worker's lease is what ends a cancelled task that no command stops. Normally an
- * owner sees cancellations in the state service. While the state service is unreachable, this class
+ * the expiry of the lease is what ends a cancelled task that no command stops. Normally an owner
+ * sees cancellations in the state service. While the state service is unreachable, this class
  * queries the other controllers for the cancellations that they have confirmed in the meantime. A
  * controller that does not answer, or that has restarted in the meantime, leaves a gap, and the
  * time up to which all cancellations are known stays before that gap.
@@ -53,7 +53,9 @@
   /** A query reaches back this much further than the time up to which cancellations are known. */
   private static final int QUERY_OVERLAP_MS = 2000;
 
-  /** An answer may name confirmations this much older than the greatest useful age. */
+  /**
+   * Added to {@link StepContext#evidenceMs()} to bound how many cancellations an answer may name.
+   */
   private static final int ANSWER_OVERLAP_S = 2;
 
   /** Monotonic clocks of two machines may drift apart by 0.05%; twice that is allowed for. */
@@ -82,7 +84,7 @@
         return;
       }
       if (last == null || last.to.isBefore(interval.from)) {
-        // After a restart of the controller, its last confirmations before it are unknown.
+        // A gap: after a restart, a controller does not know what it confirmed before.
         previous = last;
         last = interval;
       } else {
--- a/src/main/java/shorecrank/coordination/model/ImageCache.java
+++ b/src/main/java/shorecrank/coordination/model/ImageCache.java
@@ -20,12 +20,12 @@
   /** How many tasks on the machine use each image; the first of them fetches it for the others. */
   private final Object2IntOpenHashMap<String> tasksByImage = new Object2IntOpenHashMap<>();
 
-  /** Counts a task placed on the machine, which fetches the image if it does not hold it. */
+  /** Adds a task placed on the machine, which then fetches the image if it does not hold it. */
   void taskAdded(String image) {
     tasksByImage.addTo(image, 1);
   }
 
-  /** Uncounts a task with this image that has left the machine. */
+  /** Removes a task that has left the machine from the number of tasks that use the image. */
   void taskRemoved(String image) {
     if (tasksByImage.addTo(image, -1) <= 1) {
       tasksByImage.removeInt(image);
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -16,7 +16,7 @@
   /** Each object numbers its writes within a range of its own, of this many bits. */
   private static final int SEQUENCE_BITS = 24;
 
-  /** Writes of this object are numbered from here on; no other object of the process overlaps. */
+  /** Writes of this object have numbers above this one; the ranges of objects do not overlap. */
   private final long firstSequence;
 
   private Revision revision;
@@ -30,8 +30,8 @@
   private long committedSequence;
   private boolean claimed;
   private boolean claimRequired;
-  private boolean separate;
-  private boolean compact;
+  private boolean ownTransactionRequired;
+  private boolean compactFormRequired;
   private boolean inFlight;
   private boolean rereading;
   private WriteUrgency urgency = WriteUrgency.NONE;
@@ -213,7 +213,7 @@
     epoch = underEpoch;
     status = writtenStatus;
     claimed = true;
-    separate = false;
+    ownTransactionRequired = false;
   }
 
   /** Reports whether the record is being read again to find out who wrote it last. */
@@ -270,7 +270,7 @@
 
   /** Reports whether the record has to be written in a transaction of its own. */
   public boolean isOwnTransactionRequired() {
-    return separate;
+    return ownTransactionRequired;
   }
 
   /**
@@ -278,12 +278,12 @@
    * because a transaction that contained it was too large.
    */
   public void requireOwnTransaction() {
-    separate = true;
+    ownTransactionRequired = true;
   }
 
   /** Reports whether the record has to be written in its most compact form. */
   public boolean isCompactFormRequired() {
-    return compact;
+    return compactFormRequired;
   }
 
   /**
@@ -291,7 +291,7 @@
    * service has rejected it as too large.
    */
   public void requireCompactForm() {
-    compact = true;
+    compactFormRequired = true;
   }
 
   /** Reports whether another attempt range fits into the record. */
--- a/src/main/java/shorecrank/coordination/model/JobTasks.java
+++ b/src/main/java/shorecrank/coordination/model/JobTasks.java
@@ -142,7 +142,7 @@
     return lastAttemptNumber;
   }
 
-  /** Returns the number for the next attempts that are placed together. */
+  /** Returns the attempt number for the next placement of tasks on one machine. */
   public AttemptNumber nextAttemptNumber() {
     return new AttemptNumber(lastAttemptNumber + 1);
   }
@@ -215,7 +215,11 @@
     return recorded == null || recorded <= committedSequence;
   }
 
-  /** Forgets the exits that are in the record once a write is committed. */
+  /**
+   * Forgets the exits of attempts that the record no longer names.
+   *
+   * @param committedSequence the sequence number of the last committed write
+   */
   void forgetRecordedExits(long committedSequence) {
     exits.values().removeIf(sequence -> sequence <= committedSequence);
   }
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -70,12 +70,12 @@
     return session;
   }
 
-  /** Returns which shard the machine is assigned to. */
+  /** Returns the machine's assignment to this or another shard. */
   public AssignmentStatus assignment() {
     return assignment;
   }
 
-  /** Returns whether failures or a lack of room keep new tasks off the machine. */
+  /** Returns the machine's health: its failures, its quarantine and its pauses. */
   public MachineHealth health() {
     return health;
   }
@@ -138,7 +138,7 @@
     return releasing;
   }
 
-  /** Marks the machine to be returned to the cloud; this is never revoked. */
+  /** Marks the machine to be returned to the cloud once it is empty; this is never revoked. */
   public void release() {
     releasing = true;
   }
--- a/src/main/java/shorecrank/coordination/model/MachineConstraints.java
+++ b/src/main/java/shorecrank/coordination/model/MachineConstraints.java
@@ -11,7 +11,7 @@
 
   /**
    * Reports whether a task of a job may run on an otherwise empty machine: the job allows its type
-   * and zone, allows spot machines if it is one, and needs no more than the machine has.
+   * and zone, allows spot machines if this is one, and needs no more than the machine has.
    */
   public static boolean allows(JobSpec spec, Offer offer, MachineType type) {
     return (spec.machineTypes() == null || spec.machineTypes().contains(offer.type()))
--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -24,10 +24,10 @@
   private final AttemptNumber number;
   private final long writeSequence;
   private final MonotonicTime placedAt;
-  private boolean seen;
+  private boolean listed;
   private TaskState state;
   private MonotonicTime runningSince;
-  private boolean commanded;
+  private boolean startSent;
   private boolean startInLastAnswer;
   private boolean revoked;
   private boolean roomReassigned;
@@ -91,7 +91,7 @@
     return incarnation;
   }
 
-  /** Returns the attempt's number; tasks of the job that are placed together share a number. */
+  /** Returns the attempt's number; tasks of a job that are placed on a machine at once share it. */
   public AttemptNumber number() {
     return number;
   }
@@ -118,7 +118,7 @@
 
   /** Reports whether a heartbeat of the machine's worker has listed the attempt. */
   public boolean isListed() {
-    return seen;
+    return listed;
   }
 
   /** Returns the attempt's state in the last heartbeat that listed it, or null if none has. */
@@ -132,7 +132,7 @@
    * @return whether this is the first heartbeat in which the attempt is running
    */
   public boolean observe(TaskState observed, MonotonicTime now) {
-    seen = true;
+    listed = true;
     state = observed;
     boolean begins = observed == TaskState.RUNNING && runningSince == null;
     if (begins) {
@@ -149,14 +149,14 @@
    */
   public boolean recordStartSent(boolean direct) {
     startInLastAnswer |= !direct;
-    boolean first = !commanded;
-    commanded = true;
+    boolean first = !startSent;
+    startSent = true;
     return first;
   }
 
   /** Reports whether a command to start the attempt was ever sent. */
   public boolean isStartSent() {
-    return commanded;
+    return startSent;
   }
 
   /**
@@ -164,9 +164,9 @@
    * and resets that.
    */
   public boolean takeStartInLastAnswer() {
-    boolean was = startInLastAnswer;
+    boolean wasInLastAnswer = startInLastAnswer;
     startInLastAnswer = false;
-    return was;
+    return wasInLastAnswer;
   }
 
   /**
@@ -195,7 +195,10 @@
     roomReassigned = true;
   }
 
-  /** Returns the seconds that the attempt has been running; 0 if it has not started. */
+  /**
+   * Returns the seconds that the attempt has been running, which is the work lost if it is stopped
+   * now; 0 if it was not seen running yet.
+   */
   public double runSeconds(MonotonicTime now) {
     return runningSince == null ? 0 : now.since(runningSince) / 1000.0;
   }
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -97,12 +97,12 @@
     return team != null && (team.cpusMax() > 0 || team.gpusMax() > 0);
   }
 
-  /** Adds an attempt of a job to the use of the job's team. */
+  /** Adds an attempt of a job to the use of its team. */
   public void allocate(JobSpec spec) {
     usage(spec).placed.add(spec, 1);
   }
 
-  /** Removes an attempt of a job that can no longer run from the use of the job's team. */
+  /** Removes an attempt from the use of its job's team, because it can no longer run. */
   public void release(JobSpec spec) {
     usage(spec).placed.add(spec, -1);
   }
@@ -116,7 +116,7 @@
     usage(spec).withdrawn.add(spec, 1);
   }
 
-  /** Removes withdrawn attempts of a job, which no record names any more, from the team's use. */
+  /** Removes withdrawn attempts from the use of their job's team, because no record names them. */
   public void releaseWithdrawn(JobSpec spec, int attempts) {
     usage(spec).withdrawn.add(spec, -attempts);
   }
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -36,7 +36,7 @@
   /** Bounds the clock drift: a worker's lease lasts at most this much longer on this clock. */
   private static final double LEASE_DRIFT_FACTOR = 1.002;
 
-  /** Bounds the clock drift: an earlier owner's grace period is longer by 1/500 at most. */
+  /** Bounds the clock drift: an earlier owner's grace period lasts 1/500 longer at most. */
   private static final long GRACE_DRIFT_DIVISOR = 500;
 
   private static final long TIMER_MARGIN_MS = 1000;
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Reports whether heartbeats arrive from less than two thirds of the workers that have sent any
+   * Reports whether heartbeats arrive from fewer than two thirds of the workers that have sent any
    * to this owner.
    *
    * <p>This matters for an owner that reaches neither the state service nor another controller. If
--- a/src/test/java/shorecrank/coordination/model/MachineBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/MachineBuilder.java
@@ -50,7 +50,7 @@
     return this;
   }
 
-  /** Adds a reconciled heartbeat of the machine's worker without tasks, which arrived at a time. */
+  /** Lets a heartbeat without tasks arrive from the worker at a time, and reconciles it. */
   public MachineBuilder heardAt(MonotonicTime time) {
     heardAt = time;
     return this;
