--- a/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
@@ -14,7 +14,7 @@
  */
 final class AssignedMachine {
   private final StoredAssignment assignment;
-  private final MonotonicTime since;
+  private final MonotonicTime assignedAt;
   private MoveId move = MoveId.NONE;
   private boolean handoverRequested;
   private ShardId reclaimedBy;
@@ -23,9 +23,9 @@
   private boolean recorded;
   private long version;
 
-  AssignedMachine(StoredAssignment assignment, MonotonicTime since) {
+  AssignedMachine(StoredAssignment assignment, MonotonicTime assignedAt) {
     this.assignment = assignment;
-    this.since = since;
+    this.assignedAt = assignedAt;
   }
 
   /** The machine's name and kind. */
@@ -44,8 +44,8 @@
   }
 
   /** The epoch under which it is assigned. */
-  Epoch term() {
-    return assignment.term();
+  Epoch epoch() {
+    return assignment.epoch();
   }
 
   /** The part of it that the state service holds. */
@@ -86,12 +86,12 @@
   /**
    * Sets what the owner is told of an order.
    *
-   * @param order the order; NONE if none concerns the machine any more
+   * @param newMove the order; NONE if none concerns the machine any more
    * @param changeVersion the number of this change
    */
-  void updateMove(MoveId order, boolean handover, long changeVersion) {
-    move = order;
-    handoverRequested = handover;
+  void updateMove(MoveId newMove, boolean isHandover, long changeVersion) {
+    move = newMove;
+    handoverRequested = isHandover;
     version = changeVersion;
   }
 
@@ -134,11 +134,11 @@
   /**
    * The assignment as owners are told of it.
    *
-   * @param oneShard whether there is no other shard, so that no epoch is named
+   * @param isSingleShard whether there is no other shard, so that no epoch is named
    */
-  MachineAssignment describe(boolean oneShard, MonotonicTime now) {
-    Epoch lowest = oneShard ? Epoch.NONE : term();
+  MachineAssignment describe(boolean isSingleShard, MonotonicTime now) {
+    Epoch lowestEpoch = isSingleShard ? Epoch.NONE : epoch();
     return new MachineAssignment(
-        info(), shard(), now.since(since), lowest, handoverRequested, move);
+        info(), shard(), now.since(assignedAt), lowestEpoch, handoverRequested, move);
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/AssignmentChangeLog.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentChangeLog.java
@@ -11,7 +11,7 @@
    * At least so many removals are kept, and as many as there are machines: a controller that lags
    * further behind gets all assignments, which is then the shorter message.
    */
-  private static final int MIN_KEPT_REMOVALS = 1000;
+  private static final int MIN_RETAINED_REMOVALS = 1000;
 
   /** Each term has so many changes of its own, as a power of two. */
   private static final int TERM_BITS = 20;
@@ -43,9 +43,9 @@
   }
 
   /** A machine was removed, of those of which {@code machines} are left. */
-  void remove(MachineName name, int machines) {
+  void addRemoval(MachineName name, int machinesLeft) {
     removals.add(new Removal(advance(), name));
-    while (removals.size() > Math.max(MIN_KEPT_REMOVALS, machines)) {
+    while (removals.size() > Math.max(MIN_RETAINED_REMOVALS, machinesLeft)) {
       completeFrom = removals.poll().version();
     }
   }
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -27,17 +27,17 @@
  * changed, one transaction at a time.
  */
 final class AssignmentStore {
-  private static final int PAGE_KEYS = 500;
-  private static final int CALL_MS = 1500;
+  private static final int PAGE_SIZE = 500;
+  private static final int CALL_TIMEOUT_MS = 1500;
 
   /** After a write so long passes before the next, so that machines that come at once share one. */
-  private static final int SAVE_PAUSE_MS = 1000;
+  private static final int SAVE_INTERVAL_MS = 1000;
 
   private final StepContext context;
   private final Election election;
   private final LoadedTerm loadedTerm;
   private final Consumer<AssignedMachine> onRecorded;
-  private final Set<Integer> unsaved = new TreeSet<>();
+  private final Set<Integer> unsavedBuckets = new TreeSet<>();
 
   /**
    * The revisions of the keys as last read or written, which guard the next writes: a write of
@@ -46,7 +46,7 @@
   private final Map<String, Revision> revisions = new TreeMap<>();
 
   private boolean saving;
-  private MonotonicTime saveAt = new MonotonicTime(0);
+  private MonotonicTime nextSaveAt = new MonotonicTime(0);
 
   /** Buckets that are written in one transaction, and their values. */
   private record Batch(
@@ -70,7 +70,7 @@
 
   /** Whether all assignments are written. */
   boolean isWritten() {
-    return unsaved.isEmpty() && !saving;
+    return unsavedBuckets.isEmpty() && !saving;
   }
 
   /** Whether a transaction with assignments is under way. */
@@ -79,14 +79,14 @@
   }
 
   /** What was read counts from now on; writes of an earlier term are over. */
-  void begin() {
-    unsaved.clear();
+  void beginTerm() {
+    unsavedBuckets.clear();
     saving = false;
   }
 
   /** A machine's assignment is to be written. */
   void markUnsaved(MachineName name) {
-    unsaved.add(BucketValues.bucketOf(name));
+    unsavedBuckets.add(BucketValues.bucketOf(name));
   }
 
   // ---- reading ---------------------------------------------------------------------------------
@@ -120,8 +120,8 @@
         .list(
             BucketValues.PREFIX,
             after,
-            PAGE_KEYS,
-            CALL_MS,
+            PAGE_SIZE,
+            CALL_TIMEOUT_MS,
             result -> {
               if (!(result instanceof ListResult.Page page)) {
                 then.accept(Optional.empty());
@@ -153,7 +153,7 @@
             revisions.clear();
             entries.get().forEach(entry -> revisions.put(entry.key(), entry.revision()));
           }
-          saveAt = context.now().plus(SAVE_PAUSE_MS);
+          nextSaveAt = context.now().plus(SAVE_INTERVAL_MS);
         });
   }
 
@@ -175,7 +175,7 @@
   /** Writes what is not yet written of all machines, as the budget allows. */
   void save(Collection<AssignedMachine> machines) {
     MonotonicTime now = context.now();
-    if (saving || unsaved.isEmpty() || now.isBefore(saveAt)) {
+    if (saving || unsavedBuckets.isEmpty() || now.isBefore(nextSaveAt)) {
       return;
     }
     Batch batch = nextBatch(machines);
@@ -184,8 +184,8 @@
     }
     context.writeBudget().take(batch.values().size(), now);
     saving = true;
-    saveAt = now.plus(SAVE_PAUSE_MS);
-    unsaved.removeAll(batch.buckets().keySet());
+    nextSaveAt = now.plus(SAVE_INTERVAL_MS);
+    unsavedBuckets.removeAll(batch.buckets().keySet());
     Revision term = loadedTerm.current();
     Transaction transaction = new Transaction().guard(election.key(), term);
     addTo(transaction, batch.values());
@@ -193,7 +193,7 @@
         .store()
         .commit(
             transaction,
-            CALL_MS,
+            CALL_TIMEOUT_MS,
             result -> {
               saving = false;
               if (loadedTerm.isCurrent(term)) {
@@ -204,7 +204,7 @@
 
   private Batch nextBatch(Collection<AssignedMachine> machines) {
     Map<Integer, List<AssignedMachine>> byBucket = new TreeMap<>();
-    unsaved.forEach(bucket -> byBucket.put(bucket, new ArrayList<>()));
+    unsavedBuckets.forEach(bucket -> byBucket.put(bucket, new ArrayList<>()));
     for (AssignedMachine machine : machines) {
       List<AssignedMachine> inBucket = byBucket.get(BucketValues.bucketOf(machine.name()));
       if (inBucket != null) {
@@ -239,8 +239,8 @@
       recordWritten(batch.buckets(), batch.values().keySet(), committed.revision());
       return;
     }
-    unsaved.addAll(batch.buckets().keySet());
-    saveAt = context.now().plus(SAVE_PAUSE_MS);
+    unsavedBuckets.addAll(batch.buckets().keySet());
+    nextSaveAt = context.now().plus(SAVE_INTERVAL_MS);
     if (result instanceof Conflict) {
       // A write of unknown outcome was carried out late.
       readRevisions();
@@ -258,7 +258,7 @@
   /** Buckets are being written in another transaction; until that is over no others are. */
   void beginTransfer(Set<Integer> buckets) {
     saving = true;
-    unsaved.removeAll(buckets);
+    unsavedBuckets.removeAll(buckets);
   }
 
   /** The other transaction was carried out. */
@@ -271,6 +271,6 @@
   /** The other transaction was not carried out, and never will be. */
   void cancelTransfer(Set<Integer> buckets) {
     saving = false;
-    unsaved.addAll(buckets);
+    unsavedBuckets.addAll(buckets);
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/BucketValues.java
+++ b/src/main/java/shorecrank/coordination/leader/BucketValues.java
@@ -19,10 +19,10 @@
   /** The keys of all buckets begin with this. */
   static final String PREFIX = "hosts/";
 
-  private static final int BUCKETS = 32;
+  private static final int BUCKET_COUNT = 32;
 
   /** So much of a value is filled; the rest is for what stands around the machines. */
-  private static final double VALUE_FILL = 0.9;
+  private static final double MAX_FILL_RATIO = 0.9;
 
   private static final int VALUE_OVERHEAD_BYTES = 20;
   private static final int SEPARATOR_BYTES = 1;
@@ -30,7 +30,7 @@
 
   /** The bucket of a machine. */
   static int bucketOf(MachineName name) {
-    return Math.floorMod(name.value().hashCode(), BUCKETS);
+    return Math.floorMod(name.value().hashCode(), BUCKET_COUNT);
   }
 
   /**
@@ -42,30 +42,30 @@
    */
   static BucketValues of(
       int bucket, List<StoredAssignment> machines, Collection<String> knownKeys, double valueKb) {
-    double maxBytes = valueKb * BYTES_PER_KB * VALUE_FILL;
+    double maxBytes = valueKb * BYTES_PER_KB * MAX_FILL_RATIO;
     String firstKey = PREFIX + bucket;
     Map<String, EncodedValue> byKey = new TreeMap<>();
     EncodedValue value = new EncodedValue();
     byKey.put(firstKey, value);
-    int fullBytes = 0;
+    int closedBytes = 0;
     int bytes = VALUE_OVERHEAD_BYTES;
     for (StoredAssignment assignment : machines) {
       EncodedMachine machine = MachineRecordCodec.encode(assignment);
-      int more = machine.bytes() + SEPARATOR_BYTES;
-      if (bytes + more > maxBytes && !value.isEmpty()) {
+      int addedBytes = machine.bytes() + SEPARATOR_BYTES;
+      if (bytes + addedBytes > maxBytes && !value.isEmpty()) {
         value = new EncodedValue();
         byKey.put(firstKey + "." + byKey.size(), value);
-        fullBytes += bytes;
+        closedBytes += bytes;
         bytes = VALUE_OVERHEAD_BYTES;
       }
       value.add(machine);
-      bytes += more;
+      bytes += addedBytes;
     }
-    for (String known : knownKeys) {
-      if (known.startsWith(firstKey + ".") && !byKey.containsKey(known)) {
-        byKey.put(known, new EncodedValue());
+    for (String knownKey : knownKeys) {
+      if (knownKey.startsWith(firstKey + ".") && !byKey.containsKey(knownKey)) {
+        byKey.put(knownKey, new EncodedValue());
       }
     }
-    return new BucketValues(byKey, fullBytes + bytes);
+    return new BucketValues(byKey, closedBytes + bytes);
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -24,8 +24,8 @@
   private static final int UNAVAILABLE = 503;
   private static final String ERROR = "error";
   private static final String NO_CAPACITY = "no capacity";
-  private static final int CALL_MS = 6000;
-  private static final long RETRY_MS = 1000;
+  private static final int CALL_TIMEOUT_MS = 6000;
+  private static final long FAILURE_PAUSE_MS = 1000;
 
   /** Other controllers read the machine types now and then. */
   private static final double RATE_SHARE = 0.9;
@@ -59,22 +59,22 @@
   }
 
   private final StepContext context;
-  private final RateLimiter calls;
+  private final RateLimiter rateLimiter;
   private MonotonicTime pausedUntil = new MonotonicTime(0);
 
   CloudClient(StepContext context) {
     this.context = context;
-    this.calls = new RateLimiter(context.config().cloud().rps() * RATE_SHARE);
+    this.rateLimiter = new RateLimiter(context.config().cloud().rps() * RATE_SHARE);
   }
 
   /** Takes one call out of the rate limit, if it is there. */
   boolean tryTake() {
-    return calls.tryTake(1, context.now());
+    return rateLimiter.tryTake(1, context.now());
   }
 
   /** A call has failed: none is to be made for a moment. */
   void pause() {
-    pausedUntil = context.now().plus(RETRY_MS);
+    pausedUntil = context.now().plus(FAILURE_PAUSE_MS);
   }
 
   /** Whether no call is to be made now. */
@@ -92,7 +92,7 @@
         "POST",
         CloudMessages.RENTAL_PATH,
         CloudCodec.writeRental(claim, offer, count),
-        CALL_MS,
+        CALL_TIMEOUT_MS,
         (status, body) -> {
           if (status == OK) {
             then.accept(new RentResult.Rented(CloudCodec.readRented(body)));
@@ -112,7 +112,7 @@
         "POST",
         CloudMessages.RELEASE_PATH,
         CloudCodec.writeRelease(machines),
-        CALL_MS,
+        CALL_TIMEOUT_MS,
         (status, body) -> then.accept(status == OK));
   }
 
@@ -126,7 +126,7 @@
         "GET",
         CloudMessages.listPath(after),
         null,
-        CALL_MS,
+        CALL_TIMEOUT_MS,
         (status, body) ->
             then.accept(
                 status == OK
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -39,11 +39,11 @@
   }
 
   /** A term has begun: what the last one asked for is found in the machine list. */
-  void begin() {
-    rental.begin();
-    releases.begin();
-    unavailable.begin();
-    listing.begin();
+  void beginTerm() {
+    rental.beginTerm();
+    releases.beginTerm();
+    unavailable.beginTerm();
+    listing.beginTerm();
   }
 
   /** Once a round. */
--- a/src/main/java/shorecrank/coordination/leader/ControllerState.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerState.java
@@ -9,21 +9,21 @@
 /** One controller as its last heartbeat to the leader describes it. */
 final class ControllerState {
   private WriterId writer;
-  private boolean stateOk;
-  private MonotonicTime stateLostSince = MonotonicTime.NEVER;
-  private MonotonicTime heardAt = MonotonicTime.NEVER;
+  private boolean storeReachable;
+  private MonotonicTime storeUnreachableSince = MonotonicTime.NEVER;
+  private MonotonicTime lastHeartbeatAt = MonotonicTime.NEVER;
   private Map<ShardId, Integer> misroutedWorkers = Map.of();
 
   /** Takes in a heartbeat. */
-  void heard(Heartbeat heartbeat, MonotonicTime now) {
-    heardAt = now;
+  void recordHeartbeat(Heartbeat heartbeat, MonotonicTime now) {
+    lastHeartbeatAt = now;
     writer = heartbeat.writer();
     if (heartbeat.storeReachable()) {
-      stateLostSince = MonotonicTime.NEVER;
-    } else if (stateOk || stateLostSince == MonotonicTime.NEVER) {
-      stateLostSince = now;
+      storeUnreachableSince = MonotonicTime.NEVER;
+    } else if (storeReachable || storeUnreachableSince == MonotonicTime.NEVER) {
+      storeUnreachableSince = now;
     }
-    stateOk = heartbeat.storeReachable();
+    storeReachable = heartbeat.storeReachable();
     misroutedWorkers = heartbeat.misroutedWorkers();
   }
 
@@ -33,18 +33,18 @@
   }
 
   /** Whether it reaches the state service. */
-  boolean isStateOk() {
-    return stateOk;
+  boolean isStoreReachable() {
+    return storeReachable;
   }
 
   /** Since when it says that it does not reach the state service; NEVER if it reaches it. */
-  MonotonicTime stateLostSince() {
-    return stateLostSince;
+  MonotonicTime storeUnreachableSince() {
+    return storeUnreachableSince;
   }
 
   /** How long it has not been heard. */
-  long silentMs(MonotonicTime now) {
-    return now.since(heardAt);
+  long msSinceHeartbeat(MonotonicTime now) {
+    return now.since(lastHeartbeatAt);
   }
 
   /** How many workers of a shard lately came to it instead of to the shard's owner. */
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -11,7 +11,7 @@
 /** The controllers that the leader has heard in its term, itself among them. */
 final class ControllerTable {
   /** A controller that was heard so lately is taken to reach the state service as it said. */
-  private static final int STATE_OK_VALID_MS = 3000;
+  private static final int REACHABILITY_VALID_MS = 3000;
 
   /** Beyond two intervals of heartbeats, the silence after which a controller can't serve. */
   private static final int SERVING_MARGIN_MS = 500;
@@ -29,10 +29,10 @@
   }
 
   /** Takes in a heartbeat, and returns the state of its sender. */
-  ControllerState heard(Heartbeat heartbeat) {
+  ControllerState recordHeartbeat(Heartbeat heartbeat) {
     ControllerState sender =
         controllers.computeIfAbsent(heartbeat.sender(), name -> new ControllerState());
-    sender.heard(heartbeat, context.now());
+    sender.recordHeartbeat(heartbeat, context.now());
     return sender;
   }
 
@@ -53,21 +53,21 @@
 
   /** Whether a controller could serve a shard: it is heard and reaches the state service. */
   boolean canServe(ControllerState controller) {
-    return controller.isStateOk()
-        && controller.silentMs(context.now())
+    return controller.isStoreReachable()
+        && controller.msSinceHeartbeat(context.now())
             <= context.settings().renewMs() * 2L + SERVING_MARGIN_MS;
   }
 
   /** Whether a controller other than {@code except} reaches the state service. */
-  boolean isStateOkElsewhere(ControllerName except) {
+  boolean isStoreReachableElsewhere(ControllerName except) {
     if (!except.equals(context.config().label()) && context.isStoreReachable()) {
       return true;
     }
     for (Map.Entry<ControllerName, ControllerState> entry : controllers.entrySet()) {
       ControllerState controller = entry.getValue();
       if (!entry.getKey().equals(except)
-          && controller.isStateOk()
-          && controller.silentMs(context.now()) < STATE_OK_VALID_MS) {
+          && controller.isStoreReachable()
+          && controller.msSinceHeartbeat(context.now()) < REACHABILITY_VALID_MS) {
         return true;
       }
     }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -38,9 +38,9 @@
   static final String PROTECTED_KEY = "leadership";
 
   /** A controller that can't lead at the level in force looks again after so long. */
-  private static final int UNFIT_PAUSE_MS = 2000;
+  private static final int UNSUPPORTED_LEVEL_PAUSE_MS = 2000;
 
-  private static final int CALL_MS = 1500;
+  private static final int CALL_TIMEOUT_MS = 1500;
   private static final int WATCH_HOLD_MS = 15_000;
   private static final int READ_RETRY_MS = 500;
   private static final int WATCH_RETRY_MS = 400;
@@ -50,7 +50,7 @@
   private static final int TERM_ENDED_PAUSE_MS = 50;
 
   /** So that not all campaign at once when the key goes. */
-  private static final int CAMPAIGN_SPREAD_MS = 60;
+  private static final int CAMPAIGN_DELAY_MS = 60;
 
   private static final int OWN_GRANT_REVOKED_PAUSE_MS = 20;
 
@@ -58,7 +58,7 @@
   private static final int RENEWALS_PER_TTL = 4;
 
   /** Leases run on the service's clock; this process's may be fast or slow by 0.05%. */
-  private static final int DRIFT_DIVISOR = 500;
+  private static final int CLOCK_DRIFT_DIVISOR = 500;
 
   private static final int VALIDITY_MARGIN_MS = 20;
   private static final long NO_GRANT = -1;
@@ -82,7 +82,7 @@
   private final LevelRange supported;
 
   private State state = State.READING;
-  private boolean callUnderWay;
+  private boolean callPending;
   private MonotonicTime nextStepAt = new MonotonicTime(0);
   private long watchedRevision;
   private ControllerName leader;
@@ -95,7 +95,7 @@
   private FeatureLevel level = FeatureLevel.LOWEST;
 
   /** The revision of {@link #KEY} while the grant hangs on the other. */
-  private Revision namingRevision = Revision.ABSENT;
+  private Revision leaderKeyRevision = Revision.ABSENT;
 
   /**
    * Creates an election in which nothing is known.
@@ -159,7 +159,7 @@
       }
       return;
     }
-    if (callUnderWay || now.isBefore(nextStepAt)) {
+    if (callPending || now.isBefore(nextStepAt)) {
       return;
     }
     switch (state) {
@@ -172,35 +172,35 @@
 
   /** Goes over to a state, in which the next step follows after about {@code pauseMs}. */
   private void enter(State next, int pauseMs) {
-    callUnderWay = false;
+    callPending = false;
     state = next;
-    int spreadMs = pauseMs == 0 ? 0 : pauseMs / 2 + context.random().nextInt(pauseMs + 1);
-    nextStepAt = context.now().plus(spreadMs);
+    int delayMs = pauseMs == 0 ? 0 : pauseMs / 2 + context.random().nextInt(pauseMs + 1);
+    nextStepAt = context.now().plus(delayMs);
   }
 
   // ---- reading ---------------------------------------------------------------------------------
 
   private void read() {
-    callUnderWay = true;
-    context.store().read(KEY, CALL_MS, this::handleNamingKey);
+    callPending = true;
+    context.store().read(KEY, CALL_TIMEOUT_MS, this::handleLeaderKeyRead);
   }
 
-  private void handleNamingKey(ReadResult result) {
+  private void handleLeaderKeyRead(ReadResult result) {
     if (result instanceof ReadResult.Found found
         && supported != null
         && LeaderNameCodec.isMovedTo(found.entry().value(), PROTECTED_KEY)) {
-      namingRevision = found.entry().revision();
+      leaderKeyRevision = found.entry().revision();
       level = LeaderNameCodec.readLevel(found.entry().value());
-      context.store().read(PROTECTED_KEY, CALL_MS, this::handleLeaderKey);
+      context.store().read(PROTECTED_KEY, CALL_TIMEOUT_MS, this::handleGrantKeyRead);
       return;
     }
     if (!(result instanceof ReadResult.Unavailable)) {
       level = FeatureLevel.LOWEST;
     }
-    handleLeaderKey(result);
+    handleGrantKeyRead(result);
   }
 
-  private void handleLeaderKey(ReadResult result) {
+  private void handleGrantKeyRead(ReadResult result) {
     if (result instanceof ReadResult.Found found) {
       handleFound(found.entry());
     } else if (result instanceof ReadResult.Absent absent) {
@@ -214,7 +214,7 @@
 
   private void handleFound(Entry entry) {
     watchedRevision = entry.revision().value();
-    observe(LeaderNameCodec.readLeader(entry.value()), entry.revision());
+    recordLeader(LeaderNameCodec.readLeader(entry.value()), entry.revision());
     boolean ownName = context.config().label().equals(leader);
     if (!ownName || entry.grantId() <= 0) {
       enter(State.WATCHING, 0);
@@ -227,15 +227,15 @@
         ended -> enter(ended ? State.CAMPAIGNING : State.READING, OWN_GRANT_REVOKED_PAUSE_MS));
   }
 
-  private void observe(Optional<ControllerName> named, Revision revision) {
-    leader = named.orElse(null);
+  private void recordLeader(Optional<ControllerName> name, Revision revision) {
+    leader = name.orElse(null);
     term = revision;
   }
 
   // ---- watching --------------------------------------------------------------------------------
 
   private void watch() {
-    callUnderWay = true;
+    callPending = true;
     context.store().watch(KEY, watchedRevision, WATCH_HOLD_MS, this::handleWatch);
   }
 
@@ -252,7 +252,7 @@
     watchedRevision = Math.max(watchedRevision, news.revision());
     boolean vacant = false;
     for (Change change : news.changes()) {
-      if (supported != null && movesLeadership(change)) {
+      if (supported != null && changesGrantKeyOrLevel(change)) {
         enter(State.READING, 0);
         return;
       }
@@ -263,23 +263,23 @@
       if (vacant) {
         leader = null;
       } else {
-        observe(LeaderNameCodec.readLeader(change.value()), change.revision());
+        recordLeader(LeaderNameCodec.readLeader(change.value()), change.revision());
       }
     }
     if (vacant) {
-      enter(State.CAMPAIGNING, CAMPAIGN_SPREAD_MS);
+      enter(State.CAMPAIGNING, CAMPAIGN_DELAY_MS);
     } else {
       enter(State.WATCHING, 0);
     }
   }
 
   /** Whether the leadership is on another key from this change on, or another level in force. */
-  private boolean movesLeadership(Change change) {
+  private boolean changesGrantKeyOrLevel(Change change) {
     if (!change.key().equals(KEY) || change.value() == null) {
       return false;
     }
     boolean moved = LeaderNameCodec.isMovedTo(change.value(), PROTECTED_KEY);
-    return moved ? !change.revision().equals(namingRevision) : isProtected();
+    return moved ? !change.revision().equals(leaderKeyRevision) : isProtected();
   }
 
   // ---- campaigning -----------------------------------------------------------------------------
@@ -289,10 +289,10 @@
       context.reportRefusal(
           "leader.unfit",
           "leader.unfit level=" + level + " supported=\"" + supported + "\" reason=unsupported");
-      enter(State.READING, UNFIT_PAUSE_MS);
+      enter(State.READING, UNSUPPORTED_LEVEL_PAUSE_MS);
       return;
     }
-    callUnderWay = true;
+    callPending = true;
     MonotonicTime sent = context.now();
     grants.create(
         context.settings().leaderTtlMs(),
@@ -308,28 +308,31 @@
   private void takeKey(long newGrant, MonotonicTime grantSent) {
     Transaction transaction = new Transaction().guard(key(), Revision.ABSENT);
     if (isProtected()) {
-      transaction.guard(KEY, namingRevision);
+      transaction.guard(KEY, leaderKeyRevision);
       writeMovedName(transaction, level);
     }
     writeName(transaction, key(), newGrant);
     context
         .store()
-        .commit(transaction, CALL_MS, result -> handleTaken(newGrant, grantSent, result));
+        .commit(
+            transaction,
+            CALL_TIMEOUT_MS,
+            result -> handleCampaignResult(newGrant, grantSent, result));
   }
 
-  private void handleTaken(long newGrant, MonotonicTime grantSent, CommitResult result) {
+  private void handleCampaignResult(long newGrant, MonotonicTime grantSent, CommitResult result) {
     if (!(result instanceof Committed committed)) {
       // Refused, or without an answer: a late write of this process's must not find its grant
       // alive.
       grants.revoke(newGrant, ended -> enter(State.READING, LOST_CAMPAIGN_PAUSE_MS));
       return;
     }
-    callUnderWay = false;
+    callPending = false;
     state = State.LEADING;
     grant = newGrant;
     leader = context.config().label();
     term = committed.revision();
-    namingRevision = term;
+    leaderKeyRevision = term;
     watchedRevision = term.value();
     validUntil = validUntil(grantSent);
     renewAt = context.now().plus(context.settings().leaderTtlMs() / RENEWALS_PER_TTL);
@@ -354,7 +357,7 @@
 
   private MonotonicTime validUntil(MonotonicTime grantSent) {
     long ttlMs = context.settings().leaderTtlMs();
-    return grantSent.plus(ttlMs - ttlMs / DRIFT_DIVISOR - VALIDITY_MARGIN_MS);
+    return grantSent.plus(ttlMs - ttlMs / CLOCK_DRIFT_DIVISOR - VALIDITY_MARGIN_MS);
   }
 
   private void renew() {
@@ -397,7 +400,7 @@
   @Override
   public void addLevelSwitch(Transaction transaction, FeatureLevel to) {
     if (isProtected()) {
-      transaction.guard(KEY, namingRevision);
+      transaction.guard(KEY, leaderKeyRevision);
     }
     if (!isProtected(to)) {
       writeName(transaction, KEY, grant);
@@ -414,7 +417,7 @@
   public void levelSwitched(FeatureLevel to, Revision revision) {
     boolean otherKey = isProtected() != isProtected(to);
     level = to;
-    namingRevision = revision;
+    leaderKeyRevision = revision;
     if (otherKey) {
       term = revision;
       context.info("leader.key.moved term=%s level=%s key=%s", term, level, key());
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -23,8 +23,8 @@
  * that no epoch is given twice.
  */
 final class EpochAllocator {
-  private static final int CALL_MS = 1500;
-  private static final int NUDGE_MS = 1000;
+  private static final int CALL_TIMEOUT_MS = 1500;
+  private static final int HEARTBEAT_NOW_TIMEOUT_MS = 1000;
 
   /** After an allocation without success everything is loaded again after so long. */
   private static final int RELOAD_PAUSE_MS = 200;
@@ -50,7 +50,7 @@
    * next committed allocation settles it, since all are guarded by the counter's revision; before
    * that the last owner gets no lease.
    */
-  private final Set<ShardId> ownerInDoubt = new TreeSet<>();
+  private final Set<ShardId> shardsInDoubt = new TreeSet<>();
 
   private Revision doubtTerm = Revision.ABSENT;
 
@@ -84,7 +84,7 @@
   }
 
   /** A term has been loaded: what was allocated under an earlier one is refused. */
-  void begin() {
+  void beginTerm() {
     allocating = false;
   }
 
@@ -98,27 +98,28 @@
   }
 
   /** Marks shards as vacant of which it is not known who is written down as their owner. */
-  void vacateOwnersInDoubt(Revision term) {
+  void vacateShardsInDoubt(Revision term) {
     if (!term.equals(doubtTerm)) {
       // What an earlier term sent is refused, for the leader's key has changed.
-      ownerInDoubt.clear();
+      shardsInDoubt.clear();
     }
-    ownerInDoubt.forEach(id -> shards.get(id).vacate());
+    shardsInDoubt.forEach(id -> shards.get(id).vacate());
   }
 
   /**
    * Begins to allocate an epoch for a shard and its owner to be, unless another allocation is under
    * way.
    *
-   * @param above an epoch below the new one, beside all that the counter knows of
+   * @param lowerBound an epoch below the new one, beside all that the counter knows of
    */
-  void allocate(ShardId id, ShardState shard, ControllerName owner, WriterId writer, Epoch above) {
+  void allocate(
+      ShardId id, ShardState shard, ControllerName owner, WriterId writer, Epoch lowerBound) {
     if (allocating) {
       return;
     }
     allocating = true;
     shard.beginAllocation(writer);
-    Epoch next = new Epoch(Math.max(counter, above.value()) + 1);
+    Epoch next = new Epoch(Math.max(counter, lowerBound.value()) + 1);
     Allocation allocation =
         new Allocation(id, shard, new OwnerInfo(id, owner, next), writer, loadedTerm.current());
     allocationTerm = allocation.term();
@@ -133,7 +134,7 @@
         .store()
         .commit(
             transaction,
-            CALL_MS,
+            CALL_TIMEOUT_MS,
             result -> {
               if (number == allocations) {
                 handleResult(allocation, result);
@@ -152,12 +153,12 @@
     if (result.isUnknown()
         && thisTerm
         && !allocation.owner().controller().equals(allocation.shard().owner())) {
-      ownerInDoubt.add(allocation.id());
+      shardsInDoubt.add(allocation.id());
       doubtTerm = allocation.term();
     }
     if (result.isCommitted() && thisTerm) {
       // Those before it were guarded by the counter's last revision.
-      ownerInDoubt.clear();
+      shardsInDoubt.clear();
     }
     if (!loadedTerm.isCurrent(allocation.term())) {
       return;
@@ -178,7 +179,8 @@
     counter = owner.epoch().value();
     allocation
         .shard()
-        .assignOwner(owner.controller(), allocation.writer(), owner.epoch(), shards.leaseBound());
+        .assignOwner(
+            owner.controller(), allocation.writer(), owner.epoch(), shards.latestLeaseEnd());
     onAllocated.accept(allocation.id());
     context.info(
         "shard.epoch.allocated shard=%s epoch=%s owner=%s writer=%s",
@@ -187,7 +189,11 @@
     // The owner begins at once, and the others can tell the workers where to go.
     for (Member member : context.config().members()) {
       context.callPeer(
-          member.label(), PeerPaths.HEARTBEAT_NOW, Json.object(), NUDGE_MS, (status, body) -> {});
+          member.label(),
+          PeerPaths.HEARTBEAT_NOW,
+          Json.object(),
+          HEARTBEAT_NOW_TIMEOUT_MS,
+          (status, body) -> {});
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/GrantClient.java
+++ b/src/main/java/shorecrank/coordination/leader/GrantClient.java
@@ -14,7 +14,7 @@
 final class GrantClient {
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
-  private static final int CALL_MS = 1500;
+  private static final int CALL_TIMEOUT_MS = 1500;
 
   /** What became of renewing a grant. */
   enum Renewal {
@@ -38,7 +38,7 @@
         "POST",
         StorePaths.GRANTS,
         StoreCodec.writeGrantRequest(ttlMs),
-        CALL_MS,
+        CALL_TIMEOUT_MS,
         (status, body) -> {
           long grant = StoreCodec.readGrantId(body);
           then.accept(status != OK || grant < 0 ? OptionalLong.empty() : OptionalLong.of(grant));
@@ -51,7 +51,7 @@
         "POST",
         StorePaths.grantRenewal(grant),
         Json.object(),
-        CALL_MS,
+        CALL_TIMEOUT_MS,
         (status, body) ->
             then.accept(
                 switch (status) {
@@ -67,7 +67,7 @@
         "DELETE",
         StorePaths.grant(grant),
         null,
-        CALL_MS,
+        CALL_TIMEOUT_MS,
         (status, body) -> then.accept(status == OK || status == NOT_FOUND));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
+++ b/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
@@ -35,24 +35,24 @@
   }
 
   /** The answer to a heartbeat whose sender gets these leases. */
-  HeartbeatAnswer answer(Heartbeat heartbeat, List<Lease> leases) {
+  HeartbeatAnswer build(Heartbeat heartbeat, List<Lease> leases) {
     List<OwnerInfo> owners = shards.owners();
     MachineDirectory.Changes changes =
-        machines.changesSince(heartbeat.assignmentVersion(), shards.isSingle());
-    List<MachineName> gone =
-        changes.whole()
-            ? releases.releasedLately()
+        machines.changesSince(heartbeat.assignmentVersion(), shards.isSingleShard());
+    List<MachineName> released =
+        changes.isComplete()
+            ? releases.recentlyReleased()
             : changes.removed().stream().filter(releases::wasReleased).toList();
     return new HeartbeatAnswer(
         election.term().value(),
-        controllers.isStateOkElsewhere(heartbeat.sender()),
+        controllers.isStoreReachableElsewhere(heartbeat.sender()),
         leases,
         owners,
         machines.version(),
-        changes.whole(),
+        changes.isComplete(),
         changes.assigned(),
         changes.removed(),
-        gone,
+        released,
         cloud.unavailableOffers(),
         rollout.notice());
   }
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -40,13 +40,13 @@
   private final MachineAdmission admission;
   private final CloudProvisioner cloud;
   private final MachineAssigner assigner;
-  private final HeartbeatAnswerBuilder answers;
+  private final HeartbeatAnswerBuilder answerBuilder;
 
   /** The assigner where shares are enabled; else null. */
   private final ShareAssigner shareAssigner;
 
   /** No lease could be granted for a while, since it was in doubt whether this process leads. */
-  private boolean interrupted;
+  private boolean wasInterrupted;
 
   /**
    * Creates the leader's part of a controller.
@@ -70,8 +70,8 @@
     this.controllers = new ControllerTable(context);
     this.epochs = new EpochAllocator(context, election, loadedTerm, shards, this::handleAllocated);
     this.ownerSelection = new OwnerSelection(context, loadedTerm, shards, controllers, rollout);
-    OwnerFailureDetector failures = new OwnerFailureDetector(context, controllers);
-    this.leaseRenewal = new LeaseRenewal(context, shards, epochs, failures, rollout);
+    OwnerFailureDetector failureDetector = new OwnerFailureDetector(context, controllers);
+    this.leaseRenewal = new LeaseRenewal(context, shards, epochs, failureDetector, rollout);
     this.machines = new MachineDirectory(context, election, loadedTerm);
     this.recovery =
         new LeaderRecovery(
@@ -87,7 +87,7 @@
     this.releases = new MachineReleases(context, loadedTerm, machines, client);
     this.admission = new MachineAdmission(context, machines, shards, releases, assigner);
     this.cloud = new CloudProvisioner(context, loadedTerm, client, machines, releases, admission);
-    this.answers =
+    this.answerBuilder =
         new HeartbeatAnswerBuilder(
             election, shards, controllers, machines, releases, cloud, rollout);
   }
@@ -115,7 +115,7 @@
   /** Once a round. */
   public void tick() {
     if (!election.isLeading()) {
-      interrupted = true;
+      wasInterrupted = true;
       return;
     }
     rollout.updateGate();
@@ -129,9 +129,9 @@
       }
       return;
     }
-    if (interrupted) {
-      interrupted = false;
-      shards.awaitOwners();
+    if (wasInterrupted) {
+      wasInterrupted = false;
+      shards.extendLeasesAfterInterruption();
     }
     assignShards();
     assigner.tick();
@@ -151,10 +151,10 @@
 
   private void beginTerm() {
     controllers.reset();
-    epochs.begin();
-    machines.begin(loadedTerm.current());
+    epochs.beginTerm();
+    machines.beginTerm(loadedTerm.current());
     assigner.beginTerm();
-    cloud.begin();
+    cloud.beginTerm();
   }
 
   /** Gives shards without an owner, or whose owner's lease has expired, to the fittest one. */
@@ -187,14 +187,14 @@
     if (!isReady()) {
       return null;
     }
-    ControllerState sender = controllers.heard(heartbeat);
-    rollout.heard(heartbeat);
+    ControllerState sender = controllers.recordHeartbeat(heartbeat);
+    rollout.recordHeartbeat(heartbeat);
     List<Lease> leases = leaseRenewal.renew(heartbeat, sender);
     handleReports(heartbeat);
     for (MachineInfo machine : heartbeat.seenMachines()) {
-      admission.admitFound(machine, "source=heartbeat controller=" + heartbeat.sender());
+      admission.admitDiscovered(machine, "source=heartbeat controller=" + heartbeat.sender());
     }
-    return answers.answer(heartbeat, leases);
+    return answerBuilder.build(heartbeat, leases);
   }
 
   private void handleReports(Heartbeat heartbeat) {
@@ -218,16 +218,16 @@
     for (MachineName name : report.machinesToRelease()) {
       AssignedMachine machine = machines.get(name);
       // A machine no longer known may have been released by a leader that could not say so.
-      boolean ownersOwn =
+      boolean belongsToOwner =
           machine == null ? !releases.wasReleased(name) : machine.shard().equals(report.shard());
-      if (ownersOwn) {
+      if (belongsToOwner) {
         releases.request(name);
       }
     }
     assigner.handleReport(report);
     // An owner that has not yet seen the last assignment would ask for the same machines again.
-    boolean allTold = shards.isSingle() || machines.isWritten();
-    if (knownVersion == machines.version() && allTold && cloud.isIdle()) {
+    boolean allStored = shards.isSingleShard() || machines.isWritten();
+    if (knownVersion == machines.version() && allStored && cloud.isIdle()) {
       cloud.request(report.shard(), report.capacityRequests());
     }
   }
@@ -255,15 +255,15 @@
   }
 
   @Override
-  public boolean hasQueue(ShardId shard) {
-    return shards.hasQueue(shard);
+  public boolean hasQueuedTasks(ShardId shard) {
+    return shards.hasQueuedTasks(shard);
   }
 
   @Override
-  public void raiseAbove(ShardId id, Epoch least) {
+  public void raiseEpochAbove(ShardId id, Epoch lowerBound) {
     ShardState shard = shards.get(id);
     if (shard != null && !shard.isVacant() && !shard.isAllocating()) {
-      epochs.allocate(id, shard, shard.owner(), shard.writer(), least);
+      epochs.allocate(id, shard, shard.owner(), shard.writer(), lowerBound);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
@@ -14,7 +14,7 @@
  * outcome.
  */
 final class LeaderRecovery {
-  private static final int CALL_MS = 1500;
+  private static final int CALL_TIMEOUT_MS = 1500;
   private static final int RETRY_MS = 300;
   private static final int MAX_SHARDS = 200;
 
@@ -58,7 +58,9 @@
   void load() {
     loading = true;
     Revision term = election.term();
-    context.store().read(EpochCounterCodec.KEY, CALL_MS, result -> handleCounter(term, result));
+    context
+        .store()
+        .read(EpochCounterCodec.KEY, CALL_TIMEOUT_MS, result -> handleCounter(term, result));
   }
 
   private void handleCounter(Revision term, ReadResult result) {
@@ -80,7 +82,11 @@
     context
         .store()
         .list(
-            ShardOwnerCodec.PREFIX, "", MAX_SHARDS, CALL_MS, owners -> handleOwners(term, owners));
+            ShardOwnerCodec.PREFIX,
+            "",
+            MAX_SHARDS,
+            CALL_TIMEOUT_MS,
+            owners -> handleOwners(term, owners));
   }
 
   private void handleOwners(Revision term, ListResult result) {
@@ -94,15 +100,12 @@
       ShardState shard = shards.get(owner.shard());
       if (shard != null) {
         // The last leader may have renewed the lease just before its term ended.
-        MonotonicTime leaseUntil = shards.leaseBound();
+        MonotonicTime leaseEnd = shards.latestLeaseEnd();
         shard.assignOwner(
-            owner.controller(),
-            ShardOwnerCodec.readWriter(entry.value()),
-            owner.epoch(),
-            leaseUntil);
+            owner.controller(), ShardOwnerCodec.readWriter(entry.value()), owner.epoch(), leaseEnd);
       }
     }
-    epochs.vacateOwnersInDoubt(term);
+    epochs.vacateShardsInDoubt(term);
     machines.load(loaded -> handleMachines(term, loaded));
   }
 
@@ -113,7 +116,7 @@
     }
     loading = false;
     if (election.term().equals(term) && election.isLeading()) {
-      loadedTerm.begin(term);
+      loadedTerm.markLoaded(term);
       onLoaded.run();
       context.info(
           "leader.term.loaded term=%s epoch=%d machines=%d",
--- a/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -18,19 +18,19 @@
   private final StepContext context;
   private final ShardLeaseTable shards;
   private final EpochAllocator epochs;
-  private final OwnerFailureDetector failures;
+  private final OwnerFailureDetector failureDetector;
   private final RolloutView rollout;
 
   LeaseRenewal(
       StepContext context,
       ShardLeaseTable shards,
       EpochAllocator epochs,
-      OwnerFailureDetector failures,
+      OwnerFailureDetector failureDetector,
       RolloutView rollout) {
     this.context = context;
     this.shards = shards;
     this.epochs = epochs;
-    this.failures = failures;
+    this.failureDetector = failureDetector;
     this.rollout = rollout;
   }
 
@@ -41,7 +41,7 @@
       ShardState shard = entry.getValue();
       if (shard.isOwnedBy(heartbeat.sender())
           && mayRenew(entry.getKey(), shard, heartbeat, sender)) {
-        shard.renewLease(shards.leaseBound());
+        shard.renewLease(shards.latestLeaseEnd());
         leases.add(new Lease(entry.getKey(), shard.epoch(), context.settings().leaseMs()));
       }
     }
@@ -58,7 +58,7 @@
     }
     ShardReport report = reportOf(id, heartbeat);
     if (!shard.isRevoking()) {
-      revokeIfUnfit(id, shard, heartbeat.sender(), sender);
+      revokeIfIneligible(id, shard, heartbeat.sender(), sender);
     }
     if (shard.isRevoking()) {
       if (report == null) {
@@ -72,7 +72,7 @@
       // still run when that is committed.
       return false;
     }
-    return report == null || takeReport(id, shard, report);
+    return report == null || applyReport(id, shard, report);
   }
 
   /** The last report of a shard in a heartbeat; null if there is none. */
@@ -86,9 +86,9 @@
     return found;
   }
 
-  private void revokeIfUnfit(
+  private void revokeIfIneligible(
       ShardId id, ShardState shard, ControllerName owner, ControllerState sender) {
-    if (failures.lacksStateService(owner, sender)) {
+    if (failureDetector.lacksStateService(owner, sender)) {
       context.info("shard.revoked shard=%s owner=%s reason=state_service_lost", id, owner);
       shard.revoke();
     } else if (!rollout.mayOwn(owner)) {
@@ -97,18 +97,18 @@
   }
 
   /** Takes in what an owner reports of its shard; false if its lease is revoked for that. */
-  private boolean takeReport(ShardId id, ShardState shard, ShardReport report) {
+  private boolean applyReport(ShardId id, ShardState shard, ShardReport report) {
     raiseRefusedEpoch(id, shard, report);
-    shard.updateQueued(report.hasQueuedTasks());
+    shard.updateHasQueuedTasks(report.hasQueuedTasks());
     WorkerReachability workers = report.reachability();
-    if (!failures.isUnreached(id, shard, workers)) {
+    if (!failureDetector.isUnreachableForWorkers(id, shard, workers)) {
       return true;
     }
     context.info(
         "shard.revoked shard=%s owner=%s reason=workers_unreached heard=%d expected=%d",
         id, shard.owner(), workers.expected() - workers.unheard(), workers.expected());
     context.count("part.unreached");
-    shard.revokeUnreached(workers.unreachableZones(), context.now());
+    shard.revokeUnreachable(workers.unreachableZones(), context.now());
     return false;
   }
 
--- a/src/main/java/shorecrank/coordination/leader/LoadedTerm.java
+++ b/src/main/java/shorecrank/coordination/leader/LoadedTerm.java
@@ -11,7 +11,7 @@
 final class LoadedTerm {
   private final StepContext context;
   private Revision term = Revision.ABSENT;
-  private MonotonicTime loadAt = new MonotonicTime(0);
+  private MonotonicTime earliestLoadAt = new MonotonicTime(0);
 
   LoadedTerm(StepContext context) {
     this.context = context;
@@ -28,7 +28,7 @@
   }
 
   /** What was loaded counts from now on. */
-  void begin(Revision loaded) {
+  void markLoaded(Revision loaded) {
     term = loaded;
   }
 
@@ -39,11 +39,11 @@
 
   /** Loading is not to begin before {@code pauseMs} have passed. */
   void postponeLoading(long pauseMs) {
-    loadAt = context.now().plus(pauseMs);
+    earliestLoadAt = context.now().plus(pauseMs);
   }
 
   /** Whether loading may begin now. */
   boolean mayLoad() {
-    return !context.now().isBefore(loadAt);
+    return !context.now().isBefore(earliestLoadAt);
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineAdmission.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAdmission.java
@@ -38,7 +38,7 @@
    *
    * @param source the fields of the log line that say where it was found
    */
-  void admitFound(MachineInfo machine, String source) {
+  void admitDiscovered(MachineInfo machine, String source) {
     if (machines.contains(machine.name())
         || releases.isReleasing(machine.name())
         // Although its release was answered: a held heartbeat, or a list that lags.
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -21,8 +21,8 @@
  * other controllers are told only what has changed since they were last told.
  */
 final class MachineDirectory {
-  /** What has changed since a controller's version; all assignments if {@code whole}. */
-  record Changes(boolean whole, List<MachineAssignment> assigned, List<MachineName> removed) {}
+  /** What has changed since a controller's version; all assignments if {@code isComplete}. */
+  record Changes(boolean isComplete, List<MachineAssignment> assigned, List<MachineName> removed) {}
 
   private final StepContext context;
   private final LoadedTerm loadedTerm;
@@ -102,8 +102,8 @@
   }
 
   /** What was read is in force under a term. */
-  void begin(Revision term) {
-    store.begin();
+  void beginTerm(Revision term) {
+    store.beginTerm();
     changes.restart(term);
   }
 
@@ -122,8 +122,8 @@
   // ---- changes ---------------------------------------------------------------------------------
 
   /** A machine belongs to a shard from now on, under the shard's epoch. */
-  void assign(MachineInfo info, ShardId shard, Epoch term) {
-    put(new StoredAssignment(info, shard, term));
+  void assign(MachineInfo info, ShardId shard, Epoch epoch) {
+    put(new StoredAssignment(info, shard, epoch));
     store.markUnsaved(info.name());
   }
 
@@ -133,19 +133,19 @@
     machine.updateVersion(changes.advance());
     context.info(
         "machine.assigned machine=%s shard=%s epoch=%s",
-        machine.name(), machine.shard(), machine.term());
+        machine.name(), machine.shard(), machine.epoch());
     context.count("machine.lent");
     return machine;
   }
 
   /** The owner is to let the machine run empty and hand it back, under an order's id. */
-  void requestHandover(AssignedMachine machine, MoveId order) {
-    machine.updateMove(order, true, changes.advance());
+  void requestHandover(AssignedMachine machine, MoveId move) {
+    machine.updateMove(move, true, changes.advance());
   }
 
   /** The owner is to say when it hears the machine. */
-  void awaitArrival(AssignedMachine machine, MoveId order) {
-    machine.updateMove(order, false, changes.advance());
+  void awaitArrival(AssignedMachine machine, MoveId move) {
+    machine.updateMove(move, false, changes.advance());
   }
 
   /** The owner may use the machine; the order that concerned it is over. */
@@ -158,7 +158,7 @@
     if (machines.remove(name) != null) {
       store.markUnsaved(name);
     }
-    changes.remove(name, machines.size());
+    changes.addRemoval(name, machines.size());
   }
 
   // ---- transfers -------------------------------------------------------------------------------
@@ -190,14 +190,14 @@
   /** A machine's next assignment is being written: nobody owns it as far as owners know. */
   void beginTransfer(MachineName name) {
     machines.get(name).beginTransfer();
-    changes.remove(name, machines.size());
+    changes.addRemoval(name, machines.size());
   }
 
   /** A machine's next assignment was written. */
   void completeTransfer(MachineName name, NextAssignment next) {
     AssignedMachine machine = machines.get(name);
     if (machine != null) {
-      put(new StoredAssignment(machine.info(), next.shard(), next.term())).markRecorded();
+      put(new StoredAssignment(machine.info(), next.shard(), next.epoch())).markRecorded();
     }
   }
 
@@ -212,29 +212,29 @@
   // ---- for other controllers -------------------------------------------------------------------
 
   /** Who knows a version of this term gets what changed since, others all of it. */
-  Changes changesSince(long known, boolean oneShard) {
-    boolean whole = !changes.covers(known);
+  Changes changesSince(long known, boolean isSingleShard) {
+    boolean isComplete = !changes.covers(known);
     List<MachineAssignment> assigned = new ArrayList<>();
     List<MachineName> removed = new ArrayList<>();
     if (known == changes.version()) {
-      return new Changes(whole, assigned, removed);
+      return new Changes(isComplete, assigned, removed);
     }
     for (AssignedMachine machine : machines.values()) {
-      if (mayTell(machine, oneShard) && (whole || machine.version() > known)) {
-        assigned.add(machine.describe(oneShard, context.now()));
+      if (mayAnnounce(machine, isSingleShard) && (isComplete || machine.version() > known)) {
+        assigned.add(machine.describe(isSingleShard, context.now()));
       }
     }
-    if (!whole) {
+    if (!isComplete) {
       changes.forEachRemovalAfter(
           known,
           name -> {
-            AssignedMachine again = machines.get(name);
-            if (again == null || !mayTell(again, oneShard)) {
+            AssignedMachine current = machines.get(name);
+            if (current == null || !mayAnnounce(current, isSingleShard)) {
               removed.add(name);
             }
           });
     }
-    return new Changes(whole, assigned, removed);
+    return new Changes(isComplete, assigned, removed);
   }
 
   /**
@@ -243,7 +243,7 @@
    * while it holds tasks. With one shard there is no other. And nobody is told of a machine that is
    * passing on: a new owner of the shard that has handed it back would take it for its own.
    */
-  private static boolean mayTell(AssignedMachine machine, boolean oneShard) {
-    return (machine.isRecorded() || oneShard) && !machine.isInTransfer();
+  private static boolean mayAnnounce(AssignedMachine machine, boolean isSingleShard) {
+    return (machine.isRecorded() || isSingleShard) && !machine.isInTransfer();
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListing.java
@@ -25,10 +25,10 @@
   private static final int MS_PER_S = 1000;
 
   /** The machine list is read again after so long at the earliest. */
-  private static final long PAUSE_MS = 5000;
+  private static final long READ_INTERVAL_MS = 5000;
 
   /** While no machine is known the list is read more often. */
-  private static final long EMPTY_PAUSE_MS = 1000;
+  private static final long EMPTY_FLEET_INTERVAL_MS = 1000;
 
   /** A page that must wait for the cloud's rate limit is tried again after so long. */
   private static final long PAGE_RETRY_MS = 200;
@@ -39,7 +39,7 @@
    * A released machine that is listed for so long beyond the list's lag has been rented again, by a
    * request that was carried out late.
    */
-  private static final long BACK_AGAIN_MS = 10_000;
+  private static final long RENTED_AGAIN_MS = 10_000;
 
   /** Added to twice the list's lag, in which lists may still go backwards. */
   private static final long LAG_MARGIN_MS = 2000;
@@ -48,7 +48,7 @@
   private static final double DEFAULT_BOOT_S = 60;
 
   /** A machine that takes longer to boot than so many times what its type needs never will. */
-  private static final int MAX_BOOT_TIMES = 4;
+  private static final int MAX_BOOT_FACTOR = 4;
 
   private static final double BOOT_MARGIN_S = 60;
 
@@ -70,12 +70,12 @@
   private final CloudClient client;
   private final MachineReleases releases;
   private final MachineAdmission admission;
-  private boolean listing;
+  private boolean readUnderWay;
 
   /** The page of the machine list that is to be read next; null while none waits. */
   private PartialList nextPage;
 
-  private MonotonicTime listAt = new MonotonicTime(0);
+  private MonotonicTime nextReadAt = new MonotonicTime(0);
   private Map<String, MachineType> catalog = Map.of();
 
   MachineListing(
@@ -99,21 +99,21 @@
   }
 
   /** A term has begun: the list is read at once. */
-  void begin() {
-    listing = false;
+  void beginTerm() {
+    readUnderWay = false;
     nextPage = null;
-    listAt = context.now();
+    nextReadAt = context.now();
   }
 
   /** Whether a page is to be read now. */
   boolean hasWork() {
-    return !context.now().isBefore(listAt) && (!listing || nextPage != null);
+    return !context.now().isBefore(nextReadAt) && (!readUnderWay || nextPage != null);
   }
 
   /** Reads the page that is due: the next one, or the first of a new reading. */
   void readPage() {
-    if (!listing) {
-      listing = true;
+    if (!readUnderWay) {
+      readUnderWay = true;
       nextPage = new PartialList("", new HashMap<>());
     }
     read(nextPage);
@@ -133,8 +133,8 @@
 
   private void handlePage(PartialList soFar, ListingResult result) {
     if (!(result instanceof ListingResult.Page page)) {
-      listing = false;
-      listAt = context.now().plus(RETRY_MS);
+      readUnderWay = false;
+      nextReadAt = context.now().plus(RETRY_MS);
       return;
     }
     Map<MachineName, ListedMachine> found = soFar.found();
@@ -145,38 +145,38 @@
       if (client.tryTake()) {
         read(nextPage);
       } else {
-        listAt = context.now().plus(PAGE_RETRY_MS);
+        nextReadAt = context.now().plus(PAGE_RETRY_MS);
       }
       return;
     }
-    listing = false;
-    listAt = context.now().plus(pauseMs(soFar.pages()));
-    compareAll(found.values());
+    readUnderWay = false;
+    nextReadAt = context.now().plus(pauseMs(soFar.pages()));
+    reconcileAll(found.values());
   }
 
   /** So that reading the list, however many pages it has, leaves calls for renting. */
   private long pauseMs(int pages) {
     if (machines.size() == 0) {
-      return EMPTY_PAUSE_MS;
+      return EMPTY_FLEET_INTERVAL_MS;
     }
     double callsPerMs = context.config().cloud().rps() * CALL_SHARE / MS_PER_S;
-    return Math.max(PAUSE_MS, (long) (pages / callsPerMs));
+    return Math.max(READ_INTERVAL_MS, (long) (pages / callsPerMs));
   }
 
-  private void compareAll(Collection<ListedMachine> listed) {
+  private void reconcileAll(Collection<ListedMachine> listed) {
     MonotonicTime now = context.now();
     long lagMs = (long) (context.config().cloud().listLagS() * 2 * MS_PER_S) + LAG_MARGIN_MS;
-    listed.forEach(machine -> compareOne(machine, lagMs, now));
-    returnUnlisted(lagMs);
+    listed.forEach(machine -> reconcile(machine, lagMs, now));
+    releaseUnlisted(lagMs);
     releases.forgetOld(now);
     context.gauge("machines", machines.size());
   }
 
-  private void compareOne(ListedMachine listed, long lagMs, MonotonicTime now) {
+  private void reconcile(ListedMachine listed, long lagMs, MonotonicTime now) {
     MachineName name = listed.name();
     MonotonicTime releasedAt = releases.releasedAt(name);
     if (releasedAt != null) {
-      if (now.since(releasedAt) > lagMs + BACK_AGAIN_MS) {
+      if (now.since(releasedAt) > lagMs + RENTED_AGAIN_MS) {
         // Its release was answered, so a late request has rented it again: return it.
         releases.releaseAgain(name);
       }
@@ -189,7 +189,7 @@
       }
       return;
     }
-    admission.admitFound(
+    admission.admitDiscovered(
         new MachineInfo(name, listed.type(), listed.zone(), listed.spot()),
         "source=listing state=" + listed.state());
     AssignedMachine machine = machines.get(name);
@@ -204,14 +204,14 @@
     double bootS = type == null ? DEFAULT_BOOT_S : type.bootS();
     return listed.state().equals(FAILED)
         || (listed.state().equals(STARTING)
-            && listed.ageS() > MAX_BOOT_TIMES * bootS + BOOT_MARGIN_S);
+            && listed.ageS() > MAX_BOOT_FACTOR * bootS + BOOT_MARGIN_S);
   }
 
   /**
    * Once listed, a machine stays listed until it is gone; lists lag and go backwards, so this alone
    * proves nothing. Its release, answered 200, does.
    */
-  private void returnUnlisted(long lagMs) {
+  private void releaseUnlisted(long lagMs) {
     for (AssignedMachine machine : machines.all()) {
       if (machine.listedAt() != MonotonicTime.NEVER
           && context.now().since(machine.listedAt()) > lagMs
--- a/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
@@ -23,7 +23,7 @@
   private static final int ZONE = 2;
   private static final int SPOT = 3;
   private static final int SHARD = 4;
-  private static final int TERM = 5;
+  private static final int EPOCH = 5;
 
   private MachineRecordCodec() {}
 
@@ -63,7 +63,7 @@
             .add(machine.zone())
             .add(machine.spot())
             .add(assignment.shard().value())
-            .add(assignment.term().value());
+            .add(assignment.epoch().value());
     return new EncodedMachine(fields, Json.bytes(fields).length);
   }
 
@@ -81,8 +81,8 @@
   private static Optional<StoredAssignment> read(JsonNode fields, int shards) {
     String name = Json.text(fields.path(NAME));
     long shard = Json.count(fields.path(SHARD));
-    long term = Json.count(fields.path(TERM));
-    if (name.isEmpty() || shard < 0 || shard >= shards || term < 0) {
+    long epoch = Json.count(fields.path(EPOCH));
+    if (name.isEmpty() || shard < 0 || shard >= shards || epoch < 0) {
       return Optional.empty();
     }
     MachineInfo machine =
@@ -91,6 +91,6 @@
             Json.text(fields.path(TYPE)),
             Json.text(fields.path(ZONE)),
             fields.path(SPOT).asBoolean());
-    return Optional.of(new StoredAssignment(machine, new ShardId((int) shard), new Epoch(term)));
+    return Optional.of(new StoredAssignment(machine, new ShardId((int) shard), new Epoch(epoch)));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineReleases.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineReleases.java
@@ -15,9 +15,9 @@
 /** Returns machines to the cloud, and remembers which it has returned. */
 final class MachineReleases {
   /** Owners are told of a released machine for so long. */
-  private static final long TELL_RELEASED_MS = 60_000;
+  private static final long ANNOUNCE_RELEASED_MS = 60_000;
 
-  private static final long KEEP_RELEASED_MS = 600_000;
+  private static final long RELEASED_RETENTION_MS = 600_000;
 
   private final StepContext context;
   private final LoadedTerm loadedTerm;
@@ -26,7 +26,7 @@
   private final Map<MachineName, MonotonicTime> released = new HashMap<>();
   private final Set<MachineName> toRelease = new LinkedHashSet<>();
   private final Set<MachineName> releasing = new LinkedHashSet<>();
-  private boolean busy;
+  private boolean callPending;
 
   MachineReleases(
       StepContext context, LoadedTerm loadedTerm, MachineDirectory machines, CloudClient client) {
@@ -37,10 +37,10 @@
   }
 
   /** A term has begun: what was to be returned is found again. */
-  void begin() {
+  void beginTerm() {
     toRelease.clear();
     releasing.clear();
-    busy = false;
+    callPending = false;
   }
 
   /** The machine is to be returned; false if it is being returned, or is to be, already. */
@@ -64,11 +64,11 @@
   }
 
   /** Machines whose release was answered lately. */
-  List<MachineName> releasedLately() {
+  List<MachineName> recentlyReleased() {
     List<MachineName> lately = new ArrayList<>();
     released.forEach(
         (name, at) -> {
-          if (context.now().since(at) < TELL_RELEASED_MS) {
+          if (context.now().since(at) < ANNOUNCE_RELEASED_MS) {
             lately.add(name);
           }
         });
@@ -83,17 +83,17 @@
 
   /** Forgets what was released long ago. */
   void forgetOld(MonotonicTime now) {
-    released.values().removeIf(at -> now.since(at) > KEEP_RELEASED_MS);
+    released.values().removeIf(at -> now.since(at) > RELEASED_RETENTION_MS);
   }
 
   /** Whether a call could be made now. */
   boolean hasWork() {
-    return !toRelease.isEmpty() && !busy;
+    return !toRelease.isEmpty() && !callPending;
   }
 
   /** Returns the machines that wait, as many as go into one call. */
   void send() {
-    busy = true;
+    callPending = true;
     List<MachineName> batch = toRelease.stream().limit(CloudMessages.MAX_RELEASE).toList();
     batch.forEach(toRelease::remove);
     releasing.addAll(batch);
@@ -108,7 +108,7 @@
   }
 
   private void handleAnswer(List<MachineName> batch, boolean accepted) {
-    busy = false;
+    callPending = false;
     batch.forEach(releasing::remove);
     if (accepted) {
       batch.forEach(this::markReleased);
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -17,7 +17,7 @@
 /** Rents the machines that owners ask for, in calls that may be repeated without renting twice. */
 final class MachineRental {
   /** So many claims are under way at once. */
-  private static final int MAX_CLAIMS = 8;
+  private static final int MAX_PENDING_CLAIMS = 8;
 
   /** An owner's request for more machines than the cloud could rent in this time is cut there. */
   private static final int REQUEST_HORIZON_S = 60;
@@ -33,9 +33,9 @@
   private final ArrayDeque<Claim> waiting = new ArrayDeque<>();
 
   /** Names of claims that may have been carried out. */
-  private final Set<String> tried = new HashSet<>();
+  private final Set<String> claimsInDoubt = new HashSet<>();
 
-  private int underWay;
+  private int pendingClaims;
   private long claimNumber;
 
   MachineRental(
@@ -52,15 +52,15 @@
   }
 
   /** A term has begun: what the last one rented is found in the machine list. */
-  void begin() {
+  void beginTerm() {
     waiting.clear();
-    tried.clear();
-    underWay = 0;
+    claimsInDoubt.clear();
+    pendingClaims = 0;
   }
 
   /** Whether nothing is being rented. */
   boolean isIdle() {
-    return waiting.isEmpty() && underWay == 0;
+    return waiting.isEmpty() && pendingClaims == 0;
   }
 
   /** Rents what an owner asks for, except kinds that were refused lately. */
@@ -69,12 +69,12 @@
       if (request.count() <= 0 || unavailable.contains(request.offer())) {
         continue;
       }
-      int left = Math.min(request.count(), maxRequested());
-      while (left > 0) {
-        int count = Math.min(left, CloudMessages.MAX_RENT);
+      int remaining = Math.min(request.count(), maxRequested());
+      while (remaining > 0) {
+        int count = Math.min(remaining, CloudMessages.MAX_RENT);
         String name = "sc-" + loadedTerm.current() + "-" + ++claimNumber;
         waiting.add(new Claim(name, request.offer(), count, shard));
-        left -= count;
+        remaining -= count;
       }
     }
   }
@@ -86,13 +86,13 @@
 
   /** Sends the claims that wait, as the cloud's rate limit allows. */
   void sendWaiting() {
-    while (!waiting.isEmpty() && underWay < MAX_CLAIMS && client.tryTake()) {
+    while (!waiting.isEmpty() && pendingClaims < MAX_PENDING_CLAIMS && client.tryTake()) {
       sendClaim(waiting.poll());
     }
   }
 
   private void sendClaim(Claim claim) {
-    underWay++;
+    pendingClaims++;
     Revision term = loadedTerm.current();
     client.rent(
         claim.name(),
@@ -100,7 +100,7 @@
         claim.count(),
         result -> {
           if (loadedTerm.isCurrent(term)) {
-            underWay--;
+            pendingClaims--;
             handleResult(claim, result);
           }
         });
@@ -110,14 +110,14 @@
     if (result instanceof RentResult.Rented rented) {
       handleRented(claim, rented.machines());
     } else if (result instanceof RentResult.NoCapacity) {
-      refuse(claim.offer());
+      suspendOffer(claim.offer());
     } else if (result instanceof RentResult.Malformed) {
       context.error("machine.rent.malformed claim=%s offer=%s", claim.name(), claim.offer());
-      refuse(claim.offer());
+      suspendOffer(claim.offer());
     } else {
       // It may have been carried out: the same name again, and never another for it.
       waiting.addFirst(claim);
-      tried.add(claim.name());
+      claimsInDoubt.add(claim.name());
       client.pause();
     }
   }
@@ -132,15 +132,15 @@
         "machine.rented claim=%s offer=%s rented=%d asked=%d",
         claim.name(), offer, names.size(), claim.count());
     if (names.size() < claim.count()) {
-      refuse(offer);
+      suspendOffer(offer);
     } else {
-      unavailable.granted(offer);
+      unavailable.recordSuccess(offer);
     }
   }
 
-  private void refuse(Offer offer) {
+  private void suspendOffer(Offer offer) {
     // Those not yet sent would be refused too; their owners ask for something else.
-    waiting.removeIf(claim -> claim.offer().equals(offer) && !tried.contains(claim.name()));
-    unavailable.refused(offer);
+    waiting.removeIf(claim -> claim.offer().equals(offer) && !claimsInDoubt.contains(claim.name()));
+    unavailable.recordRefusal(offer);
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
@@ -41,21 +41,21 @@
    */
   void addIfItFits(MachineName name, NextAssignment next, int maxOperations) {
     int bucket = BucketValues.bucketOf(name);
-    Map<MachineName, NextAssignment> withThis = new TreeMap<>(moved);
-    withThis.put(name, next);
+    Map<MachineName, NextAssignment> movedWithThis = new TreeMap<>(moved);
+    movedWithThis.put(name, next);
     List<AssignedMachine> inBucket = directory.machinesIn(bucket);
     List<StoredAssignment> assignments = new ArrayList<>(inBucket.size());
     for (AssignedMachine machine : inBucket) {
-      assignments.add(assignmentAfter(machine, withThis));
+      assignments.add(assignmentAfter(machine, movedWithThis));
     }
     BucketValues written = store.values(bucket, assignments);
-    boolean another = !buckets.containsKey(bucket);
-    int operations = values.size() + (another ? written.byKey().size() : 0);
-    int more = another ? written.bytes() : 0;
-    if (operations > maxOperations || bytes + more > StoreMessages.TXN_FILL_BYTES) {
+    boolean isNewBucket = !buckets.containsKey(bucket);
+    int operations = values.size() + (isNewBucket ? written.byKey().size() : 0);
+    int addedBytes = isNewBucket ? written.bytes() : 0;
+    if (operations > maxOperations || bytes + addedBytes > StoreMessages.TXN_FILL_BYTES) {
       return;
     }
-    bytes += more;
+    bytes += addedBytes;
     moved.put(name, next);
     buckets.put(bucket, inBucket);
     values.putAll(written.byKey());
@@ -66,7 +66,7 @@
     NextAssignment next = moved.get(machine.name());
     return next == null
         ? machine.assignment()
-        : new StoredAssignment(machine.info(), next.shard(), next.term());
+        : new StoredAssignment(machine.info(), next.shard(), next.epoch());
   }
 
   boolean isEmpty() {
--- a/src/main/java/shorecrank/coordination/leader/NextAssignment.java
+++ b/src/main/java/shorecrank/coordination/leader/NextAssignment.java
@@ -4,4 +4,4 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /** A machine's next shard, and the epoch under which it is assigned there. */
-record NextAssignment(ShardId shard, Epoch term) {}
+record NextAssignment(ShardId shard, Epoch epoch) {}
--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -10,10 +10,10 @@
 /** Decides whether an owner that still sends heartbeats has to be replaced. */
 final class OwnerFailureDetector {
   /** An owner without the state service, while others have it, is replaced after so long. */
-  private static final int STATE_LOST_MS = 2000;
+  private static final int STORE_UNREACHABLE_LIMIT_MS = 2000;
 
   /** A shard is not moved again so soon because workers don't reach its owner. */
-  private static final int MOVE_PAUSE_MS = 20_000;
+  private static final int REPLACEMENT_PAUSE_MS = 20_000;
 
   /** An owner is not replaced for a single worker that it does not hear. */
   private static final int MIN_UNHEARD = 2;
@@ -31,19 +31,19 @@
 
   /** Whether an owner alone is without the state service. */
   boolean lacksStateService(ControllerName name, ControllerState owner) {
-    return hasLostStateService(owner) && controllers.isStateOkElsewhere(name);
+    return hasLostStateService(owner) && controllers.isStoreReachableElsewhere(name);
   }
 
   /** After an outage a controller gets as long to notice its end as it had for its beginning. */
   private boolean hasLostStateService(ControllerState owner) {
-    MonotonicTime since = owner.stateLostSince();
+    MonotonicTime since = owner.storeUnreachableSince();
     if (since == MonotonicTime.NEVER) {
       return false;
     }
     if (since.isBefore(context.storeReachableSince())) {
       since = context.storeReachableSince();
     }
-    return context.now().since(since) > STATE_LOST_MS;
+    return context.now().since(since) > STORE_UNREACHABLE_LIMIT_MS;
   }
 
   /**
@@ -51,24 +51,24 @@
    * all of them are likely to reach. Their leases would run out, although nothing is wrong with
    * them.
    */
-  boolean isUnreached(ShardId id, ShardState shard, WorkerReachability workers) {
+  boolean isUnreachableForWorkers(ShardId id, ShardState shard, WorkerReachability workers) {
     if (workers.unheard() < MIN_UNHEARD
         || workers.unheard() * MIN_UNHEARD_DIVISOR < workers.expected()
-        || shard.sinceMovedMs(context.now()) < MOVE_PAUSE_MS) {
+        || shard.msSinceUnreachable(context.now()) < REPLACEMENT_PAUSE_MS) {
       return false;
     }
     int heardElsewhere = 0;
-    boolean betterOwner = false;
+    boolean hasReachableCandidate = false;
     for (Map.Entry<ControllerName, ControllerState> entry : controllers.entries()) {
       ControllerState controller = entry.getValue();
       if (entry.getKey().equals(shard.owner()) || !controllers.canServe(controller)) {
         continue;
       }
       heardElsewhere += controller.misroutedWorkers(id);
-      betterOwner |= isLikelyReached(entry.getKey(), shard.owner(), workers);
+      hasReachableCandidate |= isLikelyReachable(entry.getKey(), shard.owner(), workers);
     }
-    boolean halfHeardElsewhere = heardElsewhere * 2 >= workers.unheard();
-    return betterOwner && halfHeardElsewhere;
+    boolean isHalfHeardElsewhere = heardElsewhere * 2 >= workers.unheard();
+    return hasReachableCandidate && isHalfHeardElsewhere;
   }
 
   /**
@@ -76,10 +76,10 @@
    * move is worth it only if it does not lose the others: to a zone that is neither theirs nor the
    * owner's.
    */
-  private boolean isLikelyReached(
+  private boolean isLikelyReachable(
       ControllerName candidate, ControllerName owner, WorkerReachability workers) {
-    boolean twoThirdsUnheard = workers.unheard() * 3 > workers.expected() * 2;
-    if (twoThirdsUnheard) {
+    boolean areTwoThirdsUnheard = workers.unheard() * 3 > workers.expected() * 2;
+    if (areTwoThirdsUnheard) {
       return true;
     }
     String zone = controllers.zoneOf(candidate);
--- a/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
@@ -23,25 +23,25 @@
   /** A shard in the same zone, of which there are 64 at the most. */
   private static final int ZONE_LOAD = 1;
 
-  private static final int UNREACHED_ZONE_LOAD = 100_000;
-  private static final int UNREACHED_OWNER_LOAD = 100_000_000;
+  private static final int UNREACHABLE_ZONE_LOAD = 100_000;
+  private static final int UNREACHABLE_OWNER_LOAD = 100_000_000;
 
   private final StepContext context;
-  private final LoadedTerm term;
+  private final LoadedTerm loadedTerm;
   private final ShardLeaseTable shards;
   private final ControllerTable controllers;
   private final RolloutView rollout;
-  private Revision aloneTerm = Revision.ABSENT;
-  private MonotonicTime aloneSince = MonotonicTime.NEVER;
+  private Revision awaitedTerm = Revision.ABSENT;
+  private MonotonicTime awaitingSince = MonotonicTime.NEVER;
 
   OwnerSelection(
       StepContext context,
-      LoadedTerm term,
+      LoadedTerm loadedTerm,
       ShardLeaseTable shards,
       ControllerTable controllers,
       RolloutView rollout) {
     this.context = context;
-    this.term = term;
+    this.loadedTerm = loadedTerm;
     this.shards = shards;
     this.controllers = controllers;
     this.rollout = rollout;
@@ -62,20 +62,20 @@
         best = candidate;
       }
     }
-    if (best == null || (controllers.size() == 1 && mayOthersBeHeard())) {
+    if (best == null || (controllers.size() == 1 && isAwaitingFirstHeartbeats())) {
       return Optional.empty();
     }
     return Optional.of(best);
   }
 
   /** Whether the term is so young that others may not have sent their first heartbeat yet. */
-  private boolean mayOthersBeHeard() {
+  private boolean isAwaitingFirstHeartbeats() {
     MonotonicTime now = context.now();
-    if (!term.isCurrent(aloneTerm)) {
-      aloneTerm = term.current();
-      aloneSince = now;
+    if (!loadedTerm.isCurrent(awaitedTerm)) {
+      awaitedTerm = loadedTerm.current();
+      awaitingSince = now;
     }
-    return now.since(aloneSince) <= FIRST_HEARTBEATS_MS;
+    return now.since(awaitingSince) <= FIRST_HEARTBEATS_MS;
   }
 
   /**
@@ -85,13 +85,13 @@
   private int load(ShardState shard, ControllerName candidate) {
     int load = candidate.equals(context.config().label()) ? LEADER_LOAD : 0;
     String zone = controllers.zoneOf(candidate);
-    ControllerName unreached = shard.unreachedOwner();
-    if (unreached != null && shard.sinceMovedMs(context.now()) < AVOID_MS) {
+    ControllerName unreached = shard.unreachableOwner();
+    if (unreached != null && shard.msSinceUnreachable(context.now()) < AVOID_MS) {
       // Rather one that the workers reach: not the last, and not in its zone or in theirs.
-      load += candidate.equals(unreached) ? UNREACHED_OWNER_LOAD : 0;
-      boolean unreachedZone =
+      load += candidate.equals(unreached) ? UNREACHABLE_OWNER_LOAD : 0;
+      boolean isUnreachableZone =
           zone.equals(controllers.zoneOf(unreached)) || shard.unreachableZones().contains(zone);
-      load += unreachedZone ? UNREACHED_ZONE_LOAD : 0;
+      load += isUnreachableZone ? UNREACHABLE_ZONE_LOAD : 0;
     }
     for (ShardState other : shards.states()) {
       if (other == shard || other.isVacant()) {
--- a/src/main/java/shorecrank/coordination/leader/RolloutView.java
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -37,7 +37,7 @@
   }
 
   /** Takes in what the sender of a heartbeat supports. */
-  void heard(Heartbeat heartbeat) {
+  void recordHeartbeat(Heartbeat heartbeat) {
     if (rollout != null) {
       rollout.heard(heartbeat.sender(), heartbeat.writer(), heartbeat.announcement());
     }
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -18,12 +18,12 @@
   /**
    * A lease of so many milliseconds may run one longer, since the clocks of processes drift apart.
    */
-  private static final int DRIFT_DIVISOR = 500;
+  private static final int CLOCK_DRIFT_DIVISOR = 500;
 
   private static final int LEASE_MARGIN_MS = 20;
 
   /** So many heartbeats an owner may miss at the end of an outage before it counts as lost. */
-  private static final long OWNER_HEARTBEATS = 3;
+  private static final long ALLOWED_MISSED_HEARTBEATS = 3;
 
   private final StepContext context;
   private final Map<ShardId, ShardState> shards = new TreeMap<>();
@@ -69,17 +69,17 @@
   /** The owner of a shard; null if it has none that may be granted its lease. */
   ControllerName owner(ShardId shard) {
     ShardState state = shards.get(shard);
-    return state != null && state.isServed() ? state.owner() : null;
+    return state != null && state.hasActiveOwner() ? state.owner() : null;
   }
 
   /** Whether a shard's owner says that tasks wait. */
-  boolean hasQueue(ShardId shard) {
+  boolean hasQueuedTasks(ShardId shard) {
     ShardState state = shards.get(shard);
-    return state != null && state.isQueued();
+    return state != null && state.hasQueuedTasks();
   }
 
   /** Whether the fleet has one shard only, so that a machine can belong to no other. */
-  boolean isSingle() {
+  boolean isSingleShard() {
     return shards.size() == 1;
   }
 
@@ -88,7 +88,7 @@
     List<OwnerInfo> owners = new ArrayList<>();
     shards.forEach(
         (id, shard) -> {
-          if (shard.isServed()) {
+          if (shard.hasActiveOwner()) {
             owners.add(new OwnerInfo(id, shard.owner(), shard.epoch()));
           }
         });
@@ -96,9 +96,9 @@
   }
 
   /** Until when a lease that is granted now may run, by the clock of this process. */
-  MonotonicTime leaseBound() {
+  MonotonicTime latestLeaseEnd() {
     int leaseMs = context.settings().leaseMs();
-    return context.now().plus(leaseMs + leaseMs / DRIFT_DIVISOR + LEASE_MARGIN_MS);
+    return context.now().plus(leaseMs + leaseMs / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MS);
   }
 
   /**
@@ -106,8 +106,9 @@
    * state service leaves it. Owners that live are heard within a few heartbeats; only then does an
    * expired lease say anything about its owner.
    */
-  void awaitOwners() {
-    MonotonicTime heardBy = context.now().plus(context.settings().renewMs() * OWNER_HEARTBEATS);
+  void extendLeasesAfterInterruption() {
+    MonotonicTime heardBy =
+        context.now().plus(context.settings().renewMs() * ALLOWED_MISSED_HEARTBEATS);
     for (ShardState shard : shards.values()) {
       shard.extendLease(heardBy);
     }
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -17,7 +17,7 @@
   private ControllerName owner;
   private WriterId writer;
   private Epoch epoch = Epoch.NONE;
-  private MonotonicTime leaseUntil = MonotonicTime.NEVER;
+  private MonotonicTime leaseEnd = MonotonicTime.NEVER;
   private boolean vacant = true;
   private boolean revoking;
   private boolean allocating;
@@ -26,9 +26,9 @@
   private WriterId allocatedFor;
 
   private boolean queued;
-  private ControllerName unreachedOwner;
+  private ControllerName unreachableOwner;
   private List<String> unreachableZones = List.of();
-  private MonotonicTime movedAt = MonotonicTime.NEVER;
+  private MonotonicTime lastUnreachableAt = MonotonicTime.NEVER;
 
   /** The last owner; null if there was none. */
   ControllerName owner() {
@@ -66,7 +66,7 @@
   }
 
   /** Whether the owner may be told to others, and be granted its lease. */
-  boolean isServed() {
+  boolean hasActiveOwner() {
     return !vacant && !revoking;
   }
 
@@ -77,16 +77,16 @@
 
   /** Whether the owner's lease has expired, by this process's clock. */
   boolean isLeaseExpired(MonotonicTime now) {
-    return !vacant && leaseUntil.isBefore(now);
+    return !vacant && leaseEnd.isBefore(now);
   }
 
   /** Whether the owner says that tasks wait. */
-  boolean isQueued() {
+  boolean hasQueuedTasks() {
     return queued;
   }
 
   /** The owner says whether tasks wait. */
-  void updateQueued(boolean tasksWait) {
+  void updateHasQueuedTasks(boolean tasksWait) {
     queued = tasksWait;
   }
 
@@ -97,18 +97,18 @@
     epoch = allocated;
     vacant = false;
     revoking = false;
-    leaseUntil = until;
+    leaseEnd = until;
   }
 
   /** The owner's lease runs until then by this process's clock, at the latest. */
   void renewLease(MonotonicTime until) {
-    leaseUntil = until;
+    leaseEnd = until;
   }
 
   /** The lease counts as expired no earlier than this. */
   void extendLease(MonotonicTime atLeastUntil) {
-    if (leaseUntil.isBefore(atLeastUntil)) {
-      leaseUntil = atLeastUntil;
+    if (leaseEnd.isBefore(atLeastUntil)) {
+      leaseEnd = atLeastUntil;
     }
   }
 
@@ -127,24 +127,24 @@
    *
    * @param zones those in which most of these workers are
    */
-  void revokeUnreached(List<String> zones, MonotonicTime now) {
-    unreachedOwner = owner;
+  void revokeUnreachable(List<String> zones, MonotonicTime now) {
+    unreachableOwner = owner;
     unreachableZones = zones;
-    movedAt = now;
+    lastUnreachableAt = now;
     revoking = true;
   }
 
   /** How long ago an owner was last replaced because workers did not reach it. */
-  long sinceMovedMs(MonotonicTime now) {
-    return now.since(movedAt);
+  long msSinceUnreachable(MonotonicTime now) {
+    return now.since(lastUnreachableAt);
   }
 
   /** The last owner that workers did not reach; null if there was none. */
-  ControllerName unreachedOwner() {
-    return unreachedOwner;
+  ControllerName unreachableOwner() {
+    return unreachableOwner;
   }
 
-  /** The zones of the workers that did not reach {@link #unreachedOwner()}. */
+  /** The zones of the workers that did not reach {@link #unreachableOwner()}. */
   List<String> unreachableZones() {
     return unreachableZones;
   }
--- a/src/main/java/shorecrank/coordination/leader/ShardTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardTable.java
@@ -17,11 +17,11 @@
   ControllerName owner(ShardId shard);
 
   /** Whether a shard's owner says that tasks wait. */
-  boolean hasQueue(ShardId shard);
+  boolean hasQueuedTasks(ShardId shard);
 
   /** Reads shards and machines anew: what is known of them may be out of date. */
   void reload();
 
-  /** Has an epoch above {@code least} allocated for a shard's present owner. */
-  void raiseAbove(ShardId shard, Epoch least);
+  /** Has an epoch above {@code lowerBound} allocated for a shard's present owner. */
+  void raiseEpochAbove(ShardId shard, Epoch lowerBound);
 }
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -157,7 +157,7 @@
         new Offer(info.type(), info.zone(), info.spot()),
         type == null ? 0 : type.cpus(),
         machine.shard(),
-        machine.term(),
+        machine.epoch(),
         machine.move());
   }
 
@@ -174,7 +174,7 @@
 
   @Override
   public void raiseAbove(ShardId shard, Epoch least) {
-    shards.raiseAbove(shard, least);
+    shards.raiseEpochAbove(shard, least);
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -16,16 +16,16 @@
  */
 final class SpareMachineAssigner implements MachineAssigner {
   /** Each term has so many orders with ids of their own, as a power of two. */
-  private static final int ORDER_BITS = 20;
+  private static final int MOVE_ID_BITS = 20;
 
   /** Tasks that wait count as much as so many machines that a shard lacks. */
-  private static final int QUEUE_NEED = 1000;
+  private static final int QUEUED_TASKS_NEED = 1000;
 
   private final StepContext context;
   private final MachineDirectory machines;
   private final ShardTable shards;
   private Revision term = Revision.ABSENT;
-  private long orderNumber;
+  private long moveNumber;
 
   SpareMachineAssigner(StepContext context, MachineDirectory machines, ShardTable shards) {
     this.context = context;
@@ -37,7 +37,7 @@
   public void beginTerm() {
     if (!machines.term().equals(term)) {
       term = machines.term();
-      orderNumber = 0;
+      moveNumber = 0;
     }
   }
 
@@ -71,11 +71,11 @@
     if (shards.shards().size() == 1) {
       return best;
     }
-    long most = Long.MIN_VALUE;
+    long highestNeed = Long.MIN_VALUE;
     for (ShardId shard : shards.shards()) {
-      long need = (shards.hasQueue(shard) ? QUEUE_NEED : 0) - machines.count(shard);
-      if (need > most) {
-        most = need;
+      long need = (shards.hasQueuedTasks(shard) ? QUEUED_TASKS_NEED : 0) - machines.count(shard);
+      if (need > highestNeed) {
+        highestNeed = need;
         best = shard;
       }
     }
@@ -91,23 +91,23 @@
     }
     for (MachineHandover handover : report.handovers()) {
       AssignedMachine machine = machines.get(handover.machine());
-      boolean asOrdered =
+      boolean isForRequestedMove =
           machine != null
               && machine.isHandoverRequested()
               && machine.move().equals(handover.move());
-      if (asOrdered && machine.shard().equals(report.shard())) {
+      if (isForRequestedMove && machine.shard().equals(report.shard())) {
         handOver(machine, report.shard());
       }
     }
     for (MachineName name : report.misplaced()) {
       reclaim(name, report.shard());
     }
-    if (!report.spareMachines().isEmpty() && hasQueueElsewhere(report.shard())) {
+    if (!report.spareMachines().isEmpty() && hasQueuedTasksElsewhere(report.shard())) {
       AssignedMachine machine = machines.get(report.spareMachines().get(0));
       if (machine != null
           && machine.shard().equals(report.shard())
           && !machine.isHandoverRequested()) {
-        machines.requestHandover(machine, nextOrder());
+        machines.requestHandover(machine, nextMoveId());
       }
     }
   }
@@ -123,9 +123,9 @@
   /** A machine on which tasks of a shard may run goes back to that shard. */
   private void reclaim(MachineName name, ShardId shard) {
     AssignedMachine machine = machines.get(name);
-    boolean known =
+    boolean isAlreadyReclaimed =
         machine != null && machine.isHandoverRequested() && shard.equals(machine.reclaimedBy());
-    if (machine == null || machine.shard().equals(shard) || known) {
+    if (machine == null || machine.shard().equals(shard) || isAlreadyReclaimed) {
       return;
     }
     context.info(
@@ -133,17 +133,17 @@
     context.count("machine.reclaimed");
     machine.reclaimFor(shard);
     if (!machine.isHandoverRequested()) {
-      machines.requestHandover(machine, nextOrder());
+      machines.requestHandover(machine, nextMoveId());
     }
   }
 
-  private MoveId nextOrder() {
-    return new MoveId((term.value() << ORDER_BITS) + ++orderNumber);
+  private MoveId nextMoveId() {
+    return new MoveId((term.value() << MOVE_ID_BITS) + ++moveNumber);
   }
 
-  private boolean hasQueueElsewhere(ShardId except) {
+  private boolean hasQueuedTasksElsewhere(ShardId except) {
     return shards.shards().stream()
-        .anyMatch(shard -> !shard.equals(except) && shards.hasQueue(shard));
+        .anyMatch(shard -> !shard.equals(except) && shards.hasQueuedTasks(shard));
   }
 
   /** Assigns a machine that its shard has emptied to another, under an epoch above its last. */
@@ -153,9 +153,9 @@
       machines.keep(machine);
       return;
     }
-    Epoch last = Epoch.higher(machine.term(), shards.epoch(from));
+    Epoch last = Epoch.higher(machine.epoch(), shards.epoch(from));
     if (!shards.epoch(to).isAbove(last)) {
-      shards.raiseAbove(to, last);
+      shards.raiseEpochAbove(to, last);
       return;
     }
     // Until the new assignment is written down and told, the machine is nobody's.
--- a/src/main/java/shorecrank/coordination/leader/StoredAssignment.java
+++ b/src/main/java/shorecrank/coordination/leader/StoredAssignment.java
@@ -7,6 +7,6 @@
 /**
  * What the state service holds of a machine.
  *
- * @param term the epoch under which the machine is assigned to the shard
+ * @param epoch the epoch under which the machine is assigned to the shard
  */
-record StoredAssignment(MachineInfo machine, ShardId shard, Epoch term) {}
+record StoredAssignment(MachineInfo machine, ShardId shard, Epoch epoch) {}
--- a/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
+++ b/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
@@ -29,7 +29,7 @@
   /**
    * A term has begun: every kind may be asked for, though the backoffs go on from where they are.
    */
-  void begin() {
+  void beginTerm() {
     unavailableUntil.clear();
   }
 
@@ -40,18 +40,19 @@
   }
 
   /** The cloud has refused a machine of this kind. */
-  void refused(Offer offer) {
+  void recordRefusal(Offer offer) {
     if (context.now().isBefore(unavailableUntil.getOrDefault(offer, MonotonicTime.NEVER))) {
       return;
     }
-    int times = refusals.merge(offer, 1, Integer::sum);
-    long backoffMs = Math.min(MAX_BACKOFF_MS, BACKOFF_MS << Math.min(times - 1, MAX_DOUBLINGS));
+    int refusalCount = refusals.merge(offer, 1, Integer::sum);
+    long backoffMs =
+        Math.min(MAX_BACKOFF_MS, BACKOFF_MS << Math.min(refusalCount - 1, MAX_DOUBLINGS));
     unavailableUntil.put(offer, context.now().plus(backoffMs));
     context.info("offer.unavailable offer=%s retry_ms=%d", offer, backoffMs);
   }
 
   /** The cloud has rented all machines of this kind that were asked for. */
-  void granted(Offer offer) {
+  void recordSuccess(Offer offer) {
     refusals.remove(offer);
   }
 
--- a/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
+++ b/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
@@ -12,7 +12,7 @@
 
 /** A controller that knows a version is told all later removals, or that it has to take all. */
 class AssignmentChangeLogTest {
-  private static final int KEPT_REMOVALS = 1000;
+  private static final int RETAINED_REMOVALS = 1000;
 
   private final AssignmentChangeLog changes = new AssignmentChangeLog();
 
@@ -30,9 +30,9 @@
   void tellsRemovalsAfterAVersionInTheirOrder() {
     changes.restart(new Revision(5));
     long known = changes.version();
-    changes.remove(machine(2), 0);
+    changes.addRemoval(machine(2), 0);
     changes.advance();
-    changes.remove(machine(1), 0);
+    changes.addRemoval(machine(1), 0);
 
     assertEquals(List.of(machine(2), machine(1)), removedAfter(known));
     assertEquals(List.of(machine(1)), removedAfter(known + 1));
@@ -65,12 +65,12 @@
   void keepsAsManyRemovalsAsThereAreMachines() {
     changes.restart(new Revision(5));
     long known = changes.version();
-    for (int i = 0; i <= KEPT_REMOVALS; i++) {
-      changes.remove(machine(i), KEPT_REMOVALS + 1);
+    for (int i = 0; i <= RETAINED_REMOVALS; i++) {
+      changes.addRemoval(machine(i), RETAINED_REMOVALS + 1);
     }
     assertTrue(changes.covers(known));
 
-    changes.remove(machine(KEPT_REMOVALS + 1), 0);
+    changes.addRemoval(machine(RETAINED_REMOVALS + 1), 0);
     assertFalse(changes.covers(known + 1));
     assertTrue(changes.covers(known + 2));
   }
--- a/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
@@ -121,10 +121,10 @@
     steps.step(
         () -> {
           steps.shards.reset();
-          shard().assignOwner(N2, writer(N2), new Epoch(18), steps.shards.leaseBound());
-          epochs.vacateOwnersInDoubt(TERM);
-          steps.loadedTerm.begin(TERM);
-          epochs.begin();
+          shard().assignOwner(N2, writer(N2), new Epoch(18), steps.shards.latestLeaseEnd());
+          epochs.vacateShardsInDoubt(TERM);
+          steps.loadedTerm.markLoaded(TERM);
+          epochs.beginTerm();
         });
   }
 }
--- a/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
+++ b/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
@@ -70,7 +70,7 @@
     controllers = new ControllerTable(context);
     step(
         () -> {
-          loadedTerm.begin(TERM);
+          loadedTerm.markLoaded(TERM);
           shards.reset();
         });
   }
@@ -105,12 +105,20 @@
   }
 
   /** A controller's heartbeat arrives. */
-  void heard(ControllerName from, boolean stateOk, Map<ShardId, Integer> misroutedWorkers) {
+  void receiveHeartbeat(
+      ControllerName from, boolean storeReachable, Map<ShardId, Integer> misroutedWorkers) {
     step(
         () ->
-            controllers.heard(
+            controllers.recordHeartbeat(
                 new Heartbeat(
-                    from, writer(from), stateOk, 0, List.of(), List.of(), misroutedWorkers, null)));
+                    from,
+                    writer(from),
+                    storeReachable,
+                    0,
+                    List.of(),
+                    List.of(),
+                    misroutedWorkers,
+                    null)));
   }
 
   /** A controller's only process. */
--- a/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
@@ -20,7 +20,7 @@
   private static final ShardId SHARD = new ShardId(0);
 
   private final LeaderSteps steps = new LeaderSteps();
-  private final OwnerFailureDetector failures =
+  private final OwnerFailureDetector failureDetector =
       new OwnerFailureDetector(steps.context, steps.controllers);
 
   private void ownedByN2() {
@@ -29,13 +29,16 @@
             steps
                 .shards
                 .get(SHARD)
-                .assignOwner(N2, LeaderSteps.writer(N2), new Epoch(1), steps.shards.leaseBound()));
+                .assignOwner(
+                    N2, LeaderSteps.writer(N2), new Epoch(1), steps.shards.latestLeaseEnd()));
   }
 
-  private void unreached(boolean expected, WorkerReachability workers) {
+  private void assertUnreachableForWorkers(boolean expected, WorkerReachability workers) {
     steps.step(
         () ->
-            assertEquals(expected, failures.isUnreached(SHARD, steps.shards.get(SHARD), workers)));
+            assertEquals(
+                expected,
+                failureDetector.isUnreachableForWorkers(SHARD, steps.shards.get(SHARD), workers)));
   }
 
   @ParameterizedTest
@@ -51,26 +54,31 @@
     "10, 5, a b, 5, false",
   })
   void workersThatN3HearsInsteadOfTheOwner(
-      int expected, int unheard, String zones, int heardElsewhere, boolean isUnreached) {
+      int expected,
+      int unheard,
+      String zones,
+      int heardElsewhere,
+      boolean isUnreachableForWorkers) {
     ownedByN2();
-    steps.heard(N2, true, Map.of());
-    steps.heard(N3, true, Map.of(SHARD, heardElsewhere));
+    steps.receiveHeartbeat(N2, true, Map.of());
+    steps.receiveHeartbeat(N3, true, Map.of(SHARD, heardElsewhere));
 
     List<String> unreachableZones = Arrays.asList(zones.split(" "));
-    unreached(isUnreached, new WorkerReachability(expected, unheard, unreachableZones));
+    assertUnreachableForWorkers(
+        isUnreachableForWorkers, new WorkerReachability(expected, unheard, unreachableZones));
   }
 
   @Test
   void notMovedAgainSoSoon() {
     ownedByN2();
-    steps.step(() -> steps.shards.get(SHARD).revokeUnreached(List.of(), steps.context.now()));
+    steps.step(() -> steps.shards.get(SHARD).revokeUnreachable(List.of(), steps.context.now()));
     WorkerReachability workers = new WorkerReachability(10, 5, List.of("a"));
 
     steps.after(19_999, () -> {});
-    steps.heard(N3, true, Map.of(SHARD, 5));
-    unreached(false, workers);
+    steps.receiveHeartbeat(N3, true, Map.of(SHARD, 5));
+    assertUnreachableForWorkers(false, workers);
     steps.after(1, () -> {});
-    unreached(true, workers);
+    assertUnreachableForWorkers(true, workers);
   }
 
   @ParameterizedTest
@@ -81,10 +89,12 @@
     "false, 2001, false",
   })
   void anOwnerAloneWithoutTheStateService(boolean leaderOk, long sinceMs, boolean isLacking) {
-    steps.heard(N1, leaderOk, Map.of());
-    steps.heard(N2, false, Map.of());
+    steps.receiveHeartbeat(N1, leaderOk, Map.of());
+    steps.receiveHeartbeat(N2, false, Map.of());
     steps.after(
         sinceMs,
-        () -> assertEquals(isLacking, failures.lacksStateService(N2, steps.controllers.get(N2))));
+        () ->
+            assertEquals(
+                isLacking, failureDetector.lacksStateService(N2, steps.controllers.get(N2))));
   }
 }
--- a/src/test/java/shorecrank/coordination/leader/OwnerSelectionTest.java
+++ b/src/test/java/shorecrank/coordination/leader/OwnerSelectionTest.java
@@ -29,9 +29,9 @@
           steps.controllers,
           new RolloutView(steps.context, null, new FeatureGate()));
 
-  private void heard(ControllerName... controllers) {
+  private void receiveHeartbeats(ControllerName... controllers) {
     for (ControllerName controller : controllers) {
-      steps.heard(controller, true, Map.of());
+      steps.receiveHeartbeat(controller, true, Map.of());
     }
   }
 
@@ -48,48 +48,48 @@
                 .shards
                 .get(shard)
                 .assignOwner(
-                    owner, LeaderSteps.writer(owner), new Epoch(1), steps.shards.leaseBound()));
+                    owner, LeaderSteps.writer(owner), new Epoch(1), steps.shards.latestLeaseEnd()));
   }
 
   @Test
   void ratherAnotherThanTheLeader() {
-    heard(N1, N2);
+    receiveHeartbeats(N1, N2);
     chosen(N2, FIRST);
   }
 
   @Test
   void ratherTheLeaderThanOneWithAShard() {
-    heard(N1, N2);
+    receiveHeartbeats(N1, N2);
     own(SECOND, N2);
     chosen(N1, FIRST);
   }
 
   @Test
   void ratherInAZoneWithoutAShard() {
-    heard(N1, N2, N3);
+    receiveHeartbeats(N1, N2, N3);
     own(SECOND, N1);
     chosen(N3, FIRST);
   }
 
   @Test
   void noneWithoutTheStateService() {
-    heard(N1, N3);
-    steps.heard(N2, false, Map.of());
-    steps.heard(N3, false, Map.of());
+    receiveHeartbeats(N1, N3);
+    steps.receiveHeartbeat(N2, false, Map.of());
+    steps.receiveHeartbeat(N3, false, Map.of());
     chosen(N1, FIRST);
   }
 
   @Test
   void noneThatIsSilent() {
-    heard(N1, N2);
+    receiveHeartbeats(N1, N2);
     steps.after(4600, () -> {});
-    heard(N1);
+    receiveHeartbeats(N1);
     chosen(N1, FIRST);
   }
 
   @Test
   void othersAreAwaitedForAMomentAtTheBeginningOfATerm() {
-    heard(N1);
+    receiveHeartbeats(N1);
     chosen(null, FIRST);
     steps.after(1500, () -> {});
     chosen(null, FIRST);
@@ -100,12 +100,12 @@
   @Test
   void notAgainTheOwnerThatWorkersDidNotReachNorItsZoneOrTheirs() {
     own(FIRST, N2);
-    steps.step(() -> steps.shards.get(FIRST).revokeUnreached(List.of("b"), steps.context.now()));
-    heard(N1, N2, N3, N4);
+    steps.step(() -> steps.shards.get(FIRST).revokeUnreachable(List.of("b"), steps.context.now()));
+    receiveHeartbeats(N1, N2, N3, N4);
     own(SECOND, N4);
     chosen(N4, FIRST);
     steps.after(60_000, () -> {});
-    heard(N1, N2, N3, N4);
+    receiveHeartbeats(N1, N2, N3, N4);
     chosen(N2, FIRST);
   }
 }
