--- a/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
@@ -9,8 +9,9 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /**
- * A machine and its assignment to a shard. Another assignment of the same machine is another object
- * of this type; {@link MachineDirectory} changes it, and numbers the changes that owners are told.
+ * A machine and the shard to which the leader has assigned it. Assigning the machine to another
+ * shard creates a new instance; {@link MachineDirectory} owns all instances and numbers their
+ * changes, so that heartbeat answers carry only what changed.
  */
 final class AssignedMachine {
   private final StoredAssignment assignment;
@@ -28,66 +29,73 @@
     this.assignedAt = assignedAt;
   }
 
-  /** The machine's name and kind. */
+  /** Returns the machine's name, type, zone and whether it is a spot machine. */
   MachineInfo info() {
     return assignment.machine();
   }
 
-  /** The machine's name. */
+  /** Returns the machine's name. */
   MachineName name() {
     return assignment.machine().name();
   }
 
-  /** The shard that it is assigned to. */
+  /** Returns the shard to which the machine is assigned. */
   ShardId shard() {
     return assignment.shard();
   }
 
-  /** The epoch under which it is assigned. */
+  /** Returns the shard's epoch at the time of the assignment. */
   Epoch epoch() {
     return assignment.epoch();
   }
 
-  /** The part of it that the state service holds. */
+  /** Returns the part of the assignment that is stored in the state service. */
   StoredAssignment assignment() {
     return assignment;
   }
 
-  /** The order under which it is to be handed over, or has come to its shard; NONE without one. */
+  /**
+   * Returns the id of the move for which the shard's owner hands the machine over or reports its
+   * arrival; {@link MoveId#NONE} if there is no such move.
+   */
   MoveId move() {
     return move;
   }
 
-  /** Whether its owner is to empty it for another shard. */
+  /** Reports whether the shard's owner is asked to drain the machine and hand it over. */
   boolean isHandoverRequested() {
     return handoverRequested;
   }
 
-  /** A shard whose records name it, although it is assigned to another; null if there is none. */
+  /** Returns the other shard whose records name this machine; null if there is none. */
   ShardId reclaimedBy() {
     return reclaimedBy;
   }
 
-  /** Another shard's records name it. */
+  /** Marks the machine as named in the records of another shard, to which it has to return. */
   void reclaimFor(ShardId shard) {
     reclaimedBy = shard;
   }
 
-  /** When the cloud's list last showed it; NEVER if it has not yet. */
+  /**
+   * Returns when the cloud's machine list last contained this machine; {@link MonotonicTime#NEVER}
+   * if it never has.
+   */
   MonotonicTime listedAt() {
     return listedAt;
   }
 
-  /** The cloud's list shows it. */
+  /** Records that the cloud's machine list contains this machine. */
   void markListed(MonotonicTime now) {
     listedAt = now;
   }
 
   /**
-   * Sets what the owner is told of an order.
+   * Sets the move and the handover request that are sent to the shard's owner.
    *
-   * @param newMove the order; NONE if none concerns the machine any more
-   * @param changeVersion the number of this change
+   * @param newMove the move; {@link MoveId#NONE} if the machine is not part of a move any more
+   * @param isHandover whether the owner is asked to drain the machine and hand it over
+   * @param changeVersion the number of this change in {@link AssignmentChangeLog}
    */
   void updateMove(MoveId newMove, boolean isHandover, long changeVersion) {
     move = newMove;
@@ -95,46 +103,53 @@
     version = changeVersion;
   }
 
-  /** Another assignment is being written, so that it is not known whose it is. */
+  /**
+   * Marks the machine as in transfer: a new assignment is being written, so its owner is unknown.
+   */
   void beginTransfer() {
     inTransfer = true;
   }
 
-  /** The other assignment was not written and never will be. */
+  /**
+   * Clears the transfer mark after the write of the new assignment was refused for good.
+   *
+   * @param changeVersion the number of this change in {@link AssignmentChangeLog}
+   */
   void cancelTransfer(long changeVersion) {
     inTransfer = false;
     version = changeVersion;
   }
 
-  /** Whether the state service holds the assignment. */
+  /** Reports whether this assignment is stored in the state service. */
   boolean isRecorded() {
     return recorded;
   }
 
-  /** The state service holds the assignment. */
+  /** Records that this assignment is stored in the state service. */
   void markRecorded() {
     recorded = true;
   }
 
-  /** Whether another assignment is being written. */
+  /** Reports whether a new assignment of the machine is being written. */
   boolean isInTransfer() {
     return inTransfer;
   }
 
-  /** The number of the change that last touched it. */
+  /** Returns the number of the last change of this assignment in {@link AssignmentChangeLog}. */
   long version() {
     return version;
   }
 
-  /** It was touched by the change with this number. */
+  /** Sets the number of the last change of this assignment. */
   void updateVersion(long changeVersion) {
     version = changeVersion;
   }
 
   /**
-   * The assignment as owners are told of it.
+   * Returns the assignment in the form that heartbeat answers carry.
    *
-   * @param isSingleShard whether there is no other shard, so that no epoch is named
+   * @param isSingleShard whether the fleet has only one shard; the epoch is then left out, since no
+   *     other shard can own the machine
    */
   MachineAssignment describe(boolean isSingleShard, MonotonicTime now) {
     Epoch lowestEpoch = isSingleShard ? Epoch.NONE : epoch();
--- a/src/main/java/shorecrank/coordination/leader/AssignmentChangeLog.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentChangeLog.java
@@ -5,44 +5,58 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 
-/** Numbers the changes of assignments, and keeps which machines were removed by the latest. */
+/**
+ * Numbers the changes of machine assignments and keeps the most recent removals, so that a
+ * heartbeat answer can list what changed since the version that the sender knows.
+ */
 final class AssignmentChangeLog {
   /**
-   * At least so many removals are kept, and as many as there are machines: a controller that lags
-   * further behind gets all assignments, which is then the shorter message.
+   * The minimum number of removals to keep; with more machines than this, as many removals as
+   * machines are kept. A controller that lags further behind gets all assignments, which is then
+   * the shorter message.
    */
   private static final int MIN_RETAINED_REMOVALS = 1000;
 
-  /** Each term has so many changes of its own, as a power of two. */
+  /**
+   * Bits of a version that count the changes within one term; the term's number is in the bits
+   * above.
+   */
   private static final int TERM_BITS = 20;
 
-  /** A machine that is no longer assigned as owners know. */
+  /** A machine whose assignment was removed, and the number of that change. */
   private record Removal(long version, MachineName name) {}
 
   private final ArrayDeque<Removal> removals = new ArrayDeque<>();
   private long completeFrom;
   private long version;
 
-  /** The number of the last change. */
+  /** Returns the number of the last change. */
   long version() {
     return version;
   }
 
-  /** The number of the next change, which is then the last. */
+  /** Counts a change and returns its number. */
   long advance() {
     return ++version;
   }
 
-  /** Starts anew under a term; whoever knows an earlier change gets all assignments. */
+  /**
+   * Clears the log at the start of a term; controllers that know an earlier version get all
+   * assignments.
+   */
   void restart(Revision term) {
-    // Above all that was told in this term, should this be a second look in it: else a controller
-    // that lags could take later changes for those it knows.
+    // The version has to rise above all that were sent, also if the same term is loaded a second
+    // time: otherwise a controller that lags could mistake later changes for those it already has.
     version = Math.max(version + 1, term.value() << TERM_BITS);
     removals.clear();
     completeFrom = version;
   }
 
-  /** A machine was removed, of those of which {@code machines} are left. */
+  /**
+   * Records that a machine's assignment was removed.
+   *
+   * @param machinesLeft the number of machines that are still assigned
+   */
   void addRemoval(MachineName name, int machinesLeft) {
     removals.add(new Removal(advance(), name));
     while (removals.size() > Math.max(MIN_RETAINED_REMOVALS, machinesLeft)) {
@@ -50,12 +64,12 @@
     }
   }
 
-  /** Whether all changes after this one are known here. */
+  /** Reports whether the log holds all changes after a version. */
   boolean covers(long known) {
     return known >= completeFrom && known <= version;
   }
 
-  /** Passes on the machines that were removed after a change, in that order. */
+  /** Calls an action for each machine that was removed after a version, oldest removal first. */
   void forEachRemovalAfter(long known, Consumer<MachineName> action) {
     for (Removal removal : removals) {
       if (removal.version() > known) {
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -23,14 +23,16 @@
 import shorecrank.storage.ListResult;
 
 /**
- * The machines' assignments in the state service: reads them all, and writes the buckets that have
- * changed, one transaction at a time.
+ * Reads all machine assignments from the state service and writes the changed buckets, one
+ * transaction at a time.
  */
 final class AssignmentStore {
   private static final int PAGE_SIZE = 500;
   private static final int CALL_TIMEOUT_MS = 1500;
 
-  /** After a write so long passes before the next, so that machines that come at once share one. */
+  /**
+   * The minimum time between two writes, so that machines that arrive together share a transaction.
+   */
   private static final int SAVE_INTERVAL_MS = 1000;
 
   private final StepContext context;
@@ -40,22 +42,22 @@
   private final Set<Integer> unsavedBuckets = new TreeSet<>();
 
   /**
-   * The revisions of the keys as last read or written, which guard the next writes: a write of
-   * unknown outcome that is carried out late must not undo a later one.
+   * The revisions of the keys as last read or written. They guard the next writes: a write of
+   * unknown outcome that the state service carries out late must not overwrite a newer one.
    */
   private final Map<String, Revision> revisions = new TreeMap<>();
 
   private boolean saving;
   private MonotonicTime nextSaveAt = new MonotonicTime(0);
 
-  /** Buckets that are written in one transaction, and their values. */
+  /** The buckets that one transaction writes, and the values to be written by key. */
   private record Batch(
       Map<Integer, List<AssignedMachine>> buckets, Map<String, EncodedValue> values) {}
 
   /**
-   * Creates the store.
+   * Creates a store that has read nothing yet.
    *
-   * @param onRecorded told of each machine whose assignment was written
+   * @param onRecorded called for each machine whose assignment was written
    */
   AssignmentStore(
       StepContext context,
@@ -68,30 +70,36 @@
     this.onRecorded = onRecorded;
   }
 
-  /** Whether all assignments are written. */
+  /** Reports whether all assignments are stored. */
   boolean isWritten() {
     return unsavedBuckets.isEmpty() && !saving;
   }
 
-  /** Whether a transaction with assignments is under way. */
+  /**
+   * Reports whether a transaction with assignments, or a read of the keys' revisions, is pending.
+   */
   boolean isSaving() {
     return saving;
   }
 
-  /** What was read counts from now on; writes of an earlier term are over. */
+  /** Drops pending writes at the start of a term, after the assignments have been loaded. */
   void beginTerm() {
     unsavedBuckets.clear();
     saving = false;
   }
 
-  /** A machine's assignment is to be written. */
+  /** Schedules a write of a machine's bucket. */
   void markUnsaved(MachineName name) {
     unsavedBuckets.add(BucketValues.bucketOf(name));
   }
 
   // ---- reading ---------------------------------------------------------------------------------
 
-  /** Reads all assignments anew; {@code then} takes them, or empty if that failed. */
+  /**
+   * Reads all assignments again.
+   *
+   * @param then receives the assignments; empty if a page could not be read
+   */
   void load(Consumer<Optional<List<StoredAssignment>>> then) {
     revisions.clear();
     readPages("", new ArrayList<>(), entries -> then.accept(entries.map(this::restore)));
@@ -107,13 +115,19 @@
           assignment ->
               assignment.ifPresentOrElse(
                   assignments::add,
-                  // Met again, the machine is assigned anew.
+                  // Left out here, the machine is assigned again when a heartbeat or the cloud's
+                  // list shows it.
                   () -> context.reportUnreadableValue(entry.key())));
     }
     return assignments;
   }
 
-  /** Reads all keys, page by page; {@code then} takes empty if one page could not be read. */
+  /**
+   * Reads all keys page by page.
+   *
+   * @param after the last key that was read; empty for the first page
+   * @param then receives all entries; empty if a page could not be read
+   */
   private void readPages(String after, List<Entry> read, Consumer<Optional<List<Entry>>> then) {
     context
         .store()
@@ -137,7 +151,7 @@
             });
   }
 
-  /** Learns the keys' revisions anew, since they are not those that were written last. */
+  /** Reads the keys' revisions again after a guard failed; no assignment is written meanwhile. */
   void readRevisions() {
     Revision term = loadedTerm.current();
     saving = true;
@@ -159,20 +173,24 @@
 
   // ---- writing ---------------------------------------------------------------------------------
 
-  /** The values of a bucket that holds these machines. */
+  /** Returns the values of a bucket that holds these machines. */
   BucketValues values(int bucket, List<StoredAssignment> machines) {
     return BucketValues.of(
         bucket, machines, revisions.keySet(), context.config().state().valueKb());
   }
 
-  /** Adds guarded writes of values to a transaction. */
+  /** Adds the writes of these values to a transaction, each guarded by its key's revision. */
   void addTo(Transaction transaction, Map<String, EncodedValue> values) {
     values.forEach(
         (key, value) ->
             value.addTo(transaction, key, revisions.getOrDefault(key, Revision.ABSENT)));
   }
 
-  /** Writes what is not yet written of all machines, as the budget allows. */
+  /**
+   * Writes the changed buckets, as many as the write budget and a transaction allow.
+   *
+   * @param machines all machines of the fleet
+   */
   void save(Collection<AssignedMachine> machines) {
     MonotonicTime now = context.now();
     if (saving || unsavedBuckets.isEmpty() || now.isBefore(nextSaveAt)) {
@@ -242,7 +260,7 @@
     unsavedBuckets.addAll(batch.buckets().keySet());
     nextSaveAt = context.now().plus(SAVE_INTERVAL_MS);
     if (result instanceof Conflict) {
-      // A write of unknown outcome was carried out late.
+      // A write of unknown outcome was carried out after all and changed a key's revision.
       readRevisions();
     }
   }
@@ -253,22 +271,24 @@
     buckets.values().forEach(inBucket -> inBucket.forEach(onRecorded));
   }
 
-  // ---- writes in transactions of others --------------------------------------------------------
+  // ---- writes as part of another transaction ---------------------------------------------------
 
-  /** Buckets are being written in another transaction; until that is over no others are. */
+  /**
+   * Marks buckets as being written by another transaction; no assignment is saved until it ends.
+   */
   void beginTransfer(Set<Integer> buckets) {
     saving = true;
     unsavedBuckets.removeAll(buckets);
   }
 
-  /** The other transaction was carried out. */
+  /** Records that the other transaction was committed at a revision. */
   void commitTransfer(
       Map<Integer, List<AssignedMachine>> buckets, Set<String> keys, Revision revision) {
     saving = false;
     recordWritten(buckets, keys, revision);
   }
 
-  /** The other transaction was not carried out, and never will be. */
+  /** Schedules the buckets again after the other transaction was refused for good. */
   void cancelTransfer(Set<Integer> buckets) {
     saving = false;
     unsavedBuckets.addAll(buckets);
--- a/src/main/java/shorecrank/coordination/leader/BucketValues.java
+++ b/src/main/java/shorecrank/coordination/leader/BucketValues.java
@@ -9,36 +9,39 @@
 import shorecrank.protocol.Ids.MachineName;
 
 /**
- * The values that hold the machines of one bucket, by key. Machines are written down many to a key,
- * since a change for each would take the state service's budget of seconds; a bucket has as many
- * keys as the limit on a value asks for.
+ * The stored values of one bucket of machines, by key. One key holds many machines, because one
+ * change per machine would use up the state service's write rate for seconds; a bucket takes as
+ * many keys as the size limit of a value requires.
  *
- * @param bytes about how long they are together
+ * @param bytes the approximate total size of the values
  */
 record BucketValues(Map<String, EncodedValue> byKey, int bytes) {
-  /** The keys of all buckets begin with this. */
+  /** The prefix of the keys of all buckets. */
   static final String PREFIX = "hosts/";
 
   private static final int BUCKET_COUNT = 32;
 
-  /** So much of a value is filled; the rest is for what stands around the machines. */
+  /**
+   * The part of the maximum value size that is filled; the rest is left for the JSON around the
+   * machines.
+   */
   private static final double MAX_FILL_RATIO = 0.9;
 
   private static final int VALUE_OVERHEAD_BYTES = 20;
   private static final int SEPARATOR_BYTES = 1;
   private static final int BYTES_PER_KB = 1024;
 
-  /** The bucket of a machine. */
+  /** Returns the number of a machine's bucket. */
   static int bucketOf(MachineName name) {
     return Math.floorMod(name.value().hashCode(), BUCKET_COUNT);
   }
 
   /**
-   * Puts a bucket's machines into values. A value that was needed before is written empty: every
-   * version reads all that is there.
+   * Encodes a bucket's machines into values. A key that an earlier write needed and this one does
+   * not is written with an empty value, because every version reads all keys that exist.
    *
-   * @param knownKeys the keys of all buckets that exist, in their order
-   * @param valueKb how many kilobytes the state service takes in a value
+   * @param knownKeys the keys of all buckets that exist, in ascending order
+   * @param valueKb the maximum size of a value, in KiB
    */
   static BucketValues of(
       int bucket, List<StoredAssignment> machines, Collection<String> knownKeys, double valueKb) {
--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -13,10 +13,10 @@
 import shorecrank.storage.RateLimiter;
 
 /**
- * Calls of the cloud that rent, release and list machines, within its rate limit.
+ * Rents, releases and lists machines of the cloud, within its rate limit.
  *
- * <p>Each result comes later, exactly once. A caller takes a call with {@link #tryTake()} before it
- * makes one.
+ * <p>Each call passes its result to a callback later, exactly once. The caller has to obtain
+ * permission from {@link #tryTake()} before each call.
  */
 final class CloudClient {
   private static final int OK = 200;
@@ -27,34 +27,37 @@
   private static final int CALL_TIMEOUT_MS = 6000;
   private static final long FAILURE_PAUSE_MS = 1000;
 
-  /** Other controllers read the machine types now and then. */
+  /**
+   * The part of the cloud's rate limit that the leader uses; the rest is left for the other
+   * controllers, which read the machine types from time to time.
+   */
   private static final double RATE_SHARE = 0.9;
 
-  /** What became of a request to rent. */
+  /** The outcome of a request to rent machines. */
   sealed interface RentResult {
-    /** These machines were rented, which may be fewer than asked for. */
+    /** The machines that were rented; possibly fewer than requested. */
     record Rented(List<MachineName> machines) implements RentResult {}
 
-    /** The cloud has no machine of the kind. */
+    /** The cloud has no capacity for this offer. */
     record NoCapacity() implements RentResult {}
 
-    /** The cloud does not understand the request. */
+    /** The cloud rejected the request as malformed. */
     record Malformed() implements RentResult {}
 
-    /** It may have been carried out, or may yet be. */
+    /** There was no usable answer: the request may have been carried out, or may still be. */
     record Unknown() implements RentResult {}
   }
 
-  /** What became of reading a page of the machine list. */
+  /** The outcome of reading a page of the machine list. */
   sealed interface ListingResult {
     /**
-     * A page.
+     * A page of the machine list.
      *
-     * @param more whether machines follow after the last of these
+     * @param more whether there are machines after this page
      */
     record Page(List<ListedMachine> machines, boolean more) implements ListingResult {}
 
-    /** The list could not be read. */
+    /** The page could not be read. */
     record Unavailable() implements ListingResult {}
   }
 
@@ -67,25 +70,30 @@
     this.rateLimiter = new RateLimiter(context.config().cloud().rps() * RATE_SHARE);
   }
 
-  /** Takes one call out of the rate limit, if it is there. */
+  /**
+   * Takes permission for one call from the rate limiter, if there is any, and reports whether it
+   * did.
+   */
   boolean tryTake() {
     return rateLimiter.tryTake(1, context.now());
   }
 
-  /** A call has failed: none is to be made for a moment. */
+  /** Suspends calls for a second after a call has failed. */
   void pause() {
     pausedUntil = context.now().plus(FAILURE_PAUSE_MS);
   }
 
-  /** Whether no call is to be made now. */
+  /** Reports whether calls are suspended after a failure. */
   boolean isPaused() {
     return context.now().isBefore(pausedUntil);
   }
 
   /**
-   * Rents machines.
+   * Rents machines of an offer.
    *
-   * @param claim names the request: a second one of the same name rents nothing more
+   * @param claim the idempotency key: repeating a request with the same key rents no further
+   *     machines
+   * @param then receives the outcome
    */
   void rent(String claim, Offer offer, int count, Consumer<RentResult> then) {
     context.callCloud(
@@ -106,7 +114,11 @@
         });
   }
 
-  /** Returns machines; {@code then} is told whether the cloud has taken them all. */
+  /**
+   * Releases machines.
+   *
+   * @param then receives whether the cloud has taken all of them back
+   */
   void release(List<MachineName> machines, Consumer<Boolean> then) {
     context.callCloud(
         "POST",
@@ -119,7 +131,8 @@
   /**
    * Reads a page of the machine list.
    *
-   * @param after the last machine of the page before; empty for the first page
+   * @param after the name of the last machine of the previous page; empty for the first page
+   * @param then receives the page, or the failure
    */
   void list(String after, Consumer<ListingResult> then) {
     context.callCloud(
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -9,8 +9,8 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /**
- * Makes the leader's calls of the cloud in their order: machines are returned first, then rented,
- * and the list is read with what the rate limit leaves.
+ * Sends the leader's calls to the cloud by priority: releases first, then rentals; the machine list
+ * is read with the calls that the rate limit leaves.
  */
 final class CloudProvisioner {
   private final CloudClient client;
@@ -33,12 +33,15 @@
     this.listing = new MachineListing(context, loadedTerm, machines, client, releases, admission);
   }
 
-  /** Takes in the machine types that the cloud offers. */
+  /** Updates the machine types that the cloud offers. */
   void updateCatalog(Map<String, MachineType> types) {
     listing.updateCatalog(types);
   }
 
-  /** A term has begun: what the last one asked for is found in the machine list. */
+  /**
+   * Drops all pending work at the start of a term; reading the machine list shows what calls of the
+   * previous term have done.
+   */
   void beginTerm() {
     rental.beginTerm();
     releases.beginTerm();
@@ -46,7 +49,7 @@
     listing.beginTerm();
   }
 
-  /** Once a round. */
+  /** Sends the calls that are due; called on every tick of the leader. */
   void tick() {
     if (client.isPaused()) {
       return;
@@ -60,17 +63,20 @@
     }
   }
 
-  /** Whether nothing is being rented. */
+  /** Reports whether no rental is waiting or pending. */
   boolean isIdle() {
     return rental.isIdle();
   }
 
-  /** Rents what an owner asks for, except kinds that were refused lately. */
+  /**
+   * Queues the rental of the machines that a shard's owner requests, except for offers that lately
+   * had no capacity.
+   */
   void request(ShardId shard, List<CapacityRequest> requests) {
     rental.request(shard, requests);
   }
 
-  /** The kinds that are not asked for now, and for how long. */
+  /** Returns the offers that are not requested at the moment, with the remaining time. */
   List<UnavailableOffer> unavailableOffers() {
     return unavailable.describe();
   }
--- a/src/main/java/shorecrank/coordination/leader/ControllerState.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerState.java
@@ -6,7 +6,7 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 
-/** One controller as its last heartbeat to the leader describes it. */
+/** The state of one controller, from its last heartbeat to the leader. */
 final class ControllerState {
   private WriterId writer;
   private boolean storeReachable;
@@ -14,7 +14,7 @@
   private MonotonicTime lastHeartbeatAt = MonotonicTime.NEVER;
   private Map<ShardId, Integer> misroutedWorkers = Map.of();
 
-  /** Takes in a heartbeat. */
+  /** Updates the state from a heartbeat. */
   void recordHeartbeat(Heartbeat heartbeat, MonotonicTime now) {
     lastHeartbeatAt = now;
     writer = heartbeat.writer();
@@ -27,27 +27,33 @@
     misroutedWorkers = heartbeat.misroutedWorkers();
   }
 
-  /** The process that sent the last heartbeat. */
+  /** Returns the process that sent the last heartbeat. */
   WriterId writer() {
     return writer;
   }
 
-  /** Whether it reaches the state service. */
+  /** Reports whether the controller reaches the state service, by its last heartbeat. */
   boolean isStoreReachable() {
     return storeReachable;
   }
 
-  /** Since when it says that it does not reach the state service; NEVER if it reaches it. */
+  /**
+   * Returns when the controller first reported that it does not reach the state service; {@link
+   * MonotonicTime#NEVER} if it reaches it.
+   */
   MonotonicTime storeUnreachableSince() {
     return storeUnreachableSince;
   }
 
-  /** How long it has not been heard. */
+  /** Returns the time since the controller's last heartbeat, in milliseconds. */
   long msSinceHeartbeat(MonotonicTime now) {
     return now.since(lastHeartbeatAt);
   }
 
-  /** How many workers of a shard lately came to it instead of to the shard's owner. */
+  /**
+   * Returns how many workers of a shard lately sent their heartbeats to this controller instead of
+   * the shard's owner.
+   */
   int misroutedWorkers(ShardId shard) {
     return misroutedWorkers.getOrDefault(shard, 0);
   }
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -8,12 +8,15 @@
 import shorecrank.protocol.HeartbeatMessages.Heartbeat;
 import shorecrank.protocol.Ids.ControllerName;
 
-/** The controllers that the leader has heard in its term, itself among them. */
+/** The controllers whose heartbeats the leader has received in its term, including its own. */
 final class ControllerTable {
-  /** A controller that was heard so lately is taken to reach the state service as it said. */
+  /** The time for which a controller's report that it reaches the state service is relied on. */
   private static final int REACHABILITY_VALID_MS = 3000;
 
-  /** Beyond two intervals of heartbeats, the silence after which a controller can't serve. */
+  /**
+   * The time without a heartbeat, beyond two heartbeat intervals, after which a controller counts
+   * as unable to serve a shard.
+   */
   private static final int SERVING_MARGIN_MS = 500;
 
   private final StepContext context;
@@ -23,12 +26,12 @@
     this.context = context;
   }
 
-  /** Starts anew with no controller heard. */
+  /** Removes all controllers at the start of a term. */
   void reset() {
     controllers.clear();
   }
 
-  /** Takes in a heartbeat, and returns the state of its sender. */
+  /** Records a heartbeat and returns the state of its sender. */
   ControllerState recordHeartbeat(Heartbeat heartbeat) {
     ControllerState sender =
         controllers.computeIfAbsent(heartbeat.sender(), name -> new ControllerState());
@@ -36,29 +39,32 @@
     return sender;
   }
 
-  /** The controllers that were heard, by name. */
+  /** Returns the controllers from which a heartbeat was received, ordered by name. */
   Set<Map.Entry<ControllerName, ControllerState>> entries() {
     return controllers.entrySet();
   }
 
-  /** How many controllers were heard. */
+  /** Returns the number of controllers from which a heartbeat was received. */
   int size() {
     return controllers.size();
   }
 
-  /** A controller that was heard. */
+  /** Returns the state of a controller; null if no heartbeat was received from it. */
   ControllerState get(ControllerName controller) {
     return controllers.get(controller);
   }
 
-  /** Whether a controller could serve a shard: it is heard and reaches the state service. */
+  /**
+   * Reports whether a controller can serve a shard: its heartbeats arrive and it reaches the state
+   * service.
+   */
   boolean canServe(ControllerState controller) {
     return controller.isStoreReachable()
         && controller.msSinceHeartbeat(context.now())
             <= context.settings().renewMs() * 2L + SERVING_MARGIN_MS;
   }
 
-  /** Whether a controller other than {@code except} reaches the state service. */
+  /** Reports whether a controller other than {@code except} reaches the state service. */
   boolean isStoreReachableElsewhere(ControllerName except) {
     if (!except.equals(context.config().label()) && context.isStoreReachable()) {
       return true;
@@ -74,7 +80,9 @@
     return false;
   }
 
-  /** The zone of a controller; that of this one if it is not configured. */
+  /**
+   * Returns the zone of a controller; this controller's own zone if the other is not configured.
+   */
   String zoneOf(ControllerName controller) {
     for (Member member : context.config().members()) {
       if (member.label().equals(controller)) {
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -19,25 +19,26 @@
 import shorecrank.storage.WatchResult;
 
 /**
- * Elects the leader: the process whose key hangs on a living grant. The key's revision is the
- * leader's term; whatever the leader writes is guarded by it.
+ * Elects the leader of the fleet: the process whose name is in the leader's key, which is attached
+ * to a live grant of the state service (see {@link GrantClient}). The key's revision is the
+ * leader's term, and it guards every write of the leader.
  *
- * <p>A process reads the key; while another leads it watches the key; once the key is gone it
- * campaigns, with a grant of its own; having won, it renews the grant until it is refused. Whenever
- * it can't tell where it is, it reads again.
+ * <p>A process first reads the key. While another process leads, it watches the key; once the key
+ * is deleted, it campaigns with a new grant of its own; after a won campaign, it renews the grant
+ * until a renewal is refused. Whenever its state is uncertain, it reads the key again.
  */
 public final class Election implements Leadership {
   /** The key that names the leader. */
   public static final String KEY = "leader";
 
   /**
-   * From the level of {@link Feature#PROTECTED_LEADERSHIP} on the grant hangs on this key, and
-   * {@link #KEY} stays for good and only names the leader: a version that knows no levels never
-   * finds the leadership vacant.
+   * The key to which the leader's grant is attached from the level of {@link
+   * Feature#PROTECTED_LEADERSHIP} on. {@link #KEY} then has no grant, is never deleted and only
+   * names the leader, so that a version without feature levels never finds the leadership vacant.
    */
   static final String PROTECTED_KEY = "leadership";
 
-  /** A controller that can't lead at the level in force looks again after so long. */
+  /** The pause before a controller that doesn't support the level in force tries to lead again. */
   private static final int UNSUPPORTED_LEVEL_PAUSE_MS = 2000;
 
   private static final int CALL_TIMEOUT_MS = 1500;
@@ -49,27 +50,33 @@
   private static final int RENEW_RETRY_MS = 250;
   private static final int TERM_ENDED_PAUSE_MS = 50;
 
-  /** So that not all campaign at once when the key goes. */
+  /**
+   * The average delay of a campaign after the key's deletion; it is randomized so that the
+   * controllers don't all campaign at once.
+   */
   private static final int CAMPAIGN_DELAY_MS = 60;
 
   private static final int OWN_GRANT_REVOKED_PAUSE_MS = 20;
 
-  /** A grant is renewed this often within its time to live. */
+  /** The number of renewals of a grant within its time to live. */
   private static final int RENEWALS_PER_TTL = 4;
 
-  /** Leases run on the service's clock; this process's may be fast or slow by 0.05%. */
+  /**
+   * The part of the time to live, 1/500, that is deducted for clock drift: grants expire by the
+   * state service's clock, and this process's clock may be fast or slow by 0.05%.
+   */
   private static final int CLOCK_DRIFT_DIVISOR = 500;
 
   private static final int VALIDITY_MARGIN_MS = 20;
   private static final long NO_GRANT = -1;
 
-  /** What a process does next about the leadership. */
+  /** What a process does next in the election. */
   private enum State {
-    /** Reads who leads. */
+    /** Reads the key to learn who leads. */
     READING,
-    /** Waits for changes of the key, while another leads. */
+    /** Watches the key while another process leads. */
     WATCHING,
-    /** Tries to take the key, which nobody holds. */
+    /** Tries to take the key, which no process holds. */
     CAMPAIGNING,
     /** Holds the key and renews its grant. */
     LEADING
@@ -78,7 +85,7 @@
   private final StepContext context;
   private final GrantClient grants;
 
-  /** What this build supports; null if rollouts are not enabled here. */
+  /** The feature levels that this build supports; null if rollouts are not enabled. */
   private final LevelRange supported;
 
   private State state = State.READING;
@@ -91,14 +98,16 @@
   private MonotonicTime validUntil = MonotonicTime.NEVER;
   private MonotonicTime renewAt = MonotonicTime.NEVER;
 
-  /** The level that the leader's key names; the lowest while the grant hangs on that key. */
+  /**
+   * The feature level in {@link #KEY}; the lowest level while the grant is attached to that key.
+   */
   private FeatureLevel level = FeatureLevel.LOWEST;
 
-  /** The revision of {@link #KEY} while the grant hangs on the other. */
+  /** The revision of {@link #KEY} while the grant is attached to {@link #PROTECTED_KEY}. */
   private Revision leaderKeyRevision = Revision.ABSENT;
 
   /**
-   * Creates an election in which nothing is known.
+   * Creates an election that has not read the key yet.
    *
    * @param supported the feature levels that this build supports; null if rollouts are not enabled
    */
@@ -108,9 +117,9 @@
     this.supported = supported;
   }
 
-  // ---- what is known ---------------------------------------------------------------------------
+  // ---- state -----------------------------------------------------------------------------------
 
-  /** The key on which the leader's grant hangs. */
+  /** Returns the key to which the leader's grant is attached. */
   public String key() {
     return isProtected() ? PROTECTED_KEY : KEY;
   }
@@ -123,12 +132,15 @@
     return level.includes(Feature.PROTECTED_LEADERSHIP.level());
   }
 
-  /** The controller that leads as far as is known; null if none is known. */
+  /** Returns the leader that was last observed; null if none is known. */
   public ControllerName leader() {
     return leader;
   }
 
-  /** Whether the key is this process's as far as is known; its grant may be in doubt. */
+  /**
+   * Reports whether this process took the key and has not seen its grant end; the grant may have
+   * expired since.
+   */
   public boolean isHoldingKey() {
     return state == State.LEADING;
   }
@@ -148,9 +160,9 @@
     transaction.guard(key(), term);
   }
 
-  // ---- steps -----------------------------------------------------------------------------------
+  // ---- state machine ---------------------------------------------------------------------------
 
-  /** Once a round. */
+  /** Takes the next step of the election if it is due; called on every tick of the controller. */
   public void tick() {
     MonotonicTime now = context.now();
     if (state == State.LEADING) {
@@ -170,7 +182,12 @@
     }
   }
 
-  /** Goes over to a state, in which the next step follows after about {@code pauseMs}. */
+  /**
+   * Enters a state.
+   *
+   * @param pauseMs the average delay of the next step in milliseconds; it is randomized unless it
+   *     is 0
+   */
   private void enter(State next, int pauseMs) {
     callPending = false;
     state = next;
@@ -220,8 +237,9 @@
       enter(State.WATCHING, 0);
       return;
     }
-    // The label is this controller's and the process is not: it has ended, so nobody need wait for
-    // its grant. Its late writes are refused, since the key's revision moves on.
+    // The key carries this controller's name but belongs to another process, so an earlier process
+    // of this controller has ended: its grant is revoked instead of waiting until it expires. Late
+    // writes of that process fail, since the key's revision changes.
     grants.revoke(
         entry.grantId(),
         ended -> enter(ended ? State.CAMPAIGNING : State.READING, OWN_GRANT_REVOKED_PAUSE_MS));
@@ -273,7 +291,9 @@
     }
   }
 
-  /** Whether the leadership is on another key from this change on, or another level in force. */
+  /**
+   * Reports whether a change attaches the grant to another key or brings another level into force.
+   */
   private boolean changesGrantKeyOrLevel(Change change) {
     if (!change.key().equals(KEY) || change.value() == null) {
       return false;
@@ -322,8 +342,8 @@
 
   private void handleCampaignResult(long newGrant, MonotonicTime grantSent, CommitResult result) {
     if (!(result instanceof Committed committed)) {
-      // Refused, or without an answer: a late write of this process's must not find its grant
-      // alive.
+      // The commit was refused or got no answer. If it is carried out late, its grant must no
+      // longer exist, or the key would name a process that does not know that it leads.
       grants.revoke(newGrant, ended -> enter(State.READING, LOST_CAMPAIGN_PAUSE_MS));
       return;
     }
@@ -340,13 +360,17 @@
     context.count("leader.elected");
   }
 
-  /** Writes this process's name to a key that hangs on its grant. */
+  /** Adds a write of this process's name to a key that is attached to its grant. */
   private void writeName(Transaction transaction, String key, long ofGrant) {
     transaction.write(
         key, LeaderNameCodec.write(context.config().label(), context.writer()), ofGrant);
   }
 
-  /** Writes to {@link #KEY} that this process leads by the other key, at a feature level. */
+  /**
+   * Adds a write to {@link #KEY} which says that this process leads through {@link #PROTECTED_KEY}.
+   *
+   * @param at the feature level in force
+   */
   private void writeMovedName(Transaction transaction, FeatureLevel at) {
     transaction.write(
         KEY,
@@ -390,7 +414,7 @@
         enter(State.READING, TERM_ENDED_PAUSE_MS);
       }
       case UNKNOWN ->
-          // An outage stops the clock of all grants, so the term may well go on.
+          // During an outage of the state service no grant expires, so the term may still be valid.
           renewAt = context.now().plus(RENEW_RETRY_MS);
     }
   }
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -18,15 +18,15 @@
 import shorecrank.storage.CommitResult.Committed;
 
 /**
- * Allocates epochs: a transaction raises the fleet's counter and writes down the owner that gets
- * the new epoch. One allocation is under way at a time, each guarded by the counter's revision, so
- * that no epoch is given twice.
+ * Allocates epochs: each transaction raises the fleet's epoch counter and stores the shard's owner
+ * under the new epoch. Only one allocation is pending at a time, and each is guarded by the
+ * counter's revision, so that no epoch is allocated twice.
  */
 final class EpochAllocator {
   private static final int CALL_TIMEOUT_MS = 1500;
   private static final int HEARTBEAT_NOW_TIMEOUT_MS = 1000;
 
-  /** After an allocation without success everything is loaded again after so long. */
+  /** The pause before the state is loaded again after an allocation that was not committed. */
   private static final int RELOAD_PAUSE_MS = 200;
 
   private final StepContext context;
@@ -39,16 +39,16 @@
   private boolean allocating;
 
   /**
-   * The term of the latest allocation, and its number: an earlier one's answer says nothing new.
+   * The term and the number of the latest allocation; answers to earlier allocations are ignored.
    */
   private Revision allocationTerm = Revision.ABSENT;
 
   private long allocations;
 
   /**
-   * Shards for which a new owner may yet be written down by a transaction without an answer. The
-   * next committed allocation settles it, since all are guarded by the counter's revision; before
-   * that the last owner gets no lease.
+   * Shards whose new owner may still be stored by a transaction without an answer. Until the next
+   * committed allocation, the last owner of such a shard gets no lease. That allocation settles the
+   * outcome, since all allocations are guarded by the counter's revision.
    */
   private final Set<ShardId> shardsInDoubt = new TreeSet<>();
 
@@ -57,7 +57,7 @@
   /**
    * Creates an allocator.
    *
-   * @param onAllocated told of each shard that has a new epoch
+   * @param onAllocated called with each shard that has been given a new epoch
    */
   EpochAllocator(
       StepContext context,
@@ -72,18 +72,26 @@
     this.onAllocated = onAllocated;
   }
 
-  /** Takes the counter as it was read; {@link Revision#ABSENT} and 0 if there is none yet. */
+  /**
+   * Sets the counter to its stored value.
+   *
+   * @param revision the revision of the counter's key; {@link Revision#ABSENT} if the key does not
+   *     exist
+   * @param epoch the highest allocated epoch; 0 if the key does not exist
+   */
   void restore(Revision revision, long epoch) {
     counterRevision = revision;
     counter = epoch;
   }
 
-  /** The highest epoch of the fleet. */
+  /** Returns the highest epoch of the fleet. */
   long highest() {
     return counter;
   }
 
-  /** A term has been loaded: what was allocated under an earlier one is refused. */
+  /**
+   * Ends the pending allocation when a term has been loaded: a commit under an earlier term fails.
+   */
   void beginTerm() {
     allocating = false;
   }
@@ -92,25 +100,26 @@
     return allocating;
   }
 
-  /** Whether an allocation of this term has no answer yet. */
+  /** Reports whether an allocation of the present term has no answer yet. */
   boolean isUnsettled() {
     return allocating && allocationTerm.equals(election.term());
   }
 
-  /** Marks shards as vacant of which it is not known who is written down as their owner. */
+  /** Marks the shards as vacant whose stored owner is uncertain. */
   void vacateShardsInDoubt(Revision term) {
     if (!term.equals(doubtTerm)) {
-      // What an earlier term sent is refused, for the leader's key has changed.
+      // Allocations of an earlier term fail now, since the revision of the leader's key has
+      // changed.
       shardsInDoubt.clear();
     }
     shardsInDoubt.forEach(id -> shards.get(id).vacate());
   }
 
   /**
-   * Begins to allocate an epoch for a shard and its owner to be, unless another allocation is under
-   * way.
+   * Starts to allocate an epoch for a shard and its new owner; does nothing while another
+   * allocation is pending.
    *
-   * @param lowerBound an epoch below the new one, beside all that the counter knows of
+   * @param lowerBound the new epoch is higher than this epoch and than all allocated epochs
    */
   void allocate(
       ShardId id, ShardState shard, ControllerName owner, WriterId writer, Epoch lowerBound) {
@@ -142,7 +151,7 @@
             });
   }
 
-  /** An allocation under way. */
+  /** A pending allocation. */
   private record Allocation(
       ShardId id, ShardState shard, OwnerInfo owner, WriterId writer, Revision term) {}
 
@@ -157,7 +166,8 @@
       doubtTerm = allocation.term();
     }
     if (result.isCommitted() && thisTerm) {
-      // Those before it were guarded by the counter's last revision.
+      // Earlier allocations were guarded by the counter's last revision, so they can't be committed
+      // any more.
       shardsInDoubt.clear();
     }
     if (!loadedTerm.isCurrent(allocation.term())) {
@@ -166,8 +176,9 @@
     if (result instanceof Committed committed) {
       complete(allocation, committed.revision());
     } else {
-      // Also without an answer: what the counter holds now is only known after a new look, and a
-      // later allocation behind the same guard is what settles it.
+      // The counter's value is unknown if there was no answer, so it is read again. Should the
+      // allocation be carried out late, the guard on the counter makes the next one fail, which
+      // settles it.
       loadedTerm.discard();
       loadedTerm.postponeLoading(RELOAD_PAUSE_MS);
     }
@@ -186,7 +197,8 @@
         "shard.epoch.allocated shard=%s epoch=%s owner=%s writer=%s",
         allocation.id(), owner.epoch(), owner.controller(), allocation.writer());
     context.count("epoch.minted");
-    // The owner begins at once, and the others can tell the workers where to go.
+    // Asks all controllers for a heartbeat at once: the answer gives the new owner its lease and
+    // tells the others where to redirect workers.
     for (Member member : context.config().members()) {
       context.callPeer(
           member.label(),
--- a/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import shorecrank.protocol.Json;
 
-/** The fleet's epoch counter as the state service holds it. */
+/** Encodes and decodes the fleet's epoch counter for the state service. */
 final class EpochCounterCodec {
   static final String KEY = "epoch";
   private static final String VALUE = "v";
 
   private EpochCounterCodec() {}
 
-  /** The value that says that this is the highest epoch. */
+  /** Encodes the highest allocated epoch. */
   static JsonNode write(long epoch) {
     return Json.object().put(VALUE, epoch);
   }
 
-  /** The highest epoch that was allocated; negative if the value can't be read. */
+  /** Returns the highest allocated epoch; a negative number if the value is malformed. */
   static long read(JsonNode value) {
     return Json.count(value.path(VALUE));
   }
--- a/src/main/java/shorecrank/coordination/leader/GrantClient.java
+++ b/src/main/java/shorecrank/coordination/leader/GrantClient.java
@@ -8,21 +8,22 @@
 import shorecrank.protocol.StorePaths;
 
 /**
- * Calls of the state service for grants. A key that hangs on a grant is dropped when the grant
- * ends: when it is revoked, or was not renewed within its time to live.
+ * Creates, renews and revokes grants of the state service. A grant is a lease with a time to live;
+ * the state service deletes the keys that are attached to it when it is revoked or not renewed in
+ * time.
  */
 final class GrantClient {
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
   private static final int CALL_TIMEOUT_MS = 1500;
 
-  /** What became of renewing a grant. */
+  /** The outcome of renewing a grant. */
   enum Renewal {
-    /** It lives on for its time to live. */
+    /** The grant is valid for its time to live from now on. */
     RENEWED,
-    /** It has ended, and the keys that hung on it are gone. */
+    /** The grant has ended, and the keys attached to it are deleted. */
     ENDED,
-    /** Nothing is known of it. */
+    /** There was no usable answer, so the grant may or may not be valid. */
     UNKNOWN
   }
 
@@ -32,7 +33,12 @@
     this.context = context;
   }
 
-  /** Asks for a grant; {@code then} takes its number, or empty if it is not known to exist. */
+  /**
+   * Creates a grant.
+   *
+   * @param ttlMs the time to live in milliseconds
+   * @param then receives the grant's id; empty if it is not known whether the grant exists
+   */
   void create(long ttlMs, Consumer<OptionalLong> then) {
     context.callStore(
         "POST",
@@ -45,7 +51,11 @@
         });
   }
 
-  /** Renews a grant. */
+  /**
+   * Renews a grant.
+   *
+   * @param then receives the outcome
+   */
   void renew(long grant, Consumer<Renewal> then) {
     context.callStore(
         "POST",
@@ -61,7 +71,11 @@
                 }));
   }
 
-  /** Ends a grant; {@code then} is told whether it is known to have ended. */
+  /**
+   * Revokes a grant.
+   *
+   * @param then receives whether the grant is known to have ended
+   */
   void revoke(long grant, Consumer<Boolean> then) {
     context.callStore(
         "DELETE",
--- a/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
+++ b/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
@@ -7,7 +7,7 @@
 import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.MachineName;
 
-/** Puts together what the leader tells a controller in answer to its heartbeat. */
+/** Builds the leader's answers to the heartbeats of controllers. */
 final class HeartbeatAnswerBuilder {
   private final Election election;
   private final ShardLeaseTable shards;
@@ -34,7 +34,11 @@
     this.rollout = rollout;
   }
 
-  /** The answer to a heartbeat whose sender gets these leases. */
+  /**
+   * Builds the answer to a heartbeat.
+   *
+   * @param leases the leases that the sender is granted
+   */
   HeartbeatAnswer build(Heartbeat heartbeat, List<Lease> leases) {
     List<OwnerInfo> owners = shards.owners();
     MachineDirectory.Changes changes =
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -21,8 +21,8 @@
 import shorecrank.rollout.RolloutCoordinator;
 
 /**
- * The leading controller's work: it grants shards to controllers and machines to shards, and
- * answers heartbeats with both. On a controller that does not lead it does nothing.
+ * The work of the leading controller: grants shards to controllers, assigns machines to shards, and
+ * answers heartbeats with both. Does nothing on controllers that don't lead.
  */
 public final class Leader implements ShardTable {
   private final StepContext context;
@@ -42,19 +42,22 @@
   private final MachineAssigner assigner;
   private final HeartbeatAnswerBuilder answerBuilder;
 
-  /** The assigner where shares are enabled; else null. */
+  /** The assigner of machines if shares are enabled; null otherwise. */
   private final ShareAssigner shareAssigner;
 
-  /** No lease could be granted for a while, since it was in doubt whether this process leads. */
+  /**
+   * Whether no lease could be granted since the last tick, because this process may not have been
+   * the leader.
+   */
   private boolean wasInterrupted;
 
   /**
-   * Creates the leader's part of a controller.
+   * Creates the leader of a controller.
    *
-   * @param rolloutCoordinator says which controllers may own shards; null if rollouts are not
+   * @param rolloutCoordinator decides which controllers may own shards; null if rollouts are not
    *     enabled
-   * @param gate told of the feature level before any heartbeat is answered
-   * @param shares the operators' settings of shares; null if those are not enabled
+   * @param gate receives the feature level before any heartbeat is answered
+   * @param shares the operators' settings of shares; null if shares are not enabled
    */
   public Leader(
       StepContext context,
@@ -92,7 +95,7 @@
             election, shards, controllers, machines, releases, cloud, rollout);
   }
 
-  /** Takes in the machine types that the cloud offers. */
+  /** Updates the machine types that the cloud offers. */
   public void updateCatalog(Map<String, MachineType> types) {
     cloud.updateCatalog(types);
     if (shareAssigner != null) {
@@ -100,19 +103,21 @@
     }
   }
 
-  /** Moves of machines between shards; null if shares are not enabled. */
+  /** Returns the coordinator that moves machines between shards; null if shares are not enabled. */
   public MoveCoordinator moveCoordinator() {
     return shareAssigner == null ? null : shareAssigner.moveCoordinator();
   }
 
-  /** Whether this process leads and knows all that it needs to answer for the leader. */
+  /**
+   * Reports whether this process leads and has loaded everything that heartbeat answers contain.
+   */
   private boolean isReady() {
     boolean levelKnown = rollout.isReady();
     boolean loaded = election.isLeading() && loadedTerm.isCurrent(election.term());
     return loaded && levelKnown && assigner.isReady();
   }
 
-  /** Once a round. */
+  /** Does the leader's periodic work; called on every tick of the controller. */
   public void tick() {
     if (!election.isLeading()) {
       wasInterrupted = true;
@@ -142,8 +147,9 @@
   }
 
   /**
-   * Whether a write of this term has no answer yet. What is read meanwhile could be out of date by
-   * it: an owner would be granted a lease beside a successor that is being written down.
+   * Reports whether a write of this term has no answer yet. State that is loaded before the answer
+   * may be outdated by that write: the old owner could then be granted a lease while its successor
+   * is being stored.
    */
   private boolean isUnsettled() {
     return epochs.isUnsettled() || assigner.isUnsettled();
@@ -157,7 +163,7 @@
     cloud.beginTerm();
   }
 
-  /** Gives shards without an owner, or whose owner's lease has expired, to the fittest one. */
+  /** Allocates an epoch and an owner for a shard that is vacant or whose lease has expired. */
   private void assignShards() {
     for (Map.Entry<ShardId, ShardState> entry : shards.entries()) {
       ShardId id = entry.getKey();
@@ -182,7 +188,11 @@
 
   // ---- heartbeats ------------------------------------------------------------------------------
 
-  /** Answers a controller's heartbeat; null while this process can't answer for the leader. */
+  /**
+   * Answers a controller's heartbeat.
+   *
+   * @return the answer; null while this process does not lead or is still loading
+   */
   public HeartbeatAnswer handleHeartbeat(Heartbeat heartbeat) {
     if (!isReady()) {
       return null;
@@ -205,7 +215,7 @@
           && report.epoch().equals(shard.epoch())) {
         handleReport(report, heartbeat.assignmentVersion());
       } else if (report.refusedEpoch().value() > 0) {
-        // It does not come from the owner, so it raises no epoch.
+        // The report is not from the shard's owner, so it must not raise the shard's epoch.
         context.info(
             "shard.report.refused shard=%s epoch=%s controller=%s",
             report.shard(), report.refusedEpoch(), heartbeat.sender());
@@ -213,11 +223,15 @@
     }
   }
 
-  /** Does what an owner asks for its shard. */
+  /**
+   * Handles the requests of a shard's owner.
+   *
+   * @param knownVersion the version of the assignments that the owner knows
+   */
   private void handleReport(ShardReport report, long knownVersion) {
     for (MachineName name : report.machinesToRelease()) {
       AssignedMachine machine = machines.get(name);
-      // A machine no longer known may have been released by a leader that could not say so.
+      // An unknown machine may have been released by an earlier leader that could not record it.
       boolean belongsToOwner =
           machine == null ? !releases.wasReleased(name) : machine.shard().equals(report.shard());
       if (belongsToOwner) {
@@ -225,14 +239,14 @@
       }
     }
     assigner.handleReport(report);
-    // An owner that has not yet seen the last assignment would ask for the same machines again.
+    // An owner that has not received the last assignments would request the same machines again.
     boolean allStored = shards.isSingleShard() || machines.isWritten();
     if (knownVersion == machines.version() && allStored && cloud.isIdle()) {
       cloud.request(report.shard(), report.capacityRequests());
     }
   }
 
-  // ---- shards for the assigners of machines ----------------------------------------------------
+  // ---- shard state for the machine assigners ---------------------------------------------------
 
   @Override
   public Set<ShardId> shards() {
--- a/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
@@ -8,7 +8,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 
-/** The values of the keys that name the leader. */
+/** Encodes and decodes the values of the keys that name the leader. */
 final class LeaderNameCodec {
   private static final String LABEL = "label";
   private static final String WRITER = "writer";
@@ -18,12 +18,17 @@
 
   private LeaderNameCodec() {}
 
-  /** The value that names the leader. */
+  /** Encodes the leader's name and process. */
   static JsonNode write(ControllerName leader, WriterId writer) {
     return fields(leader, writer);
   }
 
-  /** The value that names the leader while its grant hangs on another key, at a feature level. */
+  /**
+   * Encodes the leader's name and process for the key that has no grant.
+   *
+   * @param movedTo the key to which the leader's grant is attached
+   * @param level the feature level in force
+   */
   static JsonNode writeMoved(
       ControllerName leader, WriterId writer, String movedTo, FeatureLevel level) {
     return fields(leader, writer).put(MOVED_TO, movedTo).put(LEVEL, level.value());
@@ -33,18 +38,18 @@
     return Json.object().put(LABEL, leader.value()).put(WRITER, writer.value());
   }
 
-  /** The leader that a value names; empty if it names none. */
+  /** Returns the leader's name in a value; empty if there is none. */
   static Optional<ControllerName> readLeader(JsonNode value) {
     String label = Json.text(value.path(LABEL));
     return label.isEmpty() ? Optional.empty() : Optional.of(new ControllerName(label));
   }
 
-  /** Whether the grant hangs on another key, namely this one. */
+  /** Reports whether a value says that the leader's grant is attached to {@code key} instead. */
   static boolean isMovedTo(JsonNode value, String key) {
     return key.equals(Json.text(value.path(MOVED_TO)));
   }
 
-  /** The feature level that a value with a moved grant names. */
+  /** Returns the feature level in a value that has no grant. */
   static FeatureLevel readLevel(JsonNode value) {
     long level = Json.count(value.path(LEVEL));
     return new FeatureLevel((int) Math.max(LOWEST_PROTECTED_LEVEL, level));
--- a/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
@@ -9,9 +9,9 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * Loads what a leader has to know before it acts: the epoch counter, the shards' owners and the
- * machines' assignments. It runs in a new term, and again in the same one after a write of unknown
- * outcome.
+ * Loads the state that a leader needs before it acts: the epoch counter, the shards' owners and the
+ * machine assignments. It runs at the start of a term, and again within a term after a write of
+ * unknown outcome.
  */
 final class LeaderRecovery {
   private static final int CALL_TIMEOUT_MS = 1500;
@@ -30,7 +30,8 @@
   /**
    * Creates a recovery.
    *
-   * @param onLoaded run when everything was loaded and the term is in force
+   * @param onLoaded runs when everything has been loaded and the process still leads under the same
+   *     term
    */
   LeaderRecovery(
       StepContext context,
@@ -49,12 +50,12 @@
     this.onLoaded = onLoaded;
   }
 
-  /** Whether loading is under way. */
+  /** Reports whether loading is in progress. */
   boolean isLoading() {
     return loading;
   }
 
-  /** Begins to load under the election's present term. */
+  /** Starts to load under the election's present term. */
   void load() {
     loading = true;
     Revision term = election.term();
@@ -67,7 +68,7 @@
     if (result instanceof ReadResult.Found found) {
       long epoch = EpochCounterCodec.read(found.entry().value());
       if (epoch < 0) {
-        // Taken for 0, epochs would begin again.
+        // Taking an unreadable counter for 0 would allocate epochs a second time.
         context.reportUnreadableValue(EpochCounterCodec.KEY);
         retryLater();
         return;
--- a/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -13,7 +13,7 @@
 import shorecrank.protocol.Ids.FencingToken;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Renews the leases of the shards that the sender of a heartbeat owns, or revokes them. */
+/** Renews or revokes the leases of the shards that the sender of a heartbeat owns. */
 final class LeaseRenewal {
   private final StepContext context;
   private final ShardLeaseTable shards;
@@ -34,7 +34,7 @@
     this.rollout = rollout;
   }
 
-  /** The leases that the sender of a heartbeat gets. */
+  /** Returns the leases that the sender of a heartbeat is granted. */
   List<Lease> renew(Heartbeat heartbeat, ControllerState sender) {
     List<Lease> leases = new ArrayList<>();
     for (Map.Entry<ShardId, ShardState> entry : shards.entries()) {
@@ -51,7 +51,7 @@
   private boolean mayRenew(
       ShardId id, ShardState shard, Heartbeat heartbeat, ControllerState sender) {
     if (!heartbeat.writer().equals(shard.writer())) {
-      // One label, one process: the one that held the lease has ended.
+      // A controller runs one process at a time, so the process that held the lease has ended.
       context.info("shard.owner.restarted shard=%s owner=%s", id, shard.owner());
       shard.vacate();
       return false;
@@ -62,20 +62,20 @@
     }
     if (shard.isRevoking()) {
       if (report == null) {
-        // The owner has given the shard up.
+        // A revoked owner leaves a shard out of its heartbeats once it no longer serves it.
         shard.vacate();
       }
       return false;
     }
     if (shard.isAllocatingForOther(heartbeat.writer())) {
-      // Its lease has expired and a successor is being written down: a lease granted now would
-      // still run when that is committed.
+      // The lease has expired and a successor is being stored: a lease that is renewed now would
+      // still run when the successor's epoch is committed.
       return false;
     }
     return report == null || applyReport(id, shard, report);
   }
 
-  /** The last report of a shard in a heartbeat; null if there is none. */
+  /** Returns the last report of a shard in a heartbeat; null if there is none. */
   private static ShardReport reportOf(ShardId id, Heartbeat heartbeat) {
     ShardReport found = null;
     for (ShardReport report : heartbeat.shards()) {
@@ -96,7 +96,11 @@
     }
   }
 
-  /** Takes in what an owner reports of its shard; false if its lease is revoked for that. */
+  /**
+   * Applies an owner's report of its shard.
+   *
+   * @return false if the report causes the lease to be revoked
+   */
   private boolean applyReport(ShardId id, ShardState shard, ShardReport report) {
     raiseRefusedEpoch(id, shard, report);
     shard.updateHasQueuedTasks(report.hasQueuedTasks());
@@ -112,11 +116,12 @@
     return false;
   }
 
-  /** An owner that was refused for its epoch gets one above that by which it was refused. */
+  /** Allocates a higher epoch for an owner that was refused because a record has a higher epoch. */
   private void raiseRefusedEpoch(ShardId id, ShardState shard, ShardReport report) {
     Epoch refusedBy = report.refusedEpoch();
-    // Only the owner's own report, at its present epoch, raises the counter; and never so far that
-    // few epochs would be left, as a damaged record could ask for.
+    // Only a report of the owner at its present epoch raises the counter. A refused epoch in the
+    // upper half of the range is ignored: it may come from a damaged record, and would use up the
+    // epochs.
     if (refusedBy.value() >= shard.epoch().value()
         && report.epoch().equals(shard.epoch())
         && refusedBy.value() < FencingToken.MAX_EPOCH / 2
--- a/src/main/java/shorecrank/coordination/leader/LoadedTerm.java
+++ b/src/main/java/shorecrank/coordination/leader/LoadedTerm.java
@@ -17,32 +17,32 @@
     this.context = context;
   }
 
-  /** The term; {@link Revision#ABSENT} if nothing is loaded. */
+  /** Returns the term; {@link Revision#ABSENT} if nothing is loaded. */
   Revision current() {
     return term;
   }
 
-  /** Whether everything was loaded under that term and still counts. */
+  /** Reports whether the state in memory was loaded under a term and is still valid. */
   boolean isCurrent(Revision other) {
     return term.equals(other);
   }
 
-  /** What was loaded counts from now on. */
+  /** Marks the state in memory as loaded under a term. */
   void markLoaded(Revision loaded) {
     term = loaded;
   }
 
-  /** What is in memory may be out of date: everything is to be loaded again. */
+  /** Marks the state in memory as outdated, so that it is loaded again. */
   void discard() {
     term = Revision.ABSENT;
   }
 
-  /** Loading is not to begin before {@code pauseMs} have passed. */
+  /** Delays loading by {@code pauseMs} from now. */
   void postponeLoading(long pauseMs) {
     earliestLoadAt = context.now().plus(pauseMs);
   }
 
-  /** Whether loading may begin now. */
+  /** Reports whether loading may start now. */
   boolean mayLoad() {
     return !context.now().isBefore(earliestLoadAt);
   }
--- a/src/main/java/shorecrank/coordination/leader/MachineAdmission.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAdmission.java
@@ -4,7 +4,10 @@
 import shorecrank.protocol.HeartbeatMessages.MachineInfo;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Assigns machines to shards that have just been rented, or that exist and are not known yet. */
+/**
+ * Assigns new machines to shards: those that were just rented, and those that exist but are
+ * unknown.
+ */
 final class MachineAdmission {
   private final StepContext context;
   private final MachineDirectory machines;
@@ -25,7 +28,7 @@
     this.assigner = assigner;
   }
 
-  /** A machine was rented for a shard. */
+  /** Assigns a machine to the shard for which it was rented. */
   void admitRented(MachineInfo machine, ShardId shard) {
     if (!machines.contains(machine.name())) {
       assign(machine, shard);
@@ -33,15 +36,15 @@
   }
 
   /**
-   * A machine exists, as its own heartbeat or the cloud's list shows; does nothing if it is known,
-   * or was returned.
+   * Assigns a machine that a heartbeat or the cloud's machine list shows; does nothing if the
+   * machine is already assigned, being released or released.
    *
-   * @param source the fields of the log line that say where it was found
+   * @param source log fields that say where the machine was found
    */
   void admitDiscovered(MachineInfo machine, String source) {
     if (machines.contains(machine.name())
         || releases.isReleasing(machine.name())
-        // Although its release was answered: a held heartbeat, or a list that lags.
+        // A released machine may still appear in a delayed heartbeat or an outdated machine list.
         || releases.wasReleased(machine.name())) {
       return;
     }
--- a/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
@@ -3,34 +3,41 @@
 import shorecrank.protocol.HeartbeatMessages.ShardReport;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Decides which shard a machine belongs to, and when it goes to another. */
+/** Decides to which shard a machine is assigned, and when it moves to another shard. */
 interface MachineAssigner {
-  /** The leader has begun its term, or has loaded everything again. */
+  /**
+   * Resets the assigner after the leader has loaded its state, at the start of a term or again
+   * within it.
+   */
   void beginTerm();
 
   /**
-   * Whether all is known that owners have to be told of machines, so that shards may be granted.
+   * Reports whether everything about machines that owners must be told is known, so that shards may
+   * be granted.
    */
   boolean isReady();
 
-  /** Once a round, also while no shard may be granted. */
+  /**
+   * Updates the assigner's view of the state service; called on every tick, also while no shard may
+   * be granted.
+   */
   void observe();
 
   /**
-   * Whether an assignment may yet be carried out that is not known here: until that is settled no
-   * other is written.
+   * Reports whether an assignment of unknown outcome may still be carried out; no other assignment
+   * is written until that is settled.
    */
   boolean isUnsettled();
 
-  /** The shard that gets a machine nobody has asked for. */
+  /** Returns the shard to which a machine is assigned that no shard has requested. */
   ShardId shardForNewMachine();
 
-  /** A shard's owner reports, under the shard's epoch. */
+  /** Handles a report of a shard's owner under the shard's present epoch. */
   void handleReport(ShardReport report);
 
-  /** A shard has a new owner, or its owner a new epoch. */
+  /** Handles a new epoch of a shard, of a new or the same owner. */
   void handleNewEpoch(ShardId shard);
 
-  /** Once a round, while shards may be granted. */
+  /** Does the periodic work; called on every tick while shards may be granted. */
   void tick();
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -17,11 +17,16 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /**
- * The leader's machines and the shards they are assigned to. Each change has a number, so that
- * other controllers are told only what has changed since they were last told.
+ * The leader's machines and the shards to which they are assigned. Each change has a number, so
+ * that a heartbeat answer carries only what changed since the version that the sender knows.
  */
 final class MachineDirectory {
-  /** What has changed since a controller's version; all assignments if {@code isComplete}. */
+  /**
+   * The changes since a version.
+   *
+   * @param isComplete whether {@code assigned} holds all assignments instead of only the changed
+   *     ones
+   */
   record Changes(boolean isComplete, List<MachineAssignment> assigned, List<MachineName> removed) {}
 
   private final StepContext context;
@@ -36,56 +41,60 @@
     this.store = new AssignmentStore(context, election, loadedTerm, this::markRecorded);
   }
 
-  /** Whether a machine is assigned, as far as is known. */
+  /** Reports whether a machine is assigned. */
   boolean contains(MachineName name) {
     return machines.containsKey(name);
   }
 
-  /** Null if the machine is not known. */
+  /** Returns a machine; null if it is not assigned. */
   AssignedMachine get(MachineName name) {
     return machines.get(name);
   }
 
-  /** All machines, by name. */
+  /** Returns all machines, ordered by name. */
   Collection<AssignedMachine> all() {
     return machines.values();
   }
 
-  /** How many machines are assigned. */
+  /** Returns the number of assigned machines. */
   int size() {
     return machines.size();
   }
 
-  /** How many machines a shard has. */
+  /** Returns the number of machines that are assigned to a shard. */
   long count(ShardId shard) {
     return machines.values().stream().filter(machine -> machine.shard().equals(shard)).count();
   }
 
-  /** The machines that are written down in a bucket. */
+  /** Returns the machines that are stored in a bucket. */
   List<AssignedMachine> machinesIn(int bucket) {
     return machines.values().stream()
         .filter(machine -> BucketValues.bucketOf(machine.name()) == bucket)
         .toList();
   }
 
-  /** The term under which the assignments were read. */
+  /** Returns the term under which the assignments were loaded. */
   Revision term() {
     return loadedTerm.current();
   }
 
-  /** The number of the last change. */
+  /** Returns the number of the last change. */
   long version() {
     return changes.version();
   }
 
-  /** Whether all assignments stand in the state service. */
+  /** Reports whether all assignments are stored in the state service. */
   boolean isWritten() {
     return store.isWritten();
   }
 
   // ---- state service ---------------------------------------------------------------------------
 
-  /** Reads all assignments anew; {@code then} is told whether that succeeded. */
+  /**
+   * Reads all assignments again.
+   *
+   * @param then receives whether that succeeded
+   */
   void load(Consumer<Boolean> then) {
     machines.clear();
     store.load(
@@ -101,13 +110,13 @@
     machines.put(machine.name(), machine);
   }
 
-  /** What was read is in force under a term. */
+  /** Starts a term with the assignments that were loaded. */
   void beginTerm(Revision term) {
     store.beginTerm();
     changes.restart(term);
   }
 
-  /** Writes what is not yet written, as the budget allows. */
+  /** Writes changed assignments, as many as the write budget allows. */
   void save() {
     store.save(machines.values());
   }
@@ -121,7 +130,7 @@
 
   // ---- changes ---------------------------------------------------------------------------------
 
-  /** A machine belongs to a shard from now on, under the shard's epoch. */
+  /** Assigns a machine to a shard under the shard's epoch. */
   void assign(MachineInfo info, ShardId shard, Epoch epoch) {
     put(new StoredAssignment(info, shard, epoch));
     store.markUnsaved(info.name());
@@ -138,22 +147,25 @@
     return machine;
   }
 
-  /** The owner is to let the machine run empty and hand it back, under an order's id. */
+  /** Asks a machine's owner to drain the machine and hand it over under a move's id. */
   void requestHandover(AssignedMachine machine, MoveId move) {
     machine.updateMove(move, true, changes.advance());
   }
 
-  /** The owner is to say when it hears the machine. */
+  /** Asks a machine's new owner to report when it receives the machine's heartbeats. */
   void awaitArrival(AssignedMachine machine, MoveId move) {
     machine.updateMove(move, false, changes.advance());
   }
 
-  /** The owner may use the machine; the order that concerned it is over. */
+  /**
+   * Tells a machine's owner that it may go on using the machine, since no move concerns it any
+   * more.
+   */
   void keep(AssignedMachine machine) {
     machine.updateMove(MoveId.NONE, false, changes.advance());
   }
 
-  /** A machine is no longer assigned as owners know. */
+  /** Removes a machine's assignment. */
   void remove(MachineName name) {
     if (machines.remove(name) != null) {
       store.markUnsaved(name);
@@ -164,8 +176,12 @@
   // ---- transfers -------------------------------------------------------------------------------
 
   /**
-   * Prepares new assignments, as many as fit beside {@code otherOperations} and {@code otherBytes}
-   * into a transaction; empty if none can be written now.
+   * Prepares new assignments for one transaction, and marks their machines as in transfer.
+   * Assignments that don't fit are left out.
+   *
+   * @param otherOperations the number of other operations in the transaction
+   * @param otherBytes the size of the other operations
+   * @return the transfer; empty if no assignment can be written now
    */
   Optional<MachineTransfer> prepare(
       Map<MachineName, NextAssignment> assignments, int otherOperations, int otherBytes) {
@@ -187,13 +203,13 @@
     return Optional.of(transfer);
   }
 
-  /** A machine's next assignment is being written: nobody owns it as far as owners know. */
+  /** Marks a machine as in transfer, and announces to owners that it is not assigned. */
   void beginTransfer(MachineName name) {
     machines.get(name).beginTransfer();
     changes.addRemoval(name, machines.size());
   }
 
-  /** A machine's next assignment was written. */
+  /** Records that a machine's next assignment was written. */
   void completeTransfer(MachineName name, NextAssignment next) {
     AssignedMachine machine = machines.get(name);
     if (machine != null) {
@@ -201,7 +217,7 @@
     }
   }
 
-  /** A machine's next assignment was not written: the last one goes on. */
+  /** Keeps a machine's last assignment, after the write of the next one was refused. */
   void cancelTransfer(MachineName name) {
     AssignedMachine machine = machines.get(name);
     if (machine != null) {
@@ -211,7 +227,12 @@
 
   // ---- for other controllers -------------------------------------------------------------------
 
-  /** Who knows a version of this term gets what changed since, others all of it. */
+  /**
+   * Returns what changed since a version; all assignments if the version is of another term or too
+   * old.
+   *
+   * @param isSingleShard whether the fleet has only one shard
+   */
   Changes changesSince(long known, boolean isSingleShard) {
     boolean isComplete = !changes.covers(known);
     List<MachineAssignment> assigned = new ArrayList<>();
@@ -238,10 +259,12 @@
   }
 
   /**
-   * Whether owners may be told of an assignment. With several shards only once it is written down:
-   * the next leader would otherwise not know of it and might assign the machine to another shard
-   * while it holds tasks. With one shard there is no other. And nobody is told of a machine that is
-   * passing on: a new owner of the shard that has handed it back would take it for its own.
+   * Reports whether owners may be told of an assignment.
+   *
+   * <p>In a fleet with several shards, an assignment has to be stored first: otherwise the next
+   * leader would not know it, and could assign the machine to another shard while it runs tasks. A
+   * machine in transfer is never announced: a new owner of the shard that handed it over would take
+   * it for its own.
    */
   private static boolean mayAnnounce(AssignedMachine machine, boolean isSingleShard) {
     return (machine.isRecorded() || isSingleShard) && !machine.isInTransfer();
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -135,7 +135,8 @@
     if (context.isStoreReachable()) {
       // The store is there, so a leader soon will be: as long as an election and a heartbeat take,
       // counted from the end of an outage.
-      long reachableForMs = Math.min(expiredForMs, context.now().since(context.storeReachableSince()));
+      long reachableForMs =
+          Math.min(expiredForMs, context.now().since(context.storeReachableSince()));
       return reachableForMs < context.settings().leaderTtlMs() + ELECTION_MS;
     }
     return !isAlone || missesManyWorkers || expiredForMs < context.settings().leaseMs() * 2L;
