--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -38,7 +38,9 @@
    */
   static final String PROTECTED_KEY = "leadership";
 
-  /** The pause before a controller that doesn't support the level in force tries to lead again. */
+  /**
+   * The pause after which a controller that doesn't support the level in force reads the key again.
+   */
   private static final int UNSUPPORTED_LEVEL_PAUSE_MS = 2000;
 
   private static final int CALL_TIMEOUT_MS = 1500;
@@ -343,7 +345,7 @@
   private void handleCampaignResult(long newGrant, MonotonicTime grantSent, CommitResult result) {
     if (!(result instanceof Committed committed)) {
       // The commit was refused or got no answer. If it is carried out late, its grant must no
-      // longer exist, or the key would name a process that does not know that it leads.
+      // longer exist, or the key would name a process that does not consider itself the leader.
       grants.revoke(newGrant, ended -> enter(State.READING, LOST_CAMPAIGN_PAUSE_MS));
       return;
     }
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -176,9 +176,9 @@
     if (result instanceof Committed committed) {
       complete(allocation, committed.revision());
     } else {
-      // The counter's value is unknown if there was no answer, so it is read again. Should the
-      // allocation be carried out late, the guard on the counter makes the next one fail, which
-      // settles it.
+      // Without a commit the counter's value and revision may be outdated, so they are read again.
+      // The next allocation is guarded by the revision read then: once it is committed, an
+      // allocation without an answer can't be any more.
       loadedTerm.discard();
       loadedTerm.postponeLoading(RELOAD_PAUSE_MS);
     }
--- a/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
@@ -49,7 +49,10 @@
     return key.equals(Json.text(value.path(MOVED_TO)));
   }
 
-  /** Returns the feature level in a value that has no grant. */
+  /**
+   * Returns the feature level in the value of a key without a grant; at least the lowest level with
+   * {@link Election#PROTECTED_KEY}.
+   */
   static FeatureLevel readLevel(JsonNode value) {
     long level = Json.count(value.path(LEVEL));
     return new FeatureLevel((int) Math.max(LOWEST_PROTECTED_LEVEL, level));
--- a/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
@@ -12,13 +12,13 @@
   void beginTerm();
 
   /**
-   * Reports whether everything about machines that owners must be told is known, so that shards may
-   * be granted.
+   * Reports whether shards may be granted: everything that shard owners have to know about machines
+   * is loaded.
    */
   boolean isReady();
 
   /**
-   * Updates the assigner's view of the state service; called on every tick, also while no shard may
+   * Reads the assigner's stored state if that is due; called on every tick, also while no shard may
    * be granted.
    */
   void observe();
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -259,12 +259,12 @@
   }
 
   /**
-   * Reports whether owners may be told of an assignment.
+   * Reports whether an assignment may be sent to shard owners.
    *
    * <p>In a fleet with several shards, an assignment has to be stored first: otherwise the next
    * leader would not know it, and could assign the machine to another shard while it runs tasks. A
-   * machine in transfer is never announced: a new owner of the shard that handed it over would take
-   * it for its own.
+   * machine in transfer is never sent: a new owner of the shard that handed it over would take it
+   * for its own.
    */
   private static boolean mayAnnounce(AssignedMachine machine, boolean isSingleShard) {
     return (machine.isRecorded() || isSingleShard) && !machine.isInTransfer();
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListing.java
@@ -15,49 +15,52 @@
 import shorecrank.protocol.Ids.Revision;
 
 /**
- * Compares the cloud's list of machines with those that are known: assigns what is new, and returns
- * what has failed or is listed no more.
+ * Reads the cloud's machine list and reconciles it with the leader's machines: assigns unknown
+ * machines, and releases those that have failed or disappeared from the list.
  */
 final class MachineListing {
-  /** Reading the machine list may take this share of the cloud's calls. */
+  /** The part of the cloud's rate limit that reading the machine list may use. */
   private static final double CALL_SHARE = 0.3;
 
   private static final int MS_PER_S = 1000;
 
-  /** The machine list is read again after so long at the earliest. */
+  /** The minimum time between two readings of the machine list. */
   private static final long READ_INTERVAL_MS = 5000;
 
-  /** While no machine is known the list is read more often. */
+  /** The time between two readings of the machine list while no machine is assigned. */
   private static final long EMPTY_FLEET_INTERVAL_MS = 1000;
 
-  /** A page that must wait for the cloud's rate limit is tried again after so long. */
+  /** The pause before the next page of a reading that has to wait for the cloud's rate limit. */
   private static final long PAGE_RETRY_MS = 200;
 
   private static final long RETRY_MS = 2000;
 
   /**
-   * A released machine that is listed for so long beyond the list's lag has been rented again, by a
-   * request that was carried out late.
+   * The time, beyond the list's lag, after which a released machine that is still listed counts as
+   * rented again, by a request that was carried out late.
    */
   private static final long RENTED_AGAIN_MS = 10_000;
 
-  /** Added to twice the list's lag, in which lists may still go backwards. */
+  /** Added to twice the list's lag, because a later list may be older than an earlier one. */
   private static final long LAG_MARGIN_MS = 2000;
 
-  /** The time to boot of a machine whose type is not known. */
+  /** The boot time of a machine whose type is unknown, in seconds. */
   private static final double DEFAULT_BOOT_S = 60;
 
-  /** A machine that takes longer to boot than so many times what its type needs never will. */
+  /**
+   * A machine that has been booting for longer than this multiple of its type's boot time, plus
+   * {@link #BOOT_MARGIN_S}, has failed.
+   */
   private static final int MAX_BOOT_FACTOR = 4;
 
   private static final double BOOT_MARGIN_S = 60;
 
-  /** Phases of a machine as the cloud names them. */
+  /** The states of a machine in the cloud's machine list. */
   private static final String FAILED = "failed";
 
   private static final String STARTING = "starting";
 
-  /** The machine list as read up to a name; each page is a call of its own. */
+  /** A machine list that has been read up to the name {@code after}; each page takes one call. */
   private record PartialList(String after, Map<MachineName, ListedMachine> found) {
     int pages() {
       return 1 + found.size() / CloudMessages.MAX_PAGE;
@@ -72,7 +75,7 @@
   private final MachineAdmission admission;
   private boolean readUnderWay;
 
-  /** The page of the machine list that is to be read next; null while none waits. */
+  /** The part read so far of the list whose next page is due; null if no page is due. */
   private PartialList nextPage;
 
   private MonotonicTime nextReadAt = new MonotonicTime(0);
@@ -93,24 +96,24 @@
     this.admission = admission;
   }
 
-  /** Takes in the machine types that the cloud offers. */
+  /** Updates the machine types that the cloud offers. */
   void updateCatalog(Map<String, MachineType> types) {
     catalog = types;
   }
 
-  /** A term has begun: the list is read at once. */
+  /** Starts a new reading at the start of a term. */
   void beginTerm() {
     readUnderWay = false;
     nextPage = null;
     nextReadAt = context.now();
   }
 
-  /** Whether a page is to be read now. */
+  /** Reports whether a page is to be read now. */
   boolean hasWork() {
     return !context.now().isBefore(nextReadAt) && (!readUnderWay || nextPage != null);
   }
 
-  /** Reads the page that is due: the next one, or the first of a new reading. */
+  /** Reads the next page of the current reading, or the first page of a new one. */
   void readPage() {
     if (!readUnderWay) {
       readUnderWay = true;
@@ -119,25 +122,25 @@
     read(nextPage);
   }
 
-  private void read(PartialList soFar) {
+  private void read(PartialList partial) {
     Revision term = loadedTerm.current();
     nextPage = null;
     client.list(
-        soFar.after(),
+        partial.after(),
         result -> {
           if (loadedTerm.isCurrent(term)) {
-            handlePage(soFar, result);
+            handlePage(partial, result);
           }
         });
   }
 
-  private void handlePage(PartialList soFar, ListingResult result) {
+  private void handlePage(PartialList partial, ListingResult result) {
     if (!(result instanceof ListingResult.Page page)) {
       readUnderWay = false;
       nextReadAt = context.now().plus(RETRY_MS);
       return;
     }
-    Map<MachineName, ListedMachine> found = soFar.found();
+    Map<MachineName, ListedMachine> found = partial.found();
     List<ListedMachine> onPage = page.machines();
     onPage.forEach(machine -> found.put(machine.name(), machine));
     if (page.more() && !onPage.isEmpty()) {
@@ -150,11 +153,14 @@
       return;
     }
     readUnderWay = false;
-    nextReadAt = context.now().plus(pauseMs(soFar.pages()));
+    nextReadAt = context.now().plus(pauseMs(partial.pages()));
     reconcileAll(found.values());
   }
 
-  /** So that reading the list, however many pages it has, leaves calls for renting. */
+  /**
+   * Returns the pause before the next reading, which is longer for a list of more pages, so that
+   * calls are left for renting machines.
+   */
   private long pauseMs(int pages) {
     if (machines.size() == 0) {
       return EMPTY_FLEET_INTERVAL_MS;
@@ -177,7 +183,7 @@
     MonotonicTime releasedAt = releases.releasedAt(name);
     if (releasedAt != null) {
       if (now.since(releasedAt) > lagMs + RENTED_AGAIN_MS) {
-        // Its release was answered, so a late request has rented it again: return it.
+        // The release was confirmed, so a late request has rented the machine again: release it.
         releases.releaseAgain(name);
       }
       return;
@@ -198,7 +204,7 @@
     }
   }
 
-  /** It has failed, or will never come up. */
+  /** Reports whether a machine has failed or will never finish booting. */
   private boolean isLost(ListedMachine listed) {
     MachineType type = catalog.get(listed.type());
     double bootS = type == null ? DEFAULT_BOOT_S : type.bootS();
@@ -208,8 +214,10 @@
   }
 
   /**
-   * Once listed, a machine stays listed until it is gone; lists lag and go backwards, so this alone
-   * proves nothing. Its release, answered 200, does.
+   * Releases machines that are no longer listed.
+   *
+   * <p>A machine stays listed until it is gone. As lists lag and a later list may be older, a
+   * missing entry proves nothing, but a confirmed release of the machine does.
    */
   private void releaseUnlisted(long lagMs) {
     for (AssignedMachine machine : machines.all()) {
--- a/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
@@ -12,11 +12,11 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.StoreMessages.Transaction;
 
-/** Machines and their assignments as the state service holds them, many to a value. */
+/** Encodes and decodes machines and their assignments for the state service, many to a value. */
 final class MachineRecordCodec {
   private static final String MACHINES = "m";
 
-  /** Fields of one machine, in their order. */
+  /** The positions of one machine's fields in its array. */
   private static final int NAME = 0;
 
   private static final int TYPE = 1;
@@ -28,13 +28,13 @@
   private MachineRecordCodec() {}
 
   /**
-   * One machine as it is written.
+   * One encoded machine.
    *
-   * @param bytes the length of its text
+   * @param bytes the size of its JSON text
    */
   record EncodedMachine(ArrayNode fields, int bytes) {}
 
-  /** A value of the state service, to which machines are added. */
+  /** A value of the state service to which encoded machines are added. */
   static final class EncodedValue {
     private final ArrayNode machines = Json.array();
 
@@ -42,7 +42,7 @@
       return machines.isEmpty();
     }
 
-    /** Adds a machine after those that were added before. */
+    /** Adds a machine at the end. */
     void add(EncodedMachine machine) {
       machines.add(machine.fields());
     }
@@ -68,9 +68,10 @@
   }
 
   /**
-   * Passes on each machine of a value, in its order; empty for one that can't be read.
+   * Calls an action for each machine of a value, in order.
    *
-   * @param shards the number of shards, which bounds those of machines
+   * @param shards the number of shards of the fleet; machines of higher shards are malformed
+   * @param action receives each assignment; empty for a malformed one
    */
   static void readEach(JsonNode value, int shards, Consumer<Optional<StoredAssignment>> action) {
     for (JsonNode fields : value.path(MACHINES)) {
--- a/src/main/java/shorecrank/coordination/leader/MachineReleases.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineReleases.java
@@ -12,9 +12,9 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
 
-/** Returns machines to the cloud, and remembers which it has returned. */
+/** Releases machines to the cloud, and remembers which were released. */
 final class MachineReleases {
-  /** Owners are told of a released machine for so long. */
+  /** The time for which heartbeat answers that carry all assignments list a released machine. */
   private static final long ANNOUNCE_RELEASED_MS = 60_000;
 
   private static final long RELEASED_RETENTION_MS = 600_000;
@@ -36,34 +36,43 @@
     this.client = client;
   }
 
-  /** A term has begun: what was to be returned is found again. */
+  /**
+   * Drops pending releases at the start of a term; owners and the machine list request them again.
+   */
   void beginTerm() {
     toRelease.clear();
     releasing.clear();
     callPending = false;
   }
 
-  /** The machine is to be returned; false if it is being returned, or is to be, already. */
+  /**
+   * Requests the release of a machine.
+   *
+   * @return false if the machine is already waiting for its release or being released
+   */
   boolean request(MachineName name) {
     return !releasing.contains(name) && toRelease.add(name);
   }
 
-  /** Whether the cloud was told to take the machine, and has not yet answered. */
+  /** Reports whether the release of a machine was sent to the cloud and has no answer yet. */
   boolean isReleasing(MachineName name) {
     return releasing.contains(name);
   }
 
-  /** Whether its release was answered: it is gone, with all that ran on it. */
+  /**
+   * Reports whether the release of a machine was confirmed: the machine and everything that ran on
+   * it is gone.
+   */
   boolean wasReleased(MachineName name) {
     return released.containsKey(name);
   }
 
-  /** When its release was answered; null if it was not. */
+  /** Returns when the release of a machine was confirmed; null if it was not. */
   MonotonicTime releasedAt(MachineName name) {
     return released.get(name);
   }
 
-  /** Machines whose release was answered lately. */
+  /** Returns the machines whose release was confirmed lately. */
   List<MachineName> recentlyReleased() {
     List<MachineName> lately = new ArrayList<>();
     released.forEach(
@@ -75,23 +84,23 @@
     return lately;
   }
 
-  /** A released machine is there again: it is to be returned once more. */
+  /** Requests another release of a released machine that exists again. */
   void releaseAgain(MachineName name) {
     released.remove(name);
     toRelease.add(name);
   }
 
-  /** Forgets what was released long ago. */
+  /** Forgets releases that were confirmed long ago. */
   void forgetOld(MonotonicTime now) {
     released.values().removeIf(at -> now.since(at) > RELEASED_RETENTION_MS);
   }
 
-  /** Whether a call could be made now. */
+  /** Reports whether there are machines to release and no call is pending. */
   boolean hasWork() {
     return !toRelease.isEmpty() && !callPending;
   }
 
-  /** Returns the machines that wait, as many as go into one call. */
+  /** Sends the release of the waiting machines, as many as one call takes. */
   void send() {
     callPending = true;
     List<MachineName> batch = toRelease.stream().limit(CloudMessages.MAX_RELEASE).toList();
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -14,15 +14,25 @@
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Rents the machines that owners ask for, in calls that may be repeated without renting twice. */
+/**
+ * Rents the machines that shard owners request. Each call has an idempotency key, so that it can be
+ * repeated without renting more machines.
+ */
 final class MachineRental {
-  /** So many claims are under way at once. */
+  /** The maximum number of calls that are pending at the same time. */
   private static final int MAX_PENDING_CLAIMS = 8;
 
-  /** An owner's request for more machines than the cloud could rent in this time is cut there. */
+  /**
+   * The time in which the cloud's rate limit has to allow the rental of one owner's request;
+   * machines beyond that are not requested.
+   */
   private static final int REQUEST_HORIZON_S = 60;
 
-  /** A request to rent, under a name that is never used for another. */
+  /**
+   * A request to rent machines.
+   *
+   * @param name the idempotency key, which is never used for another request
+   */
   private record Claim(String name, Offer offer, int count, ShardId shard) {}
 
   private final StepContext context;
@@ -32,7 +42,7 @@
   private final MachineAdmission admission;
   private final ArrayDeque<Claim> waiting = new ArrayDeque<>();
 
-  /** Names of claims that may have been carried out. */
+  /** The idempotency keys of requests without an answer, which may have been carried out. */
   private final Set<String> claimsInDoubt = new HashSet<>();
 
   private int pendingClaims;
@@ -51,19 +61,25 @@
     this.admission = admission;
   }
 
-  /** A term has begun: what the last one rented is found in the machine list. */
+  /**
+   * Drops all requests at the start of a term; machines that the last leader rented appear in the
+   * machine list.
+   */
   void beginTerm() {
     waiting.clear();
     claimsInDoubt.clear();
     pendingClaims = 0;
   }
 
-  /** Whether nothing is being rented. */
+  /** Reports whether no request is waiting or pending. */
   boolean isIdle() {
     return waiting.isEmpty() && pendingClaims == 0;
   }
 
-  /** Rents what an owner asks for, except kinds that were refused lately. */
+  /**
+   * Queues the rental of the machines that a shard's owner requests, except for offers that lately
+   * had no capacity.
+   */
   void request(ShardId shard, List<CapacityRequest> requests) {
     for (CapacityRequest request : requests) {
       if (request.count() <= 0 || unavailable.contains(request.offer())) {
@@ -84,7 +100,7 @@
     return (int) Math.max(1, calls) * CloudMessages.MAX_RENT;
   }
 
-  /** Sends the claims that wait, as the cloud's rate limit allows. */
+  /** Sends the waiting requests, as many as the cloud's rate limit allows. */
   void sendWaiting() {
     while (!waiting.isEmpty() && pendingClaims < MAX_PENDING_CLAIMS && client.tryTake()) {
       sendClaim(waiting.poll());
@@ -115,7 +131,8 @@
       context.error("machine.rent.malformed claim=%s offer=%s", claim.name(), claim.offer());
       suspendOffer(claim.offer());
     } else {
-      // It may have been carried out: the same name again, and never another for it.
+      // The request may have been carried out, so it is repeated under the same idempotency key:
+      // another key could rent the machines twice.
       waiting.addFirst(claim);
       claimsInDoubt.add(claim.name());
       client.pause();
@@ -139,7 +156,9 @@
   }
 
   private void suspendOffer(Offer offer) {
-    // Those not yet sent would be refused too; their owners ask for something else.
+    // Requests for this offer that were not sent yet would fail too; their owners request another
+    // offer. Requests that may have been carried out stay, since only their answer names the
+    // machines.
     waiting.removeIf(claim -> claim.offer().equals(offer) && !claimsInDoubt.contains(claim.name()));
     unavailable.recordRefusal(offer);
   }
--- a/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
@@ -12,8 +12,8 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
- * New assignments of machines that are written together with a change of the shares. Until that is
- * over no other assignment is written.
+ * New assignments of machines that one transaction writes together with a change of the shares.
+ * Until it ends, no other assignment is written.
  */
 final class MachineTransfer {
   private final MachineDirectory directory;
@@ -26,7 +26,7 @@
   /**
    * Creates a transfer without machines.
    *
-   * @param otherBytes the length of what else the transaction holds
+   * @param otherBytes the size of the transaction's other operations
    */
   MachineTransfer(MachineDirectory directory, AssignmentStore store, int otherBytes) {
     this.directory = directory;
@@ -35,9 +35,9 @@
   }
 
   /**
-   * Adds a machine's new assignment, unless the transaction would be too large then.
+   * Adds a machine's new assignment, unless the transaction would become too large.
    *
-   * @param maxOperations how many changes the transfer may have
+   * @param maxOperations the maximum number of operations of the transfer
    */
   void addIfItFits(MachineName name, NextAssignment next, int maxOperations) {
     int bucket = BucketValues.bucketOf(name);
@@ -73,37 +73,40 @@
     return moved.isEmpty();
   }
 
-  /** The machines that it assigns. */
+  /** Returns the machines that this transfer assigns. */
   Set<MachineName> machines() {
     return moved.keySet();
   }
 
-  /** How many changes it adds to the transaction. */
+  /** Returns the number of operations that this transfer adds to the transaction. */
   int operations() {
     return values.size();
   }
 
-  /** From now on no other assignment is written, and owners know the machines no more. */
+  /**
+   * Starts the transfer: from now on no other assignment is written, and heartbeat answers list its
+   * machines as not assigned.
+   */
   void begin() {
     store.beginTransfer(buckets.keySet());
     moved.keySet().forEach(directory::beginTransfer);
   }
 
-  /** Adds the assignments to the transaction. */
+  /** Adds the new assignments to the transaction. */
   void addTo(Transaction transaction) {
     store.addTo(transaction, values);
   }
 
-  /** The transaction was carried out, at that revision. */
+  /** Records that the transaction was committed at a revision. */
   void committed(Revision revision) {
     store.commitTransfer(buckets, values.keySet(), revision);
     moved.forEach(directory::completeTransfer);
   }
 
   /**
-   * The transaction was not carried out, and never will be.
+   * Restores the last assignments after the transaction was refused for good.
    *
-   * @param conflict whether something else stands there than was written last
+   * @param conflict whether a guard failed, so that the keys' revisions have to be read again
    */
   void refused(boolean conflict) {
     store.cancelTransfer(buckets.keySet());
--- a/src/main/java/shorecrank/coordination/leader/NextAssignment.java
+++ b/src/main/java/shorecrank/coordination/leader/NextAssignment.java
@@ -3,5 +3,5 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 
-/** A machine's next shard, and the epoch under which it is assigned there. */
+/** The next shard of a machine, and the shard's epoch under which the machine is assigned to it. */
 record NextAssignment(ShardId shard, Epoch epoch) {}
--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -7,18 +7,25 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Decides whether an owner that still sends heartbeats has to be replaced. */
+/** Detects shard owners that still send heartbeats but have to be replaced. */
 final class OwnerFailureDetector {
-  /** An owner without the state service, while others have it, is replaced after so long. */
+  /**
+   * The time after which an owner that can't reach the state service is replaced, if other
+   * controllers can.
+   */
   private static final int STORE_UNREACHABLE_LIMIT_MS = 2000;
 
-  /** A shard is not moved again so soon because workers don't reach its owner. */
+  /**
+   * The minimum time between two replacements of a shard's owner because workers can't reach it.
+   */
   private static final int REPLACEMENT_PAUSE_MS = 20_000;
 
-  /** An owner is not replaced for a single worker that it does not hear. */
+  /**
+   * The minimum number of unheard workers for a replacement; a single worker is no reason for one.
+   */
   private static final int MIN_UNHEARD = 2;
 
-  /** An owner that hears more than four of five of its workers is not replaced. */
+  /** An owner is replaced only if it doesn't hear at least 1/5 of its workers. */
   private static final int MIN_UNHEARD_DIVISOR = 5;
 
   private final StepContext context;
@@ -29,12 +36,17 @@
     this.controllers = controllers;
   }
 
-  /** Whether an owner alone is without the state service. */
+  /** Reports whether an owner can't reach the state service while other controllers can. */
   boolean lacksStateService(ControllerName name, ControllerState owner) {
     return hasLostStateService(owner) && controllers.isStoreReachableElsewhere(name);
   }
 
-  /** After an outage a controller gets as long to notice its end as it had for its beginning. */
+  /**
+   * Reports whether an owner has been without the state service for too long.
+   *
+   * <p>If this controller was cut off too, the time counts from when the state service answered it
+   * again: the owner then has as long to notice the end of an outage as its beginning.
+   */
   private boolean hasLostStateService(ControllerState owner) {
     MonotonicTime since = owner.storeUnreachableSince();
     if (since == MonotonicTime.NEVER) {
@@ -47,9 +59,9 @@
   }
 
   /**
-   * Whether many workers don't reach a shard's owner but do reach other controllers, one of which
-   * all of them are likely to reach. Their leases would run out, although nothing is wrong with
-   * them.
+   * Reports whether many workers can't reach a shard's owner but reach other controllers, one of
+   * which is likely to be reachable for all of them. Without a new owner these workers' leases
+   * would expire although the workers are healthy.
    */
   boolean isUnreachableForWorkers(ShardId id, ShardState shard, WorkerReachability workers) {
     if (workers.unheard() < MIN_UNHEARD
@@ -72,9 +84,11 @@
   }
 
   /**
-   * Whether an owner's workers are likely to reach another controller. Where few are unheard, a
-   * move is worth it only if it does not lose the others: to a zone that is neither theirs nor the
-   * owner's.
+   * Reports whether an owner's workers are likely to reach another controller.
+   *
+   * <p>If no more than two thirds of the workers are unheard, a replacement must not lose the
+   * remaining ones: the candidate must be in a zone other than the owner's and those of the unheard
+   * workers.
    */
   private boolean isLikelyReachable(
       ControllerName candidate, ControllerName owner, WorkerReachability workers) {
--- a/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
@@ -7,20 +7,29 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
 
-/** Chooses the controller that is to own a shard. */
+/** Chooses the controller that becomes the owner of a shard. */
 final class OwnerSelection {
-  /** An owner that workers did not reach is not chosen again for so long. */
+  /** The time for which an owner that workers couldn't reach is avoided. */
   private static final int AVOID_MS = 60_000;
 
-  /** Right after an election the other controllers get so long to be heard. */
+  /**
+   * The time after the start of a term in which the other controllers' first heartbeats are
+   * awaited.
+   */
   private static final int FIRST_HEARTBEATS_MS = 1500;
 
-  /** What a controller's duties count: a shard more than leading. */
+  /**
+   * The load of leading; less than {@link #SHARD_LOAD}, so that the leader is preferred to a
+   * controller that owns a shard.
+   */
   private static final int LEADER_LOAD = 64;
 
   private static final int SHARD_LOAD = 128;
 
-  /** A shard in the same zone, of which there are 64 at the most. */
+  /**
+   * The load of another controller's shard in the same zone; fleets have at most 64 shards, so that
+   * the sum stays below {@link #SHARD_LOAD}.
+   */
   private static final int ZONE_LOAD = 1;
 
   private static final int UNREACHABLE_ZONE_LOAD = 100_000;
@@ -47,7 +56,10 @@
     this.rollout = rollout;
   }
 
-  /** The fittest controller to own a shard; of equals the first by name; empty if there is none. */
+  /**
+   * Returns the controller with the lowest load that can own a shard; the first by name of several,
+   * empty if there is none.
+   */
   Optional<ControllerName> choose(ShardState shard) {
     ControllerName best = null;
     int bestLoad = Integer.MAX_VALUE;
@@ -68,7 +80,9 @@
     return Optional.of(best);
   }
 
-  /** Whether the term is so young that others may not have sent their first heartbeat yet. */
+  /**
+   * Reports whether the term is so young that other controllers may not have sent a heartbeat yet.
+   */
   private boolean isAwaitingFirstHeartbeats() {
     MonotonicTime now = context.now();
     if (!loadedTerm.isCurrent(awaitedTerm)) {
@@ -79,15 +93,15 @@
   }
 
   /**
-   * How unfit a controller is to own a shard beside what it does already: the lower the better.
-   * Shards are spread over controllers first, then over zones.
+   * Returns the load of a controller as a candidate for a shard; the lowest load is best. It
+   * spreads shards over controllers first, then over zones.
    */
   private int load(ShardState shard, ControllerName candidate) {
     int load = candidate.equals(context.config().label()) ? LEADER_LOAD : 0;
     String zone = controllers.zoneOf(candidate);
     ControllerName unreached = shard.unreachableOwner();
     if (unreached != null && shard.msSinceUnreachable(context.now()) < AVOID_MS) {
-      // Rather one that the workers reach: not the last, and not in its zone or in theirs.
+      // Avoids the owner that workers couldn't reach, its zone and the zones of those workers.
       load += candidate.equals(unreached) ? UNREACHABLE_OWNER_LOAD : 0;
       boolean isUnreachableZone =
           zone.equals(controllers.zoneOf(unreached)) || shard.unreachableZones().contains(zone);
--- a/src/main/java/shorecrank/coordination/leader/RolloutView.java
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -7,7 +7,9 @@
 import shorecrank.rollout.FeatureGate;
 import shorecrank.rollout.RolloutCoordinator;
 
-/** What leading has to do with feature levels; nothing where rollouts are not enabled. */
+/**
+ * The leader's view of feature levels and rollouts; allows everything if rollouts are not enabled.
+ */
 final class RolloutView {
   private final StepContext context;
   private final RolloutCoordinator rollout;
@@ -24,26 +26,31 @@
     this.gate = gate;
   }
 
-  /** Whether the level in force is known, so that shards may be granted. */
+  /** Reports whether the feature level in force is known, so that shards may be granted. */
   boolean isReady() {
     return rollout == null || rollout.isReady();
   }
 
-  /** Tells this process's own gate the level, before any heartbeat is answered. */
+  /**
+   * Passes the feature level to this process's own gate; called before any heartbeat is answered.
+   */
   void updateGate() {
     if (rollout != null) {
       gate.observe(rollout.notice());
     }
   }
 
-  /** Takes in what the sender of a heartbeat supports. */
+  /** Records the feature levels that the sender of a heartbeat supports. */
   void recordHeartbeat(Heartbeat heartbeat) {
     if (rollout != null) {
       rollout.heard(heartbeat.sender(), heartbeat.writer(), heartbeat.announcement());
     }
   }
 
-  /** Whether a controller may own shards at the level in force, with its settings; logs if not. */
+  /**
+   * Reports whether a controller may own shards at the level in force and with its settings; logs a
+   * refusal.
+   */
   boolean mayOwn(ControllerName controller) {
     String reason = rollout == null ? null : rollout.reasonAgainstOwner(controller);
     if (reason == null) {
@@ -55,7 +62,7 @@
     return false;
   }
 
-  /** What controllers are told of the level; null if nothing. */
+  /** Returns the feature level to be sent to the controllers; null if there is none to send. */
   RolloutNotice notice() {
     return rollout == null ? null : rollout.notice();
   }
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -13,16 +13,16 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
 
-/** The fleet's shards with their owners and leases, by number. */
+/** The fleet's shards by number, with their owners and leases. */
 final class ShardLeaseTable {
   /**
-   * A lease of so many milliseconds may run one longer, since the clocks of processes drift apart.
+   * The part of a lease's duration, 1/500, by which it may last longer on another process's clock.
    */
   private static final int CLOCK_DRIFT_DIVISOR = 500;
 
   private static final int LEASE_MARGIN_MS = 20;
 
-  /** So many heartbeats an owner may miss at the end of an outage before it counts as lost. */
+  /** The number of heartbeats that an owner may miss after an outage before it counts as failed. */
   private static final long ALLOWED_MISSED_HEARTBEATS = 3;
 
   private final StepContext context;
@@ -32,7 +32,7 @@
     this.context = context;
   }
 
-  /** Starts anew with all shards vacant. */
+  /** Makes all shards vacant. */
   void reset() {
     shards.clear();
     for (int i = 0; i < context.settings().shards(); i++) {
@@ -40,50 +40,50 @@
     }
   }
 
-  /** The numbers of all shards, in order. */
+  /** Returns the numbers of all shards, in ascending order. */
   Set<ShardId> ids() {
     return shards.keySet();
   }
 
-  /** All shards by number, in order. */
+  /** Returns all shards by number, in ascending order. */
   Set<Map.Entry<ShardId, ShardState>> entries() {
     return shards.entrySet();
   }
 
-  /** All shards, in the order of their numbers. */
+  /** Returns the states of all shards, in ascending order of their numbers. */
   Collection<ShardState> states() {
     return shards.values();
   }
 
-  /** Null if there is no such shard. */
+  /** Returns the state of a shard; null if there is no such shard. */
   ShardState get(ShardId shard) {
     return shards.get(shard);
   }
 
-  /** The highest epoch that was allocated for a shard; {@link Epoch#NONE} if none was. */
+  /** Returns the highest epoch that was allocated for a shard; {@link Epoch#NONE} if none was. */
   Epoch epoch(ShardId shard) {
     ShardState state = shards.get(shard);
     return state == null ? Epoch.NONE : state.epoch();
   }
 
-  /** The owner of a shard; null if it has none that may be granted its lease. */
+  /** Returns the owner of a shard; null if the shard has no owner whose lease may be renewed. */
   ControllerName owner(ShardId shard) {
     ShardState state = shards.get(shard);
     return state != null && state.hasActiveOwner() ? state.owner() : null;
   }
 
-  /** Whether a shard's owner says that tasks wait. */
+  /** Reports whether tasks are queued in a shard, by its owner's last report. */
   boolean hasQueuedTasks(ShardId shard) {
     ShardState state = shards.get(shard);
     return state != null && state.hasQueuedTasks();
   }
 
-  /** Whether the fleet has one shard only, so that a machine can belong to no other. */
+  /** Reports whether the fleet has only one shard, so that a machine can belong to no other. */
   boolean isSingleShard() {
     return shards.size() == 1;
   }
 
-  /** The owners that may be told to others. */
+  /** Returns the shard owners that are announced to controllers. */
   List<OwnerInfo> owners() {
     List<OwnerInfo> owners = new ArrayList<>();
     shards.forEach(
@@ -95,16 +95,18 @@
     return owners;
   }
 
-  /** Until when a lease that is granted now may run, by the clock of this process. */
+  /**
+   * Returns the latest time, by this process's clock, at which a lease that is granted now can end.
+   */
   MonotonicTime latestLeaseEnd() {
     int leaseMs = context.settings().leaseMs();
     return context.now().plus(leaseMs + leaseMs / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MS);
   }
 
   /**
-   * The same term goes on after a time in which no lease could be granted, as an outage of the
-   * state service leaves it. Owners that live are heard within a few heartbeats; only then does an
-   * expired lease say anything about its owner.
+   * Extends all leases after a time in which this process could not grant any, such as an outage of
+   * the state service. Live owners send heartbeats within a few intervals; only after that does an
+   * expired lease show that its owner has failed.
    */
   void extendLeasesAfterInterruption() {
     MonotonicTime heardBy =
--- a/src/main/java/shorecrank/coordination/leader/ShardOwnerCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardOwnerCodec.java
@@ -8,9 +8,9 @@
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.protocol.Json;
 
-/** The record of a shard's owner as the state service holds it, in a key for each shard. */
+/** Encodes and decodes the records of shard owners for the state service, one key per shard. */
 public final class ShardOwnerCodec {
-  /** The keys of the records begin with this. */
+  /** The prefix of the keys of all shard owners. */
   public static final String PREFIX = "part/";
 
   private static final String SHARD = "part";
@@ -20,12 +20,12 @@
 
   private ShardOwnerCodec() {}
 
-  /** The key of a shard's record. */
+  /** Returns the key of a shard's owner. */
   static String key(ShardId shard) {
     return PREFIX + shard;
   }
 
-  /** The record of a shard's owner. */
+  /** Encodes a shard's owner. */
   static JsonNode write(OwnerInfo owner, WriterId writer) {
     return Json.object()
         .put(SHARD, owner.shard().value())
@@ -34,7 +34,7 @@
         .put(EPOCH, owner.epoch().value());
   }
 
-  /** The shard, its owner and the owner's epoch; the shard is negative if it can't be read. */
+  /** Decodes a shard's owner; the shard's number is negative if the value is malformed. */
   public static OwnerInfo read(JsonNode value) {
     return new OwnerInfo(
         new ShardId((int) Json.count(value.path(SHARD))),
@@ -42,7 +42,7 @@
         new Epoch(value.path(EPOCH).asLong()));
   }
 
-  /** The owner's process. */
+  /** Returns the process of the owner in a value. */
   static WriterId readWriter(JsonNode value) {
     return new WriterId(Json.text(value.path(WRITER)));
   }
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -7,11 +7,11 @@
 import shorecrank.protocol.Ids.WriterId;
 
 /**
- * One shard as the leader knows it: owner, epoch and lease, and how far the owner's replacement has
- * gone.
+ * The leader's state of one shard: owner, epoch and lease, and the progress of replacing the owner.
  *
- * <p>A shard is vacant until its first epoch is allocated, and again once its owner is known to
- * hold no lease. While it is being revoked its owner's lease is not renewed, but may still run.
+ * <p>A shard is vacant until its first epoch is allocated, and again when its owner is known to
+ * hold no lease. While the shard is being revoked, its owner's lease is not renewed but may still
+ * run.
  */
 final class ShardState {
   private ControllerName owner;
@@ -22,7 +22,7 @@
   private boolean revoking;
   private boolean allocating;
 
-  /** The process for which an epoch is being allocated, or was last. */
+  /** The process for which an epoch is being allocated, or was allocated last. */
   private WriterId allocatedFor;
 
   private boolean queued;
@@ -30,67 +30,74 @@
   private List<String> unreachableZones = List.of();
   private MonotonicTime lastUnreachableAt = MonotonicTime.NEVER;
 
-  /** The last owner; null if there was none. */
+  /** Returns the last owner; null if there was none. */
   ControllerName owner() {
     return owner;
   }
 
-  /** The last owner's process; null if there was none. */
+  /** Returns the last owner's process; null if there was none. */
   WriterId writer() {
     return writer;
   }
 
-  /** The highest epoch that was allocated for the shard; {@link Epoch#NONE} if none was. */
+  /** Returns the highest epoch that was allocated for the shard; {@link Epoch#NONE} if none was. */
   Epoch epoch() {
     return epoch;
   }
 
-  /** Whether no process holds a lease of the shard, nor may be granted one. */
+  /** Reports whether no process holds a lease of the shard or may be granted one. */
   boolean isVacant() {
     return vacant;
   }
 
-  /** Whether the owner's lease is not renewed any more. */
+  /** Reports whether the owner's lease is no longer renewed. */
   boolean isRevoking() {
     return revoking;
   }
 
-  /** Whether an epoch is being allocated for the shard. */
+  /** Reports whether an epoch is being allocated for the shard. */
   boolean isAllocating() {
     return allocating;
   }
 
-  /** Whether an epoch is being allocated for another process than this one. */
+  /** Reports whether an epoch is being allocated for a process other than {@code process}. */
   boolean isAllocatingForOther(WriterId process) {
     return allocating && !process.equals(allocatedFor);
   }
 
-  /** Whether the owner may be told to others, and be granted its lease. */
+  /**
+   * Reports whether the shard has an owner that is announced to controllers and whose lease may be
+   * renewed.
+   */
   boolean hasActiveOwner() {
     return !vacant && !revoking;
   }
 
-  /** Whether a controller is the shard's owner, also while its lease is being revoked. */
+  /** Reports whether a controller is the shard's owner, also while its lease is being revoked. */
   boolean isOwnedBy(ControllerName controller) {
     return !vacant && controller.equals(owner);
   }
 
-  /** Whether the owner's lease has expired, by this process's clock. */
+  /** Reports whether the owner's lease has expired by this process's clock. */
   boolean isLeaseExpired(MonotonicTime now) {
     return !vacant && leaseEnd.isBefore(now);
   }
 
-  /** Whether the owner says that tasks wait. */
+  /** Reports whether tasks are queued in the shard, by its owner's last report. */
   boolean hasQueuedTasks() {
     return queued;
   }
 
-  /** The owner says whether tasks wait. */
+  /** Records whether tasks are queued in the shard. */
   void updateHasQueuedTasks(boolean tasksWait) {
     queued = tasksWait;
   }
 
-  /** The shard has this owner, under an epoch that is written down. */
+  /**
+   * Sets the shard's owner under an epoch that is stored in the state service.
+   *
+   * @param until the latest end of the owner's lease by this process's clock
+   */
   void assignOwner(ControllerName label, WriterId process, Epoch allocated, MonotonicTime until) {
     owner = label;
     writer = process;
@@ -100,32 +107,32 @@
     leaseEnd = until;
   }
 
-  /** The owner's lease runs until then by this process's clock, at the latest. */
+  /** Sets the latest end of the owner's lease by this process's clock. */
   void renewLease(MonotonicTime until) {
     leaseEnd = until;
   }
 
-  /** The lease counts as expired no earlier than this. */
+  /** Sets the end of the owner's lease to a time unless it already ends later. */
   void extendLease(MonotonicTime atLeastUntil) {
     if (leaseEnd.isBefore(atLeastUntil)) {
       leaseEnd = atLeastUntil;
     }
   }
 
-  /** The last owner holds no lease. */
+  /** Marks the shard as vacant, since its last owner holds no lease. */
   void vacate() {
     vacant = true;
   }
 
-  /** The owner's lease is not renewed any more. */
+  /** Stops the renewal of the owner's lease. */
   void revoke() {
     revoking = true;
   }
 
   /**
-   * Revokes the lease of an owner that its workers don't reach.
+   * Stops the renewal of the lease of an owner that workers can't reach.
    *
-   * @param zones those in which most of these workers are
+   * @param zones the zones in which most of these workers are
    */
   void revokeUnreachable(List<String> zones, MonotonicTime now) {
     unreachableOwner = owner;
@@ -134,28 +141,31 @@
     revoking = true;
   }
 
-  /** How long ago an owner was last replaced because workers did not reach it. */
+  /**
+   * Returns the time since an owner was last replaced because workers couldn't reach it, in
+   * milliseconds.
+   */
   long msSinceUnreachable(MonotonicTime now) {
     return now.since(lastUnreachableAt);
   }
 
-  /** The last owner that workers did not reach; null if there was none. */
+  /** Returns the last owner that workers couldn't reach; null if there was none. */
   ControllerName unreachableOwner() {
     return unreachableOwner;
   }
 
-  /** The zones of the workers that did not reach {@link #unreachableOwner()}. */
+  /** Returns the zones of the workers that couldn't reach {@link #unreachableOwner()}. */
   List<String> unreachableZones() {
     return unreachableZones;
   }
 
-  /** An epoch is being allocated for a process. */
+  /** Records that an epoch is being allocated for a process. */
   void beginAllocation(WriterId process) {
     allocating = true;
     allocatedFor = process;
   }
 
-  /** The allocation is over, whatever became of it. */
+  /** Records that the allocation has ended, with or without success. */
   void endAllocation() {
     allocating = false;
   }
--- a/src/main/java/shorecrank/coordination/leader/ShardTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardTable.java
@@ -5,23 +5,23 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 
-/** The shards as the leader knows them, for whoever assigns machines to them. */
+/** The leader's shards, as the assigners of machines see them. */
 interface ShardTable {
-  /** All shards of the fleet. */
+  /** Returns the numbers of all shards. */
   Set<ShardId> shards();
 
-  /** The highest epoch that was allocated for a shard; {@link Epoch#NONE} if none was. */
+  /** Returns the highest epoch that was allocated for a shard; {@link Epoch#NONE} if none was. */
   Epoch epoch(ShardId shard);
 
-  /** The label of a shard's owner; null if it has none that may be granted its lease. */
+  /** Returns the owner of a shard; null if the shard has no owner whose lease may be renewed. */
   ControllerName owner(ShardId shard);
 
-  /** Whether a shard's owner says that tasks wait. */
+  /** Reports whether tasks are queued in a shard, by its owner's last report. */
   boolean hasQueuedTasks(ShardId shard);
 
-  /** Reads shards and machines anew: what is known of them may be out of date. */
+  /** Reads shards and machines again, because the state in memory may be outdated. */
   void reload();
 
-  /** Has an epoch above {@code lowerBound} allocated for a shard's present owner. */
+  /** Allocates an epoch for a shard's present owner that is higher than {@code lowerBound}. */
   void raiseEpochAbove(ShardId shard, Epoch lowerBound);
 }
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -25,9 +25,14 @@
 import shorecrank.rollout.FeatureGate;
 import shorecrank.rollout.RolloutCoordinator;
 
-/** Assigns machines by shares: shows {@link MoveCoordinator} the fleet, and carries out moves. */
+/**
+ * Assigns machines by shares: presents the fleet to {@link MoveCoordinator} and carries out its
+ * moves.
+ */
 final class ShareAssigner implements MachineAssigner, ShareFleet {
-  /** The shares' key is changed in the same transaction. */
+  /**
+   * The number of operations beside the assignments in a transaction: the write of the shares' key.
+   */
   private static final int OTHER_OPERATIONS = 1;
 
   private static final int BYTES_PER_KB = 1024;
@@ -62,17 +67,20 @@
             this::reasonsAgainstMoves);
   }
 
-  /** The coordinator of moves, for operators' requests. */
+  /** Returns the coordinator that handles operators' requests for moves. */
   MoveCoordinator moveCoordinator() {
     return moves;
   }
 
-  /** Takes in the machine types that the cloud offers. */
+  /** Updates the machine types that the cloud offers. */
   void updateCatalog(Map<String, MachineType> types) {
     catalog = types;
   }
 
-  /** A controller that knows no moves may be given a shard by an earlier version at any time. */
+  /**
+   * Returns why machines may not move, one reason per controller that doesn't support shares: a
+   * leader of an earlier version could grant it a shard at any time.
+   */
   private List<String> reasonsAgainstMoves() {
     List<String> reasons = new ArrayList<>();
     for (ControllerName label : rollout.unsupporting(Feature.SHARES.level())) {
@@ -123,7 +131,7 @@
     moves.tick();
   }
 
-  // ---- for the moves ---------------------------------------------------------------------------
+  // ---- for the move coordinator ----------------------------------------------------------------
 
   @Override
   public int shards() {
@@ -209,7 +217,7 @@
         .orElse(null);
   }
 
-  /** New assignments in the machine directory. */
+  /** Assignments of a move that {@link MachineTransfer} writes. */
   private record DirectoryHandover(MachineTransfer transfer) implements Handover {
     @Override
     public Set<MachineName> machines() {
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -10,15 +10,17 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /**
- * Assigns machines that a shard leaves empty to a shard in which tasks wait. Orders are kept in
- * memory only: a new leader begins anew, and answers to an earlier leader's orders count for
- * nothing.
+ * Moves machines that a shard doesn't use to a shard with queued tasks. Moves are kept in memory
+ * only: a new leader starts without any, and ignores handovers for an earlier leader's moves.
  */
 final class SpareMachineAssigner implements MachineAssigner {
-  /** Each term has so many orders with ids of their own, as a power of two. */
+  /**
+   * Bits of a move's id that count the moves within one term; the term's number is in the bits
+   * above.
+   */
   private static final int MOVE_ID_BITS = 20;
 
-  /** Tasks that wait count as much as so many machines that a shard lacks. */
+  /** The need of a shard with queued tasks, in machines. */
   private static final int QUEUED_TASKS_NEED = 1000;
 
   private final StepContext context;
@@ -65,7 +67,10 @@
     return neediest();
   }
 
-  /** A shard in which tasks wait, and of these the one with the fewest machines. */
+  /**
+   * Returns the shard with queued tasks that has the fewest machines; the one with the fewest
+   * machines of all if no shard has queued tasks.
+   */
   private ShardId neediest() {
     ShardId best = new ShardId(0);
     if (shards.shards().size() == 1) {
@@ -85,7 +90,8 @@
   @Override
   public void handleReport(ShardReport report) {
     if (!report.repeatsMoves()) {
-      // An earlier version may hand a machine back too early, and under an order that is over.
+      // An owner of an earlier version doesn't repeat the move's id, so its handover could be
+      // premature or belong to a move that has ended. Its machines are therefore kept.
       keepAll(report.shard());
       return;
     }
@@ -120,7 +126,7 @@
     }
   }
 
-  /** A machine on which tasks of a shard may run goes back to that shard. */
+  /** Moves a machine back to a shard whose tasks may run on it. */
   private void reclaim(MachineName name, ShardId shard) {
     AssignedMachine machine = machines.get(name);
     boolean isAlreadyReclaimed =
@@ -146,7 +152,7 @@
         .anyMatch(shard -> !shard.equals(except) && shards.hasQueuedTasks(shard));
   }
 
-  /** Assigns a machine that its shard has emptied to another, under an epoch above its last. */
+  /** Assigns a drained machine to another shard, under an epoch above the machine's last one. */
   private void handOver(AssignedMachine machine, ShardId from) {
     ShardId to = machine.reclaimedBy() != null ? machine.reclaimedBy() : neediest();
     if (to.equals(from)) {
@@ -158,7 +164,7 @@
       shards.raiseEpochAbove(to, last);
       return;
     }
-    // Until the new assignment is written down and told, the machine is nobody's.
+    // No owner is told of the machine until its new assignment is stored.
     machines.remove(machine.name());
     machines.assign(machine.info(), to, shards.epoch(to));
   }
--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -5,13 +5,16 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.storage.StateStore;
 
-/** Time, state service, rate limits, log and metrics of the controller's steps, for the leader. */
+/**
+ * Provides the leader's state machines with the time, state service, rate limits, log and metrics
+ * of a {@link StepContext}.
+ */
 public final class StepLeaderEnvironment implements LeaderEnvironment {
   private static final int BYTES_PER_KB = 1024;
 
   private final StepContext context;
 
-  /** Creates the environment of state machines that run in these steps. */
+  /** Creates the environment of a context. */
   public StepLeaderEnvironment(StepContext context) {
     this.context = context;
   }
@@ -43,7 +46,7 @@
 
   @Override
   public boolean hasRequestBudget() {
-    // Only asked here: the call itself takes the request out of the rate limit.
+    // Only checks the rate limit: sending the request takes it from the limit.
     return context.requestBudget().has(1, context.now());
   }
 
--- a/src/main/java/shorecrank/coordination/leader/StoredAssignment.java
+++ b/src/main/java/shorecrank/coordination/leader/StoredAssignment.java
@@ -5,8 +5,8 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /**
- * What the state service holds of a machine.
+ * A machine's assignment as stored in the state service.
  *
- * @param epoch the epoch under which the machine is assigned to the shard
+ * @param epoch the shard's epoch under which the machine is assigned
  */
 record StoredAssignment(MachineInfo machine, ShardId shard, Epoch epoch) {}
--- a/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
+++ b/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
@@ -10,9 +10,12 @@
 import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Kinds of machines that the cloud lately had no capacity for, with an exponential backoff. */
+/** Offers for which the cloud lately had no capacity, with an exponential backoff. */
 final class UnavailableOffers {
-  /** A kind that was refused is asked for again after so long, then twice that, up to the most. */
+  /**
+   * The time after an offer's first refusal in which it is not requested; doubled with each further
+   * refusal, up to {@link #MAX_BACKOFF_MS}.
+   */
   private static final long BACKOFF_MS = 4_000;
 
   private static final long MAX_BACKOFF_MS = 10_000;
@@ -27,19 +30,20 @@
   }
 
   /**
-   * A term has begun: every kind may be asked for, though the backoffs go on from where they are.
+   * Allows all offers at the start of a term; the number of their refusals, and so the next
+   * backoff, stays.
    */
   void beginTerm() {
     unavailableUntil.clear();
   }
 
-  /** Whether the kind is not to be asked for now. */
+  /** Reports whether an offer is not to be requested now. */
   boolean contains(Offer offer) {
     MonotonicTime until = unavailableUntil.get(offer);
     return until != null && !until.isBefore(context.now());
   }
 
-  /** The cloud has refused a machine of this kind. */
+  /** Records that the cloud had no capacity for an offer. */
   void recordRefusal(Offer offer) {
     if (context.now().isBefore(unavailableUntil.getOrDefault(offer, MonotonicTime.NEVER))) {
       return;
@@ -51,12 +55,12 @@
     context.info("offer.unavailable offer=%s retry_ms=%d", offer, backoffMs);
   }
 
-  /** The cloud has rented all machines of this kind that were asked for. */
+  /** Records that the cloud rented all requested machines of an offer. */
   void recordSuccess(Offer offer) {
     refusals.remove(offer);
   }
 
-  /** The kinds that are not asked for now, and for how long. */
+  /** Returns the offers that are not requested at the moment, with the remaining time. */
   List<UnavailableOffer> describe() {
     List<UnavailableOffer> offers = new ArrayList<>();
     unavailableUntil.forEach(
--- a/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
+++ b/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
@@ -10,7 +10,10 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 
-/** A controller that knows a version is told all later removals, or that it has to take all. */
+/**
+ * Tests that a controller which knows a version receives all later removals, or is told to take all
+ * assignments.
+ */
 class AssignmentChangeLogTest {
   private static final int RETAINED_REMOVALS = 1000;
 
@@ -27,7 +30,7 @@
   }
 
   @Test
-  void tellsRemovalsAfterAVersionInTheirOrder() {
+  void returnsRemovalsAfterVersionInOrder() {
     changes.restart(new Revision(5));
     long known = changes.version();
     changes.addRemoval(machine(2), 0);
@@ -41,7 +44,7 @@
   }
 
   @Test
-  void coversNeitherAnEarlierTermNorAVersionOfTheFuture() {
+  void coversNeitherEarlierTermNorFutureVersion() {
     changes.restart(new Revision(5));
     long earlier = changes.version();
     changes.restart(new Revision(6));
@@ -51,18 +54,18 @@
   }
 
   @Test
-  void aSecondLoadingInOneTermIsAboveAllThatWasTold() {
+  void versionRisesWhenSameTermIsLoadedAgain() {
     changes.restart(new Revision(5));
     changes.advance();
-    long told = changes.version();
+    long sentVersion = changes.version();
     changes.restart(new Revision(5));
 
-    assertTrue(changes.version() > told);
-    assertFalse(changes.covers(told));
+    assertTrue(changes.version() > sentVersion);
+    assertFalse(changes.covers(sentVersion));
   }
 
   @Test
-  void keepsAsManyRemovalsAsThereAreMachines() {
+  void keepsAsManyRemovalsAsMachines() {
     changes.restart(new Revision(5));
     long known = changes.version();
     for (int i = 0; i <= RETAINED_REMOVALS; i++) {
--- a/src/test/java/shorecrank/coordination/leader/BucketValuesTest.java
+++ b/src/test/java/shorecrank/coordination/leader/BucketValuesTest.java
@@ -18,7 +18,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.StoreMessages.Transaction;
 
-/** A bucket's machines are written in as many values as the limit on one asks for. */
+/** Tests that a bucket's machines are split into values below the size limit. */
 class BucketValuesTest {
   private static final int BUCKET = 7;
 
@@ -31,7 +31,7 @@
     return machines;
   }
 
-  /** The written values by key. */
+  /** Returns the written values by key. */
   private static Map<String, JsonNode> written(BucketValues values) {
     Transaction transaction = new Transaction();
     values.byKey().forEach((key, value) -> value.addTo(transaction, key, Revision.ABSENT));
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void noValueIsAboveTheLimitAndNoMachineIsLost() {
+  void splitsMachinesIntoValuesBelowSizeLimit() {
     Map<String, JsonNode> byKey = written(BucketValues.of(BUCKET, machines(100), List.of(), 1));
 
     assertEquals(Set.of("hosts/7", "hosts/7.1", "hosts/7.2", "hosts/7.3"), byKey.keySet());
@@ -56,9 +56,9 @@
   }
 
   @Test
-  void aValueThatIsNoLongerNeededIsWrittenEmpty() {
-    List<String> known = List.of("hosts/7", "hosts/7.1", "hosts/70", "hosts/70.1");
-    Map<String, JsonNode> byKey = written(BucketValues.of(BUCKET, machines(1), known, 1));
+  void writesEmptyValueToKeyNoLongerNeeded() {
+    List<String> knownKeys = List.of("hosts/7", "hosts/7.1", "hosts/70", "hosts/70.1");
+    Map<String, JsonNode> byKey = written(BucketValues.of(BUCKET, machines(1), knownKeys, 1));
 
     assertEquals(Set.of("hosts/7", "hosts/7.1"), byKey.keySet());
     assertEquals(
--- a/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
@@ -21,7 +21,10 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
 
-/** Epochs rise, one at a time, and an owner that may yet be written down is not forgotten. */
+/**
+ * Tests that epochs rise, that one is allocated at a time, and that an owner which a transaction
+ * without an answer may still store gets no lease before the outcome is settled.
+ */
 class EpochAllocatorTest {
   private static final ShardId SHARD = new ShardId(0);
   private static final Revision COUNTER_REVISION = new Revision(40);
@@ -36,31 +39,31 @@
     return steps.shards.get(SHARD);
   }
 
-  private void allocate(ControllerName owner, long above) {
-    steps.step(() -> epochs.allocate(SHARD, shard(), owner, writer(owner), new Epoch(above)));
+  private void allocate(ControllerName owner, long lowerBound) {
+    steps.step(() -> epochs.allocate(SHARD, shard(), owner, writer(owner), new Epoch(lowerBound)));
   }
 
-  private JsonNode committedAt(long revision) {
+  private JsonNode answerCommitted(long revision) {
     return steps.answerState(200, Json.object().put("ledgerRev", revision));
   }
 
-  /** Elects this process, since an allocation counts only under the election's own term. */
+  /** Elects this process, since an allocation is valid only in the election's own term. */
   @BeforeEach
-  void lead() {
+  void winElection() {
     steps.step(election::tick);
     steps.answerState(404, Json.object().put("ledgerRev", TERM.value() - 1));
     steps.step(election::tick);
     steps.answerState(200, Json.object().put("hold", 5));
-    committedAt(TERM.value());
+    answerCommitted(TERM.value());
     assertEquals(TERM, election.term());
     epochs.restore(COUNTER_REVISION, 17);
   }
 
   @Test
-  void aCommittedAllocationGivesTheShardItsOwner() {
+  void committedAllocationAssignsOwner() {
     allocate(N2, 0);
     assertTrue(shard().isAllocating());
-    JsonNode sent = committedAt(50);
+    JsonNode sent = answerCommitted(50);
 
     assertEquals(
         "[{\"k\":\"leader\",\"stamp\":9},{\"k\":\"epoch\",\"stamp\":40}]",
@@ -73,51 +76,51 @@
   }
 
   @Test
-  void anEpochIsAboveThatByWhichTheOwnerWasRefused() {
+  void newEpochIsAboveLowerBound() {
     allocate(N2, 30);
-    committedAt(50);
+    answerCommitted(50);
     assertEquals(new Epoch(31), shard().epoch());
   }
 
   @Test
-  void oneAllocationAtATime() {
+  void ignoresAllocationWhileAnotherIsPending() {
     allocate(N2, 0);
     allocate(N3, 0);
-    assertEquals(1, steps.openStateCalls());
+    assertEquals(1, steps.pendingStateCalls());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 500, 504})
-  void anOwnerOfAnAllocationWithoutAnAnswerIsInDoubtUntilALaterOneIsCommitted(int status) {
+  void ownerIsInDoubtAfterUnansweredAllocationUntilNextCommit(int status) {
     allocate(N2, 0);
-    committedAt(50);
+    answerCommitted(50);
     allocate(N3, 0);
     steps.answerState(status, Json.object());
     assertEquals(Revision.ABSENT, steps.loadedTerm.current());
 
-    loadedAgainWithOwnerN2();
+    reloadWithOwnerN2();
     assertTrue(shard().isVacant());
 
     allocate(N3, 0);
-    committedAt(60);
-    loadedAgainWithOwnerN2();
+    answerCommitted(60);
+    reloadWithOwnerN2();
     assertFalse(shard().isVacant());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {400, 409, 429, 503})
-  void aRefusedAllocationLeavesNoDoubt(int status) {
+  void refusedAllocationLeavesOwnerCertain(int status) {
     allocate(N2, 0);
-    committedAt(50);
+    answerCommitted(50);
     allocate(N3, 0);
     steps.answerState(status, Json.object());
     assertEquals(Revision.ABSENT, steps.loadedTerm.current());
 
-    loadedAgainWithOwnerN2();
+    reloadWithOwnerN2();
     assertFalse(shard().isVacant());
   }
 
-  private void loadedAgainWithOwnerN2() {
+  private void reloadWithOwnerN2() {
     steps.step(
         () -> {
           steps.shards.reset();
--- a/src/test/java/shorecrank/coordination/leader/StoredFormsTest.java
+++ b/src/test/java/shorecrank/coordination/leader/LeaderCodecsTest.java
@@ -21,8 +21,11 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 
-/** The leader's values are read and written to the letter as fleets in production hold them. */
-class StoredFormsTest {
+/**
+ * Tests the stored values of the leader against literal text, since they have to stay readable by
+ * fleets in production.
+ */
+class LeaderCodecsTest {
   private static final ControllerName LEADER = new ControllerName("n2");
   private static final WriterId WRITER = new WriterId("n2.1");
 
@@ -31,7 +34,7 @@
   }
 
   @Test
-  void epochCounter() {
+  void epochCounterIsWrittenAndRead() {
     assertEquals("{\"v\":17}", EpochCounterCodec.write(17).toString());
     assertEquals(17, EpochCounterCodec.read(json("{\"v\":17}")));
   }
@@ -43,7 +46,7 @@
   }
 
   @Test
-  void shardOwner() {
+  void shardOwnerIsWrittenAndRead() {
     OwnerInfo owner = new OwnerInfo(new ShardId(3), LEADER, new Epoch(17));
     String text = "{\"part\":3,\"label\":\"n2\",\"writer\":\"n2.1\",\"epoch\":17}";
 
@@ -54,12 +57,12 @@
   }
 
   @Test
-  void malformedShardOwnerBelongsToNoShard() {
+  void malformedShardOwnerHasNegativeShard() {
     assertEquals(new ShardId(-1), ShardOwnerCodec.read(json("{\"label\":\"n2\"}")).shard());
   }
 
   @Test
-  void leaderName() {
+  void leaderNameIsWrittenAndRead() {
     String text = "{\"label\":\"n2\",\"writer\":\"n2.1\"}";
 
     assertEquals(text, LeaderNameCodec.write(LEADER, WRITER).toString());
@@ -69,7 +72,7 @@
   }
 
   @Test
-  void leaderNameWithAMovedGrant() {
+  void leaderNameWithMovedGrantIsWrittenAndRead() {
     String text = "{\"label\":\"n2\",\"writer\":\"n2.1\",\"moved\":\"leadership\",\"level\":4}";
     FeatureLevel level = new FeatureLevel(4);
 
@@ -94,7 +97,7 @@
         "{\"name\":\"m1\"}                  | false",
         "\"m1\"                             | false",
       })
-  void machineRecordOfAFleetWithTwoShards(String machine, boolean isReadable) {
+  void rejectsMalformedMachineRecords(String machine, boolean isReadable) {
     List<Optional<StoredAssignment>> read = new ArrayList<>();
     MachineRecordCodec.readEach(json("{\"m\":[" + machine + "]}"), 2, read::add);
 
--- a/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
+++ b/src/test/java/shorecrank/coordination/leader/LeaderSteps.java
@@ -24,8 +24,8 @@
 import shorecrank.protocol.Ids.WriterId;
 
 /**
- * Steps of controller n1, which leads a fleet of four: n1 and n2 in zone a, n3 in b, n4 in c; with
- * two shards and leases of 6 s.
+ * Runs steps of controller n1, which leads a fleet of four controllers: n1 and n2 in zone a, n3 in
+ * zone b, n4 in zone c. The fleet has two shards, and leases last 6 s.
  */
 final class LeaderSteps {
   static final ControllerName N1 = new ControllerName("n1");
@@ -34,7 +34,7 @@
   static final ControllerName N4 = new ControllerName("n4");
   static final Revision TERM = new Revision(9);
 
-  private static final Address NOWHERE = new Address("127.0.0.1", 1);
+  private static final Address UNUSED_ADDRESS = new Address("127.0.0.1", 1);
 
   final StepContext context;
   final LoadedTerm loadedTerm;
@@ -48,14 +48,14 @@
         new NodeConfig(
             N1,
             "a",
-            NOWHERE,
-            NOWHERE,
+            UNUSED_ADDRESS,
+            UNUSED_ADDRESS,
             List.of(
-                new Member(N2, "a", NOWHERE),
-                new Member(N3, "b", NOWHERE),
-                new Member(N4, "c", NOWHERE)),
-            NOWHERE,
-            NOWHERE,
+                new Member(N2, "a", UNUSED_ADDRESS),
+                new Member(N3, "b", UNUSED_ADDRESS),
+                new Member(N4, "c", UNUSED_ADDRESS)),
+            UNUSED_ADDRESS,
+            UNUSED_ADDRESS,
             Map.of(),
             List.of(),
             new WorkerTimings(4, 30, 60),
@@ -75,13 +75,13 @@
         });
   }
 
-  /** Takes a step after a while. */
+  /** Runs a step after advancing the clock. */
   void after(long ms, Runnable step) {
     nowMs += ms;
     step(step);
   }
 
-  /** Takes a step. */
+  /** Runs a step at the present time. */
   void step(Runnable step) {
     context.begin(new MonotonicTime(nowMs), nowMs, 1);
     step.run();
@@ -92,19 +92,19 @@
     }
   }
 
-  /** How many calls of the state service have no answer yet. */
-  int openStateCalls() {
+  /** Returns the number of calls to the state service that have no answer yet. */
+  int pendingStateCalls() {
     return stateCalls.size();
   }
 
-  /** Answers the first call of the state service that is open; returns what was sent. */
+  /** Answers the oldest pending call to the state service, and returns the call's body. */
   JsonNode answerState(int status, JsonNode body) {
     Output.Call call = stateCalls.remove();
     step(() -> context.handleAnswer(new Input.Answer(call.call(), status, body)));
     return call.body();
   }
 
-  /** A controller's heartbeat arrives. */
+  /** Records a heartbeat of a controller. */
   void receiveHeartbeat(
       ControllerName from, boolean storeReachable, Map<ShardId, Integer> misroutedWorkers) {
     step(
@@ -121,7 +121,7 @@
                     null)));
   }
 
-  /** A controller's only process. */
+  /** Returns the id of a controller's only process. */
   static WriterId writer(ControllerName controller) {
     return new WriterId(controller + ".1");
   }
--- a/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
@@ -15,7 +15,10 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 
-/** An owner is replaced for silence of workers only when others hear them. */
+/**
+ * Tests that an owner is replaced for workers that it doesn't hear only if other controllers hear
+ * them.
+ */
 class OwnerFailureDetectorTest {
   private static final ShardId SHARD = new ShardId(0);
 
@@ -23,7 +26,7 @@
   private final OwnerFailureDetector failureDetector =
       new OwnerFailureDetector(steps.context, steps.controllers);
 
-  private void ownedByN2() {
+  private void assignOwnerN2() {
     steps.step(
         () ->
             steps
@@ -43,7 +46,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // expected, unheard, zones of the unheard, heard by n3, is unreached
+    // expected workers, unheard workers, zones of the unheard, unheard workers that n3 hears, is
+    // unreachable
     "10, 5, a, 3, true",
     "10, 5, a, 2, false",
     "10, 1, a, 9, false",
@@ -53,13 +57,13 @@
     "10, 7, b, 7, true",
     "10, 5, a b, 5, false",
   })
-  void workersThatN3HearsInsteadOfTheOwner(
+  void detectsOwnerWhoseWorkersAreHeardByN3(
       int expected,
       int unheard,
       String zones,
       int heardElsewhere,
       boolean isUnreachableForWorkers) {
-    ownedByN2();
+    assignOwnerN2();
     steps.receiveHeartbeat(N2, true, Map.of());
     steps.receiveHeartbeat(N3, true, Map.of(SHARD, heardElsewhere));
 
@@ -69,8 +73,8 @@
   }
 
   @Test
-  void notMovedAgainSoSoon() {
-    ownedByN2();
+  void ownerIsNotReplacedAgainWithinPause() {
+    assignOwnerN2();
     steps.step(() -> steps.shards.get(SHARD).revokeUnreachable(List.of(), steps.context.now()));
     WorkerReachability workers = new WorkerReachability(10, 5, List.of("a"));
 
@@ -83,13 +87,14 @@
 
   @ParameterizedTest
   @CsvSource({
-    // n1 reaches the state service, ms for which n2 has not, n2 is to be replaced
+    // n1 reaches the state service, ms since n2 lost it, n2 has to be replaced
     "true, 2000, false",
     "true, 2001, true",
     "false, 2001, false",
   })
-  void anOwnerAloneWithoutTheStateService(boolean leaderOk, long sinceMs, boolean isLacking) {
-    steps.receiveHeartbeat(N1, leaderOk, Map.of());
+  void detectsOwnerWithoutStateServiceWhileLeaderReachesIt(
+      boolean leaderReachesStore, long sinceMs, boolean isLacking) {
+    steps.receiveHeartbeat(N1, leaderReachesStore, Map.of());
     steps.receiveHeartbeat(N2, false, Map.of());
     steps.after(
         sinceMs,
--- a/src/test/java/shorecrank/coordination/leader/OwnerSelectionTest.java
+++ b/src/test/java/shorecrank/coordination/leader/OwnerSelectionTest.java
@@ -15,7 +15,10 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.rollout.FeatureGate;
 
-/** Shards are spread over controllers, then zones, and go to those that can serve them. */
+/**
+ * Tests that shards are spread over controllers, then over zones, and that only controllers which
+ * can serve a shard are chosen.
+ */
 class OwnerSelectionTest {
   private static final ShardId FIRST = new ShardId(0);
   private static final ShardId SECOND = new ShardId(1);
@@ -35,13 +38,13 @@
     }
   }
 
-  private void chosen(ControllerName expected, ShardId shard) {
+  private void assertChosen(ControllerName expected, ShardId shard) {
     steps.step(
         () ->
             assertEquals(Optional.ofNullable(expected), selection.choose(steps.shards.get(shard))));
   }
 
-  private void own(ShardId shard, ControllerName owner) {
+  private void assignOwner(ShardId shard, ControllerName owner) {
     steps.step(
         () ->
             steps
@@ -52,60 +55,60 @@
   }
 
   @Test
-  void ratherAnotherThanTheLeader() {
+  void prefersOthersToLeader() {
     receiveHeartbeats(N1, N2);
-    chosen(N2, FIRST);
+    assertChosen(N2, FIRST);
   }
 
   @Test
-  void ratherTheLeaderThanOneWithAShard() {
+  void prefersLeaderToControllerWithShard() {
     receiveHeartbeats(N1, N2);
-    own(SECOND, N2);
-    chosen(N1, FIRST);
+    assignOwner(SECOND, N2);
+    assertChosen(N1, FIRST);
   }
 
   @Test
-  void ratherInAZoneWithoutAShard() {
+  void prefersZoneWithoutShard() {
     receiveHeartbeats(N1, N2, N3);
-    own(SECOND, N1);
-    chosen(N3, FIRST);
+    assignOwner(SECOND, N1);
+    assertChosen(N3, FIRST);
   }
 
   @Test
-  void noneWithoutTheStateService() {
+  void skipsControllersWithoutStateService() {
     receiveHeartbeats(N1, N3);
     steps.receiveHeartbeat(N2, false, Map.of());
     steps.receiveHeartbeat(N3, false, Map.of());
-    chosen(N1, FIRST);
+    assertChosen(N1, FIRST);
   }
 
   @Test
-  void noneThatIsSilent() {
+  void skipsControllersWithoutRecentHeartbeat() {
     receiveHeartbeats(N1, N2);
     steps.after(4600, () -> {});
     receiveHeartbeats(N1);
-    chosen(N1, FIRST);
+    assertChosen(N1, FIRST);
   }
 
   @Test
-  void othersAreAwaitedForAMomentAtTheBeginningOfATerm() {
+  void awaitsOtherControllersAtStartOfTerm() {
     receiveHeartbeats(N1);
-    chosen(null, FIRST);
+    assertChosen(null, FIRST);
     steps.after(1500, () -> {});
-    chosen(null, FIRST);
+    assertChosen(null, FIRST);
     steps.after(1, () -> {});
-    chosen(N1, FIRST);
+    assertChosen(N1, FIRST);
   }
 
   @Test
-  void notAgainTheOwnerThatWorkersDidNotReachNorItsZoneOrTheirs() {
-    own(FIRST, N2);
+  void avoidsUnreachableOwnerAndUnreachableZones() {
+    assignOwner(FIRST, N2);
     steps.step(() -> steps.shards.get(FIRST).revokeUnreachable(List.of("b"), steps.context.now()));
     receiveHeartbeats(N1, N2, N3, N4);
-    own(SECOND, N4);
-    chosen(N4, FIRST);
+    assignOwner(SECOND, N4);
+    assertChosen(N4, FIRST);
     steps.after(60_000, () -> {});
     receiveHeartbeats(N1, N2, N3, N4);
-    chosen(N2, FIRST);
+    assertChosen(N2, FIRST);
   }
 }
