--- a/src/main/java/shorecrank/coordination/leader/AssignmentChangeLog.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentChangeLog.java
@@ -18,8 +18,8 @@
   private static final int MIN_RETAINED_REMOVALS = 1000;
 
   /**
-   * Bits of a version that count the changes within one term; the term's number is in the bits
-   * above.
+   * The number of low bits of a version that count the changes within one term; the higher bits
+   * hold the term.
    */
   private static final int TERM_BITS = 20;
 
@@ -30,7 +30,7 @@
   private long completeFrom;
   private long version;
 
-  /** Returns the number of the last change. */
+  /** Returns the number of the last change of any assignment. */
   long version() {
     return version;
   }
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -31,7 +31,8 @@
   private static final int CALL_TIMEOUT_MS = 1500;
 
   /**
-   * The minimum time between two writes, so that machines that arrive together share a transaction.
+   * The minimum time between two transactions with assignments, so that machines that arrive
+   * together share one.
    */
   private static final int SAVE_INTERVAL_MS = 1000;
 
@@ -70,7 +71,7 @@
     this.onRecorded = onRecorded;
   }
 
-  /** Reports whether all assignments are stored. */
+  /** Reports whether all assignments are stored in the state service. */
   boolean isWritten() {
     return unsavedBuckets.isEmpty() && !saving;
   }
@@ -115,8 +116,8 @@
           assignment ->
               assignment.ifPresentOrElse(
                   assignments::add,
-                  // Left out here, the machine is assigned again when a heartbeat or the cloud's
-                  // list shows it.
+                  // A machine with an unreadable record is assigned again when a heartbeat or the
+                  // cloud's machine list contains it.
                   () -> context.reportUnreadableValue(entry.key())));
     }
     return assignments;
@@ -274,21 +275,29 @@
   // ---- writes as part of another transaction ---------------------------------------------------
 
   /**
-   * Marks buckets as being written by another transaction; no assignment is saved until it ends.
+   * Marks buckets as being written by the transaction of a {@link MachineTransfer}; no assignment
+   * is saved until that transaction ends.
    */
   void beginTransfer(Set<Integer> buckets) {
     saving = true;
     unsavedBuckets.removeAll(buckets);
   }
 
-  /** Records that the other transaction was committed at a revision. */
+  /**
+   * Records that the transaction of a {@link MachineTransfer} was committed.
+   *
+   * @param revision the revision of the written keys
+   */
   void commitTransfer(
       Map<Integer, List<AssignedMachine>> buckets, Set<String> keys, Revision revision) {
     saving = false;
     recordWritten(buckets, keys, revision);
   }
 
-  /** Schedules the buckets again after the other transaction was refused for good. */
+  /**
+   * Schedules a write of the buckets of a {@link MachineTransfer} whose transaction was refused for
+   * good.
+   */
   void cancelTransfer(Set<Integer> buckets) {
     saving = false;
     unsavedBuckets.addAll(buckets);
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -76,7 +76,10 @@
     rental.request(shard, requests);
   }
 
-  /** Returns the offers that are not requested at the moment, with the remaining time. */
+  /**
+   * Returns the offers that are not requested at the moment, with the time until they are requested
+   * again.
+   */
   List<UnavailableOffer> unavailableOffers() {
     return unavailable.describe();
   }
--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -26,7 +26,9 @@
   private static final int CALL_TIMEOUT_MS = 1500;
   private static final int HEARTBEAT_NOW_TIMEOUT_MS = 1000;
 
-  /** The pause before the state is loaded again after an allocation that was not committed. */
+  /**
+   * The pause before the leader's state is loaded again after an allocation that was not committed.
+   */
   private static final int RELOAD_PAUSE_MS = 200;
 
   private final StepContext context;
--- a/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Encodes the leader's name and process for the key that has no grant.
+   * Encodes the value of {@link Election#KEY} while the leader's grant is attached to another key.
    *
    * @param movedTo the key to which the leader's grant is attached
    * @param level the feature level in force
@@ -50,8 +50,9 @@
   }
 
   /**
-   * Returns the feature level in the value of a key without a grant; at least the lowest level with
-   * {@link Election#PROTECTED_KEY}.
+   * Returns the feature level in the value of {@link Election#KEY} while the leader's grant is
+   * attached to {@link Election#PROTECTED_KEY}; at least the lowest level at which that is the
+   * case.
    */
   static FeatureLevel readLevel(JsonNode value) {
     long level = Json.count(value.path(LEVEL));
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -78,7 +78,7 @@
     return loadedTerm.current();
   }
 
-  /** Returns the number of the last change. */
+  /** Returns the number of the last change of any assignment. */
   long version() {
     return changes.version();
   }
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListing.java
@@ -30,7 +30,7 @@
   /** The time between two readings of the machine list while no machine is assigned. */
   private static final long EMPTY_FLEET_INTERVAL_MS = 1000;
 
-  /** The pause before the next page of a reading that has to wait for the cloud's rate limit. */
+  /** The pause before a page is requested that the cloud's rate limit did not allow. */
   private static final long PAGE_RETRY_MS = 200;
 
   private static final long RETRY_MS = 2000;
@@ -41,7 +41,10 @@
    */
   private static final long RENTED_AGAIN_MS = 10_000;
 
-  /** Added to twice the list's lag, because a later list may be older than an earlier one. */
+  /**
+   * Added to twice the list's lag to get the time by which a list may be outdated; a list may be
+   * older than the one read before it.
+   */
   private static final long LAG_MARGIN_MS = 2000;
 
   /** The boot time of a machine whose type is unknown, in seconds. */
--- a/src/main/java/shorecrank/coordination/leader/MachineReleases.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineReleases.java
@@ -95,7 +95,7 @@
     released.values().removeIf(at -> now.since(at) > RELEASED_RETENTION_MS);
   }
 
-  /** Reports whether there are machines to release and no call is pending. */
+  /** Reports whether machines wait for their release and no call is pending. */
   boolean hasWork() {
     return !toRelease.isEmpty() && !callPending;
   }
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -23,8 +23,8 @@
   private static final int MAX_PENDING_CLAIMS = 8;
 
   /**
-   * The time in which the cloud's rate limit has to allow the rental of one owner's request;
-   * machines beyond that are not requested.
+   * A shard owner's request is cut to the number of machines that the cloud's rate limit allows
+   * within this time.
    */
   private static final int REQUEST_HORIZON_S = 60;
 
--- a/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
@@ -13,7 +13,7 @@
 
 /**
  * New assignments of machines that one transaction writes together with a change of the shares.
- * Until it ends, no other assignment is written.
+ * Until that transaction ends, no other assignment is written.
  */
 final class MachineTransfer {
   private final MachineDirectory directory;
--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -44,8 +44,9 @@
   /**
    * Reports whether an owner has been without the state service for too long.
    *
-   * <p>If this controller was cut off too, the time counts from when the state service answered it
-   * again: the owner then has as long to notice the end of an outage as its beginning.
+   * <p>After an outage that also affected this controller, the time counts from when the state
+   * service answered this controller again, so that the owner has the same time to notice the end
+   * of the outage.
    */
   private boolean hasLostStateService(ControllerState owner) {
     MonotonicTime since = owner.storeUnreachableSince();
--- a/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerSelection.java
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Returns the controller with the lowest load that can own a shard; the first by name of several,
-   * empty if there is none.
+   * Returns the controller with the lowest load that can own a shard; if several have the same
+   * load, the first by name. Empty if no controller can own a shard.
    */
   Optional<ControllerName> choose(ShardState shard) {
     ControllerName best = null;
--- a/src/main/java/shorecrank/coordination/leader/RolloutView.java
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -32,7 +32,8 @@
   }
 
   /**
-   * Passes the feature level to this process's own gate; called before any heartbeat is answered.
+   * Passes the feature level to this process's {@link FeatureGate}; called before any heartbeat is
+   * answered.
    */
   void updateGate() {
     if (rollout != null) {
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -45,7 +45,10 @@
     return epoch;
   }
 
-  /** Reports whether no process holds a lease of the shard or may be granted one. */
+  /**
+   * Reports whether the shard is vacant: no process holds its lease, and none may be granted it
+   * before an owner is assigned.
+   */
   boolean isVacant() {
     return vacant;
   }
--- a/src/main/java/shorecrank/coordination/leader/ShardTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardTable.java
@@ -22,6 +22,6 @@
   /** Reads shards and machines again, because the state in memory may be outdated. */
   void reload();
 
-  /** Allocates an epoch for a shard's present owner that is higher than {@code lowerBound}. */
+  /** Allocates an epoch above {@code lowerBound} for a shard's present owner. */
   void raiseEpochAbove(ShardId shard, Epoch lowerBound);
 }
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -217,7 +217,7 @@
         .orElse(null);
   }
 
-  /** Assignments of a move that {@link MachineTransfer} writes. */
+  /** New assignments of machines that are moved, written through {@link MachineTransfer}. */
   private record DirectoryHandover(MachineTransfer transfer) implements Handover {
     @Override
     public Set<MachineName> machines() {
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -15,12 +15,12 @@
  */
 final class SpareMachineAssigner implements MachineAssigner {
   /**
-   * Bits of a move's id that count the moves within one term; the term's number is in the bits
-   * above.
+   * The number of low bits of a move's id that count the moves within one term; the higher bits
+   * hold the term.
    */
   private static final int MOVE_ID_BITS = 20;
 
-  /** The need of a shard with queued tasks, in machines. */
+  /** Queued tasks raise a shard's need by this number of machines. */
   private static final int QUEUED_TASKS_NEED = 1000;
 
   private final StepContext context;
@@ -126,7 +126,9 @@
     }
   }
 
-  /** Moves a machine back to a shard whose tasks may run on it. */
+  /**
+   * Moves a machine back to a shard whose records name it, since that shard's tasks may run on it.
+   */
   private void reclaim(MachineName name, ShardId shard) {
     AssignedMachine machine = machines.get(name);
     boolean isAlreadyReclaimed =
--- a/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
+++ b/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
@@ -60,7 +60,10 @@
     refusals.remove(offer);
   }
 
-  /** Returns the offers that are not requested at the moment, with the remaining time. */
+  /**
+   * Returns the offers that are not requested at the moment, with the time until they are requested
+   * again.
+   */
   List<UnavailableOffer> describe() {
     List<UnavailableOffer> offers = new ArrayList<>();
     unavailableUntil.forEach(
--- a/src/test/java/shorecrank/coordination/leader/LeaderCodecsTest.java
+++ b/src/test/java/shorecrank/coordination/leader/LeaderCodecsTest.java
@@ -22,8 +22,8 @@
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 
 /**
- * Tests the stored values of the leader against literal text, since they have to stay readable by
- * fleets in production.
+ * Tests the leader's stored values against literal text, since the state service of fleets in
+ * production holds values in exactly this form.
  */
 class LeaderCodecsTest {
   private static final ControllerName LEADER = new ControllerName("n2");
