--- a/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochAllocator.java
@@ -18,15 +18,17 @@
 import shorecrank.storage.CommitResult.Committed;
 
 /**
- * Allocates epochs: a transaction raises the fleet's counter and writes down the owner that gets
- * the new epoch. One allocation is under way at a time, each guarded by the counter's revision, so
- * that no epoch is given twice.
+ * Allocates epochs: each transaction raises the fleet's epoch counter and stores the shard's owner
+ * under the new epoch. Only one allocation is pending at a time, and each is guarded by the
+ * counter's revision, so that no epoch is allocated twice.
  */
 final class EpochAllocator {
-  private static final int CALL_MS = 1500;
-  private static final int NUDGE_MS = 1000;
+  private static final int CALL_TIMEOUT_MS = 1500;
+  private static final int HEARTBEAT_NOW_TIMEOUT_MS = 1000;
 
-  /** After an allocation without success everything is loaded again after so long. */
+  /**
+   * The pause before the leader's state is loaded again after an allocation that was not committed.
+   */
   private static final int RELOAD_PAUSE_MS = 200;
 
   private final StepContext context;
@@ -39,25 +41,25 @@
   private boolean allocating;
 
   /**
-   * The term of the latest allocation, and its number: an earlier one's answer says nothing new.
+   * The term and the number of the latest allocation; answers to earlier allocations are ignored.
    */
   private Revision allocationTerm = Revision.ABSENT;
 
   private long allocations;
 
   /**
-   * Shards for which a new owner may yet be written down by a transaction without an answer. The
-   * next committed allocation settles it, since all are guarded by the counter's revision; before
-   * that the last owner gets no lease.
+   * Shards whose new owner may still be stored by a transaction without an answer. Until the next
+   * committed allocation, the last owner of such a shard gets no lease. That allocation settles the
+   * outcome, since all allocations are guarded by the counter's revision.
    */
-  private final Set<ShardId> ownerInDoubt = new TreeSet<>();
+  private final Set<ShardId> shardsInDoubt = new TreeSet<>();
 
   private Revision doubtTerm = Revision.ABSENT;
 
   /**
    * Creates an allocator.
    *
-   * @param onAllocated told of each shard that has a new epoch
+   * @param onAllocated called with each shard that has been given a new epoch
    */
   EpochAllocator(
       StepContext context,
@@ -72,19 +74,27 @@
     this.onAllocated = onAllocated;
   }
 
-  /** Takes the counter as it was read; {@link Revision#ABSENT} and 0 if there is none yet. */
+  /**
+   * Sets the counter to its stored value.
+   *
+   * @param revision the revision of the counter's key; {@link Revision#ABSENT} if the key does not
+   *     exist
+   * @param epoch the highest allocated epoch; 0 if the key does not exist
+   */
   void restore(Revision revision, long epoch) {
     counterRevision = revision;
     counter = epoch;
   }
 
-  /** The highest epoch of the fleet. */
+  /** Returns the highest epoch of the fleet. */
   long highest() {
     return counter;
   }
 
-  /** A term has been loaded: what was allocated under an earlier one is refused. */
-  void begin() {
+  /**
+   * Ends the pending allocation when a term has been loaded: a commit under an earlier term fails.
+   */
+  void beginTerm() {
     allocating = false;
   }
 
@@ -92,33 +102,35 @@
     return allocating;
   }
 
-  /** Whether an allocation of this term has no answer yet. */
+  /** Reports whether an allocation of the present term has no answer yet. */
   boolean isUnsettled() {
     return allocating && allocationTerm.equals(election.term());
   }
 
-  /** Marks shards as vacant of which it is not known who is written down as their owner. */
-  void vacateOwnersInDoubt(Revision term) {
+  /** Marks the shards as vacant whose stored owner is uncertain. */
+  void vacateShardsInDoubt(Revision term) {
     if (!term.equals(doubtTerm)) {
-      // What an earlier term sent is refused, for the leader's key has changed.
-      ownerInDoubt.clear();
+      // Allocations of an earlier term fail now, since the revision of the leader's key has
+      // changed.
+      shardsInDoubt.clear();
     }
-    ownerInDoubt.forEach(id -> shards.get(id).vacate());
+    shardsInDoubt.forEach(id -> shards.get(id).vacate());
   }
 
   /**
-   * Begins to allocate an epoch for a shard and its owner to be, unless another allocation is under
-   * way.
+   * Starts to allocate an epoch for a shard and its new owner; does nothing while another
+   * allocation is pending.
    *
-   * @param above an epoch below the new one, beside all that the counter knows of
+   * @param lowerBound the new epoch is higher than this epoch and than all allocated epochs
    */
-  void allocate(ShardId id, ShardState shard, ControllerName owner, WriterId writer, Epoch above) {
+  void allocate(
+      ShardId id, ShardState shard, ControllerName owner, WriterId writer, Epoch lowerBound) {
     if (allocating) {
       return;
     }
     allocating = true;
     shard.beginAllocation(writer);
-    Epoch next = new Epoch(Math.max(counter, above.value()) + 1);
+    Epoch next = new Epoch(Math.max(counter, lowerBound.value()) + 1);
     Allocation allocation =
         new Allocation(id, shard, new OwnerInfo(id, owner, next), writer, loadedTerm.current());
     allocationTerm = allocation.term();
@@ -133,7 +145,7 @@
         .store()
         .commit(
             transaction,
-            CALL_MS,
+            CALL_TIMEOUT_MS,
             result -> {
               if (number == allocations) {
                 handleResult(allocation, result);
@@ -141,7 +153,7 @@
             });
   }
 
-  /** An allocation under way. */
+  /** A pending allocation. */
   private record Allocation(
       ShardId id, ShardState shard, OwnerInfo owner, WriterId writer, Revision term) {}
 
@@ -152,12 +164,13 @@
     if (result.isUnknown()
         && thisTerm
         && !allocation.owner().controller().equals(allocation.shard().owner())) {
-      ownerInDoubt.add(allocation.id());
+      shardsInDoubt.add(allocation.id());
       doubtTerm = allocation.term();
     }
     if (result.isCommitted() && thisTerm) {
-      // Those before it were guarded by the counter's last revision.
-      ownerInDoubt.clear();
+      // Earlier allocations were guarded by the counter's last revision, so they can't be committed
+      // any more.
+      shardsInDoubt.clear();
     }
     if (!loadedTerm.isCurrent(allocation.term())) {
       return;
@@ -165,8 +178,9 @@
     if (result instanceof Committed committed) {
       complete(allocation, committed.revision());
     } else {
-      // Also without an answer: what the counter holds now is only known after a new look, and a
-      // later allocation behind the same guard is what settles it.
+      // Without a commit the counter's value and revision may be outdated, so they are read again.
+      // The next allocation is guarded by the revision read then: once it is committed, an
+      // allocation without an answer can't be any more.
       loadedTerm.discard();
       loadedTerm.postponeLoading(RELOAD_PAUSE_MS);
     }
@@ -178,16 +192,22 @@
     counter = owner.epoch().value();
     allocation
         .shard()
-        .assignOwner(owner.controller(), allocation.writer(), owner.epoch(), shards.leaseBound());
+        .assignOwner(
+            owner.controller(), allocation.writer(), owner.epoch(), shards.latestLeaseEnd());
     onAllocated.accept(allocation.id());
     context.info(
         "shard.epoch.allocated shard=%s epoch=%s owner=%s writer=%s",
         allocation.id(), owner.epoch(), owner.controller(), allocation.writer());
     context.count("epoch.minted");
-    // The owner begins at once, and the others can tell the workers where to go.
+    // Asks all controllers for a heartbeat at once: the answer gives the new owner its lease and
+    // tells the others where to redirect workers.
     for (Member member : context.config().members()) {
       context.callPeer(
-          member.label(), PeerPaths.HEARTBEAT_NOW, Json.object(), NUDGE_MS, (status, body) -> {});
+          member.label(),
+          PeerPaths.HEARTBEAT_NOW,
+          Json.object(),
+          HEARTBEAT_NOW_TIMEOUT_MS,
+          (status, body) -> {});
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
+++ b/src/main/java/shorecrank/coordination/leader/HeartbeatAnswerBuilder.java
@@ -7,7 +7,7 @@
 import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.MachineName;
 
-/** Puts together what the leader tells a controller in answer to its heartbeat. */
+/** Builds the leader's answers to the heartbeats of controllers. */
 final class HeartbeatAnswerBuilder {
   private final Election election;
   private final ShardLeaseTable shards;
@@ -34,25 +34,29 @@
     this.rollout = rollout;
   }
 
-  /** The answer to a heartbeat whose sender gets these leases. */
-  HeartbeatAnswer answer(Heartbeat heartbeat, List<Lease> leases) {
+  /**
+   * Builds the answer to a heartbeat.
+   *
+   * @param leases the leases that the sender is granted
+   */
+  HeartbeatAnswer build(Heartbeat heartbeat, List<Lease> leases) {
     List<OwnerInfo> owners = shards.owners();
     MachineDirectory.Changes changes =
-        machines.changesSince(heartbeat.assignmentVersion(), shards.isSingle());
-    List<MachineName> gone =
-        changes.whole()
-            ? releases.releasedLately()
+        machines.changesSince(heartbeat.assignmentVersion(), shards.isSingleShard());
+    List<MachineName> released =
+        changes.isComplete()
+            ? releases.recentlyReleased()
             : changes.removed().stream().filter(releases::wasReleased).toList();
     return new HeartbeatAnswer(
         election.term().value(),
-        controllers.isStateOkElsewhere(heartbeat.sender()),
+        controllers.isStoreReachableElsewhere(heartbeat.sender()),
         leases,
         owners,
         machines.version(),
-        changes.whole(),
+        changes.isComplete(),
         changes.assigned(),
         changes.removed(),
-        gone,
+        released,
         cloud.unavailableOffers(),
         rollout.notice());
   }
--- a/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
@@ -9,12 +9,12 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * Loads what a leader has to know before it acts: the epoch counter, the shards' owners and the
- * machines' assignments. It runs in a new term, and again in the same one after a write of unknown
- * outcome.
+ * Loads the state that a leader needs before it acts: the epoch counter, the shards' owners and the
+ * machine assignments. It runs at the start of a term, and again within a term after a write of
+ * unknown outcome.
  */
 final class LeaderRecovery {
-  private static final int CALL_MS = 1500;
+  private static final int CALL_TIMEOUT_MS = 1500;
   private static final int RETRY_MS = 300;
   private static final int MAX_SHARDS = 200;
 
@@ -30,7 +30,8 @@
   /**
    * Creates a recovery.
    *
-   * @param onLoaded run when everything was loaded and the term is in force
+   * @param onLoaded runs when everything has been loaded and the process still leads under the same
+   *     term
    */
   LeaderRecovery(
       StepContext context,
@@ -49,23 +50,25 @@
     this.onLoaded = onLoaded;
   }
 
-  /** Whether loading is under way. */
+  /** Reports whether loading is in progress. */
   boolean isLoading() {
     return loading;
   }
 
-  /** Begins to load under the election's present term. */
+  /** Starts to load under the election's present term. */
   void load() {
     loading = true;
     Revision term = election.term();
-    context.store().read(EpochCounterCodec.KEY, CALL_MS, result -> handleCounter(term, result));
+    context
+        .store()
+        .read(EpochCounterCodec.KEY, CALL_TIMEOUT_MS, result -> handleCounter(term, result));
   }
 
   private void handleCounter(Revision term, ReadResult result) {
     if (result instanceof ReadResult.Found found) {
       long epoch = EpochCounterCodec.read(found.entry().value());
       if (epoch < 0) {
-        // Taken for 0, epochs would begin again.
+        // Taking an unreadable counter for 0 would allocate epochs a second time.
         context.reportUnreadableValue(EpochCounterCodec.KEY);
         retryLater();
         return;
@@ -80,7 +83,11 @@
     context
         .store()
         .list(
-            ShardOwnerCodec.PREFIX, "", MAX_SHARDS, CALL_MS, owners -> handleOwners(term, owners));
+            ShardOwnerCodec.PREFIX,
+            "",
+            MAX_SHARDS,
+            CALL_TIMEOUT_MS,
+            owners -> handleOwners(term, owners));
   }
 
   private void handleOwners(Revision term, ListResult result) {
@@ -94,15 +101,12 @@
       ShardState shard = shards.get(owner.shard());
       if (shard != null) {
         // The last leader may have renewed the lease just before its term ended.
-        MonotonicTime leaseUntil = shards.leaseBound();
+        MonotonicTime leaseEnd = shards.latestLeaseEnd();
         shard.assignOwner(
-            owner.controller(),
-            ShardOwnerCodec.readWriter(entry.value()),
-            owner.epoch(),
-            leaseUntil);
+            owner.controller(), ShardOwnerCodec.readWriter(entry.value()), owner.epoch(), leaseEnd);
       }
     }
-    epochs.vacateOwnersInDoubt(term);
+    epochs.vacateShardsInDoubt(term);
     machines.load(loaded -> handleMachines(term, loaded));
   }
 
@@ -113,7 +117,7 @@
     }
     loading = false;
     if (election.term().equals(term) && election.isLeading()) {
-      loadedTerm.begin(term);
+      loadedTerm.markLoaded(term);
       onLoaded.run();
       context.info(
           "leader.term.loaded term=%s epoch=%d machines=%d",
--- a/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
@@ -12,29 +12,29 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.StoreMessages.Transaction;
 
-/** Machines and their assignments as the state service holds them, many to a value. */
+/** Encodes and decodes machines and their assignments for the state service, many to a value. */
 final class MachineRecordCodec {
   private static final String MACHINES = "m";
 
-  /** Fields of one machine, in their order. */
+  /** The positions of one machine's fields in its array. */
   private static final int NAME = 0;
 
   private static final int TYPE = 1;
   private static final int ZONE = 2;
   private static final int SPOT = 3;
   private static final int SHARD = 4;
-  private static final int TERM = 5;
+  private static final int EPOCH = 5;
 
   private MachineRecordCodec() {}
 
   /**
-   * One machine as it is written.
+   * One encoded machine.
    *
-   * @param bytes the length of its text
+   * @param bytes the size of its JSON text
    */
   record EncodedMachine(ArrayNode fields, int bytes) {}
 
-  /** A value of the state service, to which machines are added. */
+  /** A value of the state service to which encoded machines are added. */
   static final class EncodedValue {
     private final ArrayNode machines = Json.array();
 
@@ -42,7 +42,7 @@
       return machines.isEmpty();
     }
 
-    /** Adds a machine after those that were added before. */
+    /** Adds a machine at the end. */
     void add(EncodedMachine machine) {
       machines.add(machine.fields());
     }
@@ -63,14 +63,15 @@
             .add(machine.zone())
             .add(machine.spot())
             .add(assignment.shard().value())
-            .add(assignment.term().value());
+            .add(assignment.epoch().value());
     return new EncodedMachine(fields, Json.bytes(fields).length);
   }
 
   /**
-   * Passes on each machine of a value, in its order; empty for one that can't be read.
+   * Calls an action for each machine of a value, in order.
    *
-   * @param shards the number of shards, which bounds those of machines
+   * @param shards the number of shards of the fleet; machines of higher shards are malformed
+   * @param action receives each assignment; empty for a malformed one
    */
   static void readEach(JsonNode value, int shards, Consumer<Optional<StoredAssignment>> action) {
     for (JsonNode fields : value.path(MACHINES)) {
@@ -81,8 +82,8 @@
   private static Optional<StoredAssignment> read(JsonNode fields, int shards) {
     String name = Json.text(fields.path(NAME));
     long shard = Json.count(fields.path(SHARD));
-    long term = Json.count(fields.path(TERM));
-    if (name.isEmpty() || shard < 0 || shard >= shards || term < 0) {
+    long epoch = Json.count(fields.path(EPOCH));
+    if (name.isEmpty() || shard < 0 || shard >= shards || epoch < 0) {
       return Optional.empty();
     }
     MachineInfo machine =
@@ -91,6 +92,6 @@
             Json.text(fields.path(TYPE)),
             Json.text(fields.path(ZONE)),
             fields.path(SPOT).asBoolean());
-    return Optional.of(new StoredAssignment(machine, new ShardId((int) shard), new Epoch(term)));
+    return Optional.of(new StoredAssignment(machine, new ShardId((int) shard), new Epoch(epoch)));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineReleases.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineReleases.java
@@ -12,12 +12,12 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.Revision;
 
-/** Returns machines to the cloud, and remembers which it has returned. */
+/** Releases machines to the cloud, and remembers which were released. */
 final class MachineReleases {
-  /** Owners are told of a released machine for so long. */
-  private static final long TELL_RELEASED_MS = 60_000;
+  /** The time for which heartbeat answers that carry all assignments list a released machine. */
+  private static final long ANNOUNCE_RELEASED_MS = 60_000;
 
-  private static final long KEEP_RELEASED_MS = 600_000;
+  private static final long RELEASED_RETENTION_MS = 600_000;
 
   private final StepContext context;
   private final LoadedTerm loadedTerm;
@@ -26,7 +26,7 @@
   private final Map<MachineName, MonotonicTime> released = new HashMap<>();
   private final Set<MachineName> toRelease = new LinkedHashSet<>();
   private final Set<MachineName> releasing = new LinkedHashSet<>();
-  private boolean busy;
+  private boolean callPending;
 
   MachineReleases(
       StepContext context, LoadedTerm loadedTerm, MachineDirectory machines, CloudClient client) {
@@ -36,64 +36,73 @@
     this.client = client;
   }
 
-  /** A term has begun: what was to be returned is found again. */
-  void begin() {
+  /**
+   * Drops pending releases at the start of a term; owners and the machine list request them again.
+   */
+  void beginTerm() {
     toRelease.clear();
     releasing.clear();
-    busy = false;
+    callPending = false;
   }
 
-  /** The machine is to be returned; false if it is being returned, or is to be, already. */
+  /**
+   * Requests the release of a machine.
+   *
+   * @return false if the machine is already waiting for its release or being released
+   */
   boolean request(MachineName name) {
     return !releasing.contains(name) && toRelease.add(name);
   }
 
-  /** Whether the cloud was told to take the machine, and has not yet answered. */
+  /** Reports whether the release of a machine was sent to the cloud and has no answer yet. */
   boolean isReleasing(MachineName name) {
     return releasing.contains(name);
   }
 
-  /** Whether its release was answered: it is gone, with all that ran on it. */
+  /**
+   * Reports whether the release of a machine was confirmed: the machine and everything that ran on
+   * it is gone.
+   */
   boolean wasReleased(MachineName name) {
     return released.containsKey(name);
   }
 
-  /** When its release was answered; null if it was not. */
+  /** Returns when the release of a machine was confirmed; null if it was not. */
   MonotonicTime releasedAt(MachineName name) {
     return released.get(name);
   }
 
-  /** Machines whose release was answered lately. */
-  List<MachineName> releasedLately() {
+  /** Returns the machines whose release was confirmed lately. */
+  List<MachineName> recentlyReleased() {
     List<MachineName> lately = new ArrayList<>();
     released.forEach(
         (name, at) -> {
-          if (context.now().since(at) < TELL_RELEASED_MS) {
+          if (context.now().since(at) < ANNOUNCE_RELEASED_MS) {
             lately.add(name);
           }
         });
     return lately;
   }
 
-  /** A released machine is there again: it is to be returned once more. */
+  /** Requests another release of a released machine that exists again. */
   void releaseAgain(MachineName name) {
     released.remove(name);
     toRelease.add(name);
   }
 
-  /** Forgets what was released long ago. */
+  /** Forgets releases that were confirmed long ago. */
   void forgetOld(MonotonicTime now) {
-    released.values().removeIf(at -> now.since(at) > KEEP_RELEASED_MS);
+    released.values().removeIf(at -> now.since(at) > RELEASED_RETENTION_MS);
   }
 
-  /** Whether a call could be made now. */
+  /** Reports whether machines wait for their release and no call is pending. */
   boolean hasWork() {
-    return !toRelease.isEmpty() && !busy;
+    return !toRelease.isEmpty() && !callPending;
   }
 
-  /** Returns the machines that wait, as many as go into one call. */
+  /** Sends the release of the waiting machines, as many as one call takes. */
   void send() {
-    busy = true;
+    callPending = true;
     List<MachineName> batch = toRelease.stream().limit(CloudMessages.MAX_RELEASE).toList();
     batch.forEach(toRelease::remove);
     releasing.addAll(batch);
@@ -108,7 +117,7 @@
   }
 
   private void handleAnswer(List<MachineName> batch, boolean accepted) {
-    busy = false;
+    callPending = false;
     batch.forEach(releasing::remove);
     if (accepted) {
       batch.forEach(this::markReleased);
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -14,15 +14,25 @@
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Rents the machines that owners ask for, in calls that may be repeated without renting twice. */
+/**
+ * Rents the machines that shard owners request. Each call has an idempotency key, so that it can be
+ * repeated without renting more machines.
+ */
 final class MachineRental {
-  /** So many claims are under way at once. */
-  private static final int MAX_CLAIMS = 8;
+  /** The maximum number of calls that are pending at the same time. */
+  private static final int MAX_PENDING_CLAIMS = 8;
 
-  /** An owner's request for more machines than the cloud could rent in this time is cut there. */
+  /**
+   * A shard owner's request is cut to the number of machines that the cloud's rate limit allows
+   * within this time.
+   */
   private static final int REQUEST_HORIZON_S = 60;
 
-  /** A request to rent, under a name that is never used for another. */
+  /**
+   * A request to rent machines.
+   *
+   * @param name the idempotency key, which is never used for another request
+   */
   private record Claim(String name, Offer offer, int count, ShardId shard) {}
 
   private final StepContext context;
@@ -32,10 +42,10 @@
   private final MachineAdmission admission;
   private final ArrayDeque<Claim> waiting = new ArrayDeque<>();
 
-  /** Names of claims that may have been carried out. */
-  private final Set<String> tried = new HashSet<>();
+  /** The idempotency keys of requests without an answer, which may have been carried out. */
+  private final Set<String> claimsInDoubt = new HashSet<>();
 
-  private int underWay;
+  private int pendingClaims;
   private long claimNumber;
 
   MachineRental(
@@ -51,30 +61,36 @@
     this.admission = admission;
   }
 
-  /** A term has begun: what the last one rented is found in the machine list. */
-  void begin() {
+  /**
+   * Drops all requests at the start of a term; machines that the last leader rented appear in the
+   * machine list.
+   */
+  void beginTerm() {
     waiting.clear();
-    tried.clear();
-    underWay = 0;
+    claimsInDoubt.clear();
+    pendingClaims = 0;
   }
 
-  /** Whether nothing is being rented. */
+  /** Reports whether no request is waiting or pending. */
   boolean isIdle() {
-    return waiting.isEmpty() && underWay == 0;
+    return waiting.isEmpty() && pendingClaims == 0;
   }
 
-  /** Rents what an owner asks for, except kinds that were refused lately. */
+  /**
+   * Queues the rental of the machines that a shard's owner requests, except for offers that lately
+   * had no capacity.
+   */
   void request(ShardId shard, List<CapacityRequest> requests) {
     for (CapacityRequest request : requests) {
       if (request.count() <= 0 || unavailable.contains(request.offer())) {
         continue;
       }
-      int left = Math.min(request.count(), maxRequested());
-      while (left > 0) {
-        int count = Math.min(left, CloudMessages.MAX_RENT);
+      int remaining = Math.min(request.count(), maxRequested());
+      while (remaining > 0) {
+        int count = Math.min(remaining, CloudMessages.MAX_RENT);
         String name = "sc-" + loadedTerm.current() + "-" + ++claimNumber;
         waiting.add(new Claim(name, request.offer(), count, shard));
-        left -= count;
+        remaining -= count;
       }
     }
   }
@@ -84,15 +100,15 @@
     return (int) Math.max(1, calls) * CloudMessages.MAX_RENT;
   }
 
-  /** Sends the claims that wait, as the cloud's rate limit allows. */
+  /** Sends the waiting requests, as many as the cloud's rate limit allows. */
   void sendWaiting() {
-    while (!waiting.isEmpty() && underWay < MAX_CLAIMS && client.tryTake()) {
+    while (!waiting.isEmpty() && pendingClaims < MAX_PENDING_CLAIMS && client.tryTake()) {
       sendClaim(waiting.poll());
     }
   }
 
   private void sendClaim(Claim claim) {
-    underWay++;
+    pendingClaims++;
     Revision term = loadedTerm.current();
     client.rent(
         claim.name(),
@@ -100,7 +116,7 @@
         claim.count(),
         result -> {
           if (loadedTerm.isCurrent(term)) {
-            underWay--;
+            pendingClaims--;
             handleResult(claim, result);
           }
         });
@@ -110,14 +126,15 @@
     if (result instanceof RentResult.Rented rented) {
       handleRented(claim, rented.machines());
     } else if (result instanceof RentResult.NoCapacity) {
-      refuse(claim.offer());
+      suspendOffer(claim.offer());
     } else if (result instanceof RentResult.Malformed) {
       context.error("machine.rent.malformed claim=%s offer=%s", claim.name(), claim.offer());
-      refuse(claim.offer());
+      suspendOffer(claim.offer());
     } else {
-      // It may have been carried out: the same name again, and never another for it.
+      // The request may have been carried out, so it is repeated under the same idempotency key:
+      // another key could rent the machines twice.
       waiting.addFirst(claim);
-      tried.add(claim.name());
+      claimsInDoubt.add(claim.name());
       client.pause();
     }
   }
@@ -132,15 +149,17 @@
         "machine.rented claim=%s offer=%s rented=%d asked=%d",
         claim.name(), offer, names.size(), claim.count());
     if (names.size() < claim.count()) {
-      refuse(offer);
+      suspendOffer(offer);
     } else {
-      unavailable.granted(offer);
+      unavailable.recordSuccess(offer);
     }
   }
 
-  private void refuse(Offer offer) {
-    // Those not yet sent would be refused too; their owners ask for something else.
-    waiting.removeIf(claim -> claim.offer().equals(offer) && !tried.contains(claim.name()));
-    unavailable.refused(offer);
+  private void suspendOffer(Offer offer) {
+    // Requests for this offer that were not sent yet would fail too; their owners request another
+    // offer. Requests that may have been carried out stay, since only their answer names the
+    // machines.
+    waiting.removeIf(claim -> claim.offer().equals(offer) && !claimsInDoubt.contains(claim.name()));
+    unavailable.recordRefusal(offer);
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -7,18 +7,25 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Decides whether an owner that still sends heartbeats has to be replaced. */
+/** Detects shard owners that still send heartbeats but have to be replaced. */
 final class OwnerFailureDetector {
-  /** An owner without the state service, while others have it, is replaced after so long. */
-  private static final int STATE_LOST_MS = 2000;
+  /**
+   * The time after which an owner that can't reach the state service is replaced, if other
+   * controllers can.
+   */
+  private static final int STORE_UNREACHABLE_LIMIT_MS = 2000;
 
-  /** A shard is not moved again so soon because workers don't reach its owner. */
-  private static final int MOVE_PAUSE_MS = 20_000;
+  /**
+   * The minimum time between two replacements of a shard's owner because workers can't reach it.
+   */
+  private static final int REPLACEMENT_PAUSE_MS = 20_000;
 
-  /** An owner is not replaced for a single worker that it does not hear. */
+  /**
+   * The minimum number of unheard workers for a replacement; a single worker is no reason for one.
+   */
   private static final int MIN_UNHEARD = 2;
 
-  /** An owner that hears more than four of five of its workers is not replaced. */
+  /** An owner is replaced only if it doesn't hear at least 1/5 of its workers. */
   private static final int MIN_UNHEARD_DIVISOR = 5;
 
   private final StepContext context;
@@ -29,57 +36,65 @@
     this.controllers = controllers;
   }
 
-  /** Whether an owner alone is without the state service. */
+  /** Reports whether an owner can't reach the state service while other controllers can. */
   boolean lacksStateService(ControllerName name, ControllerState owner) {
-    return hasLostStateService(owner) && controllers.isStateOkElsewhere(name);
+    return hasLostStateService(owner) && controllers.isStoreReachableElsewhere(name);
   }
 
-  /** After an outage a controller gets as long to notice its end as it had for its beginning. */
+  /**
+   * Reports whether an owner has been without the state service for too long.
+   *
+   * <p>After an outage that also affected this controller, the time counts from when the state
+   * service answered this controller again, so that the owner has the same time to notice the end
+   * of the outage.
+   */
   private boolean hasLostStateService(ControllerState owner) {
-    MonotonicTime since = owner.stateLostSince();
+    MonotonicTime since = owner.storeUnreachableSince();
     if (since == MonotonicTime.NEVER) {
       return false;
     }
     if (since.isBefore(context.storeReachableSince())) {
       since = context.storeReachableSince();
     }
-    return context.now().since(since) > STATE_LOST_MS;
+    return context.now().since(since) > STORE_UNREACHABLE_LIMIT_MS;
   }
 
   /**
-   * Whether many workers don't reach a shard's owner but do reach other controllers, one of which
-   * all of them are likely to reach. Their leases would run out, although nothing is wrong with
-   * them.
+   * Reports whether many workers can't reach a shard's owner but reach other controllers, one of
+   * which is likely to be reachable for all of them. Without a new owner these workers' leases
+   * would expire although the workers are healthy.
    */
-  boolean isUnreached(ShardId id, ShardState shard, WorkerReachability workers) {
+  boolean isUnreachableForWorkers(ShardId id, ShardState shard, WorkerReachability workers) {
     if (workers.unheard() < MIN_UNHEARD
         || workers.unheard() * MIN_UNHEARD_DIVISOR < workers.expected()
-        || shard.sinceMovedMs(context.now()) < MOVE_PAUSE_MS) {
+        || shard.msSinceUnreachable(context.now()) < REPLACEMENT_PAUSE_MS) {
       return false;
     }
     int heardElsewhere = 0;
-    boolean betterOwner = false;
+    boolean hasReachableCandidate = false;
     for (Map.Entry<ControllerName, ControllerState> entry : controllers.entries()) {
       ControllerState controller = entry.getValue();
       if (entry.getKey().equals(shard.owner()) || !controllers.canServe(controller)) {
         continue;
       }
       heardElsewhere += controller.misroutedWorkers(id);
-      betterOwner |= isLikelyReached(entry.getKey(), shard.owner(), workers);
+      hasReachableCandidate |= isLikelyReachable(entry.getKey(), shard.owner(), workers);
     }
-    boolean halfHeardElsewhere = heardElsewhere * 2 >= workers.unheard();
-    return betterOwner && halfHeardElsewhere;
+    boolean isHalfHeardElsewhere = heardElsewhere * 2 >= workers.unheard();
+    return hasReachableCandidate && isHalfHeardElsewhere;
   }
 
   /**
-   * Whether an owner's workers are likely to reach another controller. Where few are unheard, a
-   * move is worth it only if it does not lose the others: to a zone that is neither theirs nor the
-   * owner's.
+   * Reports whether an owner's workers are likely to reach another controller.
+   *
+   * <p>If no more than two thirds of the workers are unheard, a replacement must not lose the
+   * remaining ones: the candidate must be in a zone other than the owner's and those of the unheard
+   * workers.
    */
-  private boolean isLikelyReached(
+  private boolean isLikelyReachable(
       ControllerName candidate, ControllerName owner, WorkerReachability workers) {
-    boolean twoThirdsUnheard = workers.unheard() * 3 > workers.expected() * 2;
-    if (twoThirdsUnheard) {
+    boolean areTwoThirdsUnheard = workers.unheard() * 3 > workers.expected() * 2;
+    if (areTwoThirdsUnheard) {
       return true;
     }
     String zone = controllers.zoneOf(candidate);
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -10,22 +10,24 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /**
- * Assigns machines that a shard leaves empty to a shard in which tasks wait. Orders are kept in
- * memory only: a new leader begins anew, and answers to an earlier leader's orders count for
- * nothing.
+ * Moves machines that a shard doesn't use to a shard with queued tasks. Moves are kept in memory
+ * only: a new leader starts without any, and ignores handovers for an earlier leader's moves.
  */
 final class SpareMachineAssigner implements MachineAssigner {
-  /** Each term has so many orders with ids of their own, as a power of two. */
-  private static final int ORDER_BITS = 20;
+  /**
+   * The number of low bits of a move's id that count the moves within one term; the higher bits
+   * hold the term.
+   */
+  private static final int MOVE_ID_BITS = 20;
 
-  /** Tasks that wait count as much as so many machines that a shard lacks. */
-  private static final int QUEUE_NEED = 1000;
+  /** Queued tasks raise a shard's need by this number of machines. */
+  private static final int QUEUED_TASKS_NEED = 1000;
 
   private final StepContext context;
   private final MachineDirectory machines;
   private final ShardTable shards;
   private Revision term = Revision.ABSENT;
-  private long orderNumber;
+  private long moveNumber;
 
   SpareMachineAssigner(StepContext context, MachineDirectory machines, ShardTable shards) {
     this.context = context;
@@ -37,7 +39,7 @@
   public void beginTerm() {
     if (!machines.term().equals(term)) {
       term = machines.term();
-      orderNumber = 0;
+      moveNumber = 0;
     }
   }
 
@@ -65,17 +67,20 @@
     return neediest();
   }
 
-  /** A shard in which tasks wait, and of these the one with the fewest machines. */
+  /**
+   * Returns the shard with queued tasks that has the fewest machines; the one with the fewest
+   * machines of all if no shard has queued tasks.
+   */
   private ShardId neediest() {
     ShardId best = new ShardId(0);
     if (shards.shards().size() == 1) {
       return best;
     }
-    long most = Long.MIN_VALUE;
+    long highestNeed = Long.MIN_VALUE;
     for (ShardId shard : shards.shards()) {
-      long need = (shards.hasQueue(shard) ? QUEUE_NEED : 0) - machines.count(shard);
-      if (need > most) {
-        most = need;
+      long need = (shards.hasQueuedTasks(shard) ? QUEUED_TASKS_NEED : 0) - machines.count(shard);
+      if (need > highestNeed) {
+        highestNeed = need;
         best = shard;
       }
     }
@@ -85,29 +90,30 @@
   @Override
   public void handleReport(ShardReport report) {
     if (!report.repeatsMoves()) {
-      // An earlier version may hand a machine back too early, and under an order that is over.
+      // An owner of an earlier version doesn't repeat the move's id, so its handover could be
+      // premature or belong to a move that has ended. Its machines are therefore kept.
       keepAll(report.shard());
       return;
     }
     for (MachineHandover handover : report.handovers()) {
       AssignedMachine machine = machines.get(handover.machine());
-      boolean asOrdered =
+      boolean isForRequestedMove =
           machine != null
               && machine.isHandoverRequested()
               && machine.move().equals(handover.move());
-      if (asOrdered && machine.shard().equals(report.shard())) {
+      if (isForRequestedMove && machine.shard().equals(report.shard())) {
         handOver(machine, report.shard());
       }
     }
     for (MachineName name : report.misplaced()) {
       reclaim(name, report.shard());
     }
-    if (!report.spareMachines().isEmpty() && hasQueueElsewhere(report.shard())) {
+    if (!report.spareMachines().isEmpty() && hasQueuedTasksElsewhere(report.shard())) {
       AssignedMachine machine = machines.get(report.spareMachines().get(0));
       if (machine != null
           && machine.shard().equals(report.shard())
           && !machine.isHandoverRequested()) {
-        machines.requestHandover(machine, nextOrder());
+        machines.requestHandover(machine, nextMoveId());
       }
     }
   }
@@ -120,12 +126,14 @@
     }
   }
 
-  /** A machine on which tasks of a shard may run goes back to that shard. */
+  /**
+   * Moves a machine back to a shard whose records name it, since that shard's tasks may run on it.
+   */
   private void reclaim(MachineName name, ShardId shard) {
     AssignedMachine machine = machines.get(name);
-    boolean known =
+    boolean isAlreadyReclaimed =
         machine != null && machine.isHandoverRequested() && shard.equals(machine.reclaimedBy());
-    if (machine == null || machine.shard().equals(shard) || known) {
+    if (machine == null || machine.shard().equals(shard) || isAlreadyReclaimed) {
       return;
     }
     context.info(
@@ -133,32 +141,32 @@
     context.count("machine.reclaimed");
     machine.reclaimFor(shard);
     if (!machine.isHandoverRequested()) {
-      machines.requestHandover(machine, nextOrder());
+      machines.requestHandover(machine, nextMoveId());
     }
   }
 
-  private MoveId nextOrder() {
-    return new MoveId((term.value() << ORDER_BITS) + ++orderNumber);
+  private MoveId nextMoveId() {
+    return new MoveId((term.value() << MOVE_ID_BITS) + ++moveNumber);
   }
 
-  private boolean hasQueueElsewhere(ShardId except) {
+  private boolean hasQueuedTasksElsewhere(ShardId except) {
     return shards.shards().stream()
-        .anyMatch(shard -> !shard.equals(except) && shards.hasQueue(shard));
+        .anyMatch(shard -> !shard.equals(except) && shards.hasQueuedTasks(shard));
   }
 
-  /** Assigns a machine that its shard has emptied to another, under an epoch above its last. */
+  /** Assigns a drained machine to another shard, under an epoch above the machine's last one. */
   private void handOver(AssignedMachine machine, ShardId from) {
     ShardId to = machine.reclaimedBy() != null ? machine.reclaimedBy() : neediest();
     if (to.equals(from)) {
       machines.keep(machine);
       return;
     }
-    Epoch last = Epoch.higher(machine.term(), shards.epoch(from));
+    Epoch last = Epoch.higher(machine.epoch(), shards.epoch(from));
     if (!shards.epoch(to).isAbove(last)) {
-      shards.raiseAbove(to, last);
+      shards.raiseEpochAbove(to, last);
       return;
     }
-    // Until the new assignment is written down and told, the machine is nobody's.
+    // No owner is told of the machine until its new assignment is stored.
     machines.remove(machine.name());
     machines.assign(machine.info(), to, shards.epoch(to));
   }
--- a/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
+++ b/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
@@ -10,9 +10,12 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.Revision;
 
-/** A controller that knows a version is told all later removals, or that it has to take all. */
+/**
+ * Tests that a controller which knows a version receives all later removals, or is told to take all
+ * assignments.
+ */
 class AssignmentChangeLogTest {
-  private static final int KEPT_REMOVALS = 1000;
+  private static final int RETAINED_REMOVALS = 1000;
 
   private final AssignmentChangeLog changes = new AssignmentChangeLog();
 
@@ -27,12 +30,12 @@
   }
 
   @Test
-  void tellsRemovalsAfterAVersionInTheirOrder() {
+  void returnsRemovalsAfterVersionInOrder() {
     changes.restart(new Revision(5));
     long known = changes.version();
-    changes.remove(machine(2), 0);
+    changes.addRemoval(machine(2), 0);
     changes.advance();
-    changes.remove(machine(1), 0);
+    changes.addRemoval(machine(1), 0);
 
     assertEquals(List.of(machine(2), machine(1)), removedAfter(known));
     assertEquals(List.of(machine(1)), removedAfter(known + 1));
@@ -41,7 +44,7 @@
   }
 
   @Test
-  void coversNeitherAnEarlierTermNorAVersionOfTheFuture() {
+  void coversNeitherEarlierTermNorFutureVersion() {
     changes.restart(new Revision(5));
     long earlier = changes.version();
     changes.restart(new Revision(6));
@@ -51,26 +54,26 @@
   }
 
   @Test
-  void aSecondLoadingInOneTermIsAboveAllThatWasTold() {
+  void versionRisesWhenSameTermIsLoadedAgain() {
     changes.restart(new Revision(5));
     changes.advance();
-    long told = changes.version();
+    long sentVersion = changes.version();
     changes.restart(new Revision(5));
 
-    assertTrue(changes.version() > told);
-    assertFalse(changes.covers(told));
+    assertTrue(changes.version() > sentVersion);
+    assertFalse(changes.covers(sentVersion));
   }
 
   @Test
-  void keepsAsManyRemovalsAsThereAreMachines() {
+  void keepsAsManyRemovalsAsMachines() {
     changes.restart(new Revision(5));
     long known = changes.version();
-    for (int i = 0; i <= KEPT_REMOVALS; i++) {
-      changes.remove(machine(i), KEPT_REMOVALS + 1);
+    for (int i = 0; i <= RETAINED_REMOVALS; i++) {
+      changes.addRemoval(machine(i), RETAINED_REMOVALS + 1);
     }
     assertTrue(changes.covers(known));
 
-    changes.remove(machine(KEPT_REMOVALS + 1), 0);
+    changes.addRemoval(machine(RETAINED_REMOVALS + 1), 0);
     assertFalse(changes.covers(known + 1));
     assertTrue(changes.covers(known + 2));
   }
--- a/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
@@ -15,32 +15,39 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 
-/** An owner is replaced for silence of workers only when others hear them. */
+/**
+ * Tests that an owner is replaced for workers that it doesn't hear only if other controllers hear
+ * them.
+ */
 class OwnerFailureDetectorTest {
   private static final ShardId SHARD = new ShardId(0);
 
   private final LeaderSteps steps = new LeaderSteps();
-  private final OwnerFailureDetector failures =
+  private final OwnerFailureDetector failureDetector =
       new OwnerFailureDetector(steps.context, steps.controllers);
 
-  private void ownedByN2() {
+  private void assignOwnerN2() {
     steps.step(
         () ->
             steps
                 .shards
                 .get(SHARD)
-                .assignOwner(N2, LeaderSteps.writer(N2), new Epoch(1), steps.shards.leaseBound()));
+                .assignOwner(
+                    N2, LeaderSteps.writer(N2), new Epoch(1), steps.shards.latestLeaseEnd()));
   }
 
-  private void unreached(boolean expected, WorkerReachability workers) {
+  private void assertUnreachableForWorkers(boolean expected, WorkerReachability workers) {
     steps.step(
         () ->
-            assertEquals(expected, failures.isUnreached(SHARD, steps.shards.get(SHARD), workers)));
+            assertEquals(
+                expected,
+                failureDetector.isUnreachableForWorkers(SHARD, steps.shards.get(SHARD), workers)));
   }
 
   @ParameterizedTest
   @CsvSource({
-    // expected, unheard, zones of the unheard, heard by n3, is unreached
+    // expected workers, unheard workers, zones of the unheard, unheard workers that n3 hears, is
+    // unreachable
     "10, 5, a, 3, true",
     "10, 5, a, 2, false",
     "10, 1, a, 9, false",
@@ -50,41 +57,49 @@
     "10, 7, b, 7, true",
     "10, 5, a b, 5, false",
   })
-  void workersThatN3HearsInsteadOfTheOwner(
-      int expected, int unheard, String zones, int heardElsewhere, boolean isUnreached) {
-    ownedByN2();
-    steps.heard(N2, true, Map.of());
-    steps.heard(N3, true, Map.of(SHARD, heardElsewhere));
+  void detectsOwnerWhoseWorkersAreHeardByN3(
+      int expected,
+      int unheard,
+      String zones,
+      int heardElsewhere,
+      boolean isUnreachableForWorkers) {
+    assignOwnerN2();
+    steps.receiveHeartbeat(N2, true, Map.of());
+    steps.receiveHeartbeat(N3, true, Map.of(SHARD, heardElsewhere));
 
     List<String> unreachableZones = Arrays.asList(zones.split(" "));
-    unreached(isUnreached, new WorkerReachability(expected, unheard, unreachableZones));
+    assertUnreachableForWorkers(
+        isUnreachableForWorkers, new WorkerReachability(expected, unheard, unreachableZones));
   }
 
   @Test
-  void notMovedAgainSoSoon() {
-    ownedByN2();
-    steps.step(() -> steps.shards.get(SHARD).revokeUnreached(List.of(), steps.context.now()));
+  void ownerIsNotReplacedAgainWithinPause() {
+    assignOwnerN2();
+    steps.step(() -> steps.shards.get(SHARD).revokeUnreachable(List.of(), steps.context.now()));
     WorkerReachability workers = new WorkerReachability(10, 5, List.of("a"));
 
     steps.after(19_999, () -> {});
-    steps.heard(N3, true, Map.of(SHARD, 5));
-    unreached(false, workers);
+    steps.receiveHeartbeat(N3, true, Map.of(SHARD, 5));
+    assertUnreachableForWorkers(false, workers);
     steps.after(1, () -> {});
-    unreached(true, workers);
+    assertUnreachableForWorkers(true, workers);
   }
 
   @ParameterizedTest
   @CsvSource({
-    // n1 reaches the state service, ms for which n2 has not, n2 is to be replaced
+    // n1 reaches the state service, ms since n2 lost it, n2 has to be replaced
     "true, 2000, false",
     "true, 2001, true",
     "false, 2001, false",
   })
-  void anOwnerAloneWithoutTheStateService(boolean leaderOk, long sinceMs, boolean isLacking) {
-    steps.heard(N1, leaderOk, Map.of());
-    steps.heard(N2, false, Map.of());
+  void detectsOwnerWithoutStateServiceWhileLeaderReachesIt(
+      boolean leaderReachesStore, long sinceMs, boolean isLacking) {
+    steps.receiveHeartbeat(N1, leaderReachesStore, Map.of());
+    steps.receiveHeartbeat(N2, false, Map.of());
     steps.after(
         sinceMs,
-        () -> assertEquals(isLacking, failures.lacksStateService(N2, steps.controllers.get(N2))));
+        () ->
+            assertEquals(
+                isLacking, failureDetector.lacksStateService(N2, steps.controllers.get(N2))));
   }
 }
--- a/src/test/java/shorecrank/coordination/leader/OwnerSelectionTest.java
+++ b/src/test/java/shorecrank/coordination/leader/OwnerSelectionTest.java
@@ -15,7 +15,10 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.rollout.FeatureGate;
 
-/** Shards are spread over controllers, then zones, and go to those that can serve them. */
+/**
+ * Tests that shards are spread over controllers, then over zones, and that only controllers which
+ * can serve a shard are chosen.
+ */
 class OwnerSelectionTest {
   private static final ShardId FIRST = new ShardId(0);
   private static final ShardId SECOND = new ShardId(1);
@@ -29,83 +32,83 @@
           steps.controllers,
           new RolloutView(steps.context, null, new FeatureGate()));
 
-  private void heard(ControllerName... controllers) {
+  private void receiveHeartbeats(ControllerName... controllers) {
     for (ControllerName controller : controllers) {
-      steps.heard(controller, true, Map.of());
+      steps.receiveHeartbeat(controller, true, Map.of());
     }
   }
 
-  private void chosen(ControllerName expected, ShardId shard) {
+  private void assertChosen(ControllerName expected, ShardId shard) {
     steps.step(
         () ->
             assertEquals(Optional.ofNullable(expected), selection.choose(steps.shards.get(shard))));
   }
 
-  private void own(ShardId shard, ControllerName owner) {
+  private void assignOwner(ShardId shard, ControllerName owner) {
     steps.step(
         () ->
             steps
                 .shards
                 .get(shard)
                 .assignOwner(
-                    owner, LeaderSteps.writer(owner), new Epoch(1), steps.shards.leaseBound()));
+                    owner, LeaderSteps.writer(owner), new Epoch(1), steps.shards.latestLeaseEnd()));
   }
 
   @Test
-  void ratherAnotherThanTheLeader() {
-    heard(N1, N2);
-    chosen(N2, FIRST);
+  void prefersOthersToLeader() {
+    receiveHeartbeats(N1, N2);
+    assertChosen(N2, FIRST);
   }
 
   @Test
-  void ratherTheLeaderThanOneWithAShard() {
-    heard(N1, N2);
-    own(SECOND, N2);
-    chosen(N1, FIRST);
+  void prefersLeaderToControllerWithShard() {
+    receiveHeartbeats(N1, N2);
+    assignOwner(SECOND, N2);
+    assertChosen(N1, FIRST);
   }
 
   @Test
-  void ratherInAZoneWithoutAShard() {
-    heard(N1, N2, N3);
-    own(SECOND, N1);
-    chosen(N3, FIRST);
+  void prefersZoneWithoutShard() {
+    receiveHeartbeats(N1, N2, N3);
+    assignOwner(SECOND, N1);
+    assertChosen(N3, FIRST);
   }
 
   @Test
-  void noneWithoutTheStateService() {
-    heard(N1, N3);
-    steps.heard(N2, false, Map.of());
-    steps.heard(N3, false, Map.of());
-    chosen(N1, FIRST);
+  void skipsControllersWithoutStateService() {
+    receiveHeartbeats(N1, N3);
+    steps.receiveHeartbeat(N2, false, Map.of());
+    steps.receiveHeartbeat(N3, false, Map.of());
+    assertChosen(N1, FIRST);
   }
 
   @Test
-  void noneThatIsSilent() {
-    heard(N1, N2);
+  void skipsControllersWithoutRecentHeartbeat() {
+    receiveHeartbeats(N1, N2);
     steps.after(4600, () -> {});
-    heard(N1);
-    chosen(N1, FIRST);
+    receiveHeartbeats(N1);
+    assertChosen(N1, FIRST);
   }
 
   @Test
-  void othersAreAwaitedForAMomentAtTheBeginningOfATerm() {
-    heard(N1);
-    chosen(null, FIRST);
+  void awaitsOtherControllersAtStartOfTerm() {
+    receiveHeartbeats(N1);
+    assertChosen(null, FIRST);
     steps.after(1500, () -> {});
-    chosen(null, FIRST);
+    assertChosen(null, FIRST);
     steps.after(1, () -> {});
-    chosen(N1, FIRST);
+    assertChosen(N1, FIRST);
   }
 
   @Test
-  void notAgainTheOwnerThatWorkersDidNotReachNorItsZoneOrTheirs() {
-    own(FIRST, N2);
-    steps.step(() -> steps.shards.get(FIRST).revokeUnreached(List.of("b"), steps.context.now()));
-    heard(N1, N2, N3, N4);
-    own(SECOND, N4);
-    chosen(N4, FIRST);
+  void avoidsUnreachableOwnerAndUnreachableZones() {
+    assignOwner(FIRST, N2);
+    steps.step(() -> steps.shards.get(FIRST).revokeUnreachable(List.of("b"), steps.context.now()));
+    receiveHeartbeats(N1, N2, N3, N4);
+    assignOwner(SECOND, N4);
+    assertChosen(N4, FIRST);
     steps.after(60_000, () -> {});
-    heard(N1, N2, N3, N4);
-    chosen(N2, FIRST);
+    receiveHeartbeats(N1, N2, N3, N4);
+    assertChosen(N2, FIRST);
   }
 }
