--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -11,10 +11,10 @@
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.CommitResult;
 
-/** Cancels jobs: the record's mark is committed before the user is told. */
+/** Handles cancellations: marks a job's record as cancelled, then confirms to the user. */
 public final class CancellationHandler {
   private static final int COMMIT_TIMEOUT_MS = 1500;
-  private static final int ATTEMPTS = 6;
+  private static final int MAX_ATTEMPTS = 6;
 
   private final StepContext context;
   private final CancellationLog cancellations;
@@ -34,20 +34,24 @@
     this.codec = new JobChangeCodec(context);
   }
 
-  /** Cancels the job of that name, which need not be one that a job can have. */
+  /**
+   * Cancels a job and answers the request.
+   *
+   * @param name the job id of the request's path; need not be a valid id
+   */
   public void cancel(UserRequest request, String name) {
     if (!JobSpec.isValidId(name)) {
-      replies.noSuchJob(request);
+      replies.sendNoSuchJob(request);
     } else if (!context.isStoreReachable()) {
-      replies.storeUnavailable(request);
+      replies.forwardOrRetryLater(request);
     } else if (replies.requireRequestBudget(request)) {
-      cancel(request, new JobId(name), ATTEMPTS);
+      cancel(request, new JobId(name), MAX_ATTEMPTS);
     }
   }
 
   private void cancel(UserRequest request, JobId id, int attemptsLeft) {
     if (attemptsLeft == 0) {
-      replies.later(request, RetryReason.RECORD_CONTENDED);
+      replies.sendRetryLater(request, RetryReason.RECORD_CONFLICT);
       return;
     }
     jobs.find(
@@ -56,33 +60,34 @@
           if (result instanceof LookupResult.Found found) {
             cancelStored(request, id, found.job(), attemptsLeft);
           } else if (result instanceof LookupResult.Absent) {
-            replies.noSuchJob(request);
+            replies.sendNoSuchJob(request);
           } else {
-            replies.storeUnavailable(request);
+            replies.forwardOrRetryLater(request);
           }
         });
   }
 
   private void cancelStored(UserRequest request, JobId id, StoredJob job, int attemptsLeft) {
     if (!(job instanceof Unfinished unfinished) || unfinished.record().cancelled()) {
-      knownJobs.state(request, id, job);
+      knownJobs.sendState(request, id, job);
     } else if (context.userWriteBudget().tryTake(1, context.now())) {
-      mark(request, id, unfinished, Form.PLAIN, attemptsLeft);
+      writeMark(request, id, unfinished, Form.PLAIN, attemptsLeft);
     } else {
-      replies.later(request, RetryReason.NO_WRITES_LEFT);
+      replies.sendRetryLater(request, RetryReason.WRITE_BUDGET_EXHAUSTED);
     }
   }
 
-  private void mark(UserRequest request, JobId id, Unfinished job, Form form, int attemptsLeft) {
+  private void writeMark(
+      UserRequest request, JobId id, Unfinished job, Form form, int attemptsLeft) {
     context
         .store()
         .commit(
-            codec.cancel(id, job, form),
+            codec.encodeCancellation(id, job, form),
             COMMIT_TIMEOUT_MS,
-            result -> marked(request, id, job, form, attemptsLeft, result));
+            result -> onMarkResult(request, id, job, form, attemptsLeft, result));
   }
 
-  private void marked(
+  private void onMarkResult(
       UserRequest request,
       JobId id,
       Unfinished job,
@@ -92,16 +97,16 @@
     if (result instanceof CommitResult.Committed) {
       context.count("job.cancelled");
       cancellations.recordConfirmed(id);
-      replies.state(request, id, JobState.CANCELLED);
+      replies.sendState(request, id, JobState.CANCELLED);
     } else if (result instanceof CommitResult.Conflict
         || (result instanceof CommitResult.Unknown unknown && unknown.status() == NO_ANSWER)) {
-      // Changed meanwhile, or not known: look again and write behind what is there now.
+      // The record has changed, or the outcome is unknown: read it again and retry.
       cancel(request, id, attemptsLeft - 1);
     } else if (result instanceof CommitResult.TooLarge && form == Form.PLAIN) {
-      // The record was written under larger limits.
-      mark(request, id, job, Form.COMPACT, attemptsLeft);
+      // The record was written while the state service took larger values.
+      writeMark(request, id, job, Form.COMPACT, attemptsLeft);
     } else {
-      replies.storeUnavailable(request);
+      replies.forwardOrRetryLater(request);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -11,42 +11,48 @@
 import shorecrank.protocol.UserMessages.JobState;
 
 /**
- * Looks up the jobs that a submission names as its dependencies.
+ * Checks that the dependencies of a submission are jobs that were accepted.
  *
- * <p>What was found is kept for a while: a submission that names more jobs than the budget of state
- * requests allows at once is answered "later", and goes on where it stopped when it is repeated.
+ * <p>Lookup results are cached for a while. If a submission has more dependencies than the budget
+ * of state requests allows to look up, the user is told to retry; the repeated submission then
+ * needs lookups only for the dependencies that are not cached.
  */
 final class DependencyAdmission {
-  private static final int MAX_KEPT = 10_000;
+  private static final int MAX_CACHED_JOBS = 10_000;
 
-  /** The most lookups of one submission that are under way at once. */
-  private static final int PARALLEL = 8;
+  /** Upper bound of the concurrent lookups for one submission. */
+  private static final int MAX_PARALLEL_LOOKUPS = 8;
 
   /**
-   * A job seen unfinished counts as not cancelled for this long. What is accepted meanwhile is
-   * cancelled by its owner, as if it had been accepted before the cancellation.
+   * For this long, a job that was seen unfinished is taken as not cancelled. If it is cancelled in
+   * the meantime, the shard owner cancels the submitted job, as it does with jobs that were
+   * accepted before the cancellation.
    */
-  private static final int FRESH_MS = 5000;
+  private static final int UNFINISHED_VALID_MS = 5000;
 
   private final StepContext context;
   private final JobLookup jobs;
 
-  /** When jobs were last seen in their records. */
-  private final Cache<JobId, MonotonicTime> unfinishedAt =
-      Caffeine.newBuilder().maximumSize(MAX_KEPT).executor(Runnable::run).build();
+  /** When the record of a job was last read and showed the job unfinished. */
+  private final Cache<JobId, MonotonicTime> lastSeenUnfinished =
+      Caffeine.newBuilder().maximumSize(MAX_CACHED_JOBS).executor(Runnable::run).build();
 
-  /** What is known of the named jobs. */
+  /** The outcome of checking a submission's dependencies. */
   sealed interface Result {
-    /** All were accepted. */
+    /**
+     * All dependencies are accepted jobs.
+     *
+     * @param hasCancelled whether one of them is cancelled
+     */
     record Accepted(boolean hasCancelled) implements Result {}
 
-    /** One was never accepted. */
+    /** The dependency {@code id} was never accepted. */
     record NeverAccepted(JobId id) implements Result {}
 
-    /** The state service did not answer. */
+    /** The state of a dependency could not be read from the state service. */
     record Unknown() implements Result {}
 
-    /** The budget of state requests is used up. */
+    /** The budget of state requests is exhausted. */
     record OutOfBudget() implements Result {}
   }
 
@@ -55,71 +61,76 @@
     this.jobs = jobs;
   }
 
-  /** Looks the named jobs up; the result comes exactly once, at once if all are known. */
-  void check(List<JobId> named, Consumer<Result> then) {
-    new Check(named, then).next();
+  /**
+   * Checks the dependencies of a submission.
+   *
+   * @param callback receives the result exactly once, before this method returns if all
+   *     dependencies are cached
+   */
+  void check(List<JobId> dependencies, Consumer<Result> callback) {
+    new Check(dependencies, callback).startLookups();
   }
 
-  /** The lookups of one submission. */
+  /** The check of one submission's dependencies. */
   private final class Check {
-    private final ArrayDeque<JobId> left;
-    private final Consumer<Result> then;
-    private int underWay;
+    private final ArrayDeque<JobId> remaining;
+    private final Consumer<Result> callback;
+    private int inFlight;
     private boolean hasCancelled;
-    private boolean isOver;
+    private boolean isFinished;
 
-    Check(List<JobId> named, Consumer<Result> then) {
-      this.left = new ArrayDeque<>(named);
-      this.then = then;
+    Check(List<JobId> dependencies, Consumer<Result> callback) {
+      this.remaining = new ArrayDeque<>(dependencies);
+      this.callback = callback;
     }
 
-    void next() {
-      while (!isOver && underWay < PARALLEL && !left.isEmpty()) {
-        JobId id = left.poll();
-        if (isSeenLately(id)) {
+    void startLookups() {
+      while (!isFinished && inFlight < MAX_PARALLEL_LOOKUPS && !remaining.isEmpty()) {
+        JobId id = remaining.poll();
+        if (wasSeenUnfinishedRecently(id)) {
           continue;
         }
         if (!context.requestBudget().has(1, context.now())) {
-          end(new Result.OutOfBudget());
+          finish(new Result.OutOfBudget());
           return;
         }
-        underWay++;
-        jobs.find(id, result -> read(id, result));
+        inFlight++;
+        jobs.find(id, result -> onLookupResult(id, result));
       }
-      if (!isOver && underWay == 0 && left.isEmpty()) {
-        end(new Result.Accepted(hasCancelled));
+      if (!isFinished && inFlight == 0 && remaining.isEmpty()) {
+        finish(new Result.Accepted(hasCancelled));
       }
     }
 
-    private boolean isSeenLately(JobId id) {
-      MonotonicTime at = unfinishedAt.getIfPresent(id);
-      return at != null && context.now().since(at) < FRESH_MS;
+    private boolean wasSeenUnfinishedRecently(JobId id) {
+      MonotonicTime at = lastSeenUnfinished.getIfPresent(id);
+      return at != null && context.now().since(at) < UNFINISHED_VALID_MS;
     }
 
-    private void read(JobId id, LookupResult result) {
+    private void onLookupResult(JobId id, LookupResult result) {
       if (result instanceof LookupResult.Found found) {
-        found(id, found.job().status().state());
+        onFound(id, found.job().status().state());
       } else if (result instanceof LookupResult.Absent) {
-        end(new Result.NeverAccepted(id));
+        finish(new Result.NeverAccepted(id));
       } else {
-        end(new Result.Unknown());
+        finish(new Result.Unknown());
       }
     }
 
-    private void found(JobId id, JobState state) {
-      underWay--;
+    private void onFound(JobId id, JobState state) {
+      inFlight--;
       if (state == JobState.CANCELLED) {
         hasCancelled = true;
       } else if (state != JobState.DONE) {
-        unfinishedAt.put(id, context.now());
+        lastSeenUnfinished.put(id, context.now());
       }
-      next();
+      startLookups();
     }
 
-    private void end(Result result) {
-      if (!isOver) {
-        isOver = true;
-        then.accept(result);
+    private void finish(Result result) {
+      if (!isFinished) {
+        isFinished = true;
+        callback.accept(result);
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
+++ b/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
@@ -15,21 +15,21 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.JobRecord;
 
-/** Encodes the changes of job records that users ask for, as transactions of the state service. */
+/** Encodes submissions and cancellations of jobs as transactions of the state service. */
 final class JobChangeCodec {
-  /** What an owner adds to a record with its first placement, at the most. */
-  private static final int OWNER_BYTES = 256;
+  /** Upper bound of the bytes that a shard owner adds to a record with its first placement. */
+  private static final int RESERVED_OWNER_BYTES = 256;
 
   private static final int BYTES_PER_KB = 1024;
 
   private final StepContext context;
 
-  /** The forms in which a record can be written. */
+  /** The encodings of a job record. */
   enum Form {
-    /** The one that every version reads. */
+    /** The encoding that every version reads. */
     PLAIN,
 
-    /** A smaller one. */
+    /** A smaller encoding, unknown to versions without job dependencies. */
     COMPACT
   }
 
@@ -38,11 +38,15 @@
   }
 
   /**
-   * The transaction that creates a job's first record, with room for what its owner adds; empty if
-   * no form of the record fits. The compact form is for jobs that name others: versions that know
-   * no such jobs don't read it.
+   * Returns the transaction that creates a job's first record, if the job has no record yet.
+   *
+   * <p>If the job has dependencies, the record has to leave room for what the shard owner adds, and
+   * is written in the compact form if the plain one is too large. Jobs without dependencies always
+   * have the plain form, since versions without job dependencies can't read the compact one.
+   *
+   * @return empty if the record is larger than the values that the state service takes
    */
-  Optional<Transaction> create(JobSpec spec) {
+  Optional<Transaction> encodeCreation(JobSpec spec) {
     JobRecord record =
         new JobRecord(
             spec,
@@ -61,11 +65,11 @@
     if (spec.dependencies().isEmpty()) {
       return bytes <= limit ? Optional.of(creation(spec.id(), value)) : Optional.empty();
     }
-    if (bytes + OWNER_BYTES <= limit) {
+    if (bytes + RESERVED_OWNER_BYTES <= limit) {
       return Optional.of(creation(spec.id(), value));
     }
     ObjectNode compact = record.writeCompact();
-    return Json.bytes(compact).length + OWNER_BYTES <= limit
+    return Json.bytes(compact).length + RESERVED_OWNER_BYTES <= limit
         ? Optional.of(creation(spec.id(), compact))
         : Optional.empty();
   }
@@ -78,10 +82,10 @@
   }
 
   /**
-   * The transaction that marks a job as cancelled. Epoch and writer stay the owner's; only the mark
-   * is added, guarded by the record's revision.
+   * Returns the transaction that marks a job's record as cancelled, guarded by the record's
+   * revision. The record's epoch and writer remain those of the shard owner.
    */
-  Transaction cancel(JobId id, Unfinished job, Form form) {
+  Transaction encodeCancellation(JobId id, Unfinished job, Form form) {
     JobRecord marked = job.record().marked();
     String key = JobRecord.liveKey(id);
     return new Transaction()
--- a/src/main/java/shorecrank/coordination/request/JobLookup.java
+++ b/src/main/java/shorecrank/coordination/request/JobLookup.java
@@ -21,65 +21,70 @@
 import shorecrank.storage.JobRecord.Final;
 import shorecrank.storage.ReadResult;
 
-/** Looks jobs up in the state service. What can never change again is kept. */
+/** Looks up jobs in the state service. Caches final records, which never change. */
 public final class JobLookup {
   private static final int READ_TIMEOUT_MS = 1500;
-  private static final int MAX_KEPT = 5000;
+  private static final int MAX_CACHED_JOBS = 5000;
 
   private final StepContext context;
   private final CancellationLog cancellations;
-  private final Cache<JobId, Final> finished = newCache();
+  private final Cache<JobId, Final> finalRecords = newCache();
 
-  /** The shards of jobs seen here, whose owners can be asked about them. */
+  /** The shards of jobs whose live record this controller has written or read. */
   private final Cache<JobId, ShardId> shards = newCache();
 
-  /** Creates a lookup that has seen no job. */
+  /**
+   * Creates a lookup with empty caches.
+   *
+   * @param cancellations records dependencies that are found to be cancelled
+   */
   public JobLookup(StepContext context, CancellationLog cancellations) {
     this.context = context;
     this.cancellations = cancellations;
   }
 
   private static <V> Cache<JobId, V> newCache() {
-    return Caffeine.newBuilder().maximumSize(MAX_KEPT).executor(Runnable::run).build();
+    return Caffeine.newBuilder().maximumSize(MAX_CACHED_JOBS).executor(Runnable::run).build();
   }
 
-  /** Notes which shard the job belongs to. */
+  /** Caches the shard of a job. */
   void rememberShard(JobSpec spec) {
     shards.put(spec.id(), ShardId.of(spec.team(), context.settings().shards()));
   }
 
-  /** The shard of a job that was seen here. */
+  /** Returns the shard of a job, or empty if it is not cached. */
   Optional<ShardId> findShard(JobId id) {
     return Optional.ofNullable(shards.getIfPresent(id));
   }
 
-  /** Whether the job is known to be over, so that a lookup needs no state request. */
+  /** Reports whether the job's final record is cached, so that a lookup needs no state request. */
   boolean isFinished(JobId id) {
-    return finished.getIfPresent(id) != null;
+    return finalRecords.getIfPresent(id) != null;
   }
 
   /**
-   * Looks a job up. The record of an unfinished job is read first: a job only ever moves from there
-   * to the final records, in one transaction, so one found in neither was not known when asked for.
+   * Looks up a job. Reads the live record first, then the final one: one transaction deletes the
+   * live record of a job that ends and writes the final one, so a job that has neither was not
+   * accepted when the lookup began.
    */
-  void find(JobId id, Consumer<LookupResult> then) {
+  void find(JobId id, Consumer<LookupResult> callback) {
     findRecord(
         id,
         result -> {
           if (result instanceof LookupResult.Found found
               && found.job() instanceof Unfinished waiting
-              && waiting.mayWait()) {
-            new DependencySearch(waiting, then).next();
+              && waiting.mayWaitForDependencies()) {
+            new DependencySearch(waiting, callback).searchNext();
           } else {
-            then.accept(result);
+            callback.accept(result);
           }
         });
   }
 
-  private void findRecord(JobId id, Consumer<LookupResult> then) {
-    Final end = finished.getIfPresent(id);
-    if (end != null) {
-      then.accept(new LookupResult.Found(new Finished(end)));
+  private void findRecord(JobId id, Consumer<LookupResult> callback) {
+    Final finalRecord = finalRecords.getIfPresent(id);
+    if (finalRecord != null) {
+      callback.accept(new LookupResult.Found(new Finished(finalRecord)));
       return;
     }
     String key = JobRecord.liveKey(id);
@@ -90,11 +95,11 @@
             READ_TIMEOUT_MS,
             result -> {
               if (result instanceof ReadResult.Found found) {
-                then.accept(readUnfinished(key, found.entry()));
+                callback.accept(readUnfinished(key, found.entry()));
               } else if (result instanceof ReadResult.Absent) {
-                findFinal(id, then);
+                findFinal(id, callback);
               } else {
-                then.accept(new LookupResult.Unknown());
+                callback.accept(new LookupResult.Unknown());
               }
             });
   }
@@ -109,9 +114,11 @@
     return new LookupResult.Found(new Unfinished(record, entry.revision()));
   }
 
-  private void findFinal(JobId id, Consumer<LookupResult> then) {
+  private void findFinal(JobId id, Consumer<LookupResult> callback) {
     String key = JobRecord.finalKey(id);
-    context.store().read(key, READ_TIMEOUT_MS, result -> then.accept(readFinal(id, key, result)));
+    context
+        .store()
+        .read(key, READ_TIMEOUT_MS, result -> callback.accept(readFinal(id, key, result)));
   }
 
   private LookupResult readFinal(JobId id, String key, ReadResult result) {
@@ -121,64 +128,63 @@
     if (!(result instanceof ReadResult.Found found)) {
       return new LookupResult.Unknown();
     }
-    Final end = Final.read(found.entry().value());
-    if (end == null) {
+    Final finalRecord = Final.read(found.entry().value());
+    if (finalRecord == null) {
       context.reportUnreadableValue(key);
       return new LookupResult.Unknown();
     }
-    finished.put(id, end);
-    return new LookupResult.Found(new Finished(end));
+    finalRecords.put(id, finalRecord);
+    return new LookupResult.Found(new Finished(finalRecord));
   }
 
   /**
-   * The search for a cancelled job among those that a waiting job needs. A job that waits is
-   * cancelled with any that it needs, directly or through others, whether or not its owner has
-   * written that yet.
+   * The search for a cancelled job among the transitive dependencies of a waiting job. If there is
+   * one, the waiting job counts as cancelled even before its shard owner has written that.
    */
   private final class DependencySearch {
     private final Unfinished waiting;
-    private final ArrayDeque<JobId> open;
-    private final Set<JobId> seen;
-    private final Consumer<LookupResult> then;
+    private final ArrayDeque<JobId> pending;
+    private final Set<JobId> visited;
+    private final Consumer<LookupResult> callback;
 
-    DependencySearch(Unfinished waiting, Consumer<LookupResult> then) {
+    DependencySearch(Unfinished waiting, Consumer<LookupResult> callback) {
       this.waiting = waiting;
-      this.open = new ArrayDeque<>(waiting.record().spec().dependencies());
-      this.seen = new HashSet<>(open);
-      this.then = then;
+      this.pending = new ArrayDeque<>(waiting.record().spec().dependencies());
+      this.visited = new HashSet<>(pending);
+      this.callback = callback;
     }
 
-    void next() {
-      JobId id = open.poll();
+    void searchNext() {
+      JobId id = pending.poll();
       if (id == null) {
-        then.accept(new LookupResult.Found(waiting));
+        callback.accept(new LookupResult.Found(waiting));
       } else if (cancellations.isKnown(id)) {
-        endCancelled();
+        finishCancelled();
       } else {
-        findRecord(id, result -> read(id, result));
+        findRecord(id, result -> onRead(id, result));
       }
     }
 
-    private void read(JobId id, LookupResult result) {
+    private void onRead(JobId id, LookupResult result) {
       if (result instanceof LookupResult.Unknown) {
-        then.accept(result);
+        callback.accept(result);
         return;
       }
       if (result instanceof LookupResult.Found found) {
         if (found.job().status().state() == JobState.CANCELLED) {
           cancellations.recordCancelled(id);
-          endCancelled();
+          finishCancelled();
           return;
         }
-        if (found.job() instanceof Unfinished needed && needed.mayWait()) {
-          needed.record().spec().dependencies().stream().filter(seen::add).forEach(open::add);
+        if (found.job() instanceof Unfinished needed && needed.mayWaitForDependencies()) {
+          needed.record().spec().dependencies().stream().filter(visited::add).forEach(pending::add);
         }
       }
-      next();
+      searchNext();
     }
 
-    private void endCancelled() {
-      then.accept(new LookupResult.Found(new CancelledWithDependency(waiting.record())));
+    private void finishCancelled() {
+      callback.accept(new LookupResult.Found(new CancelledWithDependency(waiting.record())));
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/request/KnownJobReplies.java
+++ b/src/main/java/shorecrank/coordination/request/KnownJobReplies.java
@@ -6,8 +6,8 @@
 import shorecrank.protocol.Ids.JobId;
 
 /**
- * Tells users of jobs found in the state service. Whoever is told that a job is cancelled counts on
- * the end of its tasks from then on, so that such an answer is a confirmed cancellation.
+ * Answers requests about jobs found in the state service. An answer that shows a job as cancelled
+ * is recorded as a confirmed cancellation, because the user may rely on its tasks being stopped.
  */
 final class KnownJobReplies {
   private final CancellationLog cancellations;
@@ -18,16 +18,16 @@
     this.replies = replies;
   }
 
-  /** Answers with the job's state alone. */
-  void state(UserRequest request, JobId id, StoredJob job) {
+  /** Answers with the job's state, without its task counts. */
+  void sendState(UserRequest request, JobId id, StoredJob job) {
     confirm(job);
-    replies.state(request, id, job.status().state());
+    replies.sendState(request, id, job.status().state());
   }
 
-  /** Answers with where the job stands. */
-  void status(UserRequest request, JobId id, StoredJob job) {
+  /** Answers with the job's state and task counts. */
+  void sendStatus(UserRequest request, JobId id, StoredJob job) {
     confirm(job);
-    replies.status(request, id, job.status());
+    replies.sendStatus(request, id, job.status());
   }
 
   private void confirm(StoredJob job) {
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -17,8 +17,8 @@
 import shorecrank.protocol.OperatorRequestCodec;
 
 /**
- * Operators' requests that only the leader can answer. Every controller takes them and passes them
- * on, so that the answer is the same wherever it is asked for.
+ * Answers operators' requests that only the leader can answer. Controllers that are not the leader
+ * forward them, so an operator can send them to any controller.
  */
 final class LeaderForwarder {
   private static final int FORWARD_TIMEOUT_MS = 3000;
@@ -34,7 +34,7 @@
    * Creates the forwarder of one feature.
    *
    * @param isEnabled whether the feature is enabled on this controller
-   * @param feature its name, for operators whose controller has it not enabled
+   * @param feature the feature's name, for error messages
    * @param option the command-line option that enables it
    */
   LeaderForwarder(
@@ -47,9 +47,9 @@
   }
 
   /**
-   * Refuses the request if the feature is not enabled here.
+   * Refuses the request if the feature is not enabled on this controller.
    *
-   * @return whether it is enabled, so that the request has yet to be answered
+   * @return whether the feature is enabled; if so, the request has not been answered
    */
   boolean requireEnabled(Input.Request request) {
     if (!isEnabled) {
@@ -64,22 +64,22 @@
   }
 
   /**
-   * Answers a request here, if this controller leads, or has the leader answer it.
+   * Answers a request on this controller if it is the leader, otherwise forwards it to the leader.
    *
-   * @param path of the request at the leader
-   * @param here run if this controller leads
+   * @param path the path of the forwarded request
+   * @param localAction answers the request; run if this controller is the leader
    */
-  void answer(Input.Request request, String path, Runnable here) {
+  void answerOrForward(Input.Request request, String path, Runnable localAction) {
     if (!requireEnabled(request)) {
       return;
     }
     ControllerName leader = election.leader();
     if (election.isHoldingKey()) {
-      here.run();
+      localAction.run();
     } else if (leader == null || leader.equals(context.config().label())) {
-      unknown(request, "no controller leads now");
+      replyUnknown(request, "no controller leads now");
     } else if (OperatorRequestCodec.isForwarded(Json.parse(request.body()))) {
-      unknown(request, context.config().label() + " does not lead any more");
+      replyUnknown(request, context.config().label() + " does not lead any more");
     } else {
       forward(request, path, leader);
     }
@@ -96,15 +96,19 @@
             request.reply(),
             status -> status != NO_ANSWER && status != NOT_FOUND,
             status ->
-                unknown(
+                replyUnknown(
                     request,
                     status == NO_ANSWER
                         ? "the leader, " + leader + ", does not answer"
                         : "the leader, " + leader + ", runs without " + feature));
   }
 
-  /** Nobody can tell now: the operator asks again. */
-  void unknown(Input.Request request, String reason) {
+  /**
+   * Answers that the result is not known now, and that the operator should repeat the request.
+   *
+   * @param reason why it is not known, for the operator
+   */
+  void replyUnknown(Input.Request request, String reason) {
     context.replyWithRetryAfter(
         request.reply(), UNAVAILABLE, OperatorRequestCodec.writeUnknown(reason), RETRY_AFTER_S);
   }
@@ -112,33 +116,40 @@
   /**
    * Answers with a status.
    *
-   * @param status null if the leader can't read it
-   * @param subject what it then can't read
+   * @param status null if the leader can't read the state behind it
+   * @param subject the name of that state, for the error message
    */
   <S> void replyStatus(Input.Request request, S status, MessageEncoder<S> encoder, String subject) {
     if (status == null) {
-      unknown(request, "the leader, " + context.config().label() + ", can't read the " + subject);
+      replyUnknown(
+          request, "the leader, " + context.config().label() + ", can't read the " + subject);
     } else {
       context.reply(request.reply(), OK, encoder.encode(status));
     }
   }
 
   /**
-   * Answers an order with what became of it.
+   * Answers an order with its outcome: {@code OK} if it was accepted, otherwise {@code CONFLICT}.
    *
-   * @param outcome null if that is not known
+   * @param outcome null if the outcome is not known
    */
   <T> void replyOutcome(
       Input.Request request, T outcome, Predicate<T> isAccepted, MessageEncoder<T> encoder) {
     if (outcome == null) {
-      unknown(request, "the leader is busy or got no answer: send the same order again");
+      replyUnknown(request, "the leader is busy or got no answer: send the same order again");
     } else {
       int status = isAccepted.test(outcome) ? OK : CONFLICT;
       context.reply(request.reply(), status, encoder.encode(outcome));
     }
   }
 
-  /** Refuses an order that makes no sense. */
+  /**
+   * Refuses a malformed order, counts it and logs it.
+   *
+   * @param metric the counter to increase
+   * @param event the event to log
+   * @param error the error message for the operator
+   */
   void refuseMalformed(Input.Request request, String metric, String event, String error) {
     context.reportRefusal(metric, event);
     context.reply(request.reply(), BAD_REQUEST, Json.error(error));
--- a/src/main/java/shorecrank/coordination/request/LookupResult.java
+++ b/src/main/java/shorecrank/coordination/request/LookupResult.java
@@ -1,13 +1,13 @@
 package shorecrank.coordination.request;
 
-/** What became of looking a job up in the state service. */
+/** The result of looking up a job in the state service. */
 sealed interface LookupResult {
-  /** The job is there. */
+  /** The job has a live or a final record. */
   record Found(StoredJob job) implements LookupResult {}
 
-  /** The job was never accepted. */
+  /** The job has no record: it was never accepted. */
   record Absent() implements LookupResult {}
 
-  /** Nothing is known of the job. */
+  /** The state service did not answer, or the record is unreadable. */
   record Unknown() implements LookupResult {}
 }
--- a/src/main/java/shorecrank/coordination/request/RetryReason.java
+++ b/src/main/java/shorecrank/coordination/request/RetryReason.java
@@ -1,24 +1,24 @@
 package shorecrank.coordination.request;
 
-/** Why a user is told to repeat a request later. */
+/** The reason why a user is told to repeat a request later. */
 enum RetryReason {
-  /** Neither this controller nor one that it knows reaches the state service. */
+  /** The state service answers neither this controller nor one that could take the request. */
   STORE_UNAVAILABLE("state service unavailable"),
 
-  /** The budget of state requests is used up. */
-  NO_REQUESTS_LEFT("state requests are used up"),
+  /** The budget of state requests is exhausted. */
+  REQUEST_BUDGET_EXHAUSTED("state requests are used up"),
 
-  /** The budget of state changes is used up. */
-  NO_WRITES_LEFT("state changes are used up"),
+  /** The budget of writes to the state service is exhausted. */
+  WRITE_BUDGET_EXHAUSTED("state changes are used up"),
 
-  /** The types of machines have not been read since this process began. */
-  NO_MACHINE_TYPES("machine types are not known yet"),
+  /** This process has not read the catalog of machine types yet. */
+  MACHINE_TYPES_UNKNOWN("machine types are not known yet"),
 
-  /** A job was there when its creation was refused, and was not when it was looked up. */
-  JOB_MOVED("try again"),
+  /** The creation of a job found an existing record, but the lookup after it found none. */
+  JOB_DISAPPEARED("try again"),
 
-  /** The job's record was changed by others at every attempt to change it. */
-  RECORD_CONTENDED("busy");
+  /** No attempt to write the job's record succeeded: it changed each time, or no answer came. */
+  RECORD_CONFLICT("busy");
 
   private static final String METRIC_PREFIX = "user.refused.";
 
@@ -30,12 +30,12 @@
     this.metric = METRIC_PREFIX + text.replace(' ', '_');
   }
 
-  /** What the user is told. */
+  /** Returns the error message for the user. */
   String text() {
     return text;
   }
 
-  /** The counter of such answers. */
+  /** Returns the name of the metric that counts answers with this reason. */
   String metric() {
     return metric;
   }
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -20,12 +20,15 @@
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.RolloutCoordinator;
 
-/** Operators' requests about rollouts, taken by every controller and answered by the leader. */
+/**
+ * Handles operators' requests about rollouts. Every controller accepts them; the leader answers
+ * those about status and orders, and every controller answers those for keys itself.
+ */
 public final class RolloutRequestHandler {
   private static final int READ_TIMEOUT_MS = 2000;
-  private static final int PAGE_KEYS = 200;
+  private static final int KEYS_PER_PAGE = 200;
 
-  /** What keys of the service consist of, so that none can change the path of the request. */
+  /** The allowed form of keys; others could alter the path of the request to the state service. */
   private static final Pattern KEY_CHARACTERS = Pattern.compile("[A-Za-z0-9/._-]+");
 
   private static final List<String> READABLE_PREFIXES =
@@ -40,7 +43,7 @@
   /**
    * Creates the handler of one controller.
    *
-   * @param rollout null if rollouts are not enabled here
+   * @param rollout null if rollouts are not enabled on this controller
    */
   public RolloutRequestHandler(StepContext context, Election election, RolloutCoordinator rollout) {
     this.context = context;
@@ -50,20 +53,20 @@
     this.rollout = rollout;
   }
 
-  /** Answers with the level in force and what the controllers support. */
+  /** Answers with the feature level in force and the levels that the controllers support. */
   public void status(Input.Request request) {
-    leader.answer(
+    leader.answerOrForward(
         request,
         OperatorPaths.ROLLOUT_STATUS,
         () -> leader.replyStatus(request, rollout.status(), RolloutCodec::writeStatus, "level"));
   }
 
-  /** Carries an operator's order out. */
+  /** Executes an operator's order and answers with its outcome. */
   public void order(Input.Request request) {
-    leader.answer(request, OperatorPaths.ROLLOUT_ORDERS, () -> carryOut(request));
+    leader.answerOrForward(request, OperatorPaths.ROLLOUT_ORDERS, () -> execute(request));
   }
 
-  private void carryOut(Input.Request request) {
+  private void execute(Input.Request request) {
     RolloutOrder order;
     try {
       order = RolloutOrderCodec.read(Json.parse(request.body()));
@@ -82,7 +85,7 @@
                 request, outcome, result -> result.accepted(), RolloutOrderCodec::writeOutcome));
   }
 
-  /** Answers with a page of keys: of the service, or of its archives, and no others. */
+  /** Answers with a page of the scheduler's keys or of those of its archives, and no others. */
   public void keys(Input.Request request) {
     if (!leader.requireEnabled(request)) {
       return;
@@ -96,11 +99,11 @@
     pages.forward(
         query.prefix(),
         query.after(),
-        PAGE_KEYS,
+        KEYS_PER_PAGE,
         READ_TIMEOUT_MS,
         request.reply(),
         () ->
-            leader.unknown(
+            leader.replyUnknown(
                 request, context.config().label() + " does not reach the state service"));
   }
 
--- a/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
@@ -12,7 +12,10 @@
 import shorecrank.protocol.ShareStatusCodec;
 import shorecrank.rebalance.MoveCoordinator;
 
-/** Operators' requests about shares, taken by every controller and answered by the leader. */
+/**
+ * Handles operators' requests about shares, the processors that each shard should have. Every
+ * controller accepts the requests; the leader answers them.
+ */
 public final class ShareRequestHandler {
   private final LeaderForwarder leader;
   private final MoveCoordinator moves;
@@ -20,27 +23,27 @@
   /**
    * Creates the handler of one controller.
    *
-   * @param moves null if shares are not enabled here
+   * @param moves null if shares are not enabled on this controller
    */
   public ShareRequestHandler(StepContext context, Election election, MoveCoordinator moves) {
     this.leader = new LeaderForwarder(context, election, moves != null, "shares", "--shares FILE");
     this.moves = moves;
   }
 
-  /** Answers with the shares and the moves under way. */
+  /** Answers with the shares of the shards and the machine moves in progress. */
   public void show(Input.Request request) {
-    leader.answer(
+    leader.answerOrForward(
         request,
         OperatorPaths.SHARES_STATUS,
         () -> leader.replyStatus(request, moves.status(), ShareStatusCodec::write, "moves"));
   }
 
-  /** Carries an operator's order out. */
+  /** Executes an operator's order and answers with its outcome. */
   public void order(Input.Request request) {
-    leader.answer(request, OperatorPaths.SHARES_ORDERS, () -> carryOut(request));
+    leader.answerOrForward(request, OperatorPaths.SHARES_ORDERS, () -> execute(request));
   }
 
-  private void carryOut(Input.Request request) {
+  private void execute(Input.Request request) {
     ShareOrder order;
     try {
       order = ShareOrderCodec.read(Json.parse(request.body()));
--- a/src/main/java/shorecrank/coordination/request/StatusHandler.java
+++ b/src/main/java/shorecrank/coordination/request/StatusHandler.java
@@ -11,8 +11,8 @@
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
- * Answers where a job stands. The owner of its shard is asked first, since that costs the state
- * service less; what it can't tell is looked up.
+ * Answers requests for the status of a job. Asks the shard owner first, to save requests to the
+ * state service, and reads the state service if the owner can't tell.
  */
 public final class StatusHandler {
   private final StepContext context;
@@ -22,11 +22,11 @@
   private final UserReplies replies;
   private final OwnerQuery owners;
 
-  /** Asks the owner of a shard, wherever it is. */
+  /** Queries the owner of a shard, on this or another controller. */
   @FunctionalInterface
   public interface OwnerQuery {
-    /** Asks where the job stands; the callback gets null if the owner can't tell. */
-    void query(ShardId shard, JobId job, StatusCallback then);
+    /** Queries the status of a job; the callback receives empty if the owner can't tell. */
+    void query(ShardId shard, JobId job, StatusCallback callback);
   }
 
   /** Creates the handler of one controller. */
@@ -44,10 +44,14 @@
     this.owners = owners;
   }
 
-  /** Answers for the job of that name, which need not be one that a job can have. */
+  /**
+   * Answers with the status of a job.
+   *
+   * @param name the job id of the request's path; need not be a valid id
+   */
   public void answer(UserRequest request, String name) {
     if (!JobSpec.isValidId(name)) {
-      replies.noSuchJob(request);
+      replies.sendNoSuchJob(request);
       return;
     }
     JobId id = new JobId(name);
@@ -55,11 +59,11 @@
     if (shard.isEmpty() || jobs.isFinished(id)) {
       answerFromStore(request, id);
     } else {
-      owners.query(shard.get(), id, status -> ownerAnswered(request, id, status));
+      owners.query(shard.get(), id, status -> onOwnerReply(request, id, status));
     }
   }
 
-  private void ownerAnswered(UserRequest request, JobId id, Optional<JobStatus> status) {
+  private void onOwnerReply(UserRequest request, JobId id, Optional<JobStatus> status) {
     if (status.isEmpty()) {
       answerFromStore(request, id);
       return;
@@ -67,13 +71,13 @@
     if (status.get().state() == JobState.CANCELLED) {
       cancellations.recordConfirmed(id);
     }
-    replies.status(request, id, status.get());
+    replies.sendStatus(request, id, status.get());
   }
 
   private void answerFromStore(UserRequest request, JobId id) {
     if (!jobs.isFinished(id)) {
       if (!context.isStoreReachable()) {
-        replies.storeUnavailable(request);
+        replies.forwardOrRetryLater(request);
         return;
       }
       if (!replies.requireRequestBudget(request)) {
@@ -84,11 +88,11 @@
         id,
         result -> {
           if (result instanceof LookupResult.Found found) {
-            knownJobs.status(request, id, found.job());
+            knownJobs.sendStatus(request, id, found.job());
           } else if (result instanceof LookupResult.Absent) {
-            replies.noSuchJob(request);
+            replies.sendNoSuchJob(request);
           } else {
-            replies.storeUnavailable(request);
+            replies.forwardOrRetryLater(request);
           }
         });
   }
--- a/src/main/java/shorecrank/coordination/request/StoredJob.java
+++ b/src/main/java/shorecrank/coordination/request/StoredJob.java
@@ -6,27 +6,30 @@
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.Final;
 
-/** A job as the state service has it. */
+/** A job as read from the state service. */
 sealed interface StoredJob {
-  /** Where the job stands. */
+  /** Returns the status that the job's user is told. */
   JobStatus status();
 
-  /** The job has a record among the unfinished ones. */
+  /** A job with a live record. */
   record Unfinished(JobRecord record, Revision revision) implements StoredJob {
     @Override
     public JobStatus status() {
       return record.jobStatus();
     }
 
-    /** Whether the job may wait for others: nothing of it was ever placed. */
-    boolean mayWait() {
+    /**
+     * Reports whether the job may still wait for its dependencies. A job of which a task was ever
+     * placed does not: all its dependencies were done by then.
+     */
+    boolean mayWaitForDependencies() {
       return !record.cancelled()
           && record.attemptCount() == 0
           && !record.spec().dependencies().isEmpty();
     }
   }
 
-  /** Its record is unchanged, but a job that it needs is cancelled, and so is this one. */
+  /** A job that is cancelled because a dependency is, although its live record is not marked. */
   record CancelledWithDependency(JobRecord record) implements StoredJob {
     @Override
     public JobStatus status() {
@@ -34,11 +37,11 @@
     }
   }
 
-  /** The job is over; nothing of it changes any more. */
-  record Finished(Final end) implements StoredJob {
+  /** A job that has ended, with its final record, which never changes. */
+  record Finished(Final finalRecord) implements StoredJob {
     @Override
     public JobStatus status() {
-      return end.jobStatus();
+      return finalRecord.jobStatus();
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -18,12 +18,12 @@
 import shorecrank.storage.CommitResult;
 
 /**
- * Accepts jobs. A submission is idempotent: one that is repeated, also at another controller, is
- * answered with the state of the job that the first has created.
+ * Handles submissions of jobs. Submissions are idempotent: a repeated one, also at another
+ * controller, is answered with the state of the job that the first one created.
  */
 public final class SubmissionHandler {
   private static final int CREATE_TIMEOUT_MS = 1500;
-  private static final int CREATE_ATTEMPTS = 2;
+  private static final int MAX_CREATE_ATTEMPTS = 2;
   private static final String TOO_LARGE = "its record is larger than the state service takes";
 
   private final StepContext context;
@@ -35,14 +35,21 @@
   private final DependencyAdmission dependencies;
   private final JobChangeCodec codec;
 
-  /** A submission whose record can be written. */
+  /**
+   * A submission that is acceptable as far as the job itself goes.
+   *
+   * @param creation the transaction that creates the job's record
+   */
   private record Submission(UserRequest request, JobSpec spec, Transaction creation) {
     JobId id() {
       return spec.id();
     }
   }
 
-  /** Creates a handler that accepts nothing before it knows the types of machines. */
+  /**
+   * Creates a handler that answers submissions with "retry later" until {@link #updateCatalog} is
+   * called.
+   */
   public SubmissionHandler(
       StepContext context, CancellationLog cancellations, JobLookup jobs, UserReplies replies) {
     this.context = context;
@@ -55,58 +62,59 @@
     this.codec = new JobChangeCodec(context);
   }
 
-  /** The types of machines that can be rented have been read. */
+  /** Updates the machine types that can be rented, by name. */
   public void updateCatalog(Map<String, MachineType> types) {
     rules.updateCatalog(types);
   }
 
-  /** Answers a submission. */
+  /** Validates a submission, creates the job's record and answers the request. */
   public void submit(UserRequest request) {
     JobSpec spec;
     try {
       spec = JobSpecCodec.read(Json.parse(request.body()));
     } catch (MalformedMessageException e) {
-      replies.malformed(request, e.getMessage());
+      replies.sendMalformed(request, e.getMessage());
       return;
     }
     if (!rules.isReady()) {
-      replies.later(request, RetryReason.NO_MACHINE_TYPES);
+      replies.sendRetryLater(request, RetryReason.MACHINE_TYPES_UNKNOWN);
       return;
     }
-    Optional<String> obstacle = rules.findObstacle(spec);
-    if (obstacle.isPresent()) {
-      refuse(request, spec, obstacle.get());
+    Optional<String> rejection = rules.findRejectionReason(spec);
+    if (rejection.isPresent()) {
+      refuse(request, spec, rejection.get());
     } else if (!context.isStoreReachable()) {
-      replies.storeUnavailable(request);
+      replies.forwardOrRetryLater(request);
     } else {
-      Optional<Transaction> creation = codec.create(spec);
+      Optional<Transaction> creation = codec.encodeCreation(spec);
       if (creation.isEmpty()) {
         refuse(request, spec, TOO_LARGE);
       } else {
         Submission submission = new Submission(request, spec, creation.get());
-        dependencies.check(spec.dependencies(), result -> dependenciesChecked(submission, result));
+        dependencies.check(
+            spec.dependencies(), result -> onDependenciesChecked(submission, result));
       }
     }
   }
 
   /**
-   * Only jobs that were accepted may be named. One that names a cancelled job is accepted, and is
-   * cancelled.
+   * Creates the job if all its dependencies were accepted. A job with a cancelled dependency is
+   * accepted too, and is cancelled from the start.
    */
-  private void dependenciesChecked(Submission submission, Result result) {
+  private void onDependenciesChecked(Submission submission, Result result) {
     if (result instanceof Result.Accepted accepted) {
       if (context.userWriteBudget().tryTake(1, context.now())) {
         JobState state = accepted.hasCancelled() ? JobState.CANCELLED : JobState.QUEUED;
-        create(submission, state, CREATE_ATTEMPTS);
+        create(submission, state, MAX_CREATE_ATTEMPTS);
       } else {
-        replies.later(submission.request, RetryReason.NO_WRITES_LEFT);
+        replies.sendRetryLater(submission.request, RetryReason.WRITE_BUDGET_EXHAUSTED);
       }
     } else if (result instanceof Result.NeverAccepted never) {
       refuse(submission.request, submission.spec, "needs a job never accepted: " + never.id());
     } else if (result instanceof Result.OutOfBudget) {
-      replies.later(submission.request, RetryReason.NO_REQUESTS_LEFT);
+      replies.sendRetryLater(submission.request, RetryReason.REQUEST_BUDGET_EXHAUSTED);
     } else if (result instanceof Result.Unknown) {
-      replies.storeUnavailable(submission.request);
+      replies.forwardOrRetryLater(submission.request);
     }
   }
 
@@ -117,27 +125,27 @@
         .commit(
             submission.creation,
             CREATE_TIMEOUT_MS,
-            result -> created(submission, state, attemptsLeft, result));
+            result -> onCreateResult(submission, state, attemptsLeft, result));
   }
 
-  private void created(
+  private void onCreateResult(
       Submission submission, JobState state, int attemptsLeft, CommitResult result) {
     if (result instanceof CommitResult.Committed) {
       context.count("job.accepted");
       if (state == JobState.CANCELLED) {
         cancellations.recordConfirmed(submission.id());
       }
-      replies.accepted(submission.request, submission.id(), state);
+      replies.sendAccepted(submission.request, submission.id(), state);
     } else if (result instanceof CommitResult.Conflict) {
       jobs.find(submission.id(), found -> answerExisting(submission, found));
     } else if (result instanceof CommitResult.TooLarge) {
-      // The state service takes less than it has announced.
+      // The state service takes smaller values than the configured limit.
       refuse(submission.request, submission.spec, TOO_LARGE);
     } else if (isUnanswered(result) && attemptsLeft > 1) {
-      // It may have been accepted, or be yet: the same guard settles that.
+      // The record may have been written, or may still be: if so, the retry ends in a conflict.
       create(submission, state, attemptsLeft - 1);
     } else {
-      replies.storeUnavailable(submission.request);
+      replies.forwardOrRetryLater(submission.request);
     }
   }
 
@@ -147,28 +155,28 @@
 
   private void answerExisting(Submission submission, LookupResult result) {
     if (result instanceof LookupResult.Found found) {
-      knownJobs.state(submission.request, submission.id(), found.job());
+      knownJobs.sendState(submission.request, submission.id(), found.job());
     } else if (result instanceof LookupResult.Absent) {
-      replies.later(submission.request, RetryReason.JOB_MOVED);
+      replies.sendRetryLater(submission.request, RetryReason.JOB_DISAPPEARED);
     } else {
-      replies.storeUnavailable(submission.request);
+      replies.forwardOrRetryLater(submission.request);
     }
   }
 
   /**
-   * Refuses a submission that can never be accepted. Limits may have changed since the job was
-   * accepted: a known one is answered as such.
+   * Refuses a submission that can never be accepted. If the job exists, it was accepted under other
+   * limits; the answer is then its state.
    */
   private void refuse(UserRequest request, JobSpec spec, String reason) {
     jobs.find(
         spec.id(),
         result -> {
           if (result instanceof LookupResult.Found found) {
-            knownJobs.state(request, spec.id(), found.job());
+            knownJobs.sendState(request, spec.id(), found.job());
           } else if (result instanceof LookupResult.Absent) {
-            replies.unacceptable(request, reason);
+            replies.sendUnacceptable(request, reason);
           } else {
-            replies.storeUnavailable(request);
+            replies.forwardOrRetryLater(request);
           }
         });
   }
--- a/src/main/java/shorecrank/coordination/request/SubmissionRules.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionRules.java
@@ -8,7 +8,7 @@
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.JobSpec;
 
-/** Which submissions can never be accepted, whatever the state of the fleet. */
+/** Finds submissions that can never be accepted, whatever the state of the fleet. */
 final class SubmissionRules {
   private final StepContext context;
   private Map<String, MachineType> machineTypes = Map.of();
@@ -17,18 +17,18 @@
     this.context = context;
   }
 
-  /** The types of machines that can be rented have been read. */
+  /** Updates the machine types that can be rented, by name. */
   void updateCatalog(Map<String, MachineType> types) {
     machineTypes = types;
   }
 
-  /** Whether the types of machines are known, without which nothing can be decided. */
+  /** Reports whether the machine types are known; without them no submission can be judged. */
   boolean isReady() {
     return !machineTypes.isEmpty();
   }
 
-  /** Why the job can never run; empty if it can. */
-  Optional<String> findObstacle(JobSpec spec) {
+  /** Returns the reason why the job can never run, or empty if it can. */
+  Optional<String> findRejectionReason(JobSpec spec) {
     Team team = context.config().teams().get(spec.team());
     if (team == null) {
       return Optional.of("unknown team " + spec.team());
--- a/src/main/java/shorecrank/coordination/request/UserReplies.java
+++ b/src/main/java/shorecrank/coordination/request/UserReplies.java
@@ -14,7 +14,10 @@
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.protocol.UserMessages.JobStatus;
 
-/** Answers to users, and what happens when this controller can't give one. */
+/**
+ * Sends answers to users. Forwards requests to another controller if the state service does not
+ * answer this one.
+ */
 public final class UserReplies {
   private static final int RETRY_AFTER_S = 1;
   private static final String NO_SUCH_JOB = "no such job";
@@ -22,82 +25,84 @@
   private final StepContext context;
   private final Forwarder forwarder;
 
-  /** Passes a request on to a controller that reaches the state service. */
+  /** Forwards a request to a controller that reaches the state service. */
   @FunctionalInterface
   public interface Forwarder {
     /**
-     * Passes the request on if there is such a controller, whose answer then goes to the user.
+     * Forwards the request if such a controller is known; its answer goes to the user.
      *
-     * @param failed run if the other controller does not answer it
-     * @return false if there is no such controller; the request is then not answered
+     * @param onFailure run if the other controller does not answer the request
+     * @return false if no such controller is known; the request has then not been answered
      */
-    boolean forward(UserRequest request, Runnable failed);
+    boolean forward(UserRequest request, Runnable onFailure);
   }
 
-  /** Creates the answers of one controller. */
+  /** Creates the replies of one controller. */
   public UserReplies(StepContext context, Forwarder forwarder) {
     this.context = context;
     this.forwarder = forwarder;
   }
 
-  /** The job has been accepted. */
-  void accepted(UserRequest request, JobId job, JobState state) {
+  /** Answers that the job has been accepted. */
+  void sendAccepted(UserRequest request, JobId job, JobState state) {
     context.reply(request.reply(), CREATED, JobStatusCodec.writeState(job, state));
   }
 
-  /** The state of a job that is known already. */
-  void state(UserRequest request, JobId job, JobState state) {
+  /** Answers with the state of an existing job. */
+  void sendState(UserRequest request, JobId job, JobState state) {
     context.reply(request.reply(), OK, JobStatusCodec.writeState(job, state));
   }
 
-  /** Where a job stands. */
-  void status(UserRequest request, JobId job, JobStatus status) {
+  /** Answers with the status of a job: its state and task counts. */
+  void sendStatus(UserRequest request, JobId job, JobStatus status) {
     context.reply(request.reply(), OK, JobStatusCodec.writeStatus(job, status));
   }
 
-  /** The job was never accepted. */
-  void noSuchJob(UserRequest request) {
+  /** Answers that the job was never accepted. */
+  void sendNoSuchJob(UserRequest request) {
     context.reply(request.reply(), NOT_FOUND, Json.error(NO_SUCH_JOB));
   }
 
-  /** The request makes no sense. */
-  void malformed(UserRequest request, String reason) {
+  /** Answers that the request is malformed. */
+  void sendMalformed(UserRequest request, String reason) {
     context.reply(request.reply(), BAD_REQUEST, Json.error(reason));
   }
 
-  /** The submission can never be accepted. */
-  void unacceptable(UserRequest request, String reason) {
+  /** Answers that the submission can never be accepted. */
+  void sendUnacceptable(UserRequest request, String reason) {
     context.reply(request.reply(), UNPROCESSABLE, Json.error(reason));
   }
 
-  /** The user is to repeat the request. */
-  void later(UserRequest request, RetryReason reason) {
+  /** Tells the user to repeat the request later. */
+  void sendRetryLater(UserRequest request, RetryReason reason) {
     context.count(reason.metric());
     context.replyWithRetryAfter(
         request.reply(), UNAVAILABLE, Json.error(reason.text()), RETRY_AFTER_S);
   }
 
   /**
-   * The state service does not answer this controller. Another may still reach it; then that one
-   * answers.
+   * Forwards a request that needs the state service while the service does not answer this
+   * controller. Tells the user to retry if no controller can take the request, or if the request
+   * was forwarded before.
    */
-  void storeUnavailable(UserRequest request) {
+  void forwardOrRetryLater(UserRequest request) {
     if (request.isForwarded()
-        || !forwarder.forward(request, () -> later(request, RetryReason.STORE_UNAVAILABLE))) {
-      later(request, RetryReason.STORE_UNAVAILABLE);
+        || !forwarder.forward(
+            request, () -> sendRetryLater(request, RetryReason.STORE_UNAVAILABLE))) {
+      sendRetryLater(request, RetryReason.STORE_UNAVAILABLE);
     }
   }
 
   /**
-   * Answers the request if the budget of state requests is used up.
+   * Tells the user to retry if the budget of state requests is exhausted.
    *
-   * @return whether a request is left, so that the user has yet to be answered
+   * @return whether a state request is left; if so, the user's request has not been answered
    */
   boolean requireRequestBudget(UserRequest request) {
     if (context.requestBudget().has(1, context.now())) {
       return true;
     }
-    later(request, RetryReason.NO_REQUESTS_LEFT);
+    sendRetryLater(request, RetryReason.REQUEST_BUDGET_EXHAUSTED);
     return false;
   }
 }
--- a/src/main/java/shorecrank/coordination/request/UserRequest.java
+++ b/src/main/java/shorecrank/coordination/request/UserRequest.java
@@ -1,11 +1,12 @@
 package shorecrank.coordination.request;
 
 /**
- * A user's request.
+ * An HTTP request of a user.
  *
- * @param reply where the answer goes
- * @param path without a query
- * @param isForwarded whether another controller passed it on, so that it is not passed on again
+ * @param reply the handle under which the answer is sent
+ * @param path the path without the query string
+ * @param isForwarded whether another controller forwarded the request; it is then not forwarded
+ *     again
  */
 public record UserRequest(
     long reply, String method, String path, byte[] body, boolean isForwarded) {}
--- a/src/test/java/shorecrank/coordination/request/JobLookupTest.java
+++ b/src/test/java/shorecrank/coordination/request/JobLookupTest.java
@@ -23,10 +23,10 @@
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.storage.JobRecord;
 
-/** What the state service tells of a job, and of the jobs that a submission names. */
+/** Tests the lookup of jobs, and the admission of submissions by their dependencies. */
 class JobLookupTest {
   private static final JobId JOB = new JobId("wk-1");
-  private static final JobId NEEDED = new JobId("wk-2");
+  private static final JobId DEPENDENCY = new JobId("wk-2");
 
   private final StepDriver driver = new StepDriver();
   private final CancellationLog cancellations =
@@ -34,7 +34,7 @@
   private final JobLookup lookup = new JobLookup(driver.context(), cancellations);
   private final List<LookupResult> results = new ArrayList<>();
 
-  private static JsonNode record(JobId id, boolean isCancelled, JobId... needed) {
+  private static JsonNode record(JobId id, boolean isCancelled, JobId... dependencies) {
     JobSpec spec =
         new JobSpec(
             id,
@@ -56,7 +56,7 @@
             0,
             0,
             0,
-            List.of(needed));
+            List.of(dependencies));
     JobRecord record =
         new JobRecord(
             spec, Epoch.NONE, WriterId.NONE, 0, new BitSet(), List.of(), 0, isCancelled, 0, 0);
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void aJobInNeitherPlaceWasNeverAccepted() {
+  void aJobWithoutLiveAndFinalRecordIsAbsent() {
     driver.now(() -> lookup.find(JOB, results::add));
     driver.answer(404);
     assertEquals(List.of("/store/" + JobRecord.finalKey(JOB)), driver.openPaths());
@@ -81,75 +81,75 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 429, 500})
-  void nothingIsKnownWithoutAnAnswer(int status) {
+  void theResultIsUnknownIfTheReadFails(int status) {
     driver.now(() -> lookup.find(JOB, results::add));
     driver.answer(status);
     assertEquals(List.of(new LookupResult.Unknown()), results);
   }
 
   @Test
-  void aRecordThatMakesNoSenseTellsNothing() {
+  void theResultIsUnknownIfTheRecordIsUnreadable() {
     driver.now(() -> lookup.find(JOB, results::add));
     driver.answer(200, Json.object().put("data", 3));
     assertEquals(List.of(new LookupResult.Unknown()), results);
   }
 
   @Test
-  void aWaitingJobIsCancelledWithOneThatItNeeds() {
+  void aWaitingJobIsCancelledIfADependencyIsCancelled() {
     driver.now(() -> lookup.find(JOB, results::add));
-    driver.answer(200, record(JOB, false, NEEDED));
-    driver.answer(200, record(NEEDED, true));
+    driver.answer(200, record(JOB, false, DEPENDENCY));
+    driver.answer(200, record(DEPENDENCY, true));
     assertEquals(JobState.CANCELLED, foundState());
-    assertTrue(cancellations.isKnown(NEEDED));
+    assertTrue(cancellations.isKnown(DEPENDENCY));
   }
 
   @Test
-  void aJobKnownToBeCancelledNeedsNoSecondRead() {
-    cancellations.recordCancelled(NEEDED);
+  void aDependencyKnownToBeCancelledIsNotRead() {
+    cancellations.recordCancelled(DEPENDENCY);
     driver.now(() -> lookup.find(JOB, results::add));
-    driver.answer(200, record(JOB, false, NEEDED));
+    driver.answer(200, record(JOB, false, DEPENDENCY));
     assertEquals(JobState.CANCELLED, foundState());
     assertEquals(List.of(), driver.openPaths());
   }
 
   @Test
-  void aWaitingJobWhoseDependenciesStandIsQueued() {
+  void aWaitingJobWithAnUnfinishedDependencyIsQueued() {
     driver.now(() -> lookup.find(JOB, results::add));
-    driver.answer(200, record(JOB, false, NEEDED));
-    driver.answer(200, record(NEEDED, false));
+    driver.answer(200, record(JOB, false, DEPENDENCY));
+    driver.answer(200, record(DEPENDENCY, false));
     assertEquals(JobState.QUEUED, foundState());
   }
 
   @Test
-  void dependenciesThatWereNeverAcceptedAreNamed() {
+  void aDependencyThatWasNeverAcceptedIsReported() {
     List<Result> checks = new ArrayList<>();
     DependencyAdmission admission = new DependencyAdmission(driver.context(), lookup);
-    driver.now(() -> admission.check(List.of(NEEDED), checks::add));
+    driver.now(() -> admission.check(List.of(DEPENDENCY), checks::add));
     driver.answer(404);
     driver.answer(404);
-    assertEquals(List.of(new Result.NeverAccepted(NEEDED)), checks);
+    assertEquals(List.of(new Result.NeverAccepted(DEPENDENCY)), checks);
   }
 
   @Test
   void aDependencySeenUnfinishedIsNotReadAgainForFiveSeconds() {
     List<Result> checks = new ArrayList<>();
     DependencyAdmission admission = new DependencyAdmission(driver.context(), lookup);
-    driver.now(() -> admission.check(List.of(NEEDED), checks::add));
-    driver.answer(200, record(NEEDED, false));
-    driver.after(4999, () -> admission.check(List.of(NEEDED), checks::add));
+    driver.now(() -> admission.check(List.of(DEPENDENCY), checks::add));
+    driver.answer(200, record(DEPENDENCY, false));
+    driver.after(4999, () -> admission.check(List.of(DEPENDENCY), checks::add));
     assertEquals(List.of(new Result.Accepted(false), new Result.Accepted(false)), checks);
-    driver.after(1, () -> admission.check(List.of(NEEDED), checks::add));
+    driver.after(1, () -> admission.check(List.of(DEPENDENCY), checks::add));
     assertEquals(1, driver.openCalls().size());
   }
 
   @Test
-  void noMoreThanEightDependenciesAreReadAtOnce() {
-    List<JobId> named = new ArrayList<>();
+  void atMostEightDependenciesAreLookedUpAtOnce() {
+    List<JobId> dependencies = new ArrayList<>();
     for (int number = 0; number < 10; number++) {
-      named.add(new JobId("wk-" + number));
+      dependencies.add(new JobId("wk-" + number));
     }
     DependencyAdmission admission = new DependencyAdmission(driver.context(), lookup);
-    driver.now(() -> admission.check(named, result -> {}));
+    driver.now(() -> admission.check(dependencies, result -> {}));
     assertEquals(8, driver.openCalls().size());
   }
 }
