--- a/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Autoscaler.java
@@ -6,42 +6,42 @@
 import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.MachineName;
 
-/** Says which machines a shard asks the leader to rent, and which to return to the cloud. */
+/** Decides which machines a shard asks the leader to rent and which it returns to the cloud. */
 public final class Autoscaler {
   private final StepContext context;
   private final OfferAvailability availability = new OfferAvailability();
-  private final CorrelatedSilence correlatedSilence;
+  private final CorrelatedSilenceDetector silenceDetector;
   private final CapacityPlanner capacityPlanner;
   private final DrainPlanner drainPlanner;
   private final ReleasePlanner releasePlanner;
 
-  /** An autoscaler of the shard that {@code shard} shows. */
+  /** Creates the autoscaler of one shard. */
   public Autoscaler(StepContext context, ShardView shard) {
     this.context = context;
     DemandEstimator estimator = new DemandEstimator(context, shard);
-    this.correlatedSilence = new CorrelatedSilence(context, shard);
+    this.silenceDetector = new CorrelatedSilenceDetector(context, shard);
     this.capacityPlanner = new CapacityPlanner(context, shard, estimator, availability);
     this.drainPlanner = new DrainPlanner(context, shard, estimator);
-    this.releasePlanner = new ReleasePlanner(context, shard, correlatedSilence);
+    this.releasePlanner = new ReleasePlanner(context, shard, silenceDetector);
   }
 
-  /** Takes over the offers that the cloud refuses for now, as the leader tells them. */
+  /** Replaces the offers that the cloud currently refuses, as reported by the leader. */
   public void updateUnavailableOffers(List<UnavailableOffer> unavailable) {
     availability.update(unavailable, context.now());
   }
 
   /**
-   * Scales in: drains machines that are not needed, or takes them back into use.
+   * Drains machines that are not needed, and cancels the drain of machines that are needed again.
    *
-   * @return the machines to be returned now
+   * @return the machines to return to the cloud now
    */
   public List<MachineName> scaleIn() {
-    correlatedSilence.observe();
+    silenceDetector.observe();
     drainPlanner.update();
     return releasePlanner.machinesToReturn();
   }
 
-  /** Scale out: the machines that queued work needs beyond those that are there or on their way. */
+  /** Returns the machines that queued jobs need beyond those that are running or booting. */
   public List<CapacityRequest> capacityRequests() {
     return capacityPlanner.capacityRequests();
   }
--- a/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -6,34 +6,39 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.JobSpec;
 
-/** Chooses the machine where tasks of a job start soonest and leave the least room unused. */
+/** Chooses the machine on which tasks start soonest and leave the fewest processors unused. */
 public final class BinPacking {
-  /** Seconds that leaving a whole machine free counts: large tasks then find room elsewhere. */
-  private static final double FREE_MACHINE_COST_S = 2.0;
+  /**
+   * The cost in seconds of leaving all processors of the chosen machine unused. Packing machines
+   * tightly keeps others free for large tasks.
+   */
+  private static final double UNUSED_MACHINE_COST_S = 2.0;
 
   private BinPacking() {}
 
   /**
-   * When it is, and how often workers send heartbeats: a start goes in the answer to one.
+   * The times that determine when a worker gets a start command, which is sent in the answer to its
+   * next heartbeat.
    *
-   * @param heartbeatIntervalS in seconds
+   * @param now the current time
+   * @param heartbeatIntervalS seconds between two heartbeats of a worker
    */
   public record Clock(MonotonicTime now, double heartbeatIntervalS) {}
 
   /**
-   * Tasks that look for a machine.
+   * The tasks of a job that need a machine.
    *
    * @param tasks how many of the job's tasks should start
-   * @param zone the only zone where they may; null for any
+   * @param zone the only zone in which they may start; null for any
    */
   public record Request(JobSpec spec, int tasks, String zone, Clock clock) {}
 
   /**
-   * Samples a few machines that have room and takes the best fit; if none of them fits, looks at
-   * all of them.
+   * Returns the best machine of a random sample, or of all machines if none in the sample fits.
    *
-   * @param sampleSize draws of a sample; no sample is taken of as few machines or fewer
-   * @return null if no machine fits
+   * @param sampleSize the number of machines to draw, with replacement; if there are no more
+   *     machines than this, all of them are compared
+   * @return the machine, or null if no machine fits
    */
   public static Machine choose(
       Request request, List<Machine> machines, int sampleSize, SplittableRandom random) {
@@ -70,7 +75,10 @@
     return best;
   }
 
-  /** What a placement there costs, in seconds; the highest number if it does not fit. */
+  /**
+   * Returns the cost in seconds of a placement on the machine, or {@link Double#MAX_VALUE} if no
+   * task fits.
+   */
   private static double cost(Request request, Machine machine) {
     JobSpec spec = request.spec();
     if (!fits(request, machine)) {
@@ -81,8 +89,8 @@
         machine.fetchSeconds(spec)
             + machine.session().secondsToNextAnswer(clock.now, clock.heartbeatIntervalS);
     int tasks = Math.min(request.tasks, machine.fittingTasks(spec));
-    double leftCpus = machine.freeCpus() - tasks * spec.cpus();
-    return startS + FREE_MACHINE_COST_S * leftCpus / Math.max(1, machine.type().cpus());
+    double unusedCpus = machine.freeCpus() - tasks * spec.cpus();
+    return startS + UNUSED_MACHINE_COST_S * unusedCpus / Math.max(1, machine.type().cpus());
   }
 
   private static boolean fits(Request request, Machine machine) {
--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -14,26 +14,29 @@
 import shorecrank.protocol.HeartbeatMessages.CapacityRequest;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Scale out: which machines would clear the queue in good time, the cheapest first. */
+/** Plans the scale-out of a shard: the cheapest machines that clear its queue in time. */
 final class CapacityPlanner {
-  /** Machines usually boot within one and a half times the usual time; later ones may never. */
-  private static final double LATEST_BOOT = 2;
+  /**
+   * A machine that boots for longer than this many times its type's usual boot time is not counted
+   * on. Most machines are up within 1.5 times the usual boot time.
+   */
+  private static final double MAX_BOOT_FACTOR = 2;
 
-  /** The most machines of a scarce offer that are asked for at once. */
-  private static final int PROBE_MACHINES = 10;
+  /** Upper bound of the machines of one scarce offer in a request. */
+  private static final int MAX_SCARCE_MACHINES = 10;
 
-  /** Share of a machine that queued work may lack before a machine is rented for it. */
-  private static final double TOLERATED_OVERHANG = 0.25;
+  /** The deficit, as a fraction of a machine's processors, for which no machine is rented. */
+  private static final double TOLERATED_DEFICIT = 0.25;
 
-  /** Prices that differ by no more than this are the same. */
+  /** Prices per processor that differ by at most this are treated as equal. */
   private static final double PRICE_EPSILON = 1e-9;
 
   private static final double MS_PER_S = 1000;
 
-  /** Processors that would clear one job's queue. */
+  /** The processors that would clear the queued tasks of one job in time. */
   private record JobNeed(Job job, double cpus) {}
 
-  /** Requests put together so far, and the processors that they leave uncovered. */
+  /** The requests made so far, and the processors that queued jobs still lack. */
   private static final class Plan {
     final List<CapacityRequest> requests = new ArrayList<>();
     double deficitCpus;
@@ -59,7 +62,7 @@
     this.availability = availability;
   }
 
-  /** The machines that queued work needs beyond those that are there or on their way. */
+  /** Returns the machines that queued jobs need beyond those that are running or booting. */
   List<CapacityRequest> capacityRequests() {
     if (!shard.isReady() || !shard.isLeaseValid()) {
       return List.of();
@@ -78,12 +81,12 @@
     }
     Plan plan = new Plan(neededCpus - freeCpus);
     if (plan.deficitCpus > 0) {
-      request(plan, offersByPrice(), needs, toleratedOverhang(demands));
+      addRequests(plan, offersByPrice(), needs, toleratedDeficit(demands));
     }
     return plan.requests;
   }
 
-  /** Processors that queued work can use, of machines that are there or booting. */
+  /** Returns the processors of running and booting machines that queued jobs can use. */
   private double usableCpus(List<QueuedDemand> demands) {
     double cpus = 0;
     for (Machine machine : shard.machines().values()) {
@@ -93,18 +96,21 @@
           || machine.isPreemptionNoticed()) {
         continue;
       }
-      boolean counts =
+      boolean isExpected =
           machine.session().hasConfirmedHeartbeat()
               ? shard.isUsable(machine)
               : mayStillBoot(machine);
-      if (counts) {
+      if (isExpected) {
         cpus += estimator.usableCpus(demands, machine);
       }
     }
     return cpus;
   }
 
-  /** The offers that may be asked for: cheapest first, then in zones with the fewest machines. */
+  /**
+   * Returns the available offers, by price per processor; at one price, offers in zones with fewer
+   * machines come first.
+   */
   private List<Offer> offersByPrice() {
     Map<String, MachineType> catalog = shard.catalog();
     MonotonicTime now = context.now();
@@ -135,15 +141,17 @@
   }
 
   /**
-   * A small overhang waits for room, but not for ever: a job that no machine can serve gets one.
+   * Returns the deficit, as a fraction of a machine, for which no machine is rented because other
+   * machines free up soon. It is 0 if a queued job can't run on any machine of the shard, since
+   * that job would wait forever.
    */
-  private double toleratedOverhang(List<QueuedDemand> demands) {
+  private double toleratedDeficit(List<QueuedDemand> demands) {
     for (QueuedDemand demand : demands) {
       if (!hasMachineFor(demand.job())) {
         return 0;
       }
     }
-    return TOLERATED_OVERHANG;
+    return TOLERATED_DEFICIT;
   }
 
   private boolean hasMachineFor(Job job) {
@@ -160,27 +168,35 @@
     return false;
   }
 
-  /** One that takes far longer than usual to boot may never come up, or was gone when it came. */
+  /**
+   * Reports whether a machine that was never heard may still be booting. One that takes far longer
+   * than usual may never come up, and one from another shard had booted before it was handed over.
+   */
   private boolean mayStillBoot(Machine machine) {
     return !machine.assignment().hasArrivedFromOtherShard()
         && machine.type() != null
         && context.now().since(machine.assignment().since())
-            < LATEST_BOOT * MS_PER_S * machine.type().bootS();
+            < MAX_BOOT_FACTOR * MS_PER_S * machine.type().bootS();
   }
 
-  /** Zones at one price share alike: less is lost when one of them fails or is used up. */
-  private void request(Plan plan, List<Offer> offers, List<JobNeed> needs, double overhang) {
+  /**
+   * Requests machines, the cheapest offers first. Divides the deficit evenly among offers of equal
+   * price, most of which differ in the zone, so that an outage or a shortage in one zone affects
+   * fewer machines.
+   */
+  private void addRequests(
+      Plan plan, List<Offer> offers, List<JobNeed> needs, double toleratedDeficit) {
     int next = 0;
     while (next < offers.size() && plan.deficitCpus > 0) {
-      int end = endOfPrice(offers, next);
+      int end = endOfSamePrice(offers, next);
       for (; next < end; next++) {
-        request(plan, offers.get(next), end - next, needs, overhang);
+        addRequest(plan, offers.get(next), end - next, needs, toleratedDeficit);
       }
     }
   }
 
-  /** The index after the last offer that costs no more than the one at {@code start}. */
-  private int endOfPrice(List<Offer> offers, int start) {
+  /** Returns the index after the last offer that costs no more than the one at {@code start}. */
+  private int endOfSamePrice(List<Offer> offers, int start) {
     Map<String, MachineType> catalog = shard.catalog();
     double price = Prices.perCpu(offers.get(start), catalog);
     int end = start + 1;
@@ -191,8 +207,8 @@
     return end;
   }
 
-  private void request(
-      Plan plan, Offer offer, int offersToShare, List<JobNeed> needs, double overhang) {
+  private void addRequest(
+      Plan plan, Offer offer, int offersToShare, List<JobNeed> needs, double toleratedDeficit) {
     MachineType type = shard.catalog().get(offer.type());
     double eligibleCpus = 0;
     for (JobNeed need : needs) {
@@ -201,13 +217,13 @@
       }
     }
     double coveredCpus = Math.min(eligibleCpus, plan.deficitCpus / offersToShare);
-    int machines = (int) Math.ceil(coveredCpus / type.cpus() - overhang);
+    int machines = (int) Math.ceil(coveredCpus / type.cpus() - toleratedDeficit);
     if (machines <= 0) {
       return;
     }
     if (availability.isScarce(offer, context.now())) {
-      // Most likely still used up: asked for again, but others are not put off for it.
-      plan.requests.add(new CapacityRequest(offer, Math.min(machines, PROBE_MACHINES)));
+      // The cloud most likely still refuses this offer, so the deficit is left to other offers.
+      plan.requests.add(new CapacityRequest(offer, Math.min(machines, MAX_SCARCE_MACHINES)));
     } else {
       plan.requests.add(new CapacityRequest(offer, machines));
       plan.deficitCpus -= machines * type.cpus();
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -10,43 +10,43 @@
 import shorecrank.protocol.JobSpec;
 
 /**
- * Moves checkpointed attempts off draining machines.
+ * Moves attempts of tasks with checkpoints off draining machines.
  *
- * <p>Such machines run empty slowly, each held by its longest task. Tasks that can save their
- * progress move to where there is room, if their machine goes back so much sooner that it is worth
- * the checkpoint, the new start and perhaps another fetch of the image.
+ * <p>A draining machine can only be returned once its longest task has ended. Tasks that can save
+ * their progress are stopped and placed elsewhere if the machine is then returned sooner by more
+ * than the checkpoints, restarts and image fetches cost.
  */
 final class CheckpointMigration {
-  /** Of the room there is, so much may be taken by tasks that move; the rest is for new ones. */
-  private static final double ROOM_SHARE = 0.5;
+  /** The fraction of the free processors that moved tasks may take; new tasks get the rest. */
+  private static final double FREE_CPUS_SHARE = 0.5;
 
-  /** So many machine seconds must be won by a move for each that it costs. */
-  private static final double LEAST_GAIN = 2;
+  /** The machine seconds that must be saved for each machine second that the migration costs. */
+  private static final double MIN_GAIN_RATIO = 2;
 
-  private static final Comparator<Machine> DEAREST_FIRST =
+  private static final Comparator<Machine> MOST_EXPENSIVE_FIRST =
       Comparator.<Machine>comparingDouble(machine -> -Prices.perCpu(machine))
           .thenComparing(Comparator.comparingDouble(Machine::usedCpus))
           .thenComparing(Machine::name);
 
-  /** What a move of all checkpointed attempts off one machine takes and wins. */
-  private static final class Move {
+  /** The migration of all movable attempts off one machine, with its cost and its gain. */
+  private static final class Plan {
     final List<TaskAttempt> attempts = new ArrayList<>();
 
-    /** Room that the attempts need elsewhere. */
+    /** Processors that the attempts need on other machines. */
     double cpus;
 
-    /** Machine seconds spent on checkpoints, fetches and starts. */
+    /** Machine seconds spent on checkpoints, image fetches and restarts. */
     double costS;
 
-    /** Seconds until the machine is empty with the move. */
-    double emptyAfterMoveS;
+    /** Seconds until the machine is empty if the attempts move. */
+    double emptyWithMoveS;
 
-    /** Seconds until the last of the attempts would end by itself. */
+    /** Seconds until the last of the movable attempts ends if none of them moves. */
     double emptyWithoutMoveS;
 
-    boolean isWorthwhile(double roomCpus) {
-      return cpus <= roomCpus
-          && emptyWithoutMoveS - emptyAfterMoveS > LEAST_GAIN * costS
+    boolean isWorthwhile(double availableCpus) {
+      return cpus <= availableCpus
+          && emptyWithoutMoveS - emptyWithMoveS > MIN_GAIN_RATIO * costS
           && !attempts.isEmpty();
     }
   }
@@ -59,10 +59,14 @@
     this.shard = shard;
   }
 
-  /** Stops checkpointed attempts where that is worthwhile; sorts the machines, dearest first. */
-  void moveOff(List<Machine> machines) {
-    double roomCpus = roomCpus();
-    machines.sort(DEAREST_FIRST);
+  /**
+   * Revokes attempts on draining machines where their migration is worthwhile.
+   *
+   * @param machines the machines to consider; sorted by this method, the most expensive first
+   */
+  void migrate(List<Machine> machines) {
+    double availableCpus = availableCpus();
+    machines.sort(MOST_EXPENSIVE_FIRST);
     for (Machine machine : machines) {
       if (!machine.isDraining()
           || machine.isEmpty()
@@ -70,17 +74,20 @@
           || machine.session().isUnresponsive()) {
         continue;
       }
-      Move move = plan(machine);
-      if (move.isWorthwhile(roomCpus)) {
-        roomCpus -= move.cpus;
-        move.attempts.forEach(TaskAttempt::revoke);
-        context.count("task.moved", move.attempts.size());
+      Plan plan = plan(machine);
+      if (plan.isWorthwhile(availableCpus)) {
+        availableCpus -= plan.cpus;
+        plan.attempts.forEach(TaskAttempt::revoke);
+        context.count("task.moved", plan.attempts.size());
       }
     }
   }
 
-  /** Free processors that attempts may move to, in processors; negative if jobs need them all. */
-  private double roomCpus() {
+  /**
+   * Returns the processors that moved attempts may take; negative if queued tasks need more than
+   * are free.
+   */
+  private double availableCpus() {
     double cpus = 0;
     for (Machine machine : shard.machines().values()) {
       cpus += shard.isUsable(machine) ? machine.freeCpus() : 0;
@@ -88,26 +95,26 @@
     for (Job job : shard.jobs().values()) {
       cpus -= job.queuedTaskCount() * job.spec().cpus();
     }
-    return cpus * ROOM_SHARE;
+    return cpus * FREE_CPUS_SHARE;
   }
 
-  private Move plan(Machine machine) {
-    Move move = new Move();
+  private Plan plan(Machine machine) {
+    Plan plan = new Plan();
     for (TaskAttempt attempt : machine.attempts()) {
       JobSpec spec = attempt.job().spec();
       double remainingS = attempt.remainingSeconds(context.now());
       double heartbeatS = context.config().workers().reportS();
       double moveS = spec.checkpointDurationS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
       if (attempt.canMoveByCheckpoint(context.now())) {
-        move.attempts.add(attempt);
-        move.cpus += spec.cpus();
-        move.costS += spec.cpus() * moveS / machine.type().cpus();
-        move.emptyWithoutMoveS = Math.max(move.emptyWithoutMoveS, remainingS);
-        move.emptyAfterMoveS = Math.max(move.emptyAfterMoveS, moveS);
+        plan.attempts.add(attempt);
+        plan.cpus += spec.cpus();
+        plan.costS += spec.cpus() * moveS / machine.type().cpus();
+        plan.emptyWithoutMoveS = Math.max(plan.emptyWithoutMoveS, remainingS);
+        plan.emptyWithMoveS = Math.max(plan.emptyWithMoveS, moveS);
       } else {
-        move.emptyAfterMoveS = Math.max(move.emptyAfterMoveS, remainingS);
+        plan.emptyWithMoveS = Math.max(plan.emptyWithMoveS, remainingS);
       }
     }
-    return move;
+    return plan;
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/Deadline.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Deadline.java
@@ -1,9 +1,9 @@
 package shorecrank.coordination.scheduling;
 
 /**
- * When a job has to have ended, for its own sake or for that of one that depends on it.
+ * The time by which a job has to end, to meet an objective of its own or of a dependent job.
  *
- * @param atMs the time on the wall clock, in milliseconds
- * @param jobClass the class of the job whose objective it is
+ * @param atMs wall-clock time in milliseconds since 1970
+ * @param jobClass the class of the job that has the objective
  */
 record Deadline(double atMs, String jobClass) {}
--- a/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
@@ -8,13 +8,13 @@
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.JobSpec;
 
-/** Converts queued tasks into the processors that they need, and free room into those they use. */
+/** Estimates the processors that queued tasks need, and those of a machine that they can use. */
 final class DemandEstimator {
-  /** Stands in for an amount of 0 in a divisor. */
+  /** Replaces a divisor of 0. */
   private static final double EPSILON = 1e-9;
 
-  /** Shortest run that an owner's estimate is taken for, in seconds. */
-  private static final double SHORTEST_RUN_S = 1;
+  /** Lower bound of a task's estimated run, in seconds. */
+  private static final double MIN_RUN_S = 1;
 
   private final StepContext context;
   private final ShardView shard;
@@ -24,18 +24,21 @@
     this.shard = shard;
   }
 
-  /** Processors that would clear a job's queue within the time that operators have set. */
+  /**
+   * Returns the processors that would clear a job's queued tasks within the setting {@code
+   * clear_s}.
+   */
   double cpusToClear(QueuedDemand demand) {
     Job job = demand.job();
     int tasks = demand.tasks();
-    double runS = Math.max(SHORTEST_RUN_S, job.spec().estimateS());
+    double runS = Math.max(MIN_RUN_S, job.spec().estimateS());
     double parallel = Math.min(tasks, Math.ceil(tasks * runS / context.settings().clearS()));
     return parallel * cpuEquivalent(job.spec(), shard.catalog());
   }
 
   /**
-   * Processors of a machine that queued jobs can use. What is free is not always of use: a task may
-   * need more memory, or more processors, than any machine has left.
+   * Returns the processors of a machine that queued jobs can use. These can be fewer than the free
+   * ones, since a task may need more memory or processors than the machine has left.
    */
   double usableCpus(List<QueuedDemand> demands, Machine machine) {
     double best = 0;
@@ -52,8 +55,9 @@
   }
 
   /**
-   * A task's share of the machine type that it takes the least of, in processors; its memory or
-   * accelerators may be what counts. Its own processors if it fits no type.
+   * Returns the processors that a task occupies, on the machine type where they are the fewest. A
+   * task that needs much of a type's memory or accelerators occupies the same fraction of its
+   * processors. If the task fits no type, returns the processors that it asks for.
    */
   static double cpuEquivalent(JobSpec spec, Map<String, MachineType> catalog) {
     double best = Double.MAX_VALUE;
--- a/src/main/java/shorecrank/coordination/scheduling/DemandPeaks.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DemandPeaks.java
@@ -3,19 +3,20 @@
 import java.util.ArrayDeque;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** The highest demand of a sliding window of time, in processors. */
+/** Tracks the highest demand for processors in a sliding time window. */
 final class DemandPeaks {
-  /** A demand at some time. */
+  /** The demand at one time. */
   private record Peak(MonotonicTime at, double cpus) {}
 
-  /** Peaks in the order of time; each is higher than all after it. */
+  /** The peaks in order of time; each is higher than all later ones. */
   private final ArrayDeque<Peak> peaks = new ArrayDeque<>();
 
   /**
-   * Takes in the demand as of now.
+   * Records the current demand.
    *
-   * @param windowMs how far the window reaches back
-   * @return the highest demand of the window
+   * @param cpus the demand in processors
+   * @param windowMs the length of the window, in milliseconds
+   * @return the highest demand in the window, in processors
    */
   double record(double cpus, MonotonicTime now, long windowMs) {
     peaks.removeIf(peak -> now.since(peak.at) > windowMs);
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -18,12 +18,12 @@
 import shorecrank.protocol.UserMessages.JobState;
 
 /**
- * Which of a shard's jobs wait for which others, from their records.
+ * The unmet dependencies of a shard's jobs.
  *
- * <p>A job is ready once each job that it depends on is recorded as done: by a write of this owner
- * that was committed, or by a read of the final record, which never changes. Where one of them is
- * cancelled, so is the job. Dependencies may be jobs of another shard: their marks and ends are
- * seen in the store.
+ * <p>A job is ready once each of its dependencies is recorded as done: by a committed write of this
+ * shard owner, or in a final record that was read, which never changes. A job is cancelled if one
+ * of its dependencies is. Dependencies can be jobs of other shards; their cancellation and end are
+ * found in the state service.
  */
 public final class DependencyGraph {
   private final StepContext context;
@@ -33,14 +33,14 @@
   private final DependencyLookups lookups;
   private final InheritedUrgency urgency;
 
-  /** Jobs that wait, by what they wait for. */
+  /** The waiting jobs of the shard, by the dependency that they wait for. */
   private final Map<JobId, Set<Job>> dependents = new HashMap<>();
 
   /**
-   * A graph without edges.
+   * Creates an empty graph.
    *
-   * @param jobs a live view of the jobs of the shard
-   * @param cancelJob cancels a job that depends on a cancelled one
+   * @param jobs a live view of the unfinished jobs of the shard
+   * @param cancelJob cancels a job that has a cancelled dependency
    */
   public DependencyGraph(
       StepContext context,
@@ -51,11 +51,11 @@
     this.jobs = jobs;
     this.cancellations = cancellations;
     this.cancelJob = cancelJob;
-    this.lookups = new DependencyLookups(context, this::cancelledElsewhere, this::onJobEnded);
+    this.lookups = new DependencyLookups(context, this::onCancelledElsewhere, this::onJobEnded);
     this.urgency = new InheritedUrgency(context, jobs, dependents);
   }
 
-  /** Adds a job with the dependencies that it still has; cancels it if one is cancelled. */
+  /** Adds a job with its unmet dependencies, or cancels it if one of them is cancelled. */
   public void add(Job job) {
     for (JobId dependency : List.copyOf(job.scheduling().unmetDependencies())) {
       if (cancellations.isKnown(dependency)) {
@@ -70,7 +70,7 @@
     }
   }
 
-  /** A job of the shard has ended or left it; jobs that wait for it go on waiting. */
+  /** Removes a job that has ended or left the shard; its dependents continue to wait. */
   public void remove(Job job) {
     urgency.forget(job);
     for (JobId dependency : job.scheduling().unmetDependencies()) {
@@ -88,7 +88,11 @@
     urgency.clear();
   }
 
-  /** A job's final record is there, with the state in which it ended. */
+  /**
+   * Handles the final record of a dependency: the dependents become ready or are cancelled.
+   *
+   * @param state the state in which the job {@code id} ended
+   */
   public void onJobEnded(JobId id, JobState state) {
     lookups.remove(id);
     if (state != JobState.DONE) {
@@ -107,14 +111,17 @@
     }
   }
 
-  /** The live record of a job, perhaps of another shard, was deleted: it has ended. */
+  /** Handles the deletion of a live record, of any shard: looks up how the job has ended. */
   public void onRecordDeleted(JobId id) {
     if (dependents.containsKey(id)) {
-      lookups.addAtOnce(id);
+      lookups.addImmediate(id);
     }
   }
 
-  /** A job is cancelled for good: its committed mark was seen, or it depends on one that is. */
+  /**
+   * Cancels the dependents of a job that is finally cancelled: its record has a committed mark, or
+   * one of its dependencies is finally cancelled.
+   */
   public void onJobCancelled(JobId id) {
     Set<Job> waiting = dependents.remove(id);
     if (waiting != null) {
@@ -122,7 +129,7 @@
     }
   }
 
-  private void cancelledElsewhere(JobId id) {
+  private void onCancelledElsewhere(JobId id) {
     cancellations.recordCancelled(id);
     onJobCancelled(id);
   }
@@ -131,36 +138,36 @@
     if (job.isCancelled()) {
       return;
     }
-    // Its record names the dependency for good, so this is as final as the mark itself.
+    // Dependencies of a job never change, so its cancellation is as final as a committed mark.
     cancellations.recordCancelled(job.id());
     cancelJob.accept(job);
     urgency.invalidate();
     onJobCancelled(job.id());
   }
 
-  /** Looks up the jobs waited for whose state is not known, a few at a time. */
+  /** Sends lookups of dependencies whose state is not known, a few at a time. */
   public void tick() {
     lookups.tick(dependents::containsKey);
   }
 
   /**
-   * All jobs whose cancellation would be this job's too.
+   * Returns the transitive unmet dependencies of a job; if one of them is cancelled, so is the job.
    *
-   * @return empty if one of them is not of this shard, or if there are more than {@code most}
+   * @return empty if one of them belongs to another shard, or if there are more than {@code limit}
    */
-  public Optional<Collection<Job>> transitiveDependencies(Job job, int most) {
+  public Optional<Collection<Job>> transitiveDependencies(Job job, int limit) {
     Set<Job> all = new LinkedHashSet<>();
-    ArrayDeque<Job> open = new ArrayDeque<>(List.of(job));
-    while (!open.isEmpty()) {
-      for (JobId id : open.poll().scheduling().unmetDependencies()) {
+    ArrayDeque<Job> pending = new ArrayDeque<>(List.of(job));
+    while (!pending.isEmpty()) {
+      for (JobId id : pending.poll().scheduling().unmetDependencies()) {
         Job dependency = jobs.get(id);
         if (dependency == null) {
           return Optional.empty();
         }
         if (all.add(dependency)) {
-          open.add(dependency);
+          pending.add(dependency);
         }
-        if (all.size() > most) {
+        if (all.size() > limit) {
           return Optional.empty();
         }
       }
@@ -169,16 +176,16 @@
   }
 
   /**
-   * Brings inherited priorities and deadlines up to date, if the graph has changed.
+   * Updates inherited priorities and deadlines if the graph has changed.
    *
-   * @param ownDeadlines the deadlines of a job's own
-   * @param durationMs what a job takes once it is ready
+   * @param ownDeadlines returns the deadlines of a job without the inherited ones
+   * @param durationMs returns the milliseconds that a job takes once it is ready
    */
   void updateUrgency(Function<Job, List<Deadline>> ownDeadlines, ToDoubleFunction<Job> durationMs) {
     urgency.update(ownDeadlines, durationMs);
   }
 
-  /** When the job must have ended for the sake of its dependents, the closest first. */
+  /** Returns the deadlines that the job inherits from its dependents, the earliest first. */
   List<Deadline> inheritedDeadlines(Job job) {
     return urgency.deadlines(job);
   }
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -16,33 +16,33 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * Looks up jobs in the state service that jobs of the shard depend on and whose state is not known:
- * those of other shards, and those that ended before the owner took over.
+ * Looks up dependencies in the state service whose state this shard owner does not know: jobs of
+ * other shards, and jobs that ended before it took over the shard.
  */
 final class DependencyLookups {
   private static final int CALL_TIMEOUT_MS = 1500;
 
-  /** So many jobs are looked up at a time. */
+  /** Upper bound of the concurrent lookups. */
   private static final int MAX_IN_FLIGHT = 4;
 
-  /** A look-up that told nothing is repeated after so long. */
+  /** Delay before the next lookups after one that failed, in milliseconds. */
   private static final int RETRY_MS = 500;
 
   private final StepContext context;
   private final Consumer<JobId> onCancelled;
   private final BiConsumer<JobId, JobState> onEnded;
 
-  /** Jobs to be looked up. */
+  /** Jobs to look up, in the order in which they were added. */
   private final Set<JobId> pending = new LinkedHashSet<>();
 
   private final Set<JobId> inFlight = new HashSet<>();
   private MonotonicTime nextAt = new MonotonicTime(0);
 
   /**
-   * Look-ups whose outcomes go to the two consumers.
+   * Creates an empty set of lookups.
    *
-   * @param onCancelled takes unfinished jobs with the mark of a cancellation
-   * @param onEnded takes jobs that have a final record, with the state that it says
+   * @param onCancelled receives jobs whose live record is marked as cancelled
+   * @param onEnded receives jobs that have a final record, with the state in which they ended
    */
   DependencyLookups(
       StepContext context, Consumer<JobId> onCancelled, BiConsumer<JobId, JobState> onEnded) {
@@ -51,31 +51,31 @@
     this.onEnded = onEnded;
   }
 
-  /** Looks the job up when it is its turn. */
+  /** Adds a job to look up, after those added before. */
   void add(JobId id) {
     pending.add(id);
   }
 
-  /** Looks the job up in the next round. */
-  void addAtOnce(JobId id) {
+  /** Adds a job to look up, and ends the delay after a failed lookup. */
+  void addImmediate(JobId id) {
     pending.add(id);
     nextAt = context.now();
   }
 
-  /** The state of the job has become known. */
+  /** Removes a job whose state has become known. */
   void remove(JobId id) {
     pending.remove(id);
   }
 
-  /** Nothing is to be looked up any more; look-ups under way are not called off. */
+  /** Removes all jobs; lookups in flight are not cancelled. */
   void clear() {
     pending.clear();
   }
 
   /**
-   * Sends a few look-ups, within the budget of requests.
+   * Sends a few lookups, within the budget of state requests.
    *
-   * @param isNeeded whether a job is still waited for
+   * @param isNeeded tests whether a job of the shard still waits for a dependency
    */
   void tick(Predicate<JobId> isNeeded) {
     if (pending.isEmpty() || context.now().isBefore(nextAt)) {
@@ -94,7 +94,11 @@
     }
   }
 
-  /** In the order in which a job moves, so that one that ends meanwhile is not missed. */
+  /**
+   * Reads the live record, which is followed by the final one if there is no live record. A job
+   * that ends gets its final record as its live one is deleted, so the reverse order could find
+   * neither.
+   */
   private void readLiveRecord(JobId id) {
     pending.remove(id);
     context
@@ -105,7 +109,7 @@
   private void onLiveRecord(JobId id, ReadResult result) {
     if (result instanceof ReadResult.Found found) {
       inFlight.remove(id);
-      // While it lives, the watch shows its mark or its end.
+      // No further lookup is needed: the watch shows later changes and the deletion of the record.
       if (JobRecord.isMarked(found.entry().value())) {
         onCancelled.accept(id);
       }
--- a/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
@@ -7,12 +7,12 @@
 import shorecrank.coordination.step.StepContext;
 
 /**
- * Scale in: keeps what lately was needed at the most and drains the dearest of the other machines;
- * takes draining machines back into use before any are rented.
+ * Plans the scale-in of a shard: keeps the processors of the recent peak demand and drains the most
+ * expensive of the other machines. Cancels drains when demand returns, before machines are rented.
  */
 final class DrainPlanner {
-  /** Arrivals come in bursts: somewhat more than the last peak stays. */
-  private static final double SPARE = 1.05;
+  /** Keeps 5% more than the recent peak demand, since jobs arrive in bursts. */
+  private static final double PEAK_MARGIN_FACTOR = 1.05;
 
   private static final long MS_PER_S = 1000;
 
@@ -21,14 +21,14 @@
 
   private static final Comparator<Machine> CHEAPEST_FIRST = BY_PRICE.thenComparing(Machine::name);
 
-  /** Of equally dear machines, those that run empty the soonest come first. */
-  private static final Comparator<Machine> DEAREST_FIRST =
+  /** At equal prices, machines with fewer used processors come first: they are empty sooner. */
+  private static final Comparator<Machine> MOST_EXPENSIVE_FIRST =
       BY_PRICE
           .reversed()
           .thenComparing(Comparator.comparingDouble(Machine::usedCpus))
           .thenComparing(Machine::name);
 
-  /** The machines that run tasks for this shard, and what they have. */
+  /** The machines of the shard that can take tasks, and their processors. */
   private static final class Fleet {
     final List<Machine> active = new ArrayList<>();
     final List<Machine> draining = new ArrayList<>();
@@ -49,9 +49,9 @@
     this.migration = new CheckpointMigration(context, shard);
   }
 
-  /** Drains machines, or takes them back into use, by the highest demand of late. */
+  /** Drains machines or cancels drains, according to the recent peak demand. */
   void update() {
-    Fleet fleet = survey();
+    Fleet fleet = surveyFleet();
     List<QueuedDemand> demands = QueuedDemand.of(shard);
     double unservedCpus = 0;
     double queuedCpus = 0;
@@ -62,28 +62,28 @@
     context.gauge("cpus.waited_for.in_limit", queuedCpus);
     long windowMs = context.settings().idleReturnS() * MS_PER_S;
     double peakCpus = peaks.record(fleet.usedCpus + unservedCpus, context.now(), windowMs);
-    double keptCpus = peakCpus * SPARE;
+    double cpusToKeep = peakCpus * PEAK_MARGIN_FACTOR;
     for (Machine machine : fleet.active) {
       unservedCpus -= shard.isUsable(machine) ? estimator.usableCpus(demands, machine) : 0;
     }
-    unservedCpus = cancelDrains(fleet, demands, keptCpus, unservedCpus);
-    // Until a whole window has been seen, the peak may have been before it.
+    unservedCpus = cancelDrains(fleet, demands, cpusToKeep, unservedCpus);
+    // The owner has not observed demand for a whole window yet and may have missed the peak.
     if (context.now().since(shard.readySince()) < windowMs) {
       return;
     }
-    migration.moveOff(fleet.draining);
+    migration.migrate(fleet.draining);
     if (unservedCpus <= 0) {
-      drainSpare(fleet, keptCpus);
+      drainSurplus(fleet, cpusToKeep);
     }
   }
 
-  private Fleet survey() {
+  private Fleet surveyFleet() {
     Fleet fleet = new Fleet();
     for (Machine machine : shard.machines().values()) {
       if (machine.type() == null) {
         continue;
       }
-      // What runs on a silent machine, or on one that goes, needs room elsewhere before long.
+      // Tasks on silent or leaving machines count, since they soon need processors elsewhere.
       fleet.usedCpus += machine.usedShare() * machine.type().cpus();
       if (!machine.session().hasConfirmedHeartbeat()
           || !shard.liveness().isFresh(machine)
@@ -103,16 +103,18 @@
   }
 
   /**
-   * Takes draining machines back into use as far as they are needed, the cheapest first.
+   * Cancels the drain of machines that are needed, the cheapest first.
    *
-   * @return the processors that queued work still lacks
+   * @param cpusToKeep the processors to keep in use
+   * @param unservedCpus the processors that queued jobs lack
+   * @return the processors that queued jobs still lack; 0 or less if none
    */
   private double cancelDrains(
-      Fleet fleet, List<QueuedDemand> demands, double keptCpus, double unservedCpus) {
+      Fleet fleet, List<QueuedDemand> demands, double cpusToKeep, double unservedCpus) {
     double unserved = unservedCpus;
     fleet.draining.sort(CHEAPEST_FIRST);
     for (Machine machine : fleet.draining) {
-      if (fleet.activeCpus >= keptCpus && unserved <= 0) {
+      if (fleet.activeCpus >= cpusToKeep && unserved <= 0) {
         break;
       }
       machine.cancelDrain();
@@ -122,10 +124,10 @@
     return unserved;
   }
 
-  private void drainSpare(Fleet fleet, double keptCpus) {
-    fleet.active.sort(DEAREST_FIRST);
+  private void drainSurplus(Fleet fleet, double cpusToKeep) {
+    fleet.active.sort(MOST_EXPENSIVE_FIRST);
     for (Machine machine : fleet.active) {
-      if (fleet.activeCpus - machine.type().cpus() < keptCpus) {
+      if (fleet.activeCpus - machine.type().cpus() < cpusToKeep) {
         break;
       }
       machine.drain();
--- a/src/main/java/shorecrank/coordination/scheduling/FleetCapacity.java
+++ b/src/main/java/shorecrank/coordination/scheduling/FleetCapacity.java
@@ -1,28 +1,27 @@
 package shorecrank.coordination.scheduling;
 
 /**
- * What a shard's machines can do, for the order of its queued jobs.
+ * The capacity of a shard's machines, for ordering its queued jobs.
  *
- * @param fetchGbPerS how fast machines fetch images, on average; 0 if none is there
- * @param cpus processors of the machines that are there
- * @param bootingCpus processors of the machines that boot
- * @param bootS seconds until those are there, on average
- * @param runningWork processor seconds left of what runs
+ * @param fetchGbPerS the average rate at which machines fetch images, in gigabytes per second; 0 if
+ *     no machine is running
+ * @param cpus processors of the running machines
+ * @param bootingCpus processors of the booting machines
+ * @param bootS average seconds until the booting machines are running
+ * @param runningCpuSeconds processor seconds that the running tasks still need
  */
 public record FleetCapacity(
-    double fetchGbPerS, double cpus, double bootingCpus, double bootS, double runningWork) {
-  /** Machines are never all busy with what was placed best: room is lost to shapes and images. */
+    double fetchGbPerS, double cpus, double bootingCpus, double bootS, double runningCpuSeconds) {
+  /** The usable fraction of the processors; fragmentation and image fetches take the rest. */
   private static final double USABLE_SHARE = 0.75;
 
-  /**
-   * Seconds until work of so many processor seconds is done, with the machines there and booting.
-   */
-  double secondsToClear(double work) {
+  /** Returns the seconds until the running and the booting machines have done the given work. */
+  double secondsToClear(double cpuSeconds) {
     double usableCpus = cpus * USABLE_SHARE;
     double usableBootingCpus = bootingCpus * USABLE_SHARE;
-    if (work <= usableCpus * bootS || usableBootingCpus <= 0) {
-      return work / Math.max(1, usableCpus);
+    if (cpuSeconds <= usableCpus * bootS || usableBootingCpus <= 0) {
+      return cpuSeconds / Math.max(1, usableCpus);
     }
-    return bootS + (work - usableCpus * bootS) / (usableCpus + usableBootingCpus);
+    return bootS + (cpuSeconds - usableCpus * bootS) / (usableCpus + usableBootingCpus);
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
+++ b/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
@@ -14,12 +14,12 @@
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.JobSpec.Priority;
 
-/** The priorities and deadlines that jobs inherit from those that depend on them. */
+/** Computes the priorities and deadlines that jobs inherit from their dependents. */
 final class InheritedUrgency {
-  /** So many deadlines are kept for one job, the closest first. */
+  /** Upper bound of the inherited deadlines of one job; the earliest are kept. */
   private static final int MAX_DEADLINES = 4;
 
-  /** What the dependents of a job make of it; the closest deadlines come first. */
+  /** The priority and the deadlines that a job has through its dependents, earliest first. */
   private record Urgency(Priority priority, List<Deadline> deadlines) {}
 
   private final StepContext context;
@@ -30,10 +30,10 @@
   private boolean cycleLogged;
 
   /**
-   * Urgencies in a graph.
+   * Creates an empty set of urgencies.
    *
-   * @param jobs a live view of the jobs of the shard
-   * @param dependents a live view of the jobs that wait, by what they wait for
+   * @param jobs a live view of the unfinished jobs of the shard
+   * @param dependents a live view of the waiting jobs, by the dependency that they wait for
    */
   InheritedUrgency(StepContext context, Map<JobId, Job> jobs, Map<JobId, Set<Job>> dependents) {
     this.context = context;
@@ -41,26 +41,27 @@
     this.dependents = dependents;
   }
 
-  /** An edge of the graph has come or gone. */
+  /** Marks the urgencies as outdated, after an edge was added to or removed from the graph. */
   void invalidate() {
     outdated = true;
   }
 
-  /** The job has ended or left the shard. */
+  /** Removes a job that has ended or left the shard. */
   void forget(Job job) {
     outdated |= urgencies.remove(job) != null;
   }
 
-  /** Forgets all jobs. */
+  /** Removes all jobs. */
   void clear() {
     urgencies.clear();
   }
 
   /**
-   * Sets the priority of each job to the highest of its own and those of its dependents.
+   * Sets the priority of each job to the highest of its own and its transitive dependents', and
+   * computes the inherited deadlines. Does nothing if the graph has not changed.
    *
-   * @param ownDeadlines the deadlines of a job's own
-   * @param durationMs what a job takes once it is ready
+   * @param ownDeadlines returns the deadlines of a job without the inherited ones
+   * @param durationMs returns the milliseconds that a job takes once it is ready
    */
   void update(Function<Job, List<Deadline>> ownDeadlines, ToDoubleFunction<Job> durationMs) {
     if (!outdated) {
@@ -83,18 +84,18 @@
     return urgency == null ? job.spec().priority() : urgency.priority;
   }
 
-  /** When the job must have ended for the sake of its dependents, the closest first. */
+  /** Returns the deadlines that the job inherits from its dependents, the earliest first. */
   List<Deadline> deadlines(Job job) {
     Urgency urgency = urgencies.get(job);
     return urgency == null ? List.of() : urgency.deadlines;
   }
 
-  /** One walk over the graph, depth first, along the chains of dependents. */
+  /** A depth-first traversal of the graph, from jobs to their dependents. */
   private final class Traversal {
     private final Function<Job, List<Deadline>> ownDeadlines;
     private final ToDoubleFunction<Job> durationMs;
 
-    /** The jobs from the walk's start to where it is. */
+    /** The jobs from the start of the traversal to the current one; detects cycles. */
     private final Set<Job> path = new HashSet<>();
 
     Traversal(Function<Job, List<Deadline>> ownDeadlines, ToDoubleFunction<Job> durationMs) {
@@ -102,7 +103,10 @@
       this.durationMs = durationMs;
     }
 
-    /** By the critical path of each chain: what follows has to fit in before its deadline. */
+    /**
+     * Returns the urgency that a job inherits. A deadline of a dependent is moved earlier by the
+     * time that the dependent takes, at each step along the chain.
+     */
     Urgency urgency(Job job) {
       Urgency known = urgencies.get(job);
       if (known != null) {
@@ -115,9 +119,10 @@
       Priority highest = job.spec().priority();
       List<Deadline> deadlines = new ArrayList<>();
       for (Job dependent : dependents.getOrDefault(job.id(), Set.of())) {
-        Urgency behind = urgency(dependent);
-        highest = behind.priority.compareTo(highest) < 0 ? behind.priority : highest;
-        addDeadlines(dependent, behind, deadlines);
+        Urgency dependentUrgency = urgency(dependent);
+        highest =
+            dependentUrgency.priority.compareTo(highest) < 0 ? dependentUrgency.priority : highest;
+        addDeadlines(dependent, dependentUrgency, deadlines);
       }
       path.remove(job);
       deadlines.sort(Comparator.comparingDouble(Deadline::atMs));
@@ -127,12 +132,12 @@
       return urgency;
     }
 
-    private void addDeadlines(Job dependent, Urgency behind, List<Deadline> deadlines) {
+    private void addDeadlines(Job dependent, Urgency dependentUrgency, List<Deadline> deadlines) {
       double duration = durationMs.applyAsDouble(dependent);
       for (Deadline own : ownDeadlines.apply(dependent)) {
         deadlines.add(new Deadline(own.atMs() - duration, own.jobClass()));
       }
-      for (Deadline inherited : behind.deadlines) {
+      for (Deadline inherited : dependentUrgency.deadlines) {
         deadlines.add(new Deadline(inherited.atMs() - duration, inherited.jobClass()));
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.Ids.AttemptNumber;
 import shorecrank.protocol.JobSpec;
 
-/** Places the queued tasks of one job on machines with room, within its team's quota. */
+/** Places the queued tasks of one job on machines with free capacity, within its team's quota. */
 final class JobPlacer {
   private final StepContext context;
   private final ShardView shard;
@@ -25,15 +25,15 @@
   }
 
   /**
-   * Places as many tasks of a job as there is room for, if need be by preempting others.
+   * Places as many queued tasks of a job as possible, if necessary by preempting other tasks.
    *
-   * @param room the machines to choose from; those that are full now are removed
+   * @param available the machines to choose from; machines that become full are removed
    */
-  void place(Job job, List<Machine> room) {
-    Placement placement = new Placement(job, room);
+  void place(Job job, List<Machine> available) {
+    Placement placement = new Placement(job, available);
     placement.placeAll();
     placement.preempt();
-    if (placement.placed) {
+    if (placement.hasPlaced) {
       job.requestWrite(WriteUrgency.NOW, context.now());
     }
   }
@@ -42,69 +42,73 @@
   private final class Placement {
     private final Job job;
     private final JobSpec spec;
-    private final List<Machine> room;
+    private final List<Machine> available;
     private final List<Machine> candidates;
     private final Map<String, Integer> tasksByZone = new HashMap<>();
 
-    /** Where all tasks have to go; null if any zone will do. */
-    private String zone;
+    /** The zone in which all tasks have to start; null for any. */
+    private String requiredZone;
 
-    private int wanted;
+    private int tasksToPlace;
 
-    /** The task that was placed last. */
-    private int index;
+    /** The task index from which to search for the next free task. */
+    private int fromIndex;
 
-    private boolean placed;
+    private boolean hasPlaced;
 
-    Placement(Job job, List<Machine> room) {
+    Placement(Job job, List<Machine> available) {
       this.job = job;
       this.spec = job.spec();
-      this.room = room;
-      this.wanted = wantedTasks();
-      countZones();
+      this.available = available;
+      this.tasksToPlace = queuedTasksToPlace();
+      countTasksByZone();
       this.candidates = candidates();
     }
 
-    private int wantedTasks() {
+    private int queuedTasksToPlace() {
       int tasks = shard.headroom(spec.team()).queuedTasksThatFit(job);
-      if (SchedulingQueue.isOverdue(job, context.wallMs())) {
-        tasks = Math.min(tasks, 1 + spec.tasks() / SchedulingQueue.OVERDUE_FRACTION);
+      if (SchedulingQueue.isStarving(job, context.wallMs())) {
+        tasks = Math.min(tasks, 1 + spec.tasks() / SchedulingQueue.STARVING_JOB_DIVISOR);
       }
-      // Of a job that fails wherever it is started, one task is tried at a time.
+      // A job that fails on whatever machine it starts is tried with one task at a time.
       return job.scheduling().isBackingOff() ? Math.min(tasks, 1) : tasks;
     }
 
-    private void countZones() {
-      String last = null;
+    private void countTasksByZone() {
+      String lastZone = null;
       for (TaskAttempt attempt : job.tasks().attempts()) {
         Machine machine = attempt.machine();
-        last = machine.info() == null ? "" : machine.info().zone();
-        tasksByZone.merge(last, 1, Integer::sum);
+        lastZone = machine.info() == null ? "" : machine.info().zone();
+        tasksByZone.merge(lastZone, 1, Integer::sum);
       }
-      zone = spec.singleZone() ? last : null;
+      requiredZone = spec.singleZone() ? lastZone : null;
     }
 
-    /** The machines with room, but those where the job has failed if there are others. */
+    /**
+     * Returns the machines to choose from, without those on which tasks of the job have failed; if
+     * there are no others, with them. Jobs that are spread over zones get a copy, from which full
+     * zones are removed.
+     */
     private List<Machine> candidates() {
-      List<Machine> machines = room;
+      List<Machine> machines = available;
       if (job.scheduling().hasFailed()) {
-        machines = new ArrayList<>(room);
+        machines = new ArrayList<>(available);
         machines.removeIf(machine -> job.scheduling().hasFailedOn(machine.name()));
         if (machines.isEmpty()) {
-          machines = room;
+          machines = available;
         }
       }
       return spec.spreadOverZones() ? new ArrayList<>(machines) : machines;
     }
 
     void placeAll() {
-      while (wanted > 0 && job.record().hasRoomForRange() && !candidates.isEmpty()) {
+      while (tasksToPlace > 0 && job.record().hasRoomForRange() && !candidates.isEmpty()) {
         Machine machine =
             BinPacking.choose(
                 new BinPacking.Request(
                     spec,
-                    wanted,
-                    zone,
+                    tasksToPlace,
+                    requiredZone,
                     new BinPacking.Clock(context.now(), context.config().workers().reportS())),
                 candidates,
                 context.settings().sampleSize(),
@@ -122,9 +126,12 @@
       }
     }
 
-    /** How many tasks go to a machine; 0 if its zone has as many as the job allows. */
+    /**
+     * Returns how many tasks to place on a machine; 0 or less if its zone has as many tasks of the
+     * job as may be in one zone.
+     */
     private int tasksFor(Machine machine) {
-      int tasks = Math.min(wanted, machine.fittingTasks(spec));
+      int tasks = Math.min(tasksToPlace, machine.fittingTasks(spec));
       if (!spec.spreadOverZones()) {
         return tasks;
       }
@@ -132,47 +139,47 @@
       return Math.min(tasks, left);
     }
 
-    private boolean placeOn(Machine machine, int most) {
-      int tasks = attach(machine, most);
+    private boolean placeOn(Machine machine, int maxTasks) {
+      int tasks = attach(machine, maxTasks);
       if (tasks == 0) {
         return false;
       }
       job.tasks().takeAttemptNumber();
       job.record().recordPlacedRange();
-      placed = true;
-      wanted -= tasks;
+      hasPlaced = true;
+      tasksToPlace -= tasks;
       String machineZone = machine.info().zone();
       tasksByZone.merge(machineZone, tasks, Integer::sum);
       if (spec.singleZone()) {
-        zone = machineZone;
+        requiredZone = machineZone;
       }
       if (!machine.hasFreeCpus()) {
-        room.remove(machine);
-        if (candidates != room) {
+        available.remove(machine);
+        if (candidates != available) {
           candidates.remove(machine);
         }
       }
       return true;
     }
 
-    private int attach(Machine machine, int most) {
+    private int attach(Machine machine, int maxTasks) {
       AttemptNumber number = job.tasks().nextAttemptNumber();
-      for (int tasks = 0; tasks < most; tasks++) {
-        index = job.tasks().nextFree(index);
-        if (index < 0) {
+      for (int tasks = 0; tasks < maxTasks; tasks++) {
+        fromIndex = job.tasks().nextFree(fromIndex);
+        if (fromIndex < 0) {
           return tasks;
         }
-        shard.attach(TaskAttempt.place(job, index, machine, number, context.now()));
+        shard.attach(TaskAttempt.place(job, fromIndex, machine, number, context.now()));
       }
-      return most;
+      return maxTasks;
     }
 
     void preempt() {
-      if (wanted > 0
+      if (tasksToPlace > 0
           && !spec.spreadOverZones()
           && !job.scheduling().isBackingOff()
           && preemption.mayPreempt(job)) {
-        placed |= preemption.makeRoom(job, wanted, index, zone);
+        hasPlaced |= preemption.preemptFor(job, tasksToPlace, fromIndex, requiredZone);
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/scheduling/OfferAvailability.java
+++ b/src/main/java/shorecrank/coordination/scheduling/OfferAvailability.java
@@ -7,15 +7,17 @@
 import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Which offers the cloud has refused lately for lack of capacity, as the leader tells. */
+/**
+ * Tracks the offers that the cloud has refused for lack of capacity, as the leader reports them.
+ */
 final class OfferAvailability {
-  /** For so long after a refusal an offer is most likely still used up, in milliseconds. */
+  /** How long an offer counts as scarce after it was last reported, in milliseconds. */
   private static final long SCARCE_MS = 60_000;
 
   private final Map<Offer, MonotonicTime> unavailableUntil = new HashMap<>();
   private final Map<Offer, MonotonicTime> lastUnavailable = new HashMap<>();
 
-  /** Takes over the offers that are not to be asked for now; those told before no longer count. */
+  /** Replaces the offers that must not be requested now. */
   void update(List<UnavailableOffer> unavailable, MonotonicTime now) {
     unavailableUntil.clear();
     for (UnavailableOffer entry : unavailable) {
@@ -24,13 +26,13 @@
     }
   }
 
-  /** Whether the offer may be asked for. */
+  /** Reports whether the offer may be requested. */
   boolean isAvailable(Offer offer, MonotonicTime now) {
     MonotonicTime until = unavailableUntil.get(offer);
     return until == null || !now.isBefore(until);
   }
 
-  /** Whether the offer was refused lately, so that not many machines of it should be counted on. */
+  /** Reports whether the offer was refused recently, so that it probably has few machines left. */
   boolean isScarce(Offer offer, MonotonicTime now) {
     return now.since(lastUnavailable.getOrDefault(offer, MonotonicTime.NEVER)) < SCARCE_MS;
   }
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -13,15 +13,16 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /**
- * Places the queued tasks of a shard's jobs, round by round: jobs in the order of the scheduling
- * queue, each where it fits best. A round that runs out of time goes on where it stopped.
+ * Places the queued tasks of a shard's jobs in rounds. Each round goes through the jobs in the
+ * order of the scheduling queue and places each on the machines that fit it best. If a round runs
+ * out of time, the next one continues at the same job.
  */
 public final class PlacementRound {
-  /** With less time left than this a job does not wait for a machine that holds its image. */
-  private static final double URGENT_S = 3;
+  /** Jobs with less slack than this are placed at once, even where their image is missing. */
+  private static final double URGENT_SLACK_S = 3;
 
-  /** So many jobs after the urgent ones may go before others where their image is. */
-  private static final int JOBS_PLACED_BY_IMAGE = 8;
+  /** How many jobs after the urgent ones may be placed early on machines that hold their image. */
+  private static final int IMAGE_LOCALITY_JOBS = 8;
 
   private static final double MS_PER_S = 1000.0;
 
@@ -32,52 +33,54 @@
   private final Preemption preemption;
   private final JobPlacer placer;
 
-  /** Machines with free processors, so that a round in a full fleet looks at few. */
-  private final Set<Machine> withRoom;
+  /** The machines with free processors, so that a round in a full fleet checks few machines. */
+  private final Set<Machine> machinesWithFreeCpus;
 
-  /** The job at which the last round ran out of time; null if it came to its end. */
+  /** The job at which the last round ran out of time; null if it was completed. */
   private JobId resumeAt;
 
   /**
-   * @param withRoom a live view of the machines with free processors
+   * Creates the placement rounds of one shard.
+   *
+   * @param machinesWithFreeCpus a live view of the machines with free processors
    */
   public PlacementRound(
       StepContext context,
       ShardView shard,
       TeamQuotas quotas,
       SchedulingQueue queue,
-      Set<Machine> withRoom) {
+      Set<Machine> machinesWithFreeCpus) {
     this.context = context;
     this.shard = shard;
     this.quotas = quotas;
     this.queue = queue;
-    this.withRoom = withRoom;
+    this.machinesWithFreeCpus = machinesWithFreeCpus;
     this.preemption = new Preemption(context, shard, queue);
     this.placer = new JobPlacer(context, shard, preemption);
   }
 
-  /** Places what waits, as far as the round's time allows. */
+  /** Runs one round: places queued tasks until none can be placed or the budget is spent. */
   public void run(RoundBudget budget) {
     context.count("round.looks", shard.jobs().size());
     List<Job> waiting = waitingJobs();
     if (waiting.isEmpty()) {
       return;
     }
-    List<Machine> room = new ArrayList<>();
+    List<Machine> available = new ArrayList<>();
     List<Machine> draining = new ArrayList<>();
-    context.count("round.looks", withRoom.size());
-    for (Machine machine : withRoom) {
+    context.count("round.looks", machinesWithFreeCpus.size());
+    for (Machine machine : machinesWithFreeCpus) {
       if (machine.acceptsTasks(context.now()) && shard.liveness().isFresh(machine)) {
-        (machine.isDraining() ? draining : room).add(machine);
+        (machine.isDraining() ? draining : available).add(machine);
       }
     }
-    // In a full fleet nobody needs an order, unless there is a job that preempts others.
-    if (room.isEmpty()
+    // Without free machines the jobs need not be sorted, unless one of them may preempt others.
+    if (available.isEmpty()
         && draining.isEmpty()
         && waiting.stream().noneMatch(preemption::mayPreempt)) {
       return;
     }
-    placeAll(ordered(waiting), room, draining, budget);
+    placeAll(sorted(waiting), available, draining, budget);
   }
 
   private List<Job> waitingJobs() {
@@ -95,13 +98,13 @@
 
   // ---- order -----------------------------------------------------------------------------------
 
-  private List<Job> ordered(List<Job> waiting) {
+  private List<Job> sorted(List<Job> waiting) {
     if (waiting.size() < 2) {
       return waiting;
     }
     double cpus = 0;
-    double soonCpus = 0;
-    double soonWeightedS = 0;
+    double bootingCpus = 0;
+    double cpuWeightedBootS = 0;
     double fetchGbPerS = 0;
     for (Machine machine : shard.machines().values()) {
       MachineType type = machine.type();
@@ -112,14 +115,15 @@
         cpus += type.cpus();
         fetchGbPerS += type.cpus() * type.fetchGbPerS();
       } else {
-        soonCpus += type.cpus();
+        bootingCpus += type.cpus();
         double ageS = context.now().since(machine.assignment().since()) / MS_PER_S;
-        soonWeightedS += type.cpus() * Math.max(1, type.bootS() - ageS);
+        cpuWeightedBootS += type.cpus() * Math.max(1, type.bootS() - ageS);
       }
     }
-    double busyWork = 0;
+    double runningCpuSeconds = 0;
     for (Job job : shard.jobs().values()) {
-      busyWork += job.tasks().attemptCount() * job.spec().cpus() * job.spec().estimateS() / 2;
+      runningCpuSeconds +=
+          job.tasks().attemptCount() * job.spec().cpus() * job.spec().estimateS() / 2;
     }
     queue.updateUrgency(shard.jobs().values());
     return queue.sort(
@@ -127,36 +131,39 @@
         new FleetCapacity(
             fetchGbPerS / Math.max(1, cpus),
             cpus,
-            soonCpus,
-            soonWeightedS / Math.max(1, soonCpus),
-            busyWork));
+            bootingCpus,
+            cpuWeightedBootS / Math.max(1, bootingCpus),
+            runningCpuSeconds));
   }
 
   // ---- placement -------------------------------------------------------------------------------
 
   private void placeAll(
-      List<Job> ordered, List<Machine> room, List<Machine> draining, RoundBudget budget) {
-    int start = resumeIndex(ordered);
+      List<Job> sorted, List<Machine> available, List<Machine> draining, RoundBudget budget) {
+    int start = resumeIndex(sorted);
     resumeAt = null;
-    boolean useKnown = isUseKnown();
+    boolean usageKnown = isUsageKnown();
     if (start < 0) {
-      start = placeUrgent(ordered, room, useKnown, budget);
+      start = placeUrgent(sorted, available, usageKnown, budget);
     }
-    for (int i = start; i < ordered.size(); i++) {
+    for (int i = start; i < sorted.size(); i++) {
       if (budget.isExhausted()) {
-        resumeAt = ordered.get(i).id();
+        resumeAt = sorted.get(i).id();
         return;
       }
-      placeIfAllowed(ordered.get(i), useKnown, room);
+      placeIfAllowed(sorted.get(i), usageKnown, available);
     }
-    placeOnDraining(ordered, useKnown, draining);
+    placeOnDraining(sorted, usageKnown, draining);
   }
 
-  /** Where the last round stopped; -1 if it came to its end, or that job waits no more. */
-  private int resumeIndex(List<Job> ordered) {
+  /**
+   * Returns the index of the job at which the last round stopped, or -1 if that round was completed
+   * or the job is no longer waiting.
+   */
+  private int resumeIndex(List<Job> sorted) {
     if (resumeAt != null) {
-      for (int i = 0; i < ordered.size(); i++) {
-        if (ordered.get(i).id().equals(resumeAt)) {
+      for (int i = 0; i < sorted.size(); i++) {
+        if (sorted.get(i).id().equals(resumeAt)) {
           return i;
         }
       }
@@ -165,10 +172,11 @@
   }
 
   /**
-   * Whether the use of all teams is known: no earlier owner's late write can add to it, and no
-   * other owner has the record of a job, whose tasks may still run.
+   * Reports whether the resource usage of all teams is known. It is not while a late write of an
+   * earlier owner can add to it, or while another owner has the record of a job, whose tasks may
+   * still run.
    */
-  private boolean isUseKnown() {
+  private boolean isUsageKnown() {
     if (shard.hasRecordOfOtherOwner()) {
       return false;
     }
@@ -181,54 +189,58 @@
   }
 
   /**
-   * The most urgent jobs take what there is. Of those that follow, some find their image where
-   * there is room: a fetch would keep that room idle for seconds.
+   * Places urgent jobs on any available machine, then some of the jobs that follow on machines that
+   * hold their image. Other jobs would keep these machines idle for seconds while they fetch an
+   * image.
    *
-   * @return how many jobs need not be looked at again
+   * @return the number of urgent jobs done, which this round need not consider again
    */
   private int placeUrgent(
-      List<Job> ordered, List<Machine> room, boolean useKnown, RoundBudget budget) {
+      List<Job> sorted, List<Machine> available, boolean usageKnown, RoundBudget budget) {
     int urgent = 0;
-    while (urgent < ordered.size() && ordered.get(urgent).scheduling().slackS() < URGENT_S) {
+    while (urgent < sorted.size() && sorted.get(urgent).scheduling().slackS() < URGENT_SLACK_S) {
       urgent++;
     }
     int placed = 0;
-    int end = Math.min(ordered.size(), urgent + JOBS_PLACED_BY_IMAGE);
+    int end = Math.min(sorted.size(), urgent + IMAGE_LOCALITY_JOBS);
     for (int i = 0; i < end && !budget.isExhausted(); i++) {
-      Job job = ordered.get(i);
+      Job job = sorted.get(i);
       if (i < urgent) {
-        placeIfAllowed(job, useKnown, room);
+        placeIfAllowed(job, usageKnown, available);
         placed = i + 1;
       } else {
-        placeWhereImageIs(job, useKnown, room);
+        placeByImageLocality(job, usageKnown, available);
       }
     }
     return placed;
   }
 
-  private void placeWhereImageIs(Job job, boolean useKnown, List<Machine> room) {
-    List<Machine> holders = new ArrayList<>();
-    for (Machine machine : room) {
+  private void placeByImageLocality(Job job, boolean usageKnown, List<Machine> available) {
+    List<Machine> machinesWithImage = new ArrayList<>();
+    for (Machine machine : available) {
       if (machine.holdsOrFetchesImage(job.spec())) {
-        holders.add(machine);
+        machinesWithImage.add(machine);
       }
     }
-    if (!holders.isEmpty()) {
-      placeIfAllowed(job, useKnown, holders);
-      room.removeIf(machine -> !machine.hasFreeCpus());
+    if (!machinesWithImage.isEmpty()) {
+      placeIfAllowed(job, usageKnown, machinesWithImage);
+      available.removeIf(machine -> !machine.hasFreeCpus());
     }
   }
 
-  /** What found no room takes machines back into use that were to run empty. */
-  private void placeOnDraining(List<Job> ordered, boolean useKnown, List<Machine> draining) {
+  /**
+   * Places the tasks that are still queued on draining machines, and cancels the drain of those
+   * machines.
+   */
+  private void placeOnDraining(List<Job> sorted, boolean usageKnown, List<Machine> draining) {
     List<Machine> before = List.copyOf(draining);
     int[] attemptsBefore = before.stream().mapToInt(machine -> machine.attempts().size()).toArray();
-    for (Job job : ordered) {
+    for (Job job : sorted) {
       if (draining.isEmpty()) {
         break;
       }
       if (job.queuedTaskCount() > 0) {
-        placeIfAllowed(job, useKnown, draining);
+        placeIfAllowed(job, usageKnown, draining);
       }
     }
     for (int i = 0; i < attemptsBefore.length; i++) {
@@ -239,9 +251,9 @@
     }
   }
 
-  private void placeIfAllowed(Job job, boolean useKnown, List<Machine> room) {
-    if (useKnown || !quotas.isLimited(job.spec().team())) {
-      placer.place(job, room);
+  private void placeIfAllowed(Job job, boolean usageKnown, List<Machine> available) {
+    if (usageKnown || !quotas.isLimited(job.spec().team())) {
+      placer.place(job, available);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -14,23 +14,26 @@
 import shorecrank.protocol.JobSpec.Priority;
 import shorecrank.protocol.WorkerMessages.TaskState;
 
-/** Stops tasks of lower priority for jobs whose users wait for the start. */
+/**
+ * Preempts tasks of lower priority for jobs that are about to miss a start target, or that are
+ * urgent and have no objective.
+ */
 public final class Preemption {
-  /** Others' work that may be thrown away for a task, as a share of its own. */
-  private static final double WORTH = 0.5;
+  /** The work that may be lost by preemption, as a fraction of the work of the started task. */
+  private static final double MAX_LOST_WORK_RATIO = 0.5;
 
-  /** Shortest run, in seconds, that an owner's estimate is taken for. */
-  private static final double SHORTEST_RUN_S = 1;
+  /** Lower bound of a task's estimated run, in seconds. */
+  private static final double MIN_RUN_S = 1;
 
-  /** The least fetch rate that is believed, in gigabytes per second. */
-  private static final double LEAST_FETCH_GB_PER_S = 0.01;
+  /** Lower bound of a machine type's image fetch rate, in gigabytes per second. */
+  private static final double MIN_FETCH_GB_PER_S = 0.01;
 
-  /** Heartbeat intervals, and beside them seconds, that a start command takes at the most. */
-  private static final double COMMAND_HEARTBEATS = 1.25;
+  /** A start command takes at most this many heartbeat intervals plus {@link #COMMAND_MARGIN_S}. */
+  private static final double COMMAND_HEARTBEAT_INTERVALS = 1.25;
 
   private static final double COMMAND_MARGIN_S = 2;
 
-  /** Tasks on one machine whose end makes room for one task; none if there are none such. */
+  /** The attempts on one machine to stop so that one task fits. */
   private record Victims(Machine machine, List<TaskAttempt> attempts) {
     static final Victims NONE = new Victims(null, List.of());
 
@@ -38,7 +41,7 @@
       return attempts.isEmpty();
     }
 
-    /** Processor seconds of work that are lost with them. */
+    /** Returns the work that is lost if the attempts are stopped, in processor seconds. */
     double lostWork(MonotonicTime now) {
       double lostWork = 0;
       for (TaskAttempt attempt : attempts) {
@@ -52,7 +55,11 @@
   private final ShardView shard;
   private final SchedulingQueue queue;
 
-  /** Preemption by the objectives that {@code queue} follows. */
+  /**
+   * Creates the preemption of one shard.
+   *
+   * @param queue provides the service-level objectives
+   */
   public Preemption(StepContext context, ShardView shard, SchedulingQueue queue) {
     this.context = context;
     this.shard = shard;
@@ -60,9 +67,9 @@
   }
 
   /**
-   * Whether others may be stopped for the job. Where users wait for its start, it does not wait for
-   * others' ends; but while its objective leaves time for the command and the image, room may yet
-   * come free by itself.
+   * Reports whether other tasks may be preempted for the job. A job with a start target may preempt
+   * once the time left until the target is only just enough for the start command and the image
+   * fetch; before that, another task may still end in time.
    */
   public boolean mayPreempt(Job job) {
     if (!queue.objectives().hasTargets(job.spec())) {
@@ -74,37 +81,41 @@
     double waitedS = job.readyForS(context.wallMs());
     double targetS = queue.objectives().nextStartTargetS(job.spec(), waitedS);
     if (targetS == Double.MAX_VALUE) {
-      // Too late to start in time: nothing is won by what others would lose.
+      // All start targets are missed already, so preemption would gain nothing.
       return false;
     }
     double heartbeatS = context.config().workers().reportS();
     return waitedS
-        > targetS - longestFetchS(job.spec()) - COMMAND_HEARTBEATS * heartbeatS - COMMAND_MARGIN_S;
+        > targetS
+            - longestFetchS(job.spec())
+            - COMMAND_HEARTBEAT_INTERVALS * heartbeatS
+            - COMMAND_MARGIN_S;
   }
 
   private double longestFetchS(JobSpec spec) {
     double longestS = 0;
     for (MachineType type : shard.catalog().values()) {
-      double rate = Math.max(LEAST_FETCH_GB_PER_S, type.fetchGbPerS());
+      double rate = Math.max(MIN_FETCH_GB_PER_S, type.fetchGbPerS());
       longestS = Math.max(longestS, spec.imageGb() / rate);
     }
     return longestS;
   }
 
   /**
-   * Makes room by stopping tasks of lower priority that lose the least by it. Only such as exit at
-   * once when stopped: the stop goes before the start in one answer, and so the start finds room.
+   * Places tasks of the job by preempting tasks of lower priority, those first that lose the least
+   * work. Preempts only tasks that exit immediately: one heartbeat answer holds the stop and then
+   * the start, and the started task needs the resources at once.
    *
-   * @param wanted how many tasks of the job should start
-   * @param fromIndex the task to begin with
-   * @param onlyZone the only zone where they may start; null for any
+   * @param maxTasks the most tasks of the job to place
+   * @param fromIndex the task index from which to search for free tasks
+   * @param requiredZone the only zone in which they may start; null for any
    * @return whether any task was placed
    */
-  public boolean makeRoom(Job job, int wanted, int fromIndex, String onlyZone) {
-    String zone = onlyZone;
+  public boolean preemptFor(Job job, int maxTasks, int fromIndex, String requiredZone) {
+    String zone = requiredZone;
     int index = fromIndex;
     int placed = 0;
-    while (placed < wanted && job.record().hasRoomForRange()) {
+    while (placed < maxTasks && job.record().hasRoomForRange()) {
       Victims victims = cheapestVictims(job, zone);
       if (victims.isEmpty()) {
         break;
@@ -141,12 +152,12 @@
     shard.attach(TaskAttempt.place(job, index, machine, number, context.now()));
   }
 
-  /** The tasks whose stop costs the least, over all machines where the job may run. */
+  /** Returns the victims with the lowest cost on all machines where the job may run. */
   private Victims cheapestVictims(Job job, String zone) {
     JobSpec spec = job.spec();
     MonotonicTime now = context.now();
     double heartbeatS = context.config().workers().reportS();
-    double mostLostWork = WORTH * spec.cpus() * Math.max(SHORTEST_RUN_S, spec.estimateS());
+    double maxLostWork = MAX_LOST_WORK_RATIO * spec.cpus() * Math.max(MIN_RUN_S, spec.estimateS());
     Victims best = Victims.NONE;
     double bestCost = Double.MAX_VALUE;
     for (Machine machine : shard.machines().values()) {
@@ -162,7 +173,7 @@
           machine.fetchSeconds(spec)
               + machine.session().secondsToNextAnswer(now, heartbeatS)
               + lostWork / spec.cpus();
-      if (cost < bestCost && lostWork <= mostLostWork) {
+      if (cost < bestCost && lostWork <= maxLostWork) {
         best = victims;
         bestCost = cost;
       }
@@ -177,11 +188,14 @@
         && (zone == null || zone.equals(machine.info().zone()));
   }
 
-  /** The tasks of lower priority that have run the shortest and make room for one task. */
+  /**
+   * Returns the attempts of lower priority to stop on a machine, those first that have run for the
+   * shortest time; {@link Victims#NONE} if that would not be enough for one task.
+   */
   private Victims victimsOn(Machine machine, Job job) {
     List<TaskAttempt> candidates = new ArrayList<>();
     for (TaskAttempt attempt : machine.attempts()) {
-      if (exitsAtOnce(attempt)
+      if (exitsImmediately(attempt)
           && attempt.job().scheduling().priority().compareTo(job.scheduling().priority()) > 0) {
         candidates.add(attempt);
       }
@@ -205,8 +219,8 @@
     return Victims.NONE;
   }
 
-  /** Whether the task can be stopped and saves no progress before it exits. */
-  private static boolean exitsAtOnce(TaskAttempt attempt) {
+  /** Reports whether the attempt can be stopped and exits without writing a checkpoint. */
+  private static boolean exitsImmediately(TaskAttempt attempt) {
     return !attempt.isRevoked()
         && attempt.isCommitted()
         && attempt.job().record().isClaimed()
--- a/src/main/java/shorecrank/coordination/scheduling/Prices.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Prices.java
@@ -5,16 +5,16 @@
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.CloudMessages.Offer;
 
-/** Prices of machines by processor, by which rented machines and offers are compared. */
+/** Computes prices per processor, by which rented machines and offers are compared. */
 final class Prices {
   private Prices() {}
 
-  /** The price of one processor of a rented machine, whose type must be known. */
+  /** Returns the price per processor of a rented machine, whose type must be known. */
   static double perCpu(Machine machine) {
     return perCpu(machine.type(), machine.info().spot());
   }
 
-  /** The price of one processor of a machine that can be rented. */
+  /** Returns the price per processor of an offer, whose type must be in the catalog. */
   static double perCpu(Offer offer, Map<String, MachineType> catalog) {
     return perCpu(catalog.get(offer.type()), offer.spot());
   }
--- a/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
+++ b/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
@@ -8,12 +8,13 @@
 import shorecrank.coordination.model.TeamQuotas.Headroom;
 
 /**
- * Queued tasks of one job that wait for machines.
+ * The queued tasks of one job that wait for machines.
  *
- * @param tasks how many, at least one; what waits for its team's quota needs no machine
+ * @param tasks the number of these tasks, at least 1; without those that wait for their team's
+ *     quota, which need no machine
  */
 public record QueuedDemand(Job job, int tasks) {
-  /** The demand of all queued jobs of a shard, in the order of its jobs. */
+  /** Returns the demand of all queued jobs of a shard, in the order of its jobs. */
   public static List<QueuedDemand> of(ShardView shard) {
     List<QueuedDemand> demands = new ArrayList<>();
     Map<String, Headroom> headrooms = new HashMap<>();
@@ -31,7 +32,7 @@
     return demands;
   }
 
-  /** The processors that all of the tasks take at once. */
+  /** Returns the processors that the tasks need if all of them run at once. */
   public double cpus() {
     return tasks * job.spec().cpus();
   }
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -7,114 +7,125 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Picks the machines to be returned to the cloud now: broken, silent or drained ones. */
+/** Selects the machines to return to the cloud now: faulty, silent and drained ones. */
 final class ReleasePlanner {
   private static final double MS_PER_S = 1000;
 
-  /** Heartbeat intervals, and beside them milliseconds, after which silence is no mere delay. */
-  private static final int SILENT_HEARTBEATS = 3;
+  /**
+   * A machine is silent, not just late, after this many heartbeat intervals plus {@link
+   * #SILENT_MARGIN_MS} without a heartbeat.
+   */
+  private static final int SILENT_HEARTBEAT_INTERVALS = 3;
 
   private static final double SILENT_MARGIN_MS = 4000;
 
-  /** A lease longer than the silence by this is worth to be cut short by a release. */
-  private static final double LONG_LEASE_MS = 10_000;
+  /** A silent machine is released before its lease expires if that saves more than this time. */
+  private static final double MIN_LEASE_CUT_MS = 10_000;
 
-  /** So long after the lease a silent machine is released that has nothing to be cut short. */
+  /** How long after the end of its lease any other silent machine is released. */
   private static final double AFTER_LEASE_MS = 30_000;
 
-  /** So long after the lease one is released that fell silent with many others. */
+  /** How long after the end of its lease a machine in a correlated silence is released. */
   private static final double AFTER_LEASE_CORRELATED_MS = 60_000;
 
-  /** The least silence of a machine with tasks that this owner has never heard. */
+  /** A machine with tasks that was never heard is released at the earliest after this silence. */
   private static final double NEVER_HEARD_MS = 15_000;
 
-  /** A machine is given up that has not come up after so many usual boot times and seconds. */
-  private static final double LATEST_BOOT = 5;
+  /**
+   * A machine that has not come up is given up after this many times its type's usual boot time
+   * plus {@link #BOOT_MARGIN_S}.
+   */
+  private static final double MAX_BOOT_FACTOR = 5;
 
-  private static final double LATEST_BOOT_MARGIN_S = 120;
+  private static final double BOOT_MARGIN_S = 120;
 
-  /** The boot time, in seconds, of a machine whose type is not known. */
+  /** The usual boot time assumed for a machine of unknown type, in seconds. */
   private static final double DEFAULT_BOOT_S = 60;
 
-  /** An empty machine may be unresponsive for so many leases and milliseconds. */
+  /**
+   * An empty machine is returned after it was unresponsive for this many lease durations plus
+   * {@link #UNRESPONSIVE_MARGIN_MS}.
+   */
   private static final double UNRESPONSIVE_LEASES = 3;
 
   private static final double UNRESPONSIVE_MARGIN_MS = 30_000;
 
-  /** A drained machine has to be idle for so long, in milliseconds. */
+  /** How long a drained machine has to be idle before it is returned, in milliseconds. */
   private static final long IDLE_MS = 2000;
 
   private final StepContext context;
   private final ShardView shard;
-  private final CorrelatedSilence correlatedSilence;
+  private final CorrelatedSilenceDetector silenceDetector;
 
-  ReleasePlanner(StepContext context, ShardView shard, CorrelatedSilence correlatedSilence) {
+  ReleasePlanner(StepContext context, ShardView shard, CorrelatedSilenceDetector silenceDetector) {
     this.context = context;
     this.shard = shard;
-    this.correlatedSilence = correlatedSilence;
+    this.silenceDetector = silenceDetector;
   }
 
-  /** The machines to be returned now; those that are empty are marked as being released. */
+  /**
+   * Returns the machines to return to the cloud now; marks faulty and drained ones as releasing.
+   */
   List<MachineName> machinesToReturn() {
-    List<MachineName> names = new ArrayList<>();
+    List<MachineName> machinesToReturn = new ArrayList<>();
     for (Machine machine : shard.machines().values()) {
       if (!machine.session().hasConfirmedHeartbeat()) {
-        if (isLostBeforeHeard(machine)) {
-          names.add(machine.name());
+        if (isUnheardTooLong(machine)) {
+          machinesToReturn.add(machine.name());
         }
       } else if (isSilent(machine) || isUnresponsive(machine)) {
-        names.add(machine.name());
-      } else if (isBroken(machine) || isDrained(machine)) {
+        machinesToReturn.add(machine.name());
+      } else if (isFaulty(machine) || isDrained(machine)) {
         machine.release();
-        names.add(machine.name());
-      } else if (machine.isReleasing() && isVacant(machine)) {
-        names.add(machine.name());
+        machinesToReturn.add(machine.name());
+      } else if (machine.isReleasing() && hasNoTasks(machine)) {
+        machinesToReturn.add(machine.name());
       }
     }
-    return names;
+    return machinesToReturn;
   }
 
-  /** A machine that this owner has not heard and that will hardly be heard any more. */
-  private boolean isLostBeforeHeard(Machine machine) {
+  /** Reports whether a machine that this owner has never heard will probably not come up. */
+  private boolean isUnheardTooLong(Machine machine) {
     if (!machine.isEmpty()) {
-      boolean waits = correlatedSilence.mayExplain(machine);
-      double patienceMs =
-          waits ? patienceMs(machine) : Math.max(NEVER_HEARD_MS, earliestReleaseMs());
-      return shard.liveness().silentMs(machine) > patienceMs;
+      boolean mayBeCorrelated = silenceDetector.mayAffect(machine);
+      double maxSilenceMs =
+          mayBeCorrelated ? maxSilenceMs(machine) : Math.max(NEVER_HEARD_MS, earliestReleaseMs());
+      return shard.liveness().silentMs(machine) > maxSilenceMs;
     }
     if (!machine.assignment().isAssigned()) {
       return false;
     }
-    double patienceMs =
+    double maxUnheardMs =
         machine.assignment().hasArrivedFromOtherShard()
-            ? patienceMs(machine)
-            : latestBootMs(machine);
-    return context.now().since(machine.assignment().since()) > patienceMs;
+            ? maxSilenceMs(machine)
+            : maxBootMs(machine);
+    return context.now().since(machine.assignment().since()) > maxUnheardMs;
   }
 
-  private static double latestBootMs(Machine machine) {
+  private static double maxBootMs(Machine machine) {
     double bootS = machine.type() == null ? DEFAULT_BOOT_S : machine.type().bootS();
-    return MS_PER_S * (LATEST_BOOT * bootS + LATEST_BOOT_MARGIN_S);
+    return MS_PER_S * (MAX_BOOT_FACTOR * bootS + BOOT_MARGIN_S);
   }
 
   private boolean isSilent(Machine machine) {
-    return shard.liveness().silentMs(machine) > patienceMs(machine);
+    return shard.liveness().silentMs(machine) > maxSilenceMs(machine);
   }
 
-  /** How long a machine may be silent before it is returned, in milliseconds. */
-  private double patienceMs(Machine machine) {
+  /** Returns how long a machine may be silent before it is returned, in milliseconds. */
+  private double maxSilenceMs(Machine machine) {
     double leaseMs = leaseMs();
-    if (correlatedSilence.mayExplain(machine)) {
+    if (silenceDetector.mayAffect(machine)) {
       return leaseMs + AFTER_LEASE_CORRELATED_MS;
     }
-    // Releasing a silent machine is the quick way to be sure of its tasks, where its lease is long.
+    // A release surely ends the machine's tasks; with a long lease, earlier than its expiry does.
     double earlyMs = earliestReleaseMs();
-    return leaseMs - earlyMs > LONG_LEASE_MS ? earlyMs : leaseMs + AFTER_LEASE_MS;
+    return leaseMs - earlyMs > MIN_LEASE_CUT_MS ? earlyMs : leaseMs + AFTER_LEASE_MS;
   }
 
   private double earliestReleaseMs() {
     double heartbeatMs = context.config().workers().reportS() * MS_PER_S;
-    return SILENT_HEARTBEATS * heartbeatMs + SILENT_MARGIN_MS;
+    return SILENT_HEARTBEAT_INTERVALS * heartbeatMs + SILENT_MARGIN_MS;
   }
 
   private double leaseMs() {
@@ -129,8 +140,8 @@
         && context.now().since(since) > UNRESPONSIVE_LEASES * leaseMs() + UNRESPONSIVE_MARGIN_MS;
   }
 
-  /** One that failed again after a quarantine. */
-  private boolean isBroken(Machine machine) {
+  /** Reports whether the machine failed again after a quarantine and is empty. */
+  private boolean isFaulty(Machine machine) {
     return machine.health().quarantines() > 1
         && machine.isEmpty()
         && shard.liveness().isFresh(machine);
@@ -139,13 +150,13 @@
   private boolean isDrained(Machine machine) {
     return machine.isDraining()
         && !machine.assignment().isHandoverRequested()
-        && isVacant(machine)
+        && hasNoTasks(machine)
         && shard.liveness().isFresh(machine)
         && context.now().since(machine.idleSince()) > IDLE_MS;
   }
 
-  /** Whether neither the owner nor the worker knows of a task there. */
-  private static boolean isVacant(Machine machine) {
+  /** Reports whether neither this owner nor the worker knows of a task on the machine. */
+  private static boolean hasNoTasks(Machine machine) {
     return machine.isEmpty() && machine.session().listedTasks() == 0;
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -16,57 +16,60 @@
 import shorecrank.protocol.JobSpec.Priority;
 
 /**
- * The order in which queued jobs get room.
+ * Determines the order in which queued jobs are placed.
  *
- * <p>First come jobs that have waited long without a first task. Then those that can still reach an
- * objective of their class, by the latest start that reaches it; but where the fleet can't serve
- * them all in time, the job that asks for the most work for what it counts is deferred until the
- * others can be served. Objectives are shares of a class's jobs, so a job counts for the less the
- * more jobs its class has, and for more by the number of its class's objectives and by its
- * priority. The rest follows by priority and least work left.
+ * <p>Starving jobs come first: those that have waited long without a single task placed. Next come
+ * jobs that can still meet an objective, by the latest start that meets it. If the fleet can't
+ * serve all of these in time, those with the most work per weight are deferred until the others can
+ * be served. An objective is a percentage of the jobs of a class, so the weight of a job falls with
+ * the number of jobs in its class; it rises with the number of the class's objectives and with the
+ * job's priority. All remaining jobs follow, by priority and then by least work.
  */
 public final class SchedulingQueue {
-  /** A job without a single task after so many seconds goes first, whatever its size. */
-  static final double OVERDUE_AFTER_S = 120;
+  /** A job of which no task was ever placed is starving once it has been ready for this long. */
+  static final double STARVING_AFTER_S = 120;
 
   /**
-   * Of an overdue job only one task in so many goes first, so that one large job does not stop all
-   * others.
+   * Only one in this many tasks of a starving job is placed first, so that one large job does not
+   * block all others.
    */
-  public static final int OVERDUE_FRACTION = 8;
+  public static final int STARVING_JOB_DIVISOR = 8;
 
   /**
-   * Estimates are often wrong by half: a job is given up on only when this share of its run is too
-   * long.
+   * A job can still meet a deadline if this fraction of its estimated run fits before it, since
+   * estimates are often wrong by half.
    */
-  private static final double LEAST_RUN_SHARE = 0.5;
+  private static final double MIN_RUN_SHARE = 0.5;
 
-  /** Tasks of a job differ, and its last one counts: it takes so many times the estimate. */
+  /** A job ends with its slowest task, which is assumed to run this many times the estimate. */
   private static final double LAST_TASK_FACTOR = 1.3;
 
   /**
-   * Work within its team's guarantee waits for nobody, but lets closer objectives go first for so
-   * many seconds.
+   * A job within its team's guarantee should start this many seconds after it is ready; only jobs
+   * with an earlier latest start go before it.
    */
-  private static final double GUARANTEED_START_S = 2;
+  private static final double GUARANTEED_START_WITHIN_S = 2;
 
   /**
-   * A job that asks for so many times less than others do for what it counts goes before them: it
-   * hardly delays them.
+   * A job goes before others if the largest job has more than this many times its work per weight:
+   * such a small job hardly delays them.
    */
   private static final double SMALL_JOB_FACTOR = 8;
 
-  /** The least values that estimates and rates are taken for. */
-  private static final double LEAST_FETCH_GB_PER_S = 0.01;
+  /** Lower bound of the average image fetch rate, in gigabytes per second. */
+  private static final double MIN_FETCH_GB_PER_S = 0.01;
 
-  private static final double LEAST_RUN_S = 0.5;
-  private static final double LEAST_CPUS = 0.1;
+  /** Lower bound of a task's estimated run, in seconds. */
+  private static final double MIN_RUN_S = 0.5;
 
-  /** How fast machines fetch images until one has been seen. */
+  /** Lower bound of the processors of a task. */
+  private static final double MIN_CPUS = 0.1;
+
+  /** The image fetch rate assumed until the shard has a running machine. */
   private static final double DEFAULT_FETCH_GB_PER_S = 0.2;
 
-  /** The latest start of a job that can't reach any objective, or has none. */
-  private static final double NO_START = Double.MAX_VALUE;
+  /** The latest start of a job that can't meet any objective, or has none. */
+  private static final double NO_LATEST_START = Double.MAX_VALUE;
 
   private static final Comparator<Job> OLDEST_FIRST =
       Comparator.comparingLong((Job job) -> job.acceptedAtMs()).thenComparing(Job::id);
@@ -84,13 +87,13 @@
           .thenComparing(Job::id);
 
   /**
-   * A job that can reach an objective, in one sorting.
+   * A job that can still meet an objective.
    *
-   * @param latestStartS the latest start that reaches it, in seconds from now
-   * @param durationS seconds from its start to its end
-   * @param work processor seconds of its queued tasks
-   * @param weight what it counts
-   * @param guaranteed whether it is within its team's guarantee
+   * @param latestStartS the latest start that meets the objective, in seconds from now
+   * @param durationS seconds from the start to the end of the job
+   * @param work processor seconds of the job's queued tasks
+   * @param weight the weight of the job against other jobs
+   * @param guaranteed whether the job is within its team's guarantee
    */
   private record Candidate(
       Job job,
@@ -104,14 +107,20 @@
     }
   }
 
-  /** What goes before the end of a job, in seconds: fetch of the image, command, run. */
-  private record Duration(double fetchS, double commandS, double runS) {
-    double latestStart(double leftS) {
+  /**
+   * The phases from the start of a job to its end.
+   *
+   * @param fetchS seconds to fetch the image
+   * @param commandS seconds until the worker gets the start command
+   * @param runS estimated seconds that a task runs
+   */
+  private record JobDuration(double fetchS, double commandS, double runS) {
+    double latestStartS(double leftS) {
       return leftS - fetchS - commandS - runS * LAST_TASK_FACTOR;
     }
 
     boolean mayEndWithin(double leftS) {
-      return leftS >= fetchS + commandS + runS * LEAST_RUN_SHARE;
+      return leftS >= fetchS + commandS + runS * MIN_RUN_SHARE;
     }
 
     double totalS() {
@@ -124,15 +133,19 @@
   private final TeamGuarantees guarantees;
   private final DependencyGraph dependencies;
 
-  /** How many jobs of a class there were; objectives are shares of them. */
+  /** The number of jobs counted so far, by class. */
   private final Map<String, Integer> jobsByClass = new HashMap<>();
 
   private final Set<Job> countedJobs = new HashSet<>();
 
-  /** How fast the fleet's machines fetch images, as last seen. */
+  /** The last known average rate at which the fleet's machines fetch images. */
   private double lastFetchGbPerS = DEFAULT_FETCH_GB_PER_S;
 
-  /** A queue of the jobs whose dependencies {@code dependencies} holds. */
+  /**
+   * Creates the queue of one shard.
+   *
+   * @param dependencies the dependencies of the shard's jobs
+   */
   public SchedulingQueue(StepContext context, DependencyGraph dependencies) {
     this.context = context;
     this.dependencies = dependencies;
@@ -140,79 +153,80 @@
     this.guarantees = new TeamGuarantees(context.config().teams());
   }
 
-  /** Whether users of the job's class wait for the start of its tasks. */
+  /** Reports whether the job's class has an objective for the start of its tasks. */
   public boolean hasStartTarget(JobSpec spec) {
     return objectives.hasStartTarget(spec);
   }
 
-  /** The service-level objectives that the order follows. */
+  /** Returns the service-level objectives that determine the order. */
   ServiceObjectives objectives() {
     return objectives;
   }
 
-  /** Whether a job has waited so long without a single task that it goes first. */
-  public static boolean isOverdue(Job job, long wallMs) {
+  /** Reports whether a job has waited so long without a single task placed that it goes first. */
+  public static boolean isStarving(Job job, long wallMs) {
     return !job.tasks().wasPlaced()
         && job.tasks().doneCount() == 0
         && job.scheduling().isReady()
-        && job.readyForS(wallMs) > OVERDUE_AFTER_S;
+        && job.readyForS(wallMs) > STARVING_AFTER_S;
   }
 
   /**
-   * Brings up to date what the order follows beside the jobs' own objectives: the guarantees of
-   * teams, and the priorities and deadlines of dependent jobs.
+   * Updates the inputs of the order other than the jobs' own objectives: which jobs are within
+   * their team's guarantee, and the priorities and deadlines inherited from dependents.
    *
    * @param jobs all unfinished jobs of the shard
    */
   public void updateUrgency(Collection<Job> jobs) {
-    guarantees.mark(jobs);
+    guarantees.markGuaranteedJobs(jobs);
     dependencies.updateUrgency(this::ownDeadlines, this::durationMs);
   }
 
-  /** Sorts jobs by who gets room first, and notes on each how soon it must get it. */
+  /** Returns the jobs in the order of placement, and sets the slack of each. */
   public List<Job> sort(Collection<Job> queued, FleetCapacity capacity) {
     long wallMs = context.wallMs();
     if (capacity.fetchGbPerS() > 0) {
       lastFetchGbPerS = capacity.fetchGbPerS();
     }
-    List<Job> overdue = new ArrayList<>();
+    List<Job> starving = new ArrayList<>();
     List<Candidate> candidates = new ArrayList<>();
     List<Job> rest = new ArrayList<>();
     for (Job job : queued) {
       countInClass(job);
-      if (isOverdue(job, wallMs)) {
-        overdue.add(job);
+      if (isStarving(job, wallMs)) {
+        starving.add(job);
         job.scheduling().setSlackS(0);
         continue;
       }
       Candidate candidate = candidate(job, capacity.fetchGbPerS(), wallMs);
       if (candidate == null) {
         rest.add(job);
-        job.scheduling().setSlackS(NO_START);
+        job.scheduling().setSlackS(NO_LATEST_START);
       } else {
         candidates.add(candidate);
         job.scheduling().setSlackS(candidate.latestStartS());
       }
     }
-    overdue.sort(OLDEST_FIRST);
+    starving.sort(OLDEST_FIRST);
     candidates.sort(EARLIEST_START_FIRST);
     List<Job> order = new ArrayList<>(queued.size());
-    order.addAll(overdue);
-    addInTime(candidates, deferred(candidates, capacity), order, rest);
+    order.addAll(starving);
+    addCandidates(candidates, deferred(candidates, capacity), order, rest);
     rest.sort(BY_PRIORITY_AND_WORK);
     order.addAll(rest);
     return order;
   }
 
   /**
-   * The jobs that step back for others, by Moore and Hodgson's rule: whenever the jobs so far can't
-   * all be in time, the one with the most work steps back. Guaranteed ones never do.
+   * Returns the jobs to defer, by the Moore-Hodgson algorithm: goes through the candidates by
+   * latest start and, whenever those kept so far can't all end in time, defers the one with the
+   * most work per weight. Jobs within their team's guarantee are never deferred.
    */
-  private static Set<Job> deferred(List<Candidate> byStart, FleetCapacity capacity) {
+  private static Set<Job> deferred(List<Candidate> byLatestStart, FleetCapacity capacity) {
     PriorityQueue<Candidate> kept = new PriorityQueue<>(MOST_WORK_FIRST);
     Set<Job> deferred = new HashSet<>();
-    double work = capacity.runningWork();
-    for (Candidate candidate : byStart) {
+    double work = capacity.runningCpuSeconds();
+    for (Candidate candidate : byLatestStart) {
       work += candidate.work();
       if (candidate.guaranteed()) {
         continue;
@@ -231,20 +245,20 @@
     return deferred;
   }
 
-  /** Adds candidates to the order, small ones first; deferred ones go to the rest. */
-  private static void addInTime(
-      List<Candidate> byStart, Set<Job> deferred, List<Job> order, List<Job> rest) {
-    double most = 0;
-    for (Candidate candidate : byStart) {
-      most = Math.max(most, candidate.workByWeight());
+  /** Adds candidates to {@code order}, small ones first, and deferred ones to {@code rest}. */
+  private static void addCandidates(
+      List<Candidate> byLatestStart, Set<Job> deferred, List<Job> order, List<Job> rest) {
+    double maxWorkByWeight = 0;
+    for (Candidate candidate : byLatestStart) {
+      maxWorkByWeight = Math.max(maxWorkByWeight, candidate.workByWeight());
     }
     List<Job> large = new ArrayList<>();
-    for (Candidate candidate : byStart) {
+    for (Candidate candidate : byLatestStart) {
       Job job = candidate.job();
       if (deferred.contains(job)) {
         rest.add(job);
-        job.scheduling().setSlackS(NO_START);
-      } else if (candidate.workByWeight() * SMALL_JOB_FACTOR < most) {
+        job.scheduling().setSlackS(NO_LATEST_START);
+      } else if (candidate.workByWeight() * SMALL_JOB_FACTOR < maxWorkByWeight) {
         order.add(job);
       } else {
         large.add(job);
@@ -253,10 +267,10 @@
     order.addAll(large);
   }
 
-  /** Null if the job can't reach an objective any more, or has none. */
+  /** Returns the job as a candidate, or null if it can't meet an objective or has none. */
   private Candidate candidate(Job job, double fetchGbPerS, long wallMs) {
-    Duration duration = duration(job, fetchGbPerS);
-    double latestStartS = NO_START;
+    JobDuration duration = duration(job, fetchGbPerS);
+    double latestStartS = NO_LATEST_START;
     for (Target target : objectives.targets(job.spec().jobClass())) {
       latestStartS = Math.min(latestStartS, latestStartS(target, job, duration, wallMs));
     }
@@ -264,53 +278,57 @@
     for (Deadline deadline : dependencies.inheritedDeadlines(job)) {
       double leftS = (deadline.atMs() - wallMs) / 1000;
       if (duration.mayEndWithin(leftS)) {
-        latestStartS = Math.min(latestStartS, duration.latestStart(leftS));
+        latestStartS = Math.min(latestStartS, duration.latestStartS(leftS));
         weight = Math.max(weight, weight(deadline.jobClass()));
       }
     }
     if (job.scheduling().isWithinGuarantee()) {
-      latestStartS = Math.min(latestStartS, GUARANTEED_START_S - job.readyForS(wallMs));
+      latestStartS = Math.min(latestStartS, GUARANTEED_START_WITHIN_S - job.readyForS(wallMs));
     }
-    if (latestStartS == NO_START) {
+    if (latestStartS == NO_LATEST_START) {
       return null;
     }
     weight *= priorityWeight(job.scheduling().priority());
     double taskS = duration.runS() + duration.fetchS();
-    double work = job.queuedTaskCount() * Math.max(LEAST_CPUS, job.spec().cpus()) * taskS;
+    double work = job.queuedTaskCount() * Math.max(MIN_CPUS, job.spec().cpus()) * taskS;
     return new Candidate(
         job, latestStartS, duration.totalS(), work, weight, job.scheduling().isWithinGuarantee());
   }
 
-  /** The latest start that reaches the target, in seconds from now; NO_START if none does. */
-  private static double latestStartS(Target target, Job job, Duration duration, long wallMs) {
-    // But for deadlines, times count from when the last job that it depends on was done.
+  /**
+   * Returns the latest start that meets the target, in seconds from now, or {@link
+   * #NO_LATEST_START} if the target is missed or does not apply to the job.
+   */
+  private static double latestStartS(Target target, Job job, JobDuration duration, long wallMs) {
+    // Targets count from when the job's last dependency was done, deadlines from its acceptance.
     double waitedS = job.readyForS(wallMs);
     if (target instanceof Target.Start start) {
-      // The image may be there and the machine's heartbeat about to come: given up only once past.
+      // The target holds until its time is past: a machine may hold the image already and send its
+      // heartbeat next, so that the start takes no time.
       return waitedS >= start.withinS()
-          ? NO_START
+          ? NO_LATEST_START
           : start.withinS() - duration.fetchS() - duration.commandS() - waitedS;
     }
     Target.End end = (Target.End) target;
     if (end.isRelativeToDeadline() && !job.spec().hasDeadline()) {
-      return NO_START;
+      return NO_LATEST_START;
     }
     double leftS =
         end.isRelativeToDeadline()
             ? job.spec().deadlineS() * end.deadlineFactor() - job.ageS(wallMs)
             : end.withinS() - waitedS;
-    return duration.mayEndWithin(leftS) ? duration.latestStart(leftS) : NO_START;
+    return duration.mayEndWithin(leftS) ? duration.latestStartS(leftS) : NO_LATEST_START;
   }
 
-  private Duration duration(Job job, double fetchGbPerS) {
-    return new Duration(
-        job.spec().imageGb() / Math.max(LEAST_FETCH_GB_PER_S, fetchGbPerS),
-        // On average a command waits for half the time between two heartbeats.
+  private JobDuration duration(Job job, double fetchGbPerS) {
+    return new JobDuration(
+        job.spec().imageGb() / Math.max(MIN_FETCH_GB_PER_S, fetchGbPerS),
+        // On average, a command waits half a heartbeat interval.
         context.config().workers().reportS() / 2,
-        Math.max(LEAST_RUN_S, job.spec().estimateS()));
+        Math.max(MIN_RUN_S, job.spec().estimateS()));
   }
 
-  /** What a job of the class counts for: objectives are shares of a class's jobs. */
+  /** Returns the weight of a job by its class: the number of objectives per job of the class. */
   private double weight(String jobClass) {
     return (double) Math.max(1, objectives.targets(jobClass).size())
         / Math.max(1, jobsByClass.getOrDefault(jobClass, 1));
@@ -325,14 +343,14 @@
     };
   }
 
-  /** The deadlines of the job's own, on the wall clock. */
+  /** Returns the deadlines of the job without the inherited ones. */
   private List<Deadline> ownDeadlines(Job job) {
     return objectives.deadlines(job.spec(), job.acceptedAtMs());
   }
 
-  /** Milliseconds that a job takes from when it is ready, by its owner's estimate. */
+  /** Returns the milliseconds that a job takes once it is ready, by its user's estimate. */
   private double durationMs(Job job) {
-    Duration duration = duration(job, lastFetchGbPerS);
+    JobDuration duration = duration(job, lastFetchGbPerS);
     return 1000 * (duration.fetchS() + duration.commandS() + duration.runS() * LAST_TASK_FACTOR);
   }
 
@@ -342,7 +360,7 @@
     }
   }
 
-  /** The job has ended or left the shard. */
+  /** Forgets a job that has ended or left the shard; it still counts in its class. */
   public void forget(Job job) {
     countedJobs.remove(job);
   }
--- a/src/main/java/shorecrank/coordination/scheduling/ServiceObjectives.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ServiceObjectives.java
@@ -7,20 +7,33 @@
 import shorecrank.config.NodeConfig.Objective;
 import shorecrank.protocol.JobSpec;
 
-/** The service-level objectives of the classes of jobs, as the platform's file gives them. */
+/** The service-level objectives of the job classes, from the platform's configuration file. */
 final class ServiceObjectives {
   private static final String START_KIND = "wait";
   private static final String END_KIND = "finished";
   private static final String DEADLINE_KIND = "deadline";
 
-  /** What an objective of a class asks of each of its jobs. */
+  /** The target that an objective of a class sets for each of its jobs. */
   sealed interface Target {
-    /** Its tasks start within so many seconds from when it is ready. */
+    /**
+     * The job's tasks start in time.
+     *
+     * @param withinS seconds from when the job is ready
+     */
     record Start(double withinS) implements Target {}
 
-    /** It ends within so many seconds from when it is ready; within its deadline if that is 0. */
+    /**
+     * The job ends in time.
+     *
+     * @param withinS seconds from when the job is ready; 0 for a target relative to the job's own
+     *     deadline
+     * @param deadlineFactor multiple of the job's own deadline if {@code withinS} is 0
+     */
     record End(double withinS, double deadlineFactor) implements Target {
-      /** Whether the time is a multiple of the job's own deadline, from its acceptance. */
+      /**
+       * Reports whether the target is a multiple of the job's own deadline, which counts from the
+       * job's acceptance.
+       */
       boolean isRelativeToDeadline() {
         return withinS <= 0;
       }
@@ -38,18 +51,18 @@
         case END_KIND -> targets.add(new Target.End(objective.withinS(), 0));
         case DEADLINE_KIND -> targets.add(new Target.End(0, objective.times()));
         default -> {
-          // Objectives of other kinds don't bear on the order of jobs.
+          // Objectives of other kinds don't affect the order of jobs.
         }
       }
     }
   }
 
-  /** The targets of a class; empty if it has none. */
+  /** Returns the targets of a class; empty if it has none. */
   List<Target> targets(String jobClass) {
     return targetsByClass.getOrDefault(jobClass, List.of());
   }
 
-  /** Whether users of the class wait for the start of its tasks. */
+  /** Reports whether the job's class has a target for the start of its tasks. */
   boolean hasStartTarget(JobSpec spec) {
     for (Target target : targets(spec.jobClass())) {
       if (target instanceof Target.Start) {
@@ -59,14 +72,16 @@
     return false;
   }
 
-  /** Whether the job has a time to keep, of its class or its own. */
+  /** Reports whether the job's class has a target or the job has a deadline of its own. */
   boolean hasTargets(JobSpec spec) {
     return !targets(spec.jobClass()).isEmpty() || spec.hasDeadline();
   }
 
   /**
-   * The nearest start target, in seconds from when the job was ready, that is not missed yet;
-   * {@link Double#MAX_VALUE} if all are or there is none.
+   * Returns the earliest start target that is not missed yet, in seconds from when the job was
+   * ready, or {@link Double#MAX_VALUE} if there is none.
+   *
+   * @param waitedS seconds since the job was ready
    */
   double nextStartTargetS(JobSpec spec, double waitedS) {
     double next = Double.MAX_VALUE;
@@ -78,7 +93,11 @@
     return next;
   }
 
-  /** The deadlines of the job's own, on the wall clock. */
+  /**
+   * Returns the deadlines that result from the job's own deadline; empty if it has none.
+   *
+   * @param acceptedAtMs when the job was accepted, in milliseconds since 1970
+   */
   List<Deadline> deadlines(JobSpec spec, long acceptedAtMs) {
     List<Deadline> deadlines = new ArrayList<>();
     if (spec.hasDeadline()) {
--- a/src/main/java/shorecrank/coordination/scheduling/ShardView.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ShardView.java
@@ -11,38 +11,44 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** One shard as its owner knows it, for the decisions about placement and capacity. */
+/** The state of one shard, as its owner knows it, for decisions about placement and capacity. */
 public interface ShardView {
-  /** The machines that the owner knows, those of other shards that hold its tasks included. */
+  /** Returns the known machines, including those of other shards that hold tasks of this one. */
   Map<MachineName, Machine> machines();
 
-  /** The unfinished jobs of the shard. */
+  /** Returns the unfinished jobs of the shard. */
   Map<JobId, Job> jobs();
 
-  /** The machine types that can be rented, by name. */
+  /** Returns the machine types that can be rented, by name. */
   Map<String, MachineType> catalog();
 
-  /** The failure detector for the shard's workers. */
+  /** Returns the failure detector for the shard's workers. */
   WorkerLiveness liveness();
 
-  /** Whether new tasks may be placed on a machine. */
+  /** Reports whether new tasks may be placed on a machine. */
   boolean isUsable(Machine machine);
 
-  /** Whether all records of the shard have been read. */
+  /** Reports whether all records of the shard have been read. */
   boolean isReady();
 
-  /** Since when all records of the shard have been read. */
+  /** Returns the time at which all records of the shard had been read. */
   MonotonicTime readySince();
 
-  /** Whether a record is another owner's, until all are read anew under a higher epoch. */
+  /**
+   * Reports whether a record of another owner has refused a write under the current epoch; false
+   * again once the owner holds the shard under a higher epoch.
+   */
   boolean hasRecordOfOtherOwner();
 
-  /** Whether the owner's lease runs. */
+  /** Reports whether the owner's lease on the shard is valid. */
   boolean isLeaseValid();
 
-  /** What a team may still take within its limits. */
+  /** Returns the resources that a team may still use within its limits. */
   Headroom headroom(String team);
 
-  /** Adds an attempt to its job and machine; it is commanded once its record is committed. */
+  /**
+   * Adds an attempt to its job and its machine. Its start is commanded once the job's record that
+   * names the attempt is committed.
+   */
   void attach(TaskAttempt attempt);
 }
--- a/src/main/java/shorecrank/coordination/scheduling/TeamGuarantees.java
+++ b/src/main/java/shorecrank/coordination/scheduling/TeamGuarantees.java
@@ -9,9 +9,9 @@
 import shorecrank.config.NodeConfig.Team;
 import shorecrank.coordination.model.Job;
 
-/** The processors and accelerators that teams are guaranteed, their fair share of the fleet. */
+/** The processors and accelerators guaranteed to each team, its fair share of the fleet. */
 final class TeamGuarantees {
-  /** Absorbs the rounding errors of sums of fractional processors. */
+  /** Tolerance for rounding errors in sums of fractional processors. */
   private static final double EPSILON = 1e-9;
 
   private static final Comparator<Job> OLDEST_FIRST =
@@ -23,8 +23,11 @@
     this.teams = teams;
   }
 
-  /** Marks the jobs that fit into their team's guarantee together with all its earlier ones. */
-  void mark(Collection<Job> jobs) {
+  /**
+   * Marks the ready jobs that are within their team's guarantee: those that fit into it together
+   * with all older ready jobs of the team. Unmarks all others.
+   */
+  void markGuaranteedJobs(Collection<Job> jobs) {
     Map<String, List<Job>> byTeam = new HashMap<>();
     for (Job job : jobs) {
       job.scheduling().setWithinGuarantee(false);
@@ -36,10 +39,10 @@
         byTeam.computeIfAbsent(job.spec().team(), name -> new ArrayList<>()).add(job);
       }
     }
-    byTeam.forEach((name, teamJobs) -> mark(teams.get(name), teamJobs));
+    byTeam.forEach((name, teamJobs) -> markTeam(teams.get(name), teamJobs));
   }
 
-  private static void mark(Team team, List<Job> teamJobs) {
+  private static void markTeam(Team team, List<Job> teamJobs) {
     teamJobs.sort(OLDEST_FIRST);
     double cpus = 0;
     double gpus = 0;
--- a/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
@@ -25,9 +25,10 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /**
- * Which machines are rented and returned. Queues should be cleared in 120 s, machines boot in 60 s
- * and are kept for 300 s after a peak; leases last 30 s and heartbeats come every 4 s. The only
- * type has 8 processors and two zones; spot machines cost a quarter.
+ * Tests which machines are rented and returned. Queues should be cleared in 120 s, machines boot in
+ * 60 s and are kept for 300 s after a demand peak, leases last 30 s and heartbeats come every 4 s.
+ * The only machine type has 8 processors and two zones; its spot price is a quarter of the regular
+ * price.
  */
 class AutoscalerTest {
   private static final long MINUTE_MS = 60_000;
@@ -38,7 +39,7 @@
   private final Autoscaler autoscaler = new Autoscaler(context, shard);
 
   @BeforeEach
-  void onlyOneTypeCanBeRented() {
+  void addOnlyMachineType() {
     shard.addType(MachineBuilder.type(8, 0));
   }
 
@@ -50,8 +51,11 @@
     return machine(number).heardAt(new MonotonicTime(ms));
   }
 
-  /** A job with as many tasks of four processors, each of which runs for as long as a queue may. */
-  private static JobBuilder work(int tasks) {
+  /**
+   * Returns a job with tasks of four processors that run for 120 s. Each needs processors of its
+   * own to clear the queue in time.
+   */
+  private static JobBuilder longJob(int tasks) {
     return job(1).tasks(tasks, 4, 0).estimateS(120);
   }
 
@@ -79,30 +83,30 @@
         "4  | 1 t8@a/spot, 1 t8@b/spot",
         "40 | 10 t8@a/spot, 10 t8@b/spot",
       })
-  void theCheapestOffersAreAskedForAndZonesAtOnePriceShareAlike(int tasks, String requests) {
-    shard.add(work(tasks));
+  void theCheapestOffersAreRequestedEvenlyAcrossZones(int tasks, String requests) {
+    shard.add(longJob(tasks));
     assertEquals(requests, requested());
   }
 
   @Test
-  void shortTasksNeedOnlyWhatClearsTheQueueInTime() {
+  void shortTasksRequestOnlyMachinesThatClearTheQueueInTime() {
     shard.add(job(1).tasks(120, 4, 0).estimateS(4));
     assertEquals("1 t8@a/spot, 1 t8@b/spot", requested());
   }
 
   @Test
-  void roomThatIsThereOrBootingIsNotRentedAgain() {
-    shard.add(work(6));
+  void runningAndBootingMachinesAreNotRequestedAgain() {
+    shard.add(longJob(6));
     shard.add(heardAtMs(1, 0));
     shard.add(machine(2));
     atMs(1000);
-    // Of six tasks two wait; both machines are in zone a, so the other zone comes first.
+    // Two of the six tasks lack a machine. Zone b has no machines yet, so it comes first.
     assertEquals("1 t8@b/spot", requested());
   }
 
   @Test
-  void aMachineThatTakesTwiceItsBootTimeNoLongerCounts() {
-    shard.add(work(2));
+  void aMachineIsNotCountedOnAfterTwiceItsBootTime() {
+    shard.add(longJob(2));
     shard.add(machine(1));
     atMs(2 * MINUTE_MS - 1);
     assertEquals("", requested());
@@ -111,14 +115,14 @@
   }
 
   @Test
-  void whatWaitsForItsTeamsLimitNeedsNoMachine() {
-    shard.add(work(40).ofTeam("limited"));
+  void tasksAboveTheirTeamsLimitRequestNoMachines() {
+    shard.add(longJob(40).ofTeam("limited"));
     assertEquals("1 t8@a/spot", requested());
   }
 
   @Test
-  void anOfferThatIsUsedUpIsLeftOutAndThenAskedForInSmallNumbersBesideOthers() {
-    shard.add(work(60));
+  void aRefusedOfferIsSkippedAndThenRequestedInSmallNumbersBesideOthers() {
+    shard.add(longJob(60));
     refuse("a", 30_000);
     assertEquals("30 t8@b/spot", requested());
     atMs(30_000);
@@ -142,31 +146,31 @@
   }
 
   @Test
-  void aMachineThatIsNotNeededIsDrainedOnceThePeakIsPastAndReturnedWhenIdle() {
+  void anUnneededMachineIsDrainedAfterThePeakWindowAndReturnedWhenIdle() {
     Machine busy = shard.add(heardAtMs(1, 5 * MINUTE_MS));
     Machine idle = shard.add(heardAtMs(2, 5 * MINUTE_MS));
     runTaskOn(busy);
-    Job peak = shard.add(work(2));
+    Job peak = shard.add(longJob(2));
     atMs(1000);
     autoscaler.scaleIn();
     shard.jobs().remove(peak.id());
     atMs(5 * MINUTE_MS);
-    assertEquals(List.of(), returned(), "while the peak counts");
+    assertEquals(List.of(), returned(), "within the peak window");
     assertFalse(idle.isDraining());
     atMs(5 * MINUTE_MS + 1001);
-    assertEquals(List.of("m-2"), returned(), "after the peak");
+    assertEquals(List.of("m-2"), returned(), "after the peak window");
     assertTrue(idle.isReleasing());
     assertFalse(busy.isDraining());
   }
 
   @Test
-  void aDrainingMachineIsTakenBackBeforeQueuedWorkRentsAnother() {
+  void aDrainIsCancelledIfQueuedTasksNeedTheMachine() {
     Machine busy = shard.add(heardAtMs(1, 5 * MINUTE_MS));
     Machine draining = shard.add(heardAtMs(2, 5 * MINUTE_MS));
     runTaskOn(busy);
     runTaskOn(draining);
     draining.drain();
-    shard.add(work(2));
+    shard.add(longJob(2));
     atMs(5 * MINUTE_MS);
     assertEquals(List.of(), returned());
     assertFalse(draining.isDraining());
@@ -174,11 +178,11 @@
 
   @ParameterizedTest
   @CsvSource({
-    // machines of the same zone that are heard, ms of silence of one, whether it is returned
+    // number of heard machines in the zone, milliseconds of silence of one more, its return
     "2, 16000, false",
     "2, 16001, true",
   })
-  void aSingleSilentMachineIsReturnedBeforeItsLeaseRunsOut(
+  void aSingleSilentMachineIsReturnedBeforeItsLeaseExpires(
       int heard, long silentMs, boolean isReturned) {
     Machine silent = shard.add(heardAtMs(0, MINUTE_MS));
     runTaskOn(silent);
@@ -191,11 +195,11 @@
 
   @ParameterizedTest
   @CsvSource({
-    // ms of silence of a whole zone, whether its machines are returned: a minute after the lease
+    // milliseconds of silence of a whole zone, whether its machines are returned
     "90000, false",
     "90001, true",
   })
-  void machinesThatFellSilentTogetherAreWaitedFor(long silentMs, boolean isReturned) {
+  void machinesOfASilentZoneAreReturnedAMinuteAfterTheirLeases(long silentMs, boolean isReturned) {
     for (int number = 0; number < 3; number++) {
       runTaskOn(shard.add(heardAtMs(number, MINUTE_MS).inZone("a")));
     }
@@ -208,7 +212,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // seconds since it was assigned, whether it is returned: five boot times and two minutes
+    // seconds since the assignment, whether it is returned after five boot times and two minutes
     "420, false",
     "421, true",
   })
--- a/src/test/java/shorecrank/coordination/scheduling/BinPackingTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/BinPackingTest.java
@@ -17,7 +17,10 @@
 import shorecrank.coordination.model.MachineBuilder;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Which machine tasks go to. Heartbeats come every 4 s; a full machine fetches 0.5 GB a second. */
+/**
+ * Tests the choice of a machine for a task. Heartbeats come every 4 s; machines fetch images at 0.5
+ * GB/s.
+ */
 class BinPackingTest {
   private static final MonotonicTime NOW = new MonotonicTime(100_000);
   private static final BinPacking.Clock CLOCK = new BinPacking.Clock(NOW, 4);
@@ -42,7 +45,7 @@
   }
 
   @Test
-  void theBestFitIsTheMachineWithTheLeastRoomLeft() {
+  void theMachineWithTheFewestProcessorsLeftIsChosen() {
     add(heardMsAgo(1, 0).with(16, 0));
     Machine best = add(heardMsAgo(2, 0).with(8, 0));
     add(heardMsAgo(3, 0).with(2, 0));
@@ -50,26 +53,26 @@
   }
 
   @Test
-  void aMachineThatHoldsTheImageGoesBeforeABetterFit() {
+  void aMachineWithTheImageIsPreferredToABetterFit() {
     JobBuilder job = job(1).tasks(1, 4, 0).imageGb(2);
-    Machine holder = add(heardMsAgo(1, 0).with(16, 0));
+    Machine withImage = add(heardMsAgo(1, 0).with(16, 0));
     add(heardMsAgo(2, 0).with(4, 0));
-    holder.addImage(job.spec());
-    assertSame(holder, choose(job, 1, null));
+    withImage.addImage(job.spec());
+    assertSame(withImage, choose(job, 1, null));
   }
 
   @Test
-  void aMachineWhoseNextHeartbeatIsSoonGoesBeforeABetterFit() {
-    Machine soon = add(heardMsAgo(1, 3500).with(16, 0));
+  void aMachineWithAnEarlierHeartbeatIsPreferredToABetterFit() {
+    Machine earlier = add(heardMsAgo(1, 3500).with(16, 0));
     add(heardMsAgo(2, 500).with(4, 0));
-    assertSame(soon, choose(job(1).tasks(1, 4, 0), 1, null));
+    assertSame(earlier, choose(job(1).tasks(1, 4, 0), 1, null));
   }
 
   @ParameterizedTest
   @CsvSource(
       nullValues = "-",
       value = {
-        // processors and accelerators of a task, zone; the machine chosen
+        // processors and accelerators of the task, required zone, chosen machine
         "4, 0, -, m-1",
         "4, 0, b, m-2",
         "4, 1, -, m-3",
@@ -78,7 +81,7 @@
         "4, 1, b, -",
         "4, 0, c, -",
       })
-  void onlyMachinesWithRoomInTheZoneAreChosen(
+  void onlyMachinesInTheZoneWithEnoughResourcesAreChosen(
       double cpus, double gpus, String zone, String expected) {
     add(heardMsAgo(1, 0).with(4, 0).inZone("a"));
     add(heardMsAgo(2, 0).with(16, 0).inZone("b"));
@@ -88,7 +91,7 @@
   }
 
   @Test
-  void ifNoneOfASampleFitsAllMachinesAreLookedAt() {
+  void allMachinesAreComparedIfNoneOfTheSampleFits() {
     for (int number = 0; number < 1000; number++) {
       add(heardMsAgo(number, 0).with(1, 0));
     }
@@ -99,7 +102,7 @@
   }
 
   @Test
-  void noMachineIsChosenOfNone() {
+  void noMachineIsChosenIfThereIsNone() {
     assertNull(choose(job(1), 1, null));
   }
 }
--- a/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/DependencyGraphTest.java
@@ -28,7 +28,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.UserMessages.JobState;
 
-/** When a job is ready, and what the end of another job does to it. */
+/** Tests how the end or cancellation of a job affects the jobs that depend on it. */
 class DependencyGraphTest {
   private final StepContext context = new StepContextBuilder().build();
   private final CancellationLog cancellations = new CancellationLog(context, id -> {}, owner -> {});
@@ -59,7 +59,7 @@
     return calls;
   }
 
-  /** Answers the only call under way, as the state service does for a value. */
+  /** Answers the only call in flight as the state service answers the read of a value. */
   private void answer(int status, ObjectNode value) {
     List<Output.Call> calls = calls();
     assertEquals(1, calls.size(), "calls");
@@ -76,7 +76,7 @@
   // ---- readiness -------------------------------------------------------------------------------
 
   @Test
-  void aJobIsReadyOnceTheLastJobThatItDependsOnIsDone() {
+  void aJobIsReadyOnceItsLastDependencyIsDone() {
     add(job(1));
     add(job(2));
     Job last = add(job(3).dependsOn(1, 2));
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void aFinalRecordThatSaysCancelledCancelsDependents() {
+  void aFinalRecordInStateCancelledCancelsDependents() {
     add(job(1));
     add(job(2).dependsOn(1));
     graph.onJobEnded(id(1), JobState.CANCELLED);
@@ -122,21 +122,21 @@
   }
 
   @Test
-  void aForgottenJobIsNotCancelled() {
+  void aRemovedJobIsNotCancelled() {
     add(job(1));
     graph.remove(add(job(2).dependsOn(1)));
     graph.onJobCancelled(id(1));
     assertEquals(List.of(), cancelled);
   }
 
-  // ---- look-ups --------------------------------------------------------------------------------
+  // ---- lookups ---------------------------------------------------------------------------------
 
   @ParameterizedTest
   @CsvSource(
       nullValues = "-",
       value = {
-        // live record: status, marked; final record: status, state; ready, cancelled, looked up
-        // again
+        // live record: HTTP status, marked as cancelled; final record: HTTP status, state;
+        // dependent: is ready, is cancelled; dependency: is looked up again
         "200, false, -, -, false, false, false",
         "200, true, -, -, false, true, false",
         "404, -, 200, done, true, false, false",
@@ -147,32 +147,32 @@
         "503, -, -, -, false, false, true",
         "0, -, -, -, false, false, true",
       })
-  void aJobOfAnotherShardIsReadInTheOrderInWhichItMoves(
+  void theLiveRecordOfAnotherShardsJobIsReadBeforeTheFinalOne(
       int liveStatus,
-      Boolean marked,
+      Boolean isMarked,
       Integer finalStatus,
       String finalState,
-      boolean ready,
+      boolean isReady,
       boolean isCancelled,
-      boolean again) {
+      boolean isLookedUpAgain) {
     Job job = add(job(2).dependsOn(1));
     graph.tick();
-    answer(liveStatus, Json.object().put("x", marked));
+    answer(liveStatus, Json.object().put("x", isMarked));
     if (finalStatus != null) {
       answer(finalStatus, Json.object().put("p", finalState).put("n", 1));
     }
-    assertEquals(ready ? 1 : 0, job.queuedTaskCount(), "queued tasks");
+    assertEquals(isReady ? 1 : 0, job.queuedTaskCount(), "queued tasks");
     assertEquals(isCancelled ? List.of(id(2)) : List.of(), cancelled, "cancelled");
     atMs(499);
     graph.tick();
-    assertEquals(0, calls().size(), "look-ups before half a second");
+    assertEquals(0, calls().size(), "lookups before half a second");
     atMs(500);
     graph.tick();
-    assertEquals(again ? 1 : 0, calls().size(), "look-ups after half a second");
+    assertEquals(isLookedUpAgain ? 1 : 0, calls().size(), "lookups after half a second");
   }
 
   @Test
-  void noMoreThanFourJobsAreLookedUpAtATime() {
+  void atMostFourJobsAreLookedUpAtOnce() {
     add(job(9).dependsOn(1, 2, 3, 4, 5));
     graph.tick();
     List<Output.Call> calls = calls();
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void aJobWhoseLiveRecordIsDeletedIsLookedUpAtOnce() {
+  void aJobIsLookedUpImmediatelyAfterItsLiveRecordIsDeleted() {
     add(job(2).dependsOn(1));
     graph.tick();
     answer(200, Json.object());
@@ -193,10 +193,10 @@
     assertEquals(1, calls().size());
   }
 
-  // ---- what dependents ask of a job ------------------------------------------------------------
+  // ---- inherited urgency -----------------------------------------------------------------------
 
   @Test
-  void deadlinesAreInheritedLessTheTimeThatTheChainTakesTheClosestFourFirst() {
+  void theFourEarliestDeadlinesAreInheritedLessTheDurationOfTheChain() {
     Job first = add(job(1));
     Job second = add(job(2).dependsOn(1));
     for (int number = 3; number < 8; number++) {
@@ -220,7 +220,7 @@
   }
 
   @Test
-  void jobsThatDependOnEachOtherAreLoggedOnceAndEndTheWalk() {
+  void aCycleIsLoggedOnceAndEndsTheTraversal() {
     add(job(1).dependsOn(2));
     add(job(2).dependsOn(1));
     graph.updateUrgency(job -> List.of(), job -> 10);
@@ -236,14 +236,14 @@
   }
 
   @Test
-  void transitiveDependenciesAreKnownWithinTheShardAndUpToABound() {
+  void transitiveDependenciesAreReturnedWithinTheShardAndUpToALimit() {
     Job first = add(job(1));
     Job second = add(job(2).dependsOn(1));
     Job third = add(job(3).dependsOn(2, 1));
     Job other = add(job(4).dependsOn(3, 99));
     assertEquals(Optional.of(Set.of()), asSet(graph.transitiveDependencies(first, 2)));
     assertEquals(Optional.of(Set.of(second, first)), asSet(graph.transitiveDependencies(third, 2)));
-    assertEquals(Optional.empty(), graph.transitiveDependencies(third, 1), "above the bound");
+    assertEquals(Optional.empty(), graph.transitiveDependencies(third, 1), "above the limit");
     assertEquals(Optional.empty(), graph.transitiveDependencies(other, 9), "another shard's");
   }
 
--- a/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
+++ b/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
@@ -18,7 +18,7 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** A shard of a test's own jobs and machines, whose owner holds its lease since time 0. */
+/** A shard with the jobs and machines of a test, whose owner has held the lease since time 0. */
 final class FakeShard implements ShardView {
   private final Map<MachineName, Machine> machines = new TreeMap<>();
   private final Map<JobId, Job> jobs = new TreeMap<>();
--- a/src/test/java/shorecrank/coordination/scheduling/SchedulingQueueTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/SchedulingQueueTest.java
@@ -20,15 +20,16 @@
 import shorecrank.protocol.JobSpec.Priority;
 
 /**
- * Which queued job gets room first. Classes: "web" should start within 10 s, "etl" end within 100
- * s, "report" end within twice its own deadline, "plain" has no objective. Team "vision" has a
- * guarantee of 20 processors, "maps" of 2. A command takes 2 s, half a heartbeat interval.
+ * Tests the order of queued jobs. Jobs of class "web" should start within 10 s, "etl" end within
+ * 100 s and "report" end within twice their own deadline; "plain" has no objective. Team "vision"
+ * is guaranteed 20 processors, "maps" 2 and "speech" none. A start command takes 2 s, half a
+ * heartbeat interval.
  */
 class SchedulingQueueTest {
   private static final long NOW_MS = 1_000_000;
   private static final FleetCapacity PLENTY = new FleetCapacity(0.5, 1e6, 0, 0, 0);
 
-  /** Enough for 1000 processor seconds in the 100 s of "etl", as a quarter is never used. */
+  /** Enough for 1000 processor seconds in the 100 s of "etl", as 75% of processors are usable. */
   private static final FleetCapacity SCARCE = new FleetCapacity(0.5, 10 / 0.75, 0, 0, 0);
 
   private final StepContext context =
@@ -47,7 +48,7 @@
           context, jobs, new CancellationLog(context, id -> {}, owner -> {}), job -> {});
   private final SchedulingQueue queue = new SchedulingQueue(context, dependencies);
 
-  /** A job of a team without a guarantee, accepted so many seconds ago. */
+  /** Returns a job of a team without a guarantee that was accepted {@code seconds} ago. */
   private static JobBuilder waiting(int number, String jobClass, double seconds) {
     return job(number)
         .ofClass(jobClass)
@@ -73,7 +74,7 @@
   }
 
   @Test
-  void overdueJobsGoFirstTheOldestFirst() {
+  void starvingJobsGoFirstTheOldestFirst() {
     assertOrder(
         "3 2 1",
         PLENTY,
@@ -83,43 +84,43 @@
   }
 
   @Test
-  void jobsThatCanReachAnObjectiveFollowByTheLatestStartThatReachesIt() {
+  void jobsThatCanMeetAnObjectiveFollowByLatestStart() {
     assertOrder(
         "4 1 3 2 5",
         PLENTY,
-        // 10 s less 2 s for the command and 1 s of waiting: 7 s from now.
+        // Latest start in 7 s: 10 s less 2 s for the command and 1 s of waiting.
         waiting(1, "web", 1),
-        // 100 s less 2 s and 1.3 times the 10 s that a task runs: 85 s.
+        // Latest start in 85 s: 100 s less 2 s for the command and 1.3 times the run of 10 s.
         waiting(2, "etl", 0),
-        // The same less 20 s of waiting and 10 s for its image of 5 GB: 55 s.
+        // Latest start in 55 s: 85 s less 20 s of waiting and 10 s to fetch the image of 5 GB.
         waiting(3, "etl", 20).imageGb(5),
-        // Twice 10 s less 2 s, 13 s and 4 s of waiting: 1 s.
+        // Latest start in 1 s: 20 s less 2 s for the command, 13 s for the run, 4 s of waiting.
         waiting(4, "report", 4).deadlineS(10),
         waiting(5, "plain", 100).priority(Priority.PROD));
   }
 
   @ParameterizedTest
   @CsvSource({
-    // class, seconds waited, whether the objective can still be reached
+    // class, seconds waited, whether the objective can still be met
     "web, 9.9, true",
     "web, 10, false",
-    // Half the run of 10 s and the command have to fit in: estimates are often wrong by half.
+    // Half the estimated run of 10 s and the 2 s of the command have to fit in.
     "etl, 93, true",
     "etl, 93.1, false",
     "report, 13, true",
     "report, 13.1, false",
   })
-  void aJobThatCanNoLongerReachItsObjectiveGoesBackToTheRest(
-      String jobClass, double seconds, boolean reachable) {
+  void aJobThatCanNoLongerMeetItsObjectiveIsOrderedByPriority(
+      String jobClass, double seconds, boolean canMeetObjective) {
     assertOrder(
-        reachable ? "1 2" : "2 1",
+        canMeetObjective ? "1 2" : "2 1",
         PLENTY,
         waiting(1, jobClass, seconds).deadlineS(10).priority(Priority.LOW),
         waiting(2, "plain", 0).priority(Priority.PROD));
   }
 
   @Test
-  void theRestFollowsByPriorityThenLeastWorkThenId() {
+  void remainingJobsFollowByPriorityThenLeastWorkThenId() {
     assertOrder(
         "2 4 3 5 1",
         PLENTY,
@@ -138,7 +139,7 @@
   }
 
   @Test
-  void ofJobsThatCantAllBeInTimeTheLargestIsDeferred() {
+  void theLargestJobIsDeferredIfNotAllCanEndInTime() {
     JobBuilder large = waiting(1, "etl", 5).tasks(18, 1, 0).estimateS(50);
     JobBuilder middle = waiting(2, "etl", 0).tasks(8, 1, 0).estimateS(50);
     assertOrder("1 2", PLENTY, large, middle);
@@ -146,7 +147,7 @@
   }
 
   @Test
-  void whatRunsDelaysTheQueueAndMachinesThatBootHelpIt() {
+  void runningTasksReduceAndBootingMachinesIncreaseTheCapacity() {
     JobBuilder large = waiting(1, "etl", 5).tasks(14, 1, 0).estimateS(50);
     JobBuilder middle = waiting(2, "etl", 0).tasks(5, 1, 0).estimateS(50);
     assertOrder("1 2", SCARCE, large, middle);
@@ -155,29 +156,29 @@
   }
 
   @Test
-  void workWithinItsTeamsGuaranteeIsDueTwoSecondsAfterAcceptance() {
+  void aJobWithinItsTeamsGuaranteeShouldStartTwoSecondsAfterAcceptance() {
     assertOrder(
         "2 3 1 4",
         PLENTY,
-        // 7 s from now.
+        // Latest start in 7 s.
         waiting(1, "web", 1),
-        // One of two processors: 1 s ago.
+        // Takes the first of the two guaranteed processors; latest start 1 s ago.
         waiting(2, "plain", 3).ofTeam("maps"),
-        // The second: 1 s from now.
+        // Takes the second guaranteed processor; latest start in 1 s.
         waiting(3, "plain", 1).ofTeam("maps"),
-        // The third is beyond the guarantee.
+        // Needs a third processor, beyond the guarantee.
         waiting(4, "plain", 0.5).ofTeam("maps").priority(Priority.PROD));
   }
 
   @Test
-  void workWithinItsTeamsGuaranteeIsNeverDeferred() {
+  void aJobWithinItsTeamsGuaranteeIsNeverDeferred() {
     JobBuilder large = waiting(1, "etl", 5).ofTeam("vision").tasks(18, 1, 0).estimateS(50);
     JobBuilder middle = waiting(2, "etl", 0).tasks(8, 1, 0).estimateS(50);
     assertOrder("1 2", SCARCE, large, middle);
   }
 
   @Test
-  void aJobInheritsThePriorityOfThoseThatDependOnIt() {
+  void aJobInheritsThePriorityOfItsDependents() {
     assertOrder(
         "2 1",
         PLENTY,
@@ -188,8 +189,8 @@
   }
 
   @Test
-  void aJobInheritsTheDeadlinesOfThoseThatDependOnIt() {
-    // The report is due in 60 s and takes 15 s, so the job before it has to begin in 30 s.
+  void aJobInheritsTheDeadlinesOfItsDependents() {
+    // Job 4 is due in 60 s and takes 15 s, and job 2 takes 15 s before it: latest start in 30 s.
     assertOrder(
         "1 2 3",
         PLENTY,
