--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -100,11 +100,11 @@
     MachineAssignments assignments = new MachineAssignments();
     shards = new OwnedShards(context, cancellations, gate, assignments, shares != null);
     PeerStoreReachability peerReachability = new PeerStoreReachability(context);
-    HeartbeatExchange.Tables tables =
-        new HeartbeatExchange.Tables(
-            owners, shards, assignments, new WorkerSightings(context), peerReachability);
-    heartbeats = new HeartbeatExchange(context, election, leader, gate, announcement, tables);
-    workers = new WorkerHeartbeatRouter(context, election, heartbeats, tables);
+    HeartbeatExchange.SharedState state =
+        new HeartbeatExchange.SharedState(
+            owners, shards, assignments, new ForeignWorkers(context), peerReachability);
+    heartbeats = new HeartbeatExchange(context, election, leader, gate, announcement, state);
+    workers = new WorkerHeartbeatRouter(context, election, heartbeats, state);
     statusQueries = new StatusQueryForwarder(context, owners, shards);
     catalog = new MachineTypeCatalog(context, election, this::catalogUpdated);
     health = new HealthCheck(context, catalog, peerReachability);
@@ -190,7 +190,7 @@
     probeStore();
     shards.tick(tick.budget());
     statusQueries.sendPending();
-    cancellations.tick(shards.oldestStoreView());
+    cancellations.tick(shards.oldestCancellationView());
   }
 
   /** Reads something from the state service if it has not answered lately. */
@@ -234,7 +234,7 @@
   }
 
   private void ownerObserved(OwnerInfo owner) {
-    shards.yieldTo(owner);
+    shards.releaseIfSuperseded(owner);
   }
 
   private void cancellationLearned(JobId job) {
--- a/src/main/java/shorecrank/coordination/WorkerSightings.java
+++ b/src/main/java/shorecrank/coordination/ForeignWorkers.java
@@ -15,18 +15,18 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /** Workers that sent their heartbeats here although they belong elsewhere, for the leader. */
-final class WorkerSightings {
+final class ForeignWorkers {
   /** The most machines in one message; the rest goes with the next. */
-  private static final int MESSAGE_MACHINES = 500;
+  private static final int MAX_MACHINES_PER_MESSAGE = 500;
 
   /** A worker that was sent to its owner and is not back after so long has found it. */
-  private static final int MISROUTED_MS = 8000;
+  private static final int MISROUTED_VALID_MS = 8000;
 
   private final StepContext context;
   private final Map<MachineName, MachineInfo> unassigned = new LinkedHashMap<>();
   private final Map<MachineName, MonotonicTime> misroutedAt = new HashMap<>();
 
-  WorkerSightings(StepContext context) {
+  ForeignWorkers(StepContext context) {
     this.context = context;
   }
 
@@ -49,7 +49,7 @@
   List<MachineInfo> takeUnassigned() {
     List<MachineInfo> taken = new ArrayList<>();
     Iterator<MachineInfo> left = unassigned.values().iterator();
-    while (left.hasNext() && taken.size() < MESSAGE_MACHINES) {
+    while (left.hasNext() && taken.size() < MAX_MACHINES_PER_MESSAGE) {
       taken.add(left.next());
       left.remove();
     }
@@ -58,7 +58,7 @@
 
   /** Counts, by shard, the workers that came here lately instead of to their owner. */
   Map<ShardId, Integer> countMisrouted(MachineAssignments assignments) {
-    misroutedAt.values().removeIf(at -> context.now().since(at) > MISROUTED_MS);
+    misroutedAt.values().removeIf(at -> context.now().since(at) > MISROUTED_VALID_MS);
     Map<ShardId, Integer> byShard = new TreeMap<>();
     for (MachineName machine : misroutedAt.keySet()) {
       MachineAssignment assignment = assignments.find(machine);
--- a/src/main/java/shorecrank/coordination/HealthCheck.java
+++ b/src/main/java/shorecrank/coordination/HealthCheck.java
@@ -5,13 +5,13 @@
 /** Whether users are well served by this controller, for load balancers. */
 final class HealthCheck {
   /** A controller without the state service for this long is unhealthy while others reach it. */
-  private static final int STORE_MISSED_MS = 3000;
+  private static final int STORE_OUTAGE_MS = 3000;
 
   /** What was heard of other controllers counts for this long. */
-  private static final int PEERS_FRESH_MS = 4000;
+  private static final int PEER_INFO_MAX_AGE_MS = 4000;
 
   /** A controller that has heard no other for this long is isolated. */
-  private static final int ISOLATED_MS = 6000;
+  private static final int ISOLATED_AFTER_MS = 6000;
 
   private final StepContext context;
   private final MachineTypeCatalog catalog;
@@ -32,12 +32,13 @@
     if (catalog.isEmpty()) {
       return false;
     }
-    if (context.now().since(context.storeLastAnsweredAt()) < STORE_MISSED_MS) {
+    if (context.now().since(context.storeLastAnsweredAt()) < STORE_OUTAGE_MS) {
       return true;
     }
-    boolean othersServe = peerReachability.isReached() && peerReachability.ageMs() < PEERS_FRESH_MS;
+    boolean isStoreReachableByPeers =
+        peerReachability.isReachable() && peerReachability.msSinceReport() < PEER_INFO_MAX_AGE_MS;
     boolean isIsolated =
-        !context.config().members().isEmpty() && context.msSincePeerContact() > ISOLATED_MS;
-    return !othersServe && !isIsolated;
+        !context.config().members().isEmpty() && context.msSincePeerContact() > ISOLATED_AFTER_MS;
+    return !isStoreReachableByPeers && !isIsolated;
   }
 }
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -18,11 +18,11 @@
 /** Sends this controller's heartbeats to the leader and takes over what the answers say. */
 final class HeartbeatExchange {
   /** What is news to the leader is sent after this, so that more of it goes along. */
-  private static final int NEWS_MS = 100;
+  private static final int BATCH_DELAY_MS = 100;
 
   private static final int RETRY_MS = 300;
-  private static final int NO_LEADER_MS = 150;
-  private static final int LEAST_TIMEOUT_MS = 500;
+  private static final int NO_LEADER_RETRY_MS = 150;
+  private static final int MIN_TIMEOUT_MS = 500;
 
   private final StepContext context;
   private final Election election;
@@ -35,17 +35,17 @@
   private final OwnerTable owners;
   private final OwnedShards shards;
   private final MachineAssignments assignments;
-  private final WorkerSightings sightings;
+  private final ForeignWorkers foreignWorkers;
   private final PeerStoreReachability peerReachability;
   private MonotonicTime nextAt = new MonotonicTime(0);
   private boolean isInFlight;
 
   /** The controller's state that a heartbeat tells of and its answer changes. */
-  record Tables(
+  record SharedState(
       OwnerTable owners,
       OwnedShards shards,
       MachineAssignments assignments,
-      WorkerSightings sightings,
+      ForeignWorkers foreignWorkers,
       PeerStoreReachability peerReachability) {}
 
   /**
@@ -59,17 +59,17 @@
       Leader leader,
       FeatureGate gate,
       Announcement announcement,
-      Tables tables) {
+      SharedState state) {
     this.context = context;
     this.election = election;
     this.leader = leader;
     this.gate = gate;
     this.announcement = announcement;
-    this.owners = tables.owners;
-    this.shards = tables.shards;
-    this.assignments = tables.assignments;
-    this.sightings = tables.sightings;
-    this.peerReachability = tables.peerReachability;
+    this.owners = state.owners;
+    this.shards = state.shards;
+    this.assignments = state.assignments;
+    this.foreignWorkers = state.foreignWorkers;
+    this.peerReachability = state.peerReachability;
   }
 
   /** Makes the next heartbeat due at once. */
@@ -79,7 +79,7 @@
 
   /** Makes the next heartbeat due soon, if it is not due earlier. */
   void requestSoon() {
-    MonotonicTime soon = context.now().plus(NEWS_MS);
+    MonotonicTime soon = context.now().plus(BATCH_DELAY_MS);
     if (soon.isBefore(nextAt)) {
       nextAt = soon;
     }
@@ -108,7 +108,7 @@
         apply(answer, sentAt);
       }
     } else if (to == null) {
-      nextAt = sentAt.plus(NO_LEADER_MS);
+      nextAt = sentAt.plus(NO_LEADER_RETRY_MS);
     } else {
       isInFlight = true;
       context
@@ -116,17 +116,17 @@
           .sendHeartbeat(
               to,
               heartbeat,
-              Math.max(LEAST_TIMEOUT_MS, interval * 2),
-              result -> received(result, sentAt));
+              Math.max(MIN_TIMEOUT_MS, interval * 2),
+              result -> handleResult(result, sentAt));
     }
   }
 
   private Heartbeat compose() {
     List<ShardReport> reports = shards.report();
-    List<MachineInfo> unassigned = sightings.takeUnassigned();
-    if (sightings.hasUnassigned()) {
+    List<MachineInfo> unassigned = foreignWorkers.takeUnassigned();
+    if (foreignWorkers.hasUnassigned()) {
       // The rest goes at once with the next, not an interval later.
-      scheduleIn(NEWS_MS);
+      scheduleIn(BATCH_DELAY_MS);
     }
     return new Heartbeat(
         context.config().label(),
@@ -135,11 +135,11 @@
         assignments.version(),
         reports,
         unassigned,
-        sightings.countMisrouted(assignments),
+        foreignWorkers.countMisrouted(assignments),
         announcement);
   }
 
-  private void received(HeartbeatResult result, MonotonicTime sentAt) {
+  private void handleResult(HeartbeatResult result, MonotonicTime sentAt) {
     isInFlight = false;
     if (result instanceof HeartbeatResult.Answered answered) {
       apply(answered.answer(), sentAt);
@@ -148,35 +148,35 @@
     if (result instanceof HeartbeatResult.Malformed) {
       context.reportRefusal("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
     } else if (result instanceof HeartbeatResult.Refused refused && !refused.reachesStore()) {
-      peerReachability.observeLeaderUnreached();
+      peerReachability.recordLeaderWithoutStore();
     }
     scheduleIn(RETRY_MS);
   }
 
   private void apply(HeartbeatAnswer answer, MonotonicTime sentAt) {
-    owners.leaderHeard();
+    owners.recordLeaderContact();
     if (announcement != null) {
       gate.observe(answer.rolloutNotice());
     }
-    peerReachability.observeAny(answer.storeReachableByOthers() || !election.isHoldingKey());
+    peerReachability.recordAnyPeer(answer.storeReachableByOthers() || !election.isHoldingKey());
     owners.replaceAll(answer.owners());
     if (shards.relinquishUnrenewed(answer.leases())) {
       requestNow();
     }
-    boolean isNews = assignments.update(answer);
+    boolean isChanged = assignments.update(answer);
     for (Lease lease : answer.leases()) {
       if (!shards.accept(lease, sentAt)) {
-        scheduleIn(NEWS_MS);
+        scheduleIn(BATCH_DELAY_MS);
       }
     }
     int served = shards.countServed();
     context.allotStoreBudget(
         (double) served / context.settings().shards(), election.isHoldingKey());
     shards.updateMachines(answer);
-    if (isNews && shards.hasCapacityRequests()) {
+    if (isChanged && shards.hasCapacityRequests()) {
       // The leader takes requests for machines only from an owner that knows the last assignments:
       // say so at once.
-      scheduleIn(NEWS_MS);
+      scheduleIn(BATCH_DELAY_MS);
     }
     context.gauge("parts.owned", served);
   }
--- a/src/main/java/shorecrank/coordination/MachineAssignments.java
+++ b/src/main/java/shorecrank/coordination/MachineAssignments.java
@@ -36,7 +36,7 @@
    * @return whether the leader's assignments are of another version than those known before
    */
   boolean update(HeartbeatAnswer answer) {
-    boolean isNews = answer.isComplete() || answer.assignmentVersion() != version;
+    boolean isChanged = answer.isComplete() || answer.assignmentVersion() != version;
     version = answer.assignmentVersion();
     if (answer.isComplete()) {
       byMachine.clear();
@@ -45,6 +45,6 @@
       byMachine.put(assignment.machine().name(), assignment);
     }
     answer.unassigned().forEach(byMachine::remove);
-    return isNews;
+    return isChanged;
   }
 }
--- a/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
+++ b/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
@@ -24,12 +24,12 @@
   private static final int WRITE_TIMEOUT_MS = 2000;
   private static final int CLOUD_TIMEOUT_MS = 4000;
   private static final int RETRY_MS = 1000;
-  private static final int FOLLOWER_PAUSE_MS = 2000;
+  private static final int FOLLOWER_POLL_MS = 2000;
   private static final int REFRESH_MS = 60_000;
 
   private final StepContext context;
   private final Election election;
-  private final Consumer<Map<String, MachineType>> updated;
+  private final Consumer<Map<String, MachineType>> updateListener;
   private Map<String, MachineType> types = Map.of();
   private boolean isBusy;
   private boolean isStored;
@@ -38,13 +38,13 @@
   /**
    * Creates an empty catalog.
    *
-   * @param updated takes the types whenever they were read; they are never empty
+   * @param updateListener takes the types whenever they were read; they are never empty
    */
   MachineTypeCatalog(
-      StepContext context, Election election, Consumer<Map<String, MachineType>> updated) {
+      StepContext context, Election election, Consumer<Map<String, MachineType>> updateListener) {
     this.context = context;
     this.election = election;
-    this.updated = updated;
+    this.updateListener = updateListener;
   }
 
   /** Whether no types are known yet. */
@@ -60,26 +60,26 @@
     }
     if (types.isEmpty()) {
       isBusy = true;
-      context.store().read(KEY, READ_TIMEOUT_MS, this::storeRead);
+      context.store().read(KEY, READ_TIMEOUT_MS, this::handleStoreRead);
     } else if (election.isLeading()) {
-      askCloud();
+      readFromCloud();
     } else {
-      nextAt = now.plus(FOLLOWER_PAUSE_MS);
+      nextAt = now.plus(FOLLOWER_POLL_MS);
     }
   }
 
-  private void storeRead(ReadResult result) {
+  private void handleStoreRead(ReadResult result) {
     isBusy = false;
     if (result instanceof ReadResult.Found found) {
       update(CloudCodec.readCatalog(found.entry().value()));
       isStored = true;
       nextAt = context.now().plus(RETRY_MS);
     } else {
-      askCloud();
+      readFromCloud();
     }
   }
 
-  private void askCloud() {
+  private void readFromCloud() {
     isBusy = true;
     context.callCloud(
         "GET",
@@ -112,7 +112,7 @@
   private void update(Map<String, MachineType> read) {
     if (!read.isEmpty()) {
       types = read;
-      updated.accept(read);
+      updateListener.accept(read);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -25,7 +25,7 @@
 /** The shards that this process owns: gained by leases, given up, kept in step with the leader. */
 final class OwnedShards {
   /** A lease is counted shorter by one part in so many, for clocks that drift apart. */
-  private static final int LEASE_DRIFT_PARTS = 500;
+  private static final int LEASE_DRIFT_DIVISOR = 500;
 
   /** A lease is counted shorter by this, for timers that fire late. */
   private static final int LEASE_MARGIN_MS = 20;
@@ -79,7 +79,7 @@
    * Up to when the state service has shown cancellations to the shard owner that knows the least;
    * NEVER if no owner has read the store.
    */
-  MonotonicTime oldestStoreView() {
+  MonotonicTime oldestCancellationView() {
     MonotonicTime oldest = MonotonicTime.NEVER;
     for (ShardOwner shardOwner : shardOwners.values()) {
       MonotonicTime seen = shardOwner.cancellationsKnownUpTo();
@@ -104,16 +104,16 @@
   // ---- gained and given up -----------------------------------------------------------------
 
   /** Gives the shard up if another controller owns it at a higher epoch. */
-  void yieldTo(OwnerInfo owner) {
+  void releaseIfSuperseded(OwnerInfo owner) {
     ShardOwner shardOwner = shardOwners.get(owner.shard());
     if (shardOwner != null
         && owner.epoch().isAbove(shardOwner.epoch())
         && !owner.controller().equals(context.config().label())) {
-      giveUp(owner.shard(), "owner is " + owner.controller() + " at epoch " + owner.epoch());
+      endOwnership(owner.shard(), "owner is " + owner.controller() + " at epoch " + owner.epoch());
     }
   }
 
-  private void giveUp(ShardId shard, String reason) {
+  private void endOwnership(ShardId shard, String reason) {
     ShardOwner shardOwner = shardOwners.remove(shard);
     usedEpochs.merge(
         shard, shardOwner.epoch(), (known, epoch) -> known.isAbove(epoch) ? known : epoch);
@@ -127,14 +127,14 @@
    * @return whether any was relinquished now
    */
   boolean relinquishUnrenewed(List<Lease> leases) {
-    boolean isAny = false;
+    boolean isAnyRelinquished = false;
     for (Map.Entry<ShardId, ShardOwner> owned : shardOwners.entrySet()) {
       if (!isRenewed(owned.getKey(), leases)
           && owned.getValue().relinquish("not renewed by the leader")) {
-        isAny = true;
+        isAnyRelinquished = true;
       }
     }
-    return isAny;
+    return isAnyRelinquished;
   }
 
   private static boolean isRenewed(ShardId shard, List<Lease> leases) {
@@ -155,13 +155,13 @@
   boolean accept(Lease lease, MonotonicTime requestedAt) {
     // Counted from before the request was sent, so that no delay can lengthen it.
     MonotonicTime until =
-        requestedAt.plus(lease.ttlMs() - lease.ttlMs() / LEASE_DRIFT_PARTS - LEASE_MARGIN_MS);
+        requestedAt.plus(lease.ttlMs() - lease.ttlMs() / LEASE_DRIFT_DIVISOR - LEASE_MARGIN_MS);
     ShardOwner shardOwner = shardOwners.get(lease.shard());
     if (shardOwner != null
         && lease.epoch().isAbove(shardOwner.epoch())
         && !shardOwner.isLeaseValid()) {
       // Since the lease expired another may have owned the shard: what is in memory may be wrong.
-      giveUp(lease.shard(), "its lease expired before epoch " + lease.epoch());
+      endOwnership(lease.shard(), "its lease expired before epoch " + lease.epoch());
       shardOwner = null;
     }
     if (shardOwner == null && isUsedUp(lease)) {
--- a/src/main/java/shorecrank/coordination/OwnerTable.java
+++ b/src/main/java/shorecrank/coordination/OwnerTable.java
@@ -21,7 +21,7 @@
  */
 final class OwnerTable {
   /** After so long without an answer of the leader the owners are read from the store. */
-  private static final int STALE_MS = 2500;
+  private static final int LEADER_SILENCE_MS = 2500;
 
   private static final int READ_TIMEOUT_MS = 1500;
   private static final int READ_LIMIT = 200;
@@ -29,23 +29,23 @@
   /** The pause between two reads lies between this and half as much again. */
   private static final int READ_PAUSE_MS = 800;
 
-  private static final int READ_PAUSE_SPREAD_MS = 400;
+  private static final int READ_PAUSE_JITTER_MS = 400;
 
   private final StepContext context;
-  private final Consumer<OwnerInfo> observed;
+  private final Consumer<OwnerInfo> observer;
   private final Map<ShardId, OwnerInfo> owners = new TreeMap<>();
-  private MonotonicTime leaderHeardAt = MonotonicTime.NEVER;
+  private MonotonicTime lastLeaderContactAt = MonotonicTime.NEVER;
   private boolean isReading;
   private MonotonicTime nextReadAt = new MonotonicTime(0);
 
   /**
    * Creates an empty table.
    *
-   * @param observed takes every owner that is heard of, also one that is known
+   * @param observer takes every owner that is heard of, also one that is known
    */
-  OwnerTable(StepContext context, Consumer<OwnerInfo> observed) {
+  OwnerTable(StepContext context, Consumer<OwnerInfo> observer) {
     this.context = context;
-    this.observed = observed;
+    this.observer = observer;
   }
 
   /** The shard's owner as known here, which may be this controller; null if it is not known. */
@@ -68,13 +68,13 @@
   }
 
   /** Whether the leader has ever told the owners to this process. */
-  boolean hasHeardLeader() {
-    return leaderHeardAt != MonotonicTime.NEVER;
+  boolean hasLeaderContact() {
+    return lastLeaderContactAt != MonotonicTime.NEVER;
   }
 
   /** An answer of the leader has arrived; {@link #replaceAll} takes the owners it names. */
-  void leaderHeard() {
-    leaderHeardAt = context.now();
+  void recordLeaderContact() {
+    lastLeaderContactAt = context.now();
   }
 
   /** Forgets all owners and takes these. */
@@ -89,7 +89,7 @@
     if (known == null || owner.epoch().isAbove(known.epoch())) {
       owners.put(owner.shard(), owner);
     }
-    observed.accept(owner);
+    observer.accept(owner);
   }
 
   /**
@@ -99,16 +99,20 @@
    */
   void tick() {
     MonotonicTime now = context.now();
-    if (now.since(leaderHeardAt) < STALE_MS || isReading || now.isBefore(nextReadAt)) {
+    if (now.since(lastLeaderContactAt) < LEADER_SILENCE_MS
+        || isReading
+        || now.isBefore(nextReadAt)) {
       return;
     }
     isReading = true;
-    context.store().list(ShardOwnerCodec.PREFIX, "", READ_LIMIT, READ_TIMEOUT_MS, this::ownersRead);
+    context
+        .store()
+        .list(ShardOwnerCodec.PREFIX, "", READ_LIMIT, READ_TIMEOUT_MS, this::handleOwnersRead);
   }
 
-  private void ownersRead(ListResult result) {
+  private void handleOwnersRead(ListResult result) {
     isReading = false;
-    nextReadAt = context.now().plus(READ_PAUSE_MS + context.random().nextInt(READ_PAUSE_SPREAD_MS));
+    nextReadAt = context.now().plus(READ_PAUSE_MS + context.random().nextInt(READ_PAUSE_JITTER_MS));
     if (result instanceof ListResult.Page page) {
       page.entries().forEach(entry -> observe(ShardOwnerCodec.read(entry.value())));
     }
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -86,7 +86,7 @@
       return;
     }
     context.recordPeerContact();
-    handlers.peerReachability.observePeer(heartbeat.storeReachable());
+    handlers.peerReachability.recordPeer(heartbeat.storeReachable());
     HeartbeatAnswer answer = handlers.leader.handleHeartbeat(heartbeat);
     if (answer == null) {
       context.reply(
@@ -130,8 +130,8 @@
   }
 
   /** Refuses a message; its sender and the log call it by different names. */
-  private void refuseMalformed(Input.Request request, String logged, String told) {
-    context.reportRefusal("peer.malformed", "peer.message.malformed kind=" + logged);
-    context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + told));
+  private void refuseMalformed(Input.Request request, String loggedKind, String repliedKind) {
+    context.reportRefusal("peer.malformed", "peer.message.malformed kind=" + loggedKind);
+    context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + repliedKind));
   }
 }
--- a/src/main/java/shorecrank/coordination/RequestForwarder.java
+++ b/src/main/java/shorecrank/coordination/RequestForwarder.java
@@ -21,7 +21,7 @@
   private static final int FORWARD_TIMEOUT_MS = 2000;
 
   /** What was heard of other controllers counts for this long. */
-  private static final int PEERS_FRESH_MS = 4000;
+  private static final int PEER_INFO_MAX_AGE_MS = 4000;
 
   private final StepContext context;
   private final Election election;
@@ -40,7 +40,8 @@
    * @return false if there is no such controller; the request is then not answered
    */
   boolean forward(UserRequest request, Runnable failed) {
-    if (!peerReachability.isReached() || peerReachability.ageMs() > PEERS_FRESH_MS) {
+    if (!peerReachability.isReachable()
+        || peerReachability.msSinceReport() > PEER_INFO_MAX_AGE_MS) {
       return false;
     }
     ControllerName to = election.leader();
--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -46,8 +46,8 @@
       then.onStatus(Optional.empty());
     } else {
       pending
-          .computeIfAbsent(shard, asked -> new LinkedHashMap<>())
-          .computeIfAbsent(job, asked -> new ArrayList<>(1))
+          .computeIfAbsent(shard, key -> new LinkedHashMap<>())
+          .computeIfAbsent(job, key -> new ArrayList<>(1))
           .add(then);
     }
   }
@@ -102,18 +102,18 @@
   private final class PeerAnswer {
     private final long reply;
     private final Map<JobId, JobStatus> statuses;
-    private int open;
+    private int pendingJobs;
 
-    PeerAnswer(long reply, int open, Map<JobId, JobStatus> statuses) {
+    PeerAnswer(long reply, int pendingJobs, Map<JobId, JobStatus> statuses) {
       this.reply = reply;
-      this.open = open;
+      this.pendingJobs = pendingJobs;
       this.statuses = statuses;
     }
 
     void add(JobId job, Optional<JobStatus> status) {
       status.ifPresent(found -> statuses.put(job, found));
-      open--;
-      if (open == 0) {
+      pendingJobs--;
+      if (pendingJobs == 0) {
         context.reply(reply, OK, StatusQueryCodec.writeAnswer(statuses));
       }
     }
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -26,19 +26,19 @@
  */
 final class WorkerHeartbeatRouter {
   /** So long after its start a process may not know yet where heartbeats belong. */
-  private static final int STARTING_MS = 8000;
+  private static final int STARTUP_MS = 8000;
 
   private static final int MAX_HOLD_MS = 2500;
 
   /** An owner that has heard no other controller for this long is alone. */
-  private static final int ALONE_MS = 4000;
+  private static final int ISOLATED_AFTER_MS = 4000;
 
   private final StepContext context;
   private final Election election;
   private final OwnerTable owners;
   private final OwnedShards shards;
   private final MachineAssignments assignments;
-  private final WorkerSightings sightings;
+  private final ForeignWorkers foreignWorkers;
   private final HeartbeatExchange heartbeats;
   private final List<HeldHeartbeat> held = new ArrayList<>();
 
@@ -49,14 +49,14 @@
       StepContext context,
       Election election,
       HeartbeatExchange heartbeats,
-      HeartbeatExchange.Tables tables) {
+      HeartbeatExchange.SharedState state) {
     this.context = context;
     this.election = election;
     this.heartbeats = heartbeats;
-    this.owners = tables.owners();
-    this.shards = tables.shards();
-    this.assignments = tables.assignments();
-    this.sightings = tables.sightings();
+    this.owners = state.owners();
+    this.shards = state.shards();
+    this.assignments = state.assignments();
+    this.foreignWorkers = state.foreignWorkers();
   }
 
   /** Takes a worker's heartbeat. */
@@ -85,9 +85,11 @@
   private void route(HeldHeartbeat received) {
     WorkerHeartbeat heartbeat = received.heartbeat;
     MachineAssignment assignment = assignments.find(heartbeat.machine());
-    boolean isUnclear =
-        assignment == null ? !owners.hasHeardLeader() : owners.find(assignment.shard()) == null;
-    if (isUnclear && context.now().since(context.startedAt()) < STARTING_MS && mayHold(received)) {
+    boolean isDestinationUnknown =
+        assignment == null ? !owners.hasLeaderContact() : owners.find(assignment.shard()) == null;
+    if (isDestinationUnknown
+        && context.now().since(context.startedAt()) < STARTUP_MS
+        && canHold(received)) {
       // A process that has just begun will know in a moment. A worker that is sent away comes back
       // after a second at the earliest, and its lease may be short: after the end of all
       // controllers most of the tasks would be lost by that.
@@ -97,23 +99,23 @@
     } else {
       ShardOwner shardOwner = shards.find(assignment.shard());
       if (shardOwner != null) {
-        handOver(received, shardOwner);
+        deliver(received, shardOwner);
       } else {
-        sightings.addMisrouted(heartbeat.machine());
+        foreignWorkers.addMisrouted(heartbeat.machine());
         redirect(received, owners.findOther(assignment.shard()).orElse(null));
       }
     }
   }
 
   /** A held heartbeat keeps its connection, and there are no more than sockets. */
-  private boolean mayHold(HeldHeartbeat received) {
+  private boolean canHold(HeldHeartbeat received) {
     return context.now().since(received.receivedAt) < MAX_HOLD_MS
         && held.size() < context.config().limits().sockets();
   }
 
   private void redirectUnassigned(HeldHeartbeat received) {
     WorkerHeartbeat heartbeat = received.heartbeat;
-    sightings.addUnassigned(
+    foreignWorkers.addUnassigned(
         new MachineInfo(heartbeat.machine(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
     heartbeats.requestSoon();
     ControllerName leader = election.leader();
@@ -125,14 +127,14 @@
     context.reply(received.reply, MISDIRECTED, WorkerCommandCodec.writeRedirect(to));
   }
 
-  private void handOver(HeldHeartbeat received, ShardOwner shardOwner) {
-    boolean isAlone = context.msSincePeerContact() > ALONE_MS;
-    if (shardOwner.isLeaseValid() || shardOwner.isInGrace(isAlone)) {
+  private void deliver(HeldHeartbeat received, ShardOwner shardOwner) {
+    boolean isIsolated = context.msSincePeerContact() > ISOLATED_AFTER_MS;
+    if (shardOwner.isLeaseValid() || shardOwner.isInGrace(isIsolated)) {
       if (shardOwner.knowsRecentCancellations()) {
         shardOwner.handleHeartbeat(received.reply, received.heartbeat, shardOwner.isLeaseValid());
         return;
       }
-      if (shardOwner.cancellationsKnownUpTo() == MonotonicTime.NEVER && mayHold(received)) {
+      if (shardOwner.cancellationsKnownUpTo() == MonotonicTime.NEVER && canHold(received)) {
         // A new owner will have read the records in a moment.
         held.add(received);
         return;
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -27,7 +27,7 @@
   private final Settings settings;
   private final WriterId writer;
   private final StoreBudget budget;
-  private final CancellationEvidence cancellationEvidence;
+  private final CancellationStalenessLimit cancellationStalenessLimit;
   private final PendingCalls calls = new PendingCalls();
   private final StepOutputs outputs = new StepOutputs();
   private final EventLogLimiter logLimiter = new EventLogLimiter();
@@ -38,7 +38,7 @@
   private MonotonicTime now = new MonotonicTime(0);
   private long wallMs;
   private SplittableRandom random = new SplittableRandom(0);
-  private MonotonicTime peerHeardAt = MonotonicTime.NEVER;
+  private MonotonicTime lastPeerContactAt = MonotonicTime.NEVER;
   private long lastInstanceNumber;
 
   /** Creates the context of a process before its first step. */
@@ -47,7 +47,7 @@
     this.settings = settings;
     this.writer = writer;
     this.budget = new StoreBudget(config);
-    this.cancellationEvidence = new CancellationEvidence(config);
+    this.cancellationStalenessLimit = new CancellationStalenessLimit(config);
     this.storeReachability = new StoreReachability(settings.stateFreshMs());
   }
 
@@ -216,7 +216,7 @@
 
   /** When the state service last answered; NEVER if it has not. */
   public MonotonicTime storeLastAnsweredAt() {
-    return storeReachability.answeredAt();
+    return storeReachability.lastAnsweredAt();
   }
 
   /** When the state service began to answer again after it had not, or first. */
@@ -226,12 +226,12 @@
 
   /** Another controller has answered, whatever it was asked, or asks something. */
   public void recordPeerContact() {
-    peerHeardAt = now;
+    lastPeerContactAt = now;
   }
 
   /** For how many milliseconds no other controller has been heard; very many if none ever was. */
   public long msSincePeerContact() {
-    return now.since(peerHeardAt);
+    return now.since(lastPeerContactAt);
   }
 
   // ---- bounds ------------------------------------------------------------------------------
@@ -239,10 +239,10 @@
   /**
    * Allots this controller its part of what the state service takes.
    *
-   * @param shards the part of all shards that it owns, from 0 to 1
+   * @param shardFraction the part of all shards that it owns, from 0 to 1
    */
-  public void allotStoreBudget(double shards, boolean isLeading) {
-    budget.allot(shards, isLeading);
+  public void allotStoreBudget(double shardFraction, boolean isLeading) {
+    budget.allot(shardFraction, isLeading);
   }
 
   /**
@@ -250,12 +250,12 @@
    * renews workers' leases.
    */
   public long maxCancellationStalenessMs() {
-    return cancellationEvidence.maxAgeMs();
+    return cancellationStalenessLimit.maxStalenessMs();
   }
 
   /** Whether the platform leaves enough time between the lease and the end of cancelled tasks. */
   public boolean canCancelInTime() {
-    return cancellationEvidence.isSafe();
+    return cancellationStalenessLimit.isSafe();
   }
 
   // ---- outputs -----------------------------------------------------------------------------
--- a/src/main/java/shorecrank/coordination/step/StoreBudget.java
+++ b/src/main/java/shorecrank/coordination/step/StoreBudget.java
@@ -12,17 +12,17 @@
  */
 final class StoreBudget {
   /** The part of all requests that is divided evenly among the controllers. */
-  private static final double EVEN_REQUESTS = 0.55;
+  private static final double EVEN_REQUEST_FRACTION = 0.55;
 
   /** The part of all requests that goes with the shards. */
-  private static final double SHARD_REQUESTS = 0.4;
+  private static final double SHARD_REQUEST_FRACTION = 0.4;
 
-  private static final double EVEN_WRITES = 0.1;
-  private static final double SHARD_WRITES = 0.75;
-  private static final double LEADER_WRITES = 0.05;
+  private static final double EVEN_WRITE_FRACTION = 0.1;
+  private static final double SHARD_WRITE_FRACTION = 0.75;
+  private static final double LEADER_WRITE_FRACTION = 0.05;
 
-  private final double allRequests;
-  private final double allWrites;
+  private final double totalRequestRate;
+  private final double totalWriteRate;
   private final int controllers;
   private final RateLimiter requests;
   private final RateLimiter writes;
@@ -30,27 +30,29 @@
 
   /** Creates the budget of a controller that neither owns shards nor leads. */
   StoreBudget(NodeConfig config) {
-    this.allRequests = config.state().rps();
-    this.allWrites = config.state().writeRps();
+    this.totalRequestRate = config.state().rps();
+    this.totalWriteRate = config.state().writeRps();
     this.controllers = Math.max(1, config.members().size() + 1);
-    this.requests = new RateLimiter(allRequests);
-    this.writes = new RateLimiter(allWrites);
-    this.userWrites = new RateLimiter(allWrites);
+    this.requests = new RateLimiter(totalRequestRate);
+    this.writes = new RateLimiter(totalWriteRate);
+    this.userWrites = new RateLimiter(totalWriteRate);
     allot(0, false);
   }
 
   /**
    * Allots this controller its part.
    *
-   * @param shards the part of all shards that it owns, from 0 to 1
+   * @param shardFraction the part of all shards that it owns, from 0 to 1
    */
-  void allot(double shards, boolean isLeading) {
-    requests.updateRate(allRequests * (EVEN_REQUESTS / controllers + SHARD_REQUESTS * shards));
+  void allot(double shardFraction, boolean isLeading) {
+    requests.updateRate(
+        totalRequestRate
+            * (EVEN_REQUEST_FRACTION / controllers + SHARD_REQUEST_FRACTION * shardFraction));
     writes.updateRate(
-        allWrites
-            * (EVEN_WRITES / controllers
-                + SHARD_WRITES * shards
-                + (isLeading ? LEADER_WRITES : 0)));
+        totalWriteRate
+            * (EVEN_WRITE_FRACTION / controllers
+                + SHARD_WRITE_FRACTION * shardFraction
+                + (isLeading ? LEADER_WRITE_FRACTION : 0)));
   }
 
   /** The service has refused a request as too many: what was counted on is not there. */
--- a/src/main/java/shorecrank/coordination/step/StoreReachability.java
+++ b/src/main/java/shorecrank/coordination/step/StoreReachability.java
@@ -7,17 +7,17 @@
 
 /** When the state service has answered this controller. */
 final class StoreReachability {
-  private final int freshMs;
-  private MonotonicTime answeredAt = MonotonicTime.NEVER;
+  private final int answerValidMs;
+  private MonotonicTime lastAnsweredAt = MonotonicTime.NEVER;
   private MonotonicTime reachableSince = MonotonicTime.NEVER;
 
   /**
    * Creates the state before the first answer.
    *
-   * @param freshMs for how many milliseconds an answer shows that the service is reachable
+   * @param answerValidMs for how many milliseconds an answer shows that the service is reachable
    */
-  StoreReachability(int freshMs) {
-    this.freshMs = freshMs;
+  StoreReachability(int answerValidMs) {
+    this.answerValidMs = answerValidMs;
   }
 
   /**
@@ -32,18 +32,18 @@
     if (!isReachable(now)) {
       reachableSince = now;
     }
-    answeredAt = now;
+    lastAnsweredAt = now;
     return true;
   }
 
   /** Whether the service has answered lately. */
   boolean isReachable(MonotonicTime now) {
-    return now.since(answeredAt) < freshMs;
+    return now.since(lastAnsweredAt) < answerValidMs;
   }
 
   /** When the service last answered; NEVER if it has not. */
-  MonotonicTime answeredAt() {
-    return answeredAt;
+  MonotonicTime lastAnsweredAt() {
+    return lastAnsweredAt;
   }
 
   /** When the service began to answer again after it had not, or first. */
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -24,7 +24,7 @@
   private static final long RETRY_MS = 300;
 
   /** While the key may not be written, it is read again after so long. */
-  private static final long READ_AGAIN_MS = 1000;
+  private static final long REREAD_INTERVAL_MS = 1000;
 
   /** What a new reading of the key says of a write whose outcome was unknown. */
   public enum WriteOutcome {
@@ -88,18 +88,18 @@
   private final SequentialStore store;
 
   /** The term under which the key was read; {@link Revision#ABSENT} if it has to be read anew. */
-  private Revision readUnder = Revision.ABSENT;
+  private Revision readTerm = Revision.ABSENT;
 
   private Revision revision = Revision.ABSENT;
   private V value;
-  private boolean known;
+  private boolean isKnown;
   private MonotonicTime readAt = MonotonicTime.NEVER;
 
   /** The value of a write that is under way or in doubt; null if there is none. */
   private V pending;
 
-  private Revision pendingUnder = Revision.ABSENT;
-  private boolean inDoubt;
+  private Revision pendingTerm = Revision.ABSENT;
+  private boolean isInDoubt;
 
   /** A key that was not read yet. */
   public LeaderKey(
@@ -117,27 +117,27 @@
 
   /** Whether the key was read under the present term, whatever it holds. */
   public boolean isRead() {
-    return leadership.isLeading() && readUnder.equals(leadership.term());
+    return leadership.isLeading() && readTerm.equals(leadership.term());
   }
 
   /** Whether the key was read under the present term, and holds a value that this build reads. */
   public boolean isReadable() {
-    return isRead() && known;
+    return isRead() && isKnown;
   }
 
   /** Whether the last reading, under whatever term, found a value that this build reads. */
   public boolean isKnown() {
-    return known;
+    return isKnown;
   }
 
   /** Whether a write may still be carried out although its outcome is unknown. */
   public boolean isInDoubt() {
-    return inDoubt;
+    return isInDoubt;
   }
 
   /** Whether a write can be begun. */
   public boolean isIdle() {
-    return isReadable() && store.isIdle() && !inDoubt && rules.canWrite();
+    return isReadable() && store.isIdle() && !isInDoubt && rules.canWrite();
   }
 
   /** The value last read or written; the initial one before the first reading. */
@@ -158,7 +158,7 @@
   /** Reads the key, or settles a write that is in doubt, if that is due. */
   public void tick() {
     if (!leadership.isLeading()) {
-      readUnder = Revision.ABSENT;
+      readTerm = Revision.ABSENT;
       return;
     }
     if (!store.isReady()) {
@@ -167,17 +167,17 @@
     if (!isRead()) {
       read();
     } else if (!rules.canWrite()) {
-      if (environment.now().since(readAt) >= READ_AGAIN_MS) {
+      if (environment.now().since(readAt) >= REREAD_INTERVAL_MS) {
         read();
       }
-    } else if (inDoubt) {
-      settle();
+    } else if (isInDoubt) {
+      rewriteKnownValue();
     }
   }
 
   /** The leader's own key has moved on together with this one: what was read still holds. */
   public void continueUnderNewTerm() {
-    readUnder = leadership.term();
+    readTerm = leadership.term();
   }
 
   private void read() {
@@ -189,28 +189,27 @@
         result -> {
           if (result instanceof ReadResult.Found found) {
             Entry entry = found.entry();
-            take(term, codec.read(entry.value()), entry.revision(), mayWrite);
+            applyReading(term, codec.read(entry.value()), entry.revision(), mayWrite);
           } else if (result instanceof ReadResult.Absent) {
-            take(term, Optional.of(codec.initial()), Revision.ABSENT, mayWrite);
+            applyReading(term, Optional.of(codec.initial()), Revision.ABSENT, mayWrite);
           } else {
             store.pause(RETRY_MS);
           }
         });
   }
 
-  private void take(Revision term, Optional<V> found, Revision foundAt, boolean mayWrite) {
-    known = found.isPresent();
-    if (!known) {
+  private void applyReading(Revision term, Optional<V> found, Revision foundAt, boolean mayWrite) {
+    isKnown = found.isPresent();
+    if (!isKnown) {
       environment.reportRefusal(
           "state.unreadable", "store.value.unreadable key=%s".formatted(codec.key()));
     }
-    Reading reading =
-        new Reading(pendingUnder, readUnder, term, foundAt.isAfter(revision), mayWrite);
+    Reading reading = new Reading(pendingTerm, readTerm, term, foundAt.isAfter(revision), mayWrite);
     V before = value;
     value = found.orElse(value);
     revision = foundAt;
-    readUnder = term;
-    WriteOutcome outcome = inDoubt ? rules.resolveOutcome(reading) : WriteOutcome.UNKNOWN;
+    readTerm = term;
+    WriteOutcome outcome = isInDoubt ? rules.resolveOutcome(reading) : WriteOutcome.UNKNOWN;
     if (outcome != WriteOutcome.UNKNOWN) {
       finishWrite(outcome == WriteOutcome.COMMITTED, before);
     }
@@ -218,7 +217,7 @@
 
   private void finishWrite(boolean isCommitted, V before) {
     pending = null;
-    inDoubt = false;
+    isInDoubt = false;
     rules.outcomeResolved(isCommitted, before);
   }
 
@@ -231,14 +230,14 @@
    */
   public void write(V next, Consumer<Transaction> additions, Consumer<CommitResult> then) {
     pending = next;
-    pendingUnder = readUnder;
-    send(
+    pendingTerm = readTerm;
+    commit(
         next,
         additions,
         result -> {
           boolean isRefused = result instanceof CommitResult.Conflict;
-          inDoubt = result.isUnknown() || (isRefused && rules.isConflictInDoubt());
-          if (!inDoubt) {
+          isInDoubt = result.isUnknown() || (isRefused && rules.isConflictInDoubt());
+          if (!isInDoubt) {
             pending = null;
           }
           then.accept(result);
@@ -246,8 +245,8 @@
   }
 
   /** Writes the known value once more: if that succeeds, the write in doubt never will. */
-  private void settle() {
-    send(
+  private void rewriteKnownValue() {
+    commit(
         value,
         transaction -> {},
         result -> {
@@ -257,8 +256,8 @@
         });
   }
 
-  private void send(V next, Consumer<Transaction> additions, Consumer<CommitResult> then) {
-    Revision term = readUnder;
+  private void commit(V next, Consumer<Transaction> additions, Consumer<CommitResult> then) {
+    Revision term = readTerm;
     Transaction transaction = new Transaction();
     leadership.guard(transaction);
     rules.addGuards(transaction);
@@ -267,7 +266,7 @@
     store.commit(
         transaction,
         result -> {
-          if (!readUnder.equals(term)) {
+          if (!readTerm.equals(term)) {
             then.accept(new CommitResult.Unknown(0));
             return;
           }
@@ -280,7 +279,7 @@
           if (result instanceof CommitResult.Conflict conflict) {
             // Another process leads, a further guard failed, or an earlier write came late.
             rules.guardsFailed(conflict.failedKeys());
-            readUnder = Revision.ABSENT;
+            readTerm = Revision.ABSENT;
           }
           then.accept(result);
         });
--- a/src/main/java/shorecrank/leadership/SequentialStore.java
+++ b/src/main/java/shorecrank/leadership/SequentialStore.java
@@ -19,7 +19,7 @@
   private static final int CALL_TIMEOUT_MS = 2000;
 
   private final LeaderEnvironment environment;
-  private boolean busy;
+  private boolean isBusy;
   private MonotonicTime pausedUntil = MonotonicTime.NEVER;
 
   /** Calls the state service of an environment. */
@@ -29,12 +29,12 @@
 
   /** Whether no call is under way. */
   public boolean isIdle() {
-    return !busy;
+    return !isBusy;
   }
 
   /** Whether no call is under way and the last pause is over. */
   public boolean isReady() {
-    return !busy && !environment.now().isBefore(pausedUntil);
+    return !isBusy && !environment.now().isBefore(pausedUntil);
   }
 
   /** Makes {@link #isReady} false for a while from now on. */
@@ -44,7 +44,7 @@
 
   /** Reads one key. */
   public void read(String key, Consumer<ReadResult> then) {
-    busy = true;
+    isBusy = true;
     environment.store().read(key, CALL_TIMEOUT_MS, result -> finish(result, then));
   }
 
@@ -55,13 +55,13 @@
    * @param limit the most keys in the page
    */
   public void list(String prefix, String after, int limit, Consumer<ListResult> then) {
-    busy = true;
+    isBusy = true;
     environment.store().list(prefix, after, limit, CALL_TIMEOUT_MS, result -> finish(result, then));
   }
 
   /** Reads the changes of keys with a prefix since a revision, without waiting for further ones. */
   public void readChanges(String prefix, long afterRevision, Consumer<WatchResult> then) {
-    busy = true;
+    isBusy = true;
     environment
         .store()
         .readChanges(prefix, afterRevision, CALL_TIMEOUT_MS, result -> finish(result, then));
@@ -69,12 +69,12 @@
 
   /** Carries a transaction out if all its guards hold. */
   public void commit(Transaction transaction, Consumer<CommitResult> then) {
-    busy = true;
+    isBusy = true;
     environment.store().commit(transaction, CALL_TIMEOUT_MS, result -> finish(result, then));
   }
 
   private <R> void finish(R result, Consumer<R> then) {
-    busy = false;
+    isBusy = false;
     then.accept(result);
   }
 }
--- a/src/test/java/shorecrank/coordination/WorkerSightingsTest.java
+++ b/src/test/java/shorecrank/coordination/ForeignWorkersTest.java
@@ -17,9 +17,9 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /** What the leader is told of workers that came to the wrong controller. */
-class WorkerSightingsTest {
+class ForeignWorkersTest {
   private final StepDriver driver = new StepDriver();
-  private final WorkerSightings sightings = new WorkerSightings(driver.context());
+  private final ForeignWorkers foreignWorkers = new ForeignWorkers(driver.context());
 
   private static MachineInfo machine(int number) {
     return new MachineInfo(new MachineName("h" + number), "c8", "a", false);
@@ -48,13 +48,13 @@
   @Test
   void machinesThatDoNotFitIntoAMessageGoWithTheNext() {
     for (int number = 0; number < 501; number++) {
-      sightings.addUnassigned(machine(number));
+      foreignWorkers.addUnassigned(machine(number));
     }
-    sightings.addUnassigned(machine(500));
-    assertEquals(500, sightings.takeUnassigned().size());
-    assertTrue(sightings.hasUnassigned());
-    assertEquals(List.of(machine(500)), sightings.takeUnassigned());
-    assertFalse(sightings.hasUnassigned());
+    foreignWorkers.addUnassigned(machine(500));
+    assertEquals(500, foreignWorkers.takeUnassigned().size());
+    assertTrue(foreignWorkers.hasUnassigned());
+    assertEquals(List.of(machine(500)), foreignWorkers.takeUnassigned());
+    assertFalse(foreignWorkers.hasUnassigned());
   }
 
   @Test
@@ -62,11 +62,12 @@
     ShardId shard = new ShardId(0);
     driver.now(
         () -> {
-          sightings.addMisrouted(machine(1).name());
-          sightings.addMisrouted(machine(2).name());
+          foreignWorkers.addMisrouted(machine(1).name());
+          foreignWorkers.addMisrouted(machine(2).name());
         });
     MachineAssignments assignments = assigned(1, shard);
-    driver.after(8000, () -> assertEquals(Map.of(shard, 1), sightings.countMisrouted(assignments)));
-    driver.after(1, () -> assertEquals(Map.of(), sightings.countMisrouted(assignments)));
+    driver.after(
+        8000, () -> assertEquals(Map.of(shard, 1), foreignWorkers.countMisrouted(assignments)));
+    driver.after(1, () -> assertEquals(Map.of(), foreignWorkers.countMisrouted(assignments)));
   }
 }
--- a/src/test/java/shorecrank/coordination/OwnerTableTest.java
+++ b/src/test/java/shorecrank/coordination/OwnerTableTest.java
@@ -57,7 +57,7 @@
 
   @Test
   void theStoreIsReadOnlyWhileTheLeaderIsNotHeard() {
-    driver.now(owners::leaderHeard);
+    driver.now(owners::recordLeaderContact);
     driver.after(2499, owners::tick);
     assertEquals(List.of(), driver.openPaths());
     driver.after(1, owners::tick);
@@ -68,7 +68,7 @@
   @Test
   void theNextReadFollowsAfterAPause() {
     driver.now(owners::tick);
-    assertFalse(owners.hasHeardLeader());
+    assertFalse(owners.hasLeaderContact());
     driver.answer(0);
     driver.after(799, owners::tick);
     assertEquals(List.of(), driver.openPaths());
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -67,10 +67,10 @@
   @ParameterizedTest
   @CsvSource({"60, 29440, true", "40, 9480, true", "39, 9000, false", "30, 9000, false"})
   void knowledgeOfCancellationsMayBeAsOldAsTheLeaseAllows(
-      double cancelS, long maxAgeMs, boolean isSafe) {
+      double cancelS, long maxStalenessMs, boolean isSafe) {
     NodeConfig config = StepDriver.CONFIG;
-    CancellationEvidence evidence =
-        new CancellationEvidence(
+    CancellationStalenessLimit limit =
+        new CancellationStalenessLimit(
             new NodeConfig(
                 config.label(),
                 config.zone(),
@@ -85,8 +85,8 @@
                 config.state(),
                 config.cloud(),
                 config.limits()));
-    assertEquals(maxAgeMs, evidence.maxAgeMs());
-    assertEquals(isSafe, evidence.isSafe());
+    assertEquals(maxStalenessMs, limit.maxStalenessMs());
+    assertEquals(isSafe, limit.isSafe());
   }
 
   @Test
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -177,7 +177,7 @@
 
   /** Rules under which only a changed revision settles a write by reading. */
   private static final class ByRevision implements LeaderKey.Rules<String> {
-    private final List<Boolean> settlements = new ArrayList<>();
+    private final List<Boolean> outcomes = new ArrayList<>();
     private boolean mayWrite = true;
 
     @Override
@@ -205,7 +205,7 @@
 
     @Override
     public void outcomeResolved(boolean isCommitted, String before) {
-      settlements.add(isCommitted);
+      outcomes.add(isCommitted);
     }
   }
 
@@ -303,11 +303,11 @@
     write("new", new CommitResult.Conflict(Set.of("key")));
     assertEquals("old", key.value());
     assertFalse(key.isRead(), "a failed guard makes the key be read again");
-    assertEquals(List.of(), rules.settlements);
+    assertEquals(List.of(), rules.outcomes);
   }
 
   @Test
-  void unknownOutcomeIsSettledByWritingTheKnownValueAgain() {
+  void unknownOutcomeIsResolvedByWritingTheKnownValueAgain() {
     read(found("old", 3));
     write("new", new CommitResult.Unknown(0));
     assertTrue(key.isInDoubt());
@@ -317,7 +317,7 @@
     key.tick();
     assertEquals("old", store.written());
     store.answerCommit(new CommitResult.Committed(new Revision(8)));
-    assertEquals(List.of(false), rules.settlements);
+    assertEquals(List.of(false), rules.outcomes);
     assertEquals("old", key.value());
     assertTrue(key.isIdle());
   }
@@ -332,7 +332,7 @@
     assertTrue(key.isInDoubt());
     environment.nowMs += RETRY_MS;
     read(found("new", 7));
-    assertEquals(List.of(true), rules.settlements);
+    assertEquals(List.of(true), rules.outcomes);
     assertEquals("new", key.value());
     assertTrue(key.isIdle());
   }
