--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -36,15 +36,18 @@
 import shorecrank.rollout.RolloutSetup;
 
 /**
- * One controller as a state machine: it takes requests, answers and ticks, and returns what to
- * send, write and answer. It does no input or output, and holds no clock, thread or source of
- * random numbers, so that a run can be repeated exactly.
+ * The deterministic state machine of one controller process. Each step takes one input (a request,
+ * the answer to a call, or a tick) and returns the outputs to carry out: calls, replies, log lines
+ * and metrics.
+ *
+ * <p>It does no I/O and has no clock, thread or source of random numbers of its own, so that a run
+ * can be replayed exactly from its inputs. It is not thread-safe.
  */
 public final class ControllerStateMachine {
   private static final String HEALTH_PATH = "/healthz";
   private static final String WORKER_HEARTBEAT_PATH = "/v1/report";
 
-  /** A state service that has not answered for this long is probed. */
+  /** How long the state service may go without answering any call before it is probed. */
   private static final int PROBE_IDLE_MS = 900;
 
   private static final int PROBE_INTERVAL_MS = 1000;
@@ -54,7 +57,7 @@
   private final Election election;
   private final Leader leader;
 
-  /** Null if rollouts are not enabled. */
+  /** Null if rollouts are disabled. */
   private final RolloutCoordinator rollout;
 
   private final CancellationLog cancellations;
@@ -71,17 +74,21 @@
   private boolean isStarted;
   private MonotonicTime nextProbeAt = new MonotonicTime(0);
 
-  /** A controller without rollouts: it writes and sends nothing above the lowest level. */
+  /**
+   * Creates a controller with rollouts disabled. It uses only the stored forms and messages of the
+   * lowest feature level.
+   */
   public ControllerStateMachine(NodeConfig config, Settings settings, WriterId writer) {
     this(config, settings, writer, null, null);
   }
 
   /**
-   * A controller before its first step.
+   * Creates a controller that has not taken a step yet.
    *
-   * @param writer names this process and no other
-   * @param setup of rollouts; null if they are not enabled
-   * @param shares the settings of shares, which need rollouts; null if they are not enabled
+   * @param writer the unique name of this process
+   * @param setup the configuration of rollouts, or null if rollouts are disabled
+   * @param shares the settings of moves of machines between shards, which require rollouts, or null
+   *     if such moves are disabled
    */
   public ControllerStateMachine(
       NodeConfig config,
@@ -95,8 +102,8 @@
     rollout = setup == null ? null : newRolloutCoordinator(setup);
     FeatureGate gate = new FeatureGate();
     leader = new Leader(context, election, rollout, gate, shares);
-    owners = new OwnerTable(context, this::ownerObserved);
-    cancellations = new CancellationLog(context, this::cancellationLearned, owners::observe);
+    owners = new OwnerTable(context, this::onOwnerObserved);
+    cancellations = new CancellationLog(context, this::onJobCancelled, owners::observe);
     MachineAssignments assignments = new MachineAssignments();
     shards = new OwnedShards(context, cancellations, gate, assignments, shares != null);
     PeerStoreReachability peerReachability = new PeerStoreReachability(context);
@@ -106,7 +113,7 @@
     heartbeats = new HeartbeatExchange(context, election, leader, gate, announcement, state);
     workers = new WorkerHeartbeatRouter(context, election, heartbeats, state);
     statusQueries = new StatusQueryForwarder(context, owners, shards);
-    catalog = new MachineTypeCatalog(context, election, this::catalogUpdated);
+    catalog = new MachineTypeCatalog(context, election, this::onCatalogUpdated);
     health = new HealthCheck(context, catalog, peerReachability);
     methods = new MethodGuard(context);
     RequestForwarder forwarder = new RequestForwarder(context, election, peerReachability);
@@ -143,12 +150,12 @@
   }
 
   /**
-   * Takes one input.
+   * Processes one input.
    *
-   * @param now the steady clock
-   * @param wallMs the time of day in milliseconds since 1970
-   * @param entropy fresh random bits for this step
-   * @return what to do now, in this order
+   * @param now the time on the monotonic clock
+   * @param wallMs the time of day, in milliseconds since the Unix epoch
+   * @param entropy the seed of this step's random numbers
+   * @return the outputs to carry out, in order
    */
   public List<Output> step(Input input, MonotonicTime now, long wallMs, long entropy) {
     context.begin(now, wallMs, entropy);
@@ -160,7 +167,7 @@
       route(request);
     } else if (input instanceof Input.Answer answer) {
       context.handleAnswer(answer);
-      // The answer may tell where held heartbeats belong.
+      // The answer may have named the owner that a held worker heartbeat has to go to.
       workers.retryHeld();
     } else if (input instanceof Input.Tick tick) {
       tick(tick);
@@ -193,7 +200,10 @@
     cancellations.tick(shards.oldestCancellationView());
   }
 
-  /** Reads something from the state service if it has not answered lately. */
+  /**
+   * Reads the leader's key if the state service has not answered for {@link #PROBE_IDLE_MS}, to
+   * find out whether the service is reachable. The value that is read is ignored.
+   */
   private void probeStore() {
     MonotonicTime now = context.now();
     if (now.isBefore(nextProbeAt)) {
@@ -233,31 +243,34 @@
     context.reply(request.reply(), isHealthy ? OK : UNAVAILABLE, HealthCodec.write(isHealthy));
   }
 
-  private void ownerObserved(OwnerInfo owner) {
+  private void onOwnerObserved(OwnerInfo owner) {
     shards.releaseIfSuperseded(owner);
   }
 
-  private void cancellationLearned(JobId job) {
-    shards.learnCancelled(job);
+  private void onJobCancelled(JobId job) {
+    shards.onJobCancelled(job);
   }
 
-  private void catalogUpdated(Map<String, MachineType> types) {
+  private void onCatalogUpdated(Map<String, MachineType> types) {
     users.updateCatalog(types);
     leader.updateCatalog(types);
     shards.updateCatalog(types);
   }
 
-  /** The epochs of the shards whose workers this process may command at a moment. */
+  /**
+   * Returns the epoch of each shard whose lease this process holds at the given time, so that it
+   * may send commands to the shard's workers.
+   */
   public Map<ShardId, Epoch> commandedEpochs(MonotonicTime at) {
     return shards.commandedEpochs(at);
   }
 
-  /** The machines that this process may command at a moment. */
+  /** Returns the machines to whose workers this process may send commands at the given time. */
   public Set<MachineName> commandedMachines(MonotonicTime at) {
     return shards.commandedMachines(at);
   }
 
-  /** The epochs of the shards owned here. */
+  /** Returns the epoch of each shard owned by this process, also if its lease has expired. */
   public Map<ShardId, Epoch> ownedEpochs() {
     return shards.epochs();
   }
--- a/src/main/java/shorecrank/coordination/ForeignWorkers.java
+++ b/src/main/java/shorecrank/coordination/ForeignWorkers.java
@@ -14,12 +14,16 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Workers that sent their heartbeats here although they belong elsewhere, for the leader. */
+/**
+ * Workers whose heartbeats reached this controller although it does not own their machines: those
+ * without an assignment, and those that belong to another controller. Heartbeats to the leader
+ * report them.
+ */
 final class ForeignWorkers {
-  /** The most machines in one message; the rest goes with the next. */
+  /** The maximum number of unassigned machines in one heartbeat to the leader. */
   private static final int MAX_MACHINES_PER_MESSAGE = 500;
 
-  /** A worker that was sent to its owner and is not back after so long has found it. */
+  /** How long after its last heartbeat to this controller a worker counts as misrouted. */
   private static final int MISROUTED_VALID_MS = 8000;
 
   private final StepContext context;
@@ -30,22 +34,22 @@
     this.context = context;
   }
 
-  /** A machine without an assignment was heard. */
+  /** Records a heartbeat from a machine that is not assigned to any shard. */
   void addUnassigned(MachineInfo machine) {
     unassigned.put(machine.name(), machine);
   }
 
-  /** A machine was heard that belongs to a shard of another controller. */
+  /** Records a heartbeat from a machine that is assigned to another controller's shard. */
   void addMisrouted(MachineName machine) {
     misroutedAt.put(machine, context.now());
   }
 
-  /** Whether machines without an assignment have yet to be reported. */
+  /** Reports whether there are unassigned machines that have not been reported to the leader. */
   boolean hasUnassigned() {
     return !unassigned.isEmpty();
   }
 
-  /** Removes as many machines without an assignment as fit into one message. */
+  /** Removes and returns unassigned machines, at most as many as fit into one heartbeat. */
   List<MachineInfo> takeUnassigned() {
     List<MachineInfo> taken = new ArrayList<>();
     Iterator<MachineInfo> left = unassigned.values().iterator();
@@ -56,7 +60,10 @@
     return taken;
   }
 
-  /** Counts, by shard, the workers that came here lately instead of to their owner. */
+  /**
+   * Counts the workers of each shard that have recently sent a heartbeat to this controller instead
+   * of to the shard's owner.
+   */
   Map<ShardId, Integer> countMisrouted(MachineAssignments assignments) {
     misroutedAt.values().removeIf(at -> context.now().since(at) > MISROUTED_VALID_MS);
     Map<ShardId, Integer> byShard = new TreeMap<>();
--- a/src/main/java/shorecrank/coordination/HealthCheck.java
+++ b/src/main/java/shorecrank/coordination/HealthCheck.java
@@ -2,15 +2,18 @@
 
 import shorecrank.coordination.step.StepContext;
 
-/** Whether users are well served by this controller, for load balancers. */
+/** Decides whether load balancers should send users' requests to this controller. */
 final class HealthCheck {
-  /** A controller without the state service for this long is unhealthy while others reach it. */
+  /**
+   * How long the state service may go without answering this controller before the controller is
+   * unhealthy, provided that other controllers reach the service.
+   */
   private static final int STORE_OUTAGE_MS = 3000;
 
-  /** What was heard of other controllers counts for this long. */
+  /** How long a report that other controllers reach the state service is relied on. */
   private static final int PEER_INFO_MAX_AGE_MS = 4000;
 
-  /** A controller that has heard no other for this long is isolated. */
+  /** How long without a message from any other controller until this controller is isolated. */
   private static final int ISOLATED_AFTER_MS = 6000;
 
   private final StepContext context;
@@ -25,8 +28,9 @@
   }
 
   /**
-   * Whether this controller should get users' requests. In an outage of the state service no
-   * controller is better than another, so that all stay healthy.
+   * Reports whether this controller should get users' requests. While no controller reaches the
+   * state service, every controller that still hears others stays healthy: otherwise a load
+   * balancer would be left without any controller, although none serves users better than another.
    */
   boolean isHealthy() {
     if (catalog.isEmpty()) {
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -15,9 +15,15 @@
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.rollout.FeatureGate;
 
-/** Sends this controller's heartbeats to the leader and takes over what the answers say. */
+/**
+ * Sends this controller's heartbeats to the leader and applies the answers: leases, shard owners
+ * and assignments of machines.
+ */
 final class HeartbeatExchange {
-  /** What is news to the leader is sent after this, so that more of it goes along. */
+  /**
+   * How long an unscheduled heartbeat is delayed, so that further changes within this time are sent
+   * in the same message.
+   */
   private static final int BATCH_DELAY_MS = 100;
 
   private static final int RETRY_MS = 300;
@@ -29,7 +35,10 @@
   private final Leader leader;
   private final FeatureGate gate;
 
-  /** What this controller announces; null if rollouts are not enabled. */
+  /**
+   * The build and the feature levels that each heartbeat announces to the leader; null if rollouts
+   * are disabled.
+   */
   private final Announcement announcement;
 
   private final OwnerTable owners;
@@ -40,7 +49,7 @@
   private MonotonicTime nextAt = new MonotonicTime(0);
   private boolean isInFlight;
 
-  /** The controller's state that a heartbeat tells of and its answer changes. */
+  /** The parts of the controller's state that heartbeats report and their answers update. */
   record SharedState(
       OwnerTable owners,
       OwnedShards shards,
@@ -49,9 +58,10 @@
       PeerStoreReachability peerReachability) {}
 
   /**
-   * Creates the exchange; the first heartbeat is due at once.
+   * Creates the exchange; the first heartbeat is due at the first tick.
    *
-   * @param announcement what this controller announces; null if rollouts are not enabled
+   * @param announcement the build and the feature levels to announce to the leader, or null if
+   *     rollouts are disabled
    */
   HeartbeatExchange(
       StepContext context,
@@ -72,12 +82,12 @@
     this.peerReachability = state.peerReachability;
   }
 
-  /** Makes the next heartbeat due at once. */
+  /** Makes the next heartbeat due at the next tick. */
   void requestNow() {
     nextAt = context.now();
   }
 
-  /** Makes the next heartbeat due soon, if it is not due earlier. */
+  /** Makes the next heartbeat due within {@link #BATCH_DELAY_MS}. */
   void requestSoon() {
     MonotonicTime soon = context.now().plus(BATCH_DELAY_MS);
     if (soon.isBefore(nextAt)) {
@@ -89,7 +99,7 @@
     nextAt = context.now().plus(delayMs);
   }
 
-  /** Sends a heartbeat if one is due and none is under way. */
+  /** Sends a heartbeat if one is due and the previous one has been answered or has timed out. */
   void tick() {
     if (!isInFlight && !context.now().isBefore(nextAt)) {
       send();
@@ -125,7 +135,7 @@
     List<ShardReport> reports = shards.report();
     List<MachineInfo> unassigned = foreignWorkers.takeUnassigned();
     if (foreignWorkers.hasUnassigned()) {
-      // The rest goes at once with the next, not an interval later.
+      // The machines that did not fit into this message are not delayed by a whole interval.
       scheduleIn(BATCH_DELAY_MS);
     }
     return new Heartbeat(
@@ -174,8 +184,8 @@
         (double) served / context.settings().shards(), election.isHoldingKey());
     shards.updateMachines(answer);
     if (isChanged && shards.hasCapacityRequests()) {
-      // The leader takes requests for machines only from an owner that knows the last assignments:
-      // say so at once.
+      // The leader accepts requests for machines only from an owner that knows the latest version
+      // of the assignments. Acknowledging the version early shortens the wait for machines.
       scheduleIn(BATCH_DELAY_MS);
     }
     context.gauge("parts.owned", served);
--- a/src/main/java/shorecrank/coordination/MachineAssignments.java
+++ b/src/main/java/shorecrank/coordination/MachineAssignments.java
@@ -8,32 +8,35 @@
 import shorecrank.protocol.HeartbeatMessages.MachineAssignment;
 import shorecrank.protocol.Ids.MachineName;
 
-/** Which shard each machine of the fleet is assigned to, as the leader has told. */
+/** The shard that each machine is assigned to, according to the leader's latest answer. */
 final class MachineAssignments {
   private static final long NO_VERSION = -1;
 
   private final Map<MachineName, MachineAssignment> byMachine = new LinkedHashMap<>();
   private long version = NO_VERSION;
 
-  /** The machine's assignment; null if it has none. */
+  /** Returns the machine's assignment, or null if it has none. */
   MachineAssignment find(MachineName machine) {
     return byMachine.get(machine);
   }
 
-  /** All assignments. */
+  /** Returns an unmodifiable view of the assignments of all machines. */
   Collection<MachineAssignment> all() {
     return Collections.unmodifiableCollection(byMachine.values());
   }
 
-  /** The version that the leader's next answer may build on; -1 before the first answer. */
+  /**
+   * Returns the version of the known assignments, or -1 before the leader's first answer. The
+   * leader's next answer may contain only the changes since this version.
+   */
   long version() {
     return version;
   }
 
   /**
-   * Takes what the leader's answer says.
+   * Applies the assignments and their removals of the leader's answer.
    *
-   * @return whether the leader's assignments are of another version than those known before
+   * @return true if the answer is complete or its version differs from the version known before
    */
   boolean update(HeartbeatAnswer answer) {
     boolean isChanged = answer.isComplete() || answer.assignmentVersion() != version;
--- a/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
+++ b/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
@@ -14,9 +14,12 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * The types of machines that can be rented. The leader asks the cloud for them and writes them down
- * once, so that the other controllers, and those that start while the cloud does not answer, read
- * them from the state service.
+ * The types of machines that can be rented.
+ *
+ * <p>Each controller reads them from the state service and, if they are not stored there, from the
+ * cloud. The leader stores the types that it has read from the cloud, so that other controllers can
+ * start while the cloud does not answer. After the first successful read only the leader reads the
+ * types again.
  */
 final class MachineTypeCatalog {
   private static final String KEY = "catalog";
@@ -38,7 +41,7 @@
   /**
    * Creates an empty catalog.
    *
-   * @param updateListener takes the types whenever they were read; they are never empty
+   * @param updateListener receives the types after each successful read; the map is never empty
    */
   MachineTypeCatalog(
       StepContext context, Election election, Consumer<Map<String, MachineType>> updateListener) {
@@ -47,12 +50,15 @@
     this.updateListener = updateListener;
   }
 
-  /** Whether no types are known yet. */
+  /** Reports whether the types have not been read yet. */
   boolean isEmpty() {
     return types.isEmpty();
   }
 
-  /** Reads the types if it is time to. */
+  /**
+   * Starts reading the types if a read is due: while none are known, from the state service or else
+   * from the cloud; later only from the cloud, and only if this controller leads.
+   */
   void tick() {
     MonotonicTime now = context.now();
     if (isBusy || now.isBefore(nextAt)) {
--- a/src/main/java/shorecrank/coordination/MethodGuard.java
+++ b/src/main/java/shorecrank/coordination/MethodGuard.java
@@ -5,7 +5,7 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Json;
 
-/** Refuses requests whose method a path does not take. */
+/** Rejects requests whose HTTP method is not the one that their path allows. */
 final class MethodGuard {
   private final StepContext context;
 
@@ -13,7 +13,12 @@
     this.context = context;
   }
 
-  /** Runs the action if the request's method is the allowed one, else refuses the request. */
+  /**
+   * Runs the action if the request's method is the allowed one; otherwise replies with 405 (Method
+   * Not Allowed).
+   *
+   * @param reply identifies the request to reply to
+   */
   void require(String allowed, String method, long reply, Runnable action) {
     if (method.equals(allowed)) {
       action.run();
--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -22,12 +22,19 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.rollout.FeatureGate;
 
-/** The shards that this process owns: gained by leases, given up, kept in step with the leader. */
+/**
+ * The shards that this process owns. Ownership begins with a lease from the leader and ends when
+ * another controller owns the shard or the lease has expired before a new epoch.
+ */
 final class OwnedShards {
-  /** A lease is counted shorter by one part in so many, for clocks that drift apart. */
+  /**
+   * The fraction of a lease's duration that the owner leaves unused, as a divisor: its clock may
+   * run slower than the leader's, which must not grant the shard to another while this owner uses
+   * it.
+   */
   private static final int LEASE_DRIFT_DIVISOR = 500;
 
-  /** A lease is counted shorter by this, for timers that fire late. */
+  /** The part of a lease's duration that the owner leaves unused because timers may fire late. */
   private static final int LEASE_MARGIN_MS = 20;
 
   private final StepContext context;
@@ -37,18 +44,22 @@
   private final boolean isSharesEnabled;
   private final Map<ShardId, ShardOwner> shardOwners = new TreeMap<>();
 
-  /** Shards granted under an epoch that is used up, which is to be reported. */
+  /**
+   * The epochs of leases that were refused because this process had already given the shard up at
+   * that epoch or a higher one; reported to the leader.
+   */
   private final Map<ShardId, Epoch> refusedEpochs = new TreeMap<>();
 
-  /** The highest epoch under which this process has given a shard up. */
+  /** For each shard that this process has given up, the highest epoch at which it did. */
   private final Map<ShardId, Epoch> usedEpochs = new TreeMap<>();
 
   private Map<String, MachineType> machineTypes = Map.of();
 
   /**
-   * Creates the set without a shard.
+   * Creates an empty set.
    *
-   * @param isSharesEnabled whether shard owners report what they need for shares
+   * @param isSharesEnabled whether moves of machines between shards are enabled, so that shard
+   *     owners report their demand for machines
    */
   OwnedShards(
       StepContext context,
@@ -63,12 +74,16 @@
     this.isSharesEnabled = isSharesEnabled;
   }
 
-  /** The owner of the shard in this process; null if it is not owned here. */
+  /** Returns the shard's owner in this process, or null if this process does not own the shard. */
   ShardOwner find(ShardId shard) {
     return shardOwners.get(shard);
   }
 
-  /** Advances every shard owner by one round. */
+  /**
+   * Runs one scheduling round of every shard owner.
+   *
+   * @param budget the processor time of this tick, shared by all shard owners
+   */
   void tick(Input.RoundBudget budget) {
     for (ShardOwner shardOwner : shardOwners.values()) {
       shardOwner.runRound(budget);
@@ -76,8 +91,9 @@
   }
 
   /**
-   * Up to when the state service has shown cancellations to the shard owner that knows the least;
-   * NEVER if no owner has read the store.
+   * Returns the earliest of the times up to which the shard owners have read all cancellations from
+   * the state service, or NEVER if no shard owner has read them yet. Owners that have read none are
+   * left out.
    */
   MonotonicTime oldestCancellationView() {
     MonotonicTime oldest = MonotonicTime.NEVER;
@@ -90,20 +106,20 @@
     return oldest;
   }
 
-  /** A user has been told that the job is cancelled. */
-  void learnCancelled(JobId job) {
+  /** Notifies all shard owners that a user has been told that the job is cancelled. */
+  void onJobCancelled(JobId job) {
     shardOwners.values().forEach(shardOwner -> shardOwner.learnCancelled(job));
   }
 
-  /** The types of machines that can be rented have been read. */
+  /** Passes the types of machines that can be rented to all shard owners, present and future. */
   void updateCatalog(Map<String, MachineType> types) {
     machineTypes = types;
     shardOwners.values().forEach(shardOwner -> shardOwner.updateCatalog(types));
   }
 
-  // ---- gained and given up -----------------------------------------------------------------
+  // ---- ownership ---------------------------------------------------------------------------
 
-  /** Gives the shard up if another controller owns it at a higher epoch. */
+  /** Gives up ownership of the shard if another controller owns it at a higher epoch. */
   void releaseIfSuperseded(OwnerInfo owner) {
     ShardOwner shardOwner = shardOwners.get(owner.shard());
     if (shardOwner != null
@@ -121,10 +137,11 @@
   }
 
   /**
-   * Relinquishes shards that the leader neither renews nor gives to another: they are being taken
-   * back. The next heartbeat, without the shard, tells the leader that it is free.
+   * Relinquishes the shards whose leases the leader no longer renews: it is revoking them. The next
+   * heartbeat does not list such a shard, which tells the leader that it can grant the shard to
+   * another controller.
    *
-   * @return whether any was relinquished now
+   * @return true if a shard was relinquished by this call
    */
   boolean relinquishUnrenewed(List<Lease> leases) {
     boolean isAnyRelinquished = false;
@@ -147,20 +164,24 @@
   }
 
   /**
-   * Takes a lease, and the shard with it.
+   * Accepts a lease that the leader has granted or renewed, and takes the shard over if this
+   * process does not own it.
    *
-   * @param requestedAt when the heartbeat was sent that the lease answers
-   * @return false if the shard is not taken, since the lease's epoch is used up
+   * @param requestedAt when the heartbeat was sent whose answer contains the lease
+   * @return false if the lease is refused because this process has already given the shard up at
+   *     the lease's epoch or a higher one
    */
   boolean accept(Lease lease, MonotonicTime requestedAt) {
-    // Counted from before the request was sent, so that no delay can lengthen it.
+    // The lease starts when the heartbeat was sent: counted from the arrival of the answer, a delay
+    // of the answer would let it outlast the leader's lease.
     MonotonicTime until =
         requestedAt.plus(lease.ttlMs() - lease.ttlMs() / LEASE_DRIFT_DIVISOR - LEASE_MARGIN_MS);
     ShardOwner shardOwner = shardOwners.get(lease.shard());
     if (shardOwner != null
         && lease.epoch().isAbove(shardOwner.epoch())
         && !shardOwner.isLeaseValid()) {
-      // Since the lease expired another may have owned the shard: what is in memory may be wrong.
+      // Another controller may have owned the shard since this lease expired, so that the jobs and
+      // machines in memory may be out of date.
       endOwnership(lease.shard(), "its lease expired before epoch " + lease.epoch());
       shardOwner = null;
     }
@@ -177,10 +198,11 @@
   }
 
   /**
-   * A shard given up under an epoch is not taken again under it: workers have shown that epoch and
-   * have been given numbers under it, so that late heartbeats could not be told from new ones, nor
-   * would the answers be taken. Reported like a refused epoch, it makes the leader allocation above
-   * it.
+   * Reports whether this process has already given the shard up at the lease's epoch or a higher
+   * one. Such a lease is refused: the workers have exchanged numbered messages under that epoch, so
+   * a new owner at the same epoch could not tell late heartbeats from new ones, and the workers
+   * would ignore its answers. The refusal, reported to the leader, makes it allocate a higher
+   * epoch.
    */
   private boolean isUsedUp(Lease lease) {
     Epoch last = usedEpochs.get(lease.shard());
@@ -206,7 +228,7 @@
 
   // ---- exchange with the leader ------------------------------------------------------------
 
-  /** What the leader is told: the shards served here, and those refused. */
+  /** Returns the reports for the leader: one per shard that is served here or was refused. */
   List<ShardReport> report() {
     List<ShardReport> reports = new ArrayList<>();
     for (ShardOwner shardOwner : shardOwners.values()) {
@@ -218,7 +240,10 @@
     return reports;
   }
 
-  /** Tells the shard owners what the leader says of machines and of offers. */
+  /**
+   * Passes the leader's assignments and releases of machines, and the offers for which the cloud
+   * has no capacity, to the shard owners.
+   */
   void updateMachines(HeartbeatAnswer answer) {
     for (ShardOwner shardOwner : shardOwners.values()) {
       if (answer.isComplete()) {
@@ -232,7 +257,7 @@
     }
   }
 
-  /** Whether any shard here needs more machines. */
+  /** Reports whether any shard owned here requests more machines. */
   boolean hasCapacityRequests() {
     for (ShardOwner shardOwner : shardOwners.values()) {
       if (!shardOwner.autoscaler().capacityRequests().isEmpty()) {
@@ -242,7 +267,7 @@
     return false;
   }
 
-  /** The number of shards that are served here. */
+  /** Returns the number of shards owned here that have not been relinquished. */
   int countServed() {
     int served = 0;
     for (ShardOwner shardOwner : shardOwners.values()) {
@@ -253,16 +278,16 @@
     return served;
   }
 
-  // ---- for observers -----------------------------------------------------------------------
+  // ---- for the test simulator --------------------------------------------------------------
 
-  /** The epochs of the shards owned here. */
+  /** Returns the epoch of each shard owned by this process, also if its lease has expired. */
   Map<ShardId, Epoch> epochs() {
     Map<ShardId, Epoch> epochs = new TreeMap<>();
     shardOwners.forEach((shard, shardOwner) -> epochs.put(shard, shardOwner.epoch()));
     return epochs;
   }
 
-  /** The epochs of the shards whose workers this process may command at a moment. */
+  /** Returns the epoch of each shard whose lease this process holds at the given time. */
   Map<ShardId, Epoch> commandedEpochs(MonotonicTime at) {
     Map<ShardId, Epoch> epochs = new TreeMap<>();
     shardOwners.forEach(
@@ -274,7 +299,7 @@
     return epochs;
   }
 
-  /** The machines that this process may command at a moment. */
+  /** Returns the machines to whose workers this process may send commands at the given time. */
   Set<MachineName> commandedMachines(MonotonicTime at) {
     Set<MachineName> machines = new HashSet<>();
     for (ShardOwner shardOwner : shardOwners.values()) {
--- a/src/main/java/shorecrank/coordination/OwnerTable.java
+++ b/src/main/java/shorecrank/coordination/OwnerTable.java
@@ -16,17 +16,19 @@
 import shorecrank.storage.ListResult;
 
 /**
- * Which controller owns which shard: from the leader's answers and, while those don't come, from
- * the state service.
+ * The known owner of each shard. The owners are taken from the leader's answers to heartbeats and,
+ * while the leader does not answer, from the state service.
  */
 final class OwnerTable {
-  /** After so long without an answer of the leader the owners are read from the store. */
+  /**
+   * How long without an answer from the leader until the owners are read from the state service.
+   */
   private static final int LEADER_SILENCE_MS = 2500;
 
   private static final int READ_TIMEOUT_MS = 1500;
   private static final int READ_LIMIT = 200;
 
-  /** The pause between two reads lies between this and half as much again. */
+  /** The shortest pause between two reads; up to {@link #READ_PAUSE_JITTER_MS} are added to it. */
   private static final int READ_PAUSE_MS = 800;
 
   private static final int READ_PAUSE_JITTER_MS = 400;
@@ -41,19 +43,19 @@
   /**
    * Creates an empty table.
    *
-   * @param observer takes every owner that is heard of, also one that is known
+   * @param observer receives every reported owner, also one that the table already holds
    */
   OwnerTable(StepContext context, Consumer<OwnerInfo> observer) {
     this.context = context;
     this.observer = observer;
   }
 
-  /** The shard's owner as known here, which may be this controller; null if it is not known. */
+  /** Returns the shard's owner, which may be this controller, or null if it is not known. */
   OwnerInfo find(ShardId shard) {
     return owners.get(shard);
   }
 
-  /** The label of the shard's owner if that is known and is another controller. */
+  /** Returns the name of the shard's owner; empty if it is unknown or is this controller. */
   Optional<ControllerName> findOther(ShardId shard) {
     OwnerInfo owner = owners.get(shard);
     if (owner == null || owner.controller().equals(context.config().label())) {
@@ -62,28 +64,31 @@
     return Optional.of(owner.controller());
   }
 
-  /** The known owners by shard. */
+  /** Returns an unmodifiable view of the known owners, ordered by shard. */
   Collection<OwnerInfo> all() {
     return Collections.unmodifiableCollection(owners.values());
   }
 
-  /** Whether the leader has ever told the owners to this process. */
+  /** Reports whether this process has ever had an answer from the leader. */
   boolean hasLeaderContact() {
     return lastLeaderContactAt != MonotonicTime.NEVER;
   }
 
-  /** An answer of the leader has arrived; {@link #replaceAll} takes the owners it names. */
+  /**
+   * Records that the leader has answered a heartbeat. The owners that the answer names are passed
+   * to {@link #replaceAll}.
+   */
   void recordLeaderContact() {
     lastLeaderContactAt = context.now();
   }
 
-  /** Forgets all owners and takes these. */
+  /** Replaces all known owners, whatever their epochs. */
   void replaceAll(List<OwnerInfo> all) {
     owners.clear();
     all.forEach(this::observe);
   }
 
-  /** Takes an owner that was heard of; one at a lower epoch than the known one changes nothing. */
+  /** Records a shard's owner, unless an owner at the same or a higher epoch is already known. */
   void observe(OwnerInfo owner) {
     OwnerInfo known = owners.get(owner.shard());
     if (known == null || owner.epoch().isAbove(known.epoch())) {
@@ -93,9 +98,8 @@
   }
 
   /**
-   * Reads the owners from the store while the leader's answers don't come. Without it controllers
-   * would go on naming an owner that has been replaced, and workers would be sent back to it for
-   * ever.
+   * Starts reading the owners from the state service if the leader does not answer. Otherwise this
+   * controller would go on redirecting workers to an owner that has been replaced.
    */
   void tick() {
     MonotonicTime now = context.now();
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -26,7 +26,7 @@
 import shorecrank.protocol.PeerRequests.ForwardedRequest;
 import shorecrank.protocol.StatusQueryCodec;
 
-/** Finds the handler of a request on the peer address: of another controller or an operator. */
+/** Routes requests on the peer address, from other controllers and from operators, by path. */
 final class PeerRequestRouter {
   private static final String POST = "POST";
 
@@ -34,7 +34,7 @@
   private final MethodGuard methods;
   private final Handlers handlers;
 
-  /** What answers requests on the peer address. */
+  /** The components that answer requests on the peer address. */
   record Handlers(
       Leader leader,
       HeartbeatExchange heartbeats,
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Has the request answered, now or later.
+   * Passes the request to its handler, which answers it in this step or a later one.
    *
-   * @param path of the request, without a query
+   * @param path the request's path without the query string
    */
   void route(Input.Request request, String path) {
     switch (path) {
@@ -129,7 +129,12 @@
             request.reply(), forwarded.method(), forwarded.path(), forwarded.body(), true));
   }
 
-  /** Refuses a message; its sender and the log call it by different names. */
+  /**
+   * Rejects a malformed message.
+   *
+   * @param loggedKind the kind of message as the log event names it
+   * @param repliedKind the kind of message as the reply to the sender names it
+   */
   private void refuseMalformed(Input.Request request, String loggedKind, String repliedKind) {
     context.reportRefusal("peer.malformed", "peer.message.malformed kind=" + loggedKind);
     context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + repliedKind));
--- a/src/main/java/shorecrank/coordination/PeerStoreReachability.java
+++ b/src/main/java/shorecrank/coordination/PeerStoreReachability.java
@@ -3,9 +3,15 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Whether other controllers reach the state service, as far as their heartbeats have told. */
+/**
+ * Whether other controllers reach the state service, according to their heartbeats and to the
+ * leader's answers.
+ */
 final class PeerStoreReachability {
-  /** A heartbeat that denies it does not outweigh one that affirmed it within this time. */
+  /**
+   * How long a report that some other controller reaches the state service stands against another
+   * controller's report that it does not reach the service.
+   */
   private static final int REACHABLE_VALID_MS = 2000;
 
   private final StepContext context;
@@ -16,7 +22,7 @@
     this.context = context;
   }
 
-  /** Another controller's heartbeat says whether that controller reaches the state service. */
+  /** Records whether one other controller reaches the state service, as its heartbeat says. */
   void recordPeer(boolean isStoreReachable) {
     if (isStoreReachable) {
       recordAnyPeer(true);
@@ -25,23 +31,28 @@
     }
   }
 
-  /** The leader's answer says whether any other controller reaches the state service. */
+  /**
+   * Records whether any other controller reaches the state service, as the leader's answer says.
+   */
   void recordAnyPeer(boolean isStoreReachable) {
     isReachable = isStoreReachable;
     reportedAt = context.now();
   }
 
-  /** The leader refused a heartbeat because it does not reach the state service itself. */
+  /** Records that the leader refused a heartbeat because it does not reach the state service. */
   void recordLeaderWithoutStore() {
     isReachable = false;
   }
 
-  /** Whether another controller reached the state service when that was last heard of. */
+  /** Reports whether another controller reached the state service according to the last report. */
   boolean isReachable() {
     return isReachable;
   }
 
-  /** Milliseconds since it was last heard of; very many if it never was. */
+  /**
+   * Returns the milliseconds since the last report that was not just one controller's failure to
+   * reach the state service; a very large number if there was none.
+   */
   long msSinceReport() {
     return context.now().since(reportedAt);
   }
--- a/src/main/java/shorecrank/coordination/RequestForwarder.java
+++ b/src/main/java/shorecrank/coordination/RequestForwarder.java
@@ -16,11 +16,11 @@
 import shorecrank.protocol.PeerPaths;
 import shorecrank.protocol.PeerRequests.ForwardedRequest;
 
-/** Passes users' requests on to a controller that reaches the state service. */
+/** Forwards users' requests to a controller that reaches the state service. */
 final class RequestForwarder {
   private static final int FORWARD_TIMEOUT_MS = 2000;
 
-  /** What was heard of other controllers counts for this long. */
+  /** How long a report that other controllers reach the state service is relied on. */
   private static final int PEER_INFO_MAX_AGE_MS = 4000;
 
   private final StepContext context;
@@ -34,10 +34,11 @@
   }
 
   /**
-   * Passes a request on if another controller is said to reach the state service.
+   * Forwards a request if another controller is known to reach the state service: to the leader or,
+   * if this controller leads or no leader is known, to any other controller.
    *
-   * @param failed run if the other controller does not answer it
-   * @return false if there is no such controller; the request is then not answered
+   * @param failed run if the other controller gives no answer that can be passed on to the user
+   * @return false if there is no such controller; the caller then has to answer the request
    */
   boolean forward(UserRequest request, Runnable failed) {
     if (!peerReachability.isReachable()
@@ -67,7 +68,10 @@
     return true;
   }
 
-  /** Whether an answer of this status would be the same from any controller. */
+  /**
+   * Reports whether an answer with this status would be the same from any controller, so that it
+   * can be passed on to the user.
+   */
   private static boolean isFinal(int status) {
     return switch (status) {
       case OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE -> true;
--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -20,8 +20,9 @@
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
- * Asks shard owners where jobs stand, here or elsewhere, and answers such queries of other
- * controllers. All queries of a round to one owner go in one message.
+ * Queries shard owners, in this process or at other controllers, for the status of jobs, and
+ * answers such queries from other controllers. The queries between two ticks about the jobs of one
+ * shard are sent to its owner in one message.
  */
 final class StatusQueryForwarder {
   private static final int QUERY_TIMEOUT_MS = 700;
@@ -37,7 +38,12 @@
     this.shards = shards;
   }
 
-  /** Asks the shard's owner where the job stands; the callback gets nothing if it can't tell. */
+  /**
+   * Queries the shard's owner for the job's status.
+   *
+   * @param then receives the status; empty if the owner is unknown, does not answer or does not
+   *     know the status
+   */
   void query(ShardId shard, JobId job, StatusCallback then) {
     ShardOwner shardOwner = shards.find(shard);
     if (shardOwner != null) {
@@ -52,7 +58,7 @@
     }
   }
 
-  /** Sends the queries since the last round. */
+  /** Sends the queries to other controllers that have been collected since the last tick. */
   void sendPending() {
     pending.forEach(this::send);
     pending.clear();
@@ -84,7 +90,7 @@
         });
   }
 
-  /** Answers another controller's query, once all that can be told is known. */
+  /** Answers another controller's query once the shard owner has answered for each of its jobs. */
   void answerPeer(long reply, StatusQuery query) {
     ShardOwner shardOwner = shards.find(query.shard());
     Map<JobId, JobStatus> statuses = new HashMap<>();
@@ -98,7 +104,7 @@
     }
   }
 
-  /** The answer to another controller's query, sent once all its jobs are settled. */
+  /** Collects the answer to another controller's query and sends it once no job is pending. */
   private final class PeerAnswer {
     private final long reply;
     private final Map<JobId, JobStatus> statuses;
--- a/src/main/java/shorecrank/coordination/UserRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/UserRequestRouter.java
@@ -14,7 +14,7 @@
 import shorecrank.protocol.CloudMessages.MachineType;
 import shorecrank.protocol.Json;
 
-/** Finds the handler of a user's request by its path. */
+/** Routes users' requests by path to the handlers of submissions, cancellations and status. */
 final class UserRequestRouter {
   private static final String JOBS = "/api/jobs";
   private static final String JOB_PREFIX = JOBS + "/";
@@ -29,8 +29,8 @@
   /**
    * Creates the router and the handlers behind it.
    *
-   * @param forwarder passes requests on while this controller does not reach the state service
-   * @param owners asks shard owners where jobs stand
+   * @param forwarder forwards requests while this controller does not reach the state service
+   * @param owners queries shard owners for the status of jobs
    */
   UserRequestRouter(
       StepContext context,
@@ -47,12 +47,12 @@
     this.statuses = new StatusHandler(context, cancellationLog, jobs, replies, owners);
   }
 
-  /** The types of machines that can be rented have been read. */
+  /** Updates the types of machines that can be rented, which submissions are checked against. */
   void updateCatalog(Map<String, MachineType> types) {
     submissions.updateCatalog(types);
   }
 
-  /** Has the request answered, now or later. */
+  /** Passes the request to its handler, which answers it in this step or a later one. */
   void route(UserRequest request) {
     String path = request.path();
     if (path.equals(JOBS)) {
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -21,16 +21,20 @@
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
- * Brings a worker's heartbeat to the owner of its machine's shard: to the owner here, elsewhere by
- * a redirect, or held until this process knows where it belongs.
+ * Routes workers' heartbeats to the owner of the machine's shard. A heartbeat whose owner runs in
+ * this process is delivered, one that belongs to another controller is answered with a redirect,
+ * and one whose destination is not known yet may be held for a short time.
  */
 final class WorkerHeartbeatRouter {
-  /** So long after its start a process may not know yet where heartbeats belong. */
+  /** How long after its start a process holds heartbeats whose destination it does not know yet. */
   private static final int STARTUP_MS = 8000;
 
   private static final int MAX_HOLD_MS = 2500;
 
-  /** An owner that has heard no other controller for this long is alone. */
+  /**
+   * How long without a message from any other controller until this controller is isolated, which
+   * affects the grace period of the shard owner after its lease.
+   */
   private static final int ISOLATED_AFTER_MS = 4000;
 
   private final StepContext context;
@@ -42,7 +46,7 @@
   private final HeartbeatExchange heartbeats;
   private final List<HeldHeartbeat> held = new ArrayList<>();
 
-  /** A heartbeat that waits until this process knows where it belongs. */
+  /** A worker's heartbeat that has not been answered yet. */
   private record HeldHeartbeat(long reply, WorkerHeartbeat heartbeat, MonotonicTime receivedAt) {}
 
   WorkerHeartbeatRouter(
@@ -59,7 +63,7 @@
     this.foreignWorkers = state.foreignWorkers();
   }
 
-  /** Takes a worker's heartbeat. */
+  /** Routes a worker's heartbeat; a malformed one is rejected. */
   void receive(Input.Request request) {
     WorkerHeartbeat heartbeat;
     try {
@@ -72,7 +76,7 @@
     route(new HeldHeartbeat(request.reply(), heartbeat, context.now()));
   }
 
-  /** Routes again what is held; what still can't be routed is held on. */
+  /** Retries to route the held heartbeats; those that still cannot be routed stay held. */
   void retryHeld() {
     if (held.isEmpty()) {
       return;
@@ -90,9 +94,10 @@
     if (isDestinationUnknown
         && context.now().since(context.startedAt()) < STARTUP_MS
         && canHold(received)) {
-      // A process that has just begun will know in a moment. A worker that is sent away comes back
-      // after a second at the earliest, and its lease may be short: after the end of all
-      // controllers most of the tasks would be lost by that.
+      // The first answer from the leader will name the destination soon. A redirected worker
+      // retries
+      // after a second at the earliest, by when its lease may have expired: after a restart of all
+      // controllers most tasks would be lost.
       held.add(received);
     } else if (assignment == null) {
       redirectUnassigned(received);
@@ -107,7 +112,10 @@
     }
   }
 
-  /** A held heartbeat keeps its connection, and there are no more than sockets. */
+  /**
+   * Reports whether the heartbeat may be held. Each held heartbeat keeps its connection open, so no
+   * more of them are held than the process may have sockets.
+   */
   private boolean canHold(HeldHeartbeat received) {
     return context.now().since(received.receivedAt) < MAX_HOLD_MS
         && held.size() < context.config().limits().sockets();
@@ -122,7 +130,11 @@
     redirect(received, leader == null || leader.equals(context.config().label()) ? null : leader);
   }
 
-  /** Sends the worker elsewhere; null if it is not known where. */
+  /**
+   * Answers the heartbeat with a redirect.
+   *
+   * @param to the controller to send heartbeats to; null if it is not known
+   */
   private void redirect(HeldHeartbeat received, ControllerName to) {
     context.reply(received.reply, MISDIRECTED, WorkerCommandCodec.writeRedirect(to));
   }
@@ -135,7 +147,7 @@
         return;
       }
       if (shardOwner.cancellationsKnownUpTo() == MonotonicTime.NEVER && canHold(received)) {
-        // A new owner will have read the records in a moment.
+        // A new owner has not read the cancellations yet; it does so while it reads the records.
         held.add(received);
         return;
       }
--- a/src/main/java/shorecrank/coordination/step/AnswerHandler.java
+++ b/src/main/java/shorecrank/coordination/step/AnswerHandler.java
@@ -2,14 +2,15 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** What to do with the answer to a call. */
+/** Handles the answer to a call to another process. */
 @FunctionalInterface
 public interface AnswerHandler {
   /**
-   * Takes the answer.
+   * Handles the answer.
    *
-   * @param status of HTTP; 0 if there was none in time, and the call may still be carried out
-   * @param body a missing node if there is none
+   * @param status the HTTP status; 0 if no answer came within the timeout, in which case the other
+   *     process may still carry the call out
+   * @param body the parsed body, or a missing node if there is none
    */
   void answer(int status, JsonNode body);
 }
--- a/src/main/java/shorecrank/coordination/step/CancellationStalenessLimit.java
+++ b/src/main/java/shorecrank/coordination/step/CancellationStalenessLimit.java
@@ -3,15 +3,18 @@
 import shorecrank.config.NodeConfig;
 
 /**
- * How old a shard owner's knowledge of confirmed cancellations may be while it renews workers'
- * leases: what it missed ends with the lease, and no later than {@code cancel_s} after the
- * confirmation.
+ * The limit on how stale a shard owner's knowledge of confirmed cancellations may be while it
+ * renews workers' leases. A task whose cancellation the owner has missed runs until the worker's
+ * lease expires; the limit makes that happen within {@code cancel_s} of the confirmation.
  */
 final class CancellationStalenessLimit {
-  /** Steady clocks of two machines drift apart by up to 0.05%; four times that is allowed for. */
+  /**
+   * The allowed drift between the clocks of two machines, as a fraction. Monotonic clocks drift
+   * apart by up to 0.05%; four times as much is allowed for.
+   */
   private static final double DRIFT = 0.002;
 
-  /** For timers that fire late, here and at the worker. */
+  /** Allowance for timers that fire late, at the controller and at the worker. */
   private static final int MARGIN_MS = 500;
 
   private static final int MS_PER_S = 1000;
@@ -21,7 +24,7 @@
   private final long safeMs;
   private final long minMs;
 
-  /** Computes the age from what the platform sets for workers. */
+  /** Computes the limit from the platform's timings for workers. */
   CancellationStalenessLimit(NodeConfig config) {
     double spareS = config.workers().cancelS() - config.workers().leaseS();
     this.safeMs = (long) (spareS * MS_PER_S * (1 - DRIFT) - MARGIN_MS);
@@ -29,14 +32,18 @@
   }
 
   /**
-   * The age that is allowed, in milliseconds. Where the platform leaves less than a least age,
-   * nobody could renew a lease at all; then it is the least, and {@link #isSafe} is false.
+   * Returns the maximum staleness, in milliseconds. It is at least two intervals of workers'
+   * heartbeats plus {@link #MIN_MARGIN_MS}, since with a lower limit no owner could renew any
+   * lease. If the platform's timings require a lower limit, {@link #isSafe} is false.
    */
   long maxStalenessMs() {
     return Math.max(minMs, safeMs);
   }
 
-  /** Whether the platform leaves enough time between the lease and the end of cancelled tasks. */
+  /**
+   * Reports whether {@code cancel_s} exceeds the duration of workers' leases by enough that, with
+   * this limit, cancelled tasks end in time.
+   */
   boolean isSafe() {
     return safeMs >= minMs;
   }
--- a/src/main/java/shorecrank/coordination/step/EventLogLimiter.java
+++ b/src/main/java/shorecrank/coordination/step/EventLogLimiter.java
@@ -5,13 +5,15 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.storage.RateLimiter;
 
-/** Bounds how many lines a second go into the log for each event that a large fleet has often. */
+/**
+ * Limits the rate of log lines of each frequent event, so that a large fleet cannot flood the log.
+ */
 final class EventLogLimiter {
   private static final double LINES_PER_S = 20;
 
   private final Map<String, RateLimiter> limiters = new HashMap<>();
 
-  /** Whether a further line of an event may go into the log, which counts as logged then. */
+  /** Reports whether a line of the event may be logged now, and if so counts it as logged. */
   boolean tryLog(String event, MonotonicTime now) {
     return limiters.computeIfAbsent(event, name -> new RateLimiter(LINES_PER_S)).tryTake(1, now);
   }
--- a/src/main/java/shorecrank/coordination/step/Input.java
+++ b/src/main/java/shorecrank/coordination/step/Input.java
@@ -2,14 +2,16 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** What the state machine takes in a step. */
+/** An input of one step of the state machine. */
 public sealed interface Input {
   /**
-   * A request.
+   * A request from a user, an operator, a worker or another controller.
    *
-   * @param reply names where the answer goes
-   * @param fromPeer whether it came on the peer address
-   * @param body as it was received; empty if there is none
+   * @param reply the number that identifies the request; its {@link Output.Reply} carries the same
+   *     number
+   * @param fromPeer whether the request was received on the peer address
+   * @param path the path with the query string, if there is one
+   * @param body the received bytes; empty if there is no body
    */
   record Request(long reply, boolean fromPeer, String method, String path, byte[] body)
       implements Input {}
@@ -17,23 +19,23 @@
   /**
    * The answer to a call.
    *
-   * @param call the number of the call
-   * @param status of HTTP; 0 if there was no answer in time
-   * @param body a missing node if there is none
+   * @param call the number of the {@link Output.Call} that is answered
+   * @param status the HTTP status; 0 if no answer came within the timeout
+   * @param body the parsed body, or a missing node if there is none
    */
   record Answer(long call, int status, JsonNode body) implements Input {}
 
   /**
-   * Time has passed: a round is due.
+   * A periodic tick, at which timers are checked and scheduling rounds run.
    *
-   * @param budget says when the round's decisions have taken their time
+   * @param budget limits the processor time that the scheduling rounds of this tick may take
    */
   record Tick(RoundBudget budget) implements Input {}
 
-  /** The processor time of a round. */
+  /** A limit on the processor time of the scheduling rounds of one tick. */
   @FunctionalInterface
   interface RoundBudget {
-    /** Whether the round's time is spent. */
+    /** Reports whether the processor time of the tick is used up. */
     boolean isExhausted();
   }
 }
--- a/src/main/java/shorecrank/coordination/step/Output.java
+++ b/src/main/java/shorecrank/coordination/step/Output.java
@@ -3,51 +3,57 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import shorecrank.protocol.Ids.ControllerName;
 
-/** What the state machine wants done after a step. */
+/** An action that the state machine requests in a step, carried out after the step ends. */
 public sealed interface Output {
   /**
-   * An answer to a request.
+   * A reply to a request.
    *
-   * @param reply where it goes, as the request has named it
-   * @param status of HTTP
-   * @param retryAfterS the seconds after which the request may be repeated; 0 to say nothing of it
+   * @param reply the number of the {@link Input.Request} that is answered
+   * @param status the HTTP status
+   * @param retryAfterS after how many seconds the sender may repeat the request; 0 to leave this
+   *     unspecified
    */
   record Reply(long reply, int status, JsonNode body, int retryAfterS) implements Output {}
 
   /**
-   * A call of another process; its answer is an {@link Input.Answer} of the same number.
+   * A call to another process.
    *
-   * @param body null if there is none
+   * @param call the number of the call; the {@link Input.Answer} to it carries the same number
+   * @param body the body to send, or null if there is none
    */
   record Call(long call, Target target, String method, String path, JsonNode body, int timeoutMs)
       implements Output {}
 
-  /** A line of the log. */
+  /** A log line. */
   record Log(Level level, String text) implements Output {}
 
-  /** A counter rises. */
+  /** An increment of a counter. */
   record Count(String metric, long by) implements Output {}
 
-  /** A gauge has a new value. */
+  /** A new value of a gauge. */
   record Gauge(String metric, double value) implements Output {}
 
-  /** How serious a line of the log is. */
+  /** The severity of a log line. */
   enum Level {
     ERROR,
     INFO,
     DEBUG
   }
 
-  /** Whom a call goes to. */
+  /** The process that a call is sent to. */
   sealed interface Target {}
 
-  /** The services that every controller calls. */
+  /** The external services that every controller calls: the state service and the cloud. */
   enum Service implements Target {
     STATE,
     CLOUD
   }
 
-  /** A machine's worker, where its heartbeat said that it can be reached. */
+  /**
+   * The worker of a machine.
+   *
+   * @param address the address that the worker has named in its heartbeat
+   */
   record Worker(String address) implements Target {}
 
   /** Another controller. */
--- a/src/main/java/shorecrank/coordination/step/PeerClient.java
+++ b/src/main/java/shorecrank/coordination/step/PeerClient.java
@@ -21,8 +21,8 @@
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
- * The other controllers as the steps of the state machine call them. Every call returns at once;
- * its result comes in a later step, exactly once.
+ * The client for calls to other controllers. Every method returns at once; the result of the call
+ * is delivered exactly once, in a later step.
  */
 public final class PeerClient {
   private final StepContext context;
@@ -56,9 +56,10 @@
   }
 
   /**
-   * Asks a shard's owner where jobs stand.
+   * Queries a shard's owner for the status of jobs.
    *
-   * @param then takes the answers; jobs of which the owner can't tell are not among them
+   * @param then receives the status of each job that the owner knows; empty if the owner does not
+   *     answer
    */
   public void queryStatus(
       ControllerName owner,
@@ -77,12 +78,14 @@
   }
 
   /**
-   * Passes a request on and has its sender get the other controller's answer.
+   * Forwards a request to another controller and replies to its sender with that controller's
+   * answer.
    *
-   * @param message the request as the other controller reads it
-   * @param reply where the answer goes
-   * @param isPassedOn whether an answer of a status goes to the sender as it is
-   * @param otherwise takes the status of any other answer; 0 if there was none in time
+   * @param message the request in the form that the path of the other controller expects
+   * @param reply identifies the request to reply to
+   * @param isPassedOn tests whether an answer with the given status is passed on to the sender
+   * @param otherwise receives the status of an answer that is not passed on; 0 if no answer came
+   *     within the timeout
    */
   public void forward(
       ControllerName to,
--- a/src/main/java/shorecrank/coordination/step/PendingCalls.java
+++ b/src/main/java/shorecrank/coordination/step/PendingCalls.java
@@ -2,22 +2,22 @@
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 
-/** The calls without an answer so far, by their numbers. */
+/** The calls that have not been answered yet, by number. */
 final class PendingCalls {
   private final Long2ObjectOpenHashMap<PendingCall> calls = new Long2ObjectOpenHashMap<>();
   private long nextNumber = 1;
 
-  /** A call and what to do with its answer. */
+  /** The target of a call and the handler of its answer. */
   record PendingCall(Output.Target target, AnswerHandler then) {}
 
-  /** Adds a call and gives it a number that no earlier one had. */
+  /** Adds a call and returns its number, which is unique within the process. */
   long add(Output.Target target, AnswerHandler then) {
     long number = nextNumber++;
     calls.put(number, new PendingCall(target, then));
     return number;
   }
 
-  /** Removes a call; null if it was answered before. */
+  /** Removes and returns a call; null if it has already been answered. */
   PendingCall remove(long number) {
     return calls.remove(number);
   }
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -16,9 +16,9 @@
 import shorecrank.storage.StateStore;
 
 /**
- * What the parts of the state machine see of the world: time and random numbers come in, calls,
- * replies, log lines and metrics go out. One context lasts as long as its process; the time and the
- * random numbers are those of the step under way.
+ * The environment of all parts of the state machine: it provides time and random numbers, and takes
+ * the calls, replies, log lines and metrics that a step outputs. There is one context per process;
+ * its time and random numbers are those of the current step.
  */
 public final class StepContext {
   private static final String CHANGES_FIELD = "apply";
@@ -41,7 +41,11 @@
   private MonotonicTime lastPeerContactAt = MonotonicTime.NEVER;
   private long lastInstanceNumber;
 
-  /** Creates the context of a process before its first step. */
+  /**
+   * Creates the context of a process that has not taken a step yet.
+   *
+   * @param writer the unique name of this process
+   */
   public StepContext(NodeConfig config, Settings settings, WriterId writer) {
     this.config = config;
     this.settings = settings;
@@ -56,9 +60,9 @@
   /**
    * Begins a step.
    *
-   * @param now the steady clock
-   * @param wallMs the time of day in milliseconds since 1970
-   * @param entropy fresh random bits
+   * @param now the time on the monotonic clock
+   * @param wallMs the time of day, in milliseconds since the Unix epoch
+   * @param entropy the seed of the step's random numbers
    */
   public void begin(MonotonicTime now, long wallMs, long entropy) {
     if (startedAt == MonotonicTime.NEVER) {
@@ -69,82 +73,88 @@
     this.random = new SplittableRandom(entropy);
   }
 
-  /** Ends a step and returns its outputs in their order. */
+  /** Ends the step and returns its outputs, in the order in which they were added. */
   public List<Output> end() {
     return outputs.take();
   }
 
-  /** The service's configuration. */
+  /** Returns the configuration that the platform provides. */
   public NodeConfig config() {
     return config;
   }
 
-  /** The program's settings. */
+  /** Returns the program's own settings. */
   public Settings settings() {
     return settings;
   }
 
-  /** The name of this process. */
+  /** Returns the unique name of this process. */
   public WriterId writer() {
     return writer;
   }
 
-  /** The requests that may be sent to the state service. */
+  /** Returns the rate limit of this controller's requests to the state service. */
   public RateLimiter requestBudget() {
     return budget.requests();
   }
 
-  /** The changes that may be sent to the state service. */
+  /** Returns the rate limit of this controller's writes that no user waits for. */
   public RateLimiter writeBudget() {
     return budget.writes();
   }
 
-  /** Changes that users wait for: these may use all that the state service takes. */
+  /**
+   * Returns the rate limit of writes that users wait for, which is the full write rate of the state
+   * service.
+   */
   public RateLimiter userWriteBudget() {
     return budget.userWrites();
   }
 
-  /** When the first step of this process began. */
+  /** Returns when the first step of this process began. */
   public MonotonicTime startedAt() {
     return startedAt;
   }
 
-  /** The steady clock at this step. */
+  /** Returns the time of this step on the monotonic clock. */
   public MonotonicTime now() {
     return now;
   }
 
-  /** The time of day at this step, in milliseconds since 1970. */
+  /** Returns the time of day of this step, in milliseconds since the Unix epoch. */
   public long wallMs() {
     return wallMs;
   }
 
-  /** The random numbers of this step. */
+  /** Returns the source of this step's random numbers. */
   public SplittableRandom random() {
     return random;
   }
 
-  /** Numbers objects that write records, so that their writes can be told apart. */
+  /**
+   * Returns a number for a new object that writes job records. It is unique within this process, so
+   * that the writes of two objects for the same job can be told apart.
+   */
   public long nextInstanceNumber() {
     return ++lastInstanceNumber;
   }
 
   // ---- calls -------------------------------------------------------------------------------
 
-  /** The state service. */
+  /** Returns the client of the state service. */
   public StateStore store() {
     return store;
   }
 
-  /** The other controllers. */
+  /** Returns the client for calls to other controllers. */
   public PeerClient peers() {
     return peers;
   }
 
   /**
-   * Calls the state service by method and path; {@link #store()} is the typed way.
+   * Calls the state service by HTTP method and path. Typed calls are offered by {@link #store()}.
    *
-   * @param body null if there is none
+   * @param body the body to send, or null if there is none
    */
   public void callStore(
       String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
@@ -157,22 +167,22 @@
   }
 
   /**
-   * Calls the cloud.
+   * Calls the cloud by HTTP method and path.
    *
-   * @param body null if there is none
+   * @param body the body to send, or null if there is none
    */
   public void callCloud(
       String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(Output.Service.CLOUD, method, path, body, timeoutMs, then);
   }
 
-  /** Calls a worker. */
+  /** Sends a POST request to a worker. */
   public void callWorker(
       String address, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(new Output.Worker(address), "POST", path, body, timeoutMs, then);
   }
 
-  /** Calls another controller by path; {@link #peers()} is the typed way. */
+  /** Sends a POST request to another controller. Typed calls are offered by {@link #peers()}. */
   public void callPeer(
       ControllerName to, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
     call(new Output.Peer(to), "POST", path, body, timeoutMs, then);
@@ -189,7 +199,7 @@
     outputs.call(new Output.Call(number, target, method, path, body, timeoutMs));
   }
 
-  /** Takes the answer to a call; a second one to the same call is ignored. */
+  /** Passes an answer to the handler of its call. A second answer to the same call is ignored. */
   public void handleAnswer(Input.Answer answer) {
     PendingCall call = calls.remove(answer.call());
     if (call == null) {
@@ -207,79 +217,98 @@
     call.then().answer(answer.status(), answer.body());
   }
 
-  // ---- what is known of other processes ----------------------------------------------------
+  // ---- reachability of other processes -----------------------------------------------------
 
-  /** Whether the state service has answered lately. */
+  /** Reports whether the state service has answered within the {@code stateFreshMs} setting. */
   public boolean isStoreReachable() {
     return storeReachability.isReachable(now);
   }
 
-  /** When the state service last answered; NEVER if it has not. */
+  /** Returns when the state service last answered, or NEVER if it has not answered yet. */
   public MonotonicTime storeLastAnsweredAt() {
     return storeReachability.lastAnsweredAt();
   }
 
-  /** When the state service began to answer again after it had not, or first. */
+  /**
+   * Returns when the state service last became reachable: at its first answer, or at the first one
+   * after it was unreachable. NEVER if it has not answered yet.
+   */
   public MonotonicTime storeReachableSince() {
     return storeReachability.reachableSince();
   }
 
-  /** Another controller has answered, whatever it was asked, or asks something. */
+  /** Records that a message from another controller has arrived: an answer or a heartbeat. */
   public void recordPeerContact() {
     lastPeerContactAt = now;
   }
 
-  /** For how many milliseconds no other controller has been heard; very many if none ever was. */
+  /**
+   * Returns the milliseconds since the last message from another controller; a very large number if
+   * there was none.
+   */
   public long msSincePeerContact() {
     return now.since(lastPeerContactAt);
   }
 
-  // ---- bounds ------------------------------------------------------------------------------
+  // ---- limits ------------------------------------------------------------------------------
 
   /**
-   * Allots this controller its part of what the state service takes.
+   * Sets this controller's share of the state service's request and write rates.
    *
-   * @param shardFraction the part of all shards that it owns, from 0 to 1
+   * @param shardFraction the fraction of all shards that this controller owns, from 0 to 1
    */
   public void allotStoreBudget(double shardFraction, boolean isLeading) {
     budget.allot(shardFraction, isLeading);
   }
 
   /**
-   * The greatest age, in milliseconds, of what an owner knows of confirmed cancellations while it
-   * renews workers' leases.
+   * Returns how old, in milliseconds, an owner's knowledge of confirmed cancellations may be while
+   * it renews workers' leases.
    */
   public long maxCancellationStalenessMs() {
     return cancellationStalenessLimit.maxStalenessMs();
   }
 
-  /** Whether the platform leaves enough time between the lease and the end of cancelled tasks. */
+  /**
+   * Reports whether {@code cancel_s} exceeds the duration of workers' leases by enough that
+   * cancelled tasks end in time also while the state service is unreachable.
+   */
   public boolean canCancelInTime() {
     return cancellationStalenessLimit.isSafe();
   }
 
   // ---- outputs -----------------------------------------------------------------------------
 
-  /** Answers a request. */
+  /**
+   * Replies to a request.
+   *
+   * @param reply the number that identifies the request
+   */
   public void reply(long reply, int status, JsonNode body) {
     outputs.reply(reply, status, body, 0);
   }
 
-  /** Answers a request, which may be repeated after so many seconds. */
+  /**
+   * Replies to a request that the sender may repeat later.
+   *
+   * @param reply the number that identifies the request
+   * @param retryAfterS after how many seconds the request may be repeated
+   */
   public void replyWithRetryAfter(long reply, int status, JsonNode body, int retryAfterS) {
     outputs.reply(reply, status, body, retryAfterS);
   }
 
-  /** Logs an event of normal service. */
+  /** Logs an event of normal operation. */
   public void info(String format, Object... args) {
     outputs.log(Output.Level.INFO, String.format(format, args));
   }
 
   /**
-   * Logs an event that a large fleet has often: no more than a few lines a second; those left out
-   * are counted.
+   * Logs an event that is frequent in a large fleet, at a limited rate per event. Lines that are
+   * left out are counted in {@code log.left_out}.
    *
-   * @param format of the event's fields
+   * @param event the event's name
+   * @param format the format of the event's fields, as for {@link String#format}
    */
   public void infoLimited(String event, String format, Object... args) {
     if (logLimiter.tryLog(event, now)) {
@@ -289,27 +318,32 @@
     }
   }
 
-  /** Logs an event that somebody should look at. */
+  /** Logs an event that an operator should look into. */
   public void error(String format, Object... args) {
     outputs.log(Output.Level.ERROR, String.format(format, args));
   }
 
-  /** A key of the state service holds nothing that this version reads; it is left alone. */
+  /** Counts and logs a key of the state service whose value this build cannot read. */
   public void reportUnreadableValue(String key) {
     reportRefusal("state.unreadable", "store.value.unreadable key=" + key);
   }
 
-  /** Something from outside was refused: counted, and logged at a bounded rate. */
+  /**
+   * Counts a rejected message or value, and logs it at a limited rate.
+   *
+   * @param metric the counter; at most one line per counter is logged every few seconds
+   * @param event the log line: the event's name and its fields
+   */
   public void reportRefusal(String metric, String event) {
     outputs.reportRefusal(metric, event, now);
   }
 
-  /** Raises a counter by one. */
+  /** Increments a counter by one. */
   public void count(String metric) {
     outputs.count(metric, 1);
   }
 
-  /** Raises a counter. */
+  /** Increments a counter by the given amount. */
   public void count(String metric, long by) {
     outputs.count(metric, by);
   }
--- a/src/main/java/shorecrank/coordination/step/StepOutputs.java
+++ b/src/main/java/shorecrank/coordination/step/StepOutputs.java
@@ -7,22 +7,24 @@
 import java.util.Map;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** The outputs of the step under way, in their order. */
+/** Collects the outputs of the current step, in the order in which they are added. */
 final class StepOutputs {
-  /** What is refused for the same reason is logged no more often. */
+  /** The shortest time between two logged refusals that are counted in the same metric. */
   private static final int REFUSAL_LOG_PAUSE_MS = 5000;
 
   private final Map<String, MonotonicTime> refusalLoggedAt = new HashMap<>();
   private List<Output> outputs = new ArrayList<>();
 
-  /** Removes all outputs. */
+  /** Removes and returns all outputs. */
   List<Output> take() {
     List<Output> taken = outputs;
     outputs = new ArrayList<>();
     return taken;
   }
 
-  /** Adds an answer; {@code retryAfterS} is 0 if it says nothing of a repetition. */
+  /**
+   * Adds a reply; {@code retryAfterS} is 0 if the reply says nothing about repeating the request.
+   */
   void reply(long reply, int status, JsonNode body, int retryAfterS) {
     outputs.add(new Output.Reply(reply, status, body, retryAfterS));
   }
@@ -32,22 +34,25 @@
     outputs.add(call);
   }
 
-  /** Adds a line of the log. */
+  /** Adds a log line. */
   void log(Output.Level level, String text) {
     outputs.add(new Output.Log(level, text));
   }
 
-  /** Raises a counter. */
+  /** Adds an increment of a counter. */
   void count(String metric, long by) {
     outputs.add(new Output.Count(metric, by));
   }
 
-  /** Sets a gauge. */
+  /** Adds a new value of a gauge. */
   void gauge(String metric, double value) {
     outputs.add(new Output.Gauge(metric, value));
   }
 
-  /** Counts a refusal, and logs it unless one of the same metric was logged lately. */
+  /**
+   * Counts a refusal, and logs it unless a refusal with the same metric was logged within {@link
+   * #REFUSAL_LOG_PAUSE_MS}.
+   */
   void reportRefusal(String metric, String event, MonotonicTime now) {
     count(metric, 1);
     MonotonicTime loggedAt = refusalLoggedAt.getOrDefault(metric, MonotonicTime.NEVER);
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -19,9 +19,9 @@
 import shorecrank.storage.StateStore;
 import shorecrank.storage.WatchResult;
 
-/** The state service as the steps of the state machine call it. */
+/** Client of the state service whose calls and answers are outputs and inputs of steps. */
 final class StepStateStore implements StateStore {
-  /** How much longer than the service may hold a watch its answer is waited for. */
+  /** How long after the longest time that the service may hold a watch the call times out. */
   private static final int WATCH_MARGIN_MS = 3000;
 
   private final StepContext context;
--- a/src/main/java/shorecrank/coordination/step/StoreBudget.java
+++ b/src/main/java/shorecrank/coordination/step/StoreBudget.java
@@ -4,21 +4,29 @@
 import shorecrank.storage.RateLimiter;
 
 /**
- * How many requests and changes this controller may send to the state service.
+ * The rate limits of this controller's requests and writes to the state service.
  *
- * <p>Bounds hold per process, with room for the others' part of the service. What users wait for is
- * not bound by the part: it comes in bursts, at one controller more than at others, and the service
- * itself says when it is too much.
+ * <p>Each process limits itself to its share of the service's rates, so that the shares of all
+ * controllers together fit. Writes that users wait for are limited only by the full rate of the
+ * service, since they come in bursts and unevenly at the controllers; the service itself refuses
+ * those that are too many.
  */
 final class StoreBudget {
-  /** The part of all requests that is divided evenly among the controllers. */
+  /** The fraction of the request rate that is divided evenly among the controllers. */
   private static final double EVEN_REQUEST_FRACTION = 0.55;
 
-  /** The part of all requests that goes with the shards. */
+  /**
+   * The fraction of the request rate that is divided among the shard owners by number of shards.
+   */
   private static final double SHARD_REQUEST_FRACTION = 0.4;
 
+  /** The fraction of the write rate that is divided evenly among the controllers. */
   private static final double EVEN_WRITE_FRACTION = 0.1;
+
+  /** The fraction of the write rate that is divided among the shard owners by number of shards. */
   private static final double SHARD_WRITE_FRACTION = 0.75;
+
+  /** The fraction of the write rate that only the leader gets. */
   private static final double LEADER_WRITE_FRACTION = 0.05;
 
   private final double totalRequestRate;
@@ -40,9 +48,9 @@
   }
 
   /**
-   * Allots this controller its part.
+   * Sets this controller's share of the rates.
    *
-   * @param shardFraction the part of all shards that it owns, from 0 to 1
+   * @param shardFraction the fraction of all shards that this controller owns, from 0 to 1
    */
   void allot(double shardFraction, boolean isLeading) {
     requests.updateRate(
@@ -55,23 +63,26 @@
                 + (isLeading ? LEADER_WRITE_FRACTION : 0)));
   }
 
-  /** The service has refused a request as too many: what was counted on is not there. */
+  /**
+   * Empties the limits of requests and of writes that no user waits for, after the service has
+   * refused a request because of its load.
+   */
   void drain() {
     requests.drain();
     writes.drain();
   }
 
-  /** All requests. */
+  /** Returns the rate limit of all requests, reads and writes. */
   RateLimiter requests() {
     return requests;
   }
 
-  /** Changes that nobody waits for. */
+  /** Returns the rate limit of writes that no user waits for. */
   RateLimiter writes() {
     return writes;
   }
 
-  /** Changes that users wait for. */
+  /** Returns the rate limit of writes that users wait for. */
   RateLimiter userWrites() {
     return userWrites;
   }
--- a/src/main/java/shorecrank/coordination/step/StorePageForwarder.java
+++ b/src/main/java/shorecrank/coordination/step/StorePageForwarder.java
@@ -4,22 +4,22 @@
 
 import shorecrank.protocol.StorePaths;
 
-/** Pages of keys that go to an operator just as the state service answers them. */
+/** Answers operators' requests with pages of keys, unchanged as the state service returns them. */
 public final class StorePageForwarder {
   private final StepContext context;
 
-  /** Creates the access of one controller. */
+  /** Creates a forwarder that reads the state service through the given context. */
   public StorePageForwarder(StepContext context) {
     this.context = context;
   }
 
   /**
-   * Reads a page of the keys with a prefix and answers a request with it.
+   * Reads a page of the keys with a prefix and replies to a request with it.
    *
-   * @param after the last key of the page before; empty for the first page
-   * @param limit the most keys in the page
-   * @param reply where the answer goes
-   * @param unavailable run instead if the state service does not answer with a page
+   * @param after the last key of the previous page; empty for the first page
+   * @param limit the maximum number of keys in the page
+   * @param reply the number that identifies the request
+   * @param unavailable run instead of the reply if the state service does not answer with a page
    */
   public void forward(
       String prefix, String after, int limit, int timeoutMs, long reply, Runnable unavailable) {
--- a/src/main/java/shorecrank/coordination/step/StoreReachability.java
+++ b/src/main/java/shorecrank/coordination/step/StoreReachability.java
@@ -5,25 +5,26 @@
 
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** When the state service has answered this controller. */
+/** Tracks whether the state service answers this controller, and since when. */
 final class StoreReachability {
   private final int answerValidMs;
   private MonotonicTime lastAnsweredAt = MonotonicTime.NEVER;
   private MonotonicTime reachableSince = MonotonicTime.NEVER;
 
   /**
-   * Creates the state before the first answer.
+   * Creates the state before the first answer, when the service counts as unreachable.
    *
-   * @param answerValidMs for how many milliseconds an answer shows that the service is reachable
+   * @param answerValidMs how many milliseconds after an answer the service counts as reachable
    */
   StoreReachability(int answerValidMs) {
     this.answerValidMs = answerValidMs;
   }
 
   /**
-   * Takes the status of an answer.
+   * Records the status of an answer.
    *
-   * @return whether it shows that the service works, also if it refuses a request
+   * @return true if the status shows that the service is reachable, which includes its refusals of
+   *     requests; false for a server error or no answer
    */
   boolean observe(int status, MonotonicTime now) {
     if (status == NO_ANSWER || status >= SERVER_ERROR) {
@@ -36,17 +37,22 @@
     return true;
   }
 
-  /** Whether the service has answered lately. */
+  /**
+   * Reports whether the service has answered within {@code answerValidMs} before the given time.
+   */
   boolean isReachable(MonotonicTime now) {
     return now.since(lastAnsweredAt) < answerValidMs;
   }
 
-  /** When the service last answered; NEVER if it has not. */
+  /** Returns when the service last answered, or NEVER if it has not answered yet. */
   MonotonicTime lastAnsweredAt() {
     return lastAnsweredAt;
   }
 
-  /** When the service began to answer again after it had not, or first. */
+  /**
+   * Returns when the service last became reachable: at its first answer, or at the first one after
+   * it was unreachable. NEVER if it has not answered yet.
+   */
   MonotonicTime reachableSince() {
     return reachableSince;
   }
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -4,34 +4,41 @@
 import shorecrank.storage.StateStore;
 
 /**
- * Time, state service, rate limits, log and metrics, as a state machine of the leader sees them.
+ * The environment of a state machine that runs on the leader: time, the state service, rate limits,
+ * the log and metrics.
  */
 public interface LeaderEnvironment {
-  /** This step's time on the steady clock. */
+  /** Returns the time of this step on the monotonic clock. */
   MonotonicTime now();
 
-  /** This step's time of day, in milliseconds since 1970. */
+  /** Returns the time of day of this step, in milliseconds since the Unix epoch. */
   long wallMs();
 
-  /** The state service. */
+  /** Returns the client of the state service. */
   StateStore store();
 
-  /** Whether that many changes are left of this controller's share of the write rate. */
+  /** Reports whether this controller's share of the write rate allows that many changes now. */
   boolean hasWriteBudget(int changes);
 
-  /** Takes that many changes out of this controller's share; false if they are not there. */
+  /**
+   * Takes that many changes from this controller's share of the write rate.
+   *
+   * @return false if the share does not allow them now; then nothing is taken
+   */
   boolean tryTakeWrites(int changes);
 
-  /** Whether a request that can wait may be sent to the state service now. */
+  /** Reports whether the request rate allows a request that is not urgent to be sent now. */
   boolean hasRequestBudget();
 
-  /** How many changes per second the state service takes from all controllers together. */
+  /**
+   * Returns how many changes per second the state service accepts from all controllers together.
+   */
   double maxChangesPerSecond();
 
-  /** The most operations in a transaction. */
+  /** Returns the maximum number of operations in a transaction. */
   int maxTransactionOperations();
 
-  /** The most bytes in a value. */
+  /** Returns the maximum size of a stored value, in bytes. */
   int maxValueBytes();
 
   /**
@@ -42,16 +49,16 @@
   void info(String format, Object... args);
 
   /**
-   * Counts something that was refused, and logs it at a bounded rate.
+   * Counts a rejected message or value, and logs it at a limited rate.
    *
-   * @param metric the counter; of each only one line is logged in a few seconds
-   * @param what the event's name and its fields
+   * @param metric the counter; at most one line per counter is logged every few seconds
+   * @param what the log line: the event's name and its fields
    */
   void reportRefusal(String metric, String what);
 
   /** Sets a gauge. */
   void gauge(String metric, double value);
 
-  /** Adds to a counter. */
+  /** Increments a counter by the given amount. */
   void count(String metric, long by);
 }
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -11,39 +11,40 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * A key of the state service that only the leader writes. It is read anew under every term, and
- * written by compare-and-swap behind its own revision and the leader's term.
+ * A key of the state service that only the leader writes. It is read again in every term, and
+ * written by compare-and-swap, guarded by the key's revision and the leader's term.
  *
- * <p>A write of unknown outcome may still be carried out. The key is then in doubt: no other value
- * is written until a later write behind the same guard, or a new reading, has shown what became of
- * the first.
+ * <p>A write whose outcome is unknown may still be committed later. The key is then in doubt: no
+ * new value is written until a further write with the same guards, or another read, has shown
+ * whether the write was committed.
  *
  * @param <V> the value's type
  */
 public final class LeaderKey<V> {
   private static final long RETRY_MS = 300;
 
-  /** While the key may not be written, it is read again after so long. */
+  /** How often the key is read again while the rules do not allow it to be written. */
   private static final long REREAD_INTERVAL_MS = 1000;
 
-  /** What a new reading of the key says of a write whose outcome was unknown. */
+  /** What a read of the key shows about a write whose outcome was unknown. */
   public enum WriteOutcome {
-    /** It may still be carried out. */
+    /** The write may have been committed, or may still be. */
     UNKNOWN,
+    /** The write was committed. */
     COMMITTED,
-    /** It was not carried out and never will be. */
+    /** The write was not committed and never will be. */
     NOT_COMMITTED
   }
 
   /**
-   * A new reading of the key while a write is in doubt.
+   * A read of the key while a write is in doubt.
    *
-   * @param writeTerm the term under which the write was sent
-   * @param previousReadTerm the term of the reading before; {@link Revision#ABSENT} if that one
-   *     does not count any more
-   * @param readTerm the term of this reading
-   * @param isChanged whether the key's revision is above the one that the write expected
-   * @param wasWritable whether the key might be written when the reading began
+   * @param writeTerm the term in which the write was sent
+   * @param previousReadTerm the term of the previous read, or {@link Revision#ABSENT} if that read
+   *     is no longer valid
+   * @param readTerm the term of this read
+   * @param isChanged whether the key's revision is higher than the one that the write expected
+   * @param wasWritable whether the rules allowed the key to be written when this read began
    */
   public record Reading(
       Revision writeTerm,
@@ -53,30 +54,31 @@
       boolean wasWritable) {}
 
   /**
-   * What holds for one key beyond the rules of all of them.
+   * The rules of one key, in addition to those that hold for every leader's key.
    *
    * @param <V> the value's type
    */
   public interface Rules<V> {
-    /** Whether the key may be written now; if not, it is read again from time to time. */
+    /** Reports whether the key may be written now; if not, it is read again periodically. */
     boolean canWrite();
 
-    /** Adds guards beyond the leader's term and the key's revision. */
+    /** Adds further guards to a write, besides the leader's term and the key's revision. */
     void addGuards(Transaction transaction);
 
-    /** A write was refused because of the guards of these keys. */
+    /** Called after a write was refused because the guards of the given keys failed. */
     void guardsFailed(Set<String> failedKeys);
 
-    /** Whether a write that was refused by a guard may still have been carried out. */
+    /** Reports whether a write that was refused by a guard may have been committed nevertheless. */
     boolean isConflictInDoubt();
 
-    /** Says what a new reading shows of the write that is in doubt. */
+    /** Returns what a read of the key shows about the write in doubt. */
     WriteOutcome resolveOutcome(Reading reading);
 
     /**
-     * The key is no longer in doubt.
+     * Called after the outcome of the write in doubt has become known.
      *
-     * @param before the value that was known while it was in doubt
+     * @param isCommitted whether the write was committed
+     * @param before the last known value while the key was in doubt
      */
     void outcomeResolved(boolean isCommitted, V before);
   }
@@ -87,7 +89,9 @@
   private final Rules<V> rules;
   private final SequentialStore store;
 
-  /** The term under which the key was read; {@link Revision#ABSENT} if it has to be read anew. */
+  /**
+   * The term in which the key was last read; {@link Revision#ABSENT} if it has to be read again.
+   */
   private Revision readTerm = Revision.ABSENT;
 
   private Revision revision = Revision.ABSENT;
@@ -95,13 +99,13 @@
   private boolean isKnown;
   private MonotonicTime readAt = MonotonicTime.NEVER;
 
-  /** The value of a write that is under way or in doubt; null if there is none. */
+  /** The value of the write that is in flight or in doubt; null if there is none. */
   private V pending;
 
   private Revision pendingTerm = Revision.ABSENT;
   private boolean isInDoubt;
 
-  /** A key that was not read yet. */
+  /** Creates a key that has not been read yet. */
   public LeaderKey(
       LeaderEnvironment environment,
       Leadership leadership,
@@ -115,47 +119,54 @@
     this.value = codec.initial();
   }
 
-  /** Whether the key was read under the present term, whatever it holds. */
+  /** Reports whether the key was read in the current term, even if its value is unreadable. */
   public boolean isRead() {
     return leadership.isLeading() && readTerm.equals(leadership.term());
   }
 
-  /** Whether the key was read under the present term, and holds a value that this build reads. */
+  /** Reports whether the key was read in the current term and this build can read its value. */
   public boolean isReadable() {
     return isRead() && isKnown;
   }
 
-  /** Whether the last reading, under whatever term, found a value that this build reads. */
+  /** Reports whether the last read, in any term, found a value that this build can read. */
   public boolean isKnown() {
     return isKnown;
   }
 
-  /** Whether a write may still be carried out although its outcome is unknown. */
+  /** Reports whether there is a write of unknown outcome, which may still be committed. */
   public boolean isInDoubt() {
     return isInDoubt;
   }
 
-  /** Whether a write can be begun. */
+  /** Reports whether {@link #write} may be called now. */
   public boolean isIdle() {
     return isReadable() && store.isIdle() && !isInDoubt && rules.canWrite();
   }
 
-  /** The value last read or written; the initial one before the first reading. */
+  /** Returns the value last read or written, or the codec's initial value before the first read. */
   public V value() {
     return value;
   }
 
-  /** The key's revision as last read or written; {@link Revision#ABSENT} if it does not exist. */
+  /**
+   * Returns the key's revision as last read or written, or {@link Revision#ABSENT} if the key does
+   * not exist.
+   */
   public Revision revision() {
     return revision;
   }
 
-  /** The value of a write that is under way or in doubt. */
+  /** Returns the value of the write that is in flight or in doubt; empty if there is none. */
   public Optional<V> pending() {
     return Optional.ofNullable(pending);
   }
 
-  /** Reads the key, or settles a write that is in doubt, if that is due. */
+  /**
+   * Starts the next call that is due: reads the key if it has to be read in this term, or resolves
+   * a write in doubt by writing the known value again. While the rules do not allow writes, the key
+   * is read again every {@link #REREAD_INTERVAL_MS}.
+   */
   public void tick() {
     if (!leadership.isLeading()) {
       readTerm = Revision.ABSENT;
@@ -175,7 +186,11 @@
     }
   }
 
-  /** The leader's own key has moved on together with this one: what was read still holds. */
+  /**
+   * Treats the key as read in the current term. Called after a transaction has written this key
+   * together with the leader's own key: that begins a new term, but the known value is still the
+   * stored one.
+   */
   public void continueUnderNewTerm() {
     readTerm = leadership.term();
   }
@@ -222,11 +237,11 @@
   }
 
   /**
-   * Writes a value; {@link #isIdle} must hold.
+   * Writes a value. Callers must check {@link #isIdle} first.
    *
-   * @param additions adds what is to be carried out with it, or not at all
-   * @param then takes the result; unknown too if the key was given up or read under another term
-   *     meanwhile
+   * @param additions adds operations that are committed atomically with the write
+   * @param then receives the result, which is unknown if this process stopped leading, or the key
+   *     was read in another term, before the answer came
    */
   public void write(V next, Consumer<Transaction> additions, Consumer<CommitResult> then) {
     pending = next;
@@ -244,7 +259,10 @@
         });
   }
 
-  /** Writes the known value once more: if that succeeds, the write in doubt never will. */
+  /**
+   * Writes the known value again. If that is committed, the key's revision has changed, so that the
+   * write in doubt can never be committed any more.
+   */
   private void rewriteKnownValue() {
     commit(
         value,
@@ -277,7 +295,9 @@
             store.pause(RETRY_MS);
           }
           if (result instanceof CommitResult.Conflict conflict) {
-            // Another process leads, a further guard failed, or an earlier write came late.
+            // Another process leads, a guard added by the rules failed, or an earlier write in
+            // doubt
+            // has been committed meanwhile.
             rules.guardsFailed(conflict.failedKeys());
             readTerm = Revision.ABSENT;
           }
--- a/src/main/java/shorecrank/leadership/LeaderKeyCodec.java
+++ b/src/main/java/shorecrank/leadership/LeaderKeyCodec.java
@@ -5,13 +5,14 @@
 import java.util.function.Function;
 
 /**
- * Where a value that the leader owns is stored, and in which form.
+ * The key under which the leader stores a value, and the conversion between the value and its
+ * stored form.
  *
  * @param key the key in the state service
- * @param initial the value that holds while the key does not exist
- * @param reader reads a stored value; its result is empty if that is malformed or of a form that
- *     this build does not know
- * @param writer puts a value into its stored form
+ * @param initial the value that applies while the key does not exist
+ * @param reader converts a stored value; its result is empty if the stored value is malformed or
+ *     has a form that this build does not know
+ * @param writer converts a value to its stored form
  * @param <V> the value's type
  */
 public record LeaderKeyCodec<V>(
@@ -20,12 +21,12 @@
     Function<JsonNode, Optional<V>> reader,
     Function<V, ? extends JsonNode> writer) {
 
-  /** Reads a stored value; empty if it is not one that this build reads. */
+  /** Converts a stored value; empty if this build cannot read it. */
   Optional<V> read(JsonNode stored) {
     return reader.apply(stored);
   }
 
-  /** Puts a value into its stored form. */
+  /** Converts a value to its stored form. */
   JsonNode write(V value) {
     return writer.apply(value);
   }
--- a/src/main/java/shorecrank/leadership/Leadership.java
+++ b/src/main/java/shorecrank/leadership/Leadership.java
@@ -4,20 +4,26 @@
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 import shorecrank.protocol.StoreMessages.Transaction;
 
-/** The election as a state machine of the leader sees it: its term, and the keys that show it. */
+/**
+ * The outcome of the election for a state machine that runs on the leader: whether this process
+ * leads, its term, and guards for transactions that only the leader may commit.
+ */
 public interface Leadership {
-  /** Whether no other process can lead now, by this process's clock. */
+  /** Reports whether this process leads, so that by its clock no other process can lead now. */
   boolean isLeading();
 
-  /** The revision of the leader's key under which this process leads, or last saw another lead. */
+  /**
+   * Returns the current term: the revision of the leader's key with which this process leads, or
+   * with which it last saw another process lead.
+   */
   Revision term();
 
-  /** Makes a transaction fail unless this process still leads under the term. */
+  /** Adds guards that make the transaction fail unless this process still leads in this term. */
   void guard(Transaction transaction);
 
-  /** Adds to a transaction what changes in the leader's keys when this level comes into force. */
+  /** Adds to a transaction the changes of the leader's keys that a new feature level requires. */
   void addLevelSwitch(Transaction transaction, FeatureLevel to);
 
-  /** A transaction with a level switch was carried out, at that revision. */
+  /** Called after a transaction with a switch to a feature level was committed at a revision. */
   void levelSwitched(FeatureLevel to, Revision revision);
 }
--- a/src/main/java/shorecrank/leadership/SequentialStore.java
+++ b/src/main/java/shorecrank/leadership/SequentialStore.java
@@ -9,11 +9,11 @@
 import shorecrank.storage.WatchResult;
 
 /**
- * The state service as a state machine of the leader calls it: call after call, and not for a while
- * after one that failed.
+ * Client of the state service for a state machine of the leader that makes one call at a time, with
+ * a pause after a failed call.
  *
- * <p>Callers ask {@link #isReady} before they begin; a call is never refused here. Each result is
- * delivered once, on the thread that made the call.
+ * <p>Callers check {@link #isReady} before a call and call {@link #pause} after a failed one; this
+ * class enforces neither. Each result is delivered once, on the thread that made the call.
  */
 public final class SequentialStore {
   private static final int CALL_TIMEOUT_MS = 2000;
@@ -22,27 +22,27 @@
   private boolean isBusy;
   private MonotonicTime pausedUntil = MonotonicTime.NEVER;
 
-  /** Calls the state service of an environment. */
+  /** Creates a client that calls the state service of the given environment. */
   public SequentialStore(LeaderEnvironment environment) {
     this.environment = environment;
   }
 
-  /** Whether no call is under way. */
+  /** Reports whether no call is in flight. */
   public boolean isIdle() {
     return !isBusy;
   }
 
-  /** Whether no call is under way and the last pause is over. */
+  /** Reports whether no call is in flight and the last pause is over. */
   public boolean isReady() {
     return !isBusy && !environment.now().isBefore(pausedUntil);
   }
 
-  /** Makes {@link #isReady} false for a while from now on. */
+  /** Makes {@link #isReady} return false for the given time from now on. */
   public void pause(long pauseMs) {
     pausedUntil = environment.now().plus(pauseMs);
   }
 
-  /** Reads one key. */
+  /** Reads a key. */
   public void read(String key, Consumer<ReadResult> then) {
     isBusy = true;
     environment.store().read(key, CALL_TIMEOUT_MS, result -> finish(result, then));
@@ -51,15 +51,15 @@
   /**
    * Reads a page of the keys with a prefix.
    *
-   * @param after the last key of the page before; empty for the first page
-   * @param limit the most keys in the page
+   * @param after the last key of the previous page; empty for the first page
+   * @param limit the maximum number of keys in the page
    */
   public void list(String prefix, String after, int limit, Consumer<ListResult> then) {
     isBusy = true;
     environment.store().list(prefix, after, limit, CALL_TIMEOUT_MS, result -> finish(result, then));
   }
 
-  /** Reads the changes of keys with a prefix since a revision, without waiting for further ones. */
+  /** Reads the changes of keys with a prefix after a revision, without waiting for further ones. */
   public void readChanges(String prefix, long afterRevision, Consumer<WatchResult> then) {
     isBusy = true;
     environment
@@ -67,7 +67,7 @@
         .readChanges(prefix, afterRevision, CALL_TIMEOUT_MS, result -> finish(result, then));
   }
 
-  /** Carries a transaction out if all its guards hold. */
+  /** Commits a transaction if all its guards hold. */
   public void commit(Transaction transaction, Consumer<CommitResult> then) {
     isBusy = true;
     environment.store().commit(transaction, CALL_TIMEOUT_MS, result -> finish(result, then));
--- a/src/main/java/shorecrank/leadership/package-info.java
+++ b/src/main/java/shorecrank/leadership/package-info.java
@@ -1,10 +1,10 @@
 /**
- * What state machines that run on the leader see of it: its term and its keys ({@link
- * shorecrank.leadership.Leadership}), and time, state service, rate limits, log and metrics ({@link
- * shorecrank.leadership.LeaderEnvironment}); and how they read and write a key that only the leader
- * writes ({@link shorecrank.leadership.LeaderKey}).
+ * The interfaces between the leader and the state machines that run on it: the term and its guards
+ * ({@link shorecrank.leadership.Leadership}), the environment with time, state service, rate
+ * limits, log and metrics ({@link shorecrank.leadership.LeaderEnvironment}), and access to a key
+ * that only the leader writes ({@link shorecrank.leadership.LeaderKey}).
  *
- * <p>May import {@code storage} and {@code protocol}. {@code rollout} and {@code rebalance} call
- * it; {@code coordination.leader} implements its interfaces.
+ * <p>May import {@code storage} and {@code protocol}. {@code rollout} and {@code rebalance} use
+ * this package; {@code coordination.leader} implements its interfaces.
  */
 package shorecrank.leadership;
--- a/src/test/java/shorecrank/coordination/ForeignWorkersTest.java
+++ b/src/test/java/shorecrank/coordination/ForeignWorkersTest.java
@@ -16,7 +16,7 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
 
-/** What the leader is told of workers that came to the wrong controller. */
+/** What is reported to the leader about workers whose machines this controller does not own. */
 class ForeignWorkersTest {
   private final StepDriver driver = new StepDriver();
   private final ForeignWorkers foreignWorkers = new ForeignWorkers(driver.context());
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void machinesThatDoNotFitIntoAMessageGoWithTheNext() {
+  void machinesThatExceedTheMessageLimitAreLeftForTheNextMessage() {
     for (int number = 0; number < 501; number++) {
       foreignWorkers.addUnassigned(machine(number));
     }
--- a/src/test/java/shorecrank/coordination/OwnerTableTest.java
+++ b/src/test/java/shorecrank/coordination/OwnerTableTest.java
@@ -14,7 +14,7 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Which controller is taken for a shard's owner, and when the store is asked. */
+/** Which controller the table returns as a shard's owner, and when it reads the state service. */
 class OwnerTableTest {
   private static final ShardId SHARD = new ShardId(0);
 
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void theLeadersAnswerReplacesWhatWasKnown() {
+  void theLeadersAnswerReplacesAllKnownOwners() {
     owners.observe(owner("n2", 5));
     owners.replaceAll(List.of(owner("n3", 4)));
     assertEquals(owner("n3", 4), owners.find(SHARD));
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void workersAreNotSentToThisController() {
+  void thisControllerIsNotFoundAsAnotherOwner() {
     assertEquals(Optional.empty(), owners.findOther(SHARD));
     owners.observe(owner("n1", 5));
     assertEquals(Optional.empty(), owners.findOther(SHARD));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void theStoreIsReadOnlyWhileTheLeaderIsNotHeard() {
+  void theOwnersAreReadFromTheStoreOnlyWhileTheLeaderDoesNotAnswer() {
     driver.now(owners::recordLeaderContact);
     driver.after(2499, owners::tick);
     assertEquals(List.of(), driver.openPaths());
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void theNextReadFollowsAfterAPause() {
+  void theNextReadIsDelayedByAPause() {
     driver.now(owners::tick);
     assertFalse(owners.hasLeaderContact());
     driver.answer(0);
--- a/src/test/java/shorecrank/coordination/RequestRoutingTest.java
+++ b/src/test/java/shorecrank/coordination/RequestRoutingTest.java
@@ -15,7 +15,9 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.WriterId;
 
-/** Which requests a controller takes on its two addresses, and how it refuses the others. */
+/**
+ * Which requests a controller accepts on its public and peer address, and how it rejects others.
+ */
 class RequestRoutingTest {
   private static final String WORKER_HEARTBEAT =
       "{\"host\":\"h1\",\"hosttype\":\"c8\",\"site\":\"a\",\"tenure\":1,\"serial\":1,"
@@ -58,7 +60,8 @@
     "POST, /v1/report, 400, malformed report",
     "POST, /peer/beat, 404, no such path"
   })
-  void requestsOnThePublicAddress(String method, String path, int status, String error) {
+  void requestsOnThePublicAddressAreRoutedByPathAndMethod(
+      String method, String path, int status, String error) {
     assertEquals(
         List.of(status + " {\"error\":\"" + error + "\"}"), request(false, method, path, ""));
   }
@@ -72,13 +75,14 @@
     "POST, /healthz, 404, no such path",
     "POST, /api/jobs, 404, no such path"
   })
-  void requestsOnThePeerAddress(String method, String path, int status, String error) {
+  void requestsOnThePeerAddressAreRoutedByPathAndMethod(
+      String method, String path, int status, String error) {
     assertEquals(
         List.of(status + " {\"error\":\"" + error + "\"}"), request(true, method, path, ""));
   }
 
   @Test
-  void aForwardedRequestIsAnsweredLikeAUsersAndNotForwardedAgain() {
+  void aForwardedRequestIsAnsweredHereAndNotForwardedAgain() {
     String message = "{\"method\":\"GET\",\"path\":\"/api/jobs/wk-1\"}";
     assertEquals(
         List.of("503 {\"error\":\"state service unavailable\"}"),
@@ -92,14 +96,14 @@
   }
 
   @Test
-  void aHeartbeatToAProcessThatHasJustBegunIsHeldForAWhile() {
+  void aHeartbeatShortlyAfterTheStartIsHeldAndThenRedirected() {
     assertEquals(List.of(), request(false, "POST", "/v1/report", WORKER_HEARTBEAT));
     assertEquals(List.of(), step(2499, new Input.Tick(() -> false)));
     assertEquals(List.of("421 {}"), step(2500, new Input.Tick(() -> false)));
   }
 
   @Test
-  void aHeartbeatToAProcessThatKnowsNothingAfterItsStartIsSentAway() {
+  void aHeartbeatOfUnknownDestinationIsRedirectedAfterTheStartupTime() {
     step(0, new Input.Tick(() -> false));
     Input late =
         new Input.Request(
--- a/src/test/java/shorecrank/coordination/step/PeerClientTest.java
+++ b/src/test/java/shorecrank/coordination/step/PeerClientTest.java
@@ -17,7 +17,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.UserMessages.JobStatus;
 
-/** What the answers of other controllers mean. */
+/** How the answers of other controllers are converted to the results of calls. */
 class PeerClientTest {
   private static final ControllerName LEADER = new ControllerName("n2");
   private static final int TIMEOUT_MS = 1000;
@@ -58,7 +58,7 @@
 
   @ParameterizedTest
   @CsvSource({"0", "404", "503"})
-  void anOwnerThatDoesNotAnswerTellsOfNoJob(int status) {
+  void noStatusIsReportedIfTheOwnerDoesNotAnswer(int status) {
     Map<JobId, JobStatus> statuses =
         driver.resultOf(
             then ->
@@ -74,7 +74,7 @@
 
   @ParameterizedTest
   @CsvSource({"200, true", "409, true", "404, false", "0, false"})
-  void aForwardedRequestGetsTheAnswerThatIsPassedOn(int status, boolean isPassedOn) {
+  void aForwardedRequestIsAnsweredOnlyWithAnAnswerThatIsPassedOn(int status, boolean isPassedOn) {
     List<Integer> others = new ArrayList<>();
     driver.now(
         () ->
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void anyAnswerShowsThatTheOtherControllerIsThere() {
+  void anyAnswerButNoTimeoutCountsAsContactWithAPeer() {
     driver.now(
         () ->
             driver
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -12,7 +12,7 @@
 import shorecrank.config.NodeConfig.WorkerTimings;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Time limits, budgets and refusals as the parts of the state machine see them. */
+/** Reachability of the state service, rate limits and reports of refusals. */
 class StepContextTest {
   private final StepDriver driver = new StepDriver();
   private final StepContext context = driver.context();
@@ -24,13 +24,13 @@
 
   @ParameterizedTest
   @CsvSource({"200, true", "404, true", "429, true", "500, false", "503, false", "0, false"})
-  void anAnswerOfTheServiceShowsThatItWorks(int status, boolean isReachable) {
+  void onlyAnAnswerWithoutServerErrorMakesTheServiceReachable(int status, boolean isReachable) {
     readAndAnswer(status);
     assertEquals(isReachable, context.isStoreReachable());
   }
 
   @Test
-  void theServiceIsReachableForAsLongAsTheSettingsSay() {
+  void theServiceStaysReachableForTheConfiguredTimeAfterAnAnswer() {
     readAndAnswer(200);
     driver.after(
         StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.isStoreReachable()));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aRefusalForLoadEmptiesTheBudgetsOfThisController() {
+  void aTooManyRequestsAnswerEmptiesTheBudgetsExceptThatOfUserWrites() {
     driver.now(() -> assertTrue(context.requestBudget().has(1, context.now())));
     readAndAnswer(429);
     driver.now(
@@ -63,10 +63,13 @@
     assertEquals(1, answers[0]);
   }
 
-  /** The lease is 30 s; 0.2% and half a second go off what is left of {@code cancel_s}. */
+  /**
+   * With a lease of 30 s the limit is {@code cancel_s} less 30 s, reduced by 0.2% and by 500 ms,
+   * but at least two heartbeat intervals of 4 s plus 1 s.
+   */
   @ParameterizedTest
   @CsvSource({"60, 29440, true", "40, 9480, true", "39, 9000, false", "30, 9000, false"})
-  void knowledgeOfCancellationsMayBeAsOldAsTheLeaseAllows(
+  void cancellationStalenessIsLimitedByLeaseAndCancellationTime(
       double cancelS, long maxStalenessMs, boolean isSafe) {
     NodeConfig config = StepDriver.CONFIG;
     CancellationStalenessLimit limit =
@@ -90,7 +93,7 @@
   }
 
   @Test
-  void refusalsOfOneKindAreCountedAndLoggedAtABoundedRate() {
+  void refusalsWithOneMetricAreAllCountedButLoggedAtALimitedRate() {
     assertEquals(List.of("Count", "Log"), refuse(0));
     assertEquals(List.of("Count"), refuse(4999));
     assertEquals(List.of("Count", "Log"), refuse(5000));
--- a/src/test/java/shorecrank/coordination/step/StepDriver.java
+++ b/src/test/java/shorecrank/coordination/step/StepDriver.java
@@ -20,11 +20,11 @@
 import shorecrank.protocol.Json;
 
 /**
- * Drives steps of controller n1 of a fleet of three as its process would, and keeps what they want
- * done. The state service takes 100 requests and changes a second and values of 8 kB.
+ * Runs steps of controller n1 of three controllers, as its process would, and keeps their calls and
+ * replies. The state service accepts 100 requests and 100 changes per second and values of 8 kB.
  */
 public final class StepDriver {
-  /** The configuration of n1. */
+  /** The configuration of controller n1. */
   public static final NodeConfig CONFIG = config();
 
   /** Settings with one shard. */
@@ -56,12 +56,12 @@
         new ProcessLimits(1, 256, 100));
   }
 
-  /** The context of the steps. */
+  /** Returns the context of the steps. */
   public StepContext context() {
     return context;
   }
 
-  /** Takes a step after a while. */
+  /** Advances the clock by the given time and runs a step. */
   public void after(long ms, Runnable step) {
     nowMs += ms;
     context.begin(new MonotonicTime(nowMs), nowMs, 1);
@@ -75,40 +75,45 @@
     }
   }
 
-  /** Takes a step at once. */
+  /** Runs a step without advancing the clock. */
   public void now(Runnable step) {
     after(0, step);
   }
 
-  /** Answers the oldest open call in a step. */
+  /** Runs a step that answers the oldest open call. */
   public void answer(int status, JsonNode body) {
     Output.Call call = calls.remove(0);
     now(() -> context.handleAnswer(new Input.Answer(call.call(), status, body)));
   }
 
-  /** Answers the oldest open call without a body. */
+  /** Runs a step that answers the oldest open call without a body. */
   public void answer(int status) {
     answer(status, Json.parse(null));
   }
 
-  /** The calls that have no answer yet, the oldest first. */
+  /** Returns the calls that have not been answered yet, the oldest first. */
   public List<Output.Call> openCalls() {
     return calls;
   }
 
-  /** The paths of the open calls. */
+  /** Returns the paths of the open calls, the oldest first. */
   public List<String> openPaths() {
     return calls.stream().map(Output.Call::path).toList();
   }
 
-  /** Removes all replies. */
+  /** Removes and returns all replies. */
   public List<Output.Reply> takeReplies() {
     List<Output.Reply> taken = List.copyOf(replies);
     replies.clear();
     return taken;
   }
 
-  /** Makes a call whose result is kept, answers it, and returns its result. */
+  /**
+   * Makes a call, answers it and returns its result.
+   *
+   * @param call makes the call and passes its result to the given consumer
+   * @throws AssertionError if the call has no result or more than one
+   */
   public <T> T resultOf(Consumer<Consumer<T>> call, int status, JsonNode body) {
     List<T> results = new ArrayList<>();
     now(() -> call.accept(results::add));
--- a/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
@@ -17,7 +17,7 @@
 import shorecrank.storage.StateStore;
 import shorecrank.storage.WatchResult;
 
-/** What the statuses of the state service mean, call by call. */
+/** How the answers of the state service are converted to the results of each kind of call. */
 class StepStateStoreTest {
   private static final int TIMEOUT_MS = 1000;
 
@@ -37,32 +37,32 @@
   }
 
   @Test
-  void aCommittedTransactionHasItsRevision() {
+  void aCommittedTransactionIsReportedWithItsRevision() {
     assertEquals(new CommitResult.Committed(new Revision(7)), commit(200, "{\"ledgerRev\":7}"));
   }
 
   @Test
-  void aConflictNamesTheGuardsThatDidNotHold() {
+  void aConflictNamesTheKeysOfTheFailedGuards() {
     assertEquals(
         new CommitResult.Conflict(Set.of("a", "b")), commit(409, "{\"failed\":[\"a\",\"b\"]}"));
   }
 
   @Test
-  void aTransactionThatIsTooLargeKeepsTheAnswer() {
+  void aTooLargeTransactionIsReportedWithTheBodyOfTheAnswer() {
     assertEquals(
         new CommitResult.TooLarge("{\"error\":\"size\"}"), commit(400, "{\"error\":\"size\"}"));
   }
 
   @ParameterizedTest
   @CsvSource({"429, true", "503, true", "0, false", "500, false", "502, false"})
-  void onlyARefusalForLoadIsSurelyNotCarriedOut(int status, boolean isRefused) {
+  void onlyARefusalForLoadMeansThatTheTransactionIsNotCommitted(int status, boolean isRefused) {
     CommitResult expected =
         isRefused ? new CommitResult.Refused(status) : new CommitResult.Unknown(status);
     assertEquals(expected, commit(status, ""));
   }
 
   @Test
-  void aKeyThatIsReadHasValueAndRevision() {
+  void anExistingKeyIsReadWithValueAndRevision() {
     ReadResult result = read(200, "{\"k\":\"k\",\"data\":3,\"stamp\":9}");
     ReadResult.Found found = (ReadResult.Found) result;
     assertEquals(3, found.entry().value().intValue());
@@ -76,12 +76,12 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 400, 429, 500, 503})
-  void otherAnswersToReadsTellNothing(int status) {
+  void otherStatusesMakeAReadUnavailable(int status) {
     assertEquals(new ReadResult.Unavailable(status), read(status, ""));
   }
 
   @Test
-  void aPageTellsWhetherMoreFollows() {
+  void aPageReportsWhetherMoreKeysFollow() {
     ListResult result =
         driver.resultOf(
             then -> store.list("p/", "p/a", 2, TIMEOUT_MS, then),
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -27,11 +27,11 @@
 import shorecrank.storage.StateStore;
 import shorecrank.storage.WatchResult;
 
-/** A key of the leader is read anew under each term, and written by one writer at a time. */
+/** A leader's key is read again in each term, and has at most one write in flight or in doubt. */
 class LeaderKeyTest {
   private static final long RETRY_MS = 300;
 
-  /** A state service whose calls the test answers. */
+  /** A state service that keeps each call until the test answers it. */
   private static final class ManualStore implements StateStore {
     private Consumer<ReadResult> read;
     private Consumer<CommitResult> commit;
@@ -148,7 +148,7 @@
     public void count(String metric, long by) {}
   }
 
-  /** An election that the test decides. */
+  /** An election whose outcome and term the test sets. */
   private static final class ManualLeadership implements Leadership {
     private boolean isLeading = true;
     private Revision term = new Revision(1);
@@ -175,8 +175,8 @@
     public void levelSwitched(FeatureLevel to, Revision revision) {}
   }
 
-  /** Rules under which only a changed revision settles a write by reading. */
-  private static final class ByRevision implements LeaderKey.Rules<String> {
+  /** Rules by which a read resolves a write in doubt only if it finds a changed revision. */
+  private static final class RevisionRules implements LeaderKey.Rules<String> {
     private final List<Boolean> outcomes = new ArrayList<>();
     private boolean mayWrite = true;
 
@@ -219,7 +219,7 @@
   private final ManualEnvironment environment = new ManualEnvironment();
   private final ManualStore store = environment.store;
   private final ManualLeadership leadership = new ManualLeadership();
-  private final ByRevision rules = new ByRevision();
+  private final RevisionRules rules = new RevisionRules();
   private final LeaderKey<String> key = new LeaderKey<>(environment, leadership, CODEC, rules);
 
   private static ReadResult found(JsonNode value, long revision) {
@@ -244,7 +244,7 @@
   }
 
   @Test
-  void keyIsReadAnewUnderEachTerm() {
+  void keyIsReadAgainInEachTerm() {
     assertFalse(key.isRead());
     read(new ReadResult.Absent(1));
     assertTrue(key.isIdle());
@@ -262,7 +262,7 @@
   }
 
   @Test
-  void failedReadingIsRepeatedAfterAPause() {
+  void failedReadIsRetriedAfterAPause() {
     read(new ReadResult.Unavailable(0));
     key.tick();
     assertNull(store.read);
@@ -272,7 +272,7 @@
   }
 
   @Test
-  void unreadableValueIsLeftAlone() {
+  void unreadableValueIsReportedAndNotWritten() {
     read(found("known", 3));
     leadership.term = new Revision(5);
     read(found(Json.array(), 4));
@@ -295,7 +295,7 @@
   }
 
   @Test
-  void refusedWriteLeavesTheValue() {
+  void refusedWriteLeavesTheValueUnchanged() {
     read(found("old", 3));
     write("new", new CommitResult.Refused(429));
     assertEquals("old", key.value());
@@ -323,7 +323,7 @@
   }
 
   @Test
-  void lateWriteIsFoundByReadingAgain() {
+  void lateCommitIsDetectedByReadingAgain() {
     read(found("old", 3));
     write("new", new CommitResult.Unknown(0));
     environment.nowMs += RETRY_MS;
@@ -338,7 +338,7 @@
   }
 
   @Test
-  void answerUnderALostTermIsOfUnknownOutcome() {
+  void answerAfterALostTermHasAnUnknownOutcome() {
     read(found("old", 3));
     List<CommitResult> results = new ArrayList<>();
     key.write("new", transaction -> {}, results::add);
@@ -351,7 +351,7 @@
   }
 
   @Test
-  void keyThatMayNotBeWrittenIsReadFromTimeToTime() {
+  void keyThatMayNotBeWrittenIsReadPeriodically() {
     rules.mayWrite = false;
     read(found("old", 3));
     assertFalse(key.isIdle());
