--- a/src/main/java/shorecrank/coordination/ForeignWorkers.java
+++ b/src/main/java/shorecrank/coordination/ForeignWorkers.java
@@ -23,7 +23,10 @@
   /** The maximum number of unassigned machines in one heartbeat to the leader. */
   private static final int MAX_MACHINES_PER_MESSAGE = 500;
 
-  /** How long after its last heartbeat to this controller a worker counts as misrouted. */
+  /**
+   * How long after its last heartbeat to this controller a worker counts as misrouted. A redirected
+   * worker that has not come back by then has found its owner.
+   */
   private static final int MISROUTED_VALID_MS = 8000;
 
   private final StepContext context;
--- a/src/main/java/shorecrank/coordination/MachineAssignments.java
+++ b/src/main/java/shorecrank/coordination/MachineAssignments.java
@@ -34,9 +34,10 @@
   }
 
   /**
-   * Applies the assignments and their removals of the leader's answer.
+   * Applies the added and removed assignments that the leader's answer contains.
    *
-   * @return true if the answer is complete or its version differs from the version known before
+   * @return true if the answer lists all assignments, or if its version differs from the version
+   *     known before
    */
   boolean update(HeartbeatAnswer answer) {
     boolean isChanged = answer.isComplete() || answer.assignmentVersion() != version;
--- a/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
+++ b/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
@@ -94,14 +94,14 @@
         CLOUD_TIMEOUT_MS,
         (status, body) -> {
           isBusy = false;
-          Map<String, MachineType> read =
+          Map<String, MachineType> readTypes =
               status == OK ? CloudCodec.readCatalog(body) : Map.<String, MachineType>of();
-          if (read.isEmpty()) {
+          if (readTypes.isEmpty()) {
             nextAt = context.now().plus(RETRY_MS);
             return;
           }
           nextAt = context.now().plus(REFRESH_MS);
-          update(read);
+          update(readTypes);
           if (!isStored && election.isLeading()) {
             store(new Transaction().guard(election.key(), election.term()).write(KEY, body));
           }
@@ -115,10 +115,10 @@
         .commit(transaction, WRITE_TIMEOUT_MS, result -> isStored = result.isCommitted());
   }
 
-  private void update(Map<String, MachineType> read) {
-    if (!read.isEmpty()) {
-      types = read;
-      updateListener.accept(read);
+  private void update(Map<String, MachineType> readTypes) {
+    if (!readTypes.isEmpty()) {
+      types = readTypes;
+      updateListener.accept(readTypes);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -23,14 +23,15 @@
 import shorecrank.rollout.FeatureGate;
 
 /**
- * The shards that this process owns. Ownership begins with a lease from the leader and ends when
- * another controller owns the shard or the lease has expired before a new epoch.
+ * The shards that this process owns. Ownership begins with a lease from the leader. It ends when
+ * another controller owns the shard at a higher epoch, or when the lease has expired and the leader
+ * grants the shard to this process again at a higher epoch, which begins a new ownership.
  */
 final class OwnedShards {
   /**
-   * The fraction of a lease's duration that the owner leaves unused, as a divisor: its clock may
-   * run slower than the leader's, which must not grant the shard to another while this owner uses
-   * it.
+   * The owner stops using a lease early, by the lease's duration divided by this number. Its clock
+   * may run slower than the leader's, and the leader may grant the shard to another controller once
+   * the lease has expired by the leader's clock.
    */
   private static final int LEASE_DRIFT_DIVISOR = 500;
 
@@ -50,7 +51,7 @@
    */
   private final Map<ShardId, Epoch> refusedEpochs = new TreeMap<>();
 
-  /** For each shard that this process has given up, the highest epoch at which it did. */
+  /** The highest epoch at which this process has owned each shard that it has given up. */
   private final Map<ShardId, Epoch> usedEpochs = new TreeMap<>();
 
   private Map<String, MachineType> machineTypes = Map.of();
@@ -185,7 +186,7 @@
       endOwnership(lease.shard(), "its lease expired before epoch " + lease.epoch());
       shardOwner = null;
     }
-    if (shardOwner == null && isUsedUp(lease)) {
+    if (shardOwner == null && isEpochUsed(lease)) {
       refusedEpochs.put(lease.shard(), lease.epoch());
       return false;
     }
@@ -204,7 +205,7 @@
    * would ignore its answers. The refusal, reported to the leader, makes it allocate a higher
    * epoch.
    */
-  private boolean isUsedUp(Lease lease) {
+  private boolean isEpochUsed(Lease lease) {
     Epoch last = usedEpochs.get(lease.shard());
     return last != null && !lease.epoch().isAbove(last);
   }
--- a/src/main/java/shorecrank/coordination/OwnerTable.java
+++ b/src/main/java/shorecrank/coordination/OwnerTable.java
@@ -69,7 +69,7 @@
     return Collections.unmodifiableCollection(owners.values());
   }
 
-  /** Reports whether this process has ever had an answer from the leader. */
+  /** Reports whether the leader has ever answered a heartbeat of this process. */
   boolean hasLeaderContact() {
     return lastLeaderContactAt != MonotonicTime.NEVER;
   }
@@ -82,13 +82,16 @@
     lastLeaderContactAt = context.now();
   }
 
-  /** Replaces all known owners, whatever their epochs. */
+  /** Replaces all known owners with the given ones, also where their epochs are lower. */
   void replaceAll(List<OwnerInfo> all) {
     owners.clear();
     all.forEach(this::observe);
   }
 
-  /** Records a shard's owner, unless an owner at the same or a higher epoch is already known. */
+  /**
+   * Records a shard's owner, unless an owner at the same or a higher epoch is already known. The
+   * observer receives the owner in both cases.
+   */
   void observe(OwnerInfo owner) {
     OwnerInfo known = owners.get(owner.shard());
     if (known == null || owner.epoch().isAbove(known.epoch())) {
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -59,11 +59,12 @@
    */
   void route(Input.Request request, String path) {
     switch (path) {
-      case PeerPaths.HEARTBEAT -> post(request, () -> heartbeat(request));
-      case PeerPaths.HEARTBEAT_NOW -> post(request, () -> heartbeatNow(request));
-      case PeerPaths.STATUS_QUERY -> post(request, () -> statusQuery(request));
-      case PeerPaths.CONFIRMED_CANCELLATIONS -> post(request, () -> confirmationQuery(request));
-      case PeerPaths.FORWARDED_REQUEST -> post(request, () -> forwarded(request));
+      case PeerPaths.HEARTBEAT -> post(request, () -> handleHeartbeat(request));
+      case PeerPaths.HEARTBEAT_NOW -> post(request, () -> requestHeartbeatNow(request));
+      case PeerPaths.STATUS_QUERY -> post(request, () -> handleStatusQuery(request));
+      case PeerPaths.CONFIRMED_CANCELLATIONS ->
+          post(request, () -> handleConfirmationQuery(request));
+      case PeerPaths.FORWARDED_REQUEST -> post(request, () -> handleForwardedRequest(request));
       case OperatorPaths.ROLLOUT_STATUS -> handlers.rollouts.status(request);
       case OperatorPaths.ROLLOUT_ORDERS -> post(request, () -> handlers.rollouts.order(request));
       case OperatorPaths.ROLLOUT_KEYS -> post(request, () -> handlers.rollouts.keys(request));
@@ -77,7 +78,7 @@
     methods.require(POST, request.method(), request.reply(), action);
   }
 
-  private void heartbeat(Input.Request request) {
+  private void handleHeartbeat(Input.Request request) {
     Heartbeat heartbeat;
     try {
       heartbeat = HeartbeatCodec.read(Json.parse(request.body()));
@@ -98,17 +99,17 @@
     }
   }
 
-  private void heartbeatNow(Input.Request request) {
+  private void requestHeartbeatNow(Input.Request request) {
     handlers.heartbeats.requestNow();
     context.reply(request.reply(), OK, Json.object());
   }
 
-  private void statusQuery(Input.Request request) {
+  private void handleStatusQuery(Input.Request request) {
     handlers.statusQueries.answerPeer(
         request.reply(), StatusQueryCodec.readQuery(Json.parse(request.body())));
   }
 
-  private void confirmationQuery(Input.Request request) {
+  private void handleConfirmationQuery(Input.Request request) {
     ConfirmationQuery query = CancellationCodec.readQuery(Json.parse(request.body()));
     if (query.isMalformed()) {
       refuseMalformed(request, "confirmation_query", "question");
@@ -122,7 +123,7 @@
                 query.withinMs(), query.limit(), handlers.owners.all())));
   }
 
-  private void forwarded(Input.Request request) {
+  private void handleForwardedRequest(Input.Request request) {
     ForwardedRequest forwarded = ForwardedRequestCodec.read(Json.parse(request.body()));
     handlers.users.route(
         new UserRequest(
--- a/src/main/java/shorecrank/coordination/PeerStoreReachability.java
+++ b/src/main/java/shorecrank/coordination/PeerStoreReachability.java
@@ -9,8 +9,8 @@
  */
 final class PeerStoreReachability {
   /**
-   * How long a report that some other controller reaches the state service stands against another
-   * controller's report that it does not reach the service.
+   * How long, after a report that some other controller reaches the state service, a heartbeat of a
+   * single controller that does not reach it is ignored.
    */
   private static final int REACHABLE_VALID_MS = 2000;
 
@@ -50,8 +50,9 @@
   }
 
   /**
-   * Returns the milliseconds since the last report that was not just one controller's failure to
-   * reach the state service; a very large number if there was none.
+   * Returns the milliseconds since the leader's last answer, or since the last heartbeat of a
+   * controller that reaches the state service if that is later; a very large number if there was
+   * neither.
    */
   long msSinceReport() {
     return context.now().since(reportedAt);
--- a/src/main/java/shorecrank/coordination/RequestForwarder.java
+++ b/src/main/java/shorecrank/coordination/RequestForwarder.java
@@ -35,7 +35,7 @@
 
   /**
    * Forwards a request if another controller is known to reach the state service: to the leader or,
-   * if this controller leads or no leader is known, to any other controller.
+   * if this controller leads or no leader is known, to a random other controller.
    *
    * @param failed run if the other controller gives no answer that can be passed on to the user
    * @return false if there is no such controller; the caller then has to answer the request
--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -58,7 +58,11 @@
     }
   }
 
-  /** Sends the queries to other controllers that have been collected since the last tick. */
+  /**
+   * Sends the queries to other controllers that have been collected since the last tick. Jobs of
+   * one shard beyond {@link StatusQueryCodec#MAX_JOBS} are not sent; their callbacks receive no
+   * status.
+   */
   void sendPending() {
     pending.forEach(this::send);
     pending.clear();
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -32,8 +32,8 @@
   private static final int MAX_HOLD_MS = 2500;
 
   /**
-   * How long without a message from any other controller until this controller is isolated, which
-   * affects the grace period of the shard owner after its lease.
+   * How long without a message from any other controller until this controller is isolated. The
+   * shard owners of an isolated controller have a shorter grace period after their leases expire.
    */
   private static final int ISOLATED_AFTER_MS = 4000;
 
@@ -94,10 +94,9 @@
     if (isDestinationUnknown
         && context.now().since(context.startedAt()) < STARTUP_MS
         && canHold(received)) {
-      // The first answer from the leader will name the destination soon. A redirected worker
-      // retries
-      // after a second at the earliest, by when its lease may have expired: after a restart of all
-      // controllers most tasks would be lost.
+      // The leader's first answer will name the destination soon. A redirected worker retries after
+      // a second at the earliest, when its lease may have expired. After a restart of all
+      // controllers most tasks would be lost that way.
       held.add(received);
     } else if (assignment == null) {
       redirectUnassigned(received);
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -21,7 +21,7 @@
 
 /** Client of the state service whose calls and answers are outputs and inputs of steps. */
 final class StepStateStore implements StateStore {
-  /** How long after the longest time that the service may hold a watch the call times out. */
+  /** The part of a watch's timeout that exceeds the time the service may hold the call open. */
   private static final int WATCH_MARGIN_MS = 3000;
 
   private final StepContext context;
--- a/src/main/java/shorecrank/coordination/step/StoreBudget.java
+++ b/src/main/java/shorecrank/coordination/step/StoreBudget.java
@@ -6,10 +6,10 @@
 /**
  * The rate limits of this controller's requests and writes to the state service.
  *
- * <p>Each process limits itself to its share of the service's rates, so that the shares of all
- * controllers together fit. Writes that users wait for are limited only by the full rate of the
- * service, since they come in bursts and unevenly at the controllers; the service itself refuses
- * those that are too many.
+ * <p>Each process limits itself to a share of the service's rates, so that all controllers together
+ * stay within them. Writes that users wait for are limited only by the full rate of the service:
+ * they come in bursts, and more at one controller than at others. The service itself refuses those
+ * that exceed its rate.
  */
 final class StoreBudget {
   /** The fraction of the request rate that is divided evenly among the controllers. */
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -27,7 +27,10 @@
    */
   boolean tryTakeWrites(int changes);
 
-  /** Reports whether the request rate allows a request that is not urgent to be sent now. */
+  /**
+   * Reports whether this controller's request rate allows a request that is not urgent to be sent
+   * to the state service now.
+   */
   boolean hasRequestBudget();
 
   /**
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -28,7 +28,7 @@
 
   /** What a read of the key shows about a write whose outcome was unknown. */
   public enum WriteOutcome {
-    /** The write may have been committed, or may still be. */
+    /** The write may still be committed. */
     UNKNOWN,
     /** The write was committed. */
     COMMITTED,
@@ -213,16 +213,18 @@
         });
   }
 
-  private void applyReading(Revision term, Optional<V> found, Revision foundAt, boolean mayWrite) {
+  private void applyReading(
+      Revision term, Optional<V> found, Revision foundRevision, boolean mayWrite) {
     isKnown = found.isPresent();
     if (!isKnown) {
       environment.reportRefusal(
           "state.unreadable", "store.value.unreadable key=%s".formatted(codec.key()));
     }
-    Reading reading = new Reading(pendingTerm, readTerm, term, foundAt.isAfter(revision), mayWrite);
+    Reading reading =
+        new Reading(pendingTerm, readTerm, term, foundRevision.isAfter(revision), mayWrite);
     V before = value;
     value = found.orElse(value);
-    revision = foundAt;
+    revision = foundRevision;
     readTerm = term;
     WriteOutcome outcome = isInDoubt ? rules.resolveOutcome(reading) : WriteOutcome.UNKNOWN;
     if (outcome != WriteOutcome.UNKNOWN) {
@@ -295,9 +297,8 @@
             store.pause(RETRY_MS);
           }
           if (result instanceof CommitResult.Conflict conflict) {
-            // Another process leads, a guard added by the rules failed, or an earlier write in
-            // doubt
-            // has been committed meanwhile.
+            // Another process leads, a guard that the rules added has failed, or an earlier write
+            // that was in doubt has been committed.
             rules.guardsFailed(conflict.failedKeys());
             readTerm = Revision.ABSENT;
           }
--- a/src/main/java/shorecrank/leadership/Leadership.java
+++ b/src/main/java/shorecrank/leadership/Leadership.java
@@ -24,6 +24,6 @@
   /** Adds to a transaction the changes of the leader's keys that a new feature level requires. */
   void addLevelSwitch(Transaction transaction, FeatureLevel to);
 
-  /** Called after a transaction with a switch to a feature level was committed at a revision. */
+  /** Called after a transaction that switches to a feature level was committed at a revision. */
   void levelSwitched(FeatureLevel to, Revision revision);
 }
