--- a/src/main/java/shorecrank/coordination/WorkerSightings.java
+++ b/src/main/java/shorecrank/coordination/ForeignWorkers.java
@@ -14,51 +14,61 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Workers that sent their heartbeats here although they belong elsewhere, for the leader. */
-final class WorkerSightings {
-  /** The most machines in one message; the rest goes with the next. */
-  private static final int MESSAGE_MACHINES = 500;
+/**
+ * Workers whose heartbeats reached this controller although it does not own their machines: those
+ * without an assignment, and those that belong to another controller. Heartbeats to the leader
+ * report them.
+ */
+final class ForeignWorkers {
+  /** The maximum number of unassigned machines in one heartbeat to the leader. */
+  private static final int MAX_MACHINES_PER_MESSAGE = 500;
 
-  /** A worker that was sent to its owner and is not back after so long has found it. */
-  private static final int MISROUTED_MS = 8000;
+  /**
+   * How long after its last heartbeat to this controller a worker counts as misrouted. A redirected
+   * worker that has not come back by then has found its owner.
+   */
+  private static final int MISROUTED_VALID_MS = 8000;
 
   private final StepContext context;
   private final Map<MachineName, MachineInfo> unassigned = new LinkedHashMap<>();
   private final Map<MachineName, MonotonicTime> misroutedAt = new HashMap<>();
 
-  WorkerSightings(StepContext context) {
+  ForeignWorkers(StepContext context) {
     this.context = context;
   }
 
-  /** A machine without an assignment was heard. */
+  /** Records a heartbeat from a machine that is not assigned to any shard. */
   void addUnassigned(MachineInfo machine) {
     unassigned.put(machine.name(), machine);
   }
 
-  /** A machine was heard that belongs to a shard of another controller. */
+  /** Records a heartbeat from a machine that is assigned to another controller's shard. */
   void addMisrouted(MachineName machine) {
     misroutedAt.put(machine, context.now());
   }
 
-  /** Whether machines without an assignment have yet to be reported. */
+  /** Reports whether there are unassigned machines that have not been reported to the leader. */
   boolean hasUnassigned() {
     return !unassigned.isEmpty();
   }
 
-  /** Removes as many machines without an assignment as fit into one message. */
+  /** Removes and returns unassigned machines, at most as many as fit into one heartbeat. */
   List<MachineInfo> takeUnassigned() {
     List<MachineInfo> taken = new ArrayList<>();
     Iterator<MachineInfo> left = unassigned.values().iterator();
-    while (left.hasNext() && taken.size() < MESSAGE_MACHINES) {
+    while (left.hasNext() && taken.size() < MAX_MACHINES_PER_MESSAGE) {
       taken.add(left.next());
       left.remove();
     }
     return taken;
   }
 
-  /** Counts, by shard, the workers that came here lately instead of to their owner. */
+  /**
+   * Counts the workers of each shard that have recently sent a heartbeat to this controller instead
+   * of to the shard's owner.
+   */
   Map<ShardId, Integer> countMisrouted(MachineAssignments assignments) {
-    misroutedAt.values().removeIf(at -> context.now().since(at) > MISROUTED_MS);
+    misroutedAt.values().removeIf(at -> context.now().since(at) > MISROUTED_VALID_MS);
     Map<ShardId, Integer> byShard = new TreeMap<>();
     for (MachineName machine : misroutedAt.keySet()) {
       MachineAssignment assignment = assignments.find(machine);
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -15,43 +15,53 @@
 import shorecrank.protocol.RolloutMessages.Announcement;
 import shorecrank.rollout.FeatureGate;
 
-/** Sends this controller's heartbeats to the leader and takes over what the answers say. */
+/**
+ * Sends this controller's heartbeats to the leader and applies the answers: leases, shard owners
+ * and assignments of machines.
+ */
 final class HeartbeatExchange {
-  /** What is news to the leader is sent after this, so that more of it goes along. */
-  private static final int NEWS_MS = 100;
+  /**
+   * How long an unscheduled heartbeat is delayed, so that further changes within this time are sent
+   * in the same message.
+   */
+  private static final int BATCH_DELAY_MS = 100;
 
   private static final int RETRY_MS = 300;
-  private static final int NO_LEADER_MS = 150;
-  private static final int LEAST_TIMEOUT_MS = 500;
+  private static final int NO_LEADER_RETRY_MS = 150;
+  private static final int MIN_TIMEOUT_MS = 500;
 
   private final StepContext context;
   private final Election election;
   private final Leader leader;
   private final FeatureGate gate;
 
-  /** What this controller announces; null if rollouts are not enabled. */
+  /**
+   * The build and the feature levels that each heartbeat announces to the leader; null if rollouts
+   * are disabled.
+   */
   private final Announcement announcement;
 
   private final OwnerTable owners;
   private final OwnedShards shards;
   private final MachineAssignments assignments;
-  private final WorkerSightings sightings;
+  private final ForeignWorkers foreignWorkers;
   private final PeerStoreReachability peerReachability;
   private MonotonicTime nextAt = new MonotonicTime(0);
   private boolean isInFlight;
 
-  /** The controller's state that a heartbeat tells of and its answer changes. */
-  record Tables(
+  /** The parts of the controller's state that heartbeats report and their answers update. */
+  record SharedState(
       OwnerTable owners,
       OwnedShards shards,
       MachineAssignments assignments,
-      WorkerSightings sightings,
+      ForeignWorkers foreignWorkers,
       PeerStoreReachability peerReachability) {}
 
   /**
-   * Creates the exchange; the first heartbeat is due at once.
+   * Creates the exchange; the first heartbeat is due at the first tick.
    *
-   * @param announcement what this controller announces; null if rollouts are not enabled
+   * @param announcement the build and the feature levels to announce to the leader, or null if
+   *     rollouts are disabled
    */
   HeartbeatExchange(
       StepContext context,
@@ -59,27 +69,27 @@
       Leader leader,
       FeatureGate gate,
       Announcement announcement,
-      Tables tables) {
+      SharedState state) {
     this.context = context;
     this.election = election;
     this.leader = leader;
     this.gate = gate;
     this.announcement = announcement;
-    this.owners = tables.owners;
-    this.shards = tables.shards;
-    this.assignments = tables.assignments;
-    this.sightings = tables.sightings;
-    this.peerReachability = tables.peerReachability;
+    this.owners = state.owners;
+    this.shards = state.shards;
+    this.assignments = state.assignments;
+    this.foreignWorkers = state.foreignWorkers;
+    this.peerReachability = state.peerReachability;
   }
 
-  /** Makes the next heartbeat due at once. */
+  /** Makes the next heartbeat due at the next tick. */
   void requestNow() {
     nextAt = context.now();
   }
 
-  /** Makes the next heartbeat due soon, if it is not due earlier. */
+  /** Makes the next heartbeat due within {@link #BATCH_DELAY_MS}. */
   void requestSoon() {
-    MonotonicTime soon = context.now().plus(NEWS_MS);
+    MonotonicTime soon = context.now().plus(BATCH_DELAY_MS);
     if (soon.isBefore(nextAt)) {
       nextAt = soon;
     }
@@ -89,7 +99,7 @@
     nextAt = context.now().plus(delayMs);
   }
 
-  /** Sends a heartbeat if one is due and none is under way. */
+  /** Sends a heartbeat if one is due and the previous one has been answered or has timed out. */
   void tick() {
     if (!isInFlight && !context.now().isBefore(nextAt)) {
       send();
@@ -108,7 +118,7 @@
         apply(answer, sentAt);
       }
     } else if (to == null) {
-      nextAt = sentAt.plus(NO_LEADER_MS);
+      nextAt = sentAt.plus(NO_LEADER_RETRY_MS);
     } else {
       isInFlight = true;
       context
@@ -116,17 +126,17 @@
           .sendHeartbeat(
               to,
               heartbeat,
-              Math.max(LEAST_TIMEOUT_MS, interval * 2),
-              result -> received(result, sentAt));
+              Math.max(MIN_TIMEOUT_MS, interval * 2),
+              result -> handleResult(result, sentAt));
     }
   }
 
   private Heartbeat compose() {
     List<ShardReport> reports = shards.report();
-    List<MachineInfo> unassigned = sightings.takeUnassigned();
-    if (sightings.hasUnassigned()) {
-      // The rest goes at once with the next, not an interval later.
-      scheduleIn(NEWS_MS);
+    List<MachineInfo> unassigned = foreignWorkers.takeUnassigned();
+    if (foreignWorkers.hasUnassigned()) {
+      // The machines that did not fit into this message are not delayed by a whole interval.
+      scheduleIn(BATCH_DELAY_MS);
     }
     return new Heartbeat(
         context.config().label(),
@@ -135,11 +145,11 @@
         assignments.version(),
         reports,
         unassigned,
-        sightings.countMisrouted(assignments),
+        foreignWorkers.countMisrouted(assignments),
         announcement);
   }
 
-  private void received(HeartbeatResult result, MonotonicTime sentAt) {
+  private void handleResult(HeartbeatResult result, MonotonicTime sentAt) {
     isInFlight = false;
     if (result instanceof HeartbeatResult.Answered answered) {
       apply(answered.answer(), sentAt);
@@ -148,35 +158,35 @@
     if (result instanceof HeartbeatResult.Malformed) {
       context.reportRefusal("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
     } else if (result instanceof HeartbeatResult.Refused refused && !refused.reachesStore()) {
-      peerReachability.observeLeaderUnreached();
+      peerReachability.recordLeaderWithoutStore();
     }
     scheduleIn(RETRY_MS);
   }
 
   private void apply(HeartbeatAnswer answer, MonotonicTime sentAt) {
-    owners.leaderHeard();
+    owners.recordLeaderContact();
     if (announcement != null) {
       gate.observe(answer.rolloutNotice());
     }
-    peerReachability.observeAny(answer.storeReachableByOthers() || !election.isHoldingKey());
+    peerReachability.recordAnyPeer(answer.storeReachableByOthers() || !election.isHoldingKey());
     owners.replaceAll(answer.owners());
     if (shards.relinquishUnrenewed(answer.leases())) {
       requestNow();
     }
-    boolean isNews = assignments.update(answer);
+    boolean isChanged = assignments.update(answer);
     for (Lease lease : answer.leases()) {
       if (!shards.accept(lease, sentAt)) {
-        scheduleIn(NEWS_MS);
+        scheduleIn(BATCH_DELAY_MS);
       }
     }
     int served = shards.countServed();
     context.allotStoreBudget(
         (double) served / context.settings().shards(), election.isHoldingKey());
     shards.updateMachines(answer);
-    if (isNews && shards.hasCapacityRequests()) {
-      // The leader takes requests for machines only from an owner that knows the last assignments:
-      // say so at once.
-      scheduleIn(NEWS_MS);
+    if (isChanged && shards.hasCapacityRequests()) {
+      // The leader accepts requests for machines only from an owner that knows the latest version
+      // of the assignments. Acknowledging the version early shortens the wait for machines.
+      scheduleIn(BATCH_DELAY_MS);
     }
     context.gauge("parts.owned", served);
   }
--- a/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
+++ b/src/main/java/shorecrank/coordination/MachineTypeCatalog.java
@@ -14,9 +14,12 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * The types of machines that can be rented. The leader asks the cloud for them and writes them down
- * once, so that the other controllers, and those that start while the cloud does not answer, read
- * them from the state service.
+ * The types of machines that can be rented.
+ *
+ * <p>Each controller reads them from the state service and, if they are not stored there, from the
+ * cloud. The leader stores the types that it has read from the cloud, so that other controllers can
+ * start while the cloud does not answer. After the first successful read only the leader reads the
+ * types again.
  */
 final class MachineTypeCatalog {
   private static final String KEY = "catalog";
@@ -24,12 +27,12 @@
   private static final int WRITE_TIMEOUT_MS = 2000;
   private static final int CLOUD_TIMEOUT_MS = 4000;
   private static final int RETRY_MS = 1000;
-  private static final int FOLLOWER_PAUSE_MS = 2000;
+  private static final int FOLLOWER_POLL_MS = 2000;
   private static final int REFRESH_MS = 60_000;
 
   private final StepContext context;
   private final Election election;
-  private final Consumer<Map<String, MachineType>> updated;
+  private final Consumer<Map<String, MachineType>> updateListener;
   private Map<String, MachineType> types = Map.of();
   private boolean isBusy;
   private boolean isStored;
@@ -38,21 +41,24 @@
   /**
    * Creates an empty catalog.
    *
-   * @param updated takes the types whenever they were read; they are never empty
+   * @param updateListener receives the types after each successful read; the map is never empty
    */
   MachineTypeCatalog(
-      StepContext context, Election election, Consumer<Map<String, MachineType>> updated) {
+      StepContext context, Election election, Consumer<Map<String, MachineType>> updateListener) {
     this.context = context;
     this.election = election;
-    this.updated = updated;
+    this.updateListener = updateListener;
   }
 
-  /** Whether no types are known yet. */
+  /** Reports whether the types have not been read yet. */
   boolean isEmpty() {
     return types.isEmpty();
   }
 
-  /** Reads the types if it is time to. */
+  /**
+   * Starts reading the types if a read is due: while none are known, from the state service or else
+   * from the cloud; later only from the cloud, and only if this controller leads.
+   */
   void tick() {
     MonotonicTime now = context.now();
     if (isBusy || now.isBefore(nextAt)) {
@@ -60,26 +66,26 @@
     }
     if (types.isEmpty()) {
       isBusy = true;
-      context.store().read(KEY, READ_TIMEOUT_MS, this::storeRead);
+      context.store().read(KEY, READ_TIMEOUT_MS, this::handleStoreRead);
     } else if (election.isLeading()) {
-      askCloud();
+      readFromCloud();
     } else {
-      nextAt = now.plus(FOLLOWER_PAUSE_MS);
+      nextAt = now.plus(FOLLOWER_POLL_MS);
     }
   }
 
-  private void storeRead(ReadResult result) {
+  private void handleStoreRead(ReadResult result) {
     isBusy = false;
     if (result instanceof ReadResult.Found found) {
       update(CloudCodec.readCatalog(found.entry().value()));
       isStored = true;
       nextAt = context.now().plus(RETRY_MS);
     } else {
-      askCloud();
+      readFromCloud();
     }
   }
 
-  private void askCloud() {
+  private void readFromCloud() {
     isBusy = true;
     context.callCloud(
         "GET",
@@ -88,14 +94,14 @@
         CLOUD_TIMEOUT_MS,
         (status, body) -> {
           isBusy = false;
-          Map<String, MachineType> read =
+          Map<String, MachineType> readTypes =
               status == OK ? CloudCodec.readCatalog(body) : Map.<String, MachineType>of();
-          if (read.isEmpty()) {
+          if (readTypes.isEmpty()) {
             nextAt = context.now().plus(RETRY_MS);
             return;
           }
           nextAt = context.now().plus(REFRESH_MS);
-          update(read);
+          update(readTypes);
           if (!isStored && election.isLeading()) {
             store(new Transaction().guard(election.key(), election.term()).write(KEY, body));
           }
@@ -109,10 +115,10 @@
         .commit(transaction, WRITE_TIMEOUT_MS, result -> isStored = result.isCommitted());
   }
 
-  private void update(Map<String, MachineType> read) {
-    if (!read.isEmpty()) {
-      types = read;
-      updated.accept(read);
+  private void update(Map<String, MachineType> readTypes) {
+    if (!readTypes.isEmpty()) {
+      types = readTypes;
+      updateListener.accept(readTypes);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -26,7 +26,7 @@
 import shorecrank.protocol.PeerRequests.ForwardedRequest;
 import shorecrank.protocol.StatusQueryCodec;
 
-/** Finds the handler of a request on the peer address: of another controller or an operator. */
+/** Routes requests on the peer address, from other controllers and from operators, by path. */
 final class PeerRequestRouter {
   private static final String POST = "POST";
 
@@ -34,7 +34,7 @@
   private final MethodGuard methods;
   private final Handlers handlers;
 
-  /** What answers requests on the peer address. */
+  /** The components that answer requests on the peer address. */
   record Handlers(
       Leader leader,
       HeartbeatExchange heartbeats,
@@ -53,17 +53,18 @@
   }
 
   /**
-   * Has the request answered, now or later.
+   * Passes the request to its handler, which answers it in this step or a later one.
    *
-   * @param path of the request, without a query
+   * @param path the request's path without the query string
    */
   void route(Input.Request request, String path) {
     switch (path) {
-      case PeerPaths.HEARTBEAT -> post(request, () -> heartbeat(request));
-      case PeerPaths.HEARTBEAT_NOW -> post(request, () -> heartbeatNow(request));
-      case PeerPaths.STATUS_QUERY -> post(request, () -> statusQuery(request));
-      case PeerPaths.CONFIRMED_CANCELLATIONS -> post(request, () -> confirmationQuery(request));
-      case PeerPaths.FORWARDED_REQUEST -> post(request, () -> forwarded(request));
+      case PeerPaths.HEARTBEAT -> post(request, () -> handleHeartbeat(request));
+      case PeerPaths.HEARTBEAT_NOW -> post(request, () -> requestHeartbeatNow(request));
+      case PeerPaths.STATUS_QUERY -> post(request, () -> handleStatusQuery(request));
+      case PeerPaths.CONFIRMED_CANCELLATIONS ->
+          post(request, () -> handleConfirmationQuery(request));
+      case PeerPaths.FORWARDED_REQUEST -> post(request, () -> handleForwardedRequest(request));
       case OperatorPaths.ROLLOUT_STATUS -> handlers.rollouts.status(request);
       case OperatorPaths.ROLLOUT_ORDERS -> post(request, () -> handlers.rollouts.order(request));
       case OperatorPaths.ROLLOUT_KEYS -> post(request, () -> handlers.rollouts.keys(request));
@@ -77,7 +78,7 @@
     methods.require(POST, request.method(), request.reply(), action);
   }
 
-  private void heartbeat(Input.Request request) {
+  private void handleHeartbeat(Input.Request request) {
     Heartbeat heartbeat;
     try {
       heartbeat = HeartbeatCodec.read(Json.parse(request.body()));
@@ -86,7 +87,7 @@
       return;
     }
     context.recordPeerContact();
-    handlers.peerReachability.observePeer(heartbeat.storeReachable());
+    handlers.peerReachability.recordPeer(heartbeat.storeReachable());
     HeartbeatAnswer answer = handlers.leader.handleHeartbeat(heartbeat);
     if (answer == null) {
       context.reply(
@@ -98,17 +99,17 @@
     }
   }
 
-  private void heartbeatNow(Input.Request request) {
+  private void requestHeartbeatNow(Input.Request request) {
     handlers.heartbeats.requestNow();
     context.reply(request.reply(), OK, Json.object());
   }
 
-  private void statusQuery(Input.Request request) {
+  private void handleStatusQuery(Input.Request request) {
     handlers.statusQueries.answerPeer(
         request.reply(), StatusQueryCodec.readQuery(Json.parse(request.body())));
   }
 
-  private void confirmationQuery(Input.Request request) {
+  private void handleConfirmationQuery(Input.Request request) {
     ConfirmationQuery query = CancellationCodec.readQuery(Json.parse(request.body()));
     if (query.isMalformed()) {
       refuseMalformed(request, "confirmation_query", "question");
@@ -122,16 +123,21 @@
                 query.withinMs(), query.limit(), handlers.owners.all())));
   }
 
-  private void forwarded(Input.Request request) {
+  private void handleForwardedRequest(Input.Request request) {
     ForwardedRequest forwarded = ForwardedRequestCodec.read(Json.parse(request.body()));
     handlers.users.route(
         new UserRequest(
             request.reply(), forwarded.method(), forwarded.path(), forwarded.body(), true));
   }
 
-  /** Refuses a message; its sender and the log call it by different names. */
-  private void refuseMalformed(Input.Request request, String logged, String told) {
-    context.reportRefusal("peer.malformed", "peer.message.malformed kind=" + logged);
-    context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + told));
+  /**
+   * Rejects a malformed message.
+   *
+   * @param loggedKind the kind of message as the log event names it
+   * @param repliedKind the kind of message as the reply to the sender names it
+   */
+  private void refuseMalformed(Input.Request request, String loggedKind, String repliedKind) {
+    context.reportRefusal("peer.malformed", "peer.message.malformed kind=" + loggedKind);
+    context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + repliedKind));
   }
 }
--- a/src/main/java/shorecrank/coordination/PeerStoreReachability.java
+++ b/src/main/java/shorecrank/coordination/PeerStoreReachability.java
@@ -3,46 +3,58 @@
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Whether other controllers reach the state service, as far as their heartbeats have told. */
+/**
+ * Whether other controllers reach the state service, according to their heartbeats and to the
+ * leader's answers.
+ */
 final class PeerStoreReachability {
-  /** A heartbeat that denies it does not outweigh one that affirmed it within this time. */
-  private static final int AFFIRMED_MS = 2000;
+  /**
+   * How long, after a report that some other controller reaches the state service, a heartbeat of a
+   * single controller that does not reach it is ignored.
+   */
+  private static final int REACHABLE_VALID_MS = 2000;
 
   private final StepContext context;
-  private boolean isReached;
-  private MonotonicTime observedAt = MonotonicTime.NEVER;
+  private boolean isReachable;
+  private MonotonicTime reportedAt = MonotonicTime.NEVER;
 
   PeerStoreReachability(StepContext context) {
     this.context = context;
   }
 
-  /** Another controller's heartbeat says whether that controller reaches the state service. */
-  void observePeer(boolean reachesStore) {
-    if (reachesStore) {
-      observeAny(true);
-    } else if (context.now().since(observedAt) > AFFIRMED_MS) {
-      isReached = false;
+  /** Records whether one other controller reaches the state service, as its heartbeat says. */
+  void recordPeer(boolean isStoreReachable) {
+    if (isStoreReachable) {
+      recordAnyPeer(true);
+    } else if (context.now().since(reportedAt) > REACHABLE_VALID_MS) {
+      isReachable = false;
     }
   }
 
-  /** The leader's answer says whether any other controller reaches the state service. */
-  void observeAny(boolean reachStore) {
-    isReached = reachStore;
-    observedAt = context.now();
+  /**
+   * Records whether any other controller reaches the state service, as the leader's answer says.
+   */
+  void recordAnyPeer(boolean isStoreReachable) {
+    isReachable = isStoreReachable;
+    reportedAt = context.now();
   }
 
-  /** The leader refused a heartbeat because it does not reach the state service itself. */
-  void observeLeaderUnreached() {
-    isReached = false;
+  /** Records that the leader refused a heartbeat because it does not reach the state service. */
+  void recordLeaderWithoutStore() {
+    isReachable = false;
   }
 
-  /** Whether another controller reached the state service when that was last heard of. */
-  boolean isReached() {
-    return isReached;
+  /** Reports whether another controller reached the state service according to the last report. */
+  boolean isReachable() {
+    return isReachable;
   }
 
-  /** Milliseconds since it was last heard of; very many if it never was. */
-  long ageMs() {
-    return context.now().since(observedAt);
+  /**
+   * Returns the milliseconds since the leader's last answer, or since the last heartbeat of a
+   * controller that reaches the state service if that is later; a very large number if there was
+   * neither.
+   */
+  long msSinceReport() {
+    return context.now().since(reportedAt);
   }
 }
--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -20,8 +20,9 @@
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
- * Asks shard owners where jobs stand, here or elsewhere, and answers such queries of other
- * controllers. All queries of a round to one owner go in one message.
+ * Queries shard owners, in this process or at other controllers, for the status of jobs, and
+ * answers such queries from other controllers. The queries between two ticks about the jobs of one
+ * shard are sent to its owner in one message.
  */
 final class StatusQueryForwarder {
   private static final int QUERY_TIMEOUT_MS = 700;
@@ -37,7 +38,12 @@
     this.shards = shards;
   }
 
-  /** Asks the shard's owner where the job stands; the callback gets nothing if it can't tell. */
+  /**
+   * Queries the shard's owner for the job's status.
+   *
+   * @param then receives the status; empty if the owner is unknown, does not answer or does not
+   *     know the status
+   */
   void query(ShardId shard, JobId job, StatusCallback then) {
     ShardOwner shardOwner = shards.find(shard);
     if (shardOwner != null) {
@@ -46,13 +52,17 @@
       then.onStatus(Optional.empty());
     } else {
       pending
-          .computeIfAbsent(shard, asked -> new LinkedHashMap<>())
-          .computeIfAbsent(job, asked -> new ArrayList<>(1))
+          .computeIfAbsent(shard, key -> new LinkedHashMap<>())
+          .computeIfAbsent(job, key -> new ArrayList<>(1))
           .add(then);
     }
   }
 
-  /** Sends the queries since the last round. */
+  /**
+   * Sends the queries to other controllers that have been collected since the last tick. Jobs of
+   * one shard beyond {@link StatusQueryCodec#MAX_JOBS} are not sent; their callbacks receive no
+   * status.
+   */
   void sendPending() {
     pending.forEach(this::send);
     pending.clear();
@@ -84,7 +94,7 @@
         });
   }
 
-  /** Answers another controller's query, once all that can be told is known. */
+  /** Answers another controller's query once the shard owner has answered for each of its jobs. */
   void answerPeer(long reply, StatusQuery query) {
     ShardOwner shardOwner = shards.find(query.shard());
     Map<JobId, JobStatus> statuses = new HashMap<>();
@@ -98,22 +108,22 @@
     }
   }
 
-  /** The answer to another controller's query, sent once all its jobs are settled. */
+  /** Collects the answer to another controller's query and sends it once no job is pending. */
   private final class PeerAnswer {
     private final long reply;
     private final Map<JobId, JobStatus> statuses;
-    private int open;
+    private int pendingJobs;
 
-    PeerAnswer(long reply, int open, Map<JobId, JobStatus> statuses) {
+    PeerAnswer(long reply, int pendingJobs, Map<JobId, JobStatus> statuses) {
       this.reply = reply;
-      this.open = open;
+      this.pendingJobs = pendingJobs;
       this.statuses = statuses;
     }
 
     void add(JobId job, Optional<JobStatus> status) {
       status.ifPresent(found -> statuses.put(job, found));
-      open--;
-      if (open == 0) {
+      pendingJobs--;
+      if (pendingJobs == 0) {
         context.reply(reply, OK, StatusQueryCodec.writeAnswer(statuses));
       }
     }
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -21,45 +21,49 @@
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
 /**
- * Brings a worker's heartbeat to the owner of its machine's shard: to the owner here, elsewhere by
- * a redirect, or held until this process knows where it belongs.
+ * Routes workers' heartbeats to the owner of the machine's shard. A heartbeat whose owner runs in
+ * this process is delivered, one that belongs to another controller is answered with a redirect,
+ * and one whose destination is not known yet may be held for a short time.
  */
 final class WorkerHeartbeatRouter {
-  /** So long after its start a process may not know yet where heartbeats belong. */
-  private static final int STARTING_MS = 8000;
+  /** How long after its start a process holds heartbeats whose destination it does not know yet. */
+  private static final int STARTUP_MS = 8000;
 
   private static final int MAX_HOLD_MS = 2500;
 
-  /** An owner that has heard no other controller for this long is alone. */
-  private static final int ALONE_MS = 4000;
+  /**
+   * How long without a message from any other controller until this controller is isolated. The
+   * shard owners of an isolated controller have a shorter grace period after their leases expire.
+   */
+  private static final int ISOLATED_AFTER_MS = 4000;
 
   private final StepContext context;
   private final Election election;
   private final OwnerTable owners;
   private final OwnedShards shards;
   private final MachineAssignments assignments;
-  private final WorkerSightings sightings;
+  private final ForeignWorkers foreignWorkers;
   private final HeartbeatExchange heartbeats;
   private final List<HeldHeartbeat> held = new ArrayList<>();
 
-  /** A heartbeat that waits until this process knows where it belongs. */
+  /** A worker's heartbeat that has not been answered yet. */
   private record HeldHeartbeat(long reply, WorkerHeartbeat heartbeat, MonotonicTime receivedAt) {}
 
   WorkerHeartbeatRouter(
       StepContext context,
       Election election,
       HeartbeatExchange heartbeats,
-      HeartbeatExchange.Tables tables) {
+      HeartbeatExchange.SharedState state) {
     this.context = context;
     this.election = election;
     this.heartbeats = heartbeats;
-    this.owners = tables.owners();
-    this.shards = tables.shards();
-    this.assignments = tables.assignments();
-    this.sightings = tables.sightings();
+    this.owners = state.owners();
+    this.shards = state.shards();
+    this.assignments = state.assignments();
+    this.foreignWorkers = state.foreignWorkers();
   }
 
-  /** Takes a worker's heartbeat. */
+  /** Routes a worker's heartbeat; a malformed one is rejected. */
   void receive(Input.Request request) {
     WorkerHeartbeat heartbeat;
     try {
@@ -72,7 +76,7 @@
     route(new HeldHeartbeat(request.reply(), heartbeat, context.now()));
   }
 
-  /** Routes again what is held; what still can't be routed is held on. */
+  /** Retries to route the held heartbeats; those that still cannot be routed stay held. */
   void retryHeld() {
     if (held.isEmpty()) {
       return;
@@ -85,55 +89,64 @@
   private void route(HeldHeartbeat received) {
     WorkerHeartbeat heartbeat = received.heartbeat;
     MachineAssignment assignment = assignments.find(heartbeat.machine());
-    boolean isUnclear =
-        assignment == null ? !owners.hasHeardLeader() : owners.find(assignment.shard()) == null;
-    if (isUnclear && context.now().since(context.startedAt()) < STARTING_MS && mayHold(received)) {
-      // A process that has just begun will know in a moment. A worker that is sent away comes back
-      // after a second at the earliest, and its lease may be short: after the end of all
-      // controllers most of the tasks would be lost by that.
+    boolean isDestinationUnknown =
+        assignment == null ? !owners.hasLeaderContact() : owners.find(assignment.shard()) == null;
+    if (isDestinationUnknown
+        && context.now().since(context.startedAt()) < STARTUP_MS
+        && canHold(received)) {
+      // The leader's first answer will name the destination soon. A redirected worker retries after
+      // a second at the earliest, when its lease may have expired. After a restart of all
+      // controllers most tasks would be lost that way.
       held.add(received);
     } else if (assignment == null) {
       redirectUnassigned(received);
     } else {
       ShardOwner shardOwner = shards.find(assignment.shard());
       if (shardOwner != null) {
-        handOver(received, shardOwner);
+        deliver(received, shardOwner);
       } else {
-        sightings.addMisrouted(heartbeat.machine());
+        foreignWorkers.addMisrouted(heartbeat.machine());
         redirect(received, owners.findOther(assignment.shard()).orElse(null));
       }
     }
   }
 
-  /** A held heartbeat keeps its connection, and there are no more than sockets. */
-  private boolean mayHold(HeldHeartbeat received) {
+  /**
+   * Reports whether the heartbeat may be held. Each held heartbeat keeps its connection open, so no
+   * more of them are held than the process may have sockets.
+   */
+  private boolean canHold(HeldHeartbeat received) {
     return context.now().since(received.receivedAt) < MAX_HOLD_MS
         && held.size() < context.config().limits().sockets();
   }
 
   private void redirectUnassigned(HeldHeartbeat received) {
     WorkerHeartbeat heartbeat = received.heartbeat;
-    sightings.addUnassigned(
+    foreignWorkers.addUnassigned(
         new MachineInfo(heartbeat.machine(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
     heartbeats.requestSoon();
     ControllerName leader = election.leader();
     redirect(received, leader == null || leader.equals(context.config().label()) ? null : leader);
   }
 
-  /** Sends the worker elsewhere; null if it is not known where. */
+  /**
+   * Answers the heartbeat with a redirect.
+   *
+   * @param to the controller to send heartbeats to; null if it is not known
+   */
   private void redirect(HeldHeartbeat received, ControllerName to) {
     context.reply(received.reply, MISDIRECTED, WorkerCommandCodec.writeRedirect(to));
   }
 
-  private void handOver(HeldHeartbeat received, ShardOwner shardOwner) {
-    boolean isAlone = context.msSincePeerContact() > ALONE_MS;
-    if (shardOwner.isLeaseValid() || shardOwner.isInGrace(isAlone)) {
+  private void deliver(HeldHeartbeat received, ShardOwner shardOwner) {
+    boolean isIsolated = context.msSincePeerContact() > ISOLATED_AFTER_MS;
+    if (shardOwner.isLeaseValid() || shardOwner.isInGrace(isIsolated)) {
       if (shardOwner.knowsRecentCancellations()) {
         shardOwner.handleHeartbeat(received.reply, received.heartbeat, shardOwner.isLeaseValid());
         return;
       }
-      if (shardOwner.cancellationsKnownUpTo() == MonotonicTime.NEVER && mayHold(received)) {
-        // A new owner will have read the records in a moment.
+      if (shardOwner.cancellationsKnownUpTo() == MonotonicTime.NEVER && canHold(received)) {
+        // A new owner has not read the cancellations yet; it does so while it reads the records.
         held.add(received);
         return;
       }
--- a/src/main/java/shorecrank/coordination/step/StoreBudget.java
+++ b/src/main/java/shorecrank/coordination/step/StoreBudget.java
@@ -4,25 +4,33 @@
 import shorecrank.storage.RateLimiter;
 
 /**
- * How many requests and changes this controller may send to the state service.
+ * The rate limits of this controller's requests and writes to the state service.
  *
- * <p>Bounds hold per process, with room for the others' part of the service. What users wait for is
- * not bound by the part: it comes in bursts, at one controller more than at others, and the service
- * itself says when it is too much.
+ * <p>Each process limits itself to a share of the service's rates, so that all controllers together
+ * stay within them. Writes that users wait for are limited only by the full rate of the service:
+ * they come in bursts, and more at one controller than at others. The service itself refuses those
+ * that exceed its rate.
  */
 final class StoreBudget {
-  /** The part of all requests that is divided evenly among the controllers. */
-  private static final double EVEN_REQUESTS = 0.55;
+  /** The fraction of the request rate that is divided evenly among the controllers. */
+  private static final double EVEN_REQUEST_FRACTION = 0.55;
 
-  /** The part of all requests that goes with the shards. */
-  private static final double SHARD_REQUESTS = 0.4;
+  /**
+   * The fraction of the request rate that is divided among the shard owners by number of shards.
+   */
+  private static final double SHARD_REQUEST_FRACTION = 0.4;
+
+  /** The fraction of the write rate that is divided evenly among the controllers. */
+  private static final double EVEN_WRITE_FRACTION = 0.1;
 
-  private static final double EVEN_WRITES = 0.1;
-  private static final double SHARD_WRITES = 0.75;
-  private static final double LEADER_WRITES = 0.05;
+  /** The fraction of the write rate that is divided among the shard owners by number of shards. */
+  private static final double SHARD_WRITE_FRACTION = 0.75;
 
-  private final double allRequests;
-  private final double allWrites;
+  /** The fraction of the write rate that only the leader gets. */
+  private static final double LEADER_WRITE_FRACTION = 0.05;
+
+  private final double totalRequestRate;
+  private final double totalWriteRate;
   private final int controllers;
   private final RateLimiter requests;
   private final RateLimiter writes;
@@ -30,46 +38,51 @@
 
   /** Creates the budget of a controller that neither owns shards nor leads. */
   StoreBudget(NodeConfig config) {
-    this.allRequests = config.state().rps();
-    this.allWrites = config.state().writeRps();
+    this.totalRequestRate = config.state().rps();
+    this.totalWriteRate = config.state().writeRps();
     this.controllers = Math.max(1, config.members().size() + 1);
-    this.requests = new RateLimiter(allRequests);
-    this.writes = new RateLimiter(allWrites);
-    this.userWrites = new RateLimiter(allWrites);
+    this.requests = new RateLimiter(totalRequestRate);
+    this.writes = new RateLimiter(totalWriteRate);
+    this.userWrites = new RateLimiter(totalWriteRate);
     allot(0, false);
   }
 
   /**
-   * Allots this controller its part.
+   * Sets this controller's share of the rates.
    *
-   * @param shards the part of all shards that it owns, from 0 to 1
+   * @param shardFraction the fraction of all shards that this controller owns, from 0 to 1
    */
-  void allot(double shards, boolean isLeading) {
-    requests.updateRate(allRequests * (EVEN_REQUESTS / controllers + SHARD_REQUESTS * shards));
+  void allot(double shardFraction, boolean isLeading) {
+    requests.updateRate(
+        totalRequestRate
+            * (EVEN_REQUEST_FRACTION / controllers + SHARD_REQUEST_FRACTION * shardFraction));
     writes.updateRate(
-        allWrites
-            * (EVEN_WRITES / controllers
-                + SHARD_WRITES * shards
-                + (isLeading ? LEADER_WRITES : 0)));
+        totalWriteRate
+            * (EVEN_WRITE_FRACTION / controllers
+                + SHARD_WRITE_FRACTION * shardFraction
+                + (isLeading ? LEADER_WRITE_FRACTION : 0)));
   }
 
-  /** The service has refused a request as too many: what was counted on is not there. */
+  /**
+   * Empties the limits of requests and of writes that no user waits for, after the service has
+   * refused a request because of its load.
+   */
   void drain() {
     requests.drain();
     writes.drain();
   }
 
-  /** All requests. */
+  /** Returns the rate limit of all requests, reads and writes. */
   RateLimiter requests() {
     return requests;
   }
 
-  /** Changes that nobody waits for. */
+  /** Returns the rate limit of writes that no user waits for. */
   RateLimiter writes() {
     return writes;
   }
 
-  /** Changes that users wait for. */
+  /** Returns the rate limit of writes that users wait for. */
   RateLimiter userWrites() {
     return userWrites;
   }
