--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -147,7 +147,7 @@
     context
         .store()
         .list(
-            JobRecord.LIVE,
+            JobRecord.LIVE_PREFIX,
             after,
             PAGE_ENTRIES,
             LIST_TIMEOUT_MS,
@@ -222,7 +222,7 @@
     context
         .store()
         .watch(
-            JobRecord.LIVE,
+            JobRecord.LIVE_PREFIX,
             knownRevision,
             WATCH_HOLD_MS,
             result -> {
@@ -238,7 +238,7 @@
       restart();
     } else if (result instanceof WatchResult.Changes changes) {
       for (Change change : changes.changes()) {
-        handleChange(new JobId(change.key().substring(JobRecord.LIVE.length())), change);
+        handleChange(new JobId(change.key().substring(JobRecord.LIVE_PREFIX.length())), change);
       }
       knownRevision = Math.max(knownRevision, changes.revision());
       advanceKnownUpTo(sent);
--- a/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
@@ -54,7 +54,7 @@
           result -> {});
       return;
     }
-    store.list(JobRecord.LIVE, "", 1, this::jobsListed);
+    store.list(JobRecord.LIVE_PREFIX, "", 1, this::jobsListed);
   }
 
   private void jobsListed(ListResult result) {
--- a/src/main/java/shorecrank/rollout/Feature.java
+++ b/src/main/java/shorecrank/rollout/Feature.java
@@ -20,7 +20,7 @@
   PROTECTED_LEADERSHIP(1, "", null),
 
   /** Job records in the dense form ({@link JobRecord#writeDense}). */
-  DENSE_RECORDS(1, JobRecord.LIVE, new DowngradeCodec.OfJobRecords()),
+  DENSE_RECORDS(1, JobRecord.LIVE_PREFIX, new DowngradeCodec.OfJobRecords()),
 
   /** Moves of machines between shards, which {@link ShareStateMessages#KEY} holds. */
   SHARES(2, ShareStateMessages.KEY, new DowngradeCodec.OfShares());
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -44,10 +44,10 @@
     long readyAtMs) {
 
   /** Prefix of the keys of unfinished jobs' records. */
-  public static final String LIVE = "j/";
+  public static final String LIVE_PREFIX = "j/";
 
   /** Prefix of the keys of ended jobs' records. */
-  public static final String FINAL = "f/";
+  public static final String FINAL_PREFIX = "f/";
 
   /**
    * Neighbouring tasks that were placed on one machine in one round. Those already done do not
@@ -58,12 +58,12 @@
 
   /** The key of a job's record until the job has ended. */
   public static String liveKey(JobId id) {
-    return LIVE + id.value();
+    return LIVE_PREFIX + id.value();
   }
 
   /** The key of a job's record after the job has ended. */
   public static String finalKey(JobId id) {
-    return FINAL + id.value();
+    return FINAL_PREFIX + id.value();
   }
 
   /** The number of tasks that run. */
--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -47,11 +47,11 @@
 
   private void checkNames(JsonNode operation) {
     String key = operation.path("write").asText();
-    if (key.startsWith(JobRecord.LIVE)) {
+    if (key.startsWith(JobRecord.LIVE_PREFIX)) {
       checkNames(key, operation.path("data"));
     } else if (key.startsWith(Shares.MACHINES)) {
       SimulatedStateService store = world().store;
-      store.keys(JobRecord.LIVE).forEach(record -> checkNames(record, store.peek(record)));
+      store.keys(JobRecord.LIVE_PREFIX).forEach(record -> checkNames(record, store.peek(record)));
     }
   }
 
--- a/src/test/java/shorecrank/sim/DependencyRule.java
+++ b/src/test/java/shorecrank/sim/DependencyRule.java
@@ -19,7 +19,7 @@
   @Override
   void started(TaskStart start) {
     for (String needed : start.plan().dependencies()) {
-      JsonNode record = world().store.peek(JobRecord.FINAL + needed);
+      JsonNode record = world().store.peek(JobRecord.FINAL_PREFIX + needed);
       if (!record.path("p").asText().equals(ToldAnswers.DONE)) {
         report("too_early: %s starts, %s is not recorded as done".formatted(start.task(), needed));
       }
--- a/src/test/java/shorecrank/sim/ForgottenRule.java
+++ b/src/test/java/shorecrank/sim/ForgottenRule.java
@@ -47,8 +47,8 @@
   void ended() {
     for (String job : told().accepted()) {
       boolean recorded =
-          !world().store.peek(JobRecord.LIVE + job).isMissingNode()
-              || !world().store.peek(JobRecord.FINAL + job).isMissingNode();
+          !world().store.peek(JobRecord.LIVE_PREFIX + job).isMissingNode()
+              || !world().store.peek(JobRecord.FINAL_PREFIX + job).isMissingNode();
       if (!recorded && !world().jobs.isCancelExpected(job)) {
         report("forgotten: %s is not in the store at the end".formatted(job));
       }
--- a/src/test/java/shorecrank/sim/JobExpectations.java
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -53,7 +53,8 @@
     String phase = line.word(2);
     return all(
         line,
-        (world, job) -> world.store.peek(JobRecord.FINAL + job).path("p").asText().equals(phase));
+        (world, job) ->
+            world.store.peek(JobRecord.FINAL_PREFIX + job).path("p").asText().equals(phase));
   }
 
   /** {@code begun-before JOB JOB}. */
@@ -81,7 +82,7 @@
     StringBuilder text = new StringBuilder();
     for (String job : jobs) {
       if (world.jobs.isSubmitted(job)) {
-        JsonNode record = world.store.peek(JobRecord.LIVE + job);
+        JsonNode record = world.store.peek(JobRecord.LIVE_PREFIX + job);
         text.append(" [")
             .append(job)
             .append(' ')
--- a/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
+++ b/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
@@ -52,7 +52,7 @@
 
   private static void plant(World world, String job, String machine) {
     JobPlan plan = JobPlan.builder().team("t").tasks(TASKS).cpus(1).runS(10).build();
-    world.store.poke(JobRecord.LIVE + job, record(job, plan, machine).write());
+    world.store.poke(JobRecord.LIVE_PREFIX + job, record(job, plan, machine).write());
     world.users.submit(job, plan);
   }
 
--- a/src/test/java/shorecrank/sim/RecordedUseRule.java
+++ b/src/test/java/shorecrank/sim/RecordedUseRule.java
@@ -28,7 +28,7 @@
     Map<String, JsonNode> written = new HashMap<>();
     for (JsonNode operation : operations) {
       String key = operation.path("write").asText();
-      if (key.startsWith(JobRecord.LIVE)) {
+      if (key.startsWith(JobRecord.LIVE_PREFIX)) {
         written.put(key, operation.path("data"));
       }
     }
@@ -49,7 +49,7 @@
 
   /** Takes in what came into records otherwise, and which of them are gone. */
   private void refresh() {
-    List<String> keys = world().store.keys(JobRecord.LIVE);
+    List<String> keys = world().store.keys(JobRecord.LIVE_PREFIX);
     records.keySet().retainAll(Set.copyOf(keys));
     for (String key : keys) {
       JsonNode stored = world().store.peek(key);
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -108,7 +108,8 @@
     for (JsonNode o : operations) {
       traffic.bytes += Json.bytes(o).length;
       String key = o.path("write").asText();
-      boolean was = key.startsWith(JobRecord.LIVE) && JobRecord.isDense(world.store.peek(key));
+      boolean was =
+          key.startsWith(JobRecord.LIVE_PREFIX) && JobRecord.isDense(world.store.peek(key));
       traffic.rewrites += was ? 1 : 0;
     }
   }
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -61,7 +61,8 @@
 
   private void checkOperation(JsonNode operation, RolloutState before) {
     String key = operation.path("write").asText();
-    boolean dense = key.startsWith(JobRecord.LIVE) && JobRecord.isDense(operation.path("data"));
+    boolean dense =
+        key.startsWith(JobRecord.LIVE_PREFIX) && JobRecord.isDense(operation.path("data"));
     if (dense && !before.writeLevel().includes(Feature.DENSE_RECORDS.level())) {
       report("form_above_level: " + key);
     }
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -169,7 +169,7 @@
 
   /** How many live records are in the dense form. */
   long denseRecords() {
-    return world.store.keys(JobRecord.LIVE).stream()
+    return world.store.keys(JobRecord.LIVE_PREFIX).stream()
         .filter(key -> JobRecord.isDense(world.store.peek(key)))
         .count();
   }
--- a/src/test/java/shorecrank/sim/ServiceFaults.java
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -74,7 +74,7 @@
 
   /** {@code foreign-write JOB BY}: a stranger writes the record, at an epoch higher by so much. */
   private static Action foreignWrite(ScenarioLine line) {
-    String key = JobRecord.LIVE + line.word(1);
+    String key = JobRecord.LIVE_PREFIX + line.word(1);
     long by = line.whole(2);
     return world -> {
       ObjectNode record = world.store.peek(key).deepCopy();
@@ -85,7 +85,7 @@
 
   /** {@code remove-record JOB}: a stranger removes the record. */
   private static Action removeRecord(ScenarioLine line) {
-    String key = JobRecord.LIVE + line.word(1);
+    String key = JobRecord.LIVE_PREFIX + line.word(1);
     return world -> world.store.poke(key, null);
   }
 }
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -85,7 +85,7 @@
       int shard = ShardId.of(world.record("wk-1", 1).spec().team(), 2).value();
       world.writeAssignment(1, recordFirst ? shard : 1 - shard);
       world.assertSound();
-      world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 1).write());
+      world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
       if (recordFirst) {
         world.assertSound();
         world.writeAssignment(1, 1 - shard);
@@ -114,9 +114,9 @@
     PlantedWorld world = ofLevels("0-1", "0-1");
     world.submit("wk-1", JobPlan.builder());
     JobRecord record = world.record("wk-1", 1);
-    world.write(JobRecord.LIVE + "wk-1", record.write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-1", record.write());
     world.assertSound();
-    world.write(JobRecord.LIVE + "wk-1", record.writeDense());
+    world.write(JobRecord.LIVE_PREFIX + "wk-1", record.writeDense());
     world.assertBroken("form_above_level: j/wk-1");
   }
 
@@ -142,7 +142,7 @@
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
     world.submit("wk-1", JobPlan.builder());
-    world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 1).writeDense());
+    world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).writeDense());
     world.assertSound();
     world.write(RolloutMessages.KEY, level(FeatureLevel.LOWEST));
     world.assertBroken("fell_too_early: 1 dense records left");
--- a/src/test/java/shorecrank/sim/TaskRulesTest.java
+++ b/src/test/java/shorecrank/sim/TaskRulesTest.java
@@ -57,11 +57,11 @@
   void recordsThatNameMoreThanATeamsLimitAreFound() throws Exception {
     world.accept("wk-1", JobPlan.builder().cpus(8));
     world.accept("wk-2", JobPlan.builder().cpus(1));
-    world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 1).write());
-    world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 2).write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 2).write());
     world.assertSound();
-    world.write(JobRecord.LIVE + "wk-2", world.record("wk-2", 2).write());
-    world.write(JobRecord.LIVE + "wk-2", world.record("wk-2", 2).write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-2", world.record("wk-2", 2).write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-2", world.record("wk-2", 2).write());
     world.assertBroken("recorded_use: records of team t name 9.0 CPUs");
   }
 
@@ -71,11 +71,11 @@
     world.accept("wk-2", JobPlan.builder().cpus(8));
     world.accept("wk-3", JobPlan.builder().cpus(8));
     world.writeEpoch(0, 1);
-    world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 1).write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
     world.commandStart(1, "wk-1/0", 1);
     world.commandStop(1, "wk-1/0", 1);
-    world.write(JobRecord.LIVE + "wk-2", world.record("wk-2", 2).marked().write());
-    world.write(JobRecord.LIVE + "wk-3", world.record("wk-3", 3).write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-2", world.record("wk-2", 2).marked().write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-3", world.record("wk-3", 3).write());
     world.assertSound();
   }
 
@@ -154,7 +154,7 @@
     world.accept("wk-2", JobPlan.builder().tasks(2).dependencies(List.of("wk-1")));
     world.start(1, "wk-2/0");
     world.assertBroken("too_early: wk-2/0 starts, wk-1 is not recorded as done");
-    world.write(JobRecord.FINAL + "wk-1", Json.object().put("p", "done"));
+    world.write(JobRecord.FINAL_PREFIX + "wk-1", Json.object().put("p", "done"));
     world.start(2, "wk-2/1");
     world.assertBroken("too_early: wk-2/0");
   }
@@ -163,7 +163,7 @@
   void aTaskThatIsStartedWithoutItsRecordIsFound() throws Exception {
     world.accept("wk-1", JobPlan.builder().tasks(2));
     world.writeEpoch(0, 1);
-    world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 1).write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
     world.commandStart(1, "wk-1/0", 1);
     world.assertSound();
     world.commandStart(1, "wk-1/1", 1);
@@ -174,7 +174,7 @@
   void aTaskThatIsReapedWhileItsRecordHasItLiveIsFound() throws Exception {
     world.accept("wk-1", JobPlan.builder());
     world.writeEpoch(0, 1);
-    world.write(JobRecord.LIVE + "wk-1", world.record("wk-1", 1).write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
     world.commandStart(1, "wk-1/0", 1);
     world.commandStop(1, "wk-1/0", 1);
     world.commandReap(1, "wk-1/0", 1);
@@ -249,7 +249,7 @@
   }
 
   private void record(String job) {
-    world.write(JobRecord.FINAL + job, Json.object().put("p", "done"));
+    world.write(JobRecord.FINAL_PREFIX + job, Json.object().put("p", "done"));
   }
 
   @Test
--- a/src/test/java/shorecrank/sim/WriteAheadRule.java
+++ b/src/test/java/shorecrank/sim/WriteAheadRule.java
@@ -29,7 +29,7 @@
   }
 
   private JobRecord record(String task) {
-    return JobRecord.read(world().store.peek(JobRecord.LIVE + SubmittedJobs.jobOf(task)));
+    return JobRecord.read(world().store.peek(JobRecord.LIVE_PREFIX + SubmittedJobs.jobOf(task)));
   }
 
   private static boolean isLive(
