--- a/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
+++ b/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
@@ -82,7 +82,7 @@
    * is added, guarded by the record's revision.
    */
   Transaction cancel(JobId id, Unfinished job, Form form) {
-    JobRecord marked = job.record().marked();
+    JobRecord marked = job.record().markedCancelled();
     String key = JobRecord.liveKey(id);
     return new Transaction()
         .guard(key, job.revision())
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -106,7 +106,7 @@
     if (result instanceof ReadResult.Found found) {
       inFlight.remove(id);
       // While it lives, the watch shows its mark or its end.
-      if (JobRecord.isMarked(found.entry().value())) {
+      if (JobRecord.isMarkedCancelled(found.entry().value())) {
         onCancelled.accept(id);
       }
     } else if (result instanceof ReadResult.Absent) {
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -253,7 +253,7 @@
    * or another.
    */
   private void handleChange(JobId id, Change change) {
-    boolean isMarked = JobRecord.isMarked(change.value());
+    boolean isMarked = JobRecord.isMarkedCancelled(change.value());
     if (isMarked) {
       cancellations.recordCancelled(id);
       dependencies.onJobCancelled(id);
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -90,7 +90,7 @@
   }
 
   /** The same record marked as cancelled. */
-  public JobRecord marked() {
+  public JobRecord markedCancelled() {
     return new JobRecord(
         spec, epoch, writer, sequence, done, live, attemptCount, true, acceptedAtMs, readyAtMs);
   }
@@ -133,8 +133,8 @@
   }
 
   /** Whether a stored record is marked as cancelled by its user; does not decode all of it. */
-  public static boolean isMarked(JsonNode value) {
-    return JobRecordCodec.isMarked(value);
+  public static boolean isMarkedCancelled(JsonNode value) {
+    return JobRecordCodec.isMarkedCancelled(value);
   }
 
   /**
--- a/src/main/java/shorecrank/storage/JobRecordCodec.java
+++ b/src/main/java/shorecrank/storage/JobRecordCodec.java
@@ -203,7 +203,7 @@
   }
 
   /** Whether the record is marked as cancelled by its user; reads no more than the head. */
-  static boolean isMarked(JsonNode value) {
+  static boolean isMarkedCancelled(JsonNode value) {
     return value != null && value.path(CANCELLED).asBoolean(false);
   }
 
--- a/src/test/java/shorecrank/sim/TaskRulesTest.java
+++ b/src/test/java/shorecrank/sim/TaskRulesTest.java
@@ -74,7 +74,7 @@
     world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
     world.commandStart(1, "wk-1/0", 1);
     world.commandStop(1, "wk-1/0", 1);
-    world.write(JobRecord.LIVE_PREFIX + "wk-2", world.record("wk-2", 2).marked().write());
+    world.write(JobRecord.LIVE_PREFIX + "wk-2", world.record("wk-2", 2).markedCancelled().write());
     world.write(JobRecord.LIVE_PREFIX + "wk-3", world.record("wk-3", 3).write());
     world.assertSound();
   }
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -65,7 +65,8 @@
         byte[] dense = Json.bytes(record.writeDense());
         assertEquals(record, JobRecord.read(Json.parse(dense)), names);
         assertTrue(dense.length < Json.bytes(record.write()).length, ranges + " " + names);
-        assertTrue(JobRecord.isDense(Json.parse(dense)) && JobRecord.isMarked(Json.parse(dense)));
+        assertTrue(
+            JobRecord.isDense(Json.parse(dense)) && JobRecord.isMarkedCancelled(Json.parse(dense)));
       }
       JobRecord record = scattered(ranges, "n-%06d");
       System.out.printf(
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/ProductionFormsTest.java
@@ -69,7 +69,7 @@
       for (JsonNode n : of(file, kind)) {
         assertSame(n);
         packed += n.has("z") ? 1 : 0;
-        marked += JobRecord.isMarked(n) ? 1 : 0;
+        marked += JobRecord.isMarkedCancelled(n) ? 1 : 0;
         assertFalse(n.path("s").has("prereqs"));
       }
     }
@@ -251,7 +251,7 @@
       ObjectNode compact = scattered.writeCompact();
       assertEquals(scattered, JobRecord.read(Json.parse(Json.bytes(compact))));
       assertTrue(Json.bytes(compact).length < Json.bytes(scattered.write()).length);
-      assertTrue(JobRecord.isMarked(compact));
+      assertTrue(JobRecord.isMarkedCancelled(compact));
     }
   }
 
