--- a/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
+++ b/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
@@ -86,7 +86,7 @@
    * revision. The record's epoch and writer remain those of the shard owner.
    */
   Transaction encodeCancellation(JobId id, Unfinished job, Form form) {
-    JobRecord marked = job.record().marked();
+    JobRecord marked = job.record().markedCancelled();
     String key = JobRecord.liveKey(id);
     return new Transaction()
         .guard(key, job.revision())
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -110,7 +110,7 @@
     if (result instanceof ReadResult.Found found) {
       inFlight.remove(id);
       // No further lookup is needed: the watch shows later changes and the deletion of the record.
-      if (JobRecord.isMarked(found.entry().value())) {
+      if (JobRecord.isMarkedCancelled(found.entry().value())) {
         onCancelled.accept(id);
       }
     } else if (result instanceof ReadResult.Absent) {
