--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -109,7 +109,7 @@
         new SharesState(0, 1, List.of(), List.of(), List.of(), List.of());
 
     /** The active move of a machine; null if there is none. */
-    public Move moveOf(MachineName machine) {
+    public Move activeMoveOf(MachineName machine) {
       for (Move move : active) {
         if (move.machine.equals(machine)) {
           return move;
@@ -119,7 +119,7 @@
     }
 
     /** The same with other moves under way. */
-    public SharesState withActive(List<Move> moves) {
+    public SharesState withActiveMoves(List<Move> moves) {
       return new SharesState(shards, nextMove, List.copyOf(moves), ended, teams, recentOrders);
     }
 
@@ -129,7 +129,7 @@
     }
 
     /** The same with moves that begin; their numbers follow each other from the next. */
-    public SharesState withBegun(List<Move> begun) {
+    public SharesState withNewMoves(List<Move> begun) {
       List<Move> all = new ArrayList<>(active);
       all.addAll(begun);
       long next = nextMove + begun.size();
@@ -141,7 +141,7 @@
      *
      * @param mostEnded how many of the moves that ended are kept
      */
-    public SharesState withChanged(Move changed, int mostEnded) {
+    public SharesState withUpdatedMove(Move changed, int mostEnded) {
       List<Move> moves = new ArrayList<>(active);
       moves.replaceAll(move -> move.id.equals(changed.id) ? changed : move);
       moves.removeIf(move -> move.phase.isEnd());
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -127,7 +127,7 @@
     }
     handover.refused(isConflict);
     for (MachineName machine : handover.machines()) {
-      Move move = store.state().moveOf(machine);
+      Move move = store.state().activeMoveOf(machine);
       if (move != null) {
         reports.revokeRelease(move);
       }
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -142,7 +142,7 @@
     SharesState state = store.state();
     List<Move> moves = planner.plan(state, reasonsAgainstMoves);
     if (!moves.isEmpty()) {
-      committer.write(state.withShards(fleet.shards()).withBegun(moves), isCommitted -> {});
+      committer.write(state.withShards(fleet.shards()).withNewMoves(moves), isCommitted -> {});
     }
   }
 
--- a/src/main/java/shorecrank/rebalance/MoveOrders.java
+++ b/src/main/java/shorecrank/rebalance/MoveOrders.java
@@ -50,7 +50,7 @@
       }
     }
     for (MachineName machine : fleet.ordered()) {
-      if (store.state().moveOf(machine) == null) {
+      if (store.state().activeMoveOf(machine) == null) {
         fleet.keep(machine);
       }
     }
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -87,7 +87,7 @@
   }
 
   private static SharesState changed(SharesState state, Move move) {
-    return state.withChanged(move, MoveCapacity.KEPT_ENDED);
+    return state.withUpdatedMove(move, MoveCapacity.KEPT_ENDED);
   }
 
   /** Null if nothing is to be assigned, or not now. */
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -67,7 +67,7 @@
     reports.put(
         report.shard(), new Report(demand, report.repeatsMoves(), draining, environment.now()));
     for (MachineHandover handover : report.handovers()) {
-      Move move = state.moveOf(handover.machine());
+      Move move = state.activeMoveOf(handover.machine());
       if (move != null && move.id().equals(handover.move()) && move.from().equals(report.shard())) {
         released.add(move.id());
       }
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -122,7 +122,7 @@
       present.put(new ShardId(i), 0.0);
     }
     for (FleetMachine machine : fleet.machines()) {
-      Move move = state.moveOf(machine.name());
+      Move move = state.activeMoveOf(machine.name());
       ShardId shard = move == null ? machine.shard() : move.to();
       present.merge(shard, machine.cpus(), Double::sum);
     }
@@ -152,7 +152,7 @@
             (name, shard) -> {
               FleetMachine machine = fleet.machine(name);
               boolean isElsewhere = machine != null && !machine.shard().equals(shard);
-              boolean isFree = isElsewhere && state.moveOf(name) == null;
+              boolean isFree = isElsewhere && state.activeMoveOf(name) == null;
               if (isFree && moves.size() < capacity.room(state)) {
                 environment.info(
                     "machine.reclaimed machine=%s shard=%s assigned_to=%s",
@@ -175,7 +175,7 @@
             present,
             demands,
             receiving(present, demands),
-            machine -> !times.isResting(machine) && state.moveOf(machine) == null);
+            machine -> !times.isResting(machine) && state.activeMoveOf(machine) == null);
     MovePlanner planner = new MovePlanner(situation, fleet.machines(), settings.tolerance());
     List<Move> moves = new ArrayList<>();
     for (Planned planned : planner.plan(most)) {
--- a/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
@@ -49,7 +49,7 @@
     if (jobsAreGone && shares.isIdle()) {
       jobsAreGone = false;
       shares.write(
-          shares.state().withShards(configured).withActive(List.of()),
+          shares.state().withShards(configured).withActiveMoves(List.of()),
           transaction -> {},
           result -> {});
       return;
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -207,7 +207,7 @@
     }
     String text = "%d machines move to %s: %s".formatted(begun.size(), order.to(), names(chosen));
     List<MoveId> ids = begun.stream().map(Move::id).toList();
-    return accepted(order, content, state.withBegun(begun), text, ids);
+    return accepted(order, content, state.withNewMoves(begun), text, ids);
   }
 
   private void checkShard(ShardId shard) throws Refused {
@@ -229,7 +229,7 @@
       if (machine == null) {
         throw new Refused("unknown machine " + name);
       }
-      Move other = state.moveOf(name);
+      Move other = state.activeMoveOf(name);
       if (other != null) {
         throw new Refused("machine %s is moving already: %s".formatted(name, described(other)));
       }
@@ -257,7 +257,7 @@
     for (MachineName name : inOrder) {
       FleetMachine machine = fleet.machine(name);
       boolean isFree =
-          machine != null && machine.shard().equals(order.from()) && state.moveOf(name) == null;
+          machine != null && machine.shard().equals(order.from()) && state.activeMoveOf(name) == null;
       if (isFree && chosen.size() < order.count()) {
         chosen.add(name);
       }
@@ -285,7 +285,7 @@
         areHandedOver = true;
       } else if (isMeant) {
         Move cancelled = move.aborted(MoveRules.Reason.ORDERED.text());
-        next = next.withChanged(cancelled, MoveCapacity.KEPT_ENDED);
+        next = next.withUpdatedMove(cancelled, MoveCapacity.KEPT_ENDED);
         ended.add(move.id());
       }
     }
--- a/src/main/java/shorecrank/rollout/DowngradeCodec.java
+++ b/src/main/java/shorecrank/rollout/DowngradeCodec.java
@@ -86,7 +86,7 @@
       SharesState state = ShareStateCodec.read(stored).orElse(null);
       return state == null
           ? List.of()
-          : List.of(ShareStateCodec.write(state.withActive(List.of()).withShards(0)));
+          : List.of(ShareStateCodec.write(state.withActiveMoves(List.of()).withShards(0)));
     }
   }
 }
--- a/src/test/java/shorecrank/rebalance/ShareFormsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareFormsTest.java
@@ -68,10 +68,10 @@
 
   @Test
   void moveNumbersRiseAndMovesEndOnce() {
-    SharesState begun = STATE.withBegun(List.of(move(9, "n-3", MovePhase.REQUESTED)));
+    SharesState begun = STATE.withNewMoves(List.of(move(9, "n-3", MovePhase.REQUESTED)));
     assertEquals(10, begun.nextMove());
-    SharesState ended = begun.withChanged(move(7, "n-1", MovePhase.ABORTED), 2);
-    assertNull(ended.moveOf(new MachineName("n-1")));
+    SharesState ended = begun.withUpdatedMove(move(7, "n-1", MovePhase.ABORTED), 2);
+    assertNull(ended.activeMoveOf(new MachineName("n-1")));
     assertEquals(List.of(4L, 7L), ended.ended().stream().map(move -> move.id().value()).toList());
   }
 
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -66,7 +66,7 @@
 
   private void checkMoves(SharesState before, SharesState after) {
     for (Move move : after.active()) {
-      Move earlier = before.moveOf(move.machine());
+      Move earlier = before.activeMoveOf(move.machine());
       boolean same = earlier != null && earlier.id().equals(move.id());
       if (!same && move.id().value() < before.nextMove()) {
         report("move_id_reused: " + move.id());
@@ -107,8 +107,8 @@
 
   private static boolean isHandedOver(
       MachineName machine, int from, int to, SharesState before, SharesState after) {
-    Move move = after.moveOf(machine);
-    Move earlier = before.moveOf(machine);
+    Move move = after.activeMoveOf(machine);
+    Move earlier = before.activeMoveOf(machine);
     return move != null
         && earlier != null
         && move.phase() == MovePhase.HANDED_OVER
