--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -59,7 +59,7 @@
       String reason) {
 
     /** This move in another phase. */
-    public Move in(MovePhase next) {
+    public Move withPhase(MovePhase next) {
       return new Move(id, machine, from, to, term, next, order, beganMs, reason);
     }
 
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -60,14 +60,14 @@
       Step step = MoveRules.next(move, observe(move), timeoutS);
       switch (step.action()) {
         case STAY -> {}
-        case NOTE_DRAINING -> next = changed(next, move.in(MovePhase.DRAINING));
+        case NOTE_DRAINING -> next = changed(next, move.withPhase(MovePhase.DRAINING));
         case HAND_OVER -> {
           if (isEpochAbove(move)) {
             assignments.put(move.machine(), move.to());
             released.add(move);
           }
         }
-        case FINISH -> next = changed(next, move.in(MovePhase.DONE));
+        case FINISH -> next = changed(next, move.withPhase(MovePhase.DONE));
         case ABORT -> next = changed(next, move.aborted(step.reason().text()));
       }
     }
@@ -75,7 +75,7 @@
     if (handover != null) {
       for (Move move : released) {
         if (handover.machines().contains(move.machine())) {
-          next = changed(next, move.in(MovePhase.HANDED_OVER));
+          next = changed(next, move.withPhase(MovePhase.HANDED_OVER));
         }
       }
     }
