--- a/src/main/java/shorecrank/protocol/ShardDemandMessages.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandMessages.java
@@ -60,7 +60,7 @@
       List<MoveId> arrived) {
 
     /** The processors that all waiting tasks ask for, whatever their priority. */
-    public double allWaiting() {
+    public double totalWaiting() {
       return waiting.stream().mapToDouble(Double::doubleValue).sum();
     }
   }
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -192,7 +192,7 @@
         (shard, target) -> {
           ShardDemand demand = demands.get(shard);
           boolean isLacking =
-              demand != null && demand.allWaiting() > 0 && target > present.get(shard);
+              demand != null && demand.totalWaiting() > 0 && target > present.get(shard);
           if (!isLacking) {
             lackingSince.remove(shard);
             return;
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -59,7 +59,7 @@
 
   private static double needed(Claim claim) {
     ShardDemand demand = claim.demand();
-    double need = demand == null ? claim.present() : demand.running() + demand.allWaiting();
+    double need = demand == null ? claim.present() : demand.running() + demand.totalWaiting();
     return Math.max(lowest(claim), Math.min(need, claim.share().maxCpus()));
   }
 
@@ -69,7 +69,7 @@
     if (demand == null) {
       return claim.share().weight();
     }
-    double waiting = demand.allWaiting();
+    double waiting = demand.totalWaiting();
     double factor = 1;
     if (waiting > EPSILON) {
       double weighted = 0;
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/StatusView.java
@@ -69,7 +69,7 @@
         cpus,
         targets.getOrDefault(shard, 0.0),
         demand.map(ShardDemand::running).orElse(0.0),
-        demand.map(ShardDemand::allWaiting).orElse(0.0),
+        demand.map(ShardDemand::totalWaiting).orElse(0.0),
         teams.teamsOf(shard));
   }
 
