--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -20,7 +20,7 @@
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.JobSpec.Priority;
-import shorecrank.protocol.ShardDemandMessages.Candidate;
+import shorecrank.protocol.ShardDemandMessages.DrainCandidate;
 import shorecrank.protocol.ShardDemandMessages.DrainProgress;
 import shorecrank.protocol.ShardDemandMessages.DrainState;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
@@ -50,7 +50,7 @@
     }
     double capacity = 0;
     double running = 0;
-    List<Candidate> candidates = new ArrayList<>();
+    List<DrainCandidate> candidates = new ArrayList<>();
     List<DrainProgress> draining = new ArrayList<>();
     List<MoveId> arrived = new ArrayList<>();
     for (Machine machine : shard.machines().values()) {
@@ -64,13 +64,13 @@
         }
         if (shard.isUsable(machine) || machine.isDraining()) {
           candidates.add(
-              new Candidate(machine.name(), machine.type().cpus(), secondsUntilEmpty(machine)));
+              new DrainCandidate(machine.name(), machine.type().cpus(), secondsUntilEmpty(machine)));
         }
       }
     }
     candidates.sort(
-        Comparator.comparingDouble(Candidate::emptyInS).thenComparing(Candidate::machine));
-    List<Candidate> soonest =
+        Comparator.comparingDouble(DrainCandidate::emptyInS).thenComparing(DrainCandidate::machine));
+    List<DrainCandidate> soonest =
         List.copyOf(candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size())));
     QueueSummary queue = queue();
     return Optional.of(
--- a/src/main/java/shorecrank/protocol/ShardDemandCodec.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandCodec.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MoveId;
-import shorecrank.protocol.ShardDemandMessages.Candidate;
+import shorecrank.protocol.ShardDemandMessages.DrainCandidate;
 import shorecrank.protocol.ShardDemandMessages.DrainProgress;
 import shorecrank.protocol.ShardDemandMessages.DrainState;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
@@ -46,7 +46,7 @@
       offers.addArray().add(offer.type()).add(offer.zone()).add(offer.spot());
     }
     ArrayNode candidates = message.putArray(CANDIDATES);
-    for (Candidate candidate : demand.candidates()) {
+    for (DrainCandidate candidate : demand.candidates()) {
       ArrayNode columns = candidates.addArray().add(candidate.machine().value());
       columns.add(candidate.cpus()).add(candidate.emptyInS());
     }
@@ -85,10 +85,10 @@
       String type = Fields.text(columns.path(0), USABLE_OFFERS);
       offers.add(new Offer(type, Json.text(columns.path(1)), columns.path(2).asBoolean()));
     }
-    List<Candidate> candidates = new ArrayList<>();
+    List<DrainCandidate> candidates = new ArrayList<>();
     for (JsonNode columns : list(message, CANDIDATES)) {
       candidates.add(
-          new Candidate(
+          new DrainCandidate(
               Fields.machine(columns.path(0), CANDIDATES),
               Fields.amount(columns.path(1), CANDIDATES, MAX_CPUS),
               Fields.amount(columns.path(2), CANDIDATES, MAX_SECONDS)));
--- a/src/main/java/shorecrank/protocol/ShardDemandMessages.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandMessages.java
@@ -14,7 +14,7 @@
    *
    * @param emptyInS in how many seconds it would be empty
    */
-  public record Candidate(MachineName machine, double cpus, double emptyInS) {}
+  public record DrainCandidate(MachineName machine, double cpus, double emptyInS) {}
 
   /** What keeps a machine from being handed over. */
   public enum DrainState {
@@ -55,7 +55,7 @@
       double guaranteed,
       double oldestWaitS,
       List<Offer> usableOffers,
-      List<Candidate> candidates,
+      List<DrainCandidate> candidates,
       List<DrainProgress> draining,
       List<MoveId> arrived) {
 
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShardDemandMessages.Candidate;
+import shorecrank.protocol.ShardDemandMessages.DrainCandidate;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.rebalance.ShareFleet.FleetMachine;
 
@@ -104,7 +104,7 @@
   }
 
   private Planned choose(ShardId from, ShardId to) {
-    for (Candidate candidate : situation.demands().get(from).candidates()) {
+    for (DrainCandidate candidate : situation.demands().get(from).candidates()) {
       FleetMachine machine = machines.get(candidate.machine());
       boolean isUsable =
           machine != null
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -14,7 +14,7 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShardDemandMessages.Candidate;
+import shorecrank.protocol.ShardDemandMessages.DrainCandidate;
 import shorecrank.protocol.ShardDemandMessages.DrainProgress;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.protocol.ShareStateMessages.Move;
@@ -103,7 +103,7 @@
   /** The machines that a shard's owner would give up, the first one first. */
   List<MachineName> candidates(ShardId shard) {
     return freshDemand(shard)
-        .map(demand -> demand.candidates().stream().map(Candidate::machine).toList())
+        .map(demand -> demand.candidates().stream().map(DrainCandidate::machine).toList())
         .orElse(List.of());
   }
 
--- a/src/test/java/shorecrank/rebalance/MovePlannerTest.java
+++ b/src/test/java/shorecrank/rebalance/MovePlannerTest.java
@@ -11,7 +11,7 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
-import shorecrank.protocol.ShardDemandMessages.Candidate;
+import shorecrank.protocol.ShardDemandMessages.DrainCandidate;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.rebalance.MovePlanner.Planned;
 import shorecrank.rebalance.MovePlanner.Situation;
@@ -23,7 +23,7 @@
   private static final ShardId B = new ShardId(1);
   private static final Offer KIND = new Offer("p8", "a", true);
 
-  private static ShardDemand demand(double running, double urgent, List<Candidate> candidates) {
+  private static ShardDemand demand(double running, double urgent, List<DrainCandidate> candidates) {
     return new ShardDemand(
         running,
         running,
@@ -42,11 +42,11 @@
 
   private static List<String> planned(double presentA, double targetA, int most, String resting) {
     List<FleetMachine> machines = List.of(machine("n-1"), machine("n-2"), machine("n-3"));
-    List<Candidate> candidates =
+    List<DrainCandidate> candidates =
         List.of(
-            new Candidate(new MachineName("n-3"), 8, 0),
-            new Candidate(new MachineName("n-1"), 8, 2),
-            new Candidate(new MachineName("n-2"), 8, 9));
+            new DrainCandidate(new MachineName("n-3"), 8, 0),
+            new DrainCandidate(new MachineName("n-1"), 8, 2),
+            new DrainCandidate(new MachineName("n-2"), 8, 9));
     Situation situation =
         new Situation(
             Map.of(A, targetA, B, 24 - targetA),
