--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -89,7 +89,7 @@
 
   @Override
   public void handleReport(ShardReport report) {
-    if (!report.repeatsMoves()) {
+    if (!report.echoesMoveIds()) {
       // An owner of an earlier version doesn't repeat the move's id, so its handover could be
       // premature or belong to a move that has ended. Its machines are therefore kept.
       keepAll(report.shard());
--- a/src/main/java/shorecrank/protocol/HeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatCodec.java
@@ -90,7 +90,7 @@
   private static void putMoves(ObjectNode object, ShardReport report) {
     ArrayNode machines = object.putArray(HANDOVERS);
     report.handovers().forEach(handover -> machines.add(handover.machine().value()));
-    if (report.repeatsMoves()) {
+    if (report.echoesMoveIds()) {
       ArrayNode moves = object.putArray(MOVES);
       report.handovers().forEach(handover -> moves.add(handover.move().value()));
     }
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -53,7 +53,7 @@
    * @param spareMachines machines that have been empty for a while
    * @param handovers machines emptied to be handed over to another shard
    * @param misplaced machines that records of this shard name although they are assigned to another
-   * @param repeatsMoves whether the owner repeats the order's id when it hands a machine over
+   * @param echoesMoveIds whether the owner repeats the order's id when it hands a machine over
    * @param demand what the shard needs and could give up; null where shares are not enabled
    */
   public record ShardReport(
@@ -67,7 +67,7 @@
       List<MachineName> spareMachines,
       List<MachineHandover> handovers,
       List<MachineName> misplaced,
-      boolean repeatsMoves,
+      boolean echoesMoveIds,
       ShardDemand demand) {
     /** The report of an owner that can't serve the shard under its present epoch. */
     public static ShardReport refused(ShardId shard, Epoch epoch) {
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -65,7 +65,7 @@
       arrived.addAll(demand.arrived());
     }
     reports.put(
-        report.shard(), new Report(demand, report.repeatsMoves(), draining, environment.now()));
+        report.shard(), new Report(demand, report.echoesMoveIds(), draining, environment.now()));
     for (MachineHandover handover : report.handovers()) {
       Move move = state.activeMoveOf(handover.machine());
       if (move != null && move.id().equals(handover.move()) && move.from().equals(report.shard())) {
