--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -176,8 +176,8 @@
     } else if (attempt.isRevoked() || machine.isReleasing()) {
       commands.add(new Stop(attempt.id(), checkpointS + CHECKPOINT_MARGIN_S));
     } else if (machine.isPreemptionNoticed() && job.spec().checkpointIntervalS() > 0) {
-      double noticeS = machine.session().lastHeartbeat().noticeS();
-      commands.add(new Stop(attempt.id(), Math.max(checkpointS, noticeS)));
+      double reclaimInS = machine.session().lastHeartbeat().reclaimInS();
+      commands.add(new Stop(attempt.id(), Math.max(checkpointS, reclaimInS)));
     }
   }
 
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -54,7 +54,7 @@
    *
    * @param token the highest fencing token that the worker has seen
    * @param address where it takes direct commands, as IP address and port; empty if it names none
-   * @param noticeS seconds until the cloud takes the machine back; negative if there is no notice
+   * @param reclaimInS seconds until the cloud takes the machine back; negative if there is no notice
    * @param tasks all attempts on the machine, also those that have exited and are not reaped yet
    */
   public record WorkerHeartbeat(
@@ -66,11 +66,11 @@
       long sequence,
       FencingToken token,
       String address,
-      double noticeS,
+      double reclaimInS,
       List<TaskStatus> tasks) {
     /** Whether the cloud has announced that it takes the machine back. */
     public boolean hasPreemptionNotice() {
-      return noticeS >= 0;
+      return reclaimInS >= 0;
     }
   }
 
