--- a/src/main/java/shorecrank/coordination/scheduling/OfferAvailability.java
+++ b/src/main/java/shorecrank/coordination/scheduling/OfferAvailability.java
@@ -19,7 +19,7 @@
   void update(List<UnavailableOffer> unavailable, MonotonicTime now) {
     unavailableUntil.clear();
     for (UnavailableOffer entry : unavailable) {
-      unavailableUntil.put(entry.offer(), now.plus(entry.forMs()));
+      unavailableUntil.put(entry.offer(), now.plus(entry.retryAfterMs()));
       lastUnavailable.put(entry.offer(), now);
     }
   }
--- a/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
@@ -59,7 +59,7 @@
     PeerFields.putNames(message, RELEASED, answer.released());
     ArrayNode offers = message.putArray(OFFERS_WITHOUT_CAPACITY);
     for (UnavailableOffer offer : answer.offersWithoutCapacity()) {
-      PeerFields.putOffer(offers.addObject(), offer.offer()).put(FOR_MS, offer.forMs());
+      PeerFields.putOffer(offers.addObject(), offer.offer()).put(FOR_MS, offer.retryAfterMs());
     }
     if (answer.rolloutNotice() != null) {
       message.set(RolloutCodec.HEARTBEAT_FIELD, RolloutCodec.writeNotice(answer.rolloutNotice()));
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -135,8 +135,8 @@
       boolean handoverRequested,
       MoveId move) {}
 
-  /** An offer that the cloud lately refused; it is not asked for again for {@code forMs}. */
-  public record UnavailableOffer(Offer offer, long forMs) {}
+  /** An offer that the cloud lately refused; it is not asked for again for {@code retryAfterMs}. */
+  public record UnavailableOffer(Offer offer, long retryAfterMs) {}
 
   /**
    * The leader's answer to a heartbeat.
