--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -242,7 +242,7 @@
           values(entry.getKey(), inBucket.stream().map(AssignedMachine::assignment).toList());
       boolean full =
           batch.values().size() + values.byKey().size() > maxValues
-              || bytes + values.bytes() > StoreMessages.TXN_FILL_BYTES;
+              || bytes + values.bytes() > StoreMessages.MAX_BATCH_BYTES;
       if (!batch.buckets().isEmpty() && full) {
         break;
       }
--- a/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
@@ -52,7 +52,7 @@
     boolean isNewBucket = !buckets.containsKey(bucket);
     int operations = values.size() + (isNewBucket ? written.byKey().size() : 0);
     int addedBytes = isNewBucket ? written.bytes() : 0;
-    if (operations > maxOperations || bytes + addedBytes > StoreMessages.TXN_FILL_BYTES) {
+    if (operations > maxOperations || bytes + addedBytes > StoreMessages.MAX_BATCH_BYTES) {
       return;
     }
     bytes += addedBytes;
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -209,7 +209,7 @@
       int operations = operations(job);
       return !mustBeSeparate
           && transaction.operationCount() + operations <= context.config().state().txnOps()
-          && (bytes == 0 || bytes + maxValueBytes() <= StoreMessages.TXN_FILL_BYTES)
+          && (bytes == 0 || bytes + maxValueBytes() <= StoreMessages.MAX_BATCH_BYTES)
           && limiter(job).has(operations, now);
     }
 
--- a/src/main/java/shorecrank/protocol/StoreMessages.java
+++ b/src/main/java/shorecrank/protocol/StoreMessages.java
@@ -8,7 +8,7 @@
 /** What the state service holds, and transactions on it. */
 public final class StoreMessages {
   /** A transaction is filled up to here: the service takes 64 KiB, guards included. */
-  public static final int TXN_FILL_BYTES = 56 * 1024;
+  public static final int MAX_BATCH_BYTES = 56 * 1024;
 
   private StoreMessages() {}
 
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -188,7 +188,7 @@
     while (!pending.isEmpty() && batch.size() < most) {
       Rewrite next = pending.peek();
       bytes += next.bytes();
-      boolean isFull = !batch.isEmpty() && bytes > StoreMessages.TXN_FILL_BYTES;
+      boolean isFull = !batch.isEmpty() && bytes > StoreMessages.MAX_BATCH_BYTES;
       if (isFull || !rate.tryTake(1, environment.now())) {
         break;
       }
