--- a/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/EpochCounterCodec.java
@@ -17,6 +17,6 @@
 
   /** Returns the highest allocated epoch; a negative number if the value is malformed. */
   static long read(JsonNode value) {
-    return Json.count(value.path(VALUE));
+    return Json.countOrMinusOne(value.path(VALUE));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderNameCodec.java
@@ -55,7 +55,7 @@
    * case.
    */
   static FeatureLevel readLevel(JsonNode value) {
-    long level = Json.count(value.path(LEVEL));
+    long level = Json.countOrMinusOne(value.path(LEVEL));
     return new FeatureLevel((int) Math.max(LOWEST_PROTECTED_LEVEL, level));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
@@ -81,8 +81,8 @@
 
   private static Optional<StoredAssignment> read(JsonNode fields, int shards) {
     String name = Json.text(fields.path(NAME));
-    long shard = Json.count(fields.path(SHARD));
-    long epoch = Json.count(fields.path(EPOCH));
+    long shard = Json.countOrMinusOne(fields.path(SHARD));
+    long epoch = Json.countOrMinusOne(fields.path(EPOCH));
     if (name.isEmpty() || shard < 0 || shard >= shards || epoch < 0) {
       return Optional.empty();
     }
--- a/src/main/java/shorecrank/coordination/leader/ShardOwnerCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardOwnerCodec.java
@@ -37,7 +37,7 @@
   /** Decodes a shard's owner; the shard's number is negative if the value is malformed. */
   public static OwnerInfo read(JsonNode value) {
     return new OwnerInfo(
-        new ShardId((int) Json.count(value.path(SHARD))),
+        new ShardId((int) Json.countOrMinusOne(value.path(SHARD))),
         new ControllerName(Json.text(value.path(OWNER))),
         new Epoch(value.path(EPOCH).asLong()));
   }
--- a/src/main/java/shorecrank/protocol/CancellationCodec.java
+++ b/src/main/java/shorecrank/protocol/CancellationCodec.java
@@ -28,9 +28,9 @@
 
   /** Reads a question; one that names no limit takes the default number of cancellations. */
   public static ConfirmationQuery readQuery(JsonNode message) {
-    long limit = Math.min(Integer.MAX_VALUE, Json.count(message.path(LIMIT)));
+    long limit = Math.min(Integer.MAX_VALUE, Json.countOrMinusOne(message.path(LIMIT)));
     return new ConfirmationQuery(
-        Json.count(message.path(WITHIN_MS)),
+        Json.countOrMinusOne(message.path(WITHIN_MS)),
         (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, limit));
   }
 
--- a/src/main/java/shorecrank/protocol/Fields.java
+++ b/src/main/java/shorecrank/protocol/Fields.java
@@ -22,7 +22,7 @@
 
   /** A whole number from 0 to {@code most}. */
   static long count(JsonNode value, String field, long most) throws MalformedMessageException {
-    long count = Json.count(value);
+    long count = Json.countOrMinusOne(value);
     if (count < 0 || count > most) {
       throw new MalformedMessageException(field, "must be a whole number from 0 to " + most);
     }
@@ -78,7 +78,7 @@
 
   /** A move's id, or {@link MoveId#NONE} if the field holds none. */
   static MoveId moveOrNone(JsonNode value) {
-    return new MoveId(Math.max(0, Json.count(value)));
+    return new MoveId(Math.max(0, Json.countOrMinusOne(value)));
   }
 
   /** A shard's number. */
--- a/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
@@ -124,7 +124,7 @@
         PeerFields.machine(object),
         PeerFields.shard(object),
         object.path(AGE_MS).asLong(),
-        new Epoch(Math.max(0, Json.count(object.path(TERM)))),
+        new Epoch(Math.max(0, Json.countOrMinusOne(object.path(TERM)))),
         object.path(HANDOVER_REQUESTED).asBoolean(),
         Fields.moveOrNone(object.path(MOVE)));
   }
--- a/src/main/java/shorecrank/protocol/JobSpecCodec.java
+++ b/src/main/java/shorecrank/protocol/JobSpecCodec.java
@@ -132,7 +132,7 @@
   }
 
   private static int readTasks(JsonNode value) throws MalformedMessageException {
-    long tasks = Json.count(value);
+    long tasks = Json.countOrMinusOne(value);
     if (tasks < 1 || tasks > JobSpec.MAX_TASKS) {
       throw new MalformedMessageException(
           TASKS, "must be a whole number from 1 to " + JobSpec.MAX_TASKS);
--- a/src/main/java/shorecrank/protocol/Json.java
+++ b/src/main/java/shorecrank/protocol/Json.java
@@ -66,7 +66,7 @@
   }
 
   /** A whole number from 0 up, or -1 if the field holds anything else. */
-  public static long count(JsonNode value) {
+  public static long countOrMinusOne(JsonNode value) {
     boolean isCount =
         value.isIntegralNumber() && value.canConvertToLong() && value.longValue() >= 0;
     return isCount ? value.longValue() : -1;
--- a/src/main/java/shorecrank/protocol/RolloutCodec.java
+++ b/src/main/java/shorecrank/protocol/RolloutCodec.java
@@ -82,7 +82,7 @@
     RolloutPhase phase = readPhase(value.path(PHASE));
     FeatureLevel level = readLevel(value.path(LEVEL), LEVEL);
     FeatureLevel target = readLevel(value.path(TARGET), TARGET);
-    if (Json.count(value.path(FORMAT)) != FORMAT_VERSION) {
+    if (Json.countOrMinusOne(value.path(FORMAT)) != FORMAT_VERSION) {
       throw new MalformedMessageException(FORMAT, "must be " + FORMAT_VERSION);
     }
     boolean consistent =
--- a/src/main/java/shorecrank/protocol/ShareStateCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStateCodec.java
@@ -94,7 +94,7 @@
   }
 
   private static SharesState readChecked(JsonNode value) throws MalformedMessageException {
-    if (Json.count(value.path(FORMAT)) != FORMAT_VERSION) {
+    if (Json.countOrMinusOne(value.path(FORMAT)) != FORMAT_VERSION) {
       throw new MalformedMessageException(FORMAT, "must be " + FORMAT_VERSION);
     }
     long next = Fields.count(value.path(NEXT_MOVE), NEXT_MOVE);
--- a/src/main/java/shorecrank/protocol/StoreCodec.java
+++ b/src/main/java/shorecrank/protocol/StoreCodec.java
@@ -37,12 +37,12 @@
 
   /** The id of a new grant; negative if the answer holds none. */
   public static long readGrantId(JsonNode answer) {
-    return Json.count(answer.path(GRANT_ID));
+    return Json.countOrMinusOne(answer.path(GRANT_ID));
   }
 
   /** The service's revision at the time of an answer; negative if it holds none. */
   public static long readRevision(JsonNode answer) {
-    return Json.count(answer.path(STORE_REVISION));
+    return Json.countOrMinusOne(answer.path(STORE_REVISION));
   }
 
   /** A key that was read. */
--- a/src/main/java/shorecrank/rollout/ArchiveFormat.java
+++ b/src/main/java/shorecrank/rollout/ArchiveFormat.java
@@ -116,14 +116,14 @@
   /** Reads the manifest's file. */
   static ManifestFile readManifest(byte[] content) {
     JsonNode read = Json.parse(content);
-    return new ManifestFile(Json.count(read.path(VERSION_FIELD)), manifest(read), files(read));
+    return new ManifestFile(Json.countOrMinusOne(read.path(VERSION_FIELD)), manifest(read), files(read));
   }
 
   private static Optional<Manifest> manifest(JsonNode manifest) {
-    long level = Json.count(manifest.path(LEVEL));
-    long firstRevision = Json.count(manifest.path(FIRST_REVISION));
-    long revision = Json.count(manifest.path(REVISION));
-    long madeAtMs = Json.count(manifest.path(MADE_AT_MS));
+    long level = Json.countOrMinusOne(manifest.path(LEVEL));
+    long firstRevision = Json.countOrMinusOne(manifest.path(FIRST_REVISION));
+    long revision = Json.countOrMinusOne(manifest.path(REVISION));
+    long madeAtMs = Json.countOrMinusOne(manifest.path(MADE_AT_MS));
     if (level < 0 || firstRevision < 0 || revision < 0 || madeAtMs < 0) {
       return Optional.empty();
     }
@@ -185,7 +185,7 @@
     }
     for (JsonNode one : read) {
       String key = Json.text(one.path(KEY));
-      long revision = Json.count(one.path(REVISION));
+      long revision = Json.countOrMinusOne(one.path(REVISION));
       if (key.isEmpty() || revision < 0) {
         return false;
       }
--- a/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
+++ b/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
@@ -25,8 +25,8 @@
 
   /** Reads an index entry; empty if the key or the value is malformed. */
   public static Optional<IndexEntry> readIndex(String key, JsonNode stored) {
-    long chunks = Json.count(stored.path(CHUNK_COUNT));
-    long bytes = Json.count(stored.path(SIZE));
+    long chunks = Json.countOrMinusOne(stored.path(CHUNK_COUNT));
+    long bytes = Json.countOrMinusOne(stored.path(SIZE));
     if (!key.startsWith(ArchiveKeys.INDEX)
         || chunks < 0
         || chunks > Integer.MAX_VALUE
--- a/src/main/java/shorecrank/storage/DenseBodyCodec.java
+++ b/src/main/java/shorecrank/storage/DenseBodyCodec.java
@@ -191,7 +191,7 @@
     if (machine.isTextual()) {
       return machine.textValue();
     }
-    long number = Json.count(machine);
+    long number = Json.countOrMinusOne(machine);
     int digits = Column.MACHINE_DIGITS.of(columns).asInt();
     if (number < 0 || digits < 1 || digits > MAX_DIGITS) {
       throw new MalformedRecordException(
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -184,7 +184,7 @@
      * @return null if the value is no such record
      */
     public static Final read(JsonNode value) {
-      long done = Json.count(value.path(DONE_COUNT));
+      long done = Json.countOrMinusOne(value.path(DONE_COUNT));
       if (done < 0 || done > JobSpec.MAX_TASKS) {
         return null;
       }
--- a/src/main/java/shorecrank/storage/JobRecordCodec.java
+++ b/src/main/java/shorecrank/storage/JobRecordCodec.java
@@ -345,7 +345,7 @@
   /** Rejects a value without the fields that every version writes. */
   private static void checkHead(JsonNode value) throws MalformedRecordException {
     for (String field : List.of(EPOCH, SEQUENCE, ATTEMPT_COUNT, ACCEPTED_AT)) {
-      if (Json.count(value.path(field)) < 0) {
+      if (Json.countOrMinusOne(value.path(field)) < 0) {
         throw new MalformedRecordException(field, "must be a whole number from 0 up");
       }
     }
