--- a/src/main/java/shorecrank/protocol/RolloutMessages.java
+++ b/src/main/java/shorecrank/protocol/RolloutMessages.java
@@ -103,7 +103,7 @@
    * @param target where a rise or fall leads; the level itself when stable
    * @param cursor while falling, the last key that was looked at; empty before the first
    * @param archive the newest complete archive of the keys; empty if there is none
-   * @param held whether an operator has lowered the level or stopped a rise: it then rises by an
+   * @param autoRaiseSuspended whether an operator has lowered the level or stopped a rise: it then rises by an
    *     operator's order only
    * @param recentOrders outcomes of the latest orders, the oldest first
    */
@@ -113,7 +113,7 @@
       FeatureLevel target,
       String cursor,
       String archive,
-      boolean held,
+      boolean autoRaiseSuspended,
       List<OrderOutcome> recentOrders) {
 
     /** The state of a store that has never held the key. */
@@ -133,29 +133,29 @@
     }
 
     /** The same in another phase with another target; the cursor begins anew. */
-    public RolloutState toward(RolloutPhase next, FeatureLevel goal) {
-      return new RolloutState(next, level, goal, "", archive, held, recentOrders);
+    public RolloutState withTarget(RolloutPhase next, FeatureLevel goal) {
+      return new RolloutState(next, level, goal, "", archive, autoRaiseSuspended, recentOrders);
     }
 
     /** The same, stable at a level. */
     public RolloutState stableAt(FeatureLevel reached) {
       return new RolloutState(
-          RolloutPhase.STABLE, reached, reached, "", archive, held, recentOrders);
+          RolloutPhase.STABLE, reached, reached, "", archive, autoRaiseSuspended, recentOrders);
     }
 
     /** The same with another cursor. */
     public RolloutState withCursor(String key) {
-      return new RolloutState(phase, level, target, key, archive, held, recentOrders);
+      return new RolloutState(phase, level, target, key, archive, autoRaiseSuspended, recentOrders);
     }
 
     /** The same with another archive. */
     public RolloutState withArchive(String id) {
-      return new RolloutState(phase, level, target, cursor, id, held, recentOrders);
+      return new RolloutState(phase, level, target, cursor, id, autoRaiseSuspended, recentOrders);
     }
 
     /** The same, to rise by an operator's order only or by itself. */
-    public RolloutState withHeld(boolean isHeld) {
-      return new RolloutState(phase, level, target, cursor, archive, isHeld, recentOrders);
+    public RolloutState withAutoRaiseSuspended(boolean isSuspended) {
+      return new RolloutState(phase, level, target, cursor, archive, isSuspended, recentOrders);
     }
 
     /** The same with one more outcome, of which the latest {@code most} are kept. */
@@ -163,7 +163,7 @@
       List<OrderOutcome> all = new ArrayList<>(recentOrders);
       all.add(outcome);
       List<OrderOutcome> latest = all.subList(Math.max(0, all.size() - most), all.size());
-      return new RolloutState(phase, level, target, cursor, archive, held, List.copyOf(latest));
+      return new RolloutState(phase, level, target, cursor, archive, autoRaiseSuspended, List.copyOf(latest));
     }
   }
 
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -206,11 +206,11 @@
   private void beginRaiseIfAutomatic() {
     FeatureLevel target = votes.highestOfAll();
     RolloutState state = store.state();
-    boolean isAutomatic = settings.automatic() && !state.held();
+    boolean isAutomatic = settings.automatic() && !state.autoRaiseSuspended();
     boolean isDue = isAutomatic && target.compareTo(state.level()) > 0;
     if (isDue && reasonsAgainst(target).isEmpty()) {
       environment.info("rollout.started level=%s target=%s", state.level(), target);
-      change(state.toward(RolloutPhase.RAISING, target).withArchive(""), result -> {});
+      change(state.withTarget(RolloutPhase.RAISING, target).withArchive(""), result -> {});
     }
   }
 
--- a/src/main/java/shorecrank/rollout/RolloutOrders.java
+++ b/src/main/java/shorecrank/rollout/RolloutOrders.java
@@ -96,7 +96,7 @@
       return Decision.refuse(against.get(0));
     }
     return Decision.change(
-        state.toward(RolloutPhase.RAISING, target).withArchive("").withHeld(false),
+        state.withTarget(RolloutPhase.RAISING, target).withArchive("").withAutoRaiseSuspended(false),
         "level rises from %s to %s".formatted(state.level(), target));
   }
 
@@ -118,7 +118,7 @@
           "level %s is above %s, which is in force: use finalize".formatted(target, state.level()));
     }
     return Decision.change(
-        state.toward(RolloutPhase.FALLING, target).withHeld(true),
+        state.withTarget(RolloutPhase.FALLING, target).withAutoRaiseSuspended(true),
         "level falls from %s to %s".formatted(state.level(), target));
   }
 
@@ -128,7 +128,7 @@
           "level %s is in force, and nothing is under way".formatted(state.level()));
     }
     return Decision.change(
-        state.stableAt(state.level()).withHeld(state.phase() == RolloutPhase.RAISING),
+        state.stableAt(state.level()).withAutoRaiseSuspended(state.phase() == RolloutPhase.RAISING),
         "level stays at %s, no longer on its way to %s".formatted(state.level(), state.target()));
   }
 
