--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -81,12 +81,12 @@
   /**
    * What became of an order.
    *
-   * @param content a digest of what was ordered: the same id with other content is refused
+   * @param contentDigest a digest of what was ordered: the same id with other content is refused
    * @param text the outcome for operators, one line
    * @param moves the moves that the order began, or is about
    */
   public record ShareOutcome(
-      String id, String content, boolean accepted, String text, List<MoveId> moves) {}
+      String id, String contentDigest, boolean accepted, String text, List<MoveId> moves) {}
 
   /**
    * The value of {@link #KEY}.
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -81,7 +81,7 @@
     String content = digest(order);
     for (ShareOutcome earlier : state.recentOrders()) {
       if (earlier.id().equals(order.id())) {
-        boolean isSame = earlier.content().equals(content);
+        boolean isSame = earlier.contentDigest().equals(content);
         return isSame ? Decision.unchanged(earlier) : refused(order, content, idUsed(order));
       }
     }
