--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -64,12 +64,14 @@
         }
         if (shard.isUsable(machine) || machine.isDraining()) {
           candidates.add(
-              new DrainCandidate(machine.name(), machine.type().cpus(), secondsUntilEmpty(machine)));
+              new DrainCandidate(
+                  machine.name(), machine.type().cpus(), secondsUntilEmpty(machine)));
         }
       }
     }
     candidates.sort(
-        Comparator.comparingDouble(DrainCandidate::emptyInS).thenComparing(DrainCandidate::machine));
+        Comparator.comparingDouble(DrainCandidate::emptyInS)
+            .thenComparing(DrainCandidate::machine));
     List<DrainCandidate> soonest =
         List.copyOf(candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size())));
     QueueSummary queue = queue();
--- a/src/main/java/shorecrank/protocol/RolloutCodec.java
+++ b/src/main/java/shorecrank/protocol/RolloutCodec.java
@@ -63,7 +63,10 @@
     ObjectNode value = Json.object();
     value.put(FORMAT, FORMAT_VERSION).put(PHASE, wireName(state.phase()));
     value.put(LEVEL, state.level().value()).put(TARGET, state.target().value());
-    value.put(CURSOR, state.cursor()).put(ARCHIVE, state.archive()).put(HELD, state.autoRaiseSuspended());
+    value
+        .put(CURSOR, state.cursor())
+        .put(ARCHIVE, state.archive())
+        .put(HELD, state.autoRaiseSuspended());
     ArrayNode outcomes = value.putArray(OUTCOMES);
     state.recentOrders().forEach(outcome -> outcomes.add(RolloutOrderCodec.writeOutcome(outcome)));
     return value;
--- a/src/main/java/shorecrank/protocol/RolloutMessages.java
+++ b/src/main/java/shorecrank/protocol/RolloutMessages.java
@@ -103,8 +103,8 @@
    * @param target where a rise or fall leads; the level itself when stable
    * @param cursor while falling, the last key that was looked at; empty before the first
    * @param archive the newest complete archive of the keys; empty if there is none
-   * @param autoRaiseSuspended whether an operator has lowered the level or stopped a rise: it then rises by an
-   *     operator's order only
+   * @param autoRaiseSuspended whether an operator has lowered the level or stopped a rise: it then
+   *     rises by an operator's order only
    * @param recentOrders outcomes of the latest orders, the oldest first
    */
   public record RolloutState(
@@ -163,7 +163,8 @@
       List<OrderOutcome> all = new ArrayList<>(recentOrders);
       all.add(outcome);
       List<OrderOutcome> latest = all.subList(Math.max(0, all.size() - most), all.size());
-      return new RolloutState(phase, level, target, cursor, archive, autoRaiseSuspended, List.copyOf(latest));
+      return new RolloutState(
+          phase, level, target, cursor, archive, autoRaiseSuspended, List.copyOf(latest));
     }
   }
 
--- a/src/main/java/shorecrank/protocol/ShareStateCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStateCodec.java
@@ -77,7 +77,8 @@
 
   /** An order's outcome, as it stands in the key and as the client gets it. */
   public static ObjectNode writeOutcome(ShareOutcome outcome) {
-    ObjectNode object = Json.object().put(ORDER_ID, outcome.id()).put(CONTENT, outcome.contentDigest());
+    ObjectNode object =
+        Json.object().put(ORDER_ID, outcome.id()).put(CONTENT, outcome.contentDigest());
     object.put(ACCEPTED, outcome.accepted()).put(TEXT, outcome.text());
     ArrayNode moves = object.putArray(MOVES);
     outcome.moves().forEach(move -> moves.add(move.value()));
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -54,7 +54,8 @@
    *
    * @param token the highest fencing token that the worker has seen
    * @param address where it takes direct commands, as IP address and port; empty if it names none
-   * @param reclaimInS seconds until the cloud takes the machine back; negative if there is no notice
+   * @param reclaimInS seconds until the cloud takes the machine back; negative if there is no
+   *     notice
    * @param tasks all attempts on the machine, also those that have exited and are not reaped yet
    */
   public record WorkerHeartbeat(
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -257,7 +257,9 @@
     for (MachineName name : inOrder) {
       FleetMachine machine = fleet.machine(name);
       boolean isFree =
-          machine != null && machine.shard().equals(order.from()) && state.activeMoveOf(name) == null;
+          machine != null
+              && machine.shard().equals(order.from())
+              && state.activeMoveOf(name) == null;
       if (isFree && chosen.size() < order.count()) {
         chosen.add(name);
       }
--- a/src/main/java/shorecrank/rollout/ArchiveFormat.java
+++ b/src/main/java/shorecrank/rollout/ArchiveFormat.java
@@ -116,7 +116,8 @@
   /** Reads the manifest's file. */
   static ManifestFile readManifest(byte[] content) {
     JsonNode read = Json.parse(content);
-    return new ManifestFile(Json.countOrMinusOne(read.path(VERSION_FIELD)), manifest(read), files(read));
+    return new ManifestFile(
+        Json.countOrMinusOne(read.path(VERSION_FIELD)), manifest(read), files(read));
   }
 
   private static Optional<Manifest> manifest(JsonNode manifest) {
--- a/src/main/java/shorecrank/rollout/RolloutOrders.java
+++ b/src/main/java/shorecrank/rollout/RolloutOrders.java
@@ -96,7 +96,10 @@
       return Decision.refuse(against.get(0));
     }
     return Decision.change(
-        state.withTarget(RolloutPhase.RAISING, target).withArchive("").withAutoRaiseSuspended(false),
+        state
+            .withTarget(RolloutPhase.RAISING, target)
+            .withArchive("")
+            .withAutoRaiseSuspended(false),
         "level rises from %s to %s".formatted(state.level(), target));
   }
 
--- a/src/test/java/shorecrank/rebalance/MovePlannerTest.java
+++ b/src/test/java/shorecrank/rebalance/MovePlannerTest.java
@@ -23,7 +23,8 @@
   private static final ShardId B = new ShardId(1);
   private static final Offer KIND = new Offer("p8", "a", true);
 
-  private static ShardDemand demand(double running, double urgent, List<DrainCandidate> candidates) {
+  private static ShardDemand demand(
+      double running, double urgent, List<DrainCandidate> candidates) {
     return new ShardDemand(
         running,
         running,
