--- a/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
@@ -59,7 +59,7 @@
     PeerFields.putNames(message, RELEASED, answer.released());
     ArrayNode offers = message.putArray(OFFERS_WITHOUT_CAPACITY);
     for (UnavailableOffer offer : answer.offersWithoutCapacity()) {
-      PeerFields.putOffer(offers.addObject(), offer.offer()).put(FOR_MS, offer.forMs());
+      PeerFields.putOffer(offers.addObject(), offer.offer()).put(FOR_MS, offer.retryAfterMs());
     }
     if (answer.rolloutNotice() != null) {
       message.set(RolloutCodec.HEARTBEAT_FIELD, RolloutCodec.writeNotice(answer.rolloutNotice()));
@@ -124,7 +124,7 @@
         PeerFields.machine(object),
         PeerFields.shard(object),
         object.path(AGE_MS).asLong(),
-        new Epoch(Math.max(0, Json.count(object.path(TERM)))),
+        new Epoch(Math.max(0, Json.countOrMinusOne(object.path(TERM)))),
         object.path(HANDOVER_REQUESTED).asBoolean(),
         Fields.moveOrNone(object.path(MOVE)));
   }
--- a/src/main/java/shorecrank/protocol/RolloutCodec.java
+++ b/src/main/java/shorecrank/protocol/RolloutCodec.java
@@ -63,7 +63,10 @@
     ObjectNode value = Json.object();
     value.put(FORMAT, FORMAT_VERSION).put(PHASE, wireName(state.phase()));
     value.put(LEVEL, state.level().value()).put(TARGET, state.target().value());
-    value.put(CURSOR, state.cursor()).put(ARCHIVE, state.archive()).put(HELD, state.held());
+    value
+        .put(CURSOR, state.cursor())
+        .put(ARCHIVE, state.archive())
+        .put(HELD, state.autoRaiseSuspended());
     ArrayNode outcomes = value.putArray(OUTCOMES);
     state.recentOrders().forEach(outcome -> outcomes.add(RolloutOrderCodec.writeOutcome(outcome)));
     return value;
@@ -82,7 +85,7 @@
     RolloutPhase phase = readPhase(value.path(PHASE));
     FeatureLevel level = readLevel(value.path(LEVEL), LEVEL);
     FeatureLevel target = readLevel(value.path(TARGET), TARGET);
-    if (Json.count(value.path(FORMAT)) != FORMAT_VERSION) {
+    if (Json.countOrMinusOne(value.path(FORMAT)) != FORMAT_VERSION) {
       throw new MalformedMessageException(FORMAT, "must be " + FORMAT_VERSION);
     }
     boolean consistent =
--- a/src/main/java/shorecrank/protocol/ShardDemandMessages.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandMessages.java
@@ -14,7 +14,7 @@
    *
    * @param emptyInS in how many seconds it would be empty
    */
-  public record Candidate(MachineName machine, double cpus, double emptyInS) {}
+  public record DrainCandidate(MachineName machine, double cpus, double emptyInS) {}
 
   /** What keeps a machine from being handed over. */
   public enum DrainState {
@@ -55,12 +55,12 @@
       double guaranteed,
       double oldestWaitS,
       List<Offer> usableOffers,
-      List<Candidate> candidates,
+      List<DrainCandidate> candidates,
       List<DrainProgress> draining,
       List<MoveId> arrived) {
 
     /** The processors that all waiting tasks ask for, whatever their priority. */
-    public double allWaiting() {
+    public double totalWaiting() {
       return waiting.stream().mapToDouble(Double::doubleValue).sum();
     }
   }
--- a/src/main/java/shorecrank/protocol/ShareStateCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStateCodec.java
@@ -77,7 +77,8 @@
 
   /** An order's outcome, as it stands in the key and as the client gets it. */
   public static ObjectNode writeOutcome(ShareOutcome outcome) {
-    ObjectNode object = Json.object().put(ORDER_ID, outcome.id()).put(CONTENT, outcome.content());
+    ObjectNode object =
+        Json.object().put(ORDER_ID, outcome.id()).put(CONTENT, outcome.contentDigest());
     object.put(ACCEPTED, outcome.accepted()).put(TEXT, outcome.text());
     ArrayNode moves = object.putArray(MOVES);
     outcome.moves().forEach(move -> moves.add(move.value()));
@@ -94,7 +95,7 @@
   }
 
   private static SharesState readChecked(JsonNode value) throws MalformedMessageException {
-    if (Json.count(value.path(FORMAT)) != FORMAT_VERSION) {
+    if (Json.countOrMinusOne(value.path(FORMAT)) != FORMAT_VERSION) {
       throw new MalformedMessageException(FORMAT, "must be " + FORMAT_VERSION);
     }
     long next = Fields.count(value.path(NEXT_MOVE), NEXT_MOVE);
