--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -19,7 +19,7 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.rebalance.MoveCoordinator;
-import shorecrank.rebalance.ShareFleet;
+import shorecrank.rebalance.FleetAssignments;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.FeatureGate;
@@ -29,7 +29,7 @@
  * Assigns machines by shares: presents the fleet to {@link MoveCoordinator} and carries out its
  * moves.
  */
-final class ShareAssigner implements MachineAssigner, ShareFleet {
+final class ShareAssigner implements MachineAssigner, FleetAssignments {
   /**
    * The number of operations beside the assignments in a transaction: the write of the shares' key.
    */
--- a/src/main/java/shorecrank/rebalance/ShareFleet.java
+++ b/src/main/java/shorecrank/rebalance/FleetAssignments.java
@@ -15,7 +15,7 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /** Shards and machines as the leader knows them, and the changes of them that moves make. */
-public interface ShareFleet {
+public interface FleetAssignments {
   /**
    * A machine and its assignment.
    *
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -7,7 +7,7 @@
 import shorecrank.protocol.ShareStateMessages.MovePhase;
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.protocol.StoreMessages.Transaction;
-import shorecrank.rebalance.ShareFleet.Handover;
+import shorecrank.rebalance.FleetAssignments.Handover;
 import shorecrank.storage.CommitResult;
 
 /**
@@ -26,7 +26,7 @@
 
   private final LeaderEnvironment environment;
   private final SharesStore store;
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
   private final OwnerReports reports;
   private final MoveOrders orders;
   private final MoveTimes times;
@@ -40,7 +40,7 @@
   MoveCommitter(
       LeaderEnvironment environment,
       SharesStore store,
-      ShareFleet fleet,
+      FleetAssignments fleet,
       OwnerReports reports,
       MoveOrders orders,
       MoveTimes times) {
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -39,7 +39,7 @@
   }
 
   private final LeaderEnvironment environment;
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
   private final TeamShares teams;
   private final Supplier<List<String>> reasonsAgainstMoves;
   private final SharesStore store;
@@ -63,7 +63,7 @@
       LeaderEnvironment environment,
       Leadership leadership,
       FeatureGate gate,
-      ShareFleet fleet,
+      FleetAssignments fleet,
       ShareSettings settings,
       List<String> teamNames,
       Supplier<List<String>> reasonsAgainstMoves) {
--- a/src/main/java/shorecrank/rebalance/MoveOrders.java
+++ b/src/main/java/shorecrank/rebalance/MoveOrders.java
@@ -4,7 +4,7 @@
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.MovePhase;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
  * Orders owners to drain the machines of moves that are written down, and new owners to report
@@ -12,12 +12,12 @@
  */
 final class MoveOrders {
   private final SharesStore store;
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
 
   /** The key's revision whose moves owners are told; null if they have to be told anew. */
   private Revision toldRevision;
 
-  MoveOrders(SharesStore store, ShareFleet fleet) {
+  MoveOrders(SharesStore store, FleetAssignments fleet) {
     this.store = store;
     this.fleet = fleet;
   }
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -13,7 +13,7 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShardDemandMessages.Candidate;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
  * Chooses the machines that should move for shards to come nearer to their targets: from the shard
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -13,8 +13,8 @@
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rebalance.MoveRules.Observation;
 import shorecrank.rebalance.MoveRules.Step;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
-import shorecrank.rebalance.ShareFleet.Handover;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.Handover;
 
 /**
  * Takes moves that are under way to their next phase: notes that the machine is being drained,
@@ -24,7 +24,7 @@
 final class MoveStepper {
   private final LeaderEnvironment environment;
   private final SharesStore store;
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
   private final OwnerReports reports;
   private final MoveCommitter committer;
   private final MoveTimes times;
@@ -36,7 +36,7 @@
   MoveStepper(
       LeaderEnvironment environment,
       SharesStore store,
-      ShareFleet fleet,
+      FleetAssignments fleet,
       OwnerReports reports,
       MoveCommitter committer,
       MoveTimes times,
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -19,7 +19,7 @@
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rebalance.MovePlanner.Planned;
 import shorecrank.rebalance.MovePlanner.Situation;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 import shorecrank.rebalance.ShareTargets.Claim;
 
 /**
@@ -33,7 +33,7 @@
   private static final double MS_PER_S = 1000;
 
   private final LeaderEnvironment environment;
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
   private final ShareSettings settings;
   private final TeamShares teams;
   private final OwnerReports reports;
@@ -47,7 +47,7 @@
 
   RebalancePlanner(
       LeaderEnvironment environment,
-      ShareFleet fleet,
+      FleetAssignments fleet,
       ShareSettings settings,
       TeamShares teams,
       OwnerReports reports,
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -22,7 +22,7 @@
 import shorecrank.protocol.ShareStateMessages.ShareOutcome;
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.protocol.ShareStateMessages.TeamShare;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
  * Decides operators' orders: whether one can be carried out, what it changes, and what is answered.
@@ -31,7 +31,7 @@
   /** The most machines that an answer names. */
   private static final int MOST_NAMED = 20;
 
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
   private final TeamShares teams;
   private final Function<ShardId, List<MachineName>> candidates;
   private final IntSupplier mostActive;
@@ -41,7 +41,7 @@
    * @param mostActive how many moves may be under way at the same time
    */
   ShareOrders(
-      ShareFleet fleet,
+      FleetAssignments fleet,
       TeamShares teams,
       Function<ShardId, List<MachineName>> candidates,
       IntSupplier mostActive) {
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/StatusView.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.ShareStatusMessages.MoveStatus;
 import shorecrank.protocol.ShareStatusMessages.ShardStatus;
 import shorecrank.protocol.ShareStatusMessages.SharesStatus;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
  * Puts together the status that operators are shown.
@@ -20,7 +20,7 @@
  * @param targets the processors that each shard should have
  */
 record StatusView(
-    ShareFleet fleet,
+    FleetAssignments fleet,
     TeamShares teams,
     SharesState state,
     Map<ShardId, Double> targets,
--- a/src/main/java/shorecrank/rebalance/package-info.java
+++ b/src/main/java/shorecrank/rebalance/package-info.java
@@ -4,6 +4,6 @@
  *
  * <p>Imports {@code rollout}, {@code leadership}, {@code storage}, {@code protocol} and {@code
  * config}. The leader in {@code coordination} calls it, and offers the assignments of machines as
- * {@link shorecrank.rebalance.ShareFleet}.
+ * {@link shorecrank.rebalance.FleetAssignments}.
  */
 package shorecrank.rebalance;
--- a/src/test/java/shorecrank/rebalance/MovePlannerTest.java
+++ b/src/test/java/shorecrank/rebalance/MovePlannerTest.java
@@ -15,7 +15,7 @@
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.rebalance.MovePlanner.Planned;
 import shorecrank.rebalance.MovePlanner.Situation;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /** Which machines move for shards to come nearer to their targets. */
 class MovePlannerTest {
