--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -134,7 +134,7 @@
   // ---- for the move coordinator ----------------------------------------------------------------
 
   @Override
-  public int shards() {
+  public int shardCount() {
     return context.settings().shards();
   }
 
@@ -144,7 +144,7 @@
   }
 
   @Override
-  public List<MachineName> ordered() {
+  public List<MachineName> machinesWithMove() {
     return machines.all().stream()
         .filter(machine -> machine.move().isSet())
         .map(AssignedMachine::name)
@@ -181,23 +181,23 @@
   }
 
   @Override
-  public void raiseAbove(ShardId shard, Epoch least) {
+  public void raiseEpochAbove(ShardId shard, Epoch least) {
     shards.raiseEpochAbove(shard, least);
   }
 
   @Override
-  public void handoverRequested(MachineName name, MoveId order) {
-    machines.requestHandover(machines.get(name), order);
+  public void requestHandover(MachineName name, MoveId move) {
+    machines.requestHandover(machines.get(name), move);
   }
 
   @Override
-  public void keep(MachineName name) {
+  public void clearMove(MachineName name) {
     machines.keep(machines.get(name));
   }
 
   @Override
-  public void awaitArrival(MachineName name, MoveId order) {
-    machines.awaitArrival(machines.get(name), order);
+  public void awaitArrival(MachineName name, MoveId move) {
+    machines.awaitArrival(machines.get(name), move);
   }
 
   @Override
@@ -206,7 +206,7 @@
   }
 
   @Override
-  public Handover prepare(Map<MachineName, ShardId> assignments) {
+  public Handover prepareHandover(Map<MachineName, ShardId> assignments) {
     Map<MachineName, NextAssignment> next = new TreeMap<>();
     assignments.forEach(
         (name, shard) -> next.put(name, new NextAssignment(shard, shards.epoch(shard))));
--- a/src/main/java/shorecrank/rebalance/FleetAssignments.java
+++ b/src/main/java/shorecrank/rebalance/FleetAssignments.java
@@ -25,7 +25,7 @@
    *     is none
    */
   record FleetMachine(
-      MachineName name, Offer offer, double cpus, ShardId shard, Epoch term, MoveId order) {
+      MachineName name, Offer offer, double cpus, ShardId shard, Epoch term, MoveId move) {
     /**
      * The move of the machine to another shard, as it begins.
      *
@@ -38,13 +38,13 @@
   }
 
   /** How many shards there are. */
-  int shards();
+  int shardCount();
 
   /** All machines that are assigned. */
   Collection<FleetMachine> machines();
 
   /** The machines of which an owner is told a move. */
-  List<MachineName> ordered();
+  List<MachineName> machinesWithMove();
 
   /** A machine and its assignment; null if it is not assigned. */
   FleetMachine machine(MachineName name);
@@ -56,16 +56,16 @@
   String owner(ShardId shard);
 
   /** Has an epoch above {@code least} allocated for a shard's present owner. */
-  void raiseAbove(ShardId shard, Epoch least);
+  void raiseEpochAbove(ShardId shard, Epoch least);
 
   /** The owner is to drain the machine and release it. */
-  void handoverRequested(MachineName machine, MoveId order);
+  void requestHandover(MachineName machine, MoveId move);
 
   /** The owner may use the machine: its move is over. */
-  void keep(MachineName machine);
+  void clearMove(MachineName machine);
 
   /** The new owner is to report when it hears the machine. */
-  void awaitArrival(MachineName machine, MoveId order);
+  void awaitArrival(MachineName machine, MoveId move);
 
   /** Assignments for one transaction; no other assignment is written until it is over. */
   interface Handover {
@@ -92,7 +92,7 @@
   /**
    * Prepares new assignments, under the epochs of their shards; null if none can be written now.
    */
-  Handover prepare(Map<MachineName, ShardId> assignments);
+  Handover prepareHandover(Map<MachineName, ShardId> assignments);
 
   /** Reads all assignments anew, since they may differ from what is known. */
   void reload();
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -69,10 +69,10 @@
       Supplier<List<String>> reasonsAgainstMoves) {
     this.environment = environment;
     this.fleet = fleet;
-    this.teams = new TeamShares(teamNames, settings.teams(), fleet.shards());
+    this.teams = new TeamShares(teamNames, settings.teams(), fleet.shardCount());
     this.reasonsAgainstMoves = reasonsAgainstMoves;
     this.store = new SharesStore(environment, leadership, gate, this::settled);
-    this.numberCheck = new ShardNumberCheck(environment, store, fleet.shards());
+    this.numberCheck = new ShardNumberCheck(environment, store, fleet.shardCount());
     this.reports = new OwnerReports(environment);
     this.times = new MoveTimes(environment, settings.restS());
     MoveCapacity capacity = new MoveCapacity(environment);
@@ -142,7 +142,7 @@
     SharesState state = store.state();
     List<Move> moves = planner.plan(state, reasonsAgainstMoves);
     if (!moves.isEmpty()) {
-      committer.write(state.withShards(fleet.shards()).withBegun(moves), isCommitted -> {});
+      committer.write(state.withShards(fleet.shardCount()).withBegun(moves), isCommitted -> {});
     }
   }
 
@@ -192,7 +192,7 @@
     }
     environment.info("shares.ordered id=%s text=\"%s\"", order.id(), outcome.text());
     committer.write(
-        next.get().withShards(fleet.shards()).withOutcome(outcome, MoveCapacity.KEPT_ORDERS),
+        next.get().withShards(fleet.shardCount()).withOutcome(outcome, MoveCapacity.KEPT_ORDERS),
         isCommitted -> then.outcome(isCommitted ? outcome : null));
   }
 
--- a/src/main/java/shorecrank/rebalance/MoveOrders.java
+++ b/src/main/java/shorecrank/rebalance/MoveOrders.java
@@ -39,19 +39,19 @@
     }
     for (Move move : store.state().active()) {
       FleetMachine machine = fleet.machine(move.machine());
-      if (machine == null || machine.order().equals(move.id())) {
+      if (machine == null || machine.move().equals(move.id())) {
         continue;
       }
       boolean isHandedOver = move.phase() == MovePhase.HANDED_OVER;
       if (!isHandedOver && machine.shard().equals(move.from())) {
-        fleet.handoverRequested(machine.name(), move.id());
+        fleet.requestHandover(machine.name(), move.id());
       } else if (isHandedOver && machine.shard().equals(move.to())) {
         fleet.awaitArrival(machine.name(), move.id());
       }
     }
-    for (MachineName machine : fleet.ordered()) {
+    for (MachineName machine : fleet.machinesWithMove()) {
       if (store.state().moveOf(machine) == null) {
-        fleet.keep(machine);
+        fleet.clearMove(machine);
       }
     }
     toldRevision = store.revision();
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -93,7 +93,7 @@
   /** Null if nothing is to be assigned, or not now. */
   private Handover prepare(Map<MachineName, ShardId> assignments) {
     boolean isAffordable = environment.hasWriteBudget(1 + assignments.size());
-    return assignments.isEmpty() || !isAffordable ? null : fleet.prepare(assignments);
+    return assignments.isEmpty() || !isAffordable ? null : fleet.prepareHandover(assignments);
   }
 
   private Observation observe(Move move) {
@@ -120,7 +120,7 @@
       return false;
     }
     if (!fleet.epoch(move.to()).isAbove(least)) {
-      fleet.raiseAbove(move.to(), least);
+      fleet.raiseEpochAbove(move.to(), least);
       return false;
     }
     return true;
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -76,7 +76,7 @@
         .forEach(machine -> present.merge(machine.shard(), MACHINE_TIE_BREAK, Double::sum));
     ShardId best = new ShardId(0);
     double most = Double.NEGATIVE_INFINITY;
-    for (int i = 0; i < fleet.shards(); i++) {
+    for (int i = 0; i < fleet.shardCount(); i++) {
       ShardId shard = new ShardId(i);
       double lack = targets.getOrDefault(shard, 0.0) - present.getOrDefault(shard, 0.0);
       if (lack > most) {
@@ -118,7 +118,7 @@
   /** Processors by shard, with moves under way counted at the shard that they lead to. */
   private Map<ShardId, Double> present(SharesState state) {
     Map<ShardId, Double> present = new TreeMap<>();
-    for (int i = 0; i < fleet.shards(); i++) {
+    for (int i = 0; i < fleet.shardCount(); i++) {
       present.put(new ShardId(i), 0.0);
     }
     for (FleetMachine machine : fleet.machines()) {
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrders.java
@@ -211,8 +211,8 @@
   }
 
   private void checkShard(ShardId shard) throws Refused {
-    if (shard.value() >= fleet.shards()) {
-      throw new Refused("unknown shard %s: there are %d".formatted(shard, fleet.shards()));
+    if (shard.value() >= fleet.shardCount()) {
+      throw new Refused("unknown shard %s: there are %d".formatted(shard, fleet.shardCount()));
     }
   }
 
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/StatusView.java
@@ -34,7 +34,7 @@
    */
   SharesStatus status(List<String> against) {
     List<ShardStatus> shards = new ArrayList<>();
-    for (int i = 0; i < fleet.shards(); i++) {
+    for (int i = 0; i < fleet.shardCount(); i++) {
       shards.add(statusOf(new ShardId(i)));
     }
     List<MoveStatus> active = new ArrayList<>();
