--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -18,8 +18,8 @@
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.StoreMessages.Transaction;
-import shorecrank.rebalance.MoveCoordinator;
 import shorecrank.rebalance.FleetAssignments;
+import shorecrank.rebalance.MoveCoordinator;
 import shorecrank.rebalance.ShareSettings;
 import shorecrank.rollout.Feature;
 import shorecrank.rollout.FeatureGate;
@@ -103,7 +103,7 @@
 
   @Override
   public void observe() {
-    moves.observe();
+    moves.refresh();
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
@@ -52,7 +52,7 @@
           request, "shares.malformed", "shares.order.malformed", "malformed order");
       return;
     }
-    moves.order(
+    moves.handleOrder(
         order,
         outcome ->
             leader.replyOutcome(
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -29,13 +29,13 @@
 
   /** Takes an order's outcome. */
   @FunctionalInterface
-  public interface OnOutcome {
+  public interface OutcomeListener {
     /**
      * Called once.
      *
      * @param outcome null if it is not known, and the order has to be sent again
      */
-    void outcome(ShareOutcome outcome);
+    void completed(ShareOutcome outcome);
   }
 
   private final LeaderEnvironment environment;
@@ -112,7 +112,7 @@
   }
 
   /** Reads the key if that is due; called once a round, also while no shard may be granted yet. */
-  public void observe() {
+  public void refresh() {
     store.tick();
     numberCheck.tick();
     if (!orders.areCurrent()) {
@@ -173,9 +173,9 @@
   }
 
   /** Carries an order out, once for each id. */
-  public void order(ShareOrder order, OnOutcome then) {
+  public void handleOrder(ShareOrder order, OutcomeListener then) {
     if (!store.isReadable() || store.isInDoubt()) {
-      then.outcome(null);
+      then.completed(null);
       return;
     }
     ShareOrders.Decision decision =
@@ -183,17 +183,17 @@
     ShareOutcome outcome = decision.outcome();
     Optional<SharesState> next = decision.next();
     if (next.isEmpty()) {
-      then.outcome(outcome);
+      then.completed(outcome);
       return;
     }
     if (!store.isIdle()) {
-      then.outcome(null);
+      then.completed(null);
       return;
     }
     environment.info("shares.ordered id=%s text=\"%s\"", order.id(), outcome.text());
     committer.write(
         next.get().withShards(fleet.shardCount()).withOutcome(outcome, MoveCapacity.KEPT_ORDERS),
-        isCommitted -> then.outcome(isCommitted ? outcome : null));
+        isCommitted -> then.completed(isCommitted ? outcome : null));
   }
 
   /** All that an operator is told of shares; null while the key is not known. */
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -11,10 +11,10 @@
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.MovePhase;
 import shorecrank.protocol.ShareStateMessages.SharesState;
-import shorecrank.rebalance.MoveRules.Observation;
-import shorecrank.rebalance.MoveRules.Step;
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
 import shorecrank.rebalance.FleetAssignments.Handover;
+import shorecrank.rebalance.MoveRules.Observation;
+import shorecrank.rebalance.MoveRules.Step;
 
 /**
  * Takes moves that are under way to their next phase: notes that the machine is being drained,
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -17,9 +17,9 @@
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.SharesState;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 import shorecrank.rebalance.MovePlanner.Planned;
 import shorecrank.rebalance.MovePlanner.Situation;
-import shorecrank.rebalance.FleetAssignments.FleetMachine;
 import shorecrank.rebalance.ShareTargets.Claim;
 
 /**
--- a/src/test/java/shorecrank/rebalance/MovePlannerTest.java
+++ b/src/test/java/shorecrank/rebalance/MovePlannerTest.java
@@ -13,9 +13,9 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShardDemandMessages.Candidate;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 import shorecrank.rebalance.MovePlanner.Planned;
 import shorecrank.rebalance.MovePlanner.Situation;
-import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /** Which machines move for shards to come nearer to their targets. */
 class MovePlannerTest {
