--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -29,17 +29,17 @@
 
   /** Takes an order's outcome. */
   @FunctionalInterface
-  public interface OnOutcome {
+  public interface OutcomeListener {
     /**
      * Called once.
      *
      * @param outcome null if it is not known, and the order has to be sent again
      */
-    void outcome(ShareOutcome outcome);
+    void completed(ShareOutcome outcome);
   }
 
   private final LeaderEnvironment environment;
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
   private final TeamShares teams;
   private final Supplier<List<String>> reasonsAgainstMoves;
   private final SharesStore store;
@@ -63,16 +63,16 @@
       LeaderEnvironment environment,
       Leadership leadership,
       FeatureGate gate,
-      ShareFleet fleet,
+      FleetAssignments fleet,
       ShareSettings settings,
       List<String> teamNames,
       Supplier<List<String>> reasonsAgainstMoves) {
     this.environment = environment;
     this.fleet = fleet;
-    this.teams = new TeamShares(teamNames, settings.teams(), fleet.shards());
+    this.teams = new TeamShares(teamNames, settings.teams(), fleet.shardCount());
     this.reasonsAgainstMoves = reasonsAgainstMoves;
     this.store = new SharesStore(environment, leadership, gate, this::settled);
-    this.numberCheck = new ShardNumberCheck(environment, store, fleet.shards());
+    this.numberCheck = new ShardNumberCheck(environment, store, fleet.shardCount());
     this.reports = new OwnerReports(environment);
     this.times = new MoveTimes(environment, settings.restS());
     MoveCapacity capacity = new MoveCapacity(environment);
@@ -112,7 +112,7 @@
   }
 
   /** Reads the key if that is due; called once a round, also while no shard may be granted yet. */
-  public void observe() {
+  public void refresh() {
     store.tick();
     numberCheck.tick();
     if (!orders.areCurrent()) {
@@ -142,7 +142,7 @@
     SharesState state = store.state();
     List<Move> moves = planner.plan(state, reasonsAgainstMoves);
     if (!moves.isEmpty()) {
-      committer.write(state.withShards(fleet.shards()).withNewMoves(moves), isCommitted -> {});
+      committer.write(state.withShards(fleet.shardCount()).withNewMoves(moves), isCommitted -> {});
     }
   }
 
@@ -173,9 +173,9 @@
   }
 
   /** Carries an order out, once for each id. */
-  public void order(ShareOrder order, OnOutcome then) {
+  public void handleOrder(ShareOrder order, OutcomeListener then) {
     if (!store.isReadable() || store.isInDoubt()) {
-      then.outcome(null);
+      then.completed(null);
       return;
     }
     ShareOrders.Decision decision =
@@ -183,17 +183,17 @@
     ShareOutcome outcome = decision.outcome();
     Optional<SharesState> next = decision.next();
     if (next.isEmpty()) {
-      then.outcome(outcome);
+      then.completed(outcome);
       return;
     }
     if (!store.isIdle()) {
-      then.outcome(null);
+      then.completed(null);
       return;
     }
     environment.info("shares.ordered id=%s text=\"%s\"", order.id(), outcome.text());
     committer.write(
-        next.get().withShards(fleet.shards()).withOutcome(outcome, MoveCapacity.KEPT_ORDERS),
-        isCommitted -> then.outcome(isCommitted ? outcome : null));
+        next.get().withShards(fleet.shardCount()).withOutcome(outcome, MoveCapacity.KEPT_ORDERS),
+        isCommitted -> then.completed(isCommitted ? outcome : null));
   }
 
   /** All that an operator is told of shares; null while the key is not known. */
--- a/src/main/java/shorecrank/rebalance/MoveOrders.java
+++ b/src/main/java/shorecrank/rebalance/MoveOrders.java
@@ -4,7 +4,7 @@
 import shorecrank.protocol.Ids.Revision;
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.MovePhase;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
  * Orders owners to drain the machines of moves that are written down, and new owners to report
@@ -12,12 +12,12 @@
  */
 final class MoveOrders {
   private final SharesStore store;
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
 
   /** The key's revision whose moves owners are told; null if they have to be told anew. */
   private Revision toldRevision;
 
-  MoveOrders(SharesStore store, ShareFleet fleet) {
+  MoveOrders(SharesStore store, FleetAssignments fleet) {
     this.store = store;
     this.fleet = fleet;
   }
@@ -39,19 +39,19 @@
     }
     for (Move move : store.state().active()) {
       FleetMachine machine = fleet.machine(move.machine());
-      if (machine == null || machine.order().equals(move.id())) {
+      if (machine == null || machine.move().equals(move.id())) {
         continue;
       }
       boolean isHandedOver = move.phase() == MovePhase.HANDED_OVER;
       if (!isHandedOver && machine.shard().equals(move.from())) {
-        fleet.handoverRequested(machine.name(), move.id());
+        fleet.requestHandover(machine.name(), move.id());
       } else if (isHandedOver && machine.shard().equals(move.to())) {
         fleet.awaitArrival(machine.name(), move.id());
       }
     }
-    for (MachineName machine : fleet.ordered()) {
+    for (MachineName machine : fleet.machinesWithMove()) {
       if (store.state().activeMoveOf(machine) == null) {
-        fleet.keep(machine);
+        fleet.clearMove(machine);
       }
     }
     toldRevision = store.revision();
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -11,10 +11,10 @@
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.MovePhase;
 import shorecrank.protocol.ShareStateMessages.SharesState;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.Handover;
 import shorecrank.rebalance.MoveRules.Observation;
 import shorecrank.rebalance.MoveRules.Step;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
-import shorecrank.rebalance.ShareFleet.Handover;
 
 /**
  * Takes moves that are under way to their next phase: notes that the machine is being drained,
@@ -24,7 +24,7 @@
 final class MoveStepper {
   private final LeaderEnvironment environment;
   private final SharesStore store;
-  private final ShareFleet fleet;
+  private final FleetAssignments fleet;
   private final OwnerReports reports;
   private final MoveCommitter committer;
   private final MoveTimes times;
@@ -36,7 +36,7 @@
   MoveStepper(
       LeaderEnvironment environment,
       SharesStore store,
-      ShareFleet fleet,
+      FleetAssignments fleet,
       OwnerReports reports,
       MoveCommitter committer,
       MoveTimes times,
@@ -93,7 +93,7 @@
   /** Null if nothing is to be assigned, or not now. */
   private Handover prepare(Map<MachineName, ShardId> assignments) {
     boolean isAffordable = environment.hasWriteBudget(1 + assignments.size());
-    return assignments.isEmpty() || !isAffordable ? null : fleet.prepare(assignments);
+    return assignments.isEmpty() || !isAffordable ? null : fleet.prepareHandover(assignments);
   }
 
   private Observation observe(Move move) {
@@ -120,7 +120,7 @@
       return false;
     }
     if (!fleet.epoch(move.to()).isAbove(least)) {
-      fleet.raiseAbove(move.to(), least);
+      fleet.raiseEpochAbove(move.to(), least);
       return false;
     }
     return true;
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/StatusView.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.ShareStatusMessages.MoveStatus;
 import shorecrank.protocol.ShareStatusMessages.ShardStatus;
 import shorecrank.protocol.ShareStatusMessages.SharesStatus;
-import shorecrank.rebalance.ShareFleet.FleetMachine;
+import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
  * Puts together the status that operators are shown.
@@ -20,7 +20,7 @@
  * @param targets the processors that each shard should have
  */
 record StatusView(
-    ShareFleet fleet,
+    FleetAssignments fleet,
     TeamShares teams,
     SharesState state,
     Map<ShardId, Double> targets,
@@ -34,7 +34,7 @@
    */
   SharesStatus status(List<String> against) {
     List<ShardStatus> shards = new ArrayList<>();
-    for (int i = 0; i < fleet.shards(); i++) {
+    for (int i = 0; i < fleet.shardCount(); i++) {
       shards.add(statusOf(new ShardId(i)));
     }
     List<MoveStatus> active = new ArrayList<>();
