--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -71,23 +71,23 @@
     if (!(job instanceof Unfinished unfinished) || unfinished.record().cancelled()) {
       knownJobs.sendState(request, id, job);
     } else if (context.userWriteBudget().tryTake(1, context.now())) {
-      writeMark(request, id, unfinished, Form.PLAIN, attemptsLeft);
+      writeCancellation(request, id, unfinished, Form.PLAIN, attemptsLeft);
     } else {
       replies.sendRetryLater(request, RetryReason.WRITE_BUDGET_EXHAUSTED);
     }
   }
 
-  private void writeMark(
+  private void writeCancellation(
       UserRequest request, JobId id, Unfinished job, Form form, int attemptsLeft) {
     context
         .store()
         .commit(
             codec.encodeCancellation(id, job, form),
             COMMIT_TIMEOUT_MS,
-            result -> onMarkResult(request, id, job, form, attemptsLeft, result));
+            result -> onCancellationResult(request, id, job, form, attemptsLeft, result));
   }
 
-  private void onMarkResult(
+  private void onCancellationResult(
       UserRequest request,
       JobId id,
       Unfinished job,
@@ -103,8 +103,8 @@
       // The record has changed, or the outcome is unknown: read it again and retry.
       cancel(request, id, attemptsLeft - 1);
     } else if (result instanceof CommitResult.TooLarge && form == Form.PLAIN) {
-      // The record was written while the state service took larger values.
-      writeMark(request, id, job, Form.COMPACT, attemptsLeft);
+      // The state service took larger values when the record was written; try the smaller form.
+      writeCancellation(request, id, job, Form.COMPACT, attemptsLeft);
     } else {
       replies.forwardOrRetryLater(request);
     }
--- a/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
+++ b/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Returns the transaction that creates a job's first record, if the job has no record yet.
+   * Returns the transaction that creates a job's first record. Its guards refuse it if the job has
+   * a live or final record already.
    *
    * <p>If the job has dependencies, the record has to leave room for what the shard owner adds, and
    * is written in the compact form if the plain one is too large. Jobs without dependencies always
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -116,8 +116,8 @@
   /**
    * Answers with a status.
    *
-   * @param status null if the leader can't read the state behind it
-   * @param subject the name of that state, for the error message
+   * @param status null if the leader could not read it
+   * @param subject what the leader could not read, for the error message
    */
   <S> void replyStatus(Input.Request request, S status, MessageEncoder<S> encoder, String subject) {
     if (status == null) {
--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -96,11 +96,11 @@
           || machine.isPreemptionNoticed()) {
         continue;
       }
-      boolean isExpected =
+      boolean isUsableSoon =
           machine.session().hasConfirmedHeartbeat()
               ? shard.isUsable(machine)
               : mayStillBoot(machine);
-      if (isExpected) {
+      if (isUsableSoon) {
         cpus += estimator.usableCpus(demands, machine);
       }
     }
@@ -208,7 +208,11 @@
   }
 
   private void addRequest(
-      Plan plan, Offer offer, int offersToShare, List<JobNeed> needs, double toleratedDeficit) {
+      Plan plan,
+      Offer offer,
+      int offersSharingDeficit,
+      List<JobNeed> needs,
+      double toleratedDeficit) {
     MachineType type = shard.catalog().get(offer.type());
     double eligibleCpus = 0;
     for (JobNeed need : needs) {
@@ -216,7 +220,7 @@
         eligibleCpus += need.cpus();
       }
     }
-    double coveredCpus = Math.min(eligibleCpus, plan.deficitCpus / offersToShare);
+    double coveredCpus = Math.min(eligibleCpus, plan.deficitCpus / offersSharingDeficit);
     int machines = (int) Math.ceil(coveredCpus / type.cpus() - toleratedDeficit);
     if (machines <= 0) {
       return;
--- a/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilenceDetector.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilenceDetector.java
@@ -16,10 +16,12 @@
  * cases silent machines are kept for longer.
  */
 final class CorrelatedSilenceDetector {
-  /** Silence is correlated if more than one in this many machines of the shard is silent. */
+  /**
+   * Silence is correlated if more machines are silent than the shard's machines divided by this.
+   */
   private static final int FLEET_DIVISOR = 3;
 
-  /** Silence is correlated if more than one in this many machines of a zone is silent. */
+  /** Silence is correlated if more machines are silent than the zone's machines divided by this. */
   private static final int ZONE_DIVISOR = 2;
 
   /** Up to this many silent machines are never taken as correlated. */
--- a/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
@@ -28,11 +28,15 @@
           .thenComparing(Comparator.comparingDouble(Machine::usedCpus))
           .thenComparing(Machine::name);
 
-  /** The machines of the shard that can take tasks, and their processors. */
+  /** The machines whose drain may be begun or cancelled, and totals of processors. */
   private static final class Fleet {
     final List<Machine> active = new ArrayList<>();
     final List<Machine> draining = new ArrayList<>();
+
+    /** Processors in use on all machines of the shard. */
     double usedCpus;
+
+    /** Processors of the active machines. */
     double activeCpus;
   }
 
@@ -67,7 +71,7 @@
       unservedCpus -= shard.isUsable(machine) ? estimator.usableCpus(demands, machine) : 0;
     }
     unservedCpus = cancelDrains(fleet, demands, cpusToKeep, unservedCpus);
-    // The owner has not observed demand for a whole window yet and may have missed the peak.
+    // Until the owner has observed the demand for a whole window, it may have missed the peak.
     if (context.now().since(shard.readySince()) < windowMs) {
       return;
     }
--- a/src/main/java/shorecrank/coordination/scheduling/FleetCapacity.java
+++ b/src/main/java/shorecrank/coordination/scheduling/FleetCapacity.java
@@ -15,7 +15,11 @@
   /** The usable fraction of the processors; fragmentation and image fetches take the rest. */
   private static final double USABLE_SHARE = 0.75;
 
-  /** Returns the seconds until the running and the booting machines have done the given work. */
+  /**
+   * Returns the seconds until the running and the booting machines have done some work.
+   *
+   * @param cpuSeconds the work in processor seconds
+   */
   double secondsToClear(double cpuSeconds) {
     double usableCpus = cpus * USABLE_SHARE;
     double usableBootingCpus = bootingCpus * USABLE_SHARE;
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -70,7 +70,7 @@
       if (SchedulingQueue.isStarving(job, context.wallMs())) {
         tasks = Math.min(tasks, 1 + spec.tasks() / SchedulingQueue.STARVING_JOB_DIVISOR);
       }
-      // A job that fails on whatever machine it starts is tried with one task at a time.
+      // A job that fails on every machine is tried with one task at a time.
       return job.scheduling().isBackingOff() ? Math.min(tasks, 1) : tasks;
     }
 
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -59,7 +59,7 @@
     this.placer = new JobPlacer(context, shard, preemption);
   }
 
-  /** Runs one round: places queued tasks until none can be placed or the budget is spent. */
+  /** Runs one round: places queued tasks until no more can be placed or the budget is exhausted. */
   public void run(RoundBudget budget) {
     context.count("round.looks", shard.jobs().size());
     List<Job> waiting = waitingJobs();
@@ -142,18 +142,18 @@
       List<Job> sorted, List<Machine> available, List<Machine> draining, RoundBudget budget) {
     int start = resumeIndex(sorted);
     resumeAt = null;
-    boolean usageKnown = isUsageKnown();
+    boolean teamUseKnown = isTeamUseKnown();
     if (start < 0) {
-      start = placeUrgent(sorted, available, usageKnown, budget);
+      start = placeUrgent(sorted, available, teamUseKnown, budget);
     }
     for (int i = start; i < sorted.size(); i++) {
       if (budget.isExhausted()) {
         resumeAt = sorted.get(i).id();
         return;
       }
-      placeIfAllowed(sorted.get(i), usageKnown, available);
+      placeIfAllowed(sorted.get(i), teamUseKnown, available);
     }
-    placeOnDraining(sorted, usageKnown, draining);
+    placeOnDraining(sorted, teamUseKnown, draining);
   }
 
   /**
@@ -172,11 +172,11 @@
   }
 
   /**
-   * Reports whether the resource usage of all teams is known. It is not while a late write of an
-   * earlier owner can add to it, or while another owner has the record of a job, whose tasks may
-   * still run.
+   * Reports whether the resources that the teams use are known. They are not while a late write of
+   * an earlier owner can add to them, or while another owner has the record of a job, whose tasks
+   * may still run.
    */
-  private boolean isUsageKnown() {
+  private boolean isTeamUseKnown() {
     if (shard.hasRecordOfOtherOwner()) {
       return false;
     }
@@ -196,7 +196,7 @@
    * @return the number of urgent jobs done, which this round need not consider again
    */
   private int placeUrgent(
-      List<Job> sorted, List<Machine> available, boolean usageKnown, RoundBudget budget) {
+      List<Job> sorted, List<Machine> available, boolean teamUseKnown, RoundBudget budget) {
     int urgent = 0;
     while (urgent < sorted.size() && sorted.get(urgent).scheduling().slackS() < URGENT_SLACK_S) {
       urgent++;
@@ -206,16 +206,16 @@
     for (int i = 0; i < end && !budget.isExhausted(); i++) {
       Job job = sorted.get(i);
       if (i < urgent) {
-        placeIfAllowed(job, usageKnown, available);
+        placeIfAllowed(job, teamUseKnown, available);
         placed = i + 1;
       } else {
-        placeByImageLocality(job, usageKnown, available);
+        placeByImageLocality(job, teamUseKnown, available);
       }
     }
     return placed;
   }
 
-  private void placeByImageLocality(Job job, boolean usageKnown, List<Machine> available) {
+  private void placeByImageLocality(Job job, boolean teamUseKnown, List<Machine> available) {
     List<Machine> machinesWithImage = new ArrayList<>();
     for (Machine machine : available) {
       if (machine.holdsOrFetchesImage(job.spec())) {
@@ -223,7 +223,7 @@
       }
     }
     if (!machinesWithImage.isEmpty()) {
-      placeIfAllowed(job, usageKnown, machinesWithImage);
+      placeIfAllowed(job, teamUseKnown, machinesWithImage);
       available.removeIf(machine -> !machine.hasFreeCpus());
     }
   }
@@ -232,7 +232,7 @@
    * Places the tasks that are still queued on draining machines, and cancels the drain of those
    * machines.
    */
-  private void placeOnDraining(List<Job> sorted, boolean usageKnown, List<Machine> draining) {
+  private void placeOnDraining(List<Job> sorted, boolean teamUseKnown, List<Machine> draining) {
     List<Machine> before = List.copyOf(draining);
     int[] attemptsBefore = before.stream().mapToInt(machine -> machine.attempts().size()).toArray();
     for (Job job : sorted) {
@@ -240,7 +240,7 @@
         break;
       }
       if (job.queuedTaskCount() > 0) {
-        placeIfAllowed(job, usageKnown, draining);
+        placeIfAllowed(job, teamUseKnown, draining);
       }
     }
     for (int i = 0; i < attemptsBefore.length; i++) {
@@ -251,8 +251,8 @@
     }
   }
 
-  private void placeIfAllowed(Job job, boolean usageKnown, List<Machine> available) {
-    if (usageKnown || !quotas.isLimited(job.spec().team())) {
+  private void placeIfAllowed(Job job, boolean teamUseKnown, List<Machine> available) {
+    if (teamUseKnown || !quotas.isLimited(job.spec().team())) {
       placer.place(job, available);
     }
   }
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -28,7 +28,10 @@
   /** Lower bound of a machine type's image fetch rate, in gigabytes per second. */
   private static final double MIN_FETCH_GB_PER_S = 0.01;
 
-  /** A start command takes at most this many heartbeat intervals plus {@link #COMMAND_MARGIN_S}. */
+  /**
+   * A start command reaches its worker within this many heartbeat intervals plus {@link
+   * #COMMAND_MARGIN_S}.
+   */
   private static final double COMMAND_HEARTBEAT_INTERVALS = 1.25;
 
   private static final double COMMAND_MARGIN_S = 2;
@@ -67,9 +70,10 @@
   }
 
   /**
-   * Reports whether other tasks may be preempted for the job. A job with a start target may preempt
-   * once the time left until the target is only just enough for the start command and the image
-   * fetch; before that, another task may still end in time.
+   * Reports whether other tasks may be preempted for the job. A job without any target may preempt
+   * if its priority is at least urgent. A job with a start target may preempt once the time left is
+   * only just enough for the start command and the image fetch; before that, another task may still
+   * end in time.
    */
   public boolean mayPreempt(Job job) {
     if (!queue.objectives().hasTargets(job.spec())) {
@@ -207,13 +211,13 @@
     double cpus = 0;
     double gpus = 0;
     double memoryGb = 0;
-    for (int taken = 0; taken < candidates.size(); taken++) {
-      JobSpec spec = candidates.get(taken).job().spec();
+    for (int last = 0; last < candidates.size(); last++) {
+      JobSpec spec = candidates.get(last).job().spec();
       cpus += spec.cpus();
       gpus += spec.gpus();
       memoryGb += spec.memoryGb();
       if (machine.fitsWith(job.spec(), cpus, gpus, memoryGb)) {
-        return new Victims(machine, candidates.subList(0, taken + 1));
+        return new Victims(machine, candidates.subList(0, last + 1));
       }
     }
     return Victims.NONE;
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -22,13 +22,13 @@
   /** A silent machine is released before its lease expires if that saves more than this time. */
   private static final double MIN_LEASE_CUT_MS = 10_000;
 
-  /** How long after the end of its lease any other silent machine is released. */
+  /** How long after its lease has expired a silent machine is released, if not earlier. */
   private static final double AFTER_LEASE_MS = 30_000;
 
-  /** How long after the end of its lease a machine in a correlated silence is released. */
+  /** How long after its lease has expired a machine in a correlated silence is released. */
   private static final double AFTER_LEASE_CORRELATED_MS = 60_000;
 
-  /** A machine with tasks that was never heard is released at the earliest after this silence. */
+  /** Minimum silence before a machine is released that has tasks and was never heard. */
   private static final double NEVER_HEARD_MS = 15_000;
 
   /**
@@ -118,7 +118,8 @@
     if (silenceDetector.mayAffect(machine)) {
       return leaseMs + AFTER_LEASE_CORRELATED_MS;
     }
-    // A release surely ends the machine's tasks; with a long lease, earlier than its expiry does.
+    // Returning a machine to the cloud surely ends its tasks. If the worker's lease is long, this
+    // is sooner than waiting for the lease to expire.
     double earlyMs = earliestReleaseMs();
     return leaseMs - earlyMs > MIN_LEASE_CUT_MS ? earlyMs : leaseMs + AFTER_LEASE_MS;
   }
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -136,6 +136,7 @@
   /** The number of jobs counted so far, by class. */
   private final Map<String, Integer> jobsByClass = new HashMap<>();
 
+  /** The jobs of the shard that are counted in {@link #jobsByClass}. */
   private final Set<Job> countedJobs = new HashSet<>();
 
   /** The last known average rate at which the fleet's machines fetch images. */
@@ -182,7 +183,10 @@
     dependencies.updateUrgency(this::ownDeadlines, this::durationMs);
   }
 
-  /** Returns the jobs in the order of placement, and sets the slack of each. */
+  /**
+   * Returns the jobs in the order of placement, and sets the slack of each: the seconds left until
+   * its latest start.
+   */
   public List<Job> sort(Collection<Job> queued, FleetCapacity capacity) {
     long wallMs = context.wallMs();
     if (capacity.fetchGbPerS() > 0) {
@@ -303,8 +307,8 @@
     // Targets count from when the job's last dependency was done, deadlines from its acceptance.
     double waitedS = job.readyForS(wallMs);
     if (target instanceof Target.Start start) {
-      // The target holds until its time is past: a machine may hold the image already and send its
-      // heartbeat next, so that the start takes no time.
+      // The target is given up only once its time has passed: if a machine holds the image and
+      // sends its heartbeat next, the tasks start without delay.
       return waitedS >= start.withinS()
           ? NO_LATEST_START
           : start.withinS() - duration.fetchS() - duration.commandS() - waitedS;
--- a/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
+++ b/src/test/java/shorecrank/coordination/scheduling/FakeShard.java
@@ -31,14 +31,14 @@
     quotas = new TeamQuotas(context.config().teams(), machines.values());
   }
 
-  /** Adds a machine. */
+  /** Builds a machine, adds it to the shard and returns it. */
   Machine add(MachineBuilder builder) {
     Machine machine = builder.build();
     machines.put(machine.name(), machine);
     return machine;
   }
 
-  /** Adds a job. */
+  /** Builds a job, adds it to the shard and returns it. */
   Job add(JobBuilder builder) {
     Job job = builder.build();
     jobs.put(job.id(), job);
