--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -127,7 +127,7 @@
       Final end = Final.read(found.entry().value());
       if (end != null) {
         inFlight.remove(id);
-        onEnded.accept(id, end.phase());
+        onEnded.accept(id, end.state());
         return;
       }
       context.reportUnreadableValue(JobRecord.finalKey(id));
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -175,8 +175,8 @@
             : null;
     if (finalRecord != null) {
       references.recordRemoved(job.id());
-      jobHandler.ended(job, finalRecord.phase());
-      context.info("job.found_ended job=%s state=%s", job.id(), finalRecord.phase());
+      jobHandler.ended(job, finalRecord.state());
+      context.info("job.found_ended job=%s state=%s", job.id(), finalRecord.state());
     } else if (result instanceof ReadResult.Absent) {
       jobHandler.recordMissing(job);
     } else {
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -77,7 +77,7 @@
   }
 
   /** The state of the job, as its user sees it. */
-  public JobState phase() {
+  public JobState state() {
     if (cancelled) {
       return JobState.CANCELLED;
     }
@@ -86,7 +86,7 @@
 
   /** What the job's user is told of it. */
   public JobStatus jobStatus() {
-    return new JobStatus(phase(), done.cardinality(), cancelled ? 0 : running());
+    return new JobStatus(state(), done.cardinality(), cancelled ? 0 : running());
   }
 
   /** The same record marked as cancelled. */
@@ -151,17 +151,17 @@
   }
 
   /** Encodes the short record that is kept for ever once a job has ended. */
-  public static ObjectNode writeFinal(JobState phase, int done) {
-    return new Final(phase, done).write();
+  public static ObjectNode writeFinal(JobState state, int done) {
+    return new Final(state, done).write();
   }
 
   /**
    * The record of an ended job.
    *
-   * @param phase done or cancelled
+   * @param state done or cancelled
    * @param done the number of tasks that ended successfully
    */
-  public record Final(JobState phase, int done) {
+  public record Final(JobState state, int done) {
     private static final String PHASE = "p";
     private static final String DONE_COUNT = "n";
     private static final String DONE = "done";
@@ -169,12 +169,12 @@
 
     /** What the job's user is told of it. */
     public JobStatus jobStatus() {
-      return new JobStatus(phase, done, 0);
+      return new JobStatus(state, done, 0);
     }
 
     private ObjectNode write() {
       return Json.object()
-          .put(PHASE, phase == JobState.DONE ? DONE : CANCELLED)
+          .put(PHASE, state == JobState.DONE ? DONE : CANCELLED)
           .put(DONE_COUNT, done);
     }
 
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/ProductionFormsTest.java
@@ -76,7 +76,7 @@
     assertTrue(packed > 0 && marked > 0);
     for (JsonNode n : of(file, "key f/")) {
       JobRecord.Final f = JobRecord.Final.read(n);
-      assertEquals(n, Json.parse(Json.bytes(JobRecord.writeFinal(f.phase(), f.done()))));
+      assertEquals(n, Json.parse(Json.bytes(JobRecord.writeFinal(f.state(), f.done()))));
     }
   }
 
