--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -23,7 +23,7 @@
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.ArchiveReader;
 import shorecrank.rollout.ArchiveReader.Archive;
-import shorecrank.rollout.ArchiveReader.Damaged;
+import shorecrank.rollout.ArchiveReader.DamagedArchiveException;
 
 /** Makes, checks and compares archives of the service's keys. */
 @Command(name = "archive", description = "Makes, checks and compares archives of the keys.")
@@ -56,7 +56,7 @@
       return options.reportUnknown(e);
     } catch (IOException e) {
       return options.complain(ExitStatus.REFUSED, file + ": can't be written");
-    } catch (Damaged e) {
+    } catch (DamagedArchiveException e) {
       return options.complain(ExitStatus.REFUSED, file + ": " + e.getMessage());
     }
   }
@@ -70,7 +70,7 @@
       return describe(options, read(file));
     } catch (IOException e) {
       return options.complain(ExitStatus.REFUSED, file + ": can't be read");
-    } catch (Damaged e) {
+    } catch (DamagedArchiveException e) {
       return options.complain(ExitStatus.REFUSED, file + ": " + e.getMessage());
     }
   }
@@ -87,7 +87,7 @@
       archive = read(file);
     } catch (IOException e) {
       return options.complain(ExitStatus.REFUSED, file + ": can't be read");
-    } catch (Damaged e) {
+    } catch (DamagedArchiveException e) {
       return options.complain(ExitStatus.REFUSED, file + ": " + e.getMessage());
     }
     Map<String, JsonNode> stored = new TreeMap<>();
@@ -141,7 +141,7 @@
     options.out().printf("%d keys in the archive, %d differ%n", archivedKeys, differences.size());
   }
 
-  private static Archive read(Path file) throws IOException, Damaged {
+  private static Archive read(Path file) throws IOException, DamagedArchiveException {
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
       return ArchiveReader.read(in);
     }
--- a/src/main/java/shorecrank/rollout/ArchiveReader.java
+++ b/src/main/java/shorecrank/rollout/ArchiveReader.java
@@ -22,10 +22,10 @@
   private ArchiveReader() {}
 
   /** Thrown if an archive is damaged, or of a format that this version does not read. */
-  public static final class Damaged extends Exception {
+  public static final class DamagedArchiveException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Damaged(String message) {
+    DamagedArchiveException(String message) {
       super(message);
     }
   }
@@ -36,75 +36,81 @@
   /**
    * Reads an archive to its end and checks every file.
    *
-   * @throws Damaged if anything is not as it was written; the message names what
+   * @throws DamagedArchiveException if anything is not as it was written; the message names what
    */
-  public static Archive read(InputStream in) throws Damaged {
+  public static Archive read(InputStream in) throws DamagedArchiveException {
     Map<String, byte[]> files = new LinkedHashMap<>();
     try (TarArchiveInputStream tar = new TarArchiveInputStream(new ZstdInputStream(in))) {
       for (TarArchiveEntry file = tar.getNextEntry(); file != null; file = tar.getNextEntry()) {
         checkName(file);
         if (files.putIfAbsent(file.getName(), content(tar, file)) != null) {
-          throw new Damaged("file " + file.getName() + " stands in it twice");
+          throw new DamagedArchiveException("file " + file.getName() + " stands in it twice");
         }
       }
     } catch (IOException | RuntimeException e) {
       // The libraries report damaged input by exceptions of either kind.
-      throw new Damaged("not a complete archive: " + e.getMessage());
+      throw new DamagedArchiveException("not a complete archive: " + e.getMessage());
     }
     byte[] manifestFile = files.remove(ArchiveFormat.MANIFEST_FILE);
     if (manifestFile == null) {
-      throw new Damaged("it has no " + ArchiveFormat.MANIFEST_FILE + ", so it is not complete");
+      throw new DamagedArchiveException(
+          "it has no " + ArchiveFormat.MANIFEST_FILE + ", so it is not complete");
     }
     return check(manifestFile, files);
   }
 
-  private static void checkName(TarArchiveEntry file) throws Damaged {
+  private static void checkName(TarArchiveEntry file) throws DamagedArchiveException {
     boolean known =
         file.getName().equals(ArchiveFormat.MANIFEST_FILE)
             || ArchiveFormat.FILE_NAME.matcher(file.getName()).matches();
     if (!known || !file.isFile()) {
-      throw new Damaged("file name " + file.getName() + " is not one of an archive's");
+      throw new DamagedArchiveException(
+          "file name " + file.getName() + " is not one of an archive's");
     }
     if (file.getSize() > MAX_FILE_BYTES) {
-      throw new Damaged("file " + file.getName() + " is larger than any of an archive's");
+      throw new DamagedArchiveException(
+          "file " + file.getName() + " is larger than any of an archive's");
     }
   }
 
   private static byte[] content(TarArchiveInputStream tar, TarArchiveEntry file)
-      throws IOException, Damaged {
+      throws IOException, DamagedArchiveException {
     byte[] content = tar.readNBytes((int) file.getSize());
     if (content.length < file.getSize()) {
-      throw new Damaged("file " + file.getName() + " is cut short");
+      throw new DamagedArchiveException("file " + file.getName() + " is cut short");
     }
     return content;
   }
 
-  private static Archive check(byte[] manifestFile, Map<String, byte[]> files) throws Damaged {
+  private static Archive check(byte[] manifestFile, Map<String, byte[]> files)
+      throws DamagedArchiveException {
     ManifestFile read = ArchiveFormat.readManifest(manifestFile);
     if (read.version() != ArchiveFormat.VERSION) {
-      throw new Damaged(
+      throw new DamagedArchiveException(
           "format "
               + read.version()
               + " is not read by this version, which reads "
               + ArchiveFormat.VERSION);
     }
-    Manifest manifest = read.manifest().orElseThrow(() -> new Damaged("its manifest lacks fields"));
+    Manifest manifest =
+        read.manifest().orElseThrow(() -> new DamagedArchiveException("its manifest lacks fields"));
     Map<String, Version> keys = new TreeMap<>();
     for (FileEntry file : read.files()) {
       String name = file.name();
       byte[] content = files.remove(name);
       if (content == null) {
-        throw new Damaged("file " + name + " is missing");
+        throw new DamagedArchiveException("file " + name + " is missing");
       }
       if (!DigestUtils.sha256Hex(content).equals(file.sha256())) {
-        throw new Damaged("file " + name + " does not match its checksum");
+        throw new DamagedArchiveException("file " + name + " does not match its checksum");
       }
       if (!ArchiveFormat.apply(content, keys)) {
-        throw new Damaged("file " + name + " holds no keys");
+        throw new DamagedArchiveException("file " + name + " holds no keys");
       }
     }
     if (!files.isEmpty()) {
-      throw new Damaged("file " + files.keySet().iterator().next() + " is not in its manifest");
+      throw new DamagedArchiveException(
+          "file " + files.keySet().iterator().next() + " is not in its manifest");
     }
     return new Archive(manifest, keys);
   }
--- a/src/test/java/shorecrank/rollout/ArchiveTest.java
+++ b/src/test/java/shorecrank/rollout/ArchiveTest.java
@@ -23,7 +23,7 @@
 import shorecrank.protocol.StoreMessages.Entry;
 import shorecrank.rollout.ArchiveFormat.Manifest;
 import shorecrank.rollout.ArchiveReader.Archive;
-import shorecrank.rollout.ArchiveReader.Damaged;
+import shorecrank.rollout.ArchiveReader.DamagedArchiveException;
 
 /** Archives are read back as they were written; damaged ones are refused, and why is said. */
 class ArchiveTest {
@@ -46,7 +46,7 @@
     return writer.take(Integer.MAX_VALUE);
   }
 
-  private static Archive read(byte[] bytes) throws Damaged {
+  private static Archive read(byte[] bytes) throws DamagedArchiveException {
     return ArchiveReader.read(new ByteArrayInputStream(bytes));
   }
 
@@ -86,7 +86,7 @@
     Archive read = read(whole);
     for (int length = 0; length < whole.length; length += 7) {
       byte[] cut = Arrays.copyOf(whole, length);
-      assertThrows(Damaged.class, () -> read(cut), "cut to " + length);
+      assertThrows(DamagedArchiveException.class, () -> read(cut), "cut to " + length);
     }
     for (int at = 0; at < whole.length; at += 3) {
       byte[] changed = whole.clone();
@@ -94,7 +94,7 @@
       try {
         // A bit that means nothing, such as padding, changes nothing that is read.
         assertEquals(read.keys(), read(changed).keys(), "byte " + at);
-      } catch (Damaged e) {
+      } catch (DamagedArchiveException e) {
         assertTrue(!e.getMessage().isBlank());
       }
     }
@@ -150,7 +150,8 @@
     };
     for (String[] one : refused) {
       byte[] bytes = tar(Arrays.copyOfRange(one, 1, one.length));
-      Damaged e = assertThrows(Damaged.class, () -> read(bytes), one[0]);
+      DamagedArchiveException e =
+          assertThrows(DamagedArchiveException.class, () -> read(bytes), one[0]);
       String message = e.getMessage().replace("it has no manifest", "no manifest");
       assertTrue(message.contains(one[0]), one[0] + ": " + e.getMessage());
     }
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -37,7 +37,7 @@
     Archive archive;
     try {
       archive = ArchiveReader.read(new ByteArrayInputStream(bytes()));
-    } catch (ArchiveReader.Damaged e) {
+    } catch (ArchiveReader.DamagedArchiveException e) {
       return false;
     }
     Map<String, Version> then = new TreeMap<>();
