--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -19,7 +19,7 @@
 import shorecrank.protocol.RolloutMessages.RolloutOrder;
 import shorecrank.protocol.RolloutOrderCodec;
 import shorecrank.rollout.ArchiveFormat.Manifest;
-import shorecrank.rollout.ArchiveFormat.Version;
+import shorecrank.rollout.ArchiveFormat.VersionedValue;
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.ArchiveReader;
 import shorecrank.rollout.ArchiveReader.Archive;
@@ -106,7 +106,7 @@
 
   /** What became of each key that is not as it was, in the order of keys. */
   private static Map<String, String> compare(
-      Map<String, Version> archived, Map<String, JsonNode> stored) {
+      Map<String, VersionedValue> archived, Map<String, JsonNode> stored) {
     Map<String, String> differences = new TreeMap<>();
     archived.forEach(
         (key, version) -> {
--- a/src/main/java/shorecrank/rollout/ArchiveFormat.java
+++ b/src/main/java/shorecrank/rollout/ArchiveFormat.java
@@ -51,7 +51,7 @@
   private ArchiveFormat() {}
 
   /** A key's value and the revision of its last change. */
-  public record Version(JsonNode data, long revision) {}
+  public record VersionedValue(JsonNode data, long revision) {}
 
   /**
    * What an archive says of itself.
@@ -178,7 +178,7 @@
    *
    * @return false if the file is malformed
    */
-  static boolean apply(byte[] file, Map<String, Version> keys) {
+  static boolean apply(byte[] file, Map<String, VersionedValue> keys) {
     JsonNode read = Json.parse(file);
     if (!read.isArray()) {
       return false;
@@ -189,12 +189,12 @@
       if (key.isEmpty() || revision < 0) {
         return false;
       }
-      Version known = keys.get(key);
+      VersionedValue known = keys.get(key);
       if (known != null && known.revision() > revision) {
         continue;
       }
       if (one.has(DATA)) {
-        keys.put(key, new Version(one.path(DATA), revision));
+        keys.put(key, new VersionedValue(one.path(DATA), revision));
       } else {
         keys.remove(key);
       }
--- a/src/main/java/shorecrank/rollout/ArchiveReader.java
+++ b/src/main/java/shorecrank/rollout/ArchiveReader.java
@@ -12,7 +12,7 @@
 import shorecrank.rollout.ArchiveFormat.FileEntry;
 import shorecrank.rollout.ArchiveFormat.Manifest;
 import shorecrank.rollout.ArchiveFormat.ManifestFile;
-import shorecrank.rollout.ArchiveFormat.Version;
+import shorecrank.rollout.ArchiveFormat.VersionedValue;
 
 /** Reads an archive and checks all of it. */
 public final class ArchiveReader {
@@ -31,7 +31,7 @@
   }
 
   /** A checked archive: what it says of itself, and the keys with their values. */
-  public record Archive(Manifest manifest, Map<String, Version> keys) {}
+  public record Archive(Manifest manifest, Map<String, VersionedValue> keys) {}
 
   /**
    * Reads an archive to its end and checks every file.
@@ -94,7 +94,7 @@
     }
     Manifest manifest =
         read.manifest().orElseThrow(() -> new DamagedArchiveException("its manifest lacks fields"));
-    Map<String, Version> keys = new TreeMap<>();
+    Map<String, VersionedValue> keys = new TreeMap<>();
     for (FileEntry file : read.files()) {
       String name = file.name();
       byte[] content = files.remove(name);
--- a/src/test/java/shorecrank/sim/SimulatedStateService.java
+++ b/src/test/java/shorecrank/sim/SimulatedStateService.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import shorecrank.protocol.Json;
-import shorecrank.rollout.ArchiveFormat.Version;
+import shorecrank.rollout.ArchiveFormat.VersionedValue;
 
 /** A stand-in for the state service, made from the protocol's page. */
 final class SimulatedStateService {
@@ -341,8 +341,8 @@
   }
 
   /** All keys as they were right after a revision. */
-  Map<String, Version> at(long then) {
-    Map<String, Version> all = new TreeMap<>();
+  Map<String, VersionedValue> at(long then) {
+    Map<String, VersionedValue> all = new TreeMap<>();
     for (Change change : changes) {
       if (change.revision > then) {
         break;
@@ -350,7 +350,7 @@
       if (change.data == null) {
         all.remove(change.key);
       } else {
-        all.put(change.key, new Version(change.data, change.revision));
+        all.put(change.key, new VersionedValue(change.data, change.revision));
       }
     }
     return all;
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -4,7 +4,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.rollout.ArchiveFormat.Version;
+import shorecrank.rollout.ArchiveFormat.VersionedValue;
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.ArchiveReader;
 import shorecrank.rollout.ArchiveReader.Archive;
@@ -40,7 +40,7 @@
     } catch (ArchiveReader.DamagedArchiveException e) {
       return false;
     }
-    Map<String, Version> then = new TreeMap<>();
+    Map<String, VersionedValue> then = new TreeMap<>();
     store
         .at(archive.manifest().revision())
         .forEach(
@@ -53,7 +53,7 @@
   }
 
   /** Numbers that were read are of other types than those that were written. */
-  private static Map<String, String> text(Map<String, Version> keys) {
+  private static Map<String, String> text(Map<String, VersionedValue> keys) {
     Map<String, String> text = new TreeMap<>();
     keys.forEach((key, v) -> text.put(key, v.revision() + " " + v.data()));
     return text;
