--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -93,7 +93,7 @@
     Map<String, JsonNode> stored = new TreeMap<>();
     StoredKeys keys = new StoredKeys(options.client());
     try {
-      for (String prefix : ArchiveKeys.PREFIXES) {
+      for (String prefix : ArchiveKeys.ARCHIVED_PREFIXES) {
         keys.forEach(prefix, entry -> stored.put(entry.key(), entry.value()));
       }
     } catch (NoAnswerException e) {
--- a/src/main/java/shorecrank/client/ArchiveDownload.java
+++ b/src/main/java/shorecrank/client/ArchiveDownload.java
@@ -34,7 +34,7 @@
   void fetchInto(Path file) throws NoAnswerException, IOException {
     awaitComplete();
     Path partial = file.resolveSibling(file.getFileName() + ".part");
-    String firstChunk = ArchiveKeys.chunk(archive, 0);
+    String firstChunk = ArchiveKeys.chunkKey(archive, 0);
     String prefix = firstChunk.substring(0, firstChunk.lastIndexOf('/') + 1);
     try (OutputStream out = Files.newOutputStream(partial)) {
       ChunkWriter writer = new ChunkWriter(out);
@@ -57,7 +57,7 @@
   private boolean isComplete() throws NoAnswerException {
     boolean[] complete = new boolean[1];
     keys.forEach(
-        ArchiveKeys.index(archive),
+        ArchiveKeys.indexKey(archive),
         key ->
             complete[0] |=
                 ArchiveValueCodec.readIndex(key.key(), key.value())
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -29,7 +29,9 @@
   private static final Pattern KEY_CHARACTERS = Pattern.compile("[A-Za-z0-9/._-]+");
 
   private static final List<String> READABLE_PREFIXES =
-      Stream.concat(ArchiveKeys.PREFIXES.stream(), Stream.of(ArchiveKeys.INDEX, ArchiveKeys.CHUNKS))
+      Stream.concat(
+              ArchiveKeys.ARCHIVED_PREFIXES.stream(),
+              Stream.of(ArchiveKeys.INDEX_PREFIX, ArchiveKeys.CHUNKS_PREFIX))
           .toList();
 
   private final StepContext context;
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -54,7 +54,7 @@
     if (!toRemove.isEmpty()) {
       remove();
     } else if (due && environment.hasRequestBudget()) {
-      store.list(ArchiveKeys.INDEX, "", MAX_ARCHIVES, this::archivesListed);
+      store.list(ArchiveKeys.INDEX_PREFIX, "", MAX_ARCHIVES, this::archivesListed);
     }
   }
 
@@ -81,15 +81,15 @@
     for (int i = 0; i < complete.size() - kept; i++) {
       IndexEntry old = complete.get(i);
       for (int chunk = 0; chunk < old.chunks(); chunk++) {
-        toRemove.add(ArchiveKeys.chunk(old.id(), chunk));
+        toRemove.add(ArchiveKeys.chunkKey(old.id(), chunk));
       }
-      toRemove.add(ArchiveKeys.index(old.id()));
+      toRemove.add(ArchiveKeys.indexKey(old.id()));
     }
   }
 
   private void findChunks(String id) {
     store.list(
-        ArchiveKeys.chunks(id),
+        ArchiveKeys.chunkPrefix(id),
         "",
         MAX_ARCHIVES,
         result -> {
@@ -101,7 +101,7 @@
           if (page.more()) {
             due = true;
           } else {
-            toRemove.add(ArchiveKeys.index(id));
+            toRemove.add(ArchiveKeys.indexKey(id));
           }
         });
   }
--- a/src/main/java/shorecrank/rollout/ArchiveKeys.java
+++ b/src/main/java/shorecrank/rollout/ArchiveKeys.java
@@ -5,16 +5,16 @@
 /** Where archives stand in the state service: one key for each, and its bytes in chunks. */
 public final class ArchiveKeys {
   /** Index entries, one for each archive: written before its first chunk and after its last. */
-  public static final String INDEX = "archives/";
+  public static final String INDEX_PREFIX = "archives/";
 
   /** The chunks of all archives. */
-  public static final String CHUNKS = "archive-data/";
+  public static final String CHUNKS_PREFIX = "archive-data/";
 
   /**
    * The prefixes of the keys that an archive holds: all keys of the service but those on grants,
    * which name processes and are of no use later, and archives themselves.
    */
-  public static final List<String> PREFIXES =
+  public static final List<String> ARCHIVED_PREFIXES =
       List.of("catalog", "epoch", "f/", "hosts/", "j/", "part/", "rollout", "shares");
 
   /** Base64 makes four characters of three bytes, and the stored value has a few more around. */
@@ -34,18 +34,18 @@
   public record IndexEntry(String id, boolean isComplete, int chunks, long bytes) {}
 
   /** The key of an archive's index entry. */
-  public static String index(String id) {
-    return INDEX + id;
+  public static String indexKey(String id) {
+    return INDEX_PREFIX + id;
   }
 
   /** The prefix of the keys of an archive's chunks. */
-  public static String chunks(String id) {
-    return CHUNKS + id + "/";
+  public static String chunkPrefix(String id) {
+    return CHUNKS_PREFIX + id + "/";
   }
 
   /** The key of a chunk; the first is 0. */
-  public static String chunk(String id, int number) {
-    return chunks(id) + "%06d".formatted(number);
+  public static String chunkKey(String id, int number) {
+    return chunkPrefix(id) + "%06d".formatted(number);
   }
 
   /** The most bytes of a chunk where a value may have {@code valueBytes}. */
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -142,7 +142,7 @@
 
   private void list() {
     store.list(
-        ArchiveKeys.PREFIXES.get(prefix),
+        ArchiveKeys.ARCHIVED_PREFIXES.get(prefix),
         lastListed,
         PAGE_KEYS,
         result -> {
@@ -171,7 +171,7 @@
   private void nextPrefix(Step afterLast) {
     lastListed = "";
     prefix++;
-    if (prefix == ArchiveKeys.PREFIXES.size()) {
+    if (prefix == ArchiveKeys.ARCHIVED_PREFIXES.size()) {
       prefix = 0;
       step = afterLast;
     }
@@ -179,7 +179,7 @@
 
   private void readChanges() {
     store.readChanges(
-        ArchiveKeys.PREFIXES.get(prefix),
+        ArchiveKeys.ARCHIVED_PREFIXES.get(prefix),
         firstRevision,
         result -> {
           if (result instanceof WatchResult.Changes read) {
@@ -224,7 +224,7 @@
     if (chunk == null) {
       chunk = writer.take(chunkBytes());
     }
-    String key = ArchiveKeys.chunk(id, chunksWritten);
+    String key = ArchiveKeys.chunkKey(id, chunksWritten);
     Transaction transaction =
         new Transaction()
             .guard(key, Revision.ABSENT)
@@ -251,7 +251,7 @@
     }
     IndexEntry entry = new IndexEntry(id, isComplete, chunksWritten, bytesWritten);
     Transaction transaction =
-        new Transaction().write(ArchiveKeys.index(id), ArchiveValueCodec.writeIndex(entry));
+        new Transaction().write(ArchiveKeys.indexKey(id), ArchiveValueCodec.writeIndex(entry));
     commit(
         transaction,
         result -> {
--- a/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
+++ b/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
@@ -27,13 +27,13 @@
   public static Optional<IndexEntry> readIndex(String key, JsonNode stored) {
     long chunks = Json.count(stored.path(CHUNK_COUNT));
     long bytes = Json.count(stored.path(SIZE));
-    if (!key.startsWith(ArchiveKeys.INDEX)
+    if (!key.startsWith(ArchiveKeys.INDEX_PREFIX)
         || chunks < 0
         || chunks > Integer.MAX_VALUE
         || bytes < 0) {
       return Optional.empty();
     }
-    String id = key.substring(ArchiveKeys.INDEX.length());
+    String id = key.substring(ArchiveKeys.INDEX_PREFIX.length());
     return Optional.of(new IndexEntry(id, stored.path(COMPLETE).asBoolean(), (int) chunks, bytes));
   }
 
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -153,7 +153,7 @@
       assertEquals(List.of(), scenario.play(1, false));
       World world = scenario.world();
       long bytes =
-          world.store.keys(ArchiveKeys.CHUNKS).stream()
+          world.store.keys(ArchiveKeys.CHUNKS_PREFIX).stream()
               .mapToLong(key -> ArchiveValueCodec.readChunk(world.store.peek(key)).length)
               .sum();
       System.out.printf(
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -24,7 +24,7 @@
   byte[] bytes() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int i = 0; ; i++) {
-      byte[] chunk = ArchiveValueCodec.readChunk(store.peek(ArchiveKeys.chunk(id, i)));
+      byte[] chunk = ArchiveValueCodec.readChunk(store.peek(ArchiveKeys.chunkKey(id, i)));
       if (chunk == null) {
         return all.toByteArray();
       }
@@ -45,7 +45,7 @@
         .at(archive.manifest().revision())
         .forEach(
             (key, version) -> {
-              if (ArchiveKeys.PREFIXES.stream().anyMatch(key::startsWith)) {
+              if (ArchiveKeys.ARCHIVED_PREFIXES.stream().anyMatch(key::startsWith)) {
                 then.put(key, version);
               }
             });
