--- a/src/main/java/shorecrank/coordination/leader/RolloutView.java
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -44,7 +44,7 @@
   /** Records the feature levels that the sender of a heartbeat supports. */
   void recordHeartbeat(Heartbeat heartbeat) {
     if (rollout != null) {
-      rollout.heard(heartbeat.sender(), heartbeat.writer(), heartbeat.announcement());
+      rollout.recordHeartbeat(heartbeat.sender(), heartbeat.writer(), heartbeat.announcement());
     }
   }
 
@@ -53,7 +53,7 @@
    * refusal.
    */
   boolean mayOwn(ControllerName controller) {
-    String reason = rollout == null ? null : rollout.reasonAgainstOwner(controller);
+    String reason = rollout == null ? null : rollout.ineligibilityReason(controller);
     if (reason == null) {
       return true;
     }
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -83,7 +83,7 @@
    */
   private List<String> reasonsAgainstMoves() {
     List<String> reasons = new ArrayList<>();
-    for (ControllerName label : rollout.unsupporting(Feature.SHARES.level())) {
+    for (ControllerName label : rollout.membersNotSupporting(Feature.SHARES.level())) {
       reasons.add(label + ": runs without shares, or a version that knows none");
     }
     return reasons;
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -97,8 +97,8 @@
   }
 
   /** Takes a controller's heartbeat; {@code announcement} is null if it names no levels. */
-  public void heard(ControllerName member, WriterId writer, Announcement announcement) {
-    votes.heard(member, writer, announcement, environment.now());
+  public void recordHeartbeat(ControllerName member, WriterId writer, Announcement announcement) {
+    votes.recordHeartbeat(member, writer, announcement, environment.now());
   }
 
   /** Whether the level is known, so that shards may be granted. */
@@ -115,7 +115,7 @@
    * Why a controller may not own a shard; null if it may. It has to support the level in force, and
    * to have the settings that all controllers share.
    */
-  public String reasonAgainstOwner(ControllerName member) {
+  public String ineligibilityReason(ControllerName member) {
     LevelRange supported = votes.supported(member);
     FeatureLevel required = store.requiredLevel();
     if (!supported.supports(required)) {
@@ -125,8 +125,8 @@
   }
 
   /** Controllers of the fleet that were heard and don't support a level. */
-  public List<ControllerName> unsupporting(FeatureLevel level) {
-    return votes.unsupporting(level);
+  public List<ControllerName> membersNotSupporting(FeatureLevel level) {
+    return votes.membersNotSupporting(level);
   }
 
   /** Takes the next step of a rollout, if one is due; called once a round. */
--- a/src/main/java/shorecrank/rollout/SupportVotes.java
+++ b/src/main/java/shorecrank/rollout/SupportVotes.java
@@ -50,7 +50,8 @@
   }
 
   /** Takes a member's heartbeat; {@code announcement} is null if it names no levels. */
-  void heard(ControllerName member, WriterId writer, Announcement announcement, MonotonicTime now) {
+  void recordHeartbeat(
+      ControllerName member, WriterId writer, Announcement announcement, MonotonicTime now) {
     Vote known = votes.get(member);
     boolean isSame = known != null && known.isFrom(writer, announcement);
     votes.put(member, new Vote(writer, announcement, isSame ? known.since : now, now));
@@ -69,7 +70,7 @@
   }
 
   /** Members that were heard and have not announced that they support a level. */
-  List<ControllerName> unsupporting(FeatureLevel level) {
+  List<ControllerName> membersNotSupporting(FeatureLevel level) {
     return members.stream()
         .filter(member -> votes.containsKey(member) && !supported(member).supports(level))
         .toList();
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -134,15 +134,15 @@
   @Test
   void eachReasonAgainstRaisingTheLevelIsNamed() {
     SupportVotes votes = new SupportVotes(List.of(A, B), "d");
-    votes.heard(A, new WriterId("a1"), announces(1, "d"), new MonotonicTime(0));
+    votes.recordHeartbeat(A, new WriterId("a1"), announces(1, "d"), new MonotonicTime(0));
     assertTrue(against(votes, 100).contains("b: not heard by this leader yet"));
-    votes.heard(B, new WriterId("b1"), null, new MonotonicTime(0));
+    votes.recordHeartbeat(B, new WriterId("b1"), null, new MonotonicTime(0));
     assertTrue(against(votes, 100).contains("b: announces no levels"));
-    votes.heard(B, new WriterId("b2"), announces(0, "d"), new MonotonicTime(1000));
+    votes.recordHeartbeat(B, new WriterId("b2"), announces(0, "d"), new MonotonicTime(1000));
     assertTrue(against(votes, 1100).contains("b: build v supports levels 0-0, not 1"));
-    votes.heard(B, new WriterId("b3"), announces(1, "e"), new MonotonicTime(2000));
+    votes.recordHeartbeat(B, new WriterId("b3"), announces(1, "e"), new MonotonicTime(2000));
     assertTrue(against(votes, 2100).contains("b: its shared settings differ"));
-    votes.heard(B, new WriterId("b4"), announces(1, "d"), new MonotonicTime(3000));
+    votes.recordHeartbeat(B, new WriterId("b4"), announces(1, "d"), new MonotonicTime(3000));
     assertTrue(against(votes, 3100).contains("b: has announced this for 0 of 10 s"));
     assertEquals(0, votes.highestOfAll().compareTo(ONE));
   }
@@ -151,14 +151,14 @@
   void supportCountsForOneProcessAndWhileItIsHeard() {
     SupportVotes votes = new SupportVotes(List.of(A, B), "d");
     for (long at = 0; at <= 12_000; at += 1000) {
-      votes.heard(A, new WriterId("a1"), announces(1, "d"), new MonotonicTime(at));
-      votes.heard(B, new WriterId("b1"), announces(1, "d"), new MonotonicTime(at));
+      votes.recordHeartbeat(A, new WriterId("a1"), announces(1, "d"), new MonotonicTime(at));
+      votes.recordHeartbeat(B, new WriterId("b1"), announces(1, "d"), new MonotonicTime(at));
     }
     assertEquals("", against(votes, 12_100));
     // Silent for long.
     assertTrue(against(votes, 17_000).contains("a: not heard for 5 s"));
     // The same label and build, another process: its time begins anew.
-    votes.heard(B, new WriterId("b2"), announces(1, "d"), new MonotonicTime(12_200));
+    votes.recordHeartbeat(B, new WriterId("b2"), announces(1, "d"), new MonotonicTime(12_200));
     assertTrue(against(votes, 12_300).contains("b: has announced this for 0 of 10 s"));
   }
 }
