--- a/src/main/java/shorecrank/rollout/Feature.java
+++ b/src/main/java/shorecrank/rollout/Feature.java
@@ -46,7 +46,7 @@
    * @param shares whether shares are enabled on it: a leader without them would not go on with the
    *     moves that an earlier one has written down
    */
-  public static LevelRange supported(boolean shares) {
+  public static LevelRange supportedLevels(boolean shares) {
     FeatureLevel highest =
         Stream.of(values())
             .filter(feature -> shares || feature != SHARES)
--- a/src/main/java/shorecrank/rollout/RolloutSetup.java
+++ b/src/main/java/shorecrank/rollout/RolloutSetup.java
@@ -19,7 +19,7 @@
    */
   public static RolloutSetup of(
       RolloutSettings settings, String build, Settings sharedSettings, boolean shares) {
-    return of(settings, build, sharedSettings, Feature.supported(shares));
+    return of(settings, build, sharedSettings, Feature.supportedLevels(shares));
   }
 
   /** The setup of a build that supports other levels. */
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -105,7 +105,7 @@
     }
     int index = node.index();
     Version version =
-        next.getOrDefault(index, new Version(Feature.supported(world.shares.isEnabled())));
+        next.getOrDefault(index, new Version(Feature.supportedLevels(world.shares.isEnabled())));
     if (!version.equals(running.put(index, version))) {
       runningSinceMs.put(index, world.sim.now());
     }
