--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -4,7 +4,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Map;
 import java.util.TreeMap;
-import shorecrank.rollout.ArchiveFormat.Version;
+import shorecrank.rollout.ArchiveFormat.VersionedValue;
 import shorecrank.rollout.ArchiveKeys;
 import shorecrank.rollout.ArchiveReader;
 import shorecrank.rollout.ArchiveReader.Archive;
@@ -24,7 +24,7 @@
   byte[] bytes() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int i = 0; ; i++) {
-      byte[] chunk = ArchiveValueCodec.readChunk(store.peek(ArchiveKeys.chunk(id, i)));
+      byte[] chunk = ArchiveValueCodec.readChunk(store.peek(ArchiveKeys.chunkKey(id, i)));
       if (chunk == null) {
         return all.toByteArray();
       }
@@ -37,15 +37,15 @@
     Archive archive;
     try {
       archive = ArchiveReader.read(new ByteArrayInputStream(bytes()));
-    } catch (ArchiveReader.Damaged e) {
+    } catch (ArchiveReader.DamagedArchiveException e) {
       return false;
     }
-    Map<String, Version> then = new TreeMap<>();
+    Map<String, VersionedValue> then = new TreeMap<>();
     store
         .at(archive.manifest().revision())
         .forEach(
             (key, version) -> {
-              if (ArchiveKeys.PREFIXES.stream().anyMatch(key::startsWith)) {
+              if (ArchiveKeys.ARCHIVED_PREFIXES.stream().anyMatch(key::startsWith)) {
                 then.put(key, version);
               }
             });
@@ -53,7 +53,7 @@
   }
 
   /** Numbers that were read are of other types than those that were written. */
-  private static Map<String, String> text(Map<String, Version> keys) {
+  private static Map<String, String> text(Map<String, VersionedValue> keys) {
     Map<String, String> text = new TreeMap<>();
     keys.forEach((key, v) -> text.put(key, v.revision() + " " + v.data()));
     return text;
