--- a/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
+++ b/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
@@ -80,9 +80,9 @@
       assigned = true;
       since = now.plus(-assignment.ageMs());
     }
-    boolean raised = assignment.term().isAbove(requiredEpoch);
+    boolean raised = assignment.requiredEpoch().isAbove(requiredEpoch);
     if (raised) {
-      requiredEpoch = assignment.term();
+      requiredEpoch = assignment.requiredEpoch();
     }
     handoverRequested = assignment.handoverRequested();
     move = assignment.move();
--- a/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
@@ -72,8 +72,8 @@
     object.put(PeerFields.SHARD, assignment.shard().value());
     object.put(AGE_MS, assignment.ageMs());
     object.put(HANDOVER_REQUESTED, assignment.handoverRequested());
-    if (assignment.term().value() > 0) {
-      object.put(TERM, assignment.term().value());
+    if (assignment.requiredEpoch().value() > 0) {
+      object.put(TERM, assignment.requiredEpoch().value());
     }
     if (assignment.move().isSet()) {
       object.put(MOVE, assignment.move().value());
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -122,8 +122,8 @@
    * A machine's shard.
    *
    * @param ageMs time since the machine was assigned
-   * @param term the lowest epoch under which its worker's heartbeats count; {@link Epoch#NONE}
-   *     where there is only one shard
+   * @param requiredEpoch the lowest epoch under which its worker's heartbeats count; {@link
+   *     Epoch#NONE} where there is only one shard
    * @param handoverRequested whether the owner is to empty the machine and hand it over
    * @param move the order under which it is to be handed over, or has just come
    */
@@ -131,7 +131,7 @@
       MachineInfo machine,
       ShardId shard,
       long ageMs,
-      Epoch term,
+      Epoch requiredEpoch,
       boolean handoverRequested,
       MoveId move) {}
 
--- a/src/main/java/shorecrank/protocol/ShareStateCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStateCodec.java
@@ -61,7 +61,7 @@
   /** Many moves are to fit into one value, so their fields have no names there. */
   private static ArrayNode writeColumns(Move move) {
     ArrayNode columns = Json.array().add(move.id().value()).add(move.machine().value());
-    columns.add(move.from().value()).add(move.to().value()).add(move.term().value());
+    columns.add(move.from().value()).add(move.to().value()).add(move.assignmentEpoch().value());
     columns.add(move.phase().wireName()).add(move.order());
     return columns.add(move.beganMs()).add(move.reason());
   }
--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -42,7 +42,8 @@
   /**
    * The passage of a machine from one shard to another.
    *
-   * @param term the term of the machine's assignment when the move began: its fencing token
+   * @param assignmentEpoch the epoch of the machine's assignment when the move began: its fencing
+   *     token
    * @param order the operator's order that asked for it; empty if demand did
    * @param beganMs the time of day at which it was written down, in milliseconds
    * @param reason why it ended, if it was aborted; else empty
@@ -52,7 +53,7 @@
       MachineName machine,
       ShardId from,
       ShardId to,
-      Epoch term,
+      Epoch assignmentEpoch,
       MovePhase phase,
       String order,
       long beganMs,
@@ -60,12 +61,13 @@
 
     /** This move in another phase. */
     public Move withPhase(MovePhase next) {
-      return new Move(id, machine, from, to, term, next, order, beganMs, reason);
+      return new Move(id, machine, from, to, assignmentEpoch, next, order, beganMs, reason);
     }
 
     /** This move, ended before its machine was handed over, or heard. */
     public Move aborted(String why) {
-      return new Move(id, machine, from, to, term, MovePhase.ABORTED, order, beganMs, why);
+      return new Move(
+          id, machine, from, to, assignmentEpoch, MovePhase.ABORTED, order, beganMs, why);
     }
   }
 
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -98,7 +98,7 @@
   }
 
   private static Step beforeHandover(Move move, Observation seen, double timeoutS) {
-    if (!seen.assignedTo.equals(move.from()) || !seen.term.equals(move.term())) {
+    if (!seen.assignedTo.equals(move.from()) || !seen.term.equals(move.assignmentEpoch())) {
       return Step.abort(Reason.REASSIGNED);
     }
     if (!seen.ownerKnowsMoves) {
