--- a/src/main/java/shorecrank/protocol/ShareStatusCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStatusCodec.java
@@ -38,7 +38,7 @@
   /** The status as JSON. */
   public static ObjectNode write(SharesStatus status) {
     ObjectNode message = Json.object();
-    message.put(MOVING, status.automaticMoves()).put(REASON, status.reason());
+    message.put(MOVING, status.movesAllowed()).put(REASON, status.reason());
     ArrayNode shards = message.putArray(SHARDS);
     for (ShardStatus shard : status.shards()) {
       putShard(shards.addObject(), shard);
--- a/src/main/java/shorecrank/protocol/ShareStatusMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStatusMessages.java
@@ -36,13 +36,13 @@
   /**
    * All that an operator is told.
    *
-   * @param automaticMoves whether the leader begins moves by itself
+   * @param movesAllowed whether the leader begins moves by itself
    * @param reason why it does not; else empty
    * @param medianMs median duration of the moves that are done, in milliseconds
    * @param p99Ms 99th percentile of that, in milliseconds
    */
   public record SharesStatus(
-      boolean automaticMoves,
+      boolean movesAllowed,
       String reason,
       List<ShardStatus> shards,
       List<MoveStatus> active,
