--- a/src/main/java/shorecrank/protocol/CancellationCodec.java
+++ b/src/main/java/shorecrank/protocol/CancellationCodec.java
@@ -54,8 +54,8 @@
 
   private static ConfirmedCancellations readChecked(JsonNode message, int limit)
       throws MalformedMessageException {
-    long spanMs = Fields.count(message.path(SPAN_MS), SPAN_MS);
-    JsonNode array = Fields.list(message.path(PeerFields.JOB_IDS), PeerFields.JOB_IDS, limit);
+    long spanMs = Fields.readCount(message.path(SPAN_MS), SPAN_MS);
+    JsonNode array = Fields.readList(message.path(PeerFields.JOB_IDS), PeerFields.JOB_IDS, limit);
     if (!array.isArray()) {
       throw new MalformedMessageException(PeerFields.JOB_IDS, "must be a list");
     }
@@ -66,6 +66,6 @@
       }
       ids.add(new JobId(id.textValue()));
     }
-    return new ConfirmedCancellations(spanMs, ids, PeerFields.owners(message));
+    return new ConfirmedCancellations(spanMs, ids, PeerFields.readOwners(message));
   }
 }
--- a/src/main/java/shorecrank/protocol/Fields.java
+++ b/src/main/java/shorecrank/protocol/Fields.java
@@ -16,35 +16,36 @@
   private Fields() {}
 
   /** A whole number from 0 up. */
-  static long count(JsonNode value, String field) throws MalformedMessageException {
-    return count(value, field, Long.MAX_VALUE);
+  static long readCount(JsonNode value, String field) throws MalformedMessageException {
+    return readCount(value, field, Long.MAX_VALUE);
   }
 
-  /** A whole number from 0 to {@code most}. */
-  static long count(JsonNode value, String field, long most) throws MalformedMessageException {
+  /** A whole number from 0 to {@code max}. */
+  static long readCount(JsonNode value, String field, long max) throws MalformedMessageException {
     long count = Json.countOrMinusOne(value);
-    if (count < 0 || count > most) {
-      throw new MalformedMessageException(field, "must be a whole number from 0 to " + most);
+    if (count < 0 || count > max) {
+      throw new MalformedMessageException(field, "must be a whole number from 0 to " + max);
     }
     return count;
   }
 
   /** A whole number from 0 up; larger ones than an int holds become the largest int. */
-  static int cappedCount(JsonNode value, String field) throws MalformedMessageException {
-    return (int) Math.min(Integer.MAX_VALUE, count(value, field));
+  static int readCappedCount(JsonNode value, String field) throws MalformedMessageException {
+    return (int) Math.min(Integer.MAX_VALUE, readCount(value, field));
   }
 
-  /** A number from 0 to {@code most}. */
-  static double amount(JsonNode value, String field, double most) throws MalformedMessageException {
+  /** A number from 0 to {@code max}. */
+  static double readAmount(JsonNode value, String field, double max)
+      throws MalformedMessageException {
     double amount = value.isNumber() ? value.doubleValue() : -1;
-    if (!(amount >= 0 && amount <= most)) {
-      throw new MalformedMessageException(field, "must be a number from 0 to " + most);
+    if (!(amount >= 0 && amount <= max)) {
+      throw new MalformedMessageException(field, "must be a number from 0 to " + max);
     }
     return amount;
   }
 
   /** A text that is not empty, of any length. */
-  static String name(JsonNode value, String field) throws MalformedMessageException {
+  static String readNonEmptyText(JsonNode value, String field) throws MalformedMessageException {
     String name = Json.text(value);
     if (name.isEmpty()) {
       throw new MalformedMessageException(field, "must be a text that is not empty");
@@ -53,7 +54,7 @@
   }
 
   /** A text of 1 to {@link #MAX_TEXT} characters. */
-  static String text(JsonNode value, String field) throws MalformedMessageException {
+  static String readText(JsonNode value, String field) throws MalformedMessageException {
     String text = Json.text(value);
     if (text.isEmpty() || text.length() > MAX_TEXT) {
       throw new MalformedMessageException(
@@ -63,13 +64,14 @@
   }
 
   /** A machine's name, of at most {@link #MAX_TEXT} characters. */
-  static MachineName machine(JsonNode value, String field) throws MalformedMessageException {
-    return new MachineName(text(value, field));
+  static MachineName readMachineName(JsonNode value, String field)
+      throws MalformedMessageException {
+    return new MachineName(readText(value, field));
   }
 
   /** A move's id, from 1 up. */
-  static MoveId move(JsonNode value, String field) throws MalformedMessageException {
-    long id = count(value, field);
+  static MoveId readMoveId(JsonNode value, String field) throws MalformedMessageException {
+    long id = readCount(value, field);
     if (id == 0) {
       throw new MalformedMessageException(field, "must be the number of a move");
     }
@@ -77,19 +79,19 @@
   }
 
   /** A move's id, or {@link MoveId#NONE} if the field holds none. */
-  static MoveId moveOrNone(JsonNode value) {
+  static MoveId readMoveIdOrNone(JsonNode value) {
     return new MoveId(Math.max(0, Json.countOrMinusOne(value)));
   }
 
   /** A shard's number. */
-  static ShardId shard(JsonNode value, String field) throws MalformedMessageException {
-    return new ShardId((int) count(value, field, Integer.MAX_VALUE));
+  static ShardId readShardId(JsonNode value, String field) throws MalformedMessageException {
+    return new ShardId((int) readCount(value, field, Integer.MAX_VALUE));
   }
 
-  /** A list of at most {@code most} elements; one that is absent is empty. */
-  static JsonNode list(JsonNode value, String field, int most) throws MalformedMessageException {
-    if (value.size() > most) {
-      throw new MalformedMessageException(field, "must have at most " + most + " elements");
+  /** A list of at most {@code max} elements; one that is absent is empty. */
+  static JsonNode readList(JsonNode value, String field, int max) throws MalformedMessageException {
+    if (value.size() > max) {
+      throw new MalformedMessageException(field, "must have at most " + max + " elements");
     }
     return value;
   }
--- a/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
@@ -28,7 +28,7 @@
   private static final String UNASSIGNED = "off";
   private static final String RELEASED = "gone";
   private static final String OFFERS_WITHOUT_CAPACITY = "blocked";
-  private static final String FOR_MS = "ms";
+  private static final String RETRY_AFTER_MS = "ms";
 
   /** A day: no leader grants a longer lease. */
   private static final long MAX_LEASE_MS = 86_400_000;
@@ -55,11 +55,12 @@
     for (MachineAssignment assignment : answer.assigned()) {
       putAssignment(assigned.addObject(), assignment);
     }
-    PeerFields.putNames(message, UNASSIGNED, answer.unassigned());
-    PeerFields.putNames(message, RELEASED, answer.released());
+    PeerFields.putMachineNames(message, UNASSIGNED, answer.unassigned());
+    PeerFields.putMachineNames(message, RELEASED, answer.released());
     ArrayNode offers = message.putArray(OFFERS_WITHOUT_CAPACITY);
     for (UnavailableOffer offer : answer.offersWithoutCapacity()) {
-      PeerFields.putOffer(offers.addObject(), offer.offer()).put(FOR_MS, offer.retryAfterMs());
+      PeerFields.putOffer(offers.addObject(), offer.offer())
+          .put(RETRY_AFTER_MS, offer.retryAfterMs());
     }
     if (answer.rolloutNotice() != null) {
       message.set(RolloutCodec.HEARTBEAT_FIELD, RolloutCodec.writeNotice(answer.rolloutNotice()));
@@ -90,11 +91,11 @@
   }
 
   private static HeartbeatAnswer readChecked(JsonNode message) throws MalformedMessageException {
-    long term = Fields.count(message.path(TERM), TERM);
+    long term = Fields.readCount(message.path(TERM), TERM);
     List<Lease> leases = new ArrayList<>();
     for (JsonNode lease : message.path(LEASES)) {
-      long ttlMs = Fields.count(lease.path(TTL_MS), TTL_MS, MAX_LEASE_MS);
-      leases.add(new Lease(PeerFields.shard(lease), PeerFields.epoch(lease), ttlMs));
+      long ttlMs = Fields.readCount(lease.path(TTL_MS), TTL_MS, MAX_LEASE_MS);
+      leases.add(new Lease(PeerFields.readShard(lease), PeerFields.readEpoch(lease), ttlMs));
     }
     List<MachineAssignment> assigned = new ArrayList<>();
     for (JsonNode assignment : message.path(ASSIGNED)) {
@@ -102,18 +103,19 @@
     }
     List<UnavailableOffer> offers = new ArrayList<>();
     for (JsonNode offer : message.path(OFFERS_WITHOUT_CAPACITY)) {
-      offers.add(new UnavailableOffer(PeerFields.offer(offer), offer.path(FOR_MS).asLong()));
+      offers.add(
+          new UnavailableOffer(PeerFields.readOffer(offer), offer.path(RETRY_AFTER_MS).asLong()));
     }
     return new HeartbeatAnswer(
         term,
         message.path(STORE_REACHABLE_BY_OTHERS).asBoolean(),
         leases,
-        PeerFields.owners(message),
+        PeerFields.readOwners(message),
         message.path(ASSIGNMENT_VERSION).asLong(),
         message.path(IS_COMPLETE).asBoolean(),
         assigned,
-        PeerFields.names(message, UNASSIGNED),
-        PeerFields.names(message, RELEASED),
+        PeerFields.readMachineNames(message, UNASSIGNED),
+        PeerFields.readMachineNames(message, RELEASED),
         offers,
         RolloutCodec.readNotice(message.path(RolloutCodec.HEARTBEAT_FIELD)).orElse(null));
   }
@@ -121,12 +123,12 @@
   private static MachineAssignment readAssignment(JsonNode object)
       throws MalformedMessageException {
     return new MachineAssignment(
-        PeerFields.machine(object),
-        PeerFields.shard(object),
+        PeerFields.readMachine(object),
+        PeerFields.readShard(object),
         object.path(AGE_MS).asLong(),
         new Epoch(Math.max(0, Json.countOrMinusOne(object.path(TERM)))),
         object.path(HANDOVER_REQUESTED).asBoolean(),
-        Fields.moveOrNone(object.path(MOVE)));
+        Fields.readMoveIdOrNone(object.path(MOVE)));
   }
 
   /** The answer of a controller that can't answer with leases, for it does not lead. */
--- a/src/main/java/shorecrank/protocol/HeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatCodec.java
@@ -81,8 +81,8 @@
     for (CapacityRequest request : report.capacityRequests()) {
       PeerFields.putOffer(requests.addObject(), request.offer()).put(COUNT, request.count());
     }
-    PeerFields.putNames(object, MACHINES_TO_RELEASE, report.machinesToRelease());
-    PeerFields.putNames(object, SPARE_MACHINES, report.spareMachines());
+    PeerFields.putMachineNames(object, MACHINES_TO_RELEASE, report.machinesToRelease());
+    PeerFields.putMachineNames(object, SPARE_MACHINES, report.spareMachines());
     putMoves(object, report);
   }
 
@@ -95,7 +95,7 @@
       report.handovers().forEach(handover -> moves.add(handover.move().value()));
     }
     if (!report.misplaced().isEmpty()) {
-      PeerFields.putNames(object, MISPLACED, report.misplaced());
+      PeerFields.putMachineNames(object, MISPLACED, report.misplaced());
     }
     if (report.demand() != null) {
       object.set(DEMAND, ShardDemandCodec.write(report.demand()));
@@ -108,15 +108,16 @@
    * @throws MalformedMessageException if a name or number is missing or out of range
    */
   public static Heartbeat read(JsonNode message) throws MalformedMessageException {
-    ControllerName sender = new ControllerName(Fields.name(message.path(SENDER), SENDER));
-    WriterId writer = new WriterId(Fields.name(message.path(WRITER), WRITER));
+    ControllerName sender =
+        new ControllerName(Fields.readNonEmptyText(message.path(SENDER), SENDER));
+    WriterId writer = new WriterId(Fields.readNonEmptyText(message.path(WRITER), WRITER));
     List<ShardReport> shards = new ArrayList<>();
     for (JsonNode report : message.path(SHARDS)) {
       shards.add(readReport(report));
     }
     List<MachineInfo> seen = new ArrayList<>();
     for (JsonNode machine : message.path(SEEN_MACHINES)) {
-      seen.add(PeerFields.machine(machine));
+      seen.add(PeerFields.readMachine(machine));
     }
     Map<ShardId, Integer> misrouted = new HashMap<>();
     for (JsonNode pair : message.path(MISROUTED_WORKERS)) {
@@ -136,41 +137,41 @@
   private static ShardReport readReport(JsonNode object) throws MalformedMessageException {
     List<CapacityRequest> requests = new ArrayList<>();
     for (JsonNode request : object.path(CAPACITY_REQUESTS)) {
-      requests.add(new CapacityRequest(PeerFields.offer(request), intCount(request, COUNT)));
+      requests.add(new CapacityRequest(PeerFields.readOffer(request), readInt(request, COUNT)));
     }
     List<String> zones = new ArrayList<>();
     object.path(UNREACHABLE_ZONES).forEach(zone -> zones.add(zone.asText()));
     return new ShardReport(
-        PeerFields.shard(object),
-        PeerFields.epoch(object),
+        PeerFields.readShard(object),
+        PeerFields.readEpoch(object),
         // From the record that refused the owner, whatever it held: no bound but that of a long.
-        new Epoch(Fields.count(object.path(REFUSED_EPOCH), REFUSED_EPOCH)),
+        new Epoch(Fields.readCount(object.path(REFUSED_EPOCH), REFUSED_EPOCH)),
         object.path(HAS_QUEUED_TASKS).asBoolean(),
-        new WorkerReachability(intCount(object, EXPECTED), intCount(object, UNHEARD), zones),
+        new WorkerReachability(readInt(object, EXPECTED), readInt(object, UNHEARD), zones),
         requests,
-        PeerFields.names(object, MACHINES_TO_RELEASE),
-        PeerFields.names(object, SPARE_MACHINES),
+        PeerFields.readMachineNames(object, MACHINES_TO_RELEASE),
+        PeerFields.readMachineNames(object, SPARE_MACHINES),
         readHandovers(object),
-        PeerFields.names(object, MISPLACED),
+        PeerFields.readMachineNames(object, MISPLACED),
         object.path(MOVES).isArray(),
         ShardDemandCodec.read(object.path(DEMAND)).orElse(null));
   }
 
   private static List<MachineHandover> readHandovers(JsonNode object)
       throws MalformedMessageException {
-    List<MachineName> machines = PeerFields.names(object, HANDOVERS);
+    List<MachineName> machines = PeerFields.readMachineNames(object, HANDOVERS);
     JsonNode moves = object.path(MOVES);
     if (moves.isArray() && moves.size() != machines.size()) {
       throw new MalformedMessageException(MOVES, "must have an element for each of " + HANDOVERS);
     }
     List<MachineHandover> handovers = new ArrayList<>();
     for (int i = 0; i < machines.size(); i++) {
-      handovers.add(new MachineHandover(machines.get(i), Fields.moveOrNone(moves.path(i))));
+      handovers.add(new MachineHandover(machines.get(i), Fields.readMoveIdOrNone(moves.path(i))));
     }
     return handovers;
   }
 
-  private static int intCount(JsonNode object, String field) throws MalformedMessageException {
-    return (int) Fields.count(object.path(field), field, Integer.MAX_VALUE);
+  private static int readInt(JsonNode object, String field) throws MalformedMessageException {
+    return (int) Fields.readCount(object.path(field), field, Integer.MAX_VALUE);
   }
 }
--- a/src/main/java/shorecrank/protocol/JobSpecCodec.java
+++ b/src/main/java/shorecrank/protocol/JobSpecCodec.java
@@ -78,37 +78,37 @@
     if (!message.isObject()) {
       throw new MalformedMessageException("body", "must be a JSON object");
     }
-    String id = text(message, ID);
+    String id = readText(message, ID);
     if (!JobSpec.isValidId(id)) {
       throw new MalformedMessageException(ID, "must look like wk-000412");
     }
-    if (!ARRAY_SHAPE.equals(text(message, SHAPE))) {
+    if (!ARRAY_SHAPE.equals(readText(message, SHAPE))) {
       throw new MalformedMessageException(SHAPE, "must be array");
     }
-    Priority priority = readPriority(text(message, PRIORITY));
+    Priority priority = readPriority(readText(message, PRIORITY));
     int tasks = readTasks(message.path(TASKS));
-    List<String> machineTypes = machineTypesOrNull(message.path(MACHINE_TYPES));
-    String zone = zoneOrNull(message.path(ZONE));
-    double deadlineS = isAbsent(message.path(DEADLINE_S)) ? 0 : amount(message, DEADLINE_S);
+    List<String> machineTypes = readMachineTypesOrNull(message.path(MACHINE_TYPES));
+    String zone = readZoneOrNull(message.path(ZONE));
+    double deadlineS = isAbsent(message.path(DEADLINE_S)) ? 0 : readAmount(message, DEADLINE_S);
     return new JobSpec(
         new JobId(id),
-        text(message, JOB_CLASS),
-        text(message, TEAM),
+        readText(message, JOB_CLASS),
+        readText(message, TEAM),
         priority,
         tasks,
-        amount(message, CPUS),
-        amount(message, GPUS),
-        amount(message, MEMORY_GB),
-        text(message, IMAGE),
-        amount(message, IMAGE_GB),
+        readAmount(message, CPUS),
+        readAmount(message, GPUS),
+        readAmount(message, MEMORY_GB),
+        readText(message, IMAGE),
+        readAmount(message, IMAGE_GB),
         machineTypes,
         zone,
-        flag(message, SINGLE_ZONE),
-        flag(message, SPREAD_OVER_ZONES),
-        flag(message, ALLOWS_SPOT),
-        amount(message, ESTIMATE_S),
-        amount(message, CHECKPOINT_INTERVAL_S),
-        amount(message, CHECKPOINT_DURATION_S),
+        readFlag(message, SINGLE_ZONE),
+        readFlag(message, SPREAD_OVER_ZONES),
+        readFlag(message, ALLOWS_SPOT),
+        readAmount(message, ESTIMATE_S),
+        readAmount(message, CHECKPOINT_INTERVAL_S),
+        readAmount(message, CHECKPOINT_DURATION_S),
         deadlineS,
         readDependencies(message.path(DEPENDENCIES)));
   }
@@ -140,7 +140,8 @@
     return (int) tasks;
   }
 
-  private static List<String> machineTypesOrNull(JsonNode value) throws MalformedMessageException {
+  private static List<String> readMachineTypesOrNull(JsonNode value)
+      throws MalformedMessageException {
     if (isAbsent(value)) {
       return null;
     }
@@ -161,7 +162,7 @@
     return new MalformedMessageException(MACHINE_TYPES, "must be a list of names or null");
   }
 
-  private static String zoneOrNull(JsonNode value) throws MalformedMessageException {
+  private static String readZoneOrNull(JsonNode value) throws MalformedMessageException {
     if (isAbsent(value)) {
       return null;
     }
@@ -199,7 +200,7 @@
     return value.isNull() || value.isMissingNode();
   }
 
-  private static String text(JsonNode message, String field) throws MalformedMessageException {
+  private static String readText(JsonNode message, String field) throws MalformedMessageException {
     String text = Json.text(message.path(field));
     if (text.isEmpty() || text.length() > MAX_TEXT) {
       throw new MalformedMessageException(field, "must be a text");
@@ -207,7 +208,7 @@
     return text;
   }
 
-  private static boolean flag(JsonNode message, String field) throws MalformedMessageException {
+  private static boolean readFlag(JsonNode message, String field) throws MalformedMessageException {
     JsonNode value = message.path(field);
     if (!value.isBoolean()) {
       throw new MalformedMessageException(field, "must be true or false");
@@ -215,7 +216,8 @@
     return value.booleanValue();
   }
 
-  private static double amount(JsonNode message, String field) throws MalformedMessageException {
+  private static double readAmount(JsonNode message, String field)
+      throws MalformedMessageException {
     JsonNode value = message.path(field);
     double amount = value.isNumber() ? value.doubleValue() : Double.NaN;
     if (!(amount >= 0 && amount <= MAX_AMOUNT)) {
--- a/src/main/java/shorecrank/protocol/PeerFields.java
+++ b/src/main/java/shorecrank/protocol/PeerFields.java
@@ -43,14 +43,14 @@
   }
 
   /** The owners under their field; empty if it is absent. */
-  static List<OwnerInfo> owners(JsonNode message) throws MalformedMessageException {
+  static List<OwnerInfo> readOwners(JsonNode message) throws MalformedMessageException {
     List<OwnerInfo> owners = new ArrayList<>();
     for (JsonNode owner : message.path(OWNERS)) {
       owners.add(
           new OwnerInfo(
-              shard(owner),
-              new ControllerName(Fields.name(owner.path(CONTROLLER), CONTROLLER)),
-              epoch(owner)));
+              readShard(owner),
+              new ControllerName(Fields.readNonEmptyText(owner.path(CONTROLLER), CONTROLLER)),
+              readEpoch(owner)));
     }
     return owners;
   }
@@ -65,9 +65,9 @@
   }
 
   /** The machine whose fields an object holds. */
-  static MachineInfo machine(JsonNode object) throws MalformedMessageException {
+  static MachineInfo readMachine(JsonNode object) throws MalformedMessageException {
     return new MachineInfo(
-        new MachineName(Fields.name(object.path(MACHINE), MACHINE)),
+        new MachineName(Fields.readNonEmptyText(object.path(MACHINE), MACHINE)),
         Json.text(object.path(TYPE)),
         Json.text(object.path(ZONE)),
         object.path(SPOT).asBoolean());
@@ -79,33 +79,34 @@
   }
 
   /** The offer whose fields an object holds. */
-  static Offer offer(JsonNode object) {
+  static Offer readOffer(JsonNode object) {
     return new Offer(
         Json.text(object.path(TYPE)), Json.text(object.path(ZONE)), object.path(SPOT).asBoolean());
   }
 
   /** Puts machines' names under a field. */
-  static void putNames(ObjectNode object, String field, Collection<MachineName> machines) {
+  static void putMachineNames(ObjectNode object, String field, Collection<MachineName> machines) {
     ArrayNode array = object.putArray(field);
     machines.forEach(machine -> array.add(machine.value()));
   }
 
   /** The machines' names under a field; empty if it is absent. */
-  static List<MachineName> names(JsonNode object, String field) throws MalformedMessageException {
+  static List<MachineName> readMachineNames(JsonNode object, String field)
+      throws MalformedMessageException {
     List<MachineName> names = new ArrayList<>();
     for (JsonNode name : object.path(field)) {
-      names.add(new MachineName(Fields.name(name, field)));
+      names.add(new MachineName(Fields.readNonEmptyText(name, field)));
     }
     return names;
   }
 
   /** The shard's number under its field. */
-  static ShardId shard(JsonNode object) throws MalformedMessageException {
-    return new ShardId((int) Fields.count(object.path(SHARD), SHARD, MAX_SHARDS));
+  static ShardId readShard(JsonNode object) throws MalformedMessageException {
+    return new ShardId((int) Fields.readCount(object.path(SHARD), SHARD, MAX_SHARDS));
   }
 
   /** The epoch under its field; one that no fencing token could hold is malformed. */
-  static Epoch epoch(JsonNode object) throws MalformedMessageException {
-    return new Epoch(Fields.count(object.path(EPOCH), EPOCH, FencingToken.MAX_EPOCH));
+  static Epoch readEpoch(JsonNode object) throws MalformedMessageException {
+    return new Epoch(Fields.readCount(object.path(EPOCH), EPOCH, FencingToken.MAX_EPOCH));
   }
 }
--- a/src/main/java/shorecrank/protocol/RolloutCodec.java
+++ b/src/main/java/shorecrank/protocol/RolloutCodec.java
@@ -29,7 +29,7 @@
   private static final String TARGET = "target";
   private static final String CURSOR = "cursor";
   private static final String ARCHIVE = "archive";
-  private static final String HELD = "held";
+  private static final String AUTO_RAISE_SUSPENDED = "held";
   private static final String OUTCOMES = "orders";
 
   private static final String REVISION = "revision";
@@ -66,7 +66,7 @@
     value
         .put(CURSOR, state.cursor())
         .put(ARCHIVE, state.archive())
-        .put(HELD, state.autoRaiseSuspended());
+        .put(AUTO_RAISE_SUSPENDED, state.autoRaiseSuspended());
     ArrayNode outcomes = value.putArray(OUTCOMES);
     state.recentOrders().forEach(outcome -> outcomes.add(RolloutOrderCodec.writeOutcome(outcome)));
     return value;
@@ -88,13 +88,13 @@
     if (Json.countOrMinusOne(value.path(FORMAT)) != FORMAT_VERSION) {
       throw new MalformedMessageException(FORMAT, "must be " + FORMAT_VERSION);
     }
-    boolean consistent =
+    boolean isConsistent =
         switch (phase) {
           case STABLE -> target.equals(level);
           case RAISING -> target.compareTo(level) > 0;
           case FALLING -> target.compareTo(level) < 0;
         };
-    if (!consistent) {
+    if (!isConsistent) {
       throw new MalformedMessageException(TARGET, "must fit the phase");
     }
     JsonNode array = value.path(OUTCOMES);
@@ -102,7 +102,7 @@
       throw new MalformedMessageException(OUTCOMES, "must be a list");
     }
     List<OrderOutcome> outcomes = new ArrayList<>();
-    for (JsonNode outcome : Fields.list(array, OUTCOMES, MAX_OUTCOMES)) {
+    for (JsonNode outcome : Fields.readList(array, OUTCOMES, MAX_OUTCOMES)) {
       outcomes.add(RolloutOrderCodec.readOutcome(outcome));
     }
     return new RolloutState(
@@ -111,7 +111,7 @@
         target,
         Json.text(value.path(CURSOR)),
         Json.text(value.path(ARCHIVE)),
-        value.path(HELD).asBoolean(),
+        value.path(AUTO_RAISE_SUSPENDED).asBoolean(),
         List.copyOf(outcomes));
   }
 
@@ -130,7 +130,7 @@
 
   /** A level, from 0 to a million. */
   static FeatureLevel readLevel(JsonNode value, String field) throws MalformedMessageException {
-    return new FeatureLevel((int) Fields.count(value, field, MAX_LEVEL));
+    return new FeatureLevel((int) Fields.readCount(value, field, MAX_LEVEL));
   }
 
   /** An announcement as JSON. */
@@ -162,12 +162,12 @@
       throw new MalformedMessageException(HIGHEST, "must not be below " + LOWEST);
     }
     return new Announcement(
-        boundedText(message, BUILD),
+        readBoundedText(message, BUILD),
         new LevelRange(lowest, highest),
-        boundedText(message, SETTINGS_DIGEST));
+        readBoundedText(message, SETTINGS_DIGEST));
   }
 
-  private static String boundedText(JsonNode message, String field)
+  private static String readBoundedText(JsonNode message, String field)
       throws MalformedMessageException {
     String text = Json.text(message.path(field));
     if (text.length() > Fields.MAX_TEXT) {
@@ -186,7 +186,7 @@
   static Optional<RolloutNotice> readNotice(JsonNode message) {
     try {
       RolloutState state = readCheckedState(message);
-      long revision = Fields.count(message.path(REVISION), REVISION);
+      long revision = Fields.readCount(message.path(REVISION), REVISION);
       return Optional.of(new RolloutNotice(state, new Revision(revision)));
     } catch (MalformedMessageException malformed) {
       return Optional.empty();
--- a/src/main/java/shorecrank/protocol/RolloutMessages.java
+++ b/src/main/java/shorecrank/protocol/RolloutMessages.java
@@ -133,14 +133,15 @@
     }
 
     /** The same in another phase with another target; the cursor begins anew. */
-    public RolloutState withTarget(RolloutPhase next, FeatureLevel goal) {
-      return new RolloutState(next, level, goal, "", archive, autoRaiseSuspended, recentOrders);
+    public RolloutState withTarget(RolloutPhase newPhase, FeatureLevel newTarget) {
+      return new RolloutState(
+          newPhase, level, newTarget, "", archive, autoRaiseSuspended, recentOrders);
     }
 
     /** The same, stable at a level. */
-    public RolloutState stableAt(FeatureLevel reached) {
+    public RolloutState stableAt(FeatureLevel newLevel) {
       return new RolloutState(
-          RolloutPhase.STABLE, reached, reached, "", archive, autoRaiseSuspended, recentOrders);
+          RolloutPhase.STABLE, newLevel, newLevel, "", archive, autoRaiseSuspended, recentOrders);
     }
 
     /** The same with another cursor. */
@@ -158,11 +159,11 @@
       return new RolloutState(phase, level, target, cursor, archive, isSuspended, recentOrders);
     }
 
-    /** The same with one more outcome, of which the latest {@code most} are kept. */
-    public RolloutState withOutcome(OrderOutcome outcome, int most) {
+    /** The same with one more outcome, of which the latest {@code maxOutcomes} are kept. */
+    public RolloutState withOutcome(OrderOutcome outcome, int maxOutcomes) {
       List<OrderOutcome> all = new ArrayList<>(recentOrders);
       all.add(outcome);
-      List<OrderOutcome> latest = all.subList(Math.max(0, all.size() - most), all.size());
+      List<OrderOutcome> latest = all.subList(Math.max(0, all.size() - maxOutcomes), all.size());
       return new RolloutState(
           phase, level, target, cursor, archive, autoRaiseSuspended, List.copyOf(latest));
     }
--- a/src/main/java/shorecrank/protocol/RolloutOrderCodec.java
+++ b/src/main/java/shorecrank/protocol/RolloutOrderCodec.java
@@ -34,7 +34,7 @@
    */
   public static RolloutOrder read(JsonNode message) throws MalformedMessageException {
     OrderKind kind = readKind(message.path(KIND));
-    String id = Fields.text(message.path(ID), ID);
+    String id = Fields.readText(message.path(ID), ID);
     int target =
         message.has(LEVEL) ? RolloutCodec.readLevel(message.path(LEVEL), LEVEL).value() : NO_LEVEL;
     return new RolloutOrder(id, kind, target);
@@ -57,7 +57,7 @@
    */
   static OrderOutcome readOutcome(JsonNode message) throws MalformedMessageException {
     OrderKind kind = readKind(message.path(KIND));
-    String id = Fields.text(message.path(ID), ID);
+    String id = Fields.readText(message.path(ID), ID);
     if (!message.path(ACCEPTED).isBoolean()) {
       throw new MalformedMessageException(ACCEPTED, "must be true or false");
     }
--- a/src/main/java/shorecrank/protocol/ShardDemandCodec.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandCodec.java
@@ -77,53 +77,54 @@
 
   private static ShardDemand readChecked(JsonNode message) throws MalformedMessageException {
     List<Double> waiting = new ArrayList<>();
-    for (JsonNode cpus : list(message, WAITING)) {
-      waiting.add(Fields.amount(cpus, WAITING, MAX_CPUS));
+    for (JsonNode cpus : readList(message, WAITING)) {
+      waiting.add(Fields.readAmount(cpus, WAITING, MAX_CPUS));
     }
     List<Offer> offers = new ArrayList<>();
-    for (JsonNode columns : list(message, USABLE_OFFERS)) {
-      String type = Fields.text(columns.path(0), USABLE_OFFERS);
+    for (JsonNode columns : readList(message, USABLE_OFFERS)) {
+      String type = Fields.readText(columns.path(0), USABLE_OFFERS);
       offers.add(new Offer(type, Json.text(columns.path(1)), columns.path(2).asBoolean()));
     }
     List<DrainCandidate> candidates = new ArrayList<>();
-    for (JsonNode columns : list(message, CANDIDATES)) {
+    for (JsonNode columns : readList(message, CANDIDATES)) {
       candidates.add(
           new DrainCandidate(
-              Fields.machine(columns.path(0), CANDIDATES),
-              Fields.amount(columns.path(1), CANDIDATES, MAX_CPUS),
-              Fields.amount(columns.path(2), CANDIDATES, MAX_SECONDS)));
+              Fields.readMachineName(columns.path(0), CANDIDATES),
+              Fields.readAmount(columns.path(1), CANDIDATES, MAX_CPUS),
+              Fields.readAmount(columns.path(2), CANDIDATES, MAX_SECONDS)));
     }
     List<DrainProgress> draining = new ArrayList<>();
-    for (JsonNode columns : list(message, DRAINING)) {
+    for (JsonNode columns : readList(message, DRAINING)) {
       draining.add(
           new DrainProgress(
-              Fields.move(columns.path(0), DRAINING),
+              Fields.readMoveId(columns.path(0), DRAINING),
               readState(columns.path(1)),
-              Fields.cappedCount(columns.path(2), DRAINING),
-              Fields.amount(columns.path(3), DRAINING, MAX_SECONDS)));
+              Fields.readCappedCount(columns.path(2), DRAINING),
+              Fields.readAmount(columns.path(3), DRAINING, MAX_SECONDS)));
     }
     List<MoveId> arrived = new ArrayList<>();
-    for (JsonNode move : list(message, ARRIVED)) {
-      arrived.add(Fields.move(move, ARRIVED));
+    for (JsonNode move : readList(message, ARRIVED)) {
+      arrived.add(Fields.readMoveId(move, ARRIVED));
     }
     return new ShardDemand(
-        cpus(message, CAPACITY),
-        cpus(message, RUNNING),
+        readCpus(message, CAPACITY),
+        readCpus(message, RUNNING),
         List.copyOf(waiting),
-        cpus(message, GUARANTEED),
-        Fields.amount(message.path(OLDEST_WAIT_S), OLDEST_WAIT_S, MAX_SECONDS),
+        readCpus(message, GUARANTEED),
+        Fields.readAmount(message.path(OLDEST_WAIT_S), OLDEST_WAIT_S, MAX_SECONDS),
         List.copyOf(offers),
         List.copyOf(candidates),
         List.copyOf(draining),
         List.copyOf(arrived));
   }
 
-  private static JsonNode list(JsonNode message, String field) throws MalformedMessageException {
-    return Fields.list(message.path(field), field, MAX_ELEMENTS);
+  private static JsonNode readList(JsonNode message, String field)
+      throws MalformedMessageException {
+    return Fields.readList(message.path(field), field, MAX_ELEMENTS);
   }
 
-  private static double cpus(JsonNode message, String field) throws MalformedMessageException {
-    return Fields.amount(message.path(field), field, MAX_CPUS);
+  private static double readCpus(JsonNode message, String field) throws MalformedMessageException {
+    return Fields.readAmount(message.path(field), field, MAX_CPUS);
   }
 
   private static String wireName(DrainState state) {
--- a/src/main/java/shorecrank/protocol/ShareOrderCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareOrderCodec.java
@@ -83,23 +83,23 @@
    *     its type
    */
   public static ShareOrder read(JsonNode message) throws MalformedMessageException {
-    String id = Fields.text(message.path(ID), ID);
+    String id = Fields.readText(message.path(ID), ID);
     boolean dryRun = message.path(DRY_RUN).asBoolean(false);
     return switch (Json.text(message.path(KIND))) {
       case SET ->
           new SetShare(
               id,
               dryRun,
-              Fields.text(message.path(TEAM), TEAM),
-              numberOrNull(message, WEIGHT),
-              numberOrNull(message, MIN_CPUS),
-              numberOrNull(message, MAX_CPUS));
+              Fields.readText(message.path(TEAM), TEAM),
+              readNumberOrNull(message, WEIGHT),
+              readNumberOrNull(message, MIN_CPUS),
+              readNumberOrNull(message, MAX_CPUS));
       case MOVE -> readMoveMachines(id, dryRun, message);
       case ABORT ->
           new AbortMoves(
               id,
               dryRun,
-              Fields.moveOrNone(message.path(ABORTED_MOVE)),
+              Fields.readMoveIdOrNone(message.path(ABORTED_MOVE)),
               Json.text(message.path(ABORTED_ORDER)),
               message.path(ABORT_ALL).asBoolean(false));
       default -> throw new MalformedMessageException(KIND, "must be set, move or abort");
@@ -109,22 +109,23 @@
   private static MoveMachines readMoveMachines(String id, boolean dryRun, JsonNode message)
       throws MalformedMessageException {
     List<MachineName> machines = new ArrayList<>();
-    for (JsonNode machine : Fields.list(message.path(MACHINES), MACHINES, MAX_MACHINES)) {
-      machines.add(Fields.machine(machine, MACHINES));
+    for (JsonNode machine : Fields.readList(message.path(MACHINES), MACHINES, MAX_MACHINES)) {
+      machines.add(Fields.readMachineName(machine, MACHINES));
     }
-    ShardId from = message.has(FROM) ? Fields.shard(message.path(FROM), FROM) : null;
-    int count = Fields.cappedCount(message.path(COUNT), COUNT);
-    boolean byName = from == null && count == 0 && !machines.isEmpty();
-    boolean byNumber = from != null && count > 0 && machines.isEmpty();
-    if (!byName && !byNumber) {
+    ShardId from = message.has(FROM) ? Fields.readShardId(message.path(FROM), FROM) : null;
+    int count = Fields.readCappedCount(message.path(COUNT), COUNT);
+    boolean isByName = from == null && count == 0 && !machines.isEmpty();
+    boolean isByCount = from != null && count > 0 && machines.isEmpty();
+    if (!isByName && !isByCount) {
       throw new MalformedMessageException(
           MACHINES, "must be named, or a number of them with the shard that gives them");
     }
-    return new MoveMachines(id, dryRun, machines, from, count, Fields.shard(message.path(TO), TO));
+    return new MoveMachines(
+        id, dryRun, machines, from, count, Fields.readShardId(message.path(TO), TO));
   }
 
   /** Null if there is none; it may be negative, which the order's handler refuses with a reason. */
-  private static Double numberOrNull(JsonNode message, String field)
+  private static Double readNumberOrNull(JsonNode message, String field)
       throws MalformedMessageException {
     JsonNode value = message.path(field);
     if (value.isMissingNode() || value.isNull()) {
--- a/src/main/java/shorecrank/protocol/ShareStateCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStateCodec.java
@@ -98,31 +98,32 @@
     if (Json.countOrMinusOne(value.path(FORMAT)) != FORMAT_VERSION) {
       throw new MalformedMessageException(FORMAT, "must be " + FORMAT_VERSION);
     }
-    long next = Fields.count(value.path(NEXT_MOVE), NEXT_MOVE);
+    long next = Fields.readCount(value.path(NEXT_MOVE), NEXT_MOVE);
     List<Move> active = new ArrayList<>();
-    for (JsonNode columns : list(value, MOVES)) {
+    for (JsonNode columns : readList(value, MOVES)) {
       Move move = readMove(columns, MOVES);
-      boolean twice = active.stream().anyMatch(other -> other.machine().equals(move.machine()));
-      if (move.phase().isEnd() || move.id().value() >= next || twice) {
+      boolean isAlreadyMoving =
+          active.stream().anyMatch(other -> other.machine().equals(move.machine()));
+      if (move.phase().isEnd() || move.id().value() >= next || isAlreadyMoving) {
         throw new MalformedMessageException(
             MOVES, "must be under way, below the next number, and one a machine");
       }
       active.add(move);
     }
     List<Move> ended = new ArrayList<>();
-    for (JsonNode columns : list(value, ENDED)) {
+    for (JsonNode columns : readList(value, ENDED)) {
       ended.add(readMove(columns, ENDED));
     }
     List<TeamShare> teams = new ArrayList<>();
-    for (JsonNode share : list(value, TEAMS)) {
+    for (JsonNode share : readList(value, TEAMS)) {
       teams.add(readTeamShare(share));
     }
     List<ShareOutcome> outcomes = new ArrayList<>();
-    for (JsonNode outcome : list(value, OUTCOMES)) {
+    for (JsonNode outcome : readList(value, OUTCOMES)) {
       outcomes.add(readOutcome(outcome));
     }
     return new SharesState(
-        Fields.shard(value.path(SHARDS), SHARDS).value(),
+        Fields.readShardId(value.path(SHARDS), SHARDS).value(),
         next,
         List.copyOf(active),
         List.copyOf(ended),
@@ -130,20 +131,20 @@
         List.copyOf(outcomes));
   }
 
-  private static JsonNode list(JsonNode value, String field) throws MalformedMessageException {
-    return Fields.list(value.path(field), field, MAX_ELEMENTS);
+  private static JsonNode readList(JsonNode value, String field) throws MalformedMessageException {
+    return Fields.readList(value.path(field), field, MAX_ELEMENTS);
   }
 
   private static Move readMove(JsonNode columns, String field) throws MalformedMessageException {
     return new Move(
-        Fields.move(columns.path(0), field),
-        Fields.machine(columns.path(1), field),
-        Fields.shard(columns.path(2), field),
-        Fields.shard(columns.path(3), field),
-        new Epoch(Fields.count(columns.path(4), field)),
+        Fields.readMoveId(columns.path(0), field),
+        Fields.readMachineName(columns.path(1), field),
+        Fields.readShardId(columns.path(2), field),
+        Fields.readShardId(columns.path(3), field),
+        new Epoch(Fields.readCount(columns.path(4), field)),
         readPhase(columns.path(5), field),
         Json.text(columns.path(6)),
-        Fields.count(columns.path(7), field),
+        Fields.readCount(columns.path(7), field),
         Json.text(columns.path(8)));
   }
 
@@ -159,19 +160,19 @@
 
   private static TeamShare readTeamShare(JsonNode share) throws MalformedMessageException {
     return new TeamShare(
-        Fields.text(share.path(TEAM), TEAM),
-        Fields.amount(share.path(WEIGHT), WEIGHT, MAX_AMOUNT),
-        Fields.amount(share.path(MIN_CPUS), MIN_CPUS, MAX_AMOUNT),
-        Fields.amount(share.path(MAX_CPUS), MAX_CPUS, MAX_AMOUNT));
+        Fields.readText(share.path(TEAM), TEAM),
+        Fields.readAmount(share.path(WEIGHT), WEIGHT, MAX_AMOUNT),
+        Fields.readAmount(share.path(MIN_CPUS), MIN_CPUS, MAX_AMOUNT),
+        Fields.readAmount(share.path(MAX_CPUS), MAX_CPUS, MAX_AMOUNT));
   }
 
   private static ShareOutcome readOutcome(JsonNode outcome) throws MalformedMessageException {
     List<MoveId> moves = new ArrayList<>();
-    for (JsonNode move : list(outcome, MOVES)) {
-      moves.add(Fields.move(move, MOVES));
+    for (JsonNode move : readList(outcome, MOVES)) {
+      moves.add(Fields.readMoveId(move, MOVES));
     }
     return new ShareOutcome(
-        Fields.text(outcome.path(ORDER_ID), ORDER_ID),
+        Fields.readText(outcome.path(ORDER_ID), ORDER_ID),
         Json.text(outcome.path(CONTENT)),
         outcome.path(ACCEPTED).asBoolean(),
         Json.text(outcome.path(TEXT)),
--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -60,14 +60,14 @@
       String reason) {
 
     /** This move in another phase. */
-    public Move withPhase(MovePhase next) {
-      return new Move(id, machine, from, to, assignmentEpoch, next, order, beganMs, reason);
+    public Move withPhase(MovePhase newPhase) {
+      return new Move(id, machine, from, to, assignmentEpoch, newPhase, order, beganMs, reason);
     }
 
     /** This move, ended before its machine was handed over, or heard. */
-    public Move aborted(String why) {
+    public Move aborted(String abortReason) {
       return new Move(
-          id, machine, from, to, assignmentEpoch, MovePhase.ABORTED, order, beganMs, why);
+          id, machine, from, to, assignmentEpoch, MovePhase.ABORTED, order, beganMs, abortReason);
     }
   }
 
@@ -121,45 +121,46 @@
     }
 
     /** The same with other moves under way. */
-    public SharesState withActiveMoves(List<Move> moves) {
-      return new SharesState(shards, nextMove, List.copyOf(moves), ended, teams, recentOrders);
+    public SharesState withActiveMoves(List<Move> activeMoves) {
+      return new SharesState(
+          shards, nextMove, List.copyOf(activeMoves), ended, teams, recentOrders);
     }
 
     /** The same of a fleet with so many shards. */
-    public SharesState withShards(int number) {
-      return new SharesState(number, nextMove, active, ended, teams, recentOrders);
+    public SharesState withShards(int shardCount) {
+      return new SharesState(shardCount, nextMove, active, ended, teams, recentOrders);
     }
 
     /** The same with moves that begin; their numbers follow each other from the next. */
-    public SharesState withNewMoves(List<Move> begun) {
+    public SharesState withNewMoves(List<Move> newMoves) {
       List<Move> all = new ArrayList<>(active);
-      all.addAll(begun);
-      long next = nextMove + begun.size();
+      all.addAll(newMoves);
+      long next = nextMove + newMoves.size();
       return new SharesState(shards, next, List.copyOf(all), ended, teams, recentOrders);
     }
 
     /**
      * The same with a move in another phase.
      *
-     * @param mostEnded how many of the moves that ended are kept
+     * @param maxEnded how many of the moves that ended are kept
      */
-    public SharesState withUpdatedMove(Move changed, int mostEnded) {
+    public SharesState withUpdatedMove(Move changed, int maxEnded) {
       List<Move> moves = new ArrayList<>(active);
       moves.replaceAll(move -> move.id.equals(changed.id) ? changed : move);
       moves.removeIf(move -> move.phase.isEnd());
-      List<Move> over = new ArrayList<>(ended);
+      List<Move> nowEnded = new ArrayList<>(ended);
       if (changed.phase.isEnd()) {
-        over.add(changed);
+        nowEnded.add(changed);
       }
       return new SharesState(
-          shards, nextMove, List.copyOf(moves), latest(over, mostEnded), teams, recentOrders);
+          shards, nextMove, List.copyOf(moves), latest(nowEnded, maxEnded), teams, recentOrders);
     }
 
-    /** The same with one more outcome, of which the latest {@code most} are kept. */
-    public SharesState withOutcome(ShareOutcome outcome, int most) {
+    /** The same with one more outcome, of which the latest {@code maxOutcomes} are kept. */
+    public SharesState withOutcome(ShareOutcome outcome, int maxOutcomes) {
       List<ShareOutcome> all = new ArrayList<>(recentOrders);
       all.add(outcome);
-      return new SharesState(shards, nextMove, active, ended, teams, latest(all, most));
+      return new SharesState(shards, nextMove, active, ended, teams, latest(all, maxOutcomes));
     }
 
     /** The same with a team's share as an operator wants it. */
@@ -170,9 +171,9 @@
       return new SharesState(shards, nextMove, active, ended, List.copyOf(all), recentOrders);
     }
 
-    /** The last {@code most} of a list. */
-    public static <T> List<T> latest(List<T> all, int most) {
-      return List.copyOf(all.subList(Math.max(0, all.size() - most), all.size()));
+    /** The last {@code max} of a list. */
+    public static <T> List<T> latest(List<T> list, int max) {
+      return List.copyOf(list.subList(Math.max(0, list.size() - max), list.size()));
     }
   }
 }
--- a/src/main/java/shorecrank/protocol/ShareStatusCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStatusCodec.java
@@ -9,7 +9,7 @@
 
 /** The shares' status as JSON, for operators. */
 public final class ShareStatusCodec {
-  private static final String MOVING = "moving";
+  private static final String MOVES_ALLOWED = "moving";
   private static final String REASON = "reason";
   private static final String MEDIAN_MS = "medianMs";
   private static final String P99_MS = "p99Ms";
@@ -38,7 +38,7 @@
   /** The status as JSON. */
   public static ObjectNode write(SharesStatus status) {
     ObjectNode message = Json.object();
-    message.put(MOVING, status.movesAllowed()).put(REASON, status.reason());
+    message.put(MOVES_ALLOWED, status.movesAllowed()).put(REASON, status.reason());
     ArrayNode shards = message.putArray(SHARDS);
     for (ShardStatus shard : status.shards()) {
       putShard(shards.addObject(), shard);
--- a/src/main/java/shorecrank/protocol/WorkerHeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/WorkerHeartbeatCodec.java
@@ -25,7 +25,7 @@
   private static final String SEQUENCE = "serial";
   private static final String TOKEN = "epoch";
   private static final String ADDRESS = "addr";
-  private static final String NOTICE_S = "reclaimInS";
+  private static final String RECLAIM_IN_S = "reclaimInS";
   private static final String TASKS = "pieces";
 
   private static final String TASK = "piece";
@@ -36,7 +36,7 @@
   /** Machines' names are parts of keys, which hold 200 bytes at most. */
   private static final int MAX_MACHINE_NAME = 150;
 
-  private static final double NO_NOTICE = -1;
+  private static final double NO_RECLAIM_NOTICE = -1;
 
   /** Host names are not looked up. */
   private static final Pattern IP_ADDRESS_AND_PORT =
@@ -54,9 +54,9 @@
    */
   public static WorkerHeartbeat read(JsonNode message) throws MalformedMessageException {
     MachineName machine = readMachine(message.path(MACHINE));
-    long incarnation = Fields.count(message.path(INCARNATION), INCARNATION);
-    long sequence = Fields.count(message.path(SEQUENCE), SEQUENCE);
-    long token = Fields.count(message.path(TOKEN), TOKEN);
+    long incarnation = Fields.readCount(message.path(INCARNATION), INCARNATION);
+    long sequence = Fields.readCount(message.path(SEQUENCE), SEQUENCE);
+    long token = Fields.readCount(message.path(TOKEN), TOKEN);
     JsonNode statuses = message.path(TASKS);
     if (!(statuses.isArray() || statuses.isMissingNode() || statuses.isNull())) {
       throw new MalformedMessageException(TASKS, "must be a list or null");
@@ -65,7 +65,7 @@
     for (JsonNode status : statuses) {
       tasks.add(readTask(status));
     }
-    JsonNode notice = message.path(NOTICE_S);
+    JsonNode reclaimInS = message.path(RECLAIM_IN_S);
     return new WorkerHeartbeat(
         machine,
         Json.text(message.path(TYPE)),
@@ -74,8 +74,8 @@
         new Incarnation(incarnation),
         sequence,
         new FencingToken(token),
-        addressOrEmpty(Json.text(message.path(ADDRESS))),
-        notice.isNumber() ? Math.max(0, notice.doubleValue()) : NO_NOTICE,
+        readAddressOrEmpty(Json.text(message.path(ADDRESS))),
+        reclaimInS.isNumber() ? Math.max(0, reclaimInS.doubleValue()) : NO_RECLAIM_NOTICE,
         tasks);
   }
 
@@ -93,26 +93,26 @@
   }
 
   /** Empty if the text is no address: commands then go in answers only. */
-  private static String addressOrEmpty(String text) {
+  private static String readAddressOrEmpty(String text) {
     if (!IP_ADDRESS_AND_PORT.matcher(text).matches()) {
       return "";
     }
     int colon = text.indexOf(':');
-    boolean valid = Integer.parseInt(text.substring(colon + 1)) <= MAX_PORT;
+    boolean isValid = Integer.parseInt(text.substring(colon + 1)) <= MAX_PORT;
     for (String number : text.substring(0, colon).split("\\.")) {
-      valid &= Integer.parseInt(number) <= MAX_BYTE;
+      isValid &= Integer.parseInt(number) <= MAX_BYTE;
     }
-    return valid ? text : "";
+    return isValid ? text : "";
   }
 
   private static TaskStatus readTask(JsonNode status) throws MalformedMessageException {
     String task = Json.text(status.path(TASK));
     int slash = task.lastIndexOf('/');
-    int index = slash <= 0 ? -1 : indexOrNegative(task.substring(slash + 1));
+    int index = slash <= 0 ? -1 : parseIndexOrNegative(task.substring(slash + 1));
     if (index < 0) {
       throw new MalformedMessageException(TASK, "must be a job's id, '/' and the task's number");
     }
-    long attempt = Fields.count(status.path(ATTEMPT), ATTEMPT);
+    long attempt = Fields.readCount(status.path(ATTEMPT), ATTEMPT);
     TaskState state = readState(status.path(STATE));
     return new TaskStatus(
         new TaskAttemptId(new JobId(task.substring(0, slash)), index, new AttemptNumber(attempt)),
@@ -120,10 +120,10 @@
         state == TaskState.EXITED ? readExitReason(status.path(EXIT_REASON)) : null);
   }
 
-  private static int indexOrNegative(String text) {
+  private static int parseIndexOrNegative(String text) {
     try {
       return Integer.parseInt(text);
-    } catch (NumberFormatException noNumber) {
+    } catch (NumberFormatException notANumber) {
       return -1;
     }
   }
