--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -28,38 +28,38 @@
   private final SharesStore store;
   private final FleetAssignments fleet;
   private final OwnerReports reports;
-  private final MoveOrders orders;
+  private final OwnerInstructions instructions;
   private final MoveTimes times;
 
   /** Assignments in a transaction that is under way or in doubt; null if there are none. */
-  private Handover openHandover;
+  private Handover pendingHandover;
 
   /** Logs the change that is under way or in doubt, once it is known to be carried out. */
-  private Runnable openLog = NOTHING_TO_LOG;
+  private Runnable pendingLog = NOTHING_TO_LOG;
 
   MoveCommitter(
       LeaderEnvironment environment,
       SharesStore store,
       FleetAssignments fleet,
       OwnerReports reports,
-      MoveOrders orders,
+      OwnerInstructions instructions,
       MoveTimes times) {
     this.environment = environment;
     this.store = store;
     this.fleet = fleet;
     this.reports = reports;
-    this.orders = orders;
+    this.instructions = instructions;
     this.times = times;
   }
 
   /** Whether an assignment may still be written that is not known here. */
   boolean isInDoubt() {
-    return openHandover != null || store.isInDoubt();
+    return pendingHandover != null || store.isInDoubt();
   }
 
   /** Assignments were read anew, so none is in doubt. */
   void reset() {
-    openHandover = null;
+    pendingHandover = null;
   }
 
   /** Writes a change that assigns no machine. */
@@ -75,23 +75,23 @@
   void write(SharesState next, Handover handover, CommitListener then) {
     int operations = 1 + (handover == null ? 0 : handover.operations());
     if (!environment.tryTakeWrites(operations)) {
-      refused(handover, false);
+      handleRefusal(handover, false);
       then.finished(false);
       return;
     }
-    openHandover = handover;
+    pendingHandover = handover;
     SharesState before = store.state();
-    openLog = () -> logChanges(before, next);
+    pendingLog = () -> logChanges(before, next);
     store.write(
         next,
         transaction -> addHandover(transaction, handover),
         result -> {
           if (result instanceof CommitResult.Committed done) {
-            committed(before, next, handover, done.revision());
+            handleCommit(before, next, handover, done.revision());
           } else if (!result.isUnknown()) {
-            refused(handover, result instanceof CommitResult.Conflict);
-            openHandover = null;
-            openLog = NOTHING_TO_LOG;
+            handleRefusal(handover, result instanceof CommitResult.Conflict);
+            pendingHandover = null;
+            pendingLog = NOTHING_TO_LOG;
           }
           // One of unknown outcome is settled later; until then no assignment is written.
           then.finished(result.isCommitted());
@@ -105,15 +105,15 @@
   }
 
   /** A change of unknown outcome turned out to be carried out or not. */
-  void settled(boolean isCarriedOut) {
-    Handover settled = openHandover;
-    openHandover = null;
+  void outcomeResolved(boolean isCarriedOut) {
+    Handover settled = pendingHandover;
+    pendingHandover = null;
     if (isCarriedOut) {
-      writeOpenLog();
+      writePendingLog();
       fleet.reload();
     } else {
-      refused(settled, false);
-      openLog = NOTHING_TO_LOG;
+      handleRefusal(settled, false);
+      pendingLog = NOTHING_TO_LOG;
     }
   }
 
@@ -121,7 +121,7 @@
    * Machines stay where they were. Their owners were told meanwhile that they have none of them, so
    * they are asked anew whether anything is left on them.
    */
-  private void refused(Handover handover, boolean isConflict) {
+  private void handleRefusal(Handover handover, boolean isConflict) {
     if (handover == null) {
       return;
     }
@@ -134,25 +134,25 @@
     }
   }
 
-  private void committed(
+  private void handleCommit(
       SharesState before, SharesState after, Handover handover, Revision revision) {
     if (handover != null) {
       handover.committed(revision);
     }
-    openHandover = null;
-    writeOpenLog();
+    pendingHandover = null;
+    writePendingLog();
     for (Move move : after.ended()) {
       if (!before.ended().contains(move)) {
-        times.ended(move);
+        times.recordEnd(move);
         reports.forget(move);
       }
     }
-    orders.synchronize();
+    instructions.synchronize();
   }
 
-  private void writeOpenLog() {
-    openLog.run();
-    openLog = NOTHING_TO_LOG;
+  private void writePendingLog() {
+    pendingLog.run();
+    pendingLog = NOTHING_TO_LOG;
   }
 
   private void logChanges(SharesState before, SharesState after) {
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -20,7 +20,7 @@
  * The leader's part in shares: it says how many processors each shard should have, and moves
  * machines between shards, each in steps that are written down before anybody is told of them.
  *
- * <p>{@link RebalancePlanner} begins moves, {@link MoveOrders} tells their owners, {@link
+ * <p>{@link RebalancePlanner} begins moves, {@link OwnerInstructions} tells their owners, {@link
  * MoveStepper} takes them from phase to phase, and {@link MoveCommitter} writes each change down.
  */
 public final class MoveCoordinator {
@@ -43,14 +43,14 @@
   private final TeamShares teams;
   private final Supplier<List<String>> reasonsAgainstMoves;
   private final SharesStore store;
-  private final ShardNumberCheck numberCheck;
+  private final ShardCountCheck shardCountCheck;
   private final OwnerReports reports;
   private final MoveTimes times;
   private final RebalancePlanner planner;
-  private final MoveOrders orders;
+  private final OwnerInstructions instructions;
   private final MoveCommitter committer;
   private final MoveStepper stepper;
-  private final ShareOrders operatorOrders;
+  private final ShareOrderEvaluator orderEvaluator;
   private MonotonicTime steppedAt = MonotonicTime.NEVER;
   private MonotonicTime plannedAt = MonotonicTime.NEVER;
 
@@ -71,22 +71,23 @@
     this.fleet = fleet;
     this.teams = new TeamShares(teamNames, settings.teams(), fleet.shardCount());
     this.reasonsAgainstMoves = reasonsAgainstMoves;
-    this.store = new SharesStore(environment, leadership, gate, this::settled);
-    this.numberCheck = new ShardNumberCheck(environment, store, fleet.shardCount());
+    this.store = new SharesStore(environment, leadership, gate, this::outcomeResolved);
+    this.shardCountCheck = new ShardCountCheck(environment, store, fleet.shardCount());
     this.reports = new OwnerReports(environment);
     this.times = new MoveTimes(environment, settings.restS());
     MoveCapacity capacity = new MoveCapacity(environment);
     this.planner =
         new RebalancePlanner(environment, fleet, settings, teams, reports, times, capacity);
-    this.orders = new MoveOrders(store, fleet);
-    this.committer = new MoveCommitter(environment, store, fleet, reports, orders, times);
+    this.instructions = new OwnerInstructions(store, fleet);
+    this.committer = new MoveCommitter(environment, store, fleet, reports, instructions, times);
     this.stepper =
         new MoveStepper(environment, store, fleet, reports, committer, times, settings.timeoutS());
-    this.operatorOrders = new ShareOrders(fleet, teams, reports::candidates, capacity::mostActive);
+    this.orderEvaluator =
+        new ShareOrderEvaluator(fleet, teams, reports::candidates, capacity::maxActive);
   }
 
-  private void settled(boolean isCarriedOut) {
-    committer.settled(isCarriedOut);
+  private void outcomeResolved(boolean isCarriedOut) {
+    committer.outcomeResolved(isCarriedOut);
   }
 
   /**
@@ -94,8 +95,8 @@
    * it was told to hand over, and jobs are assigned by the configured number of shards.
    */
   public boolean isReady() {
-    boolean areOwnersTold = !store.isReadable() || orders.areCurrent();
-    return store.isRead() && numberCheck.isPassed() && areOwnersTold;
+    boolean areOwnersTold = !store.isReadable() || instructions.areCurrent();
+    return store.isRead() && shardCountCheck.isPassed() && areOwnersTold;
   }
 
   /** Whether an assignment may still be written that is not known here; then no other may be. */
@@ -107,16 +108,16 @@
   public void beginTerm() {
     committer.reset();
     reports.clear();
-    orders.reset();
-    orders.synchronize();
+    instructions.reset();
+    instructions.synchronize();
   }
 
   /** Reads the key if that is due; called once a round, also while no shard may be granted yet. */
   public void refresh() {
     store.tick();
-    numberCheck.tick();
-    if (!orders.areCurrent()) {
-      orders.synchronize();
+    shardCountCheck.tick();
+    if (!instructions.areCurrent()) {
+      instructions.synchronize();
     }
   }
 
@@ -148,7 +149,7 @@
 
   /** Takes a report of a shard's owner that came under the shard's epoch. */
   public void handleReport(ShardReport report) {
-    reports.take(report, store.state());
+    reports.handleReport(report, store.state());
   }
 
   /** A shard has a new owner, or its owner a new epoch. */
@@ -178,8 +179,8 @@
       then.completed(null);
       return;
     }
-    ShareOrders.Decision decision =
-        operatorOrders.decide(order, store.state(), reasonsAgainstOrders(), environment.wallMs());
+    ShareOrderEvaluator.Decision decision =
+        orderEvaluator.evaluate(order, store.state(), reasonsAgainstOrders(), environment.wallMs());
     ShareOutcome outcome = decision.outcome();
     Optional<SharesState> next = decision.next();
     if (next.isEmpty()) {
@@ -192,7 +193,9 @@
     }
     environment.info("shares.ordered id=%s text=\"%s\"", order.id(), outcome.text());
     committer.write(
-        next.get().withShards(fleet.shardCount()).withOutcome(outcome, MoveCapacity.KEPT_ORDERS),
+        next.get()
+            .withShards(fleet.shardCount())
+            .withOutcome(outcome, MoveCapacity.MAX_ORDER_OUTCOMES),
         isCommitted -> then.completed(isCommitted ? outcome : null));
   }
 
@@ -201,8 +204,8 @@
     if (!store.isReadable()) {
       return null;
     }
-    StatusView view =
-        new StatusView(fleet, teams, store.state(), planner.targets(), reports, times);
+    SharesStatusBuilder view =
+        new SharesStatusBuilder(fleet, teams, store.state(), planner.targets(), reports, times);
     return view.status(reasonsAgainstOrders());
   }
 }
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -24,52 +24,52 @@
    * A donor's surplus and a receiver's lack must be at least this fraction of the machine, so that
    * the move brings both nearer to their targets.
    */
-  private static final double GAIN = 0.5;
+  private static final double MIN_GAIN = 0.5;
 
   /** A machine that should move. */
-  record Planned(MachineName machine, ShardId from, ShardId to) {}
+  record PlannedMove(MachineName machine, ShardId from, ShardId to) {}
 
   /**
    * The state from which moves are planned.
    *
    * @param targets processors by shard that it should have
-   * @param present processors by shard, with moves under way counted where they lead
+   * @param currentCpus processors by shard, with moves under way counted where they lead
    * @param demands by shard; those of which none is known give no machines
-   * @param receiving shards that have lacked machines for long enough
+   * @param receivers shards that have lacked machines for long enough
    * @param movable whether a machine may move now
    */
-  record Situation(
+  record PlanningInput(
       Map<ShardId, Double> targets,
-      Map<ShardId, Double> present,
+      Map<ShardId, Double> currentCpus,
       Map<ShardId, ShardDemand> demands,
-      Set<ShardId> receiving,
+      Set<ShardId> receivers,
       Predicate<MachineName> movable) {}
 
-  private final Situation situation;
+  private final PlanningInput input;
   private final double tolerance;
   private final Map<MachineName, FleetMachine> machines = new HashMap<>();
-  private final Map<ShardId, Double> present;
-  private final Set<MachineName> taken = new HashSet<>();
+  private final Map<ShardId, Double> currentCpus;
+  private final Set<MachineName> chosen = new HashSet<>();
 
-  MovePlanner(Situation situation, Collection<FleetMachine> machines, double tolerance) {
-    this.situation = situation;
+  MovePlanner(PlanningInput input, Collection<FleetMachine> machines, double tolerance) {
+    this.input = input;
     this.tolerance = tolerance;
-    this.present = new TreeMap<>(situation.present());
+    this.currentCpus = new TreeMap<>(input.currentCpus());
     machines.forEach(machine -> this.machines.put(machine.name(), machine));
   }
 
   /** Plans at most {@code most} moves, each as if those before it were done. */
-  List<Planned> plan(int most) {
-    List<Planned> plan = new ArrayList<>();
-    while (plan.size() < most) {
-      Planned next = next();
+  List<PlannedMove> plan(int limit) {
+    List<PlannedMove> plan = new ArrayList<>();
+    while (plan.size() < limit) {
+      PlannedMove next = planNext();
       if (next == null) {
         break;
       }
-      taken.add(next.machine());
+      chosen.add(next.machine());
       double cpus = machines.get(next.machine()).cpus();
-      present.merge(next.from(), -cpus, Double::sum);
-      present.merge(next.to(), cpus, Double::sum);
+      currentCpus.merge(next.from(), -cpus, Double::sum);
+      currentCpus.merge(next.to(), cpus, Double::sum);
       plan.add(next);
     }
     return plan;
@@ -77,24 +77,24 @@
 
   /** How far a shard is above its target; negative if it is below. */
   private double surplus(ShardId shard) {
-    return present.getOrDefault(shard, 0.0) - situation.targets().getOrDefault(shard, 0.0);
+    return currentCpus.getOrDefault(shard, 0.0) - input.targets().getOrDefault(shard, 0.0);
   }
 
   private boolean isBeyondTolerance(ShardId shard) {
-    double target = situation.targets().getOrDefault(shard, 0.0);
+    double target = input.targets().getOrDefault(shard, 0.0);
     return Math.abs(surplus(shard)) > tolerance * target;
   }
 
-  private Planned next() {
-    List<ShardId> receivers = new ArrayList<>(situation.receiving());
+  private PlannedMove planNext() {
+    List<ShardId> receivers = new ArrayList<>(input.receivers());
     receivers.removeIf(shard -> surplus(shard) >= 0 || !isBeyondTolerance(shard));
     receivers.sort((left, right) -> Double.compare(surplus(left), surplus(right)));
-    List<ShardId> donors = new ArrayList<>(present.keySet());
-    donors.removeIf(shard -> surplus(shard) <= 0 || !situation.demands().containsKey(shard));
+    List<ShardId> donors = new ArrayList<>(currentCpus.keySet());
+    donors.removeIf(shard -> surplus(shard) <= 0 || !input.demands().containsKey(shard));
     donors.sort((left, right) -> Double.compare(surplus(right), surplus(left)));
     for (ShardId to : receivers) {
       for (ShardId from : donors) {
-        Planned planned = from.equals(to) ? null : choose(from, to);
+        PlannedMove planned = from.equals(to) ? null : chooseMachine(from, to);
         if (planned != null) {
           return planned;
         }
@@ -103,23 +103,23 @@
     return null;
   }
 
-  private Planned choose(ShardId from, ShardId to) {
-    for (DrainCandidate candidate : situation.demands().get(from).candidates()) {
+  private PlannedMove chooseMachine(ShardId from, ShardId to) {
+    for (DrainCandidate candidate : input.demands().get(from).candidates()) {
       FleetMachine machine = machines.get(candidate.machine());
-      boolean isUsable =
+      boolean isEligible =
           machine != null
               && machine.shard().equals(from)
-              && !taken.contains(machine.name())
-              && situation.movable().test(machine.name())
-              && situation.demands().get(to).usableOffers().contains(machine.offer());
-      if (isUsable && isGain(from, to, machine.cpus())) {
-        return new Planned(machine.name(), from, to);
+              && !chosen.contains(machine.name())
+              && input.movable().test(machine.name())
+              && input.demands().get(to).usableOffers().contains(machine.offer());
+      if (isEligible && isWorthMoving(from, to, machine.cpus())) {
+        return new PlannedMove(machine.name(), from, to);
       }
     }
     return null;
   }
 
-  private boolean isGain(ShardId from, ShardId to, double cpus) {
-    return surplus(from) >= cpus * GAIN && -surplus(to) >= cpus * GAIN;
+  private boolean isWorthMoving(ShardId from, ShardId to, double cpus) {
+    return surplus(from) >= cpus * MIN_GAIN && -surplus(to) >= cpus * MIN_GAIN;
   }
 }
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -13,7 +13,7 @@
  */
 final class MoveRules {
   /** A new owner may take so many times the bound on a move until it hears the machine. */
-  private static final double ARRIVAL_FACTOR = 2;
+  private static final double ARRIVAL_TIMEOUT_FACTOR = 2;
 
   private MoveRules() {}
 
@@ -23,9 +23,9 @@
     REASSIGNED("the machine's assignment has changed"),
     TERMINATION_NOTICE("the cloud takes the machine back"),
     MACHINE_SILENT("the machine's worker is not heard"),
-    TIMEOUT("tasks did not end in time"),
-    NOT_HEARD("its new owner does not hear it"),
-    ORDERED("aborted by an operator"),
+    DRAIN_TIMEOUT("tasks did not end in time"),
+    NOT_HEARD_BY_NEW_OWNER("its new owner does not hear it"),
+    ABORTED_BY_OPERATOR("aborted by an operator"),
     EARLIER_VERSION("its owner runs a version that knows no moves");
 
     private final String text;
@@ -46,7 +46,7 @@
    * @param assignedTo the machine's shard; null if the machine is not known
    * @param term the term of its assignment
    * @param progress what its owner says of the order; null if it has said nothing
-   * @param ownerKnowsMoves false if the owner's last report is of an earlier version
+   * @param ownerSupportsMoves false if the owner's last report is of an earlier version
    * @param isReleased whether the owner has said, under this move, that nothing is left on it
    * @param isArrived whether the new owner has said that it hears the machine
    * @param ageS the seconds since the move began
@@ -55,7 +55,7 @@
       ShardId assignedTo,
       Epoch term,
       DrainProgress progress,
-      boolean ownerKnowsMoves,
+      boolean ownerSupportsMoves,
       boolean isReleased,
       boolean isArrived,
       double ageS) {}
@@ -65,7 +65,7 @@
     /** Nothing. */
     STAY,
     /** The owner drains the machine. */
-    NOTE_DRAINING,
+    RECORD_DRAINING,
     /** The machine's assignment changes, in the same transaction. */
     HAND_OVER,
     /** The machine has arrived. */
@@ -88,45 +88,47 @@
   }
 
   /** The next step of a move that is under way. */
-  static Step next(Move move, Observation seen, double timeoutS) {
-    if (seen.assignedTo == null) {
+  static Step next(Move move, Observation observation, double timeoutS) {
+    if (observation.assignedTo == null) {
       return Step.abort(Reason.MACHINE_GONE);
     }
     return move.phase() == MovePhase.HANDED_OVER
-        ? afterHandover(move, seen, timeoutS)
-        : beforeHandover(move, seen, timeoutS);
+        ? afterHandover(move, observation, timeoutS)
+        : beforeHandover(move, observation, timeoutS);
   }
 
-  private static Step beforeHandover(Move move, Observation seen, double timeoutS) {
-    if (!seen.assignedTo.equals(move.from()) || !seen.term.equals(move.term())) {
+  private static Step beforeHandover(Move move, Observation observation, double timeoutS) {
+    if (!observation.assignedTo.equals(move.from()) || !observation.term.equals(move.term())) {
       return Step.abort(Reason.REASSIGNED);
     }
-    if (!seen.ownerKnowsMoves) {
+    if (!observation.ownerSupportsMoves) {
       return Step.abort(Reason.EARLIER_VERSION);
     }
-    if (seen.isReleased) {
+    if (observation.isReleased) {
       return Step.of(Action.HAND_OVER);
     }
-    if (seen.progress != null && seen.progress.state() == DrainState.NOTICED) {
+    if (observation.progress != null && observation.progress.state() == DrainState.NOTICED) {
       return Step.abort(Reason.TERMINATION_NOTICE);
     }
-    if (seen.progress != null && seen.progress.state() == DrainState.SILENT) {
+    if (observation.progress != null && observation.progress.state() == DrainState.SILENT) {
       return Step.abort(Reason.MACHINE_SILENT);
     }
-    if (seen.ageS > timeoutS) {
-      return Step.abort(Reason.TIMEOUT);
+    if (observation.ageS > timeoutS) {
+      return Step.abort(Reason.DRAIN_TIMEOUT);
     }
-    boolean isNews = move.phase() == MovePhase.REQUESTED && seen.progress != null;
-    return isNews ? Step.of(Action.NOTE_DRAINING) : Step.STAY;
+    boolean hasDrainStarted = move.phase() == MovePhase.REQUESTED && observation.progress != null;
+    return hasDrainStarted ? Step.of(Action.RECORD_DRAINING) : Step.STAY;
   }
 
-  private static Step afterHandover(Move move, Observation seen, double timeoutS) {
-    if (!seen.assignedTo.equals(move.to())) {
+  private static Step afterHandover(Move move, Observation observation, double timeoutS) {
+    if (!observation.assignedTo.equals(move.to())) {
       return Step.abort(Reason.REASSIGNED);
     }
-    if (seen.isArrived) {
+    if (observation.isArrived) {
       return Step.of(Action.FINISH);
     }
-    return seen.ageS > ARRIVAL_FACTOR * timeoutS ? Step.abort(Reason.NOT_HEARD) : Step.STAY;
+    return observation.ageS > ARRIVAL_TIMEOUT_FACTOR * timeoutS
+        ? Step.abort(Reason.NOT_HEARD_BY_NEW_OWNER)
+        : Step.STAY;
   }
 }
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -52,46 +52,46 @@
 
   /** Writes down the next steps of all moves; false if there is none. */
   boolean takeSteps() {
-    SharesState known = store.state();
-    SharesState next = known;
+    SharesState current = store.state();
+    SharesState next = current;
     Map<MachineName, ShardId> assignments = new LinkedHashMap<>();
     List<Move> released = new ArrayList<>();
-    for (Move move : known.active()) {
+    for (Move move : current.active()) {
       Step step = MoveRules.next(move, observe(move), timeoutS);
       switch (step.action()) {
         case STAY -> {}
-        case NOTE_DRAINING -> next = changed(next, move.withPhase(MovePhase.DRAINING));
+        case RECORD_DRAINING -> next = withMove(next, move.withPhase(MovePhase.DRAINING));
         case HAND_OVER -> {
-          if (isEpochAbove(move)) {
+          if (hasNewerEpoch(move)) {
             assignments.put(move.machine(), move.to());
             released.add(move);
           }
         }
-        case FINISH -> next = changed(next, move.withPhase(MovePhase.DONE));
-        case ABORT -> next = changed(next, move.aborted(step.reason().text()));
+        case FINISH -> next = withMove(next, move.withPhase(MovePhase.DONE));
+        case ABORT -> next = withMove(next, move.aborted(step.reason().text()));
       }
     }
-    Handover handover = prepare(assignments);
+    Handover handover = prepareHandover(assignments);
     if (handover != null) {
       for (Move move : released) {
         if (handover.machines().contains(move.machine())) {
-          next = changed(next, move.withPhase(MovePhase.HANDED_OVER));
+          next = withMove(next, move.withPhase(MovePhase.HANDED_OVER));
         }
       }
     }
-    if (next == known) {
+    if (next == current) {
       return false;
     }
     committer.write(next, handover, isCommitted -> {});
     return true;
   }
 
-  private static SharesState changed(SharesState state, Move move) {
-    return state.withUpdatedMove(move, MoveCapacity.KEPT_ENDED);
+  private static SharesState withMove(SharesState state, Move move) {
+    return state.withUpdatedMove(move, MoveCapacity.MAX_ENDED_MOVES);
   }
 
   /** Null if nothing is to be assigned, or not now. */
-  private Handover prepare(Map<MachineName, ShardId> assignments) {
+  private Handover prepareHandover(Map<MachineName, ShardId> assignments) {
     boolean isAffordable = environment.hasWriteBudget(1 + assignments.size());
     return assignments.isEmpty() || !isAffordable ? null : fleet.prepareHandover(assignments);
   }
@@ -102,7 +102,7 @@
         machine == null ? null : machine.shard(),
         machine == null ? Epoch.NONE : machine.term(),
         reports.progress(move),
-        reports.ownerKnowsMoves(move),
+        reports.ownerSupportsMoves(move),
         reports.isReleased(move),
         reports.isArrived(move),
         times.ageS(move));
@@ -112,7 +112,7 @@
    * Whether the new owner's epoch is above any that the machine's worker may have been shown; if
    * not, a higher one is asked for.
    */
-  private boolean isEpochAbove(Move move) {
+  private boolean hasNewerEpoch(Move move) {
     FleetMachine machine = fleet.machine(move.machine());
     Epoch last = fleet.epoch(move.from());
     Epoch least = machine == null ? last : Epoch.higher(machine.term(), last);
--- a/src/main/java/shorecrank/rebalance/MoveTimes.java
+++ b/src/main/java/shorecrank/rebalance/MoveTimes.java
@@ -11,21 +11,21 @@
 
 /** How long moves take, and for how long their machines stay where they are afterwards. */
 final class MoveTimes {
-  private static final long LONGEST_MOVE_MS = 3_600_000;
+  private static final long MAX_RECORDED_MS = 3_600_000;
   private static final int HISTOGRAM_DIGITS = 2;
   private static final double MS_PER_S = 1000;
 
   private final LeaderEnvironment environment;
-  private final long restMs;
-  private final Map<MachineName, MonotonicTime> restingUntil = new HashMap<>();
-  private final Histogram durationsMs = new Histogram(LONGEST_MOVE_MS, HISTOGRAM_DIGITS);
+  private final long cooldownMs;
+  private final Map<MachineName, MonotonicTime> cooldownUntil = new HashMap<>();
+  private final Histogram durationsMs = new Histogram(MAX_RECORDED_MS, HISTOGRAM_DIGITS);
 
   /**
-   * @param restS for how long a machine that has moved stays where it is, in seconds
+   * @param cooldownS for how long a machine that has moved stays where it is, in seconds
    */
-  MoveTimes(LeaderEnvironment environment, double restS) {
+  MoveTimes(LeaderEnvironment environment, double cooldownS) {
     this.environment = environment;
-    this.restMs = (long) (restS * MS_PER_S);
+    this.cooldownMs = (long) (cooldownS * MS_PER_S);
   }
 
   /** The seconds since a move began, by the time of day; never negative. */
@@ -34,11 +34,11 @@
   }
 
   /** Takes note of the end of a move, and counts it if it was carried out. */
-  void ended(Move move) {
-    restingUntil.put(move.machine(), environment.now().plus(restMs));
+  void recordEnd(Move move) {
+    cooldownUntil.put(move.machine(), environment.now().plus(cooldownMs));
     if (move.phase() == MovePhase.DONE) {
       long durationMs = (long) (ageS(move) * MS_PER_S);
-      durationsMs.recordValue(Math.min(LONGEST_MOVE_MS, durationMs));
+      durationsMs.recordValue(Math.min(MAX_RECORDED_MS, durationMs));
       environment.count("shares.moves.done", 1);
       environment.count("shares.moves.done.ms", durationMs);
       environment.info("move.done id=%s machine=%s ms=%d", move.id(), move.machine(), durationMs);
@@ -46,10 +46,10 @@
   }
 
   /** Whether a machine moved so lately that it may not move by need again. */
-  boolean isResting(MachineName machine) {
-    MonotonicTime until = restingUntil.get(machine);
+  boolean isCoolingDown(MachineName machine) {
+    MonotonicTime until = cooldownUntil.get(machine);
     if (until != null && until.isBefore(environment.now())) {
-      restingUntil.remove(machine);
+      cooldownUntil.remove(machine);
       until = null;
     }
     return until != null;
--- a/src/main/java/shorecrank/rebalance/MoveOrders.java
+++ b/src/main/java/shorecrank/rebalance/OwnerInstructions.java
@@ -10,26 +10,26 @@
  * Orders owners to drain the machines of moves that are written down, and new owners to report
  * their arrival.
  */
-final class MoveOrders {
+final class OwnerInstructions {
   private final SharesStore store;
   private final FleetAssignments fleet;
 
   /** The key's revision whose moves owners are told; null if they have to be told anew. */
-  private Revision toldRevision;
+  private Revision announcedRevision;
 
-  MoveOrders(SharesStore store, FleetAssignments fleet) {
+  OwnerInstructions(SharesStore store, FleetAssignments fleet) {
     this.store = store;
     this.fleet = fleet;
   }
 
   /** Whether owners are told the moves of the key's present revision. */
   boolean areCurrent() {
-    return store.revision().equals(toldRevision);
+    return store.revision().equals(announcedRevision);
   }
 
   /** Assignments were read anew, with no order in them. */
   void reset() {
-    toldRevision = null;
+    announcedRevision = null;
   }
 
   /** Makes the orders in the assignments those of the moves that are written down. */
@@ -54,6 +54,6 @@
         fleet.clearMove(machine);
       }
     }
-    toldRevision = store.revision();
+    announcedRevision = store.revision();
   }
 }
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -23,12 +23,12 @@
 /** The last reports of shards' owners on demand, on machines that move, and on misplaced ones. */
 final class OwnerReports {
   /** A report older than this says nothing of a shard's demand any more. */
-  private static final long FRESH_MS = 4000;
+  private static final long MAX_DEMAND_AGE_MS = 4000;
 
   /** An owner's last report; {@code demand} is null if it names none. */
   private record Report(
       ShardDemand demand,
-      boolean knowsMoves,
+      boolean supportsMoves,
       Map<MoveId, DrainProgress> draining,
       MonotonicTime receivedAt) {}
 
@@ -57,7 +57,7 @@
   }
 
   /** Takes a report that came under the shard's epoch. */
-  void take(ShardReport report, SharesState state) {
+  void handleReport(ShardReport report, SharesState state) {
     Map<MoveId, DrainProgress> draining = new HashMap<>();
     ShardDemand demand = report.demand();
     if (demand != null) {
@@ -91,7 +91,8 @@
   /** The demand that a shard's owner has reported lately. */
   Optional<ShardDemand> freshDemand(ShardId shard) {
     Report report = reports.get(shard);
-    boolean isFresh = report != null && environment.now().since(report.receivedAt) <= FRESH_MS;
+    boolean isFresh =
+        report != null && environment.now().since(report.receivedAt) <= MAX_DEMAND_AGE_MS;
     return isFresh ? Optional.ofNullable(report.demand) : Optional.empty();
   }
 
@@ -114,9 +115,9 @@
   }
 
   /** False if the last report of the machine's owner is of a version that knows no moves. */
-  boolean ownerKnowsMoves(Move move) {
+  boolean ownerSupportsMoves(Move move) {
     Report owner = reports.get(move.from());
-    return owner == null || owner.knowsMoves;
+    return owner == null || owner.supportsMoves;
   }
 
   /** Whether the owner has said, under this move, that no task or record is left on the machine. */
@@ -141,7 +142,7 @@
   }
 
   /** Machines reported as misplaced since the last call, with the shard whose tasks they run. */
-  Map<MachineName, ShardId> takeMisplaced() {
+  Map<MachineName, ShardId> pollMisplaced() {
     Map<MachineName, ShardId> taken = new TreeMap<>(misplaced);
     misplaced.clear();
     return taken;
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -18,9 +18,9 @@
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
-import shorecrank.rebalance.MovePlanner.Planned;
-import shorecrank.rebalance.MovePlanner.Situation;
-import shorecrank.rebalance.ShareTargets.Claim;
+import shorecrank.rebalance.MovePlanner.PlannedMove;
+import shorecrank.rebalance.MovePlanner.PlanningInput;
+import shorecrank.rebalance.ShareTargets.ShardInput;
 
 /**
  * Computes how many processors each shard should have, and which moves begin: machines that run
@@ -28,7 +28,7 @@
  */
 final class RebalancePlanner {
   /** What a machine counts beside its processors where a new machine's shard is chosen. */
-  private static final double MACHINE_TIE_BREAK = 1e-6;
+  private static final double TIE_BREAK_CPUS = 1e-6;
 
   private static final double MS_PER_S = 1000;
 
@@ -41,7 +41,7 @@
   private final MoveCapacity capacity;
 
   /** Since when a shard has lacked machines. */
-  private final Map<ShardId, MonotonicTime> lackingSince = new HashMap<>();
+  private final Map<ShardId, MonotonicTime> deficitSince = new HashMap<>();
 
   private Map<ShardId, Double> targets = new TreeMap<>();
 
@@ -67,20 +67,20 @@
     return targets;
   }
 
-  /** The shard that lacks the most processors; of equals, that with the fewest machines. */
+  /** The shard that lacks the largest processors; of equals, that with the fewest machines. */
   ShardId shardForNewMachine(SharesState state) {
-    Map<ShardId, Double> present = present(state);
+    Map<ShardId, Double> currentCpus = currentCpus(state);
     // While machine types are not known, machines have no processors, but still count.
     fleet
         .machines()
-        .forEach(machine -> present.merge(machine.shard(), MACHINE_TIE_BREAK, Double::sum));
+        .forEach(machine -> currentCpus.merge(machine.shard(), TIE_BREAK_CPUS, Double::sum));
     ShardId best = new ShardId(0);
-    double most = Double.NEGATIVE_INFINITY;
+    double limit = Double.NEGATIVE_INFINITY;
     for (int i = 0; i < fleet.shardCount(); i++) {
       ShardId shard = new ShardId(i);
-      double lack = targets.getOrDefault(shard, 0.0) - present.getOrDefault(shard, 0.0);
-      if (lack > most) {
-        most = lack;
+      double deficit = targets.getOrDefault(shard, 0.0) - currentCpus.getOrDefault(shard, 0.0);
+      if (deficit > limit) {
+        limit = deficit;
         best = shard;
       }
     }
@@ -93,115 +93,116 @@
    * @param reasonsAgainstMoves why no move by need may begin; asked only if one might
    */
   List<Move> plan(SharesState state, Supplier<List<String>> reasonsAgainstMoves) {
-    Map<ShardId, Double> present = present(state);
-    Map<ShardId, Claim> claims = new TreeMap<>();
+    Map<ShardId, Double> currentCpus = currentCpus(state);
+    Map<ShardId, ShardInput> inputs = new TreeMap<>();
     Map<ShardId, ShardDemand> demands = new TreeMap<>();
     teams
-        .byShard(state.teams())
+        .sharesByShard(state.teams())
         .forEach(
             (shard, share) -> {
               Optional<ShardDemand> demand = reports.freshDemand(shard);
-              claims.put(shard, new Claim(share, demand.orElse(null), present.get(shard)));
+              inputs.put(shard, new ShardInput(share, demand.orElse(null), currentCpus.get(shard)));
               demand.ifPresent(known -> demands.put(shard, known));
             });
-    double cpus = present.values().stream().mapToDouble(Double::doubleValue).sum();
-    targets = ShareTargets.compute(cpus, claims);
-    updateGauges(present, state);
-    List<Move> moves = reclaim(state);
-    boolean mayMoveByNeed = moves.isEmpty() && settings.automatic();
-    if (mayMoveByNeed && reasonsAgainstMoves.get().isEmpty()) {
-      return moveByNeed(present, demands, state);
+    double cpus = currentCpus.values().stream().mapToDouble(Double::doubleValue).sum();
+    targets = ShareTargets.compute(cpus, inputs);
+    updateGauges(currentCpus, state);
+    List<Move> moves = planReclaims(state);
+    boolean canPlanAutomaticMoves = moves.isEmpty() && settings.automatic();
+    if (canPlanAutomaticMoves && reasonsAgainstMoves.get().isEmpty()) {
+      return planAutomaticMoves(currentCpus, demands, state);
     }
     return moves;
   }
 
   /** Processors by shard, with moves under way counted at the shard that they lead to. */
-  private Map<ShardId, Double> present(SharesState state) {
-    Map<ShardId, Double> present = new TreeMap<>();
+  private Map<ShardId, Double> currentCpus(SharesState state) {
+    Map<ShardId, Double> currentCpus = new TreeMap<>();
     for (int i = 0; i < fleet.shardCount(); i++) {
-      present.put(new ShardId(i), 0.0);
+      currentCpus.put(new ShardId(i), 0.0);
     }
     for (FleetMachine machine : fleet.machines()) {
       Move move = state.activeMoveOf(machine.name());
       ShardId shard = move == null ? machine.shard() : move.to();
-      present.merge(shard, machine.cpus(), Double::sum);
+      currentCpus.merge(shard, machine.cpus(), Double::sum);
     }
-    return present;
+    return currentCpus;
   }
 
-  private void updateGauges(Map<ShardId, Double> present, SharesState state) {
+  private void updateGauges(Map<ShardId, Double> currentCpus, SharesState state) {
     targets.forEach((shard, cpus) -> environment.gauge("shares.target." + shard, cpus));
-    present.forEach((shard, cpus) -> environment.gauge("shares.present." + shard, cpus));
+    currentCpus.forEach((shard, cpus) -> environment.gauge("shares.present." + shard, cpus));
     environment.gauge("shares.moves.active", state.active().size());
     environment.gauge("shares.move.ms.p50", times.medianMs());
     environment.gauge("shares.move.ms.p99", times.p99Ms());
   }
 
   /** A move without an operator's order; {@code offset} counts those that begin before it. */
-  private Move begin(int offset, MachineName machine, ShardId to, SharesState state) {
+  private Move newMove(int offset, MachineName machine, ShardId to, SharesState state) {
     MoveId id = new MoveId(state.nextMove() + offset);
     return fleet.machine(machine).moveTo(to, id, "", environment.wallMs());
   }
 
   /** Moves of machines on which tasks of a shard may run, back to that shard. */
-  private List<Move> reclaim(SharesState state) {
+  private List<Move> planReclaims(SharesState state) {
     List<Move> moves = new ArrayList<>();
     reports
-        .takeMisplaced()
+        .pollMisplaced()
         .forEach(
             (name, shard) -> {
               FleetMachine machine = fleet.machine(name);
               boolean isElsewhere = machine != null && !machine.shard().equals(shard);
               boolean isFree = isElsewhere && state.activeMoveOf(name) == null;
-              if (isFree && moves.size() < capacity.room(state)) {
+              if (isFree && moves.size() < capacity.remaining(state)) {
                 environment.info(
                     "machine.reclaimed machine=%s shard=%s assigned_to=%s",
                     name, shard, machine.shard());
-                moves.add(begin(moves.size(), name, shard, state));
+                moves.add(newMove(moves.size(), name, shard, state));
               }
             });
     return moves;
   }
 
-  private List<Move> moveByNeed(
-      Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands, SharesState state) {
-    int most = Math.min(settings.movesAtOnce() - state.active().size(), capacity.room(state));
-    if (most <= 0) {
+  private List<Move> planAutomaticMoves(
+      Map<ShardId, Double> currentCpus, Map<ShardId, ShardDemand> demands, SharesState state) {
+    int limit = Math.min(settings.movesAtOnce() - state.active().size(), capacity.remaining(state));
+    if (limit <= 0) {
       return List.of();
     }
-    Situation situation =
-        new Situation(
+    PlanningInput input =
+        new PlanningInput(
             targets,
-            present,
+            currentCpus,
             demands,
-            receiving(present, demands),
-            machine -> !times.isResting(machine) && state.activeMoveOf(machine) == null);
-    MovePlanner planner = new MovePlanner(situation, fleet.machines(), settings.tolerance());
+            receivers(currentCpus, demands),
+            machine -> !times.isCoolingDown(machine) && state.activeMoveOf(machine) == null);
+    MovePlanner planner = new MovePlanner(input, fleet.machines(), settings.tolerance());
     List<Move> moves = new ArrayList<>();
-    for (Planned planned : planner.plan(most)) {
-      moves.add(begin(moves.size(), planned.machine(), planned.to(), state));
+    for (PlannedMove planned : planner.plan(limit)) {
+      moves.add(newMove(moves.size(), planned.machine(), planned.to(), state));
     }
     return moves;
   }
 
   /** Shards that have lacked machines for long enough, and have tasks waiting. */
-  private Set<ShardId> receiving(Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands) {
+  private Set<ShardId> receivers(
+      Map<ShardId, Double> currentCpus, Map<ShardId, ShardDemand> demands) {
     MonotonicTime now = environment.now();
-    Set<ShardId> receiving = new HashSet<>();
+    Set<ShardId> receivers = new HashSet<>();
     targets.forEach(
         (shard, target) -> {
           ShardDemand demand = demands.get(shard);
-          boolean isLacking =
-              demand != null && demand.totalWaiting() > 0 && target > present.get(shard);
-          if (!isLacking) {
-            lackingSince.remove(shard);
+          boolean hasDeficit =
+              demand != null && demand.totalWaiting() > 0 && target > currentCpus.get(shard);
+          if (!hasDeficit) {
+            deficitSince.remove(shard);
             return;
           }
-          MonotonicTime since = lackingSince.computeIfAbsent(shard, absent -> now);
+          MonotonicTime since = deficitSince.computeIfAbsent(shard, absent -> now);
           if (now.since(since) >= settings.settleS() * MS_PER_S) {
-            receiving.add(shard);
+            receivers.add(shard);
           }
         });
-    return receiving;
+    return receivers;
   }
 }
--- a/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardCountCheck.java
@@ -11,16 +11,16 @@
  * machines are assigned by that number, so under another one their records would be read by owners
  * that their machines don't belong to.
  */
-final class ShardNumberCheck {
+final class ShardCountCheck {
   private static final long RETRY_MS = 2000;
 
   private final LeaderEnvironment environment;
   private final SharesStore shares;
   private final SequentialStore store;
   private final int configured;
-  private boolean jobsAreGone;
+  private boolean hasNoJobs;
 
-  ShardNumberCheck(LeaderEnvironment environment, SharesStore shares, int configured) {
+  ShardCountCheck(LeaderEnvironment environment, SharesStore shares, int configured) {
     this.environment = environment;
     this.shares = shares;
     this.store = new SequentialStore(environment);
@@ -33,7 +33,7 @@
    * by it.
    */
   boolean isPassed() {
-    return isInForce() || (jobsAreGone && !shares.isPermitted());
+    return isInForce() || (hasNoJobs && !shares.isPermitted());
   }
 
   private boolean isInForce() {
@@ -46,8 +46,8 @@
     if (!shares.isRead() || isPassed() || !store.isReady()) {
       return;
     }
-    if (jobsAreGone && shares.isIdle()) {
-      jobsAreGone = false;
+    if (hasNoJobs && shares.isIdle()) {
+      hasNoJobs = false;
       shares.write(
           shares.state().withShards(configured).withActiveMoves(List.of()),
           transaction -> {},
@@ -60,8 +60,8 @@
   private void jobsListed(ListResult result) {
     store.pause(RETRY_MS);
     if (result instanceof ListResult.Page page) {
-      jobsAreGone = page.entries().isEmpty();
-      if (!jobsAreGone) {
+      hasNoJobs = page.entries().isEmpty();
+      if (!hasNoJobs) {
         environment.reportRefusal(
             "shares.parts_refused",
             "shards.refused configured=%d in_force=%d reason=\"jobs exist: set it back\""
--- a/src/main/java/shorecrank/rebalance/ShareOrders.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrderEvaluator.java
@@ -27,28 +27,28 @@
 /**
  * Decides operators' orders: whether one can be carried out, what it changes, and what is answered.
  */
-final class ShareOrders {
+final class ShareOrderEvaluator {
   /** The most machines that an answer names. */
-  private static final int MOST_NAMED = 20;
+  private static final int MAX_NAMED_MACHINES = 20;
 
   private final FleetAssignments fleet;
   private final TeamShares teams;
   private final Function<ShardId, List<MachineName>> candidates;
-  private final IntSupplier mostActive;
+  private final IntSupplier maxActive;
 
   /**
    * @param candidates machines that a shard would give up first
-   * @param mostActive how many moves may be under way at the same time
+   * @param maxActive how many moves may be under way at the same time
    */
-  ShareOrders(
+  ShareOrderEvaluator(
       FleetAssignments fleet,
       TeamShares teams,
       Function<ShardId, List<MachineName>> candidates,
-      IntSupplier mostActive) {
+      IntSupplier maxActive) {
     this.fleet = fleet;
     this.teams = teams;
     this.candidates = candidates;
-    this.mostActive = mostActive;
+    this.maxActive = maxActive;
   }
 
   /**
@@ -63,10 +63,10 @@
   }
 
   /** Thrown if an order can't be carried out; the message is the one line that says why. */
-  private static final class Refused extends Exception {
+  private static final class OrderRefusedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Refused(String message) {
+    OrderRefusedException(String message) {
       super(message, null, false, false);
     }
   }
@@ -74,34 +74,35 @@
   /**
    * Decides an order.
    *
-   * @param againstMoves why no move may begin now; empty if one may
+   * @param reasonsAgainstMoves why no move may begin current; empty if one may
    * @param wallMs the time of day
    */
-  Decision decide(ShareOrder order, SharesState state, List<String> againstMoves, long wallMs) {
+  Decision evaluate(
+      ShareOrder order, SharesState state, List<String> reasonsAgainstMoves, long wallMs) {
     String content = digest(order);
     for (ShareOutcome earlier : state.recentOrders()) {
       if (earlier.id().equals(order.id())) {
         boolean isSame = earlier.contentDigest().equals(content);
-        return isSame ? Decision.unchanged(earlier) : refused(order, content, idUsed(order));
+        return isSame ? Decision.unchanged(earlier) : refuse(order, content, idReused(order));
       }
     }
     try {
-      Decision decision = decideNew(order, content, state, againstMoves, wallMs);
+      Decision decision = evaluateNew(order, content, state, reasonsAgainstMoves, wallMs);
       return order.dryRun() ? Decision.unchanged(decision.outcome()) : decision;
-    } catch (Refused e) {
-      return refused(order, content, e.getMessage());
+    } catch (OrderRefusedException e) {
+      return refuse(order, content, e.getMessage());
     }
   }
 
-  private static String idUsed(ShareOrder order) {
+  private static String idReused(ShareOrder order) {
     return "id %s was used for another order".formatted(order.id());
   }
 
-  private static Decision refused(ShareOrder order, String content, String reason) {
+  private static Decision refuse(ShareOrder order, String content, String reason) {
     return Decision.unchanged(new ShareOutcome(order.id(), content, false, reason, List.of()));
   }
 
-  private static Decision accepted(
+  private static Decision accept(
       ShareOrder order, String content, SharesState next, String text, List<MoveId> moves) {
     String answer = order.dryRun() ? "dry run: " + text : text;
     return new Decision(
@@ -115,11 +116,11 @@
     return "%016x".formatted(hash[0]);
   }
 
-  private Decision decideNew(
-      ShareOrder order, String content, SharesState state, List<String> against, long wallMs)
-      throws Refused {
-    if (!against.isEmpty() && !(order instanceof AbortMoves)) {
-      throw new Refused(against.get(0));
+  private Decision evaluateNew(
+      ShareOrder order, String content, SharesState state, List<String> reasonsAgainst, long wallMs)
+      throws OrderRefusedException {
+    if (!reasonsAgainst.isEmpty() && !(order instanceof AbortMoves)) {
+      throw new OrderRefusedException(reasonsAgainst.get(0));
     }
     if (order instanceof SetShare set) {
       return setShare(set, content, state);
@@ -132,20 +133,22 @@
 
   // ---- shares ----------------------------------------------------------------------------------
 
-  private Decision setShare(SetShare order, String content, SharesState state) throws Refused {
-    if (!teams.knows(order.team())) {
-      throw new Refused("unknown team " + order.team());
+  private Decision setShare(SetShare order, String content, SharesState state)
+      throws OrderRefusedException {
+    if (!teams.hasTeam(order.team())) {
+      throw new OrderRefusedException("unknown team " + order.team());
     }
-    TeamShare now = teams.shareOf(order.team(), state.teams());
+    TeamShare current = teams.shareOf(order.team(), state.teams());
     TeamShare share =
         new TeamShare(
             order.team(),
-            amount("weight", order.weight(), now.weight()),
-            amount("min", order.minCpus(), now.minCpus()),
-            amount("max", order.maxCpus(), now.maxCpus()));
+            valueInRange("weight", order.weight(), current.weight()),
+            valueInRange("min", order.minCpus(), current.minCpus()),
+            valueInRange("max", order.maxCpus(), current.maxCpus()));
     if (share.maxCpus() > 0 && share.minCpus() > share.maxCpus()) {
-      throw new Refused(
-          "min %s is above max %s".formatted(number(share.minCpus()), number(share.maxCpus())));
+      throw new OrderRefusedException(
+          "min %s is above max %s"
+              .formatted(formatNumber(share.minCpus()), formatNumber(share.maxCpus())));
     }
     SharesState next = state.withTeamShare(share);
     checkAllShares(next);
@@ -153,52 +156,53 @@
         "team %s: weight %s, min %s, max %s"
             .formatted(
                 share.team(),
-                number(share.weight()),
-                number(share.minCpus()),
-                share.maxCpus() > 0 ? number(share.maxCpus()) : "none");
-    return accepted(order, content, next, text, List.of());
+                formatNumber(share.weight()),
+                formatNumber(share.minCpus()),
+                share.maxCpus() > 0 ? formatNumber(share.maxCpus()) : "none");
+    return accept(order, content, next, text, List.of());
   }
 
-  private static double amount(String name, Double given, double now) throws Refused {
-    if (given == null) {
-      return now;
+  private static double valueInRange(String name, Double ordered, double current)
+      throws OrderRefusedException {
+    if (ordered == null) {
+      return current;
     }
-    if (!(given >= 0 && given <= 1e9)) {
-      throw new Refused(name + " must be from 0 to 1000000000");
+    if (!(ordered >= 0 && ordered <= 1e9)) {
+      throw new OrderRefusedException(name + " must be from 0 to 1000000000");
     }
-    return given;
+    return ordered;
   }
 
-  private void checkAllShares(SharesState next) throws Refused {
-    List<TeamShare> all = teams.all(next.teams());
+  private void checkAllShares(SharesState next) throws OrderRefusedException {
+    List<TeamShare> all = teams.allShares(next.teams());
     if (all.stream().allMatch(share -> share.weight() <= 0)) {
-      throw new Refused("weight must not be 0 for all teams");
+      throw new OrderRefusedException("weight must not be 0 for all teams");
     }
     double minimums = all.stream().mapToDouble(TeamShare::minCpus).sum();
     double capacity = fleet.machines().stream().mapToDouble(FleetMachine::cpus).sum();
     if (minimums > capacity) {
-      throw new Refused(
+      throw new OrderRefusedException(
           "minimums of all teams, %s, are above the capacity, %s"
-              .formatted(number(minimums), number(capacity)));
+              .formatted(formatNumber(minimums), formatNumber(capacity)));
     }
   }
 
-  private static String number(double value) {
+  private static String formatNumber(double value) {
     return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
   }
 
   // ---- moves -----------------------------------------------------------------------------------
 
   private Decision moveMachines(MoveMachines order, String content, SharesState state, long wallMs)
-      throws Refused {
+      throws OrderRefusedException {
     checkShard(order.to());
     Set<MachineName> chosen =
         order.machines().isEmpty() ? chooseMachines(order, state) : namedMachines(order, state);
-    int room = mostActive.getAsInt() - state.active().size();
-    if (chosen.size() > room) {
-      throw new Refused(
+    int remaining = maxActive.getAsInt() - state.active().size();
+    if (chosen.size() > remaining) {
+      throw new OrderRefusedException(
           "%d machines are too many: %d moves are under way, and %d at the most"
-              .formatted(chosen.size(), state.active().size(), mostActive.getAsInt()));
+              .formatted(chosen.size(), state.active().size(), maxActive.getAsInt()));
     }
     List<Move> begun = new ArrayList<>();
     for (MachineName name : chosen) {
@@ -207,54 +211,61 @@
     }
     String text = "%d machines move to %s: %s".formatted(begun.size(), order.to(), names(chosen));
     List<MoveId> ids = begun.stream().map(Move::id).toList();
-    return accepted(order, content, state.withNewMoves(begun), text, ids);
+    return accept(order, content, state.withNewMoves(begun), text, ids);
   }
 
-  private void checkShard(ShardId shard) throws Refused {
+  private void checkShard(ShardId shard) throws OrderRefusedException {
     if (shard.value() >= fleet.shardCount()) {
-      throw new Refused("unknown shard %s: there are %d".formatted(shard, fleet.shardCount()));
+      throw new OrderRefusedException(
+          "unknown shard %s: there are %d".formatted(shard, fleet.shardCount()));
     }
   }
 
   private static String names(Set<MachineName> machines) {
-    List<String> some = machines.stream().limit(MOST_NAMED).map(MachineName::value).toList();
+    List<String> some =
+        machines.stream().limit(MAX_NAMED_MACHINES).map(MachineName::value).toList();
     int more = machines.size() - some.size();
     return String.join(", ", some) + (more > 0 ? " and %d more".formatted(more) : "");
   }
 
-  private Set<MachineName> namedMachines(MoveMachines order, SharesState state) throws Refused {
+  private Set<MachineName> namedMachines(MoveMachines order, SharesState state)
+      throws OrderRefusedException {
     Set<MachineName> chosen = new LinkedHashSet<>();
     for (MachineName name : order.machines()) {
       FleetMachine machine = fleet.machine(name);
       if (machine == null) {
-        throw new Refused("unknown machine " + name);
+        throw new OrderRefusedException("unknown machine " + name);
       }
       Move other = state.activeMoveOf(name);
       if (other != null) {
-        throw new Refused("machine %s is moving already: %s".formatted(name, described(other)));
+        throw new OrderRefusedException(
+            "machine %s is moving already: %s".formatted(name, describe(other)));
       }
       if (machine.shard().equals(order.to())) {
-        throw new Refused("machine %s is in shard %s already".formatted(name, order.to()));
+        throw new OrderRefusedException(
+            "machine %s is in shard %s already".formatted(name, order.to()));
       }
       chosen.add(name);
     }
     return chosen;
   }
 
-  private static String described(Move move) {
+  private static String describe(Move move) {
     String by = move.order().isEmpty() ? "by need" : "by order " + move.order();
     return "move %s from %s to %s, %s".formatted(move.id(), move.from(), move.to(), by);
   }
 
-  private Set<MachineName> chooseMachines(MoveMachines order, SharesState state) throws Refused {
+  private Set<MachineName> chooseMachines(MoveMachines order, SharesState state)
+      throws OrderRefusedException {
     checkShard(order.from());
     if (order.from().equals(order.to())) {
-      throw new Refused("shard %s can't give machines to itself".formatted(order.to()));
+      throw new OrderRefusedException(
+          "shard %s can't give machines to itself".formatted(order.to()));
     }
     Set<MachineName> chosen = new LinkedHashSet<>();
-    List<MachineName> inOrder = new ArrayList<>(candidates.apply(order.from()));
-    fleet.machines().forEach(machine -> inOrder.add(machine.name()));
-    for (MachineName name : inOrder) {
+    List<MachineName> byPreference = new ArrayList<>(candidates.apply(order.from()));
+    fleet.machines().forEach(machine -> byPreference.add(machine.name()));
+    for (MachineName name : byPreference) {
       FleetMachine machine = fleet.machine(name);
       boolean isFree =
           machine != null
@@ -265,7 +276,7 @@
       }
     }
     if (chosen.size() < order.count()) {
-      throw new Refused(
+      throw new OrderRefusedException(
           "shard %s has %d machines that are not moving, not %d"
               .formatted(order.from(), chosen.size(), order.count()));
     }
@@ -274,29 +285,30 @@
 
   // ---- aborting --------------------------------------------------------------------------------
 
-  private Decision abortMoves(AbortMoves order, String content, SharesState state) throws Refused {
+  private Decision abortMoves(AbortMoves order, String content, SharesState state)
+      throws OrderRefusedException {
     List<MoveId> ended = new ArrayList<>();
     SharesState next = state;
     boolean areHandedOver = false;
     for (Move move : state.active()) {
-      boolean isMeant =
+      boolean isSelected =
           order.all()
               || move.id().equals(order.move())
               || (!order.order().isEmpty() && move.order().equals(order.order()));
-      if (isMeant && move.phase() == MovePhase.HANDED_OVER) {
+      if (isSelected && move.phase() == MovePhase.HANDED_OVER) {
         areHandedOver = true;
-      } else if (isMeant) {
-        Move cancelled = move.aborted(MoveRules.Reason.ORDERED.text());
-        next = next.withUpdatedMove(cancelled, MoveCapacity.KEPT_ENDED);
+      } else if (isSelected) {
+        Move cancelled = move.aborted(MoveRules.Reason.ABORTED_BY_OPERATOR.text());
+        next = next.withUpdatedMove(cancelled, MoveCapacity.MAX_ENDED_MOVES);
         ended.add(move.id());
       }
     }
     if (ended.isEmpty()) {
-      throw new Refused(
+      throw new OrderRefusedException(
           areHandedOver
               ? "handed over already: move the machine back"
               : "no such move is under way");
     }
-    return accepted(order, content, next, "%d moves aborted".formatted(ended.size()), ended);
+    return accept(order, content, next, "%d moves aborted".formatted(ended.size()), ended);
   }
 }
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -48,7 +48,7 @@
       new Group("team", List.of(TEAM_NAME, WEIGHT, MIN_CPUS, MAX_CPUS));
 
   /** The share of a team that is neither configured nor ordered. */
-  public static TeamShare defaultOf(String team) {
+  public static TeamShare defaultShare(String team) {
     return new TeamShare(team, WEIGHT.unset(), MIN_CPUS.unset(), MAX_CPUS.unset());
   }
 
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -18,9 +18,9 @@
   private static final double[] PRIORITY_FACTORS = {8, 4, 2, 1};
 
   /** A shard counts twice once a job has waited so long without any task. */
-  private static final double AGE_S = 60;
+  private static final double WAIT_DOUBLING_S = 60;
 
-  private static final double MAX_AGE_FACTOR = 4;
+  private static final double MAX_WAIT_FACTOR = 4;
   private static final double EPSILON = 1e-9;
 
   private ShareTargets() {}
@@ -29,58 +29,58 @@
    * What targets are computed from for one shard.
    *
    * @param demand null if its owner is not heard: the shard then keeps what it has
-   * @param present the processors that it has
+   * @param currentCpus the processors that it has
    */
-  record Claim(ShardShare share, ShardDemand demand, double present) {}
+  record ShardInput(ShardShare share, ShardDemand demand, double currentCpus) {}
 
   /**
    * Computes the targets, which sum up to the capacity.
    *
    * @param capacity processors of all machines that are assigned
    */
-  static Map<ShardId, Double> compute(double capacity, Map<ShardId, Claim> claims) {
+  static Map<ShardId, Double> compute(double capacity, Map<ShardId, ShardInput> inputs) {
     Map<ShardId, Double> targets = new TreeMap<>();
-    claims.keySet().forEach(shard -> targets.put(shard, 0.0));
-    fill(targets, capacity, claims, ShareTargets::lowest);
-    fill(targets, capacity, claims, claim -> Math.max(lowest(claim), guaranteed(claim)));
-    fill(targets, capacity, claims, ShareTargets::needed);
-    leaveInPlace(targets, capacity, claims);
+    inputs.keySet().forEach(shard -> targets.put(shard, 0.0));
+    raiseTo(targets, capacity, inputs, ShareTargets::minimum);
+    raiseTo(targets, capacity, inputs, input -> Math.max(minimum(input), guaranteed(input)));
+    raiseTo(targets, capacity, inputs, ShareTargets::needed);
+    keepUnneededInPlace(targets, capacity, inputs);
     return targets;
   }
 
-  private static double lowest(Claim claim) {
-    return Math.min(claim.share().minCpus(), claim.share().maxCpus());
+  private static double minimum(ShardInput input) {
+    return Math.min(input.share().minCpus(), input.share().maxCpus());
   }
 
-  private static double guaranteed(Claim claim) {
-    double within = claim.demand() == null ? claim.present() : claim.demand().guaranteed();
-    return Math.min(within, claim.share().maxCpus());
+  private static double guaranteed(ShardInput input) {
+    double within = input.demand() == null ? input.currentCpus() : input.demand().guaranteed();
+    return Math.min(within, input.share().maxCpus());
   }
 
-  private static double needed(Claim claim) {
-    ShardDemand demand = claim.demand();
-    double need = demand == null ? claim.present() : demand.running() + demand.totalWaiting();
-    return Math.max(lowest(claim), Math.min(need, claim.share().maxCpus()));
+  private static double needed(ShardInput input) {
+    ShardDemand demand = input.demand();
+    double need = demand == null ? input.currentCpus() : demand.running() + demand.totalWaiting();
+    return Math.max(minimum(input), Math.min(need, input.share().maxCpus()));
   }
 
   /** How a shard's demand counts beside that of others: by its weight, what waits and how long. */
-  private static double weight(Claim claim) {
-    ShardDemand demand = claim.demand();
+  private static double weight(ShardInput input) {
+    ShardDemand demand = input.demand();
     if (demand == null) {
-      return claim.share().weight();
+      return input.share().weight();
     }
     double waiting = demand.totalWaiting();
-    double factor = 1;
+    double priorityFactor = 1;
     if (waiting > EPSILON) {
       double weighted = 0;
       List<Double> byPriority = demand.waiting();
       for (int i = 0; i < byPriority.size(); i++) {
         weighted += byPriority.get(i) * priorityFactor(i);
       }
-      factor = weighted / waiting;
+      priorityFactor = weighted / waiting;
     }
-    double age = Math.min(MAX_AGE_FACTOR, 1 + demand.oldestWaitS() / AGE_S);
-    return claim.share().weight() * factor * age;
+    double waitFactor = Math.min(MAX_WAIT_FACTOR, 1 + demand.oldestWaitS() / WAIT_DOUBLING_S);
+    return input.share().weight() * priorityFactor * waitFactor;
   }
 
   private static double priorityFactor(int rank) {
@@ -89,81 +89,84 @@
 
   /** The processors that a shard should reach before others get more. */
   @FunctionalInterface
-  private interface Level {
-    double of(Claim claim);
+  private interface TargetLevel {
+    double of(ShardInput input);
   }
 
   /** Raises all targets to a level, by weight where there is not enough for it. */
-  private static void fill(
-      Map<ShardId, Double> targets, double capacity, Map<ShardId, Claim> claims, Level level) {
-    double left = capacity - sum(targets);
-    Map<ShardId, Double> lacking = new HashMap<>();
-    claims.forEach(
-        (shard, claim) -> {
-          double lack = level.of(claim) - targets.get(shard);
-          if (lack > EPSILON) {
-            lacking.put(shard, lack);
+  private static void raiseTo(
+      Map<ShardId, Double> targets,
+      double capacity,
+      Map<ShardId, ShardInput> inputs,
+      TargetLevel level) {
+    double remaining = capacity - sum(targets);
+    Map<ShardId, Double> deficits = new HashMap<>();
+    inputs.forEach(
+        (shard, input) -> {
+          double deficit = level.of(input) - targets.get(shard);
+          if (deficit > EPSILON) {
+            deficits.put(shard, deficit);
           }
         });
-    while (left > EPSILON && !lacking.isEmpty()) {
-      left -= fillOnce(targets, left, lacking, claims);
+    while (remaining > EPSILON && !deficits.isEmpty()) {
+      remaining -= distributeOnce(targets, remaining, deficits, inputs);
     }
   }
 
   /**
-   * Gives each shard its fraction of the processors left, or all that it lacks; returns how many
-   * were given.
+   * Gives each shard its fraction of the processors remaining, or all that it lacks; returns how
+   * many were distributed.
    */
-  private static double fillOnce(
+  private static double distributeOnce(
       Map<ShardId, Double> targets,
-      double left,
-      Map<ShardId, Double> lacking,
-      Map<ShardId, Claim> claims) {
+      double remaining,
+      Map<ShardId, Double> deficits,
+      Map<ShardId, ShardInput> inputs) {
     double weights = 0;
-    for (ShardId shard : lacking.keySet()) {
-      weights += weight(claims.get(shard));
+    for (ShardId shard : deficits.keySet()) {
+      weights += weight(inputs.get(shard));
     }
-    double given = 0;
-    List<ShardId> shards = List.copyOf(lacking.keySet());
+    double distributed = 0;
+    List<ShardId> shards = List.copyOf(deficits.keySet());
     for (ShardId shard : shards) {
       double fraction =
-          weights > EPSILON ? weight(claims.get(shard)) / weights : 1.0 / shards.size();
-      double lack = lacking.get(shard);
-      double gets = Math.min(lack, left * fraction);
-      targets.merge(shard, gets, Double::sum);
-      given += gets;
-      if (lack - gets <= EPSILON) {
-        lacking.remove(shard);
+          weights > EPSILON ? weight(inputs.get(shard)) / weights : 1.0 / shards.size();
+      double deficit = deficits.get(shard);
+      double granted = Math.min(deficit, remaining * fraction);
+      targets.merge(shard, granted, Double::sum);
+      distributed += granted;
+      if (deficit - granted <= EPSILON) {
+        deficits.remove(shard);
       } else {
-        lacking.put(shard, lack - gets);
+        deficits.put(shard, deficit - granted);
       }
     }
     // Shards of weight zero beside others get nothing, and would be asked for ever.
-    if (given <= EPSILON) {
-      lacking.clear();
+    if (distributed <= EPSILON) {
+      deficits.clear();
     }
-    return given;
+    return distributed;
   }
 
   /** Leaves what nobody needs with the shards that have it, as far as their maximums go. */
-  private static void leaveInPlace(
-      Map<ShardId, Double> targets, double capacity, Map<ShardId, Claim> claims) {
-    double left = capacity - sum(targets);
-    for (Map.Entry<ShardId, Claim> entry : claims.entrySet()) {
-      Claim claim = entry.getValue();
-      double most = Math.min(claim.present(), claim.share().maxCpus());
-      double stays = Math.max(0, Math.min(left, most - targets.get(entry.getKey())));
+  private static void keepUnneededInPlace(
+      Map<ShardId, Double> targets, double capacity, Map<ShardId, ShardInput> inputs) {
+    double remaining = capacity - sum(targets);
+    for (Map.Entry<ShardId, ShardInput> entry : inputs.entrySet()) {
+      ShardInput input = entry.getValue();
+      double most = Math.min(input.currentCpus(), input.share().maxCpus());
+      double stays = Math.max(0, Math.min(remaining, most - targets.get(entry.getKey())));
       targets.merge(entry.getKey(), stays, Double::sum);
-      left -= stays;
+      remaining -= stays;
     }
-    if (left <= EPSILON) {
+    if (remaining <= EPSILON) {
       return;
     }
-    double weights = claims.values().stream().mapToDouble(claim -> claim.share().weight()).sum();
-    for (Map.Entry<ShardId, Claim> entry : claims.entrySet()) {
+    double weights = inputs.values().stream().mapToDouble(input -> input.share().weight()).sum();
+    for (Map.Entry<ShardId, ShardInput> entry : inputs.entrySet()) {
       double fraction =
-          weights > EPSILON ? entry.getValue().share().weight() / weights : 1.0 / claims.size();
-      targets.merge(entry.getKey(), left * fraction, Double::sum);
+          weights > EPSILON ? entry.getValue().share().weight() / weights : 1.0 / inputs.size();
+      targets.merge(entry.getKey(), remaining * fraction, Double::sum);
     }
   }
 
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/SharesStatusBuilder.java
@@ -19,7 +19,7 @@
  *
  * @param targets the processors that each shard should have
  */
-record StatusView(
+record SharesStatusBuilder(
     FleetAssignments fleet,
     TeamShares teams,
     SharesState state,
@@ -47,7 +47,7 @@
         shards,
         active,
         state.ended(),
-        teams.all(state.teams()),
+        teams.allShares(state.teams()),
         times.medianMs(),
         times.p99Ms());
   }
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -32,20 +32,20 @@
 
   /** Told once a change of unknown outcome is settled. */
   @FunctionalInterface
-  interface SettlementListener {
+  interface ResolutionListener {
     /** The key is no longer in doubt. */
-    void settled(boolean isCarriedOut);
+    void outcomeResolved(boolean isCarriedOut);
   }
 
   private final FeatureGate gate;
-  private final SettlementListener listener;
+  private final ResolutionListener listener;
   private final LeaderKey<SharesState> key;
 
   SharesStore(
       LeaderEnvironment environment,
       Leadership leadership,
       FeatureGate gate,
-      SettlementListener listener) {
+      ResolutionListener listener) {
     this.gate = gate;
     this.listener = listener;
     this.key = new LeaderKey<>(environment, leadership, CODEC, new SharesKeyRules());
@@ -141,7 +141,7 @@
 
     @Override
     public void outcomeResolved(boolean isCommitted, SharesState before) {
-      listener.settled(isCommitted);
+      listener.outcomeResolved(isCommitted);
     }
   }
 }
--- a/src/main/java/shorecrank/rebalance/TeamShares.java
+++ b/src/main/java/shorecrank/rebalance/TeamShares.java
@@ -32,7 +32,7 @@
   }
 
   /** Whether the platform has a team of that name. */
-  boolean knows(String team) {
+  boolean hasTeam(String team) {
     return teams.contains(team);
   }
 
@@ -47,11 +47,11 @@
    * @param ordered the shares that operators have ordered
    */
   TeamShare shareOf(String team, List<TeamShare> ordered) {
-    return find(team, ordered, find(team, configured, ShareSettings.defaultOf(team)));
+    return find(team, ordered, find(team, configured, ShareSettings.defaultShare(team)));
   }
 
   /** All teams' shares in force. */
-  List<TeamShare> all(List<TeamShare> ordered) {
+  List<TeamShare> allShares(List<TeamShare> ordered) {
     List<TeamShare> all = new ArrayList<>();
     teams.forEach(team -> all.add(shareOf(team, ordered)));
     return all;
@@ -62,7 +62,7 @@
   }
 
   /** Shares by shard; that of a shard without teams is zero. */
-  Map<ShardId, ShardShare> byShard(List<TeamShare> ordered) {
+  Map<ShardId, ShardShare> sharesByShard(List<TeamShare> ordered) {
     Map<ShardId, ShardShare> shares = new TreeMap<>();
     for (int i = 0; i < shards; i++) {
       ShardId shard = new ShardId(i);
@@ -88,6 +88,6 @@
   static boolean weightsSumToZero(Collection<String> teams, List<TeamShare> shares) {
     return !teams.isEmpty()
         && teams.stream()
-            .allMatch(team -> find(team, shares, ShareSettings.defaultOf(team)).weight() <= 0);
+            .allMatch(team -> find(team, shares, ShareSettings.defaultShare(team)).weight() <= 0);
   }
 }
--- a/src/test/java/shorecrank/rebalance/MoveModel.java
+++ b/src/test/java/shorecrank/rebalance/MoveModel.java
@@ -240,7 +240,7 @@
         Step step = MoveRules.next(move(leader.known()), seen(state, progress, ageS), TIMEOUT_S);
         switch (step.action()) {
           case STAY -> {}
-          case NOTE_DRAINING -> send(state, MovePhase.DRAINING, to);
+          case RECORD_DRAINING -> send(state, MovePhase.DRAINING, to);
           case HAND_OVER -> send(state, MovePhase.HANDED_OVER, to);
           case FINISH -> send(state, MovePhase.DONE, to);
           case ABORT -> send(state, MovePhase.ABORTED, to);
--- a/src/test/java/shorecrank/rebalance/MovePlannerTest.java
+++ b/src/test/java/shorecrank/rebalance/MovePlannerTest.java
@@ -14,8 +14,8 @@
 import shorecrank.protocol.ShardDemandMessages.DrainCandidate;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
-import shorecrank.rebalance.MovePlanner.Planned;
-import shorecrank.rebalance.MovePlanner.Situation;
+import shorecrank.rebalance.MovePlanner.PlannedMove;
+import shorecrank.rebalance.MovePlanner.PlanningInput;
 
 /** Which machines move for shards to come nearer to their targets. */
 class MovePlannerTest {
@@ -41,22 +41,23 @@
     return new FleetMachine(new MachineName(name), KIND, 8, A, new Epoch(1), MoveId.NONE);
   }
 
-  private static List<String> planned(double presentA, double targetA, int most, String resting) {
+  private static List<String> planned(
+      double currentCpusA, double targetA, int limit, String coolingDown) {
     List<FleetMachine> machines = List.of(machine("n-1"), machine("n-2"), machine("n-3"));
     List<DrainCandidate> candidates =
         List.of(
             new DrainCandidate(new MachineName("n-3"), 8, 0),
             new DrainCandidate(new MachineName("n-1"), 8, 2),
             new DrainCandidate(new MachineName("n-2"), 8, 9));
-    Situation situation =
-        new Situation(
+    PlanningInput input =
+        new PlanningInput(
             Map.of(A, targetA, B, 24 - targetA),
-            Map.of(A, presentA, B, 24 - presentA),
+            Map.of(A, currentCpusA, B, 24 - currentCpusA),
             Map.of(A, demand(8, 0, candidates), B, demand(0, 24, List.of())),
             Set.of(B),
-            name -> !name.value().equals(resting));
-    return new MovePlanner(situation, machines, 0.1)
-        .plan(most).stream().map(Planned::machine).map(MachineName::value).toList();
+            name -> !name.value().equals(coolingDown));
+    return new MovePlanner(input, machines, 0.1)
+        .plan(limit).stream().map(PlannedMove::machine).map(MachineName::value).toList();
   }
 
   @Test
--- a/src/test/java/shorecrank/rebalance/ShareFormsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareFormatsTest.java
@@ -32,7 +32,7 @@
 import shorecrank.protocol.ShareStateMessages.TeamShare;
 
 /** The shares' key, orders and settings, against malformed and contradictory input. */
-class ShareFormsTest {
+class ShareFormatsTest {
   private static Move move(long id, String machine, MovePhase phase) {
     return new Move(
         new MoveId(id),
--- a/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
@@ -11,7 +11,7 @@
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
-import shorecrank.rebalance.ShareTargets.Claim;
+import shorecrank.rebalance.ShareTargets.ShardInput;
 import shorecrank.rebalance.TeamShares.ShardShare;
 
 /** How many processors each shard should have, by shares, demand and what it has. */
@@ -40,8 +40,8 @@
   }
 
   private static void assertTargets(
-      double capacity, Claim claimA, Claim claimB, double targetA, double targetB) {
-    Map<ShardId, Double> targets = ShareTargets.compute(capacity, Map.of(A, claimA, B, claimB));
+      double capacity, ShardInput inputA, ShardInput inputB, double targetA, double targetB) {
+    Map<ShardId, Double> targets = ShareTargets.compute(capacity, Map.of(A, inputA, B, inputB));
     assertEquals(targetA, targets.get(A), 0.01);
     assertEquals(targetB, targets.get(B), 0.01);
   }
@@ -51,8 +51,8 @@
     ShardDemand all = demand(0, 1000, 0, 0, 0);
     assertTargets(
         90,
-        new Claim(share(2, 0, NO_BOUND), all, 45),
-        new Claim(share(1, 0, NO_BOUND), all, 45),
+        new ShardInput(share(2, 0, NO_BOUND), all, 45),
+        new ShardInput(share(1, 0, NO_BOUND), all, 45),
         60,
         30);
   }
@@ -61,8 +61,8 @@
   void lowPriorityBacklogLeavesWhatUrgentWorkNeeds() {
     assertTargets(
         160,
-        new Claim(share(1, 0, NO_BOUND), demand(160, 0, 840, 0, 0), 160),
-        new Claim(share(1, 0, NO_BOUND), demand(0, 80, 0, 0, 0), 0),
+        new ShardInput(share(1, 0, NO_BOUND), demand(160, 0, 840, 0, 0), 160),
+        new ShardInput(share(1, 0, NO_BOUND), demand(0, 80, 0, 0, 0), 0),
         80,
         80);
   }
@@ -73,14 +73,14 @@
     ShardDemand owed = demand(0, 0, 50, 50, 0);
     assertTargets(
         60,
-        new Claim(share(100, 0, NO_BOUND), all, 60),
-        new Claim(share(1, 0, NO_BOUND), owed, 0),
+        new ShardInput(share(100, 0, NO_BOUND), all, 60),
+        new ShardInput(share(1, 0, NO_BOUND), owed, 0),
         10,
         50);
     assertTargets(
         60,
-        new Claim(share(100, 20, NO_BOUND), all, 60),
-        new Claim(share(1, 0, NO_BOUND), owed, 0),
+        new ShardInput(share(100, 20, NO_BOUND), all, 60),
+        new ShardInput(share(1, 0, NO_BOUND), owed, 0),
         20,
         40);
   }
@@ -90,8 +90,8 @@
     ShardDemand none = demand(0, 0, 0, 0, 0);
     assertTargets(
         40,
-        new Claim(share(1, 60, NO_BOUND), none, 20),
-        new Claim(share(1, 20, NO_BOUND), none, 20),
+        new ShardInput(share(1, 60, NO_BOUND), none, 20),
+        new ShardInput(share(1, 20, NO_BOUND), none, 20),
         20,
         20);
   }
@@ -100,7 +100,11 @@
   void noShardGetsMoreThanItsMaximum() {
     ShardDemand all = demand(0, 1000, 0, 0, 0);
     assertTargets(
-        80, new Claim(share(5, 0, 16), all, 40), new Claim(share(1, 0, NO_BOUND), all, 40), 16, 64);
+        80,
+        new ShardInput(share(5, 0, 16), all, 40),
+        new ShardInput(share(1, 0, NO_BOUND), all, 40),
+        16,
+        64);
   }
 
   @Test
@@ -108,14 +112,14 @@
     ShardDemand none = demand(0, 0, 0, 0, 0);
     assertTargets(
         80,
-        new Claim(share(1, 0, NO_BOUND), none, 64),
-        new Claim(share(1, 0, NO_BOUND), none, 16),
+        new ShardInput(share(1, 0, NO_BOUND), none, 64),
+        new ShardInput(share(1, 0, NO_BOUND), none, 16),
         64,
         16);
     assertTargets(
         80,
-        new Claim(share(1, 0, NO_BOUND), null, 64),
-        new Claim(share(1, 0, NO_BOUND), demand(16, 16, 0, 0, 0), 16),
+        new ShardInput(share(1, 0, NO_BOUND), null, 64),
+        new ShardInput(share(1, 0, NO_BOUND), demand(16, 16, 0, 0, 0), 16),
         64,
         16);
   }
@@ -126,8 +130,8 @@
     ShardDemand longWaiting = demand(0, 1000, 0, 0, 240);
     assertTargets(
         100,
-        new Claim(share(1, 0, NO_BOUND), recent, 50),
-        new Claim(share(1, 0, NO_BOUND), longWaiting, 50),
+        new ShardInput(share(1, 0, NO_BOUND), recent, 50),
+        new ShardInput(share(1, 0, NO_BOUND), longWaiting, 50),
         20,
         80);
   }
@@ -136,7 +140,7 @@
   void targetsAlwaysSumUpToTheCapacity() {
     Random random = new Random(7);
     for (int i = 0; i < 2000; i++) {
-      Map<ShardId, Claim> claims = new TreeMap<>();
+      Map<ShardId, ShardInput> inputs = new TreeMap<>();
       int shards = 1 + random.nextInt(8);
       for (int shard = 0; shard < shards; shard++) {
         double min = random.nextInt(3) * 10;
@@ -150,14 +154,14 @@
                     random.nextInt(200),
                     random.nextInt(60),
                     random.nextInt(300));
-        claims.put(
+        inputs.put(
             new ShardId(shard),
-            new Claim(share(random.nextInt(4), min, max), demand, random.nextInt(100)));
+            new ShardInput(share(random.nextInt(4), min, max), demand, random.nextInt(100)));
       }
       double capacity = random.nextInt(400);
-      Map<ShardId, Double> targets = ShareTargets.compute(capacity, claims);
+      Map<ShardId, Double> targets = ShareTargets.compute(capacity, inputs);
       double sum = targets.values().stream().mapToDouble(Double::doubleValue).sum();
-      assertEquals(capacity, sum, 0.01, claims.toString());
+      assertEquals(capacity, sum, 0.01, inputs.toString());
       assertTrue(targets.values().stream().allMatch(target -> target >= -1e-9), targets.toString());
     }
   }
