--- a/src/main/java/shorecrank/rebalance/FleetAssignments.java
+++ b/src/main/java/shorecrank/rebalance/FleetAssignments.java
@@ -14,86 +14,94 @@
 import shorecrank.protocol.ShareStateMessages.MovePhase;
 import shorecrank.protocol.StoreMessages.Transaction;
 
-/** Shards and machines as the leader knows them, and the changes of them that moves make. */
+/**
+ * The leader's knowledge of shards and machines, and the operations by which moves change the
+ * assignment of machines to shards.
+ */
 public interface FleetAssignments {
   /**
    * A machine and its assignment.
    *
-   * @param cpus 0 while its type is not known
-   * @param term the epoch under which it was assigned
-   * @param order the move that its owner, or its new owner, is told; {@link MoveId#NONE} if there
-   *     is none
+   * @param offer the machine type, the zone and whether it is a spot machine
+   * @param cpus the machine's processors; 0 while the machine type is not known
+   * @param term the epoch under which the machine was assigned to the shard
+   * @param move the move for which the shard's owner has an instruction, either to drain the
+   *     machine or to report its arrival; {@link MoveId#NONE} if there is no instruction
    */
   record FleetMachine(
       MachineName name, Offer offer, double cpus, ShardId shard, Epoch term, MoveId move) {
     /**
-     * The move of the machine to another shard, as it begins.
+     * Creates a move of the machine to another shard, in its first phase.
      *
-     * @param orderId the operator's order that asks for it; empty for a move by need
-     * @param wallMs the time of day, in milliseconds since 1970
+     * @param orderId the id of the operator's order that begins the move; empty if there is none
+     * @param wallMs the wall-clock time, in milliseconds since 1970
      */
     Move moveTo(ShardId to, MoveId id, String orderId, long wallMs) {
       return new Move(id, name, shard, to, term, MovePhase.REQUESTED, orderId, wallMs, "");
     }
   }
 
-  /** How many shards there are. */
+  /** Returns the configured number of shards. */
   int shardCount();
 
-  /** All machines that are assigned. */
+  /** Returns all machines that are assigned to a shard. */
   Collection<FleetMachine> machines();
 
-  /** The machines of which an owner is told a move. */
+  /** Returns the machines for which an owner has an instruction of a move. */
   List<MachineName> machinesWithMove();
 
-  /** A machine and its assignment; null if it is not assigned. */
+  /** Returns a machine and its assignment; null if the machine is not assigned. */
   FleetMachine machine(MachineName name);
 
-  /** The highest epoch that was allocated for a shard. */
+  /** Returns the highest epoch that was allocated for a shard; {@link Epoch#NONE} if none was. */
   Epoch epoch(ShardId shard);
 
-  /** The name of a shard's owner; empty if it has none. */
+  /** Returns the name of the controller that owns a shard; empty if the shard has no owner. */
   String owner(ShardId shard);
 
-  /** Has an epoch above {@code least} allocated for a shard's present owner. */
+  /** Requests an epoch above {@code least} for a shard's present owner. */
   void raiseEpochAbove(ShardId shard, Epoch least);
 
-  /** The owner is to drain the machine and release it. */
+  /** Instructs the machine's owner to drain the machine and to release it. */
   void requestHandover(MachineName machine, MoveId move);
 
-  /** The owner may use the machine: its move is over. */
+  /** Withdraws the instruction for a machine whose move has ended: its owner may use it. */
   void clearMove(MachineName machine);
 
-  /** The new owner is to report when it hears the machine. */
+  /** Instructs the machine's new owner to report when it hears the machine. */
   void awaitArrival(MachineName machine, MoveId move);
 
-  /** Assignments for one transaction; no other assignment is written until it is over. */
+  /**
+   * Assignments that are written in one transaction. No other assignment is written until {@link
+   * #committed} or {@link #refused} is called.
+   */
   interface Handover {
-    /** The machines that it assigns: as many of those asked for as fit into a transaction. */
+    /** Returns the machines that are assigned: as many of the requested ones as fit. */
     Set<MachineName> machines();
 
-    /** How many operations it adds to the transaction. */
+    /** Returns how many operations {@link #addTo} adds to the transaction. */
     int operations();
 
     /** Adds the guards and writes that assign the machines. */
     void addTo(Transaction transaction);
 
-    /** The transaction was carried out. */
+    /** Applies the assignments: the transaction was committed at the given revision. */
     void committed(Revision at);
 
     /**
-     * The transaction was not carried out, and never will be.
+     * Discards the assignments: the transaction was not committed and never will be.
      *
-     * @param conflict whether one of its guards failed
+     * @param conflict whether the transaction failed because of one of its guards
      */
     void refused(boolean conflict);
   }
 
   /**
-   * Prepares new assignments, under the epochs of their shards; null if none can be written now.
+   * Prepares the assignment of machines to new shards, under the shards' present epochs. Returns
+   * null if no assignment can be written now.
    */
   Handover prepareHandover(Map<MachineName, ShardId> assignments);
 
-  /** Reads all assignments anew, since they may differ from what is known. */
+  /** Reads all assignments again, since the stored ones may differ from the known ones. */
   void reload();
 }
--- a/src/main/java/shorecrank/rebalance/MoveCapacity.java
+++ b/src/main/java/shorecrank/rebalance/MoveCapacity.java
@@ -3,19 +3,22 @@
 import shorecrank.leadership.LeaderEnvironment;
 import shorecrank.protocol.ShareStateMessages.SharesState;
 
-/** How much the shares' key may hold, so that it stays below the size of a value. */
+/**
+ * Limits how many moves and order outcomes the shares' key holds, so that its value stays below the
+ * largest value that the state service takes.
+ */
 final class MoveCapacity {
-  /** How many moves that ended the key keeps. */
+  /** The number of ended moves that the key keeps, the latest ones. */
   static final int MAX_ENDED_MOVES = 16;
 
-  /** How many outcomes of orders the key keeps. */
+  /** The number of outcomes of operators' orders that the key keeps, the latest ones. */
   static final int MAX_ORDER_OUTCOMES = 16;
 
   private static final int ENDED_MOVE_BYTES = 110;
   private static final int ORDER_OUTCOME_BYTES = 200;
   private static final int OTHER_BYTES = 200;
 
-  /** What the value holds beside moves that are under way. */
+  /** The bytes of the value that are reserved for all but the moves under way. */
   private static final int RESERVED_BYTES =
       MAX_ENDED_MOVES * ENDED_MOVE_BYTES + MAX_ORDER_OUTCOMES * ORDER_OUTCOME_BYTES + OTHER_BYTES;
 
@@ -28,13 +31,13 @@
     this.environment = environment;
   }
 
-  /** How many moves may be under way at the same time. */
+  /** Returns how many moves may be under way at the same time; at least 1. */
   int maxActive() {
     double left = environment.maxValueBytes() * USABLE_FRACTION - RESERVED_BYTES;
     return (int) Math.max(1, left / ACTIVE_MOVE_BYTES);
   }
 
-  /** How many further moves may begin. */
+  /** Returns how many more moves may begin. */
   int remaining(SharesState state) {
     return Math.max(0, maxActive() - state.active().size());
   }
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -11,14 +11,18 @@
 import shorecrank.storage.CommitResult;
 
 /**
- * Writes changes of moves down, together with the assignments that they change, and follows up what
- * became of them.
+ * Writes changed moves to the shares' key, in one transaction with the machine assignments that
+ * they change, and updates the other parts of this package once the outcome is known.
  */
 final class MoveCommitter {
-  /** Told whether a change was committed; called once. */
+  /** Receives the result of one write. */
   @FunctionalInterface
   interface CommitListener {
-    /** The change was committed, or else refused or without a known outcome. */
+    /**
+     * Called once.
+     *
+     * @param isCommitted false if the change was refused or its outcome is not known yet
+     */
     void finished(boolean isCommitted);
   }
 
@@ -31,10 +35,12 @@
   private final OwnerInstructions instructions;
   private final MoveTimes times;
 
-  /** Assignments in a transaction that is under way or in doubt; null if there are none. */
+  /** The assignments in a transaction that is under way or in doubt; null if there are none. */
   private Handover pendingHandover;
 
-  /** Logs the change that is under way or in doubt, once it is known to be carried out. */
+  /**
+   * Logs the change that is under way or in doubt; run once the change is known to be committed.
+   */
   private Runnable pendingLog = NOTHING_TO_LOG;
 
   MoveCommitter(
@@ -52,17 +58,17 @@
     this.times = times;
   }
 
-  /** Whether an assignment may still be written that is not known here. */
+  /** Reports whether a write whose outcome is not known may still be committed. */
   boolean isInDoubt() {
     return pendingHandover != null || store.isInDoubt();
   }
 
-  /** Assignments were read anew, so none is in doubt. */
+  /** Forgets the assignments in doubt, after all assignments have been read again. */
   void reset() {
     pendingHandover = null;
   }
 
-  /** Writes a change that assigns no machine. */
+  /** Writes a change that assigns no machine; the store must be idle. */
   void write(SharesState next, CommitListener then) {
     write(next, null, then);
   }
@@ -70,7 +76,8 @@
   /**
    * Writes a change; the store must be idle.
    *
-   * @param handover the assignments that change with it; null if none do
+   * @param handover the assignments that are written in the same transaction; null if there are
+   *     none
    */
   void write(SharesState next, Handover handover, CommitListener then) {
     int operations = 1 + (handover == null ? 0 : handover.operations());
@@ -93,7 +100,8 @@
             pendingHandover = null;
             pendingLog = NOTHING_TO_LOG;
           }
-          // One of unknown outcome is settled later; until then no assignment is written.
+          // If the outcome is unknown, outcomeResolved is called later. Until then isInDoubt keeps
+          // all other assignments from being written.
           then.finished(result.isCommitted());
         });
   }
@@ -104,7 +112,7 @@
     }
   }
 
-  /** A change of unknown outcome turned out to be carried out or not. */
+  /** Completes a write whose outcome was unknown until now. */
   void outcomeResolved(boolean isCarriedOut) {
     Handover settled = pendingHandover;
     pendingHandover = null;
@@ -118,8 +126,9 @@
   }
 
   /**
-   * Machines stay where they were. Their owners were told meanwhile that they have none of them, so
-   * they are asked anew whether anything is left on them.
+   * Leaves the machines of a refused handover with their shards. While the write was under way, the
+   * shards' owners were told that the machines are not assigned to them, so their earlier releases
+   * no longer count: each owner has to release its machine again.
    */
   private void handleRefusal(Handover handover, boolean isConflict) {
     if (handover == null) {
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -17,23 +17,25 @@
 import shorecrank.rollout.FeatureGate;
 
 /**
- * The leader's part in shares: it says how many processors each shard should have, and moves
- * machines between shards, each in steps that are written down before anybody is told of them.
+ * Rebalances machines between shards, on behalf of the leader: computes how many processors each
+ * shard should have, and moves machines step by step. Each step is written to the state service
+ * before any shard owner is told of it, so that a new leader can continue the move.
  *
- * <p>{@link RebalancePlanner} begins moves, {@link OwnerInstructions} tells their owners, {@link
- * MoveStepper} takes them from phase to phase, and {@link MoveCommitter} writes each change down.
+ * <p>{@link RebalancePlanner} begins moves, {@link OwnerInstructions} tells the shard owners what
+ * to do for them, {@link MoveStepper} takes moves from phase to phase, and {@link MoveCommitter}
+ * writes each change to the state service.
  */
 public final class MoveCoordinator {
   private static final long STEP_PAUSE_MS = 250;
   private static final long PLAN_PAUSE_MS = 1000;
 
-  /** Takes an order's outcome. */
+  /** Receives the outcome of an operator's order. */
   @FunctionalInterface
   public interface OutcomeListener {
     /**
      * Called once.
      *
-     * @param outcome null if it is not known, and the order has to be sent again
+     * @param outcome null if the outcome is not known and the operator has to send the order again
      */
     void completed(ShareOutcome outcome);
   }
@@ -55,9 +57,12 @@
   private MonotonicTime plannedAt = MonotonicTime.NEVER;
 
   /**
-   * @param gate says whether moves may be written down at the feature level in force
-   * @param teamNames all teams of the platform
-   * @param reasonsAgainstMoves why no move may begin now, a line each; empty if one may
+   * Creates the coordinator of one controller; it acts only while that controller is the leader.
+   *
+   * @param gate decides whether the feature level in force allows moves to be written
+   * @param teamNames the names of all teams of the platform
+   * @param reasonsAgainstMoves supplies the reasons why no move may begin now, one line each; empty
+   *     if moves may begin
    */
   public MoveCoordinator(
       LeaderEnvironment environment,
@@ -91,20 +96,24 @@
   }
 
   /**
-   * Whether shards may be granted: moves under way are known, so that no owner uses a machine that
-   * it was told to hand over, and jobs are assigned by the configured number of shards.
+   * Reports whether shards may be granted. The moves under way have to be known, otherwise an owner
+   * could use a machine that it was told to hand over; and jobs have to be assigned by the
+   * configured number of shards.
    */
   public boolean isReady() {
     boolean areOwnersTold = !store.isReadable() || instructions.areCurrent();
     return store.isRead() && shardCountCheck.isPassed() && areOwnersTold;
   }
 
-  /** Whether an assignment may still be written that is not known here; then no other may be. */
+  /**
+   * Reports whether an assignment whose outcome is not known may still be written. No other
+   * assignment may be written until that is resolved.
+   */
   public boolean isUnsettled() {
     return committer.isInDoubt();
   }
 
-  /** The leader has begun its term, or has read all assignments anew. */
+  /** Starts over after the leader has begun its term or has read all assignments again. */
   public void beginTerm() {
     committer.reset();
     reports.clear();
@@ -112,7 +121,10 @@
     instructions.synchronize();
   }
 
-  /** Reads the key if that is due; called once a round, also while no shard may be granted yet. */
+  /**
+   * Reads the shares' key if that is due, checks the number of shards and updates the instructions
+   * to owners. Called in every round of the leader, also while no shard may be granted.
+   */
   public void refresh() {
     store.tick();
     shardCountCheck.tick();
@@ -122,7 +134,8 @@
   }
 
   /**
-   * Takes the next steps of moves, or begins some; called once a round while shards are granted.
+   * Takes the next steps of moves, or begins new moves if there is no step to take. Called in every
+   * round of the leader while shards may be granted.
    */
   public void tick() {
     MonotonicTime now = environment.now();
@@ -147,24 +160,27 @@
     }
   }
 
-  /** Takes a report of a shard's owner that came under the shard's epoch. */
+  /** Handles a report that a shard's owner has sent under the shard's present epoch. */
   public void handleReport(ShardReport report) {
     reports.handleReport(report, store.state());
   }
 
-  /** A shard has a new owner, or its owner a new epoch. */
+  /** Handles a new epoch of a shard, for a new owner or for the same one. */
   public void handleNewEpoch(ShardId shard) {
     reports.ownerChanged(shard, store.state());
   }
 
-  /** The shard to which a new machine is assigned. */
+  /** Returns the shard to which a new machine is to be assigned. */
   public ShardId shardForNewMachine() {
     return planner.shardForNewMachine(store.state());
   }
 
   // ---- operators -------------------------------------------------------------------------------
 
-  /** Why no order to move machines is taken now; empty if one is. */
+  /**
+   * Returns the reasons why operators' orders, other than aborts, are refused now; empty if they
+   * are not.
+   */
   private List<String> reasonsAgainstOrders() {
     List<String> reasons = new ArrayList<>(reasonsAgainstMoves.get());
     if (!store.isPermitted()) {
@@ -173,7 +189,7 @@
     return reasons;
   }
 
-  /** Carries an order out, once for each id. */
+  /** Executes an operator's order, once for each order id, and reports the outcome. */
   public void handleOrder(ShareOrder order, OutcomeListener then) {
     if (!store.isReadable() || store.isInDoubt()) {
       then.completed(null);
@@ -199,7 +215,7 @@
         isCommitted -> then.completed(isCommitted ? outcome : null));
   }
 
-  /** All that an operator is told of shares; null while the key is not known. */
+  /** Returns the status of shares for operators; null while the shares' key is not readable. */
   public SharesStatus status() {
     if (!store.isReadable()) {
       return null;
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -16,27 +16,31 @@
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
- * Chooses the machines that should move for shards to come nearer to their targets: from the shard
- * with the largest surplus the machine that is empty soonest, to the shard that lacks the most.
+ * Chooses machines to move so that shards approach their targets. Each move goes from the shard
+ * with the largest surplus of processors to the shard with the largest deficit, and takes the
+ * machine whose tasks are expected to end first.
  */
 final class MovePlanner {
   /**
-   * A donor's surplus and a receiver's lack must be at least this fraction of the machine, so that
-   * the move brings both nearer to their targets.
+   * The smallest surplus of the source shard and deficit of the target shard for a move, as a
+   * fraction of the machine's processors. With less than half the machine, a move would take the
+   * shard further from its target.
    */
   private static final double MIN_GAIN = 0.5;
 
-  /** A machine that should move. */
+  /** A machine to move from one shard to another. */
   record PlannedMove(MachineName machine, ShardId from, ShardId to) {}
 
   /**
-   * The state from which moves are planned.
+   * The state of the fleet from which moves are planned.
    *
-   * @param targets processors by shard that it should have
-   * @param currentCpus processors by shard, with moves under way counted where they lead
-   * @param demands by shard; those of which none is known give no machines
-   * @param receivers shards that have lacked machines for long enough
-   * @param movable whether a machine may move now
+   * @param targets the processors that each shard should have
+   * @param currentCpus the processors that each shard has; a machine that is moving counts at the
+   *     shard that it moves to
+   * @param demands the recently reported demand of each shard; a shard without one gives up no
+   *     machines
+   * @param receivers the shards that may receive machines; each has an entry in {@code demands}
+   * @param movable reports whether a machine may move now
    */
   record PlanningInput(
       Map<ShardId, Double> targets,
@@ -58,7 +62,7 @@
     machines.forEach(machine -> this.machines.put(machine.name(), machine));
   }
 
-  /** Plans at most {@code most} moves, each as if those before it were done. */
+  /** Returns at most {@code limit} moves, each planned as if the ones before it were done. */
   List<PlannedMove> plan(int limit) {
     List<PlannedMove> plan = new ArrayList<>();
     while (plan.size() < limit) {
@@ -75,7 +79,7 @@
     return plan;
   }
 
-  /** How far a shard is above its target; negative if it is below. */
+  /** Returns by how many processors a shard exceeds its target; negative if it is below. */
   private double surplus(ShardId shard) {
     return currentCpus.getOrDefault(shard, 0.0) - input.targets().getOrDefault(shard, 0.0);
   }
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -8,16 +8,16 @@
 import shorecrank.protocol.ShareStateMessages.MovePhase;
 
 /**
- * Decides the next step of a move from what the leader knows. It has no state: any leader, at any
- * time, comes to a step that is safe, whatever an earlier one did last.
+ * Decides the next step of a move from what the leader knows. The decision is stateless, so that a
+ * new leader takes a safe step whatever the previous leader did last.
  */
 final class MoveRules {
-  /** A new owner may take so many times the bound on a move until it hears the machine. */
+  /** The age at which a handed-over move is aborted, as a multiple of the move timeout. */
   private static final double ARRIVAL_TIMEOUT_FACTOR = 2;
 
   private MoveRules() {}
 
-  /** Why a move ended without its machine being heard at its new shard. */
+  /** The reason why a move was aborted. */
   enum Reason {
     MACHINE_GONE("the machine is gone"),
     REASSIGNED("the machine's assignment has changed"),
@@ -34,21 +34,24 @@
       this.text = text;
     }
 
-    /** For operators. */
+    /** Returns the text that is stored with the move and shown to operators. */
     String text() {
       return text;
     }
   }
 
   /**
-   * What is known of a move's machine.
+   * What the leader knows of a move's machine.
    *
    * @param assignedTo the machine's shard; null if the machine is not known
-   * @param term the term of its assignment
-   * @param progress what its owner says of the order; null if it has said nothing
-   * @param ownerSupportsMoves false if the owner's last report is of an earlier version
-   * @param isReleased whether the owner has said, under this move, that nothing is left on it
-   * @param isArrived whether the new owner has said that it hears the machine
+   * @param term the epoch under which the machine was assigned
+   * @param progress the drain progress that the present owner has reported; null if it has reported
+   *     none for this move
+   * @param ownerSupportsMoves false if the present owner's last report came from a version that
+   *     does not support moves
+   * @param isReleased whether the present owner has reported for this move that no task or record
+   *     is left on the machine
+   * @param isArrived whether the new owner has reported that it hears the machine
    * @param ageS the seconds since the move began
    */
   record Observation(
@@ -60,21 +63,25 @@
       boolean isArrived,
       double ageS) {}
 
-  /** What is to be written down. */
+  /** The change of a move that is to be written. */
   enum Action {
-    /** Nothing. */
+    /** The move stays in its phase; nothing is written. */
     STAY,
-    /** The owner drains the machine. */
+    /** The move enters the phase {@link MovePhase#DRAINING}. */
     RECORD_DRAINING,
-    /** The machine's assignment changes, in the same transaction. */
+    /** The machine is assigned to the new shard in the same transaction. */
     HAND_OVER,
-    /** The machine has arrived. */
+    /** The move is done: the new owner hears the machine. */
     FINISH,
-    /** The move ends; the assignment stays what it is. */
+    /** The move ends, and the machine's assignment stays as it is. */
     ABORT
   }
 
-  /** An action, and the reason of an abortion; else null. */
+  /**
+   * The next step of a move.
+   *
+   * @param reason the reason of an {@link Action#ABORT}; null for other actions
+   */
   record Step(Action action, Reason reason) {
     private static final Step STAY = new Step(Action.STAY, null);
 
@@ -87,7 +94,7 @@
     }
   }
 
-  /** The next step of a move that is under way. */
+  /** Returns the next step of a move that is under way; {@code timeoutS} is the move timeout. */
   static Step next(Move move, Observation observation, double timeoutS) {
     if (observation.assignedTo == null) {
       return Step.abort(Reason.MACHINE_GONE);
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -17,9 +17,9 @@
 import shorecrank.rebalance.MoveRules.Step;
 
 /**
- * Takes moves that are under way to their next phase: notes that the machine is being drained,
- * hands it over once its owner has released it, ends the move once the new owner hears it, or
- * aborts it.
+ * Takes moves that are under way to their next phase: records that the machine is being drained,
+ * hands the machine over once its owner has released it, ends the move once the new owner hears the
+ * machine, or aborts the move.
  */
 final class MoveStepper {
   private final LeaderEnvironment environment;
@@ -31,7 +31,9 @@
   private final double timeoutS;
 
   /**
-   * @param timeoutS after how long a move that is not over is given up, in seconds
+   * Creates the stepper of one coordinator.
+   *
+   * @param timeoutS the age, in seconds, at which a move is aborted
    */
   MoveStepper(
       LeaderEnvironment environment,
@@ -50,7 +52,7 @@
     this.timeoutS = timeoutS;
   }
 
-  /** Writes down the next steps of all moves; false if there is none. */
+  /** Writes the next steps of all moves, in one transaction; returns false if there are none. */
   boolean takeSteps() {
     SharesState current = store.state();
     SharesState next = current;
@@ -90,7 +92,7 @@
     return state.withUpdatedMove(move, MoveCapacity.MAX_ENDED_MOVES);
   }
 
-  /** Null if nothing is to be assigned, or not now. */
+  /** Prepares the assignments; returns null if there are none or they can't be written now. */
   private Handover prepareHandover(Map<MachineName, ShardId> assignments) {
     boolean isAffordable = environment.hasWriteBudget(1 + assignments.size());
     return assignments.isEmpty() || !isAffordable ? null : fleet.prepareHandover(assignments);
@@ -109,8 +111,9 @@
   }
 
   /**
-   * Whether the new owner's epoch is above any that the machine's worker may have been shown; if
-   * not, a higher one is asked for.
+   * Reports whether the target shard has an owner whose epoch is above every epoch that the
+   * machine's worker may have seen. Under a lower epoch, the worker would reject the new owner's
+   * commands as older than those of the present owner. If necessary, requests a higher epoch.
    */
   private boolean hasNewerEpoch(Move move) {
     FleetMachine machine = fleet.machine(move.machine());
--- a/src/main/java/shorecrank/rebalance/MoveTimes.java
+++ b/src/main/java/shorecrank/rebalance/MoveTimes.java
@@ -9,7 +9,10 @@
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.MovePhase;
 
-/** How long moves take, and for how long their machines stay where they are afterwards. */
+/**
+ * Records how long moves take, and tracks the cooldown of moved machines, during which they are not
+ * moved automatically again.
+ */
 final class MoveTimes {
   private static final long MAX_RECORDED_MS = 3_600_000;
   private static final int HISTOGRAM_DIGITS = 2;
@@ -21,19 +24,21 @@
   private final Histogram durationsMs = new Histogram(MAX_RECORDED_MS, HISTOGRAM_DIGITS);
 
   /**
-   * @param cooldownS for how long a machine that has moved stays where it is, in seconds
+   * Creates the record of one leader, without any durations or cooldowns.
+   *
+   * @param cooldownS the seconds after a move during which its machine is not moved automatically
    */
   MoveTimes(LeaderEnvironment environment, double cooldownS) {
     this.environment = environment;
     this.cooldownMs = (long) (cooldownS * MS_PER_S);
   }
 
-  /** The seconds since a move began, by the time of day; never negative. */
+  /** Returns the seconds since a move began, by the wall clock; never negative. */
   double ageS(Move move) {
     return Math.max(0, environment.wallMs() - move.beganMs()) / MS_PER_S;
   }
 
-  /** Takes note of the end of a move, and counts it if it was carried out. */
+  /** Starts the cooldown of an ended move's machine; records the duration if the move is done. */
   void recordEnd(Move move) {
     cooldownUntil.put(move.machine(), environment.now().plus(cooldownMs));
     if (move.phase() == MovePhase.DONE) {
@@ -45,7 +50,7 @@
     }
   }
 
-  /** Whether a machine moved so lately that it may not move by need again. */
+  /** Reports whether a machine's last move ended too recently for an automatic move. */
   boolean isCoolingDown(MachineName machine) {
     MonotonicTime until = cooldownUntil.get(machine);
     if (until != null && until.isBefore(environment.now())) {
@@ -55,12 +60,12 @@
     return until != null;
   }
 
-  /** The median duration of moves that were carried out, in milliseconds. */
+  /** Returns the median duration of completed moves, in milliseconds. */
   long medianMs() {
     return durationsMs.getValueAtPercentile(50);
   }
 
-  /** The 99th percentile of the duration of moves that were carried out, in milliseconds. */
+  /** Returns the 99th percentile of the durations of completed moves, in milliseconds. */
   long p99Ms() {
     return durationsMs.getValueAtPercentile(99);
   }
--- a/src/main/java/shorecrank/rebalance/OwnerInstructions.java
+++ b/src/main/java/shorecrank/rebalance/OwnerInstructions.java
@@ -7,14 +7,17 @@
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
- * Orders owners to drain the machines of moves that are written down, and new owners to report
- * their arrival.
+ * Keeps the instructions that shard owners receive in line with the moves in the shares' key: the
+ * present owner has to drain and release the machine, the new owner has to report when it hears the
+ * machine.
  */
 final class OwnerInstructions {
   private final SharesStore store;
   private final FleetAssignments fleet;
 
-  /** The key's revision whose moves owners are told; null if they have to be told anew. */
+  /**
+   * The key's revision from which the instructions were made; null if they have to be made again.
+   */
   private Revision announcedRevision;
 
   OwnerInstructions(SharesStore store, FleetAssignments fleet) {
@@ -22,17 +25,17 @@
     this.fleet = fleet;
   }
 
-  /** Whether owners are told the moves of the key's present revision. */
+  /** Reports whether the instructions were made from the key's present revision. */
   boolean areCurrent() {
     return store.revision().equals(announcedRevision);
   }
 
-  /** Assignments were read anew, with no order in them. */
+  /** Forgets all instructions, after the assignments were read again, which contain none. */
   void reset() {
     announcedRevision = null;
   }
 
-  /** Makes the orders in the assignments those of the moves that are written down. */
+  /** Makes the instructions match the moves in the key, and withdraws those of ended moves. */
   void synchronize() {
     if (!store.isReadable()) {
       return;
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -20,12 +20,21 @@
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.SharesState;
 
-/** The last reports of shards' owners on demand, on machines that move, and on misplaced ones. */
+/**
+ * Keeps what shard owners last reported: their demand, the progress of moves, and misplaced
+ * machines.
+ */
 final class OwnerReports {
-  /** A report older than this says nothing of a shard's demand any more. */
+  /** The age up to which a report counts as a shard's present demand. */
   private static final long MAX_DEMAND_AGE_MS = 4000;
 
-  /** An owner's last report; {@code demand} is null if it names none. */
+  /**
+   * An owner's last report.
+   *
+   * @param demand null if the report has none
+   * @param supportsMoves whether the owner runs a version that supports moves
+   * @param draining the progress of each move that takes a machine from the shard
+   */
   private record Report(
       ShardDemand demand,
       boolean supportsMoves,
@@ -35,20 +44,20 @@
   private final LeaderEnvironment environment;
   private final Map<ShardId, Report> reports = new HashMap<>();
 
-  /** Moves whose machine its owner has drained and released. */
+  /** The moves whose machine was drained and released by its present owner. */
   private final Set<MoveId> released = new HashSet<>();
 
-  /** Moves whose machine its new owner hears. */
+  /** The moves whose machine is heard by its new owner. */
   private final Set<MoveId> arrived = new HashSet<>();
 
-  /** Machines on which tasks of a shard may run that they are not assigned to. */
+  /** The machines that may run tasks of a shard to which they are not assigned, with that shard. */
   private final Map<MachineName, ShardId> misplaced = new TreeMap<>();
 
   OwnerReports(LeaderEnvironment environment) {
     this.environment = environment;
   }
 
-  /** Forgets everything. */
+  /** Forgets all reports. */
   void clear() {
     reports.clear();
     released.clear();
@@ -56,7 +65,7 @@
     misplaced.clear();
   }
 
-  /** Takes a report that came under the shard's epoch. */
+  /** Handles a report that a shard's owner has sent under the shard's present epoch. */
   void handleReport(ShardReport report, SharesState state) {
     Map<MoveId, DrainProgress> draining = new HashMap<>();
     ShardDemand demand = report.demand();
@@ -76,8 +85,9 @@
   }
 
   /**
-   * A shard has a new owner, or its owner a new epoch. Machines that were released before have to
-   * be released again: the new owner was told that they are still its own.
+   * Forgets the report and the releases of a shard's owner, because the shard has a new owner or a
+   * new epoch. Under the new epoch the owner was told that released machines are still assigned to
+   * it, so it has to release them again.
    */
   void ownerChanged(ShardId shard, SharesState state) {
     reports.remove(shard);
@@ -88,7 +98,7 @@
     }
   }
 
-  /** The demand that a shard's owner has reported lately. */
+  /** Returns the demand in a shard's last report; empty if the report is too old or has none. */
   Optional<ShardDemand> freshDemand(ShardId shard) {
     Report report = reports.get(shard);
     boolean isFresh =
@@ -96,52 +106,59 @@
     return isFresh ? Optional.ofNullable(report.demand) : Optional.empty();
   }
 
-  /** The demand that a shard's owner has reported last, however long ago. */
+  /** Returns the demand in a shard's last report, whatever its age; empty if there is none. */
   Optional<ShardDemand> lastDemand(ShardId shard) {
     return Optional.ofNullable(reports.get(shard)).map(Report::demand);
   }
 
-  /** The machines that a shard's owner would give up, the first one first. */
+  /** Returns the machines that a shard could give up, the one that is empty soonest first. */
   List<MachineName> candidates(ShardId shard) {
     return freshDemand(shard)
         .map(demand -> demand.candidates().stream().map(DrainCandidate::machine).toList())
         .orElse(List.of());
   }
 
-  /** What the owner says of the machine's drain; null if it has said nothing. */
+  /** Returns the drain progress that the present owner reported last; null if there is none. */
   DrainProgress progress(Move move) {
     Report owner = reports.get(move.from());
     return owner == null ? null : owner.draining.get(move.id());
   }
 
-  /** False if the last report of the machine's owner is of a version that knows no moves. */
+  /**
+   * Returns false if the present owner's last report is of a version that doesn't support moves.
+   */
   boolean ownerSupportsMoves(Move move) {
     Report owner = reports.get(move.from());
     return owner == null || owner.supportsMoves;
   }
 
-  /** Whether the owner has said, under this move, that no task or record is left on the machine. */
+  /**
+   * Reports whether the owner has reported, for this move, that no task or record uses the machine.
+   */
   boolean isReleased(Move move) {
     return released.contains(move.id());
   }
 
-  /** Whether the new owner has said that it hears the machine. */
+  /** Reports whether the new owner has reported that it hears the machine. */
   boolean isArrived(Move move) {
     return arrived.contains(move.id());
   }
 
-  /** The machine stays where it is, and has to be released again before it can be handed over. */
+  /** Forgets the release of a move's machine; without another one it can't be handed over. */
   void revokeRelease(Move move) {
     released.remove(move.id());
   }
 
-  /** Forgets a move that is over. */
+  /** Forgets the reports on a move that has ended. */
   void forget(Move move) {
     released.remove(move.id());
     arrived.remove(move.id());
   }
 
-  /** Machines reported as misplaced since the last call, with the shard whose tasks they run. */
+  /**
+   * Returns and removes the machines that were reported as misplaced since the last call, each with
+   * the shard whose tasks it may run.
+   */
   Map<MachineName, ShardId> pollMisplaced() {
     Map<MachineName, ShardId> taken = new TreeMap<>(misplaced);
     misplaced.clear();
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -23,11 +23,16 @@
 import shorecrank.rebalance.ShareTargets.ShardInput;
 
 /**
- * Computes how many processors each shard should have, and which moves begin: machines that run
- * another shard's tasks go back to that shard; if there are none, machines move by need.
+ * Computes how many processors each shard should have, and plans the moves to begin without an
+ * operator's order. A machine on which another shard's tasks may run is moved back to that shard.
+ * If there is no such machine, automatic moves are planned, which bring shards closer to their
+ * targets.
  */
 final class RebalancePlanner {
-  /** What a machine counts beside its processors where a new machine's shard is chosen. */
+  /**
+   * Processors added per machine when the shard of a new machine is chosen, so that among shards of
+   * equal deficit the one with the fewest machines is chosen.
+   */
   private static final double TIE_BREAK_CPUS = 1e-6;
 
   private static final double MS_PER_S = 1000;
@@ -40,7 +45,7 @@
   private final MoveTimes times;
   private final MoveCapacity capacity;
 
-  /** Since when a shard has lacked machines. */
+  /** The time since which a shard has had a deficit; shards without a deficit have no entry. */
   private final Map<ShardId, MonotonicTime> deficitSince = new HashMap<>();
 
   private Map<ShardId, Double> targets = new TreeMap<>();
@@ -62,25 +67,28 @@
     this.capacity = capacity;
   }
 
-  /** The processors that each shard should have, as last computed. */
+  /** Returns the processors that each shard should have, as computed by the last planning. */
   Map<ShardId, Double> targets() {
     return targets;
   }
 
-  /** The shard that lacks the largest processors; of equals, that with the fewest machines. */
+  /**
+   * Returns the shard with the largest deficit of processors, among equals the one with the fewest
+   * machines.
+   */
   ShardId shardForNewMachine(SharesState state) {
     Map<ShardId, Double> currentCpus = currentCpus(state);
-    // While machine types are not known, machines have no processors, but still count.
+    // Machines count as 0 processors while their types are unknown, so their number decides.
     fleet
         .machines()
         .forEach(machine -> currentCpus.merge(machine.shard(), TIE_BREAK_CPUS, Double::sum));
     ShardId best = new ShardId(0);
-    double limit = Double.NEGATIVE_INFINITY;
+    double largestDeficit = Double.NEGATIVE_INFINITY;
     for (int i = 0; i < fleet.shardCount(); i++) {
       ShardId shard = new ShardId(i);
       double deficit = targets.getOrDefault(shard, 0.0) - currentCpus.getOrDefault(shard, 0.0);
-      if (deficit > limit) {
-        limit = deficit;
+      if (deficit > largestDeficit) {
+        largestDeficit = deficit;
         best = shard;
       }
     }
@@ -88,9 +96,10 @@
   }
 
   /**
-   * Computes the targets anew, and the moves that begin now.
+   * Computes the targets again and returns the moves to begin now; empty if there are none.
    *
-   * @param reasonsAgainstMoves why no move by need may begin; asked only if one might
+   * @param reasonsAgainstMoves supplies the reasons why no automatic move may begin, empty if one
+   *     may; called only when automatic moves would be planned
    */
   List<Move> plan(SharesState state, Supplier<List<String>> reasonsAgainstMoves) {
     Map<ShardId, Double> currentCpus = currentCpus(state);
@@ -115,7 +124,7 @@
     return moves;
   }
 
-  /** Processors by shard, with moves under way counted at the shard that they lead to. */
+  /** Returns the processors of each shard; a moving machine counts at the shard it moves to. */
   private Map<ShardId, Double> currentCpus(SharesState state) {
     Map<ShardId, Double> currentCpus = new TreeMap<>();
     for (int i = 0; i < fleet.shardCount(); i++) {
@@ -137,13 +146,17 @@
     environment.gauge("shares.move.ms.p99", times.p99Ms());
   }
 
-  /** A move without an operator's order; {@code offset} counts those that begin before it. */
+  /**
+   * Creates a move that no operator has ordered.
+   *
+   * @param offset the number of moves before it in the same plan, added to the next move number
+   */
   private Move newMove(int offset, MachineName machine, ShardId to, SharesState state) {
     MoveId id = new MoveId(state.nextMove() + offset);
     return fleet.machine(machine).moveTo(to, id, "", environment.wallMs());
   }
 
-  /** Moves of machines on which tasks of a shard may run, back to that shard. */
+  /** Plans to move machines that were reported as misplaced back to the shards that report them. */
   private List<Move> planReclaims(SharesState state) {
     List<Move> moves = new ArrayList<>();
     reports
@@ -184,7 +197,11 @@
     return moves;
   }
 
-  /** Shards that have lacked machines for long enough, and have tasks waiting. */
+  /**
+   * Returns the shards that may receive machines: those with waiting tasks that have been below
+   * their targets for the settle time of the settings. The settle time keeps machines from moving
+   * because of a short peak.
+   */
   private Set<ShardId> receivers(
       Map<ShardId, Double> currentCpus, Map<ShardId, ShardDemand> demands) {
     MonotonicTime now = environment.now();
--- a/src/main/java/shorecrank/rebalance/ShardCountCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardCountCheck.java
@@ -7,9 +7,9 @@
 import shorecrank.storage.ListResult;
 
 /**
- * Refuses a configured number of shards other than the one in force while jobs exist. Jobs and
- * machines are assigned by that number, so under another one their records would be read by owners
- * that their machines don't belong to.
+ * Refuses to run with a configured number of shards other than the one in force while jobs exist.
+ * The number of shards determines to which shard a job and a machine belong. If it changed under
+ * existing jobs, their records would be read by owners to which the jobs' machines don't belong.
  */
 final class ShardCountCheck {
   private static final long RETRY_MS = 2000;
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Whether the configured number may be used: it is the one in force, or no job was assigned by
-   * another. Where moves may be written, the new number is written down before any shard is granted
-   * by it.
+   * Reports whether the configured number of shards may be used: it is the one in force, or no jobs
+   * exist. If the feature level allows writes to the shares' key, the new number first has to be
+   * written there, so that no shard is granted before.
    */
   boolean isPassed() {
     return isInForce() || (hasNoJobs && !shares.isPermitted());
@@ -41,7 +41,7 @@
     return known == 0 || known == configured;
   }
 
-  /** Looks for jobs, or writes the configured number down once there is none. */
+  /** Looks for jobs, and writes the configured number to the shares' key once there are none. */
   void tick() {
     if (!shares.isRead() || isPassed() || !store.isReady()) {
       return;
--- a/src/main/java/shorecrank/rebalance/ShareOrderEvaluator.java
+++ b/src/main/java/shorecrank/rebalance/ShareOrderEvaluator.java
@@ -25,10 +25,11 @@
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
- * Decides operators' orders: whether one can be carried out, what it changes, and what is answered.
+ * Evaluates operators' orders: decides whether an order can be carried out, what it changes in the
+ * shares' key, and what the operator is told.
  */
 final class ShareOrderEvaluator {
-  /** The most machines that an answer names. */
+  /** The largest number of machines that are named in the text of an outcome. */
   private static final int MAX_NAMED_MACHINES = 20;
 
   private final FleetAssignments fleet;
@@ -37,8 +38,10 @@
   private final IntSupplier maxActive;
 
   /**
-   * @param candidates machines that a shard would give up first
-   * @param maxActive how many moves may be under way at the same time
+   * Creates an evaluator.
+   *
+   * @param candidates returns the machines that a shard could give up, the preferred ones first
+   * @param maxActive returns how many moves may be under way at the same time
    */
   ShareOrderEvaluator(
       FleetAssignments fleet,
@@ -54,7 +57,8 @@
   /**
    * The decision on an order.
    *
-   * @param next what the key is to hold beside the outcome; empty if it stays as it is
+   * @param next the state to write, to which the outcome is yet to be added; empty if nothing is to
+   *     be written
    */
   record Decision(Optional<SharesState> next, ShareOutcome outcome) {
     private static Decision unchanged(ShareOutcome outcome) {
@@ -62,7 +66,7 @@
     }
   }
 
-  /** Thrown if an order can't be carried out; the message is the one line that says why. */
+  /** Thrown if an order can't be carried out; the message is the reason for the operator. */
   private static final class OrderRefusedException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -72,10 +76,11 @@
   }
 
   /**
-   * Decides an order.
+   * Evaluates an order. An order whose id was used before gets the outcome of the earlier order, or
+   * is refused if its content differs.
    *
-   * @param reasonsAgainstMoves why no move may begin current; empty if one may
-   * @param wallMs the time of day
+   * @param reasonsAgainstMoves the reasons why no move may begin now; empty if moves may begin
+   * @param wallMs the wall-clock time, in milliseconds since 1970
    */
   Decision evaluate(
       ShareOrder order, SharesState state, List<String> reasonsAgainstMoves, long wallMs) {
@@ -109,7 +114,7 @@
         Optional.of(next), new ShareOutcome(order.id(), content, true, answer, moves));
   }
 
-  /** A digest of all that an order says but its id and whether it is a dry run. */
+  /** Returns a digest of an order's content, without its id and its dry-run flag. */
   private static String digest(ShareOrder order) {
     byte[] bytes = Json.bytes(ShareOrderCodec.write(order).without(List.of("id", "dryRun")));
     long[] hash = MurmurHash3.hash128x64(bytes);
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -13,15 +13,19 @@
 import shorecrank.protocol.ShareStateMessages.TeamShare;
 
 /**
- * The operators' settings of shares, in protobuf text format.
+ * The operators' settings for shares, read from a file in protobuf text format.
  *
- * @param automatic whether machines move by need; if not, only on an operator's order
- * @param movesAtOnce the most moves by need that are under way at the same time
- * @param settleS for how long a shard must lack machines before one is moved to it, in seconds
- * @param restS for how long a machine that has moved stays where it is, in seconds
- * @param timeoutS after how long a move that is not over is aborted, in seconds
- * @param tolerance the fraction of its target that a shard may lack or exceed without a move
- * @param teams the teams whose share differs from the default
+ * @param automatic whether machines move automatically to bring shards closer to their targets
+ * @param movesAtOnce the number of moves under way at which no further automatic move begins
+ * @param settleS the time, in seconds, for which a shard has to be below its target before a
+ *     machine is moved to it automatically
+ * @param restS the time, in seconds, after a move during which the machine is not moved
+ *     automatically
+ * @param timeoutS the age, in seconds, at which a move is aborted if its machine has not been
+ *     handed over; a move whose machine has been handed over is aborted at twice this age
+ * @param tolerance how far a shard may be below its target without receiving machines
+ *     automatically, as a fraction of the target
+ * @param teams the shares of the teams that are listed in the file
  */
 public record ShareSettings(
     boolean automatic,
@@ -47,15 +51,15 @@
   private static final Group TEAM =
       new Group("team", List.of(TEAM_NAME, WEIGHT, MIN_CPUS, MAX_CPUS));
 
-  /** The share of a team that is neither configured nor ordered. */
+  /** Returns the share of a team that is neither listed in the settings nor set by an operator. */
   public static TeamShare defaultShare(String team) {
     return new TeamShare(team, WEIGHT.unset(), MIN_CPUS.unset(), MAX_CPUS.unset());
   }
 
   /**
-   * Reads the file's text; a setting that is not named has its default.
+   * Reads settings from the text of a file; a setting that is not present has its default.
    *
-   * @throws InvalidConfigException naming the field that is unknown or out of range
+   * @throws InvalidConfigException if a field is unknown or out of range; the message names it
    */
   public static ShareSettings read(String text) throws InvalidConfigException {
     Message message = TextProto.parse("Shares", FIELDS, List.of(TEAM), text);
@@ -93,7 +97,7 @@
   /**
    * Checks the settings against the platform's teams and the number of shards.
    *
-   * @throws InvalidConfigException naming the field that does not fit
+   * @throws InvalidConfigException if a field doesn't match them; the message names the field
    */
   public void check(NodeConfig config, int shards) throws InvalidConfigException {
     if (shards < 2) {
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -9,34 +9,40 @@
 import shorecrank.rebalance.TeamShares.ShardShare;
 
 /**
- * Computes how many processors each shard should have. First come minimums, then demand within
- * guarantees, then the rest of the demand, each by weight; processors that nobody needs stay where
- * they are.
+ * Computes the target of each shard: the number of processors that it should have.
+ *
+ * <p>The capacity is distributed in this order: the minimums of all shards, the part of their
+ * demand within team guarantees, the rest of their demand. Where the capacity does not suffice for
+ * a step, it is divided by weight. Processors that no shard needs stay with the shards that have
+ * them, so that no machine moves without a need.
  */
 final class ShareTargets {
-  /** How much waiting work counts, by its priority: the highest priority first. */
+  /** The weight factors of processors that waiting tasks ask for, highest priority first. */
   private static final double[] PRIORITY_FACTORS = {8, 4, 2, 1};
 
-  /** A shard counts twice once a job has waited so long without any task. */
+  /** The wait of a shard's oldest job without a task, in seconds, that doubles its weight. */
   private static final double WAIT_DOUBLING_S = 60;
 
   private static final double MAX_WAIT_FACTOR = 4;
+
+  /** Numbers of processors and weights up to this one count as 0, against rounding errors. */
   private static final double EPSILON = 1e-9;
 
   private ShareTargets() {}
 
   /**
-   * What targets are computed from for one shard.
+   * One shard's share and demand, from which its target is computed.
    *
-   * @param demand null if its owner is not heard: the shard then keeps what it has
-   * @param currentCpus the processors that it has
+   * @param demand the demand that the shard's owner has reported; null if there is no recent
+   *     report, in which case the shard's current processors count as its demand
+   * @param currentCpus the processors of the machines that the shard has
    */
   record ShardInput(ShardShare share, ShardDemand demand, double currentCpus) {}
 
   /**
-   * Computes the targets, which sum up to the capacity.
+   * Returns the target of each shard, in processors. The targets sum up to the capacity.
    *
-   * @param capacity processors of all machines that are assigned
+   * @param capacity the processors of all assigned machines
    */
   static Map<ShardId, Double> compute(double capacity, Map<ShardId, ShardInput> inputs) {
     Map<ShardId, Double> targets = new TreeMap<>();
@@ -63,7 +69,10 @@
     return Math.max(minimum(input), Math.min(need, input.share().maxCpus()));
   }
 
-  /** How a shard's demand counts beside that of others: by its weight, what waits and how long. */
+  /**
+   * Returns the weight by which a shard competes for processors: its configured weight, raised by
+   * the priority of its waiting tasks and by the wait of its oldest job.
+   */
   private static double weight(ShardInput input) {
     ShardDemand demand = input.demand();
     if (demand == null) {
@@ -87,13 +96,13 @@
     return PRIORITY_FACTORS[Math.min(rank, PRIORITY_FACTORS.length - 1)];
   }
 
-  /** The processors that a shard should reach before others get more. */
+  /** Computes the processors that a shard should reach in one step of the distribution. */
   @FunctionalInterface
   private interface TargetLevel {
     double of(ShardInput input);
   }
 
-  /** Raises all targets to a level, by weight where there is not enough for it. */
+  /** Raises all targets to a level, or towards it by weight if the capacity does not suffice. */
   private static void raiseTo(
       Map<ShardId, Double> targets,
       double capacity,
@@ -114,8 +123,10 @@
   }
 
   /**
-   * Gives each shard its fraction of the processors remaining, or all that it lacks; returns how
-   * many were distributed.
+   * Grants each shard in {@code deficits} its fraction of the remaining processors, at most its
+   * deficit, and removes the shards whose deficit is met.
+   *
+   * @return the number of processors that were granted
    */
   private static double distributeOnce(
       Map<ShardId, Double> targets,
@@ -141,23 +152,26 @@
         deficits.put(shard, deficit - granted);
       }
     }
-    // Shards of weight zero beside others get nothing, and would be asked for ever.
+    // Ends the loop in raiseTo if shards of weight 0 were granted nothing: it would never end.
     if (distributed <= EPSILON) {
       deficits.clear();
     }
     return distributed;
   }
 
-  /** Leaves what nobody needs with the shards that have it, as far as their maximums go. */
+  /**
+   * Distributes the processors that no shard needs: each shard keeps what it has up to its maximum,
+   * and what is then left is divided by configured weight, also beyond maximums.
+   */
   private static void keepUnneededInPlace(
       Map<ShardId, Double> targets, double capacity, Map<ShardId, ShardInput> inputs) {
     double remaining = capacity - sum(targets);
     for (Map.Entry<ShardId, ShardInput> entry : inputs.entrySet()) {
       ShardInput input = entry.getValue();
-      double most = Math.min(input.currentCpus(), input.share().maxCpus());
-      double stays = Math.max(0, Math.min(remaining, most - targets.get(entry.getKey())));
-      targets.merge(entry.getKey(), stays, Double::sum);
-      remaining -= stays;
+      double limit = Math.min(input.currentCpus(), input.share().maxCpus());
+      double kept = Math.max(0, Math.min(remaining, limit - targets.get(entry.getKey())));
+      targets.merge(entry.getKey(), kept, Double::sum);
+      remaining -= kept;
     }
     if (remaining <= EPSILON) {
       return;
--- a/src/main/java/shorecrank/rebalance/SharesStatusBuilder.java
+++ b/src/main/java/shorecrank/rebalance/SharesStatusBuilder.java
@@ -15,7 +15,7 @@
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
- * Puts together the status that operators are shown.
+ * Builds the status of shares and moves that is shown to operators.
  *
  * @param targets the processors that each shard should have
  */
@@ -28,9 +28,9 @@
     MoveTimes times) {
 
   /**
-   * The status.
+   * Returns the status.
    *
-   * @param against why no move may begin now; empty if one may
+   * @param against the reasons why no move may begin now; empty if moves may begin
    */
   SharesStatus status(List<String> against) {
     List<ShardStatus> shards = new ArrayList<>();
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -19,8 +19,8 @@
 import shorecrank.storage.CommitResult;
 
 /**
- * The shares' key as the leader reads and writes it, behind the feature level: while the level
- * forbids shares, the key is only read.
+ * Reads and writes the shares' key on behalf of the leader. The key is written only while the
+ * feature level in force permits shares; every write is guarded by the level's key.
  */
 final class SharesStore {
   private static final LeaderKeyCodec<SharesState> CODEC =
@@ -30,10 +30,10 @@
           ShareStateCodec::read,
           ShareStateCodec::write);
 
-  /** Told once a change of unknown outcome is settled. */
+  /** Receives the outcome of a write that was in doubt. */
   @FunctionalInterface
   interface ResolutionListener {
-    /** The key is no longer in doubt. */
+    /** Called once the outcome of the write in doubt is known. */
     void outcomeResolved(boolean isCarriedOut);
   }
 
@@ -51,56 +51,57 @@
     this.key = new LeaderKey<>(environment, leadership, CODEC, new SharesKeyRules());
   }
 
-  /** Whether the key was read under the present term, whatever it holds. */
+  /** Reports whether the key was read under the present term, whatever its value. */
   boolean isRead() {
     return key.isRead();
   }
 
-  /** Whether the key was read under the present term, and holds a value that this build reads. */
+  /** Reports whether the key was read under the present term and this build can read its value. */
   boolean isReadable() {
     return key.isReadable();
   }
 
-  /** Whether a change may still be carried out although its outcome is unknown. */
+  /** Reports whether there is a write of unknown outcome, which may still be committed. */
   boolean isInDoubt() {
     return key.isInDoubt();
   }
 
-  /** Whether changes are allowed at the feature level in force. */
+  /** Reports whether the feature level in force permits writes of the key. */
   boolean isPermitted() {
     return gate.permits(Feature.SHARES);
   }
 
-  /** Whether a change can be begun. */
+  /** Reports whether a write can begin now. */
   boolean isIdle() {
     return key.isIdle();
   }
 
-  /** The key's revision as last read or written. */
+  /** Returns the key's revision as last read or written. */
   Revision revision() {
     return key.revision();
   }
 
-  /** The key's value as last read or written; the initial one before the first reading. */
+  /** Returns the key's value as last read or written; the initial value before the first read. */
   SharesState state() {
     return key.value();
   }
 
-  /** Reads the key, or settles a change of unknown outcome, if that is due. */
+  /** Reads the key, or resolves a write of unknown outcome, if that is due. */
   void tick() {
     key.tick();
   }
 
   /**
-   * Changes the key; {@link #isIdle} must hold.
+   * Writes the key; {@link #isIdle} must be true.
    *
-   * @param additions adds what is to be carried out with it, or not at all
+   * @param additions adds the guards and writes that belong into the same transaction
+   * @param then receives the result, which may be an unknown outcome
    */
   void write(SharesState next, Consumer<Transaction> additions, Consumer<CommitResult> then) {
     key.write(next, additions, then);
   }
 
-  /** The guard of the feature level, and when a change of unknown outcome is settled. */
+  /** Guards writes by the feature level, and resolves writes of unknown outcome. */
   private final class SharesKeyRules implements LeaderKey.Rules<SharesState> {
     @Override
     public boolean canWrite() {
@@ -127,13 +128,15 @@
     @Override
     public WriteOutcome resolveOutcome(Reading reading) {
       if (reading.isChanged()) {
-        // Nobody else writes the key.
+        // Only the leader writes the key, so this write has changed it.
         return WriteOutcome.COMMITTED;
       }
       boolean isSameTerm =
           reading.previousReadTerm().equals(Revision.ABSENT)
               || reading.previousReadTerm().equals(reading.readTerm());
-      // If the level forbids changes, the level's key, which guards every change, has moved on.
+      // If the feature level now forbids writes, or the term has changed, the key of the level or
+      // of
+      // the leadership has a new revision. Both guard the write, so it can't be committed any more.
       return isSameTerm && reading.wasWritable()
           ? WriteOutcome.UNKNOWN
           : WriteOutcome.NOT_COMMITTED;
--- a/src/main/java/shorecrank/rebalance/TeamShares.java
+++ b/src/main/java/shorecrank/rebalance/TeamShares.java
@@ -9,15 +9,16 @@
 import shorecrank.protocol.ShareStateMessages.TeamShare;
 
 /**
- * The share of each team, and so of each shard: as operators have ordered, else as configured, else
- * the default.
+ * Determines the share of each team, and the total share of each shard's teams. A share set by an
+ * operator's order takes precedence over the settings, and those over the default.
  */
 final class TeamShares {
   /**
-   * The shares of a shard's teams together.
+   * The sum of the shares of a shard's teams.
    *
-   * @param minCpus processors that the shard has before any other gets more than its minimum
-   * @param maxCpus infinite if one of the teams has no bound
+   * @param minCpus the processors that the shard gets before any shard gets more than its minimum
+   * @param maxCpus the most processors that the shard gets by demand; infinite if one of the teams
+   *     has no maximum
    */
   record ShardShare(double weight, double minCpus, double maxCpus) {}
 
@@ -31,26 +32,26 @@
     this.shards = shards;
   }
 
-  /** Whether the platform has a team of that name. */
+  /** Reports whether the platform has a team of this name. */
   boolean hasTeam(String team) {
     return teams.contains(team);
   }
 
-  /** The teams of a shard. */
+  /** Returns the names of the teams that belong to a shard. */
   List<String> teamsOf(ShardId shard) {
     return teams.stream().filter(team -> ShardId.of(team, shards).equals(shard)).toList();
   }
 
   /**
-   * A team's share in force.
+   * Returns the share of a team that is in force.
    *
-   * @param ordered the shares that operators have ordered
+   * @param ordered the shares that operators have set
    */
   TeamShare shareOf(String team, List<TeamShare> ordered) {
     return find(team, ordered, find(team, configured, ShareSettings.defaultShare(team)));
   }
 
-  /** All teams' shares in force. */
+  /** Returns the shares of all teams that are in force. */
   List<TeamShare> allShares(List<TeamShare> ordered) {
     List<TeamShare> all = new ArrayList<>();
     teams.forEach(team -> all.add(shareOf(team, ordered)));
@@ -61,7 +62,7 @@
     return shares.stream().filter(share -> share.team().equals(team)).findFirst().orElse(otherwise);
   }
 
-  /** Shares by shard; that of a shard without teams is zero. */
+  /** Returns the share of each shard; a shard without teams has a share of zero. */
   Map<ShardId, ShardShare> sharesByShard(List<TeamShare> ordered) {
     Map<ShardId, ShardShare> shares = new TreeMap<>();
     for (int i = 0; i < shards; i++) {
@@ -84,7 +85,7 @@
     return new ShardShare(weight, min, max);
   }
 
-  /** Whether the weights of all teams are zero, so that none would get more than its minimum. */
+  /** Reports whether the weights of all teams are zero. */
   static boolean weightsSumToZero(Collection<String> teams, List<TeamShare> shares) {
     return !teams.isEmpty()
         && teams.stream()
--- a/src/main/java/shorecrank/rebalance/package-info.java
+++ b/src/main/java/shorecrank/rebalance/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Shares of the fleet: computes how many processors each shard should have by its teams' shares and
- * demand, and moves machines between shards, each move in steps that are written down first.
+ * Rebalancing of machines between shards: computes how many processors each shard should have, by
+ * the shares and the demand of its teams, and moves machines from one shard to another. Each step
+ * of a move is written to the state service before it takes effect.
  *
  * <p>Imports {@code rollout}, {@code leadership}, {@code storage}, {@code protocol} and {@code
- * config}. The leader in {@code coordination} calls it, and offers the assignments of machines as
- * {@link shorecrank.rebalance.FleetAssignments}.
+ * config}. The leader in {@code coordination} calls this package, and gives it access to the
+ * assignments of machines through {@link shorecrank.rebalance.FleetAssignments}.
  */
 package shorecrank.rebalance;
