--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -11,14 +11,18 @@
 import shorecrank.storage.CommitResult;
 
 /**
- * Writes changes of moves down, together with the assignments that they change, and follows up what
- * became of them.
+ * Writes changed moves to the shares' key, in one transaction with the machine assignments that
+ * they change, and updates the other parts of this package once the outcome is known.
  */
 final class MoveCommitter {
-  /** Told whether a change was committed; called once. */
+  /** Receives the result of one write. */
   @FunctionalInterface
   interface CommitListener {
-    /** The change was committed, or else refused or without a known outcome. */
+    /**
+     * Called once.
+     *
+     * @param isCommitted false if the change was refused or its outcome is not known yet
+     */
     void finished(boolean isCommitted);
   }
 
@@ -28,41 +32,43 @@
   private final SharesStore store;
   private final FleetAssignments fleet;
   private final OwnerReports reports;
-  private final MoveOrders orders;
+  private final OwnerInstructions instructions;
   private final MoveTimes times;
 
-  /** Assignments in a transaction that is under way or in doubt; null if there are none. */
-  private Handover openHandover;
+  /** The assignments in a transaction that is under way or in doubt; null if there are none. */
+  private Handover pendingHandover;
 
-  /** Logs the change that is under way or in doubt, once it is known to be carried out. */
-  private Runnable openLog = NOTHING_TO_LOG;
+  /**
+   * Logs the change that is under way or in doubt; run once the change is known to be committed.
+   */
+  private Runnable pendingLog = NOTHING_TO_LOG;
 
   MoveCommitter(
       LeaderEnvironment environment,
       SharesStore store,
       FleetAssignments fleet,
       OwnerReports reports,
-      MoveOrders orders,
+      OwnerInstructions instructions,
       MoveTimes times) {
     this.environment = environment;
     this.store = store;
     this.fleet = fleet;
     this.reports = reports;
-    this.orders = orders;
+    this.instructions = instructions;
     this.times = times;
   }
 
-  /** Whether an assignment may still be written that is not known here. */
+  /** Reports whether a write whose outcome is not known may still be committed. */
   boolean isInDoubt() {
-    return openHandover != null || store.isInDoubt();
+    return pendingHandover != null || store.isInDoubt();
   }
 
-  /** Assignments were read anew, so none is in doubt. */
+  /** Forgets the assignments in doubt, after all assignments have been read again. */
   void reset() {
-    openHandover = null;
+    pendingHandover = null;
   }
 
-  /** Writes a change that assigns no machine. */
+  /** Writes a change that assigns no machine; the store must be idle. */
   void write(SharesState next, CommitListener then) {
     write(next, null, then);
   }
@@ -70,30 +76,32 @@
   /**
    * Writes a change; the store must be idle.
    *
-   * @param handover the assignments that change with it; null if none do
+   * @param handover the assignments that are written in the same transaction; null if there are
+   *     none
    */
   void write(SharesState next, Handover handover, CommitListener then) {
     int operations = 1 + (handover == null ? 0 : handover.operations());
     if (!environment.tryTakeWrites(operations)) {
-      refused(handover, false);
+      handleRefusal(handover, false);
       then.finished(false);
       return;
     }
-    openHandover = handover;
+    pendingHandover = handover;
     SharesState before = store.state();
-    openLog = () -> logChanges(before, next);
+    pendingLog = () -> logChanges(before, next);
     store.write(
         next,
         transaction -> addHandover(transaction, handover),
         result -> {
           if (result instanceof CommitResult.Committed done) {
-            committed(before, next, handover, done.revision());
+            handleCommit(before, next, handover, done.revision());
           } else if (!result.isUnknown()) {
-            refused(handover, result instanceof CommitResult.Conflict);
-            openHandover = null;
-            openLog = NOTHING_TO_LOG;
+            handleRefusal(handover, result instanceof CommitResult.Conflict);
+            pendingHandover = null;
+            pendingLog = NOTHING_TO_LOG;
           }
-          // One of unknown outcome is settled later; until then no assignment is written.
+          // If the outcome is unknown, outcomeResolved is called later. Until then isInDoubt keeps
+          // all other assignments from being written.
           then.finished(result.isCommitted());
         });
   }
@@ -104,24 +112,25 @@
     }
   }
 
-  /** A change of unknown outcome turned out to be carried out or not. */
-  void settled(boolean isCarriedOut) {
-    Handover settled = openHandover;
-    openHandover = null;
+  /** Completes a write whose outcome was unknown until now. */
+  void outcomeResolved(boolean isCarriedOut) {
+    Handover settled = pendingHandover;
+    pendingHandover = null;
     if (isCarriedOut) {
-      writeOpenLog();
+      writePendingLog();
       fleet.reload();
     } else {
-      refused(settled, false);
-      openLog = NOTHING_TO_LOG;
+      handleRefusal(settled, false);
+      pendingLog = NOTHING_TO_LOG;
     }
   }
 
   /**
-   * Machines stay where they were. Their owners were told meanwhile that they have none of them, so
-   * they are asked anew whether anything is left on them.
+   * Leaves the machines of a refused handover with their shards. While the write was under way, the
+   * shards' owners were told that the machines are not assigned to them, so their earlier releases
+   * no longer count: each owner has to release its machine again.
    */
-  private void refused(Handover handover, boolean isConflict) {
+  private void handleRefusal(Handover handover, boolean isConflict) {
     if (handover == null) {
       return;
     }
@@ -134,25 +143,25 @@
     }
   }
 
-  private void committed(
+  private void handleCommit(
       SharesState before, SharesState after, Handover handover, Revision revision) {
     if (handover != null) {
       handover.committed(revision);
     }
-    openHandover = null;
-    writeOpenLog();
+    pendingHandover = null;
+    writePendingLog();
     for (Move move : after.ended()) {
       if (!before.ended().contains(move)) {
-        times.ended(move);
+        times.recordEnd(move);
         reports.forget(move);
       }
     }
-    orders.synchronize();
+    instructions.synchronize();
   }
 
-  private void writeOpenLog() {
-    openLog.run();
-    openLog = NOTHING_TO_LOG;
+  private void writePendingLog() {
+    pendingLog.run();
+    pendingLog = NOTHING_TO_LOG;
   }
 
   private void logChanges(SharesState before, SharesState after) {
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -17,23 +17,25 @@
 import shorecrank.rollout.FeatureGate;
 
 /**
- * The leader's part in shares: it says how many processors each shard should have, and moves
- * machines between shards, each in steps that are written down before anybody is told of them.
+ * Rebalances machines between shards, on behalf of the leader: computes how many processors each
+ * shard should have, and moves machines step by step. Each step is written to the state service
+ * before any shard owner is told of it, so that a new leader can continue the move.
  *
- * <p>{@link RebalancePlanner} begins moves, {@link MoveOrders} tells their owners, {@link
- * MoveStepper} takes them from phase to phase, and {@link MoveCommitter} writes each change down.
+ * <p>{@link RebalancePlanner} begins moves, {@link OwnerInstructions} tells the shard owners what
+ * to do for them, {@link MoveStepper} takes moves from phase to phase, and {@link MoveCommitter}
+ * writes each change to the state service.
  */
 public final class MoveCoordinator {
   private static final long STEP_PAUSE_MS = 250;
   private static final long PLAN_PAUSE_MS = 1000;
 
-  /** Takes an order's outcome. */
+  /** Receives the outcome of an operator's order. */
   @FunctionalInterface
   public interface OutcomeListener {
     /**
      * Called once.
      *
-     * @param outcome null if it is not known, and the order has to be sent again
+     * @param outcome null if the outcome is not known and the operator has to send the order again
      */
     void completed(ShareOutcome outcome);
   }
@@ -43,21 +45,24 @@
   private final TeamShares teams;
   private final Supplier<List<String>> reasonsAgainstMoves;
   private final SharesStore store;
-  private final ShardNumberCheck numberCheck;
+  private final ShardCountCheck shardCountCheck;
   private final OwnerReports reports;
   private final MoveTimes times;
   private final RebalancePlanner planner;
-  private final MoveOrders orders;
+  private final OwnerInstructions instructions;
   private final MoveCommitter committer;
   private final MoveStepper stepper;
-  private final ShareOrders operatorOrders;
+  private final ShareOrderEvaluator orderEvaluator;
   private MonotonicTime steppedAt = MonotonicTime.NEVER;
   private MonotonicTime plannedAt = MonotonicTime.NEVER;
 
   /**
-   * @param gate says whether moves may be written down at the feature level in force
-   * @param teamNames all teams of the platform
-   * @param reasonsAgainstMoves why no move may begin now, a line each; empty if one may
+   * Creates the coordinator of one controller; it acts only while that controller is the leader.
+   *
+   * @param gate decides whether the feature level in force allows moves to be written
+   * @param teamNames the names of all teams of the platform
+   * @param reasonsAgainstMoves supplies the reasons why no move may begin now, one line each; empty
+   *     if moves may begin
    */
   public MoveCoordinator(
       LeaderEnvironment environment,
@@ -71,57 +76,66 @@
     this.fleet = fleet;
     this.teams = new TeamShares(teamNames, settings.teams(), fleet.shardCount());
     this.reasonsAgainstMoves = reasonsAgainstMoves;
-    this.store = new SharesStore(environment, leadership, gate, this::settled);
-    this.numberCheck = new ShardNumberCheck(environment, store, fleet.shardCount());
+    this.store = new SharesStore(environment, leadership, gate, this::outcomeResolved);
+    this.shardCountCheck = new ShardCountCheck(environment, store, fleet.shardCount());
     this.reports = new OwnerReports(environment);
     this.times = new MoveTimes(environment, settings.restS());
     MoveCapacity capacity = new MoveCapacity(environment);
     this.planner =
         new RebalancePlanner(environment, fleet, settings, teams, reports, times, capacity);
-    this.orders = new MoveOrders(store, fleet);
-    this.committer = new MoveCommitter(environment, store, fleet, reports, orders, times);
+    this.instructions = new OwnerInstructions(store, fleet);
+    this.committer = new MoveCommitter(environment, store, fleet, reports, instructions, times);
     this.stepper =
         new MoveStepper(environment, store, fleet, reports, committer, times, settings.timeoutS());
-    this.operatorOrders = new ShareOrders(fleet, teams, reports::candidates, capacity::mostActive);
+    this.orderEvaluator =
+        new ShareOrderEvaluator(fleet, teams, reports::candidates, capacity::maxActive);
   }
 
-  private void settled(boolean isCarriedOut) {
-    committer.settled(isCarriedOut);
+  private void outcomeResolved(boolean isCarriedOut) {
+    committer.outcomeResolved(isCarriedOut);
   }
 
   /**
-   * Whether shards may be granted: moves under way are known, so that no owner uses a machine that
-   * it was told to hand over, and jobs are assigned by the configured number of shards.
+   * Reports whether shards may be granted. The moves under way have to be known, otherwise an owner
+   * could use a machine that it was told to hand over; and jobs have to be assigned by the
+   * configured number of shards.
    */
   public boolean isReady() {
-    boolean areOwnersTold = !store.isReadable() || orders.areCurrent();
-    return store.isRead() && numberCheck.isPassed() && areOwnersTold;
+    boolean areOwnersTold = !store.isReadable() || instructions.areCurrent();
+    return store.isRead() && shardCountCheck.isPassed() && areOwnersTold;
   }
 
-  /** Whether an assignment may still be written that is not known here; then no other may be. */
+  /**
+   * Reports whether an assignment whose outcome is not known may still be written. No other
+   * assignment may be written until that is resolved.
+   */
   public boolean isUnsettled() {
     return committer.isInDoubt();
   }
 
-  /** The leader has begun its term, or has read all assignments anew. */
+  /** Starts over after the leader has begun its term or has read all assignments again. */
   public void beginTerm() {
     committer.reset();
     reports.clear();
-    orders.reset();
-    orders.synchronize();
+    instructions.reset();
+    instructions.synchronize();
   }
 
-  /** Reads the key if that is due; called once a round, also while no shard may be granted yet. */
+  /**
+   * Reads the shares' key if that is due, checks the number of shards and updates the instructions
+   * to owners. Called in every round of the leader, also while no shard may be granted.
+   */
   public void refresh() {
     store.tick();
-    numberCheck.tick();
-    if (!orders.areCurrent()) {
-      orders.synchronize();
+    shardCountCheck.tick();
+    if (!instructions.areCurrent()) {
+      instructions.synchronize();
     }
   }
 
   /**
-   * Takes the next steps of moves, or begins some; called once a round while shards are granted.
+   * Takes the next steps of moves, or begins new moves if there is no step to take. Called in every
+   * round of the leader while shards may be granted.
    */
   public void tick() {
     MonotonicTime now = environment.now();
@@ -146,24 +160,27 @@
     }
   }
 
-  /** Takes a report of a shard's owner that came under the shard's epoch. */
+  /** Handles a report that a shard's owner has sent under the shard's present epoch. */
   public void handleReport(ShardReport report) {
-    reports.take(report, store.state());
+    reports.handleReport(report, store.state());
   }
 
-  /** A shard has a new owner, or its owner a new epoch. */
+  /** Handles a new epoch of a shard, for a new owner or for the same one. */
   public void handleNewEpoch(ShardId shard) {
     reports.ownerChanged(shard, store.state());
   }
 
-  /** The shard to which a new machine is assigned. */
+  /** Returns the shard to which a new machine is to be assigned. */
   public ShardId shardForNewMachine() {
     return planner.shardForNewMachine(store.state());
   }
 
   // ---- operators -------------------------------------------------------------------------------
 
-  /** Why no order to move machines is taken now; empty if one is. */
+  /**
+   * Returns the reasons why operators' orders, other than aborts, are refused now; empty if they
+   * are not.
+   */
   private List<String> reasonsAgainstOrders() {
     List<String> reasons = new ArrayList<>(reasonsAgainstMoves.get());
     if (!store.isPermitted()) {
@@ -172,14 +189,14 @@
     return reasons;
   }
 
-  /** Carries an order out, once for each id. */
+  /** Executes an operator's order, once for each order id, and reports the outcome. */
   public void handleOrder(ShareOrder order, OutcomeListener then) {
     if (!store.isReadable() || store.isInDoubt()) {
       then.completed(null);
       return;
     }
-    ShareOrders.Decision decision =
-        operatorOrders.decide(order, store.state(), reasonsAgainstOrders(), environment.wallMs());
+    ShareOrderEvaluator.Decision decision =
+        orderEvaluator.evaluate(order, store.state(), reasonsAgainstOrders(), environment.wallMs());
     ShareOutcome outcome = decision.outcome();
     Optional<SharesState> next = decision.next();
     if (next.isEmpty()) {
@@ -192,17 +209,19 @@
     }
     environment.info("shares.ordered id=%s text=\"%s\"", order.id(), outcome.text());
     committer.write(
-        next.get().withShards(fleet.shardCount()).withOutcome(outcome, MoveCapacity.KEPT_ORDERS),
+        next.get()
+            .withShards(fleet.shardCount())
+            .withOutcome(outcome, MoveCapacity.MAX_ORDER_OUTCOMES),
         isCommitted -> then.completed(isCommitted ? outcome : null));
   }
 
-  /** All that an operator is told of shares; null while the key is not known. */
+  /** Returns the status of shares for operators; null while the shares' key is not readable. */
   public SharesStatus status() {
     if (!store.isReadable()) {
       return null;
     }
-    StatusView view =
-        new StatusView(fleet, teams, store.state(), planner.targets(), reports, times);
+    SharesStatusBuilder view =
+        new SharesStatusBuilder(fleet, teams, store.state(), planner.targets(), reports, times);
     return view.status(reasonsAgainstOrders());
   }
 }
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -8,24 +8,24 @@
 import shorecrank.protocol.ShareStateMessages.MovePhase;
 
 /**
- * Decides the next step of a move from what the leader knows. It has no state: any leader, at any
- * time, comes to a step that is safe, whatever an earlier one did last.
+ * Decides the next step of a move from what the leader knows. The decision is stateless, so that a
+ * new leader takes a safe step whatever the previous leader did last.
  */
 final class MoveRules {
-  /** A new owner may take so many times the bound on a move until it hears the machine. */
-  private static final double ARRIVAL_FACTOR = 2;
+  /** The age at which a handed-over move is aborted, as a multiple of the move timeout. */
+  private static final double ARRIVAL_TIMEOUT_FACTOR = 2;
 
   private MoveRules() {}
 
-  /** Why a move ended without its machine being heard at its new shard. */
+  /** The reason why a move was aborted. */
   enum Reason {
     MACHINE_GONE("the machine is gone"),
     REASSIGNED("the machine's assignment has changed"),
     TERMINATION_NOTICE("the cloud takes the machine back"),
     MACHINE_SILENT("the machine's worker is not heard"),
-    TIMEOUT("tasks did not end in time"),
-    NOT_HEARD("its new owner does not hear it"),
-    ORDERED("aborted by an operator"),
+    DRAIN_TIMEOUT("tasks did not end in time"),
+    NOT_HEARD_BY_NEW_OWNER("its new owner does not hear it"),
+    ABORTED_BY_OPERATOR("aborted by an operator"),
     EARLIER_VERSION("its owner runs a version that knows no moves");
 
     private final String text;
@@ -34,47 +34,54 @@
       this.text = text;
     }
 
-    /** For operators. */
+    /** Returns the text that is stored with the move and shown to operators. */
     String text() {
       return text;
     }
   }
 
   /**
-   * What is known of a move's machine.
+   * What the leader knows of a move's machine.
    *
    * @param assignedTo the machine's shard; null if the machine is not known
-   * @param term the term of its assignment
-   * @param progress what its owner says of the order; null if it has said nothing
-   * @param ownerKnowsMoves false if the owner's last report is of an earlier version
-   * @param isReleased whether the owner has said, under this move, that nothing is left on it
-   * @param isArrived whether the new owner has said that it hears the machine
+   * @param term the epoch under which the machine was assigned
+   * @param progress the drain progress that the present owner has reported; null if it has reported
+   *     none for this move
+   * @param ownerSupportsMoves false if the present owner's last report came from a version that
+   *     does not support moves
+   * @param isReleased whether the present owner has reported for this move that no task or record
+   *     is left on the machine
+   * @param isArrived whether the new owner has reported that it hears the machine
    * @param ageS the seconds since the move began
    */
   record Observation(
       ShardId assignedTo,
       Epoch term,
       DrainProgress progress,
-      boolean ownerKnowsMoves,
+      boolean ownerSupportsMoves,
       boolean isReleased,
       boolean isArrived,
       double ageS) {}
 
-  /** What is to be written down. */
+  /** The change of a move that is to be written. */
   enum Action {
-    /** Nothing. */
+    /** The move stays in its phase; nothing is written. */
     STAY,
-    /** The owner drains the machine. */
-    NOTE_DRAINING,
-    /** The machine's assignment changes, in the same transaction. */
+    /** The move enters the phase {@link MovePhase#DRAINING}. */
+    RECORD_DRAINING,
+    /** The machine is assigned to the new shard in the same transaction. */
     HAND_OVER,
-    /** The machine has arrived. */
+    /** The move is done: the new owner hears the machine. */
     FINISH,
-    /** The move ends; the assignment stays what it is. */
+    /** The move ends, and the machine's assignment stays as it is. */
     ABORT
   }
 
-  /** An action, and the reason of an abortion; else null. */
+  /**
+   * The next step of a move.
+   *
+   * @param reason the reason of an {@link Action#ABORT}; null for other actions
+   */
   record Step(Action action, Reason reason) {
     private static final Step STAY = new Step(Action.STAY, null);
 
@@ -87,46 +94,48 @@
     }
   }
 
-  /** The next step of a move that is under way. */
-  static Step next(Move move, Observation seen, double timeoutS) {
-    if (seen.assignedTo == null) {
+  /** Returns the next step of a move that is under way; {@code timeoutS} is the move timeout. */
+  static Step next(Move move, Observation observation, double timeoutS) {
+    if (observation.assignedTo == null) {
       return Step.abort(Reason.MACHINE_GONE);
     }
     return move.phase() == MovePhase.HANDED_OVER
-        ? afterHandover(move, seen, timeoutS)
-        : beforeHandover(move, seen, timeoutS);
+        ? afterHandover(move, observation, timeoutS)
+        : beforeHandover(move, observation, timeoutS);
   }
 
-  private static Step beforeHandover(Move move, Observation seen, double timeoutS) {
-    if (!seen.assignedTo.equals(move.from()) || !seen.term.equals(move.assignmentEpoch())) {
+  private static Step beforeHandover(Move move, Observation observation, double timeoutS) {
+    if (!observation.assignedTo.equals(move.from()) || !observation.term.equals(move.assignmentEpoch())) {
       return Step.abort(Reason.REASSIGNED);
     }
-    if (!seen.ownerKnowsMoves) {
+    if (!observation.ownerSupportsMoves) {
       return Step.abort(Reason.EARLIER_VERSION);
     }
-    if (seen.isReleased) {
+    if (observation.isReleased) {
       return Step.of(Action.HAND_OVER);
     }
-    if (seen.progress != null && seen.progress.state() == DrainState.NOTICED) {
+    if (observation.progress != null && observation.progress.state() == DrainState.NOTICED) {
       return Step.abort(Reason.TERMINATION_NOTICE);
     }
-    if (seen.progress != null && seen.progress.state() == DrainState.SILENT) {
+    if (observation.progress != null && observation.progress.state() == DrainState.SILENT) {
       return Step.abort(Reason.MACHINE_SILENT);
     }
-    if (seen.ageS > timeoutS) {
-      return Step.abort(Reason.TIMEOUT);
+    if (observation.ageS > timeoutS) {
+      return Step.abort(Reason.DRAIN_TIMEOUT);
     }
-    boolean isNews = move.phase() == MovePhase.REQUESTED && seen.progress != null;
-    return isNews ? Step.of(Action.NOTE_DRAINING) : Step.STAY;
+    boolean hasDrainStarted = move.phase() == MovePhase.REQUESTED && observation.progress != null;
+    return hasDrainStarted ? Step.of(Action.RECORD_DRAINING) : Step.STAY;
   }
 
-  private static Step afterHandover(Move move, Observation seen, double timeoutS) {
-    if (!seen.assignedTo.equals(move.to())) {
+  private static Step afterHandover(Move move, Observation observation, double timeoutS) {
+    if (!observation.assignedTo.equals(move.to())) {
       return Step.abort(Reason.REASSIGNED);
     }
-    if (seen.isArrived) {
+    if (observation.isArrived) {
       return Step.of(Action.FINISH);
     }
-    return seen.ageS > ARRIVAL_FACTOR * timeoutS ? Step.abort(Reason.NOT_HEARD) : Step.STAY;
+    return observation.ageS > ARRIVAL_TIMEOUT_FACTOR * timeoutS
+        ? Step.abort(Reason.NOT_HEARD_BY_NEW_OWNER)
+        : Step.STAY;
   }
 }
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -17,9 +17,9 @@
 import shorecrank.rebalance.MoveRules.Step;
 
 /**
- * Takes moves that are under way to their next phase: notes that the machine is being drained,
- * hands it over once its owner has released it, ends the move once the new owner hears it, or
- * aborts it.
+ * Takes moves that are under way to their next phase: records that the machine is being drained,
+ * hands the machine over once its owner has released it, ends the move once the new owner hears the
+ * machine, or aborts the move.
  */
 final class MoveStepper {
   private final LeaderEnvironment environment;
@@ -31,7 +31,9 @@
   private final double timeoutS;
 
   /**
-   * @param timeoutS after how long a move that is not over is given up, in seconds
+   * Creates the stepper of one coordinator.
+   *
+   * @param timeoutS the age, in seconds, at which a move is aborted
    */
   MoveStepper(
       LeaderEnvironment environment,
@@ -50,48 +52,48 @@
     this.timeoutS = timeoutS;
   }
 
-  /** Writes down the next steps of all moves; false if there is none. */
+  /** Writes the next steps of all moves, in one transaction; returns false if there are none. */
   boolean takeSteps() {
-    SharesState known = store.state();
-    SharesState next = known;
+    SharesState current = store.state();
+    SharesState next = current;
     Map<MachineName, ShardId> assignments = new LinkedHashMap<>();
     List<Move> released = new ArrayList<>();
-    for (Move move : known.active()) {
+    for (Move move : current.active()) {
       Step step = MoveRules.next(move, observe(move), timeoutS);
       switch (step.action()) {
         case STAY -> {}
-        case NOTE_DRAINING -> next = changed(next, move.withPhase(MovePhase.DRAINING));
+        case RECORD_DRAINING -> next = withMove(next, move.withPhase(MovePhase.DRAINING));
         case HAND_OVER -> {
-          if (isEpochAbove(move)) {
+          if (hasNewerEpoch(move)) {
             assignments.put(move.machine(), move.to());
             released.add(move);
           }
         }
-        case FINISH -> next = changed(next, move.withPhase(MovePhase.DONE));
-        case ABORT -> next = changed(next, move.aborted(step.reason().text()));
+        case FINISH -> next = withMove(next, move.withPhase(MovePhase.DONE));
+        case ABORT -> next = withMove(next, move.aborted(step.reason().text()));
       }
     }
-    Handover handover = prepare(assignments);
+    Handover handover = prepareHandover(assignments);
     if (handover != null) {
       for (Move move : released) {
         if (handover.machines().contains(move.machine())) {
-          next = changed(next, move.withPhase(MovePhase.HANDED_OVER));
+          next = withMove(next, move.withPhase(MovePhase.HANDED_OVER));
         }
       }
     }
-    if (next == known) {
+    if (next == current) {
       return false;
     }
     committer.write(next, handover, isCommitted -> {});
     return true;
   }
 
-  private static SharesState changed(SharesState state, Move move) {
-    return state.withUpdatedMove(move, MoveCapacity.KEPT_ENDED);
+  private static SharesState withMove(SharesState state, Move move) {
+    return state.withUpdatedMove(move, MoveCapacity.MAX_ENDED_MOVES);
   }
 
-  /** Null if nothing is to be assigned, or not now. */
-  private Handover prepare(Map<MachineName, ShardId> assignments) {
+  /** Prepares the assignments; returns null if there are none or they can't be written now. */
+  private Handover prepareHandover(Map<MachineName, ShardId> assignments) {
     boolean isAffordable = environment.hasWriteBudget(1 + assignments.size());
     return assignments.isEmpty() || !isAffordable ? null : fleet.prepareHandover(assignments);
   }
@@ -102,17 +104,18 @@
         machine == null ? null : machine.shard(),
         machine == null ? Epoch.NONE : machine.term(),
         reports.progress(move),
-        reports.ownerKnowsMoves(move),
+        reports.ownerSupportsMoves(move),
         reports.isReleased(move),
         reports.isArrived(move),
         times.ageS(move));
   }
 
   /**
-   * Whether the new owner's epoch is above any that the machine's worker may have been shown; if
-   * not, a higher one is asked for.
+   * Reports whether the target shard has an owner whose epoch is above every epoch that the
+   * machine's worker may have seen. Under a lower epoch, the worker would reject the new owner's
+   * commands as older than those of the present owner. If necessary, requests a higher epoch.
    */
-  private boolean isEpochAbove(Move move) {
+  private boolean hasNewerEpoch(Move move) {
     FleetMachine machine = fleet.machine(move.machine());
     Epoch last = fleet.epoch(move.from());
     Epoch least = machine == null ? last : Epoch.higher(machine.term(), last);
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -18,17 +18,22 @@
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
-import shorecrank.rebalance.MovePlanner.Planned;
-import shorecrank.rebalance.MovePlanner.Situation;
-import shorecrank.rebalance.ShareTargets.Claim;
+import shorecrank.rebalance.MovePlanner.PlannedMove;
+import shorecrank.rebalance.MovePlanner.PlanningInput;
+import shorecrank.rebalance.ShareTargets.ShardInput;
 
 /**
- * Computes how many processors each shard should have, and which moves begin: machines that run
- * another shard's tasks go back to that shard; if there are none, machines move by need.
+ * Computes how many processors each shard should have, and plans the moves to begin without an
+ * operator's order. A machine on which another shard's tasks may run is moved back to that shard.
+ * If there is no such machine, automatic moves are planned, which bring shards closer to their
+ * targets.
  */
 final class RebalancePlanner {
-  /** What a machine counts beside its processors where a new machine's shard is chosen. */
-  private static final double MACHINE_TIE_BREAK = 1e-6;
+  /**
+   * Processors added per machine when the shard of a new machine is chosen, so that among shards of
+   * equal deficit the one with the fewest machines is chosen.
+   */
+  private static final double TIE_BREAK_CPUS = 1e-6;
 
   private static final double MS_PER_S = 1000;
 
@@ -40,8 +45,8 @@
   private final MoveTimes times;
   private final MoveCapacity capacity;
 
-  /** Since when a shard has lacked machines. */
-  private final Map<ShardId, MonotonicTime> lackingSince = new HashMap<>();
+  /** The time since which a shard has had a deficit; shards without a deficit have no entry. */
+  private final Map<ShardId, MonotonicTime> deficitSince = new HashMap<>();
 
   private Map<ShardId, Double> targets = new TreeMap<>();
 
@@ -62,25 +67,28 @@
     this.capacity = capacity;
   }
 
-  /** The processors that each shard should have, as last computed. */
+  /** Returns the processors that each shard should have, as computed by the last planning. */
   Map<ShardId, Double> targets() {
     return targets;
   }
 
-  /** The shard that lacks the most processors; of equals, that with the fewest machines. */
+  /**
+   * Returns the shard with the largest deficit of processors, among equals the one with the fewest
+   * machines.
+   */
   ShardId shardForNewMachine(SharesState state) {
-    Map<ShardId, Double> present = present(state);
-    // While machine types are not known, machines have no processors, but still count.
+    Map<ShardId, Double> currentCpus = currentCpus(state);
+    // Machines count as 0 processors while their types are unknown, so their number decides.
     fleet
         .machines()
-        .forEach(machine -> present.merge(machine.shard(), MACHINE_TIE_BREAK, Double::sum));
+        .forEach(machine -> currentCpus.merge(machine.shard(), TIE_BREAK_CPUS, Double::sum));
     ShardId best = new ShardId(0);
-    double most = Double.NEGATIVE_INFINITY;
+    double largestDeficit = Double.NEGATIVE_INFINITY;
     for (int i = 0; i < fleet.shardCount(); i++) {
       ShardId shard = new ShardId(i);
-      double lack = targets.getOrDefault(shard, 0.0) - present.getOrDefault(shard, 0.0);
-      if (lack > most) {
-        most = lack;
+      double deficit = targets.getOrDefault(shard, 0.0) - currentCpus.getOrDefault(shard, 0.0);
+      if (deficit > largestDeficit) {
+        largestDeficit = deficit;
         best = shard;
       }
     }
@@ -88,120 +96,130 @@
   }
 
   /**
-   * Computes the targets anew, and the moves that begin now.
+   * Computes the targets again and returns the moves to begin now; empty if there are none.
    *
-   * @param reasonsAgainstMoves why no move by need may begin; asked only if one might
+   * @param reasonsAgainstMoves supplies the reasons why no automatic move may begin, empty if one
+   *     may; called only when automatic moves would be planned
    */
   List<Move> plan(SharesState state, Supplier<List<String>> reasonsAgainstMoves) {
-    Map<ShardId, Double> present = present(state);
-    Map<ShardId, Claim> claims = new TreeMap<>();
+    Map<ShardId, Double> currentCpus = currentCpus(state);
+    Map<ShardId, ShardInput> inputs = new TreeMap<>();
     Map<ShardId, ShardDemand> demands = new TreeMap<>();
     teams
-        .byShard(state.teams())
+        .sharesByShard(state.teams())
         .forEach(
             (shard, share) -> {
               Optional<ShardDemand> demand = reports.freshDemand(shard);
-              claims.put(shard, new Claim(share, demand.orElse(null), present.get(shard)));
+              inputs.put(shard, new ShardInput(share, demand.orElse(null), currentCpus.get(shard)));
               demand.ifPresent(known -> demands.put(shard, known));
             });
-    double cpus = present.values().stream().mapToDouble(Double::doubleValue).sum();
-    targets = ShareTargets.compute(cpus, claims);
-    updateGauges(present, state);
-    List<Move> moves = reclaim(state);
-    boolean mayMoveByNeed = moves.isEmpty() && settings.automatic();
-    if (mayMoveByNeed && reasonsAgainstMoves.get().isEmpty()) {
-      return moveByNeed(present, demands, state);
+    double cpus = currentCpus.values().stream().mapToDouble(Double::doubleValue).sum();
+    targets = ShareTargets.compute(cpus, inputs);
+    updateGauges(currentCpus, state);
+    List<Move> moves = planReclaims(state);
+    boolean canPlanAutomaticMoves = moves.isEmpty() && settings.automatic();
+    if (canPlanAutomaticMoves && reasonsAgainstMoves.get().isEmpty()) {
+      return planAutomaticMoves(currentCpus, demands, state);
     }
     return moves;
   }
 
-  /** Processors by shard, with moves under way counted at the shard that they lead to. */
-  private Map<ShardId, Double> present(SharesState state) {
-    Map<ShardId, Double> present = new TreeMap<>();
+  /** Returns the processors of each shard; a moving machine counts at the shard it moves to. */
+  private Map<ShardId, Double> currentCpus(SharesState state) {
+    Map<ShardId, Double> currentCpus = new TreeMap<>();
     for (int i = 0; i < fleet.shardCount(); i++) {
-      present.put(new ShardId(i), 0.0);
+      currentCpus.put(new ShardId(i), 0.0);
     }
     for (FleetMachine machine : fleet.machines()) {
       Move move = state.activeMoveOf(machine.name());
       ShardId shard = move == null ? machine.shard() : move.to();
-      present.merge(shard, machine.cpus(), Double::sum);
+      currentCpus.merge(shard, machine.cpus(), Double::sum);
     }
-    return present;
+    return currentCpus;
   }
 
-  private void updateGauges(Map<ShardId, Double> present, SharesState state) {
+  private void updateGauges(Map<ShardId, Double> currentCpus, SharesState state) {
     targets.forEach((shard, cpus) -> environment.gauge("shares.target." + shard, cpus));
-    present.forEach((shard, cpus) -> environment.gauge("shares.present." + shard, cpus));
+    currentCpus.forEach((shard, cpus) -> environment.gauge("shares.present." + shard, cpus));
     environment.gauge("shares.moves.active", state.active().size());
     environment.gauge("shares.move.ms.p50", times.medianMs());
     environment.gauge("shares.move.ms.p99", times.p99Ms());
   }
 
-  /** A move without an operator's order; {@code offset} counts those that begin before it. */
-  private Move begin(int offset, MachineName machine, ShardId to, SharesState state) {
+  /**
+   * Creates a move that no operator has ordered.
+   *
+   * @param offset the number of moves before it in the same plan, added to the next move number
+   */
+  private Move newMove(int offset, MachineName machine, ShardId to, SharesState state) {
     MoveId id = new MoveId(state.nextMove() + offset);
     return fleet.machine(machine).moveTo(to, id, "", environment.wallMs());
   }
 
-  /** Moves of machines on which tasks of a shard may run, back to that shard. */
-  private List<Move> reclaim(SharesState state) {
+  /** Plans to move machines that were reported as misplaced back to the shards that report them. */
+  private List<Move> planReclaims(SharesState state) {
     List<Move> moves = new ArrayList<>();
     reports
-        .takeMisplaced()
+        .pollMisplaced()
         .forEach(
             (name, shard) -> {
               FleetMachine machine = fleet.machine(name);
               boolean isElsewhere = machine != null && !machine.shard().equals(shard);
               boolean isFree = isElsewhere && state.activeMoveOf(name) == null;
-              if (isFree && moves.size() < capacity.room(state)) {
+              if (isFree && moves.size() < capacity.remaining(state)) {
                 environment.info(
                     "machine.reclaimed machine=%s shard=%s assigned_to=%s",
                     name, shard, machine.shard());
-                moves.add(begin(moves.size(), name, shard, state));
+                moves.add(newMove(moves.size(), name, shard, state));
               }
             });
     return moves;
   }
 
-  private List<Move> moveByNeed(
-      Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands, SharesState state) {
-    int most = Math.min(settings.movesAtOnce() - state.active().size(), capacity.room(state));
-    if (most <= 0) {
+  private List<Move> planAutomaticMoves(
+      Map<ShardId, Double> currentCpus, Map<ShardId, ShardDemand> demands, SharesState state) {
+    int limit = Math.min(settings.movesAtOnce() - state.active().size(), capacity.remaining(state));
+    if (limit <= 0) {
       return List.of();
     }
-    Situation situation =
-        new Situation(
+    PlanningInput input =
+        new PlanningInput(
             targets,
-            present,
+            currentCpus,
             demands,
-            receiving(present, demands),
-            machine -> !times.isResting(machine) && state.activeMoveOf(machine) == null);
-    MovePlanner planner = new MovePlanner(situation, fleet.machines(), settings.tolerance());
+            receivers(currentCpus, demands),
+            machine -> !times.isCoolingDown(machine) && state.activeMoveOf(machine) == null);
+    MovePlanner planner = new MovePlanner(input, fleet.machines(), settings.tolerance());
     List<Move> moves = new ArrayList<>();
-    for (Planned planned : planner.plan(most)) {
-      moves.add(begin(moves.size(), planned.machine(), planned.to(), state));
+    for (PlannedMove planned : planner.plan(limit)) {
+      moves.add(newMove(moves.size(), planned.machine(), planned.to(), state));
     }
     return moves;
   }
 
-  /** Shards that have lacked machines for long enough, and have tasks waiting. */
-  private Set<ShardId> receiving(Map<ShardId, Double> present, Map<ShardId, ShardDemand> demands) {
+  /**
+   * Returns the shards that may receive machines: those with waiting tasks that have been below
+   * their targets for the settle time of the settings. The settle time keeps machines from moving
+   * because of a short peak.
+   */
+  private Set<ShardId> receivers(
+      Map<ShardId, Double> currentCpus, Map<ShardId, ShardDemand> demands) {
     MonotonicTime now = environment.now();
-    Set<ShardId> receiving = new HashSet<>();
+    Set<ShardId> receivers = new HashSet<>();
     targets.forEach(
         (shard, target) -> {
           ShardDemand demand = demands.get(shard);
-          boolean isLacking =
-              demand != null && demand.totalWaiting() > 0 && target > present.get(shard);
-          if (!isLacking) {
-            lackingSince.remove(shard);
+          boolean hasDeficit =
+              demand != null && demand.totalWaiting() > 0 && target > currentCpus.get(shard);
+          if (!hasDeficit) {
+            deficitSince.remove(shard);
             return;
           }
-          MonotonicTime since = lackingSince.computeIfAbsent(shard, absent -> now);
+          MonotonicTime since = deficitSince.computeIfAbsent(shard, absent -> now);
           if (now.since(since) >= settings.settleS() * MS_PER_S) {
-            receiving.add(shard);
+            receivers.add(shard);
           }
         });
-    return receiving;
+    return receivers;
   }
 }
--- a/src/main/java/shorecrank/rebalance/ShardNumberCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardCountCheck.java
@@ -7,20 +7,20 @@
 import shorecrank.storage.ListResult;
 
 /**
- * Refuses a configured number of shards other than the one in force while jobs exist. Jobs and
- * machines are assigned by that number, so under another one their records would be read by owners
- * that their machines don't belong to.
+ * Refuses to run with a configured number of shards other than the one in force while jobs exist.
+ * The number of shards determines to which shard a job and a machine belong. If it changed under
+ * existing jobs, their records would be read by owners to which the jobs' machines don't belong.
  */
-final class ShardNumberCheck {
+final class ShardCountCheck {
   private static final long RETRY_MS = 2000;
 
   private final LeaderEnvironment environment;
   private final SharesStore shares;
   private final SequentialStore store;
   private final int configured;
-  private boolean jobsAreGone;
+  private boolean hasNoJobs;
 
-  ShardNumberCheck(LeaderEnvironment environment, SharesStore shares, int configured) {
+  ShardCountCheck(LeaderEnvironment environment, SharesStore shares, int configured) {
     this.environment = environment;
     this.shares = shares;
     this.store = new SequentialStore(environment);
@@ -28,12 +28,12 @@
   }
 
   /**
-   * Whether the configured number may be used: it is the one in force, or no job was assigned by
-   * another. Where moves may be written, the new number is written down before any shard is granted
-   * by it.
+   * Reports whether the configured number of shards may be used: it is the one in force, or no jobs
+   * exist. If the feature level allows writes to the shares' key, the new number first has to be
+   * written there, so that no shard is granted before.
    */
   boolean isPassed() {
-    return isInForce() || (jobsAreGone && !shares.isPermitted());
+    return isInForce() || (hasNoJobs && !shares.isPermitted());
   }
 
   private boolean isInForce() {
@@ -41,13 +41,13 @@
     return known == 0 || known == configured;
   }
 
-  /** Looks for jobs, or writes the configured number down once there is none. */
+  /** Looks for jobs, and writes the configured number to the shares' key once there are none. */
   void tick() {
     if (!shares.isRead() || isPassed() || !store.isReady()) {
       return;
     }
-    if (jobsAreGone && shares.isIdle()) {
-      jobsAreGone = false;
+    if (hasNoJobs && shares.isIdle()) {
+      hasNoJobs = false;
       shares.write(
           shares.state().withShards(configured).withActiveMoves(List.of()),
           transaction -> {},
@@ -60,8 +60,8 @@
   private void jobsListed(ListResult result) {
     store.pause(RETRY_MS);
     if (result instanceof ListResult.Page page) {
-      jobsAreGone = page.entries().isEmpty();
-      if (!jobsAreGone) {
+      hasNoJobs = page.entries().isEmpty();
+      if (!hasNoJobs) {
         environment.reportRefusal(
             "shares.parts_refused",
             "shards.refused configured=%d in_force=%d reason=\"jobs exist: set it back\""
--- a/src/main/java/shorecrank/rebalance/StatusView.java
+++ b/src/main/java/shorecrank/rebalance/SharesStatusBuilder.java
@@ -15,11 +15,11 @@
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
- * Puts together the status that operators are shown.
+ * Builds the status of shares and moves that is shown to operators.
  *
  * @param targets the processors that each shard should have
  */
-record StatusView(
+record SharesStatusBuilder(
     FleetAssignments fleet,
     TeamShares teams,
     SharesState state,
@@ -28,9 +28,9 @@
     MoveTimes times) {
 
   /**
-   * The status.
+   * Returns the status.
    *
-   * @param against why no move may begin now; empty if one may
+   * @param against the reasons why no move may begin now; empty if moves may begin
    */
   SharesStatus status(List<String> against) {
     List<ShardStatus> shards = new ArrayList<>();
@@ -47,7 +47,7 @@
         shards,
         active,
         state.ended(),
-        teams.all(state.teams()),
+        teams.allShares(state.teams()),
         times.medianMs(),
         times.p99Ms());
   }
