--- a/src/test/java/shorecrank/sim/ToldAnswers.java
+++ b/src/test/java/shorecrank/sim/AnswerHistory.java
@@ -11,7 +11,7 @@
 import java.util.function.ObjLongConsumer;
 
 /** What users have submitted, and what they have been told since. */
-final class ToldAnswers {
+final class AnswerHistory {
   /** Phase of a job whose tasks have all completed. */
   static final String DONE = "done";
 
@@ -32,7 +32,7 @@
   private final Map<String, String> ends = new HashMap<>();
   private final Map<String, Long> cancelledAtMs = new HashMap<>();
 
-  ToldAnswers(Simulation sim) {
+  AnswerHistory(Simulation sim) {
     this.sim = sim;
   }
 
--- a/src/test/java/shorecrank/sim/Backlog.java
+++ b/src/test/java/shorecrank/sim/Backlog.java
@@ -39,7 +39,7 @@
   private Map<String, Double> cpuSeconds() {
     Map<String, Double> left = new HashMap<>();
     for (String job : world.jobs.ids()) {
-      if (world.checker.told().isOver(job) || world.jobs.isCancelRequested(job)) {
+      if (world.checker.answers().isOver(job) || world.jobs.isCancelRequested(job)) {
         continue;
       }
       JobPlan plan = world.jobs.plan(job);
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -9,7 +9,7 @@
 final class Checker {
   private final World world;
   private final Violations violations;
-  private final ToldAnswers told;
+  private final AnswerHistory answers;
   private final TaskLedger tasks;
   private final RolloutRule rolloutRule;
   private final ShareRule shareRule;
@@ -18,7 +18,7 @@
   Checker(World world) {
     this.world = world;
     this.violations = new Violations(world.sim);
-    this.told = new ToldAnswers(world.sim);
+    this.answers = new AnswerHistory(world.sim);
     this.tasks = new TaskLedger(world.sim);
     this.rolloutRule = new RolloutRule(world, this);
     this.shareRule = new ShareRule(world, this);
@@ -44,8 +44,8 @@
   }
 
   /** What users have been told. */
-  ToldAnswers told() {
-    return told;
+  AnswerHistory answers() {
+    return answers;
   }
 
   /** What runs, and what was started. */
@@ -75,14 +75,14 @@
 
   /** A user submits a job, maybe again. */
   void submitted(String job) {
-    told.submitted(job);
+    answers.submitted(job);
   }
 
   /** A user has an answer. */
   void answered(UserAnswer answer) {
     if (answer.kind() != Kind.MALFORMED) {
       rules.forEach(rule -> rule.answered(answer));
-      told.add(answer, world.jobs.isSubmitted(answer.job()));
+      answers.add(answer, world.jobs.isSubmitted(answer.job()));
     }
   }
 
@@ -94,7 +94,7 @@
   /** A task is on a machine from now on. */
   void started(SimulatedWorker worker, SimulatedTask task) {
     JobPlan plan = world.jobs.plan(task.job());
-    boolean cancelled = told.cancelledAtMs(task.job()).isPresent();
+    boolean cancelled = answers.cancelledAtMs(task.job()).isPresent();
     Set<String> before = tasks.start(worker, task, plan, cancelled);
     TaskStart start = new TaskStart(worker, task.id(), task.job(), plan, before);
     rules.forEach(rule -> rule.started(start));
--- a/src/test/java/shorecrank/sim/DependencyRule.java
+++ b/src/test/java/shorecrank/sim/DependencyRule.java
@@ -20,7 +20,7 @@
   void started(TaskStart start) {
     for (String needed : start.plan().dependencies()) {
       JsonNode record = world().store.peek(JobRecord.FINAL_PREFIX + needed);
-      if (!record.path("p").asText().equals(ToldAnswers.DONE)) {
+      if (!record.path("p").asText().equals(AnswerHistory.DONE)) {
         report("too_early: %s starts, %s is not recorded as done".formatted(start.task(), needed));
       }
     }
@@ -28,11 +28,11 @@
 
   @Override
   void answered(UserAnswer answer) {
-    if (!answer.isOk() || answer.phase().equals(ToldAnswers.CANCELLED)) {
+    if (!answer.isOk() || answer.phase().equals(AnswerHistory.CANCELLED)) {
       return;
     }
     for (String needed : world().jobs.withDependencies(answer.job())) {
-      OptionalLong cancelledAt = told().cancelledAtMs(needed);
+      OptionalLong cancelledAt = answers().cancelledAtMs(needed);
       double graceMs = world().site.cancelS() * MS_PER_S;
       if (cancelledAt.isPresent() && answer.before().atMs() > cancelledAt.getAsLong() + graceMs) {
         report(
--- a/src/test/java/shorecrank/sim/FairnessRule.java
+++ b/src/test/java/shorecrank/sim/FairnessRule.java
@@ -28,9 +28,9 @@
   void ended() {
     Map<String, List<String>> classes = new HashMap<>();
     Map<String, List<String>> teams = new HashMap<>();
-    for (String job : told().accepted()) {
+    for (String job : answers().accepted()) {
       JobPlan plan = world().jobs.plan(job);
-      boolean hadTime = sim().now() - told().submittedAtMs(job) > LATEST_MS;
+      boolean hadTime = sim().now() - answers().submittedAtMs(job) > LATEST_MS;
       if (hadTime && !plan.faulty() && !world().jobs.isCancelExpected(job)) {
         classes.computeIfAbsent(plan.jobClass(), k -> new ArrayList<>()).add(job);
         teams.computeIfAbsent(plan.team(), k -> new ArrayList<>()).add(job);
@@ -53,7 +53,7 @@
   }
 
   private void checkServed(String group, List<String> jobs) {
-    long served = jobs.stream().filter(job -> told().isDone(job) || tasks().hasBegun(job)).count();
+    long served = jobs.stream().filter(job -> answers().isDone(job) || tasks().hasBegun(job)).count();
     if (served * 2 < jobs.size()) {
       report("unserved: %d of %d of %s".formatted(served, jobs.size(), group));
     }
@@ -62,7 +62,7 @@
   private void checkBegun(List<String> jobs) {
     for (String job : jobs) {
       boolean isFree = world().jobs.plan(job).dependencies().isEmpty();
-      if (isFree && tasks().begunAtMs(job) - told().submittedAtMs(job) > BEGIN_WITHIN_MS) {
+      if (isFree && tasks().begunAtMs(job) - answers().submittedAtMs(job) > BEGIN_WITHIN_MS) {
         report("late: %s not begun within four minutes".formatted(job));
       }
     }
--- a/src/test/java/shorecrank/sim/ForgottenRule.java
+++ b/src/test/java/shorecrank/sim/ForgottenRule.java
@@ -26,7 +26,7 @@
       report("forgotten: %s gets 404".formatted(answer.what()));
     }
     boolean refused = status == 400 || status == 422;
-    if (refused && answer.kind() == Kind.SUBMIT && told().isAccepted(answer.job())) {
+    if (refused && answer.kind() == Kind.SUBMIT && answers().isAccepted(answer.job())) {
       report("forgotten: submitting %s again gets %d".formatted(answer.job(), status));
     }
   }
@@ -35,7 +35,7 @@
   void asked(String job, long sentAtMs, boolean isAnswered) {
     if (isAnswered) {
       unansweredSinceMs.remove(job);
-    } else if (world().faults.areOverAt(sentAtMs) && told().isAccepted(job)) {
+    } else if (world().faults.areOverAt(sentAtMs) && answers().isAccepted(job)) {
       long since = unansweredSinceMs.computeIfAbsent(job, k -> sentAtMs);
       if (sentAtMs - since > UNANSWERED_MS) {
         report("forgotten: no question about %s is answered".formatted(job));
@@ -45,7 +45,7 @@
 
   @Override
   void ended() {
-    for (String job : told().accepted()) {
+    for (String job : answers().accepted()) {
       boolean recorded =
           !world().store.peek(JobRecord.LIVE_PREFIX + job).isMissingNode()
               || !world().store.peek(JobRecord.FINAL_PREFIX + job).isMissingNode();
--- a/src/test/java/shorecrank/sim/JobExpectations.java
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -11,11 +11,11 @@
 final class JobExpectations {
   static final Map<String, Expectation.Reader> EXPECTATIONS =
       Map.of(
-          "done", line -> all(line, (world, job) -> world.checker.told().isDone(job)),
+          "done", line -> all(line, (world, job) -> world.checker.answers().isDone(job)),
           "cancelled", line -> all(line, JobExpectations::isCancelled),
-          "ended", line -> all(line, (world, job) -> world.checker.told().isOver(job)),
+          "ended", line -> all(line, (world, job) -> world.checker.answers().isOver(job)),
           "ended-or-refused", line -> all(line, JobExpectations::isEndedOrRefused),
-          "accepted", line -> all(line, (world, job) -> !world.checker.told().isUnknown(job)),
+          "accepted", line -> all(line, (world, job) -> !world.checker.answers().isUnknown(job)),
           "status", JobExpectations::status,
           "final", JobExpectations::finalRecord,
           "begun-before", JobExpectations::begunBefore,
@@ -31,13 +31,13 @@
   }
 
   private static boolean isCancelled(World world, String job) {
-    return world.checker.told().phase(job).equals(ToldAnswers.CANCELLED);
+    return world.checker.answers().phase(job).equals(AnswerHistory.CANCELLED);
   }
 
   /** Done or cancelled; or never accepted, in faults that lasted for as long as its user tried. */
   private static boolean isEndedOrRefused(World world, String job) {
-    ToldAnswers told = world.checker.told();
-    return told.isOver(job) || (told.isUnknown(job) && world.users.gaveUpInFaults(job));
+    AnswerHistory answers = world.checker.answers();
+    return answers.isOver(job) || (answers.isUnknown(job) && world.users.gaveUpInFaults(job));
   }
 
   /** {@code status JOB STATUS}: of the latest answer to its user. */
@@ -86,7 +86,7 @@
         text.append(" [")
             .append(job)
             .append(' ')
-            .append(world.checker.told().phase(job))
+            .append(world.checker.answers().phase(job))
             .append(' ');
         text.append(record.isMissingNode() ? "" : Json.object().set("r", record).toString());
         text.append(']');
--- a/src/test/java/shorecrank/sim/NotDoneRule.java
+++ b/src/test/java/shorecrank/sim/NotDoneRule.java
@@ -9,7 +9,7 @@
   @Override
   void answered(UserAnswer answer) {
     if (answer.isOk()
-        && answer.phase().equals(ToldAnswers.DONE)
+        && answer.phase().equals(AnswerHistory.DONE)
         && world().jobs.isSubmitted(answer.job())
         && !world().jobs.hasAllResults(answer.job())) {
       report("not_done: " + answer.job());
--- a/src/test/java/shorecrank/sim/PlantedWorld.java
+++ b/src/test/java/shorecrank/sim/PlantedWorld.java
@@ -83,7 +83,7 @@
 
   /** A user has an answer to a request that was sent a moment ago. */
   void tell(Kind kind, String job, int status, String phase) {
-    tell(kind, job, status, Json.object().put("phase", phase), checker.told().soFar(job));
+    tell(kind, job, status, Json.object().put("phase", phase), checker.answers().soFar(job));
   }
 
   /** A user has an answer to a request that was sent when users had been told that. */
@@ -94,7 +94,7 @@
   /** A user asks for a job to be cancelled and is told that it is. */
   void cancel(String job) {
     jobs.requestCancel(job);
-    tell(Kind.CANCEL, job, 200, ToldAnswers.CANCELLED);
+    tell(Kind.CANCEL, job, 200, AnswerHistory.CANCELLED);
   }
 
   // ---- what runs -------------------------------------------------------------------------------
--- a/src/test/java/shorecrank/sim/RanCancelledRule.java
+++ b/src/test/java/shorecrank/sim/RanCancelledRule.java
@@ -21,14 +21,14 @@
 
   @Override
   void started(TaskStart start) {
-    OptionalLong cancelledAt = told().cancelledAtMs(start.job());
+    OptionalLong cancelledAt = answers().cancelledAtMs(start.job());
     if (cancelledAt.isPresent() && isOverdue(cancelledAt.getAsLong())) {
       report("ran_cancelled: %s starts on %s".formatted(start.task(), start.worker().name()));
     }
   }
 
   private void check() {
-    told()
+    answers()
         .forEachCancelled(
             (job, cancelledAtMs) -> {
               if (isOverdue(cancelledAtMs)) {
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -117,9 +117,9 @@
   /** Mean and longest time until users' submissions were accepted. */
   private static String acceptance(World world, long fromMs, long toMs) {
     var stats =
-        world.checker.told().acceptances().stream()
+        world.checker.answers().acceptances().stream()
             .filter(a -> a.submittedAtMs() >= fromMs && a.submittedAtMs() < toMs)
-            .mapToLong(ToldAnswers.Acceptance::afterMs)
+            .mapToLong(AnswerHistory.Acceptance::afterMs)
             .summaryStatistics();
     return "%d of mean %.0f ms, longest %d ms"
         .formatted(stats.getCount(), stats.getAverage(), stats.getMax());
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -50,8 +50,8 @@
           rises,
           falls,
           returnsAtLevel,
-          fleet.world.checker.told().finalAnswers());
-      assertEquals(fleet.submitted(), fleet.world.checker.told().finalAnswers());
+          fleet.world.checker.answers().finalAnswers());
+      assertEquals(fleet.submitted(), fleet.world.checker.answers().finalAnswers());
     }
   }
 
--- a/src/test/java/shorecrank/sim/Rule.java
+++ b/src/test/java/shorecrank/sim/Rule.java
@@ -29,8 +29,8 @@
   }
 
   /** What users have been told. */
-  ToldAnswers told() {
-    return checker.told();
+  AnswerHistory answers() {
+    return checker.answers();
   }
 
   /** What runs, and what was started. */
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -95,10 +95,10 @@
   /** Once a second: who is done, and how many processors idle while something waits. */
   private static void sample(World world, double[] spike, double[] backlog, double[] idle) {
     double now = world.sim.now() / 1000.0;
-    if (spike[0] < 0 && world.checker.told().isDone("wk-2")) {
+    if (spike[0] < 0 && world.checker.answers().isDone("wk-2")) {
       spike[0] = now;
     }
-    if (backlog[0] < 0 && world.checker.told().isDone("wk-1")) {
+    if (backlog[0] < 0 && world.checker.answers().isDone("wk-1")) {
       backlog[0] = now;
     }
     if (now > 22 && (spike[0] < 0 || backlog[0] < 0)) {
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -198,12 +198,12 @@
         fleet.submitted(),
         tasks,
         fleet.world.checker.tasks().starts(),
-        fleet.world.checker.told().finalAnswers(),
+        fleet.world.checker.answers().finalAnswers(),
         orders,
         accepted,
         done,
         ended);
-    assertEquals(fleet.submitted(), fleet.world.checker.told().finalAnswers());
+    assertEquals(fleet.submitted(), fleet.world.checker.answers().finalAnswers());
     assertTrue(done > 0, "no machine has moved");
     assertTrue(fleet.world.checker.tasks().starts() <= tasks, "tasks were started again");
   }
--- a/src/test/java/shorecrank/sim/SimulatedUsers.java
+++ b/src/test/java/shorecrank/sim/SimulatedUsers.java
@@ -90,7 +90,7 @@
   }
 
   private void queryUntilOver(String job) {
-    if (world.checker.told().isOver(job)) {
+    if (world.checker.answers().isOver(job)) {
       sim.after(LATE_QUERY_MS, () -> query(job));
       return;
     }
--- a/src/test/java/shorecrank/sim/UserHabits.java
+++ b/src/test/java/shorecrank/sim/UserHabits.java
@@ -69,7 +69,7 @@
 
   /** Whether this phase is an end that no user was told of before. */
   private boolean isNewEnd(String job, String phase) {
-    return seenPhases.add(job + phase) && ToldAnswers.isEnd(phase);
+    return seenPhases.add(job + phase) && AnswerHistory.isEnd(phase);
   }
 
   private void lookAt(ControllerNode node, String job, boolean submits) {
@@ -155,9 +155,9 @@
       return;
     }
     String job = all.get(sim.random().nextInt(all.size()));
-    if (world.checker.told().phase(job).equals(ToldAnswers.DONE)) {
+    if (world.checker.answers().phase(job).equals(AnswerHistory.DONE)) {
       client().send(UserRequest.cancel(job), ReplyHandler.IGNORE);
-    } else if (world.checker.told().isAccepted(job)) {
+    } else if (world.checker.answers().isAccepted(job)) {
       client().send(UserRequest.submit(job, world.jobs.plan(job)), ReplyHandler.IGNORE);
     }
   }
--- a/src/test/java/shorecrank/sim/WaitingRule.java
+++ b/src/test/java/shorecrank/sim/WaitingRule.java
@@ -22,7 +22,7 @@
 
   private void check() {
     if (world().faults.areOverAt(sim().now())) {
-      told().accepted().forEach(this::checkJob);
+      answers().accepted().forEach(this::checkJob);
     } else {
       waitingSinceMs.clear();
     }
@@ -44,9 +44,9 @@
 
   private boolean waits(String job, JobPlan plan) {
     boolean mayRun =
-        !told().isOver(job)
+        !answers().isOver(job)
             && !world().jobs.isCancelExpected(job)
-            && plan.dependencies().stream().allMatch(told()::isDone)
+            && plan.dependencies().stream().allMatch(answers()::isDone)
             && !plan.faulty();
     double cpusThen = tasks().cpusOf(plan.team()) + plan.cpus();
     if (!mayRun || !world().site.isWithinLimit(plan.team(), cpusThen)) {
--- a/src/test/java/shorecrank/sim/WentBackRule.java
+++ b/src/test/java/shorecrank/sim/WentBackRule.java
@@ -23,11 +23,11 @@
     String job = answer.job();
     String phase = answer.phase();
     boolean isOtherEnd =
-        ToldAnswers.isEnd(phase) && told().isOver(job) && !told().phase(job).equals(phase);
+        AnswerHistory.isEnd(phase) && answers().isOver(job) && !answers().phase(job).equals(phase);
     if (isOtherEnd) {
-      report("went_back: %s was %s, is %s".formatted(job, told().phase(job), phase));
+      report("went_back: %s was %s, is %s".formatted(job, answers().phase(job), phase));
     }
-    if (phase.equals(ToldAnswers.CANCELLED) && !world().jobs.isCancelExpected(job)) {
+    if (phase.equals(AnswerHistory.CANCELLED) && !world().jobs.isCancelExpected(job)) {
       report("went_back: %s cancelled unasked".formatted(job));
     }
   }
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -72,7 +72,7 @@
 
   /** Whether users were told of the end of all their jobs. */
   boolean areAllJobsOver() {
-    return jobs.ids().stream().allMatch(checker.told()::isOver);
+    return jobs.ids().stream().allMatch(checker.answers()::isOver);
   }
 
   // ---- controllers -----------------------------------------------------------------------------
