--- a/src/test/java/shorecrank/sim/AnswerHistory.java
+++ b/src/test/java/shorecrank/sim/AnswerHistory.java
@@ -52,8 +52,8 @@
   }
 
   /** To be taken when a request is sent: an answer to it may not be older. */
-  Told soFar(String job) {
-    return new Told(
+  KnownJobState snapshot(String job) {
+    return new KnownJobState(
         isAccepted(job), ends.getOrDefault(job, ""), doneTasks.getOrDefault(job, 0), sim.now());
   }
 
--- a/src/test/java/shorecrank/sim/PlantedWorld.java
+++ b/src/test/java/shorecrank/sim/PlantedWorld.java
@@ -83,11 +83,11 @@
 
   /** A user has an answer to a request that was sent a moment ago. */
   void tell(Kind kind, String job, int status, String phase) {
-    tell(kind, job, status, Json.object().put("phase", phase), checker.answers().soFar(job));
+    tell(kind, job, status, Json.object().put("phase", phase), checker.answers().snapshot(job));
   }
 
   /** A user has an answer to a request that was sent when users had been told that. */
-  void tell(Kind kind, String job, int status, ObjectNode body, Told before) {
+  void tell(Kind kind, String job, int status, ObjectNode body, KnownJobState before) {
     checker.answered(new UserAnswer(kind, job, status, body, before));
   }
 
--- a/src/test/java/shorecrank/sim/UserAnswer.java
+++ b/src/test/java/shorecrank/sim/UserAnswer.java
@@ -9,7 +9,7 @@
  *
  * @param before what users had been told when the request was sent
  */
-record UserAnswer(Kind kind, String job, int status, JsonNode body, Told before) {
+record UserAnswer(Kind kind, String job, int status, JsonNode body, KnownJobState before) {
   boolean isOk() {
     return status == 200 || status == 201;
   }
--- a/src/test/java/shorecrank/sim/UserClient.java
+++ b/src/test/java/shorecrank/sim/UserClient.java
@@ -49,7 +49,7 @@
   void send(ControllerNode to, UserRequest request, ReplyHandler reply) {
     String job = request.job();
     long askedAtMs = sim.now();
-    Told before = world.checker.answers().soFar(job);
+    KnownJobState before = world.checker.answers().snapshot(job);
     boolean[] over = new boolean[1];
     ReplyHandler once =
         (status, body) -> {
--- a/src/test/java/shorecrank/sim/UserRulesTest.java
+++ b/src/test/java/shorecrank/sim/UserRulesTest.java
@@ -36,7 +36,7 @@
 
   @Test
   void aJobIsNotForgottenByAnAnswerToAnEarlierQuestion() {
-    Told before = new Told(false, "", 0, 0);
+    KnownJobState before = new KnownJobState(false, "", 0, 0);
     world.tell(Kind.QUERY, "wk-1", 404, Json.object(), before);
     world.assertSound();
   }
@@ -94,7 +94,7 @@
 
   @Test
   void aJobWithTwoEndsWentBackWhicheverWasAskedFirst() {
-    Told before = world.checker.answers().soFar("wk-1");
+    KnownJobState before = world.checker.answers().snapshot("wk-1");
     world.jobs.addResult("wk-1/0");
     world.tell(Kind.QUERY, "wk-1", 200, "done");
     world.jobs.requestCancel("wk-1");
@@ -118,9 +118,9 @@
 
   @Test
   void aJobWithFewerTasksDoneThanBeforeIsOlder() {
-    Told before = world.checker.answers().soFar("wk-1");
+    KnownJobState before = world.checker.answers().snapshot("wk-1");
     world.tell(Kind.QUERY, "wk-1", 200, Json.object().put("done", 3), before);
-    before = world.checker.answers().soFar("wk-1");
+    before = world.checker.answers().snapshot("wk-1");
     world.tell(Kind.QUERY, "wk-1", 200, Json.object().put("done", 2), before);
     world.assertBroken("older: query wk-1");
   }
--- a/src/test/java/shorecrank/sim/WentBackRule.java
+++ b/src/test/java/shorecrank/sim/WentBackRule.java
@@ -33,12 +33,12 @@
   }
 
   private void checkAge(UserAnswer answer) {
-    Told before = answer.before();
+    KnownJobState before = answer.before();
     int done = answer.body().path("done").asInt();
-    if (!before.end().isEmpty() && !before.end().equals(answer.phase())) {
-      report("went_back: %s is %s after %s".formatted(answer.what(), answer.phase(), before.end()));
-    } else if (answer.body().has("done") && done < before.done()) {
-      report("older: %s has %d after %d".formatted(answer.what(), done, before.done()));
+    if (!before.finalPhase().isEmpty() && !before.finalPhase().equals(answer.phase())) {
+      report("went_back: %s is %s after %s".formatted(answer.what(), answer.phase(), before.finalPhase()));
+    } else if (answer.body().has("done") && done < before.doneTasks()) {
+      report("older: %s has %d after %d".formatted(answer.what(), done, before.doneTasks()));
     }
   }
 }
