--- a/src/test/java/shorecrank/sim/AnswerHistory.java
+++ b/src/test/java/shorecrank/sim/AnswerHistory.java
@@ -22,7 +22,7 @@
   private static final String UNKNOWN = "unknown";
 
   /** When a job was first submitted, and how long after that its user was told it is accepted. */
-  record Acceptance(long submittedAtMs, long afterMs) {}
+  record Acceptance(long submittedAtMs, long delayMs) {}
 
   private final Simulation sim;
   private final Map<String, Long> submittedAtMs = new HashMap<>();
@@ -37,7 +37,7 @@
   }
 
   /** Whether a phase is one that a job ends with. */
-  static boolean isEnd(String phase) {
+  static boolean isFinalPhase(String phase) {
     return phase.equals(DONE) || phase.equals(CANCELLED);
   }
 
@@ -70,7 +70,7 @@
       long submitted = submittedAtMs(job);
       acceptances.add(new Acceptance(submitted, sim.now() - submitted));
     }
-    if (isEnd(answer.phase())) {
+    if (isFinalPhase(answer.phase())) {
       ends.put(job, answer.phase());
     }
     if (answer.phase().equals(CANCELLED)) {
@@ -114,7 +114,7 @@
   }
 
   /** How many jobs have been told done or cancelled. */
-  int finalAnswers() {
+  int endedJobCount() {
     return ends.size();
   }
 
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -50,8 +50,8 @@
           rises,
           falls,
           returnsAtLevel,
-          fleet.world.checker.answers().finalAnswers());
-      assertEquals(fleet.submitted(), fleet.world.checker.answers().finalAnswers());
+          fleet.world.checker.answers().endedJobCount());
+      assertEquals(fleet.submitted(), fleet.world.checker.answers().endedJobCount());
     }
   }
 
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -198,12 +198,12 @@
         fleet.submitted(),
         tasks,
         fleet.world.checker.tasks().starts(),
-        fleet.world.checker.answers().finalAnswers(),
+        fleet.world.checker.answers().endedJobCount(),
         orders,
         accepted,
         done,
         ended);
-    assertEquals(fleet.submitted(), fleet.world.checker.answers().finalAnswers());
+    assertEquals(fleet.submitted(), fleet.world.checker.answers().endedJobCount());
     assertTrue(done > 0, "no machine has moved");
     assertTrue(fleet.world.checker.tasks().starts() <= tasks, "tasks were started again");
   }
--- a/src/test/java/shorecrank/sim/UserHabits.java
+++ b/src/test/java/shorecrank/sim/UserHabits.java
@@ -69,7 +69,7 @@
 
   /** Whether this phase is an end that no user was told of before. */
   private boolean isNewEnd(String job, String phase) {
-    return seenPhases.add(job + phase) && AnswerHistory.isEnd(phase);
+    return seenPhases.add(job + phase) && AnswerHistory.isFinalPhase(phase);
   }
 
   private void lookAt(ControllerNode node, String job, boolean submits) {
--- a/src/test/java/shorecrank/sim/WentBackRule.java
+++ b/src/test/java/shorecrank/sim/WentBackRule.java
@@ -23,7 +23,7 @@
     String job = answer.job();
     String phase = answer.phase();
     boolean isOtherEnd =
-        AnswerHistory.isEnd(phase) && answers().isOver(job) && !answers().phase(job).equals(phase);
+        AnswerHistory.isFinalPhase(phase) && answers().isOver(job) && !answers().phase(job).equals(phase);
     if (isOtherEnd) {
       report("went_back: %s was %s, is %s".formatted(job, answers().phase(job), phase));
     }
