--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -21,13 +21,13 @@
               line -> below(line, world -> world.checker.tasks().startsAfterCancel())),
           Map.entry(
               "looks-per-round-below",
-              line -> below(line, world -> world.counters.looksPerRound())),
+              line -> below(line, world -> world.counters.itemsScannedPerRound())),
           Map.entry(
-              "watch-changes-below", line -> below(line, world -> world.counters.largestNews())),
+              "watch-changes-below", line -> below(line, world -> world.counters.mostWatchChanges())),
           Map.entry("requests-below", line -> below(line, world -> world.store.meter().requests())),
           Map.entry(
               "refused-full-below",
-              line -> below(line, world -> world.counters.startsRefusedFull())),
+              line -> below(line, world -> world.counters.startsRefusedForResources())),
           Map.entry("returned", CountExpectations::returned),
           Map.entry("log", line -> logged(line, true)),
           Map.entry("nolog", line -> logged(line, false)),
--- a/src/test/java/shorecrank/sim/Network.java
+++ b/src/test/java/shorecrank/sim/Network.java
@@ -80,7 +80,7 @@
     return (status, body) -> {
       if (!answered[0] && from.isAlive(life)) {
         answered[0] = true;
-        world.counters.addNews(body.path("news").size());
+        world.counters.recordWatchChanges(body.path("news").size());
         from.input(new Input.Answer(call.call(), status, body));
       }
     };
--- a/src/test/java/shorecrank/sim/RunCounters.java
+++ b/src/test/java/shorecrank/sim/RunCounters.java
@@ -10,9 +10,9 @@
   private final Map<String, Long> counts = new TreeMap<>();
   private final Map<String, Double> gauges = new TreeMap<>();
   private long rounds;
-  private int largestNews;
+  private int mostWatchChanges;
   private int leaseExpiriesWithTasks;
-  private int startsRefusedFull;
+  private int startsRefusedForResources;
 
   /** A controller counts something. */
   void count(String metric, long by) {
@@ -25,19 +25,19 @@
   }
 
   /** What all controllers together have counted. */
-  long counted(String metric) {
+  long total(String metric) {
     return counts.getOrDefault(metric, 0L);
   }
 
   /** All counts by metric, of metrics that begin so. */
-  Map<String, Long> countsOf(String prefix) {
+  Map<String, Long> countsWithPrefix(String prefix) {
     Map<String, Long> some = new TreeMap<>(counts);
     some.keySet().removeIf(metric -> !metric.startsWith(prefix));
     return some;
   }
 
   /** The latest value that any controller has set, or 0. */
-  double gaugeOf(String metric) {
+  double gaugeValue(String metric) {
     return gauges.getOrDefault(metric, 0.0);
   }
 
@@ -47,18 +47,18 @@
   }
 
   /** Machines and jobs that an owner's round looks at, on average. */
-  double looksPerRound() {
-    return (double) counted(LOOKS) / Math.max(1, rounds);
+  double itemsScannedPerRound() {
+    return (double) total(LOOKS) / Math.max(1, rounds);
   }
 
   /** A controller takes an answer with so many changes to a watch. */
-  void addNews(int changes) {
-    largestNews = Math.max(largestNews, changes);
+  void recordWatchChanges(int changes) {
+    mostWatchChanges = Math.max(mostWatchChanges, changes);
   }
 
   /** Changes in the fullest answer to a watch that a controller had to hold. */
-  int largestNews() {
-    return largestNews;
+  int mostWatchChanges() {
+    return mostWatchChanges;
   }
 
   /** A worker with tasks has killed them because its lease had expired. */
@@ -72,12 +72,12 @@
   }
 
   /** A worker has refused a start because it lacks resources. */
-  void addRefusedFull() {
-    startsRefusedFull++;
+  void addStartRefusedForResources() {
+    startsRefusedForResources++;
   }
 
   /** How often a worker has refused a start because it lacks resources. */
-  int startsRefusedFull() {
-    return startsRefusedFull;
+  int startsRefusedForResources() {
+    return startsRefusedForResources;
   }
 }
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -40,7 +40,7 @@
     long most = line.whole(3);
     return of(
         world -> {
-          long count = world.counters.counted(metric);
+          long count = world.counters.total(metric);
           return count >= least && count <= most;
         });
   }
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -92,7 +92,7 @@
     return Json.object()
         .put("state", ShareStateCodec.write(state()).toString())
         .put("assigned", assigned().toString())
-        .put("counts", world.counters.countsOf("shares.").toString())
+        .put("counts", world.counters.countsWithPrefix("shares.").toString())
         .put("outcomes", orders.describe())
         .toString();
   }
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -47,7 +47,7 @@
                 .formatted(s, s, from, 1 - from));
       }
       World world = play(text.append("until 600\n").toString(), null);
-      long done = world.counters.counted("shares.moves.done");
+      long done = world.counters.total("shares.moves.done");
       System.out.printf(
           Locale.ROOT,
           "tasks of %d s: %d moves, %.1f a minute, median %.1f s, 99th percentile %.1f s,"
@@ -55,10 +55,10 @@
           taskS,
           done,
           done / 9.0,
-          world.counters.gaugeOf("shares.move.ms.p50") / 1000,
-          world.counters.gaugeOf("shares.move.ms.p99") / 1000,
+          world.counters.gaugeValue("shares.move.ms.p50") / 1000,
+          world.counters.gaugeValue("shares.move.ms.p99") / 1000,
           (double) world.checker.shares().storeOperations() / Math.max(1, done),
-          world.counters.counted("shares.moves.aborted"));
+          world.counters.total("shares.moves.aborted"));
     }
   }
 
@@ -153,7 +153,7 @@
             fullest / 1e9,
             all / 1e9,
             world.checker.tasks().starts(),
-            world.counters.counted("shares.moves.done"),
+            world.counters.total("shares.moves.done"),
             measurements.largestMessage("/peer/beat") / 1024);
       }
     }
--- a/src/test/java/shorecrank/sim/WorkerTasks.java
+++ b/src/test/java/shorecrank/sim/WorkerTasks.java
@@ -184,7 +184,7 @@
       task.exit("busy");
     } else if (usedCpus + plan.cpus() > world.site.type(worker.type()).cpus() + ROUNDING) {
       task.exit("full");
-      world.counters.addRefusedFull();
+      world.counters.addStartRefusedForResources();
     } else {
       boolean cached = images.contains(plan.image());
       task.fetchUntil(now() + (cached ? 0 : (long) (plan.fetchS() * MS_PER_S)));
