--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -44,7 +44,7 @@
   }
 
   private static Expectation epochAtLeast(ScenarioLine line) {
-    long least = line.whole(1);
+    long least = line.longInteger(1);
     return Expectation.of(world -> epoch(world) >= least, world -> " [" + epoch(world) + "]");
   }
 
--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -140,7 +140,7 @@
 
   /** {@code seeds COUNT}: read by {@link Scenario#seeds}. */
   private static Declaration seeds(ScenarioLine line) {
-    line.whole(1);
+    line.longInteger(1);
     return setup -> {};
   }
 
@@ -192,7 +192,7 @@
     int count = line.integer(3);
     boolean spot = line.has(4) && line.word(4).equals("spot");
     return setup ->
-        setup.afterOpening(
+        setup.afterStart(
             () -> {
               for (int i = 0; i < count; i++) {
                 setup.world().cloud.boot(type, zone, spot, 0);
--- a/src/test/java/shorecrank/sim/RandomMix.java
+++ b/src/test/java/shorecrank/sim/RandomMix.java
@@ -25,7 +25,7 @@
       double fromS = line.decimal(2);
       double toS = line.decimal(3);
       return setup ->
-          setup.afterOpening(() -> kind.apply(setup.world(), line).draw(count, fromS, toS));
+          setup.afterStart(() -> kind.apply(setup.world(), line).draw(count, fromS, toS));
     };
   }
 
--- a/src/test/java/shorecrank/sim/RunOptions.java
+++ b/src/test/java/shorecrank/sim/RunOptions.java
@@ -9,5 +9,5 @@
  */
 record RunOptions(boolean verbose, Measurements measurements, OutputDigest digest) {
   /** Nothing is taken. */
-  static final RunOptions PLAIN = new RunOptions(false, null, null);
+  static final RunOptions DEFAULT = new RunOptions(false, null, null);
 }
--- a/src/test/java/shorecrank/sim/ScenarioLine.java
+++ b/src/test/java/shorecrank/sim/ScenarioLine.java
@@ -95,7 +95,7 @@
   }
 
   /** The word as a whole number that may be large. */
-  long whole(int index) {
+  long longInteger(int index) {
     return parse(word(index), "a whole number", Long::valueOf);
   }
 
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -12,7 +12,7 @@
   private static final String DEFAULT_TEAM = "t";
 
   private final World world;
-  private final List<Runnable> afterOpening = new ArrayList<>();
+  private final List<Runnable> afterStart = new ArrayList<>();
   private final StringBuilder rolloutSettings = new StringBuilder();
   private int controllers = CONTROLLERS;
   private long untilMs = UNTIL_MS;
@@ -58,8 +58,8 @@
   }
 
   /** To be done once the controllers have started. */
-  void afterOpening(Runnable action) {
-    afterOpening.add(action);
+  void afterStart(Runnable action) {
+    afterStart.add(action);
   }
 
   /** Starts the controllers. */
@@ -75,6 +75,6 @@
       world.rollouts.enable(rolloutSettings.toString());
     }
     world.open(controllers);
-    afterOpening.forEach(Runnable::run);
+    afterStart.forEach(Runnable::run);
   }
 }
--- a/src/test/java/shorecrank/sim/ServiceFaults.java
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -75,7 +75,7 @@
   /** {@code foreign-write JOB BY}: a stranger writes the record, at an epoch higher by so much. */
   private static Action foreignWrite(ScenarioLine line) {
     String key = JobRecord.LIVE_PREFIX + line.word(1);
-    long by = line.whole(2);
+    long by = line.longInteger(2);
     return world -> {
       ObjectNode record = world.store.peek(key).deepCopy();
       record.put("e", record.path("e").asLong() + by).put("w", "stranger");
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -36,8 +36,8 @@
   /** {@code counted METRIC LEAST MOST}: by all controllers together. */
   private static Expectation counted(ScenarioLine line) {
     String metric = line.word(1);
-    long least = line.whole(2);
-    long most = line.whole(3);
+    long least = line.longInteger(2);
+    long most = line.longInteger(3);
     return of(
         world -> {
           long count = world.counters.total(metric);
@@ -60,8 +60,8 @@
   /** {@code share-orders ID,ID ACCEPTED REFUSED}: how many of their answers said what. */
   private static Expectation orders(ScenarioLine line) {
     List<String> ids = line.list(1);
-    long acceptedExpected = line.whole(2);
-    long refusedExpected = line.whole(3);
+    long acceptedExpected = line.longInteger(2);
+    long refusedExpected = line.longInteger(3);
     return of(
         world -> {
           List<JsonNode> answers = new ArrayList<>();
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -33,7 +33,7 @@
   private final List<String> unmetExpectations = new ArrayList<>();
 
   World(long seed, Settings settings) {
-    this(seed, settings, RunOptions.PLAIN);
+    this(seed, settings, RunOptions.DEFAULT);
   }
 
   /**
