--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -25,7 +25,7 @@
   }
 
   @Override
-  void applying(JsonNode operations) {
+  void beforeTransaction(JsonNode operations) {
     boolean several = world().settings().shards() > 1;
     for (JsonNode operation : operations) {
       String key = operation.path("write").asText();
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -87,8 +87,8 @@
   }
 
   /** A user's request is over, maybe without an answer. */
-  void asked(String job, long sentAtMs, boolean isAnswered) {
-    rules.forEach(rule -> rule.asked(job, sentAtMs, isAnswered));
+  void requestFinished(String job, long sentAtMs, boolean isAnswered) {
+    rules.forEach(rule -> rule.requestFinished(job, sentAtMs, isAnswered));
   }
 
   /** A task is on a machine from now on. */
@@ -121,8 +121,8 @@
   }
 
   /** The state service is about to apply a transaction. */
-  void applying(JsonNode operations) {
-    rules.forEach(rule -> rule.applying(operations));
+  void beforeTransaction(JsonNode operations) {
+    rules.forEach(rule -> rule.beforeTransaction(operations));
   }
 
   /** The run is over. */
--- a/src/test/java/shorecrank/sim/ForgottenRule.java
+++ b/src/test/java/shorecrank/sim/ForgottenRule.java
@@ -32,7 +32,7 @@
   }
 
   @Override
-  void asked(String job, long sentAtMs, boolean isAnswered) {
+  void requestFinished(String job, long sentAtMs, boolean isAnswered) {
     if (isAnswered) {
       unansweredSinceMs.remove(job);
     } else if (world().faults.areOverAt(sentAtMs) && answers().isAccepted(job)) {
--- a/src/test/java/shorecrank/sim/RecordedUseRule.java
+++ b/src/test/java/shorecrank/sim/RecordedUseRule.java
@@ -24,7 +24,7 @@
   }
 
   @Override
-  void applying(JsonNode operations) {
+  void beforeTransaction(JsonNode operations) {
     Map<String, JsonNode> written = new HashMap<>();
     for (JsonNode operation : operations) {
       String key = operation.path("write").asText();
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -38,7 +38,7 @@
   // ---- what is written -------------------------------------------------------------------------
 
   @Override
-  void applying(JsonNode operations) {
+  void beforeTransaction(JsonNode operations) {
     if (!world().rollouts.isEnabled()) {
       return;
     }
--- a/src/test/java/shorecrank/sim/Rule.java
+++ b/src/test/java/shorecrank/sim/Rule.java
@@ -56,13 +56,13 @@
   void answered(UserAnswer answer) {}
 
   /** A user's request is over, maybe without an answer. */
-  void asked(String job, long sentAtMs, boolean isAnswered) {}
+  void requestFinished(String job, long sentAtMs, boolean isAnswered) {}
 
   /** A controller in this process has made a round. */
   void stepped(ControllerNode node) {}
 
   /** The state service is about to apply a transaction. */
-  void applying(JsonNode operations) {}
+  void beforeTransaction(JsonNode operations) {}
 
   /** The run is over. */
   void ended() {}
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -34,7 +34,7 @@
   }
 
   @Override
-  void applying(JsonNode operations) {
+  void beforeTransaction(JsonNode operations) {
     // Below the level an earlier version may lead, which writes assignments without moves.
     boolean inForce = world().rollouts.state().level().includes(Feature.SHARES.level());
     if (!world().shares.isEnabled() || !inForce) {
--- a/src/test/java/shorecrank/sim/UserRulesTest.java
+++ b/src/test/java/shorecrank/sim/UserRulesTest.java
@@ -49,18 +49,18 @@
 
   @Test
   void aJobWhoseQuestionsStayUnansweredIsForgotten() {
-    world.checker.asked("wk-1", 0, false);
-    world.checker.asked("wk-1", 75_000, false);
+    world.checker.requestFinished("wk-1", 0, false);
+    world.checker.requestFinished("wk-1", 75_000, false);
     world.assertSound();
-    world.checker.asked("wk-1", 75_001, false);
+    world.checker.requestFinished("wk-1", 75_001, false);
     world.assertBroken("forgotten: no question about wk-1");
   }
 
   @Test
   void anAnswerEndsTheTimeOfUnansweredQuestions() {
-    world.checker.asked("wk-1", 0, false);
-    world.checker.asked("wk-1", 10_000, true);
-    world.checker.asked("wk-1", 80_000, false);
+    world.checker.requestFinished("wk-1", 0, false);
+    world.checker.requestFinished("wk-1", 10_000, true);
+    world.checker.requestFinished("wk-1", 80_000, false);
     world.assertSound();
   }
 
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -52,7 +52,7 @@
     this.rollouts = new Rollouts(this);
     this.shares = new Shares(this);
     this.network = new Network(this);
-    this.store.beforeTransactions(checker::applying);
+    this.store.beforeTransactions(checker::beforeTransaction);
   }
 
   /** What the controllers' settings file says, unless one has another. */
