--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -23,7 +23,8 @@
               "looks-per-round-below",
               line -> below(line, world -> world.counters.itemsScannedPerRound())),
           Map.entry(
-              "watch-changes-below", line -> below(line, world -> world.counters.mostWatchChanges())),
+              "watch-changes-below",
+              line -> below(line, world -> world.counters.mostWatchChanges())),
           Map.entry("requests-below", line -> below(line, world -> world.store.meter().requests())),
           Map.entry(
               "refused-full-below",
--- a/src/test/java/shorecrank/sim/FairnessRule.java
+++ b/src/test/java/shorecrank/sim/FairnessRule.java
@@ -53,7 +53,8 @@
   }
 
   private void checkServed(String group, List<String> jobs) {
-    long served = jobs.stream().filter(job -> answers().isDone(job) || tasks().hasBegun(job)).count();
+    long served =
+        jobs.stream().filter(job -> answers().isDone(job) || tasks().hasBegun(job)).count();
     if (served * 2 < jobs.size()) {
       report("unserved: %d of %d of %s".formatted(served, jobs.size(), group));
     }
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -119,7 +119,7 @@
     var stats =
         world.checker.answers().acceptances().stream()
             .filter(a -> a.submittedAtMs() >= fromMs && a.submittedAtMs() < toMs)
-            .mapToLong(AnswerHistory.Acceptance::afterMs)
+            .mapToLong(AnswerHistory.Acceptance::delayMs)
             .summaryStatistics();
     return "%d of mean %.0f ms, longest %d ms"
         .formatted(stats.getCount(), stats.getAverage(), stats.getMax());
--- a/src/test/java/shorecrank/sim/UserClient.java
+++ b/src/test/java/shorecrank/sim/UserClient.java
@@ -61,7 +61,8 @@
             world.checker.answered(new UserAnswer(request.kind(), job, status, body, before));
             observer.answered(request, status, body);
           }
-          world.checker.requestFinished(job, askedAtMs, status == 200 || status == 201 || status == 404);
+          world.checker.requestFinished(
+              job, askedAtMs, status == 200 || status == 201 || status == 404);
           reply.accept(status, body);
         };
     sim.after(request.timeoutMs(), once::noAnswer);
--- a/src/test/java/shorecrank/sim/WentBackRule.java
+++ b/src/test/java/shorecrank/sim/WentBackRule.java
@@ -23,7 +23,9 @@
     String job = answer.job();
     String phase = answer.phase();
     boolean isOtherEnd =
-        AnswerHistory.isFinalPhase(phase) && answers().isOver(job) && !answers().phase(job).equals(phase);
+        AnswerHistory.isFinalPhase(phase)
+            && answers().isOver(job)
+            && !answers().phase(job).equals(phase);
     if (isOtherEnd) {
       report("went_back: %s was %s, is %s".formatted(job, answers().phase(job), phase));
     }
@@ -36,7 +38,9 @@
     KnownJobState before = answer.before();
     int done = answer.body().path("done").asInt();
     if (!before.finalPhase().isEmpty() && !before.finalPhase().equals(answer.phase())) {
-      report("went_back: %s is %s after %s".formatted(answer.what(), answer.phase(), before.finalPhase()));
+      report(
+          "went_back: %s is %s after %s"
+              .formatted(answer.what(), answer.phase(), before.finalPhase()));
     } else if (answer.body().has("done") && done < before.doneTasks()) {
       report("older: %s has %d after %d".formatted(answer.what(), done, before.doneTasks()));
     }
