--- a/src/test/java/shorecrank/sim/ToldAnswers.java
+++ b/src/test/java/shorecrank/sim/AnswerHistory.java
@@ -11,7 +11,7 @@
 import java.util.function.ObjLongConsumer;
 
 /** What users have submitted, and what they have been told since. */
-final class ToldAnswers {
+final class AnswerHistory {
   /** Phase of a job whose tasks have all completed. */
   static final String DONE = "done";
 
@@ -22,7 +22,7 @@
   private static final String UNKNOWN = "unknown";
 
   /** When a job was first submitted, and how long after that its user was told it is accepted. */
-  record Acceptance(long submittedAtMs, long afterMs) {}
+  record Acceptance(long submittedAtMs, long delayMs) {}
 
   private final Simulation sim;
   private final Map<String, Long> submittedAtMs = new HashMap<>();
@@ -32,12 +32,12 @@
   private final Map<String, String> ends = new HashMap<>();
   private final Map<String, Long> cancelledAtMs = new HashMap<>();
 
-  ToldAnswers(Simulation sim) {
+  AnswerHistory(Simulation sim) {
     this.sim = sim;
   }
 
   /** Whether a phase is one that a job ends with. */
-  static boolean isEnd(String phase) {
+  static boolean isFinalPhase(String phase) {
     return phase.equals(DONE) || phase.equals(CANCELLED);
   }
 
@@ -52,8 +52,8 @@
   }
 
   /** To be taken when a request is sent: an answer to it may not be older. */
-  Told soFar(String job) {
-    return new Told(
+  KnownJobState snapshot(String job) {
+    return new KnownJobState(
         isAccepted(job), ends.getOrDefault(job, ""), doneTasks.getOrDefault(job, 0), sim.now());
   }
 
@@ -70,7 +70,7 @@
       long submitted = submittedAtMs(job);
       acceptances.add(new Acceptance(submitted, sim.now() - submitted));
     }
-    if (isEnd(answer.phase())) {
+    if (isFinalPhase(answer.phase())) {
       ends.put(job, answer.phase());
     }
     if (answer.phase().equals(CANCELLED)) {
@@ -114,7 +114,7 @@
   }
 
   /** How many jobs have been told done or cancelled. */
-  int finalAnswers() {
+  int endedJobCount() {
     return ends.size();
   }
 
--- a/src/test/java/shorecrank/sim/UserClient.java
+++ b/src/test/java/shorecrank/sim/UserClient.java
@@ -49,7 +49,7 @@
   void send(ControllerNode to, UserRequest request, ReplyHandler reply) {
     String job = request.job();
     long askedAtMs = sim.now();
-    Told before = world.checker.told().soFar(job);
+    KnownJobState before = world.checker.answers().snapshot(job);
     boolean[] over = new boolean[1];
     ReplyHandler once =
         (status, body) -> {
@@ -61,7 +61,8 @@
             world.checker.answered(new UserAnswer(request.kind(), job, status, body, before));
             observer.answered(request, status, body);
           }
-          world.checker.asked(job, askedAtMs, status == 200 || status == 201 || status == 404);
+          world.checker.requestFinished(
+              job, askedAtMs, status == 200 || status == 201 || status == 404);
           reply.accept(status, body);
         };
     sim.after(request.timeoutMs(), once::noAnswer);
--- a/src/test/java/shorecrank/sim/UserRulesTest.java
+++ b/src/test/java/shorecrank/sim/UserRulesTest.java
@@ -36,7 +36,7 @@
 
   @Test
   void aJobIsNotForgottenByAnAnswerToAnEarlierQuestion() {
-    Told before = new Told(false, "", 0, 0);
+    KnownJobState before = new KnownJobState(false, "", 0, 0);
     world.tell(Kind.QUERY, "wk-1", 404, Json.object(), before);
     world.assertSound();
   }
@@ -49,18 +49,18 @@
 
   @Test
   void aJobWhoseQuestionsStayUnansweredIsForgotten() {
-    world.checker.asked("wk-1", 0, false);
-    world.checker.asked("wk-1", 75_000, false);
+    world.checker.requestFinished("wk-1", 0, false);
+    world.checker.requestFinished("wk-1", 75_000, false);
     world.assertSound();
-    world.checker.asked("wk-1", 75_001, false);
+    world.checker.requestFinished("wk-1", 75_001, false);
     world.assertBroken("forgotten: no question about wk-1");
   }
 
   @Test
   void anAnswerEndsTheTimeOfUnansweredQuestions() {
-    world.checker.asked("wk-1", 0, false);
-    world.checker.asked("wk-1", 10_000, true);
-    world.checker.asked("wk-1", 80_000, false);
+    world.checker.requestFinished("wk-1", 0, false);
+    world.checker.requestFinished("wk-1", 10_000, true);
+    world.checker.requestFinished("wk-1", 80_000, false);
     world.assertSound();
   }
 
@@ -94,7 +94,7 @@
 
   @Test
   void aJobWithTwoEndsWentBackWhicheverWasAskedFirst() {
-    Told before = world.checker.told().soFar("wk-1");
+    KnownJobState before = world.checker.answers().snapshot("wk-1");
     world.jobs.addResult("wk-1/0");
     world.tell(Kind.QUERY, "wk-1", 200, "done");
     world.jobs.requestCancel("wk-1");
@@ -118,9 +118,9 @@
 
   @Test
   void aJobWithFewerTasksDoneThanBeforeIsOlder() {
-    Told before = world.checker.told().soFar("wk-1");
+    KnownJobState before = world.checker.answers().snapshot("wk-1");
     world.tell(Kind.QUERY, "wk-1", 200, Json.object().put("done", 3), before);
-    before = world.checker.told().soFar("wk-1");
+    before = world.checker.answers().snapshot("wk-1");
     world.tell(Kind.QUERY, "wk-1", 200, Json.object().put("done", 2), before);
     world.assertBroken("older: query wk-1");
   }
--- a/src/test/java/shorecrank/sim/WentBackRule.java
+++ b/src/test/java/shorecrank/sim/WentBackRule.java
@@ -23,22 +23,26 @@
     String job = answer.job();
     String phase = answer.phase();
     boolean isOtherEnd =
-        ToldAnswers.isEnd(phase) && told().isOver(job) && !told().phase(job).equals(phase);
+        AnswerHistory.isFinalPhase(phase)
+            && answers().isOver(job)
+            && !answers().phase(job).equals(phase);
     if (isOtherEnd) {
-      report("went_back: %s was %s, is %s".formatted(job, told().phase(job), phase));
+      report("went_back: %s was %s, is %s".formatted(job, answers().phase(job), phase));
     }
-    if (phase.equals(ToldAnswers.CANCELLED) && !world().jobs.isCancelExpected(job)) {
+    if (phase.equals(AnswerHistory.CANCELLED) && !world().jobs.isCancelExpected(job)) {
       report("went_back: %s cancelled unasked".formatted(job));
     }
   }
 
   private void checkAge(UserAnswer answer) {
-    Told before = answer.before();
+    KnownJobState before = answer.before();
     int done = answer.body().path("done").asInt();
-    if (!before.end().isEmpty() && !before.end().equals(answer.phase())) {
-      report("went_back: %s is %s after %s".formatted(answer.what(), answer.phase(), before.end()));
-    } else if (answer.body().has("done") && done < before.done()) {
-      report("older: %s has %d after %d".formatted(answer.what(), done, before.done()));
+    if (!before.finalPhase().isEmpty() && !before.finalPhase().equals(answer.phase())) {
+      report(
+          "went_back: %s is %s after %s"
+              .formatted(answer.what(), answer.phase(), before.finalPhase()));
+    } else if (answer.body().has("done") && done < before.doneTasks()) {
+      report("older: %s has %d after %d".formatted(answer.what(), done, before.doneTasks()));
     }
   }
 }
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -33,7 +33,7 @@
   private final List<String> unmetExpectations = new ArrayList<>();
 
   World(long seed, Settings settings) {
-    this(seed, settings, RunOptions.PLAIN);
+    this(seed, settings, RunOptions.DEFAULT);
   }
 
   /**
@@ -52,7 +52,7 @@
     this.rollouts = new Rollouts(this);
     this.shares = new Shares(this);
     this.network = new Network(this);
-    this.store.beforeTransactions(checker::applying);
+    this.store.beforeTransactions(checker::beforeTransaction);
   }
 
   /** What the controllers' settings file says, unless one has another. */
@@ -72,7 +72,7 @@
 
   /** Whether users were told of the end of all their jobs. */
   boolean areAllJobsOver() {
-    return jobs.ids().stream().allMatch(checker.told()::isOver);
+    return jobs.ids().stream().allMatch(checker.answers()::isOver);
   }
 
   // ---- controllers -----------------------------------------------------------------------------
