--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -113,14 +113,14 @@
   }
 
   /** Completes a write whose outcome was unknown until now. */
-  void outcomeResolved(boolean isCarriedOut) {
-    Handover settled = pendingHandover;
+  void outcomeResolved(boolean isCommitted) {
+    Handover handover = pendingHandover;
     pendingHandover = null;
-    if (isCarriedOut) {
+    if (isCommitted) {
       writePendingLog();
       fleet.reload();
     } else {
-      handleRefusal(settled, false);
+      handleRefusal(handover, false);
       pendingLog = NOTHING_TO_LOG;
     }
   }
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -91,8 +91,8 @@
         new ShareOrderEvaluator(fleet, teams, reports::candidates, capacity::maxActive);
   }
 
-  private void outcomeResolved(boolean isCarriedOut) {
-    committer.outcomeResolved(isCarriedOut);
+  private void outcomeResolved(boolean isCommitted) {
+    committer.outcomeResolved(isCommitted);
   }
 
   /**
@@ -220,8 +220,8 @@
     if (!store.isReadable()) {
       return null;
     }
-    SharesStatusBuilder view =
+    SharesStatusBuilder builder =
         new SharesStatusBuilder(fleet, teams, store.state(), planner.targets(), reports, times);
-    return view.status(reasonsAgainstOrders());
+    return builder.status(reasonsAgainstOrders());
   }
 }
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -164,8 +164,8 @@
         .forEach(
             (name, shard) -> {
               FleetMachine machine = fleet.machine(name);
-              boolean isElsewhere = machine != null && !machine.shard().equals(shard);
-              boolean isFree = isElsewhere && state.activeMoveOf(name) == null;
+              boolean isMisplaced = machine != null && !machine.shard().equals(shard);
+              boolean isFree = isMisplaced && state.activeMoveOf(name) == null;
               if (isFree && moves.size() < capacity.remaining(state)) {
                 environment.info(
                     "machine.reclaimed machine=%s shard=%s assigned_to=%s",
--- a/src/main/java/shorecrank/rebalance/ShardCountCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardCountCheck.java
@@ -17,14 +17,14 @@
   private final LeaderEnvironment environment;
   private final SharesStore shares;
   private final SequentialStore store;
-  private final int configured;
+  private final int configuredShards;
   private boolean hasNoJobs;
 
-  ShardCountCheck(LeaderEnvironment environment, SharesStore shares, int configured) {
+  ShardCountCheck(LeaderEnvironment environment, SharesStore shares, int configuredShards) {
     this.environment = environment;
     this.shares = shares;
     this.store = new SequentialStore(environment);
-    this.configured = configured;
+    this.configuredShards = configuredShards;
   }
 
   /**
@@ -38,7 +38,7 @@
 
   private boolean isInForce() {
     int known = shares.state().shards();
-    return known == 0 || known == configured;
+    return known == 0 || known == configuredShards;
   }
 
   /** Looks for jobs, and writes the configured number to the shares' key once there are none. */
@@ -49,7 +49,7 @@
     if (hasNoJobs && shares.isIdle()) {
       hasNoJobs = false;
       shares.write(
-          shares.state().withShards(configured).withActiveMoves(List.of()),
+          shares.state().withShards(configuredShards).withActiveMoves(List.of()),
           transaction -> {},
           result -> {});
       return;
@@ -65,7 +65,7 @@
         environment.reportRefusal(
             "shares.parts_refused",
             "shards.refused configured=%d in_force=%d reason=\"jobs exist: set it back\""
-                .formatted(configured, shares.state().shards()));
+                .formatted(configuredShards, shares.state().shards()));
       }
     }
   }
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -76,13 +76,13 @@
   private static List<TeamShare> teams(Message message) throws InvalidConfigException {
     List<TeamShare> teams = new ArrayList<>();
     Set<String> names = new HashSet<>();
-    for (Message one : TEAM.of(message)) {
+    for (Message teamMessage : TEAM.of(message)) {
       TeamShare team =
           new TeamShare(
-              TEAM_NAME.textOf(one),
-              WEIGHT.numberOf(one),
-              MIN_CPUS.numberOf(one),
-              MAX_CPUS.numberOf(one));
+              TEAM_NAME.textOf(teamMessage),
+              WEIGHT.numberOf(teamMessage),
+              MIN_CPUS.numberOf(teamMessage),
+              MAX_CPUS.numberOf(teamMessage));
       if (team.team().isEmpty() || !names.add(team.team())) {
         throw new InvalidConfigException("team.name", "must be there, and once for each team");
       }
--- a/src/main/java/shorecrank/rebalance/SharesStatusBuilder.java
+++ b/src/main/java/shorecrank/rebalance/SharesStatusBuilder.java
@@ -30,20 +30,20 @@
   /**
    * Returns the status.
    *
-   * @param against the reasons why no move may begin now; empty if moves may begin
+   * @param reasonsAgainstMoves the reasons why no move may begin now; empty if moves may begin
    */
-  SharesStatus status(List<String> against) {
+  SharesStatus status(List<String> reasonsAgainstMoves) {
     List<ShardStatus> shards = new ArrayList<>();
     for (int i = 0; i < fleet.shardCount(); i++) {
       shards.add(statusOf(new ShardId(i)));
     }
     List<MoveStatus> active = new ArrayList<>();
     for (Move move : state.active()) {
-      active.add(new MoveStatus(move, times.ageS(move), waitsFor(move)));
+      active.add(new MoveStatus(move, times.ageS(move), blocker(move)));
     }
     return new SharesStatus(
-        against.isEmpty(),
-        against.isEmpty() ? "" : against.get(0),
+        reasonsAgainstMoves.isEmpty(),
+        reasonsAgainstMoves.isEmpty() ? "" : reasonsAgainstMoves.get(0),
         shards,
         active,
         state.ended(),
@@ -73,16 +73,16 @@
         teams.teamsOf(shard));
   }
 
-  private String waitsFor(Move move) {
+  private String blocker(Move move) {
     return switch (move.phase()) {
       case REQUESTED -> "its owner to be told";
-      case DRAINING -> drainWaitsFor(reports.progress(move));
+      case DRAINING -> drainBlocker(reports.progress(move));
       case HANDED_OVER -> "its new owner to hear it";
       case DONE, ABORTED -> "";
     };
   }
 
-  private static String drainWaitsFor(DrainProgress progress) {
+  private static String drainBlocker(DrainProgress progress) {
     if (progress == null) {
       return "its owner's report";
     }
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -34,7 +34,7 @@
   @FunctionalInterface
   interface ResolutionListener {
     /** Called once the outcome of the write in doubt is known. */
-    void outcomeResolved(boolean isCarriedOut);
+    void outcomeResolved(boolean isCommitted);
   }
 
   private final FeatureGate gate;
--- a/src/main/java/shorecrank/rebalance/TeamShares.java
+++ b/src/main/java/shorecrank/rebalance/TeamShares.java
@@ -58,8 +58,8 @@
     return all;
   }
 
-  private static TeamShare find(String team, List<TeamShare> shares, TeamShare otherwise) {
-    return shares.stream().filter(share -> share.team().equals(team)).findFirst().orElse(otherwise);
+  private static TeamShare find(String team, List<TeamShare> shares, TeamShare fallback) {
+    return shares.stream().filter(share -> share.team().equals(team)).findFirst().orElse(fallback);
   }
 
   /** Returns the share of each shard; a shard without teams has a share of zero. */
--- a/src/test/java/shorecrank/rebalance/MoveExplorationTest.java
+++ b/src/test/java/shorecrank/rebalance/MoveExplorationTest.java
@@ -15,67 +15,71 @@
 import shorecrank.rebalance.MoveModel.Fault;
 
 /**
- * One move, explored over all orders of its steps, late and lost writes and answers, delayed
- * heartbeats, up to two ends of the leader and one of the source's owner. Each guard taken out is
- * seen to break the rules.
+ * Explores all states of {@link MoveModel}, which cover every order of a move's steps, late and
+ * lost writes and answers, delayed heartbeats, up to two changes of the leader and one of the
+ * source's owner. Guards against two owners commanding one machine, and shows that the rules are
+ * violated if any guard of the protocol is missing.
  */
 class MoveExplorationTest {
-  private static final int MOST_STATES = 3_000_000;
+  private static final int MAX_STATES = 3_000_000;
 
-  private static int explored;
-  private static final Map<MovePhase, Integer> ENDS = new TreeMap<>();
+  private static int stateCount;
+  private static final Map<MovePhase, Integer> STATES_BY_PHASE = new TreeMap<>();
 
-  /** A state and the event that led to it from the one before. */
-  private record Step(ModelState state, Step before, String event) {}
+  /** A state, with the step before it and the event that led from there to this state. */
+  private record Step(ModelState state, Step previous, String event) {}
 
-  /** The first state that breaks a rule, with what led to it; empty if none does. */
+  /**
+   * Explores all states breadth-first, and returns the first violated rule followed by the events
+   * that led to it; empty if no rule is violated.
+   */
   private static List<String> explore(Set<Fault> faults) {
     MoveModel model = new MoveModel(faults);
-    ArrayDeque<Step> open = new ArrayDeque<>();
+    ArrayDeque<Step> queue = new ArrayDeque<>();
     Set<ModelState> seen = new HashSet<>();
-    open.add(new Step(ModelState.INITIAL, null, "begin"));
+    queue.add(new Step(ModelState.INITIAL, null, "begin"));
     seen.add(ModelState.INITIAL);
-    ENDS.clear();
-    while (!open.isEmpty()) {
-      Step step = open.poll();
-      String broken = model.broken(step.state());
-      if (!broken.isEmpty()) {
-        List<String> trace = new ArrayList<>(List.of(broken));
-        for (Step past = step; past != null; past = past.before()) {
+    STATES_BY_PHASE.clear();
+    while (!queue.isEmpty()) {
+      Step step = queue.poll();
+      String violation = model.violatedRule(step.state());
+      if (!violation.isEmpty()) {
+        List<String> trace = new ArrayList<>(List.of(violation));
+        for (Step past = step; past != null; past = past.previous()) {
           trace.add(1, past.event());
         }
         return trace;
       }
       if (step.state().service().phase() != null) {
-        ENDS.merge(step.state().service().phase(), 1, Integer::sum);
+        STATES_BY_PHASE.merge(step.state().service().phase(), 1, Integer::sum);
       }
-      model.next(
+      model.forEachSuccessor(
           step.state(),
           (event, next) -> {
             if (seen.add(next)) {
-              open.add(new Step(next, step, event));
+              queue.add(new Step(next, step, event));
             }
           });
-      assertTrue(seen.size() < MOST_STATES, "too many states");
+      assertTrue(seen.size() < MAX_STATES, "too many states");
     }
-    explored = seen.size();
+    stateCount = seen.size();
     return List.of();
   }
 
   @Test
-  void noOrderOfEventsBreaksRules() {
+  void noOrderOfEventsViolatesARule() {
     assertEquals(List.of(), explore(Set.of()));
-    System.out.printf("move explored: %d states, by phase %s%n", explored, ENDS);
-    // All ends are reached, so the exploration is not empty.
-    assertEquals(Set.of(MovePhase.values()), ENDS.keySet());
+    System.out.printf("move explored: %d states, by phase %s%n", stateCount, STATES_BY_PHASE);
+    // Every phase was reached, so the exploration was not cut short.
+    assertEquals(Set.of(MovePhase.values()), STATES_BY_PHASE.keySet());
   }
 
   @Test
-  void rulesBreakWithoutAnyOneGuard() {
+  void removingAnyGuardViolatesARule() {
     for (Fault fault : Fault.values()) {
       List<String> trace = explore(Set.of(fault));
-      assertTrue(!trace.isEmpty(), "not seen without: " + fault);
-      System.out.printf("without %s: %s, after %d events%n", fault, trace.get(0), trace.size() - 2);
+      assertTrue(!trace.isEmpty(), "no rule is violated with fault " + fault);
+      System.out.printf("fault %s: %s, after %d events%n", fault, trace.get(0), trace.size() - 2);
     }
   }
 }
--- a/src/test/java/shorecrank/rebalance/MoveModel.java
+++ b/src/test/java/shorecrank/rebalance/MoveModel.java
@@ -26,9 +26,10 @@
 import shorecrank.rebalance.MoveRules.Step;
 
 /**
- * The events of one machine's move, as {@link ModelState} shows it: all that the leader, both
- * owners and the state service can do next, and the rules that no state may break. The leader's
- * decisions are those of {@link MoveRules}; the rest follows the design's page step by step.
+ * A model of one machine's move: the events that can happen next in a {@link ModelState}, caused by
+ * the leader, the two shard owners and the state service, and the rules that no state may violate.
+ * The leader's decisions are made by {@link MoveRules}; all other events follow the design
+ * documentation step by step.
  */
 final class MoveModel {
   private static final ShardId SOURCE = new ShardId(0);
@@ -36,11 +37,11 @@
   private static final Epoch TERM = new Epoch(1);
   private static final MoveId MOVE = new MoveId(1);
   private static final double TIMEOUT_S = 100;
-  private static final int MOST_LEADERS = 3;
-  private static final int MOST_OWNERS = 2;
-  private static final int MOST_PENDING = 2;
+  private static final int MAX_LEADERS = 3;
+  private static final int MAX_OWNERS = 2;
+  private static final int MAX_PENDING = 2;
 
-  /** A guard of the protocol that is taken out. */
+  /** A fault of the protocol: one of its guards is missing. */
   enum Fault {
     /** Writes don't check the key's revision. */
     NO_REVISION_GUARD,
@@ -50,18 +51,18 @@
     RECORD_IGNORED,
     /** The owner releases the machine while a write that names it has no answer. */
     PENDING_RECORD_IGNORED,
-    /** A new owner releases the machine before it has written the records itself. */
-    CLAIM_NOT_AWAITED,
-    /** A release holds under a new owner too. */
-    RELEASE_KEPT_OVER_EPOCH,
-    /** Owners are told of a machine whose handover is in doubt. */
-    TOLD_IN_DOUBT,
-    /** The new owner is told before the handover is known to be written. */
-    TOLD_BEFORE_WRITTEN,
-    /** A new leader lets owners use machines before it has read the moves. */
-    MOVES_NOT_READ_FIRST,
-    /** A refusal is not waited for: a write without an answer counts as not carried out. */
-    UNKNOWN_IS_REFUSED
+    /** A new owner releases the machine before it has claimed the record by writing it. */
+    RELEASED_BEFORE_CLAIM,
+    /** A release that the previous owner has reported still counts under a new owner. */
+    RELEASE_KEPT_UNDER_NEW_EPOCH,
+    /** The source's owner is told that it has the machine while the handover is in doubt. */
+    SOURCE_TOLD_WHILE_IN_DOUBT,
+    /** The target's owner is told of the machine before the handover is known to be committed. */
+    TARGET_TOLD_BEFORE_COMMIT,
+    /** A new leader lets the source's owner use the machine before it has read the move. */
+    SOURCE_TOLD_BEFORE_MOVES_READ,
+    /** A write without an answer counts as refused, although it may still be committed. */
+    UNKNOWN_OUTCOME_TAKEN_AS_REFUSED
   }
 
   private final Set<Fault> faults;
@@ -70,180 +71,189 @@
     this.faults = faults;
   }
 
-  private boolean isWithout(Fault guard) {
-    return faults.contains(guard);
+  private boolean hasFault(Fault fault) {
+    return faults.contains(fault);
   }
 
-  /** The rule that a state breaks; empty if it breaks none. */
-  String broken(ModelState state) {
+  /** Returns the rule that a state violates; empty if it violates none. */
+  String violatedRule(ModelState state) {
     Source source = state.source();
-    if (state.target().isAssigned() && source.commands()) {
+    if (state.target().isAssigned() && source.canCommand()) {
       return "two owners may command the machine";
     }
     if (state.target().isAssigned() && (source.recorded() || source.recordPending())) {
       return "a record of the source may name a machine of the target";
     }
     MovePhase phase = state.service().phase();
-    if (state.service().assignedToTarget() && phase != MovePhase.ABORTED && !isOver(phase)) {
+    if (state.service().assignedToTarget() && phase != MovePhase.ABORTED && !isHandedOver(phase)) {
       return "assigned without a move that says so";
     }
     return "";
   }
 
-  /** Passes on each event that can happen next, with the state after it. */
-  void next(ModelState state, BiConsumer<String, ModelState> each) {
-    BiConsumer<String, ModelState> to = (event, next) -> each.accept(event, normalized(next));
-    leaderActs(state, to);
-    writesAct(state, to);
-    sourceActs(state, to);
-    recordActs(state, to);
+  /** Passes each event that can happen next to {@code consumer}, with the state after it. */
+  void forEachSuccessor(ModelState state, BiConsumer<String, ModelState> consumer) {
+    BiConsumer<String, ModelState> successors =
+        (event, next) -> consumer.accept(event, normalized(next));
+    addLeaderEvents(state, successors);
+    addServiceEvents(state, successors);
+    addSourceEvents(state, successors);
+    addRecordEvents(state, successors);
     if (state.target().isAssigned() && !state.target().isHeard()) {
-      to.accept("the target hears the machine", state.with(new Target(true, true)));
+      successors.accept("the target hears the machine", state.with(new Target(true, true)));
     }
   }
 
   /**
-   * The same state with the lowest revisions that keep their order, and without writes that can't
-   * be carried out any more and that nobody waits for: so there are finitely many.
+   * Returns an equivalent state with the lowest revisions in the same order, and without the writes
+   * that can't be committed any more and whose answer nobody awaits. This keeps the number of
+   * states finite.
    */
   private ModelState normalized(ModelState state) {
     List<Write> pending = new ArrayList<>(state.service().pending());
-    pending.removeIf(write -> !isPossible(state, write) && !isAwaited(state, write));
+    pending.removeIf(write -> !canCommit(state, write) && !isAwaited(state, write));
     TreeSet<Integer> revisions =
         new TreeSet<>(List.of(state.service().revision(), state.leader().knownRevision()));
     pending.forEach(write -> revisions.add(write.revision()));
-    List<Integer> inOrder = List.copyOf(revisions);
-    pending.replaceAll(write -> write.withRevision(inOrder.indexOf(write.revision())));
+    List<Integer> ascending = List.copyOf(revisions);
+    pending.replaceAll(write -> write.withRevision(ascending.indexOf(write.revision())));
     Service service =
         new Service(
             state.service().phase(),
             state.service().assignedToTarget(),
-            inOrder.indexOf(state.service().revision()),
+            ascending.indexOf(state.service().revision()),
             List.copyOf(pending));
     return state
         .with(service)
-        .with(state.leader().revised(inOrder.indexOf(state.leader().knownRevision())));
+        .with(state.leader().withKnownRevision(ascending.indexOf(state.leader().knownRevision())));
   }
 
-  private boolean isPossible(ModelState state, Write write) {
+  private boolean canCommit(ModelState state, Write write) {
     boolean isSameRevision =
-        write.revision() == state.service().revision() || isWithout(Fault.NO_REVISION_GUARD);
+        write.revision() == state.service().revision() || hasFault(Fault.NO_REVISION_GUARD);
     return isSameRevision
-        && (write.term() == state.leader().number() || isWithout(Fault.NO_TERM_GUARD));
+        && (write.term() == state.leader().term() || hasFault(Fault.NO_TERM_GUARD));
   }
 
-  /** Whether the leader waits for the answer to a write. */
+  /** Reports whether the leader waits for the answer to a write. */
   private static boolean isAwaited(ModelState state, Write write) {
     Leader leader = state.leader();
     return leader.writeStatus() == WriteStatus.SENT
-        && write.equals(new Write(leader.writing(), leader.knownRevision(), leader.number()));
+        && write.equals(new Write(leader.writePhase(), leader.knownRevision(), leader.term()));
   }
 
-  private static boolean isOver(MovePhase phase) {
+  private static boolean isHandedOver(MovePhase phase) {
     return phase == MovePhase.HANDED_OVER || phase == MovePhase.DONE;
   }
 
-  private static boolean isBefore(MovePhase phase) {
+  private static boolean isBeforeHandover(MovePhase phase) {
     return phase == MovePhase.REQUESTED || phase == MovePhase.DRAINING;
   }
 
   // ---- the leader ------------------------------------------------------------------------------
 
-  private void leaderActs(ModelState state, BiConsumer<String, ModelState> to) {
+  private void addLeaderEvents(ModelState state, BiConsumer<String, ModelState> successors) {
     Leader leader = state.leader();
-    if (leader.number() < MOST_LEADERS) {
+    if (leader.term() < MAX_LEADERS) {
       Leader next =
-          new Leader(leader.number() + 1, false, null, 0, WriteStatus.NONE, null, false, false);
-      to.accept("the leader ends", state.with(next));
+          new Leader(leader.term() + 1, false, null, 0, WriteStatus.NONE, null, false, false);
+      successors.accept("a new leader begins", state.with(next));
     }
     if (!leader.loaded()) {
-      to.accept(
-          "the leader reads",
-          state.with(leader.reads(state.service().phase(), state.service().revision())));
-      if (isWithout(Fault.MOVES_NOT_READ_FIRST)) {
-        tellSource(state, View.ASSIGNED, to);
+      successors.accept(
+          "the leader reads the move",
+          state.with(leader.withKnownPhase(state.service().phase(), state.service().revision())));
+      if (hasFault(Fault.SOURCE_TOLD_BEFORE_MOVES_READ)) {
+        addSourceAnswer(state, View.ASSIGNED, successors);
       }
       return;
     }
-    if (state.source().owner() < MOST_OWNERS) {
-      boolean isKept = isWithout(Fault.RELEASE_KEPT_OVER_EPOCH) && leader.released();
+    if (state.source().ownerNumber() < MAX_OWNERS) {
+      boolean isKept = hasFault(Fault.RELEASE_KEPT_UNDER_NEW_EPOCH) && leader.released();
       ModelState allocated =
           state
-              .with(state.source().successor(told(state)))
-              .with(new Messages(state.messages().heartbeat(), null));
-      to.accept("a new owner", allocated.with(leader.hears(isKept, leader.arrived())));
+              .with(state.source().successor(sourceView(state)))
+              .with(new Messages(state.messages().releasingOwner(), null));
+      successors.accept(
+          "a new owner", allocated.with(leader.withReports(isKept, leader.arrived())));
     }
-    tellSource(state, told(state), to);
-    tellTarget(state, to);
-    if (state.messages().heartbeat() > 0) {
-      // Only the present owner's word counts, under its own epoch.
-      boolean counts =
-          state.messages().heartbeat() == state.source().owner() && isBefore(leader.known());
+    addSourceAnswer(state, sourceView(state), successors);
+    addTargetEvents(state, successors);
+    if (state.messages().releasingOwner() > 0) {
+      // Only a report of the present owner counts, because a report carries the owner's epoch.
+      boolean isAccepted =
+          state.messages().releasingOwner() == state.source().ownerNumber()
+              && isBeforeHandover(leader.knownPhase());
       ModelState heard = state.with(new Messages(0, state.messages().answer()));
-      to.accept(
-          "the heartbeat arrives",
-          heard.with(leader.hears(leader.released() || counts, leader.arrived())));
+      successors.accept(
+          "the report of the release arrives",
+          heard.with(leader.withReports(leader.released() || isAccepted, leader.arrived())));
     }
     if (leader.writeStatus() == WriteStatus.NONE) {
-      decide(state, to);
+      addLeaderWrites(state, successors);
     } else if (leader.writeStatus() == WriteStatus.IN_DOUBT
-        && state.service().pending().size() < MOST_PENDING) {
-      settle(state, to);
+        && state.service().pending().size() < MAX_PENDING) {
+      addResolution(state, successors);
     }
   }
 
   private static boolean isHandingOver(Leader leader) {
-    return leader.writeStatus() != WriteStatus.NONE && leader.writing() == MovePhase.HANDED_OVER;
+    return leader.writeStatus() != WriteStatus.NONE && leader.writePhase() == MovePhase.HANDED_OVER;
   }
 
-  private void tellTarget(ModelState state, BiConsumer<String, ModelState> to) {
+  private void addTargetEvents(ModelState state, BiConsumer<String, ModelState> successors) {
     Leader leader = state.leader();
-    boolean isEarly = isWithout(Fault.TOLD_BEFORE_WRITTEN) && isHandingOver(leader);
-    if (!state.target().isAssigned() && (isOver(leader.known()) || isEarly)) {
-      to.accept("the target is told", state.with(new Target(true, false)));
+    boolean isToldEarly = hasFault(Fault.TARGET_TOLD_BEFORE_COMMIT) && isHandingOver(leader);
+    if (!state.target().isAssigned() && (isHandedOver(leader.knownPhase()) || isToldEarly)) {
+      successors.accept("the target is told", state.with(new Target(true, false)));
     }
     if (state.target().isHeard() && !leader.arrived()) {
-      to.accept("the target reports", state.with(leader.hears(leader.released(), true)));
+      successors.accept(
+          "the target reports", state.with(leader.withReports(leader.released(), true)));
     }
   }
 
-  /** What the source's owner is told of the machine now. */
-  private View told(ModelState state) {
+  /** Returns what the leader now tells the source's owner of the machine. */
+  private View sourceView(ModelState state) {
     Leader leader = state.leader();
-    boolean isInDoubt = isHandingOver(leader) && !isWithout(Fault.TOLD_IN_DOUBT);
-    // A move may also be given up after the handover: the assignment stays.
-    boolean isPassedOn = leader.known() == MovePhase.ABORTED && state.service().assignedToTarget();
-    if (isOver(leader.known()) || isPassedOn || isInDoubt) {
+    boolean isInDoubt = isHandingOver(leader) && !hasFault(Fault.SOURCE_TOLD_WHILE_IN_DOUBT);
+    // A move may also be aborted after the handover: the machine then stays with the target.
+    boolean isAbortedAfterHandover =
+        leader.knownPhase() == MovePhase.ABORTED && state.service().assignedToTarget();
+    if (isHandedOver(leader.knownPhase()) || isAbortedAfterHandover || isInDoubt) {
       return View.NOT_ASSIGNED;
     }
-    return isBefore(leader.known()) ? View.DRAINING : View.ASSIGNED;
+    return isBeforeHandover(leader.knownPhase()) ? View.DRAINING : View.ASSIGNED;
   }
 
-  private static void tellSource(ModelState state, View view, BiConsumer<String, ModelState> to) {
+  private static void addSourceAnswer(
+      ModelState state, View view, BiConsumer<String, ModelState> successors) {
     if (state.messages().answer() == null) {
-      Messages next = new Messages(state.messages().heartbeat(), view);
-      to.accept("the source is answered " + view, state.with(next));
+      Messages next = new Messages(state.messages().releasingOwner(), view);
+      successors.accept("the source is answered " + view, state.with(next));
     }
   }
 
-  private void decide(ModelState state, BiConsumer<String, ModelState> to) {
+  private void addLeaderWrites(ModelState state, BiConsumer<String, ModelState> successors) {
     Leader leader = state.leader();
-    if (leader.known() == null) {
-      send(state, MovePhase.REQUESTED, to);
+    if (leader.knownPhase() == null) {
+      addWrite(state, MovePhase.REQUESTED, successors);
       return;
     }
-    if (leader.known().isEnd()) {
+    if (leader.knownPhase().isEnd()) {
       return;
     }
     for (double ageS : new double[] {0, TIMEOUT_S + 1, 3 * TIMEOUT_S}) {
       for (DrainProgress progress : progress(state)) {
-        Step step = MoveRules.next(move(leader.known()), seen(state, progress, ageS), TIMEOUT_S);
+        Step step =
+            MoveRules.next(
+                move(leader.knownPhase()), observation(state, progress, ageS), TIMEOUT_S);
         switch (step.action()) {
           case STAY -> {}
-          case RECORD_DRAINING -> send(state, MovePhase.DRAINING, to);
-          case HAND_OVER -> send(state, MovePhase.HANDED_OVER, to);
-          case FINISH -> send(state, MovePhase.DONE, to);
-          case ABORT -> send(state, MovePhase.ABORTED, to);
+          case RECORD_DRAINING -> addWrite(state, MovePhase.DRAINING, successors);
+          case HAND_OVER -> addWrite(state, MovePhase.HANDED_OVER, successors);
+          case FINISH -> addWrite(state, MovePhase.DONE, successors);
+          case ABORT -> addWrite(state, MovePhase.ABORTED, successors);
         }
       }
     }
@@ -259,9 +269,9 @@
     return all;
   }
 
-  private static Observation seen(ModelState state, DrainProgress progress, double ageS) {
+  private static Observation observation(ModelState state, DrainProgress progress, double ageS) {
     Leader leader = state.leader();
-    ShardId assigned = isOver(leader.known()) ? TARGET : SOURCE;
+    ShardId assigned = isHandedOver(leader.knownPhase()) ? TARGET : SOURCE;
     return new Observation(
         assigned, TERM, progress, true, leader.released(), leader.arrived(), ageS);
   }
@@ -270,147 +280,168 @@
     return new Move(MOVE, new MachineName("n-1"), SOURCE, TARGET, TERM, phase, "", 0, "");
   }
 
-  private static void send(ModelState state, MovePhase phase, BiConsumer<String, ModelState> to) {
+  private static void addWrite(
+      ModelState state, MovePhase phase, BiConsumer<String, ModelState> successors) {
     Leader leader = state.leader();
-    if (state.service().pending().size() >= MOST_PENDING) {
+    if (state.service().pending().size() >= MAX_PENDING) {
       return;
     }
     List<Write> pending = new ArrayList<>(state.service().pending());
-    pending.add(new Write(phase, leader.knownRevision(), leader.number()));
+    pending.add(new Write(phase, leader.knownRevision(), leader.term()));
     ModelState sent =
         state
             .with(state.service().withPending(pending))
-            .with(leader.writes(WriteStatus.SENT, phase));
-    to.accept("the leader writes " + phase, sent);
+            .with(leader.withWrite(WriteStatus.SENT, phase));
+    successors.accept("the leader writes " + phase, sent);
   }
 
-  /** Writes what is there once more, or finds that it has moved on. */
-  private static void settle(ModelState state, BiConsumer<String, ModelState> to) {
+  /**
+   * Resolves a write in doubt: writes the known value again, after which the write in doubt can't
+   * be committed any more, or finds by the key's revision that the write was committed.
+   */
+  private static void addResolution(ModelState state, BiConsumer<String, ModelState> successors) {
     Leader leader = state.leader();
     Service service = state.service();
     if (service.revision() != leader.knownRevision()) {
-      to.accept("settled: carried out", state.with(leader.unread()));
+      successors.accept("resolved: committed", state.with(leader.withoutKnownPhase()));
       return;
     }
     int revision = service.revision() + 1;
     Service written =
         new Service(service.phase(), service.assignedToTarget(), revision, service.pending());
-    Leader settled = leader.reads(leader.known(), revision).hears(false, leader.arrived());
-    to.accept("settled: not carried out", state.with(written).with(settled));
+    Leader settled =
+        leader.withKnownPhase(leader.knownPhase(), revision).withReports(false, leader.arrived());
+    successors.accept("resolved: not committed", state.with(written).with(settled));
   }
 
   // ---- the state service -----------------------------------------------------------------------
 
-  private void writesAct(ModelState state, BiConsumer<String, ModelState> to) {
+  private void addServiceEvents(ModelState state, BiConsumer<String, ModelState> successors) {
     for (Write write : Set.copyOf(state.service().pending())) {
       List<Write> left = new ArrayList<>(state.service().pending());
       left.remove(write);
       boolean isAwaited = isAwaited(state, write);
-      if (!isPossible(state, write)) {
+      if (!canCommit(state, write)) {
         ModelState refused = state.with(state.service().withPending(left));
-        to.accept(
-            "refused " + write.to(), isAwaited ? refused.with(state.leader().unread()) : refused);
+        successors.accept(
+            "refused " + write.phase(),
+            isAwaited ? refused.with(state.leader().withoutKnownPhase()) : refused);
         continue;
       }
       int revision = state.service().revision() + 1;
-      boolean handsOver = write.to() == MovePhase.HANDED_OVER;
-      boolean stays = write.to().isEnd() && state.service().assignedToTarget();
-      Service next = new Service(write.to(), handsOver || stays, revision, List.copyOf(left));
+      boolean handsOver = write.phase() == MovePhase.HANDED_OVER;
+      boolean stays = write.phase().isEnd() && state.service().assignedToTarget();
+      Service next = new Service(write.phase(), handsOver || stays, revision, List.copyOf(left));
       ModelState done = state.with(next);
       if (isAwaited) {
-        to.accept("committed " + write.to(), done.with(state.leader().reads(write.to(), revision)));
+        successors.accept(
+            "committed " + write.phase(),
+            done.with(state.leader().withKnownPhase(write.phase(), revision)));
       }
-      to.accept("committed unheard " + write.to(), isAwaited ? unanswered(done) : done);
+      successors.accept(
+          "committed, answer lost: " + write.phase(), isAwaited ? withoutAnswer(done) : done);
     }
     if (state.leader().writeStatus() == WriteStatus.SENT) {
-      to.accept("no answer yet", unanswered(state));
+      successors.accept("no answer yet", withoutAnswer(state));
     }
   }
 
-  private ModelState unanswered(ModelState state) {
-    boolean isIgnored = isWithout(Fault.UNKNOWN_IS_REFUSED);
+  private ModelState withoutAnswer(ModelState state) {
+    boolean isTakenAsRefused = hasFault(Fault.UNKNOWN_OUTCOME_TAKEN_AS_REFUSED);
     Leader leader = state.leader();
     return state.with(
-        isIgnored
-            ? leader.writes(WriteStatus.NONE, null)
-            : leader.writes(WriteStatus.IN_DOUBT, leader.writing()));
+        isTakenAsRefused
+            ? leader.withWrite(WriteStatus.NONE, null)
+            : leader.withWrite(WriteStatus.IN_DOUBT, leader.writePhase()));
   }
 
   // ---- the source's owner ----------------------------------------------------------------------
 
-  private void sourceActs(ModelState state, BiConsumer<String, ModelState> to) {
+  private void addSourceEvents(ModelState state, BiConsumer<String, ModelState> successors) {
     View answer = state.messages().answer();
     if (answer != null) {
-      ModelState received = state.with(new Messages(state.messages().heartbeat(), null));
-      to.accept("the answer is lost", received);
+      ModelState received = state.with(new Messages(state.messages().releasingOwner(), null));
+      successors.accept("the answer is lost", received);
       boolean isReleased = state.source().released() && answer != View.ASSIGNED;
-      to.accept(
-          "the source learns " + answer, received.with(state.source().told(answer, isReleased)));
+      successors.accept(
+          "the source receives " + answer,
+          received.with(state.source().withView(answer, isReleased)));
     }
     if (state.source().view() == View.DRAINING
-        && isSettled(state.source())
-        && state.messages().heartbeat() == 0) {
-      ModelState released = state.with(state.source().told(state.source().view(), true));
-      to.accept(
+        && canRelease(state.source())
+        && state.messages().releasingOwner() == 0) {
+      ModelState released = state.with(state.source().withView(state.source().view(), true));
+      successors.accept(
           "the source releases the machine",
-          released.with(new Messages(state.source().owner(), answer)));
+          released.with(new Messages(state.source().ownerNumber(), answer)));
     }
   }
 
-  private boolean isSettled(Source source) {
-    boolean unnamed = !source.recorded() || isWithout(Fault.RECORD_IGNORED);
-    // A write of an earlier owner is not known here.
-    boolean answered =
-        !source.recordPending() || !source.claimed() || isWithout(Fault.PENDING_RECORD_IGNORED);
-    boolean claimed = source.claimed() || isWithout(Fault.CLAIM_NOT_AWAITED);
-    return source.task() == Task.NONE && unnamed && answered && claimed;
+  private boolean canRelease(Source source) {
+    boolean hasNoRecord = !source.recorded() || hasFault(Fault.RECORD_IGNORED);
+    // Before it has claimed the record, an owner doesn't know of writes of an earlier owner.
+    boolean hasNoPendingWrite =
+        !source.recordPending() || !source.claimed() || hasFault(Fault.PENDING_RECORD_IGNORED);
+    boolean isClaimed = source.claimed() || hasFault(Fault.RELEASED_BEFORE_CLAIM);
+    return source.task() == Task.NONE && hasNoRecord && hasNoPendingWrite && isClaimed;
   }
 
   // ---- the record of the source's job ----------------------------------------------------------
 
-  private void recordActs(ModelState state, BiConsumer<String, ModelState> to) {
+  private void addRecordEvents(ModelState state, BiConsumer<String, ModelState> successors) {
     Source source = state.source();
-    boolean free = source.task() == Task.NONE && !source.recorded() && !source.recordPending();
-    if (source.view() == View.ASSIGNED && source.claimed() && free) {
-      to.accept("a task is placed", state.with(source.record(true, Task.PLACED, false, true)));
+    boolean isFree = source.task() == Task.NONE && !source.recorded() && !source.recordPending();
+    if (source.view() == View.ASSIGNED && source.claimed() && isFree) {
+      successors.accept(
+          "a task is placed", state.with(source.withRecord(true, Task.PLACED, false, true)));
     }
     if (source.recordPending()) {
-      // Its own write is answered, or late; an earlier owner's is found once the record is claimed.
+      // The pending write is committed. If an earlier owner has sent it, the present owner learns
+      // of
+      // it when it claims the record.
       Task task = source.task() == Task.PLACED ? Task.RUNNING : source.task();
-      to.accept(
-          "the record names it", state.with(source.record(source.claimed(), task, true, false)));
+      successors.accept(
+          "the record names the machine",
+          state.with(source.withRecord(source.claimed(), task, true, false)));
       if (source.task() == Task.PLACED) {
-        ModelState cancelled = state.with(source.record(true, Task.NONE, false, true));
-        to.accept("cancelled before it is recorded", cancelled);
+        ModelState cancelled = state.with(source.withRecord(true, Task.NONE, false, true));
+        successors.accept("the task is cancelled before it is recorded", cancelled);
       }
     }
     if (source.claimed() && source.recordPending() && source.task() == Task.NONE) {
-      ModelState settled = state.with(source.record(true, Task.NONE, false, false));
-      to.accept("a write behind it settles it", settled);
+      ModelState settled = state.with(source.withRecord(true, Task.NONE, false, false));
+      successors.accept("a later write resolves the pending one", settled);
     }
     if (!source.claimed()) {
-      // The claim is a write behind the record's guard: what came late before it is adopted.
+      // Claiming writes the record, guarded by its revision: a write of an earlier owner that was
+      // committed late, but before the claim, is found and adopted.
       Task found = source.recorded() ? Task.RUNNING : Task.NONE;
-      to.accept(
+      successors.accept(
           "the record is claimed",
-          state.with(source.record(true, found, source.recorded(), false)));
+          state.with(source.withRecord(true, found, source.recorded(), false)));
       return;
     }
     if (source.task() == Task.RUNNING) {
-      to.accept(
+      successors.accept(
           "the task exits",
-          state.with(source.record(true, Task.EXITED, source.recorded(), source.recordPending())));
+          state.with(
+              source.withRecord(true, Task.EXITED, source.recorded(), source.recordPending())));
     }
-    if (source.task() == Task.EXITED && isWithout(Fault.RECORD_IGNORED)) {
-      to.accept("the exit is taken in", state.with(source.record(true, Task.NONE, true, false)));
+    if (source.task() == Task.EXITED && hasFault(Fault.RECORD_IGNORED)) {
+      successors.accept(
+          "the exit is handled without a record",
+          state.with(source.withRecord(true, Task.NONE, true, false)));
     }
     if (source.task() == Task.EXITED) {
-      to.accept("the exit is recorded", state.with(source.record(true, Task.NONE, false, false)));
+      successors.accept(
+          "the exit is recorded", state.with(source.withRecord(true, Task.NONE, false, false)));
     }
     if (source.recorded() && source.task() == Task.NONE) {
-      // Recorded late, after the task was taken back: the owner reads it and writes again.
-      to.accept(
-          "the record is read again", state.with(source.record(true, Task.NONE, false, false)));
+      // The write that names the machine was committed after the task was cancelled: the owner
+      // reads
+      // the record and writes it without the machine.
+      successors.accept(
+          "the record is read again", state.with(source.withRecord(true, Task.NONE, false, false)));
     }
   }
 }
--- a/src/test/java/shorecrank/rebalance/MovePlannerTest.java
+++ b/src/test/java/shorecrank/rebalance/MovePlannerTest.java
@@ -17,11 +17,11 @@
 import shorecrank.rebalance.MovePlanner.PlannedMove;
 import shorecrank.rebalance.MovePlanner.PlanningInput;
 
-/** Which machines move for shards to come nearer to their targets. */
+/** Tests which machines {@link MovePlanner} moves to bring shards closer to their targets. */
 class MovePlannerTest {
   private static final ShardId A = new ShardId(0);
   private static final ShardId B = new ShardId(1);
-  private static final Offer KIND = new Offer("p8", "a", true);
+  private static final Offer OFFER = new Offer("p8", "a", true);
 
   private static ShardDemand demand(
       double running, double urgent, List<DrainCandidate> candidates) {
@@ -31,14 +31,14 @@
         List.of(0.0, urgent, 0.0, 0.0),
         0,
         0,
-        List.of(KIND),
+        List.of(OFFER),
         candidates,
         List.of(),
         List.of());
   }
 
   private static FleetMachine machine(String name) {
-    return new FleetMachine(new MachineName(name), KIND, 8, A, new Epoch(1), MoveId.NONE);
+    return new FleetMachine(new MachineName(name), OFFER, 8, A, new Epoch(1), MoveId.NONE);
   }
 
   private static List<String> planned(
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void machinesThatAreEmptySoonestMoveAndNoMoreThanNeeded() {
+  void soonestEmptyMachinesMoveAndNoMoreThanNeeded() {
     assertEquals(List.of("n-3", "n-1"), planned(24, 8, 9, ""));
     assertEquals(List.of("n-3"), planned(24, 8, 1, ""));
     assertEquals(List.of("n-1", "n-2"), planned(24, 8, 9, "n-3"));
--- a/src/test/java/shorecrank/rebalance/ShareFormatsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareFormatsTest.java
@@ -31,7 +31,10 @@
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.protocol.ShareStateMessages.TeamShare;
 
-/** The shares' key, orders and settings, against malformed and contradictory input. */
+/**
+ * Tests reading and writing of the shares' key, of operators' orders and of settings, also with
+ * malformed and contradictory input.
+ */
 class ShareFormatsTest {
   private static Move move(long id, String machine, MovePhase phase) {
     return new Move(
--- a/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
+++ b/src/test/java/shorecrank/rebalance/ShareTargetsTest.java
@@ -14,12 +14,14 @@
 import shorecrank.rebalance.ShareTargets.ShardInput;
 import shorecrank.rebalance.TeamShares.ShardShare;
 
-/** How many processors each shard should have, by shares, demand and what it has. */
+/**
+ * Tests the targets that {@link ShareTargets} computes from shares, demand and current processors.
+ */
 class ShareTargetsTest {
-  private static final double NO_BOUND = Double.POSITIVE_INFINITY;
+  private static final double NO_MAXIMUM = Double.POSITIVE_INFINITY;
   private static final ShardId A = new ShardId(0);
   private static final ShardId B = new ShardId(1);
-  private static final Offer KIND = new Offer("p8", "a", true);
+  private static final Offer OFFER = new Offer("p8", "a", true);
 
   private static ShardDemand demand(
       double running, double urgent, double low, double guaranteed, double oldestS) {
@@ -29,7 +31,7 @@
         List.of(0.0, urgent, 0.0, low),
         guaranteed,
         oldestS,
-        List.of(KIND),
+        List.of(OFFER),
         List.of(),
         List.of(),
         List.of());
@@ -47,91 +49,91 @@
   }
 
   @Test
-  void shardsThatWantAllGetProcessorsByWeight() {
-    ShardDemand all = demand(0, 1000, 0, 0, 0);
+  void shardsWithUnlimitedDemandGetProcessorsByWeight() {
+    ShardDemand unlimited = demand(0, 1000, 0, 0, 0);
     assertTargets(
         90,
-        new ShardInput(share(2, 0, NO_BOUND), all, 45),
-        new ShardInput(share(1, 0, NO_BOUND), all, 45),
+        new ShardInput(share(2, 0, NO_MAXIMUM), unlimited, 45),
+        new ShardInput(share(1, 0, NO_MAXIMUM), unlimited, 45),
         60,
         30);
   }
 
   @Test
-  void lowPriorityBacklogLeavesWhatUrgentWorkNeeds() {
+  void lowPriorityBacklogYieldsToUrgentWork() {
     assertTargets(
         160,
-        new ShardInput(share(1, 0, NO_BOUND), demand(160, 0, 840, 0, 0), 160),
-        new ShardInput(share(1, 0, NO_BOUND), demand(0, 80, 0, 0, 0), 0),
+        new ShardInput(share(1, 0, NO_MAXIMUM), demand(160, 0, 840, 0, 0), 160),
+        new ShardInput(share(1, 0, NO_MAXIMUM), demand(0, 80, 0, 0, 0), 0),
         80,
         80);
   }
 
   @Test
   void minimumsComeBeforeGuaranteesAndGuaranteesBeforeWeights() {
-    ShardDemand all = demand(0, 1000, 0, 0, 0);
-    ShardDemand owed = demand(0, 0, 50, 50, 0);
+    ShardDemand unlimited = demand(0, 1000, 0, 0, 0);
+    ShardDemand guaranteed = demand(0, 0, 50, 50, 0);
     assertTargets(
         60,
-        new ShardInput(share(100, 0, NO_BOUND), all, 60),
-        new ShardInput(share(1, 0, NO_BOUND), owed, 0),
+        new ShardInput(share(100, 0, NO_MAXIMUM), unlimited, 60),
+        new ShardInput(share(1, 0, NO_MAXIMUM), guaranteed, 0),
         10,
         50);
     assertTargets(
         60,
-        new ShardInput(share(100, 20, NO_BOUND), all, 60),
-        new ShardInput(share(1, 0, NO_BOUND), owed, 0),
+        new ShardInput(share(100, 20, NO_MAXIMUM), unlimited, 60),
+        new ShardInput(share(1, 0, NO_MAXIMUM), guaranteed, 0),
         20,
         40);
   }
 
   @Test
-  void minimumsShrinkTogetherWhereMachinesAreLost() {
+  void minimumsAreCutByWeightWhenCapacityIsTooSmall() {
     ShardDemand none = demand(0, 0, 0, 0, 0);
     assertTargets(
         40,
-        new ShardInput(share(1, 60, NO_BOUND), none, 20),
-        new ShardInput(share(1, 20, NO_BOUND), none, 20),
+        new ShardInput(share(1, 60, NO_MAXIMUM), none, 20),
+        new ShardInput(share(1, 20, NO_MAXIMUM), none, 20),
         20,
         20);
   }
 
   @Test
   void noShardGetsMoreThanItsMaximum() {
-    ShardDemand all = demand(0, 1000, 0, 0, 0);
+    ShardDemand unlimited = demand(0, 1000, 0, 0, 0);
     assertTargets(
         80,
-        new ShardInput(share(5, 0, 16), all, 40),
-        new ShardInput(share(1, 0, NO_BOUND), all, 40),
+        new ShardInput(share(5, 0, 16), unlimited, 40),
+        new ShardInput(share(1, 0, NO_MAXIMUM), unlimited, 40),
         16,
         64);
   }
 
   @Test
-  void unneededProcessorsAndThoseOfUnheardOwnersStay() {
+  void shardsKeepUnneededProcessorsAndShardsWithoutReportKeepAll() {
     ShardDemand none = demand(0, 0, 0, 0, 0);
     assertTargets(
         80,
-        new ShardInput(share(1, 0, NO_BOUND), none, 64),
-        new ShardInput(share(1, 0, NO_BOUND), none, 16),
+        new ShardInput(share(1, 0, NO_MAXIMUM), none, 64),
+        new ShardInput(share(1, 0, NO_MAXIMUM), none, 16),
         64,
         16);
     assertTargets(
         80,
-        new ShardInput(share(1, 0, NO_BOUND), null, 64),
-        new ShardInput(share(1, 0, NO_BOUND), demand(16, 16, 0, 0, 0), 16),
+        new ShardInput(share(1, 0, NO_MAXIMUM), null, 64),
+        new ShardInput(share(1, 0, NO_MAXIMUM), demand(16, 16, 0, 0, 0), 16),
         64,
         16);
   }
 
   @Test
-  void shardThatHasWaitedLongCountsMore() {
+  void longWaitRaisesAShardsWeight() {
     ShardDemand recent = demand(0, 1000, 0, 0, 0);
     ShardDemand longWaiting = demand(0, 1000, 0, 0, 240);
     assertTargets(
         100,
-        new ShardInput(share(1, 0, NO_BOUND), recent, 50),
-        new ShardInput(share(1, 0, NO_BOUND), longWaiting, 50),
+        new ShardInput(share(1, 0, NO_MAXIMUM), recent, 50),
+        new ShardInput(share(1, 0, NO_MAXIMUM), longWaiting, 50),
         20,
         80);
   }
@@ -144,7 +146,7 @@
       int shards = 1 + random.nextInt(8);
       for (int shard = 0; shard < shards; shard++) {
         double min = random.nextInt(3) * 10;
-        double max = random.nextBoolean() ? NO_BOUND : min + random.nextInt(50);
+        double max = random.nextBoolean() ? NO_MAXIMUM : min + random.nextInt(50);
         ShardDemand demand =
             random.nextInt(5) == 0
                 ? null
