--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Reports whether an assignment whose outcome is not known may still be written. No other
-   * assignment may be written until that is resolved.
+   * Reports whether an assignment was written whose outcome is not known. No other assignment may
+   * be written until the outcome is known.
    */
   public boolean isUnsettled() {
     return committer.isInDoubt();
--- a/src/main/java/shorecrank/rebalance/MovePlanner.java
+++ b/src/main/java/shorecrank/rebalance/MovePlanner.java
@@ -23,8 +23,8 @@
 final class MovePlanner {
   /**
    * The smallest surplus of the source shard and deficit of the target shard for a move, as a
-   * fraction of the machine's processors. With less than half the machine, a move would take the
-   * shard further from its target.
+   * fraction of the machine's processors. If either is less than half the machine, the move would
+   * take that shard further from its target.
    */
   private static final double MIN_GAIN = 0.5;
 
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -12,7 +12,10 @@
  * new leader takes a safe step whatever the previous leader did last.
  */
 final class MoveRules {
-  /** The age at which a handed-over move is aborted, as a multiple of the move timeout. */
+  /**
+   * The multiple of the move timeout at whose age a move is aborted if the new owner doesn't hear
+   * the handed-over machine.
+   */
   private static final double ARRIVAL_TIMEOUT_FACTOR = 2;
 
   private MoveRules() {}
@@ -94,7 +97,12 @@
     }
   }
 
-  /** Returns the next step of a move that is under way; {@code timeoutS} is the move timeout. */
+  /**
+   * Returns the next step of a move that is under way.
+   *
+   * @param timeoutS the age, in seconds, at which a move is aborted if its machine has not been
+   *     handed over
+   */
   static Step next(Move move, Observation observation, double timeoutS) {
     if (observation.assignedTo == null) {
       return Step.abort(Reason.MACHINE_GONE);
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -33,7 +33,8 @@
   /**
    * Creates the stepper of one coordinator.
    *
-   * @param timeoutS the age, in seconds, at which a move is aborted
+   * @param timeoutS the age, in seconds, at which a move is aborted if its machine has not been
+   *     handed over
    */
   MoveStepper(
       LeaderEnvironment environment,
--- a/src/main/java/shorecrank/rebalance/OwnerInstructions.java
+++ b/src/main/java/shorecrank/rebalance/OwnerInstructions.java
@@ -30,7 +30,7 @@
     return store.revision().equals(announcedRevision);
   }
 
-  /** Forgets all instructions, after the assignments were read again, which contain none. */
+  /** Forgets what was announced, because newly read assignments contain no instructions. */
   void reset() {
     announcedRevision = null;
   }
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -25,7 +25,7 @@
 
   private static final double MAX_WAIT_FACTOR = 4;
 
-  /** Numbers of processors and weights up to this one count as 0, against rounding errors. */
+  /** The limit up to which amounts of processors and weights count as 0, because of rounding. */
   private static final double EPSILON = 1e-9;
 
   private ShareTargets() {}
@@ -102,7 +102,10 @@
     double of(ShardInput input);
   }
 
-  /** Raises all targets to a level, or towards it by weight if the capacity does not suffice. */
+  /**
+   * Raises the targets of all shards to a level. If the capacity does not suffice, divides by
+   * weight what is available.
+   */
   private static void raiseTo(
       Map<ShardId, Double> targets,
       double capacity,
@@ -152,7 +155,7 @@
         deficits.put(shard, deficit - granted);
       }
     }
-    // Ends the loop in raiseTo if shards of weight 0 were granted nothing: it would never end.
+    // If nothing was granted, for example to shards of weight 0, the loop in raiseTo would not end.
     if (distributed <= EPSILON) {
       deficits.clear();
     }
--- a/src/main/java/shorecrank/rebalance/TeamShares.java
+++ b/src/main/java/shorecrank/rebalance/TeamShares.java
@@ -85,7 +85,7 @@
     return new ShardShare(weight, min, max);
   }
 
-  /** Reports whether the weights of all teams are zero. */
+  /** Reports whether the weights of all teams are zero, so that they can't divide the capacity. */
   static boolean weightsSumToZero(Collection<String> teams, List<TeamShare> shares) {
     return !teams.isEmpty()
         && teams.stream()
--- a/src/test/java/shorecrank/rebalance/ModelState.java
+++ b/src/test/java/shorecrank/rebalance/ModelState.java
@@ -67,7 +67,7 @@
    * The leader: what it has read, its last write, and what owners have reported.
    *
    * @param term the leader's term, counted from 1
-   * @param loaded whether the leader has read the key in this term
+   * @param loaded whether the leader knows the key's value; if not, it has to read it
    * @param knownPhase the phase of the move as last read or written; null if there is no move
    * @param knownRevision the key's revision as last read or written
    * @param writePhase the phase in the last write while that is under way or in doubt; else null
@@ -129,7 +129,7 @@
       Task task,
       boolean recorded,
       boolean recordPending) {
-    /** Returns the source after its owner was told of the machine, or has released it. */
+    /** Returns the source with another view of its owner, or after its owner's release. */
     Source withView(View next, boolean isReleased) {
       return new Source(ownerNumber, next, isReleased, claimed, task, recorded, recordPending);
     }
--- a/src/test/java/shorecrank/rebalance/MoveModel.java
+++ b/src/test/java/shorecrank/rebalance/MoveModel.java
@@ -55,7 +55,7 @@
     RELEASED_BEFORE_CLAIM,
     /** A release that the previous owner has reported still counts under a new owner. */
     RELEASE_KEPT_UNDER_NEW_EPOCH,
-    /** The source's owner is told that it has the machine while the handover is in doubt. */
+    /** The source's owner is told that it still has the machine while a handover is in doubt. */
     SOURCE_TOLD_WHILE_IN_DOUBT,
     /** The target's owner is told of the machine before the handover is known to be committed. */
     TARGET_TOLD_BEFORE_COMMIT,
