--- a/src/test/java/shorecrank/sim/RanCancelledRule.java
+++ b/src/test/java/shorecrank/sim/CancellationRule.java
@@ -6,11 +6,11 @@
  * {@code ran_cancelled} of the protocol: more than {@code cancel_s} after a user was told that a
  * job is cancelled, none of its tasks is on a machine or starts.
  */
-final class RanCancelledRule extends Rule {
+final class CancellationRule extends Rule {
   private static final double MS_PER_S = 1000;
   private static final long CHECK_EVERY_MS = 500;
 
-  RanCancelledRule(World world, Checker checker) {
+  CancellationRule(World world, Checker checker) {
     super(world, checker);
     check();
   }
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -10,7 +10,7 @@
   private final World world;
   private final Violations violations;
   private final AnswerHistory answers;
-  private final TaskLedger tasks;
+  private final TaskTracker tasks;
   private final RolloutRule rolloutRule;
   private final ShareRule shareRule;
   private final List<Rule> rules;
@@ -19,21 +19,21 @@
     this.world = world;
     this.violations = new Violations(world.sim);
     this.answers = new AnswerHistory(world.sim);
-    this.tasks = new TaskLedger(world.sim);
+    this.tasks = new TaskTracker(world.sim);
     this.rolloutRule = new RolloutRule(world, this);
     this.shareRule = new ShareRule(world, this);
     this.rules =
         List.of(
             new DependencyRule(world, this),
-            new RanTwiceRule(world, this),
+            new SingleExecutionRule(world, this),
             new QuotaRule(world, this),
-            new RecordedUseRule(world, this),
-            new WrongPlaceRule(world, this),
-            new RanCancelledRule(world, this),
-            new WentBackRule(world, this),
-            new ForgottenRule(world, this),
-            new InventedRule(world, this),
-            new NotDoneRule(world, this),
+            new RecordedQuotaRule(world, this),
+            new PlacementConstraintRule(world, this),
+            new CancellationRule(world, this),
+            new MonotonicAnswerRule(world, this),
+            new JobRetentionRule(world, this),
+            new UnknownJobRule(world, this),
+            new CompletionRule(world, this),
             new WriteAheadRule(world, this),
             new SingleOwnerRule(world, this),
             rolloutRule,
@@ -49,7 +49,7 @@
   }
 
   /** What runs, and what was started. */
-  TaskLedger tasks() {
+  TaskTracker tasks() {
     return tasks;
   }
 
--- a/src/test/java/shorecrank/sim/NotDoneRule.java
+++ b/src/test/java/shorecrank/sim/CompletionRule.java
@@ -1,8 +1,8 @@
 package shorecrank.sim;
 
 /** {@code not_done} of the protocol: before all its tasks are done, no job is called done. */
-final class NotDoneRule extends Rule {
-  NotDoneRule(World world, Checker checker) {
+final class CompletionRule extends Rule {
+  CompletionRule(World world, Checker checker) {
     super(world, checker);
   }
 
--- a/src/test/java/shorecrank/sim/ForgottenRule.java
+++ b/src/test/java/shorecrank/sim/JobRetentionRule.java
@@ -9,13 +9,13 @@
  * {@code forgotten} of the protocol: an accepted job never gets 404, a repeated submission of it
  * never 400 or 422, and its questions are answered; at the end the state service has its record.
  */
-final class ForgottenRule extends Rule {
+final class JobRetentionRule extends Rule {
   /** Stricter than the 90 s of the protocol. */
   private static final long UNANSWERED_MS = 75_000;
 
   private final Map<String, Long> unansweredSinceMs = new HashMap<>();
 
-  ForgottenRule(World world, Checker checker) {
+  JobRetentionRule(World world, Checker checker) {
     super(world, checker);
   }
 
--- a/src/test/java/shorecrank/sim/KnownRed.java
+++ b/src/test/java/shorecrank/sim/KnownFailures.java
@@ -10,19 +10,19 @@
  * The tests that {@code KNOWN-RED.txt} lists, one a line: the test, a semicolon, its cause and the
  * issue about it. A run of all tests passes over these; asked for by name, they are run.
  */
-final class KnownRed {
+final class KnownFailures {
   private static final Path FILE = Path.of("KNOWN-RED.txt");
   private static final String END_OF_NAME = ";";
 
   private final Set<String> tests;
 
-  private KnownRed(Set<String> tests) {
+  private KnownFailures(Set<String> tests) {
     this.tests = tests;
   }
 
   /** Reads the list. */
-  static KnownRed read() throws IOException {
-    return new KnownRed(
+  static KnownFailures read() throws IOException {
+    return new KnownFailures(
         Files.readAllLines(FILE).stream()
             .map(line -> line.split(END_OF_NAME, 2)[0].trim())
             .collect(Collectors.toSet()));
--- a/src/test/java/shorecrank/sim/WentBackRule.java
+++ b/src/test/java/shorecrank/sim/MonotonicAnswerRule.java
@@ -6,8 +6,8 @@
  * that was received before its request was sent. Requests that overlap may be answered in either
  * order; two different ends are wrong in any.
  */
-final class WentBackRule extends Rule {
-  WentBackRule(World world, Checker checker) {
+final class MonotonicAnswerRule extends Rule {
+  MonotonicAnswerRule(World world, Checker checker) {
     super(world, checker);
   }
 
--- a/src/test/java/shorecrank/sim/WrongPlaceRule.java
+++ b/src/test/java/shorecrank/sim/PlacementConstraintRule.java
@@ -4,8 +4,8 @@
  * {@code wrong_place} of the protocol: a task starts on a type of machine, in a zone and on a kind
  * of machine that its job allows, given the job's other tasks.
  */
-final class WrongPlaceRule extends Rule {
-  WrongPlaceRule(World world, Checker checker) {
+final class PlacementConstraintRule extends Rule {
+  PlacementConstraintRule(World world, Checker checker) {
     super(world, checker);
   }
 
--- a/src/test/java/shorecrank/sim/RecordedUseRule.java
+++ b/src/test/java/shorecrank/sim/RecordedQuotaRule.java
@@ -12,14 +12,14 @@
  * The design's claim about quotas: no transaction raises what the records of a team name, of
  * attempts that still run or can yet start, above the team's limit. The next owner starts them all.
  */
-final class RecordedUseRule extends Rule {
+final class RecordedQuotaRule extends Rule {
   /** A stored value and the record that it holds. */
   private record Decoded(JsonNode value, JobRecord record) {}
 
   /** All records by key, decoded only for teams with a limit. */
   private final Map<String, Decoded> records = new HashMap<>();
 
-  RecordedUseRule(World world, Checker checker) {
+  RecordedQuotaRule(World world, Checker checker) {
     super(world, checker);
   }
 
--- a/src/test/java/shorecrank/sim/Rule.java
+++ b/src/test/java/shorecrank/sim/Rule.java
@@ -34,7 +34,7 @@
   }
 
   /** What runs, and what was started. */
-  TaskLedger tasks() {
+  TaskTracker tasks() {
     return checker.tasks();
   }
 
--- a/src/test/java/shorecrank/sim/PlantedWorld.java
+++ b/src/test/java/shorecrank/sim/RuleTestWorld.java
@@ -27,7 +27,7 @@
  * A world whose controllers do nothing, in which tests plant what must not happen. There are two
  * controllers, two machines in each of the zones a and b, and a team t with a limit of 8 CPUs.
  */
-final class PlantedWorld extends World {
+final class RuleTestWorld extends World {
   /** A fencing token holds its epoch above so many bits. */
   static final int TOKEN_BITS = 24;
 
@@ -36,7 +36,7 @@
   /**
    * @param settings as in the controllers' settings file
    */
-  PlantedWorld(String settings) throws InvalidConfigException {
+  RuleTestWorld(String settings) throws InvalidConfigException {
     super(1, settings.isEmpty() ? SettingsFile.defaults() : SettingsFile.read(settings));
     site.setZones(List.of("a", "b"));
     site.addType("p8", new MachineType(8, 32, 5, List.of("a", "b")));
@@ -44,7 +44,7 @@
   }
 
   /** Starts the controllers and machines. */
-  PlantedWorld opened() {
+  RuleTestWorld opened() {
     open(2);
     for (int i = 0; i < 4; i++) {
       cloud.boot("p8", i < 2 ? "a" : "b", i % 2 == 1, 0);
--- a/src/test/java/shorecrank/sim/ScenarioTest.java
+++ b/src/test/java/shorecrank/sim/ScenarioTest.java
@@ -25,7 +25,7 @@
     assertTrue(files.size() >= 24, "scenario files are missing");
     String only = System.getProperty("scenario", "");
     DigestFile digests = DigestFile.create();
-    KnownRed knownRed = KnownRed.read();
+    KnownFailures knownFailures = KnownFailures.read();
     List<DynamicTest> tests = new ArrayList<>();
     for (Path p : files) {
       String name = p.getFileName().toString().replace(".txt", "");
@@ -40,7 +40,7 @@
             DynamicTest.dynamicTest(
                 name + " seed " + s,
                 () -> {
-                  assumeFalse(only.isEmpty() && knownRed.hasScenario(name), "known to be red");
+                  assumeFalse(only.isEmpty() && knownFailures.hasScenario(name), "known to be red");
                   Scenario scenario = new Scenario(name, Files.readString(p));
                   OutputDigest digest = digests.newDigest();
                   scenario.digestWith(digest);
--- a/src/test/java/shorecrank/sim/RanTwiceRule.java
+++ b/src/test/java/shorecrank/sim/SingleExecutionRule.java
@@ -1,8 +1,8 @@
 package shorecrank.sim;
 
 /** {@code ran_twice} of the protocol: while a task is on one machine, it starts on none. */
-final class RanTwiceRule extends Rule {
-  RanTwiceRule(World world, Checker checker) {
+final class SingleExecutionRule extends Rule {
+  SingleExecutionRule(World world, Checker checker) {
     super(world, checker);
   }
 
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -31,8 +31,8 @@
         new RolloutState(RolloutPhase.STABLE, level, level, "", "", false, List.of()));
   }
 
-  private static PlantedWorld ofLevels(String... versions) throws Exception {
-    PlantedWorld world = new PlantedWorld("");
+  private static RuleTestWorld ofLevels(String... versions) throws Exception {
+    RuleTestWorld world = new RuleTestWorld("");
     world.rollouts.observe();
     for (int i = 0; i < versions.length; i++) {
       world.rollouts.setVersion(i, Version.of(versions[i]));
@@ -44,7 +44,7 @@
 
   @Test
   void twoOwnersOfOneShardAreFound() throws Exception {
-    PlantedWorld world = new PlantedWorld("").opened();
+    RuleTestWorld world = new RuleTestWorld("").opened();
     world.controller(0).commandShard(0, 1);
     world.checker.stepped(world.controller(0));
     world.assertSound();
@@ -55,7 +55,7 @@
 
   @Test
   void twoCommandersOfOneMachineAreFound() throws Exception {
-    PlantedWorld world = new PlantedWorld(TWO_SHARDS).opened();
+    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000002");
     world.checker.stepped(world.controller(0));
@@ -67,7 +67,7 @@
 
   @Test
   void aMachineThatIsGoneHasNoCommanders() throws Exception {
-    PlantedWorld world = new PlantedWorld(TWO_SHARDS).opened();
+    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000001");
     world.cloud.take("n-000001");
@@ -80,7 +80,7 @@
   @Test
   void aRecordThatNamesAMachineOfAnotherShardIsFoundWhicheverIsWrittenLater() throws Exception {
     for (boolean recordFirst : List.of(true, false)) {
-      PlantedWorld world = new PlantedWorld(TWO_SHARDS).opened();
+      RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
       world.submit("wk-1", JobPlan.builder());
       int shard = ShardId.of(world.record("wk-1", 1).spec().team(), 2).value();
       world.writeAssignment(1, recordFirst ? shard : 1 - shard);
@@ -96,7 +96,7 @@
 
   @Test
   void aStartByTheOwnerOfAnotherShardIsFound() throws Exception {
-    PlantedWorld world = new PlantedWorld(TWO_SHARDS).opened();
+    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
     world.accept("wk-1", JobPlan.builder().tasks(2));
     world.writeEpoch(0, 1);
     world.writeEpoch(1, 2);
@@ -111,7 +111,7 @@
 
   @Test
   void aFormAboveTheLevelInForceIsFound() throws Exception {
-    PlantedWorld world = ofLevels("0-1", "0-1");
+    RuleTestWorld world = ofLevels("0-1", "0-1");
     world.submit("wk-1", JobPlan.builder());
     JobRecord record = world.record("wk-1", 1);
     world.write(JobRecord.LIVE_PREFIX + "wk-1", record.write());
@@ -122,7 +122,7 @@
 
   @Test
   void aRiseThatAControllerDoesNotSupportIsFound() throws Exception {
-    PlantedWorld world = ofLevels("0-1", "0-0");
+    RuleTestWorld world = ofLevels("0-1", "0-0");
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
     world.assertBroken("raised_without_support: n1");
@@ -130,7 +130,7 @@
 
   @Test
   void aRiseThatAllSupportBreaksNothing() throws Exception {
-    PlantedWorld world = ofLevels("0-1", "0-2");
+    RuleTestWorld world = ofLevels("0-1", "0-2");
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
     world.assertSound();
@@ -138,7 +138,7 @@
 
   @Test
   void aFallThatLeavesDenseRecordsIsFound() throws Exception {
-    PlantedWorld world = ofLevels("0-1", "0-1");
+    RuleTestWorld world = ofLevels("0-1", "0-1");
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
     world.submit("wk-1", JobPlan.builder());
@@ -150,7 +150,7 @@
 
   @Test
   void anOwnerBelowTheLevelIsFound() throws Exception {
-    PlantedWorld world = ofLevels("0-1", "0-1");
+    RuleTestWorld world = ofLevels("0-1", "0-1");
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
     world.write("leader", Json.object().put("label", "n0"));
@@ -166,7 +166,7 @@
 
   @Test
   void leadershipThatIsDroppedIsFound() throws Exception {
-    PlantedWorld world = ofLevels("0-1", "0-1");
+    RuleTestWorld world = ofLevels("0-1", "0-1");
     world.write("leader", Json.object().put("label", "n0"));
     world.assertSound();
     world.remove("leader");
@@ -175,8 +175,8 @@
 
   // ---- moves -----------------------------------------------------------------------------------
 
-  private static PlantedWorld ofShares() throws Exception {
-    PlantedWorld world = new PlantedWorld(TWO_SHARDS);
+  private static RuleTestWorld ofShares() throws Exception {
+    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS);
     world.rollouts.observe();
     world.shares.addSetting("automatic: false");
     world.opened();
@@ -207,7 +207,7 @@
 
   @Test
   void aMoveWithAnIdThatWasUsedIsFound() throws Exception {
-    PlantedWorld world = ofShares();
+    RuleTestWorld world = ofShares();
     world.write(ShareStateMessages.KEY, shares(3));
     world.write(ShareStateMessages.KEY, shares(4, move(3, MovePhase.REQUESTED)));
     world.assertSound();
@@ -217,7 +217,7 @@
 
   @Test
   void aMoveThatGoesBackAStepIsFound() throws Exception {
-    PlantedWorld world = ofShares();
+    RuleTestWorld world = ofShares();
     world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.REQUESTED)));
     world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.DRAINING)));
     world.assertSound();
@@ -227,7 +227,7 @@
 
   @Test
   void anAssignmentThatChangesWithoutItsMoveIsFound() throws Exception {
-    PlantedWorld world = ofShares();
+    RuleTestWorld world = ofShares();
     world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.DRAINING)));
     world.writeAssignment(1, 1);
     world.assertBroken("moved_unwritten: n-000001 from 0 to 1");
@@ -235,7 +235,7 @@
 
   @Test
   void sharesThatNobodyCanReadAreFound() throws Exception {
-    PlantedWorld world = ofShares();
+    RuleTestWorld world = ofShares();
     world.write(ShareStateMessages.KEY, Json.object().put("v", 1).put("moves", "none"));
     world.assertBroken("shares_unreadable: ");
   }
--- a/src/test/java/shorecrank/sim/TaskRulesTest.java
+++ b/src/test/java/shorecrank/sim/TaskRulesTest.java
@@ -12,11 +12,11 @@
 class TaskRulesTest {
   private static final long CANCEL_MS = 40_000;
 
-  private PlantedWorld world;
+  private RuleTestWorld world;
 
   @BeforeEach
   void open() throws Exception {
-    world = new PlantedWorld("").opened();
+    world = new RuleTestWorld("").opened();
   }
 
   @Test
--- a/src/test/java/shorecrank/sim/TaskLedger.java
+++ b/src/test/java/shorecrank/sim/TaskTracker.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 
 /** Which task is on which machines now, and what was started so far. */
-final class TaskLedger {
+final class TaskTracker {
   private final Simulation sim;
   private final Map<String, Set<SimulatedWorker>> machines = new HashMap<>();
   private final Map<String, Double> cpusOfTeam = new HashMap<>();
@@ -17,7 +17,7 @@
   private int starts;
   private int startsAfterCancel;
 
-  TaskLedger(Simulation sim) {
+  TaskTracker(Simulation sim) {
     this.sim = sim;
   }
 
--- a/src/test/java/shorecrank/sim/InventedRule.java
+++ b/src/test/java/shorecrank/sim/UnknownJobRule.java
@@ -1,8 +1,8 @@
 package shorecrank.sim;
 
 /** {@code invented} of the protocol: 200 is no answer for a job that nobody submitted. */
-final class InventedRule extends Rule {
-  InventedRule(World world, Checker checker) {
+final class UnknownJobRule extends Rule {
+  UnknownJobRule(World world, Checker checker) {
     super(world, checker);
   }
 
--- a/src/test/java/shorecrank/sim/UserRulesTest.java
+++ b/src/test/java/shorecrank/sim/UserRulesTest.java
@@ -10,11 +10,11 @@
 class UserRulesTest {
   private static final long CANCEL_MS = 40_000;
 
-  private PlantedWorld world;
+  private RuleTestWorld world;
 
   @BeforeEach
   void open() throws Exception {
-    world = new PlantedWorld("").opened();
+    world = new RuleTestWorld("").opened();
     world.accept("wk-1", JobPlan.builder());
   }
 
--- a/src/test/java/shorecrank/sim/WaitingRule.java
+++ b/src/test/java/shorecrank/sim/WaitingRule.java
@@ -63,7 +63,7 @@
   private static boolean fits(SimulatedWorker worker, JobPlan plan) {
     return !worker.isHung()
         && !worker.isSick()
-        && WrongPlaceRule.allows(plan, worker)
+        && PlacementConstraintRule.allows(plan, worker)
         && worker.tasks().freeCpus() >= plan.cpus() - ROUNDING;
   }
 }
