--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -116,8 +116,8 @@
   }
 
   /** A controller in this process has made a round. */
-  void stepped(ControllerNode node) {
-    rules.forEach(rule -> rule.stepped(node));
+  void roundCompleted(ControllerNode node) {
+    rules.forEach(rule -> rule.roundCompleted(node));
   }
 
   /** The state service is about to apply a transaction. */
--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -215,7 +215,7 @@
       throw line.error("'" + TRIGGER_END + "' is missing after the text");
     }
     String trigger = text.substring(0, end).trim();
-    Action action = Actions.read(line.rest(text.substring(end + TRIGGER_END.length())));
+    Action action = Actions.read(line.withText(text.substring(end + TRIGGER_END.length())));
     return setup -> setup.world().log.whenLogged(trigger, () -> action.run(setup.world()));
   }
 
--- a/src/test/java/shorecrank/sim/FaultScript.java
+++ b/src/test/java/shorecrank/sim/FaultScript.java
@@ -26,7 +26,7 @@
   /** Runs actions now, one after the other. */
   void run(String actions) {
     for (String action : actions.split(SEPARATOR)) {
-      Actions.read(origin.rest(action)).run(world);
+      Actions.read(origin.withText(action)).run(world);
     }
   }
 }
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -99,7 +99,7 @@
   // ---- who owns and leads ----------------------------------------------------------------------
 
   @Override
-  void stepped(ControllerNode node) {
+  void roundCompleted(ControllerNode node) {
     if (!world().rollouts.isEnabled()) {
       return;
     }
--- a/src/test/java/shorecrank/sim/Rule.java
+++ b/src/test/java/shorecrank/sim/Rule.java
@@ -59,7 +59,7 @@
   void requestFinished(String job, long sentAtMs, boolean isAnswered) {}
 
   /** A controller in this process has made a round. */
-  void stepped(ControllerNode node) {}
+  void roundCompleted(ControllerNode node) {}
 
   /** The state service is about to apply a transaction. */
   void beforeTransaction(JsonNode operations) {}
--- a/src/test/java/shorecrank/sim/RunRecorder.java
+++ b/src/test/java/shorecrank/sim/RunRecorder.java
@@ -21,7 +21,7 @@
   }
 
   /** A controller has made a step; returns the nanoseconds to count, 0 if nothing is measured. */
-  long stepped(Input input, long nanos, List<Output> outputs) {
+  long recordStep(Input input, long nanos, List<Output> outputs) {
     if (measurements == null) {
       return 0;
     }
@@ -30,7 +30,7 @@
   }
 
   /** An output takes effect now. */
-  void add(ControllerNode node, Output output) {
+  void recordOutput(ControllerNode node, Output output) {
     if (digest != null) {
       digest.add(node.label(), sim.now(), output);
     }
--- a/src/test/java/shorecrank/sim/ScenarioLine.java
+++ b/src/test/java/shorecrank/sim/ScenarioLine.java
@@ -47,11 +47,11 @@
   /** The rest from a word on, as a line whose first word that is. */
   ScenarioLine from(int index) {
     word(index);
-    return rest(text.substring(starts.get(index)));
+    return withText(text.substring(starts.get(index)));
   }
 
   /** Another text, such as an action, that stands in this line. */
-  ScenarioLine rest(String part) {
+  ScenarioLine withText(String part) {
     return new ScenarioLine(file, number, source, part.trim());
   }
 
--- a/src/test/java/shorecrank/sim/SimulatedController.java
+++ b/src/test/java/shorecrank/sim/SimulatedController.java
@@ -85,7 +85,7 @@
       return;
     }
     step(new Input.Tick(() -> false));
-    world().checker.stepped(this);
+    world().checker.roundCompleted(this);
     world().counters.addRounds(core.ownedEpochs().size());
     sim.after(TICK_MS, () -> tick(mine));
   }
@@ -138,9 +138,9 @@
     long began = System.nanoTime();
     List<Output> outputs =
         core.step(input, now, TIME_OF_DAY_MS + sim.now(), sim.random().nextLong());
-    busyNanos += world().recorder.stepped(input, System.nanoTime() - began, outputs);
+    busyNanos += world().recorder.recordStep(input, System.nanoTime() - began, outputs);
     for (Output output : outputs) {
-      world().recorder.add(this, output);
+      world().recorder.recordOutput(this, output);
       carryOut(output);
     }
   }
--- a/src/test/java/shorecrank/sim/SingleOwnerRule.java
+++ b/src/test/java/shorecrank/sim/SingleOwnerRule.java
@@ -15,7 +15,7 @@
   }
 
   @Override
-  void stepped(ControllerNode node) {
+  void roundCompleted(ControllerNode node) {
     checkShards(node);
     if (world().settings().shards() > 1) {
       checkMachines(node);
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -46,10 +46,10 @@
   void twoOwnersOfOneShardAreFound() throws Exception {
     RuleTestWorld world = new RuleTestWorld("").opened();
     world.controller(0).commandShard(0, 1);
-    world.checker.stepped(world.controller(0));
+    world.checker.roundCompleted(world.controller(0));
     world.assertSound();
     world.controller(1).commandShard(0, 2);
-    world.checker.stepped(world.controller(0));
+    world.checker.roundCompleted(world.controller(0));
     world.assertBroken("two_owners: n0");
   }
 
@@ -58,10 +58,10 @@
     RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000002");
-    world.checker.stepped(world.controller(0));
+    world.checker.roundCompleted(world.controller(0));
     world.assertSound();
     world.controller(1).commandMachine("n-000001");
-    world.checker.stepped(world.controller(0));
+    world.checker.roundCompleted(world.controller(0));
     world.assertBroken("two_commanders: ");
   }
 
@@ -71,7 +71,7 @@
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000001");
     world.cloud.take("n-000001");
-    world.checker.stepped(world.controller(0));
+    world.checker.roundCompleted(world.controller(0));
     world.assertSound();
   }
 
@@ -157,10 +157,10 @@
     world.rollouts.setVersion(1, Version.of("0-0"));
     world.controller(1).crash(0);
     world.sim.runUntil(10_001);
-    world.checker.stepped(world.controller(1));
+    world.checker.roundCompleted(world.controller(1));
     world.assertSound();
     world.controller(1).commandShard(0, 1);
-    world.checker.stepped(world.controller(1));
+    world.checker.roundCompleted(world.controller(1));
     world.assertBroken("owner_below_level: n1");
   }
 
