--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -105,7 +105,8 @@
   }
 
   private static Step beforeHandover(Move move, Observation observation, double timeoutS) {
-    if (!observation.assignedTo.equals(move.from()) || !observation.term.equals(move.assignmentEpoch())) {
+    if (!observation.assignedTo.equals(move.from())
+        || !observation.term.equals(move.assignmentEpoch())) {
       return Step.abort(Reason.REASSIGNED);
     }
     if (!observation.ownerSupportsMoves) {
--- a/src/test/java/shorecrank/sim/Actions.java
+++ b/src/test/java/shorecrank/sim/Actions.java
@@ -20,8 +20,8 @@
 
   private Actions() {}
 
-  private static void addAll(Map<String, Action.Reader> family) {
-    family.forEach(
+  private static void addAll(Map<String, Action.Reader> readers) {
+    readers.forEach(
         (name, reader) -> {
           if (BY_NAME.put(name, reader) != null) {
             throw new IllegalStateException("two actions are named " + name);
--- a/src/test/java/shorecrank/sim/AnswerHistory.java
+++ b/src/test/java/shorecrank/sim/AnswerHistory.java
@@ -29,7 +29,7 @@
   private final Set<String> accepted = new HashSet<>();
   private final List<Acceptance> acceptances = new ArrayList<>();
   private final Map<String, Integer> doneTasks = new HashMap<>();
-  private final Map<String, String> ends = new HashMap<>();
+  private final Map<String, String> finalPhases = new HashMap<>();
   private final Map<String, Long> cancelledAtMs = new HashMap<>();
 
   AnswerHistory(Simulation sim) {
@@ -54,7 +54,10 @@
   /** To be taken when a request is sent: an answer to it may not be older. */
   KnownJobState snapshot(String job) {
     return new KnownJobState(
-        isAccepted(job), ends.getOrDefault(job, ""), doneTasks.getOrDefault(job, 0), sim.now());
+        isAccepted(job),
+        finalPhases.getOrDefault(job, ""),
+        doneTasks.getOrDefault(job, 0),
+        sim.now());
   }
 
   /** An answer has been checked; {@code known} tells whether anybody submitted the job. */
@@ -71,7 +74,7 @@
       acceptances.add(new Acceptance(submitted, sim.now() - submitted));
     }
     if (isFinalPhase(answer.phase())) {
-      ends.put(job, answer.phase());
+      finalPhases.put(job, answer.phase());
     }
     if (answer.phase().equals(CANCELLED)) {
       cancelledAtMs.putIfAbsent(job, sim.now());
@@ -95,7 +98,7 @@
 
   /** The end of a job if it was told, else whether it is accepted or unknown. */
   String phase(String job) {
-    return ends.getOrDefault(job, isAccepted(job) ? ACCEPTED : UNKNOWN);
+    return finalPhases.getOrDefault(job, isAccepted(job) ? ACCEPTED : UNKNOWN);
   }
 
   /** Whether a user was told that the job is done. */
@@ -110,12 +113,12 @@
 
   /** Whether its user was told that it is done or cancelled. */
   boolean isOver(String job) {
-    return ends.containsKey(job);
+    return finalPhases.containsKey(job);
   }
 
   /** How many jobs have been told done or cancelled. */
   int endedJobCount() {
-    return ends.size();
+    return finalPhases.size();
   }
 
   /** When a user was first told that the job is cancelled, if one was. */
--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -11,7 +11,7 @@
  * only for the owner of the shard that its machine is assigned to, see {@link CommandHistory}.
  */
 final class AssignmentRule extends Rule {
-  private static final String SHARDS = "part/";
+  private static final String SHARD_KEYS = "part/";
 
   private final CommandHistory history = new CommandHistory();
 
@@ -21,41 +21,43 @@
 
   @Override
   void startCommanded(SimulatedWorker worker, String task, long attempt) {
-    history.started(worker.name(), worker.token(), task).forEach(this::report);
+    history.recordStart(worker.name(), worker.token(), task).forEach(this::report);
   }
 
   @Override
   void beforeTransaction(JsonNode operations) {
-    boolean several = world().settings().shards() > 1;
+    boolean hasSeveralShards = world().settings().shards() > 1;
     for (JsonNode operation : operations) {
       String key = operation.path("write").asText();
       JsonNode data = operation.path("data");
-      if (key.startsWith(SHARDS)) {
-        history.allocated(data.path("epoch").asLong(), data.path("part").asInt());
-      } else if (several && key.startsWith(Shares.MACHINES)) {
+      if (key.startsWith(SHARD_KEYS)) {
+        history.recordAllocation(data.path("epoch").asLong(), data.path("part").asInt());
+      } else if (hasSeveralShards && key.startsWith(Shares.MACHINES)) {
         data.path("m")
             .forEach(
                 machine ->
-                    history.assigned(
+                    history.recordAssignment(
                         machine.path(Shares.NAME).asText(), machine.path(Shares.SHARD).asInt()));
       }
     }
-    if (several) {
-      operations.forEach(this::checkNames);
+    if (hasSeveralShards) {
+      operations.forEach(this::checkRecordedMachines);
     }
   }
 
-  private void checkNames(JsonNode operation) {
+  private void checkRecordedMachines(JsonNode operation) {
     String key = operation.path("write").asText();
     if (key.startsWith(JobRecord.LIVE_PREFIX)) {
-      checkNames(key, operation.path("data"));
+      checkRecordedMachines(key, operation.path("data"));
     } else if (key.startsWith(Shares.MACHINES)) {
       SimulatedStateService store = world().store;
-      store.keys(JobRecord.LIVE_PREFIX).forEach(record -> checkNames(record, store.peek(record)));
+      store
+          .keys(JobRecord.LIVE_PREFIX)
+          .forEach(record -> checkRecordedMachines(record, store.peek(record)));
     }
   }
 
-  private void checkNames(String key, JsonNode value) {
+  private void checkRecordedMachines(String key, JsonNode value) {
     JobRecord record = JobRecord.read(value);
     if (record == null) {
       return;
@@ -64,7 +66,7 @@
     int shard = ShardId.of(record.spec().team(), shards).value();
     for (AttemptRange range : record.live()) {
       String machine = range.machine().value();
-      if (world().worker(machine).isPresent() && !history.belongs(machine, shard)) {
+      if (world().worker(machine).isPresent() && !history.canBelong(machine, shard)) {
         report("named_elsewhere: %s names %s".formatted(key, machine));
       }
     }
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -95,8 +95,8 @@
   void started(SimulatedWorker worker, SimulatedTask task) {
     JobPlan plan = world.jobs.plan(task.job());
     boolean cancelled = answers.cancelledAtMs(task.job()).isPresent();
-    Set<String> before = tasks.start(worker, task, plan, cancelled);
-    TaskStart start = new TaskStart(worker, task.id(), task.job(), plan, before);
+    Set<String> machinesBefore = tasks.start(worker, task, plan, cancelled);
+    TaskStart start = new TaskStart(worker, task.id(), task.job(), plan, machinesBefore);
     rules.forEach(rule -> rule.started(start));
   }
 
--- a/src/test/java/shorecrank/sim/CommandHistoryTest.java
+++ b/src/test/java/shorecrank/sim/CommandHistoryTest.java
@@ -15,46 +15,46 @@
     return (epoch << 24) + number;
   }
 
-  private void finds(String rule, List<String> wrong) {
-    assertEquals(1, wrong.size(), wrong.toString());
-    assertTrue(wrong.get(0).startsWith(rule), wrong.toString());
+  private void assertViolation(String rule, List<String> violations) {
+    assertEquals(1, violations.size(), violations.toString());
+    assertTrue(violations.get(0).startsWith(rule), violations.toString());
   }
 
   @BeforeEach
-  void twoShards() {
-    history.allocated(3, 0);
-    history.allocated(4, 1);
-    history.assigned("n-1", 0);
+  void allocateTwoShards() {
+    history.recordAllocation(3, 0);
+    history.recordAllocation(4, 1);
+    history.recordAssignment("n-1", 0);
   }
 
   @Test
   void aCleanHandoverHasNoFault() {
-    assertEquals(List.of(), history.started("n-1", token(3, 0), "wk-1/0"));
-    assertEquals(List.of(), history.started("n-1", token(3, 7), "wk-1/1"));
-    history.assigned("n-1", 1);
-    assertEquals(List.of(), history.started("n-1", token(4, 0), "wk-2/0"));
+    assertEquals(List.of(), history.recordStart("n-1", token(3, 0), "wk-1/0"));
+    assertEquals(List.of(), history.recordStart("n-1", token(3, 7), "wk-1/1"));
+    history.recordAssignment("n-1", 1);
+    assertEquals(List.of(), history.recordStart("n-1", token(4, 0), "wk-2/0"));
   }
 
   @Test
   void aStartByTheNextOwnerBeforeTheHandover() {
-    finds("start_of_other_shard", history.started("n-1", token(4, 0), "wk-2/0"));
+    assertViolation("start_of_other_shard", history.recordStart("n-1", token(4, 0), "wk-2/0"));
   }
 
   @Test
   void aStartByTheFormerOwnerAfterTheHandover() {
-    history.assigned("n-1", 1);
-    finds("start_of_other_shard", history.started("n-1", token(3, 0), "wk-1/0"));
+    history.recordAssignment("n-1", 1);
+    assertViolation("start_of_other_shard", history.recordStart("n-1", token(3, 0), "wk-1/0"));
   }
 
   @Test
   void aStartUnderAnEpochThatTheMachineHasLeftBehind() {
-    history.allocated(5, 0);
-    assertEquals(List.of(), history.started("n-1", token(5, 0), "wk-1/0"));
-    finds("start_below", history.started("n-1", token(3, 9), "wk-1/1"));
+    history.recordAllocation(5, 0);
+    assertEquals(List.of(), history.recordStart("n-1", token(5, 0), "wk-1/0"));
+    assertViolation("start_below", history.recordStart("n-1", token(3, 9), "wk-1/1"));
   }
 
   @Test
   void aStartUnderAnEpochThatNobodyAllocated() {
-    finds("start_unallocated", history.started("n-1", token(9, 0), "wk-1/0"));
+    assertViolation("start_unallocated", history.recordStart("n-1", token(9, 0), "wk-1/0"));
   }
 }
--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -32,11 +32,11 @@
           Map.entry("returned", CountExpectations::returned),
           Map.entry("log", line -> logged(line, true)),
           Map.entry("nolog", line -> logged(line, false)),
-          Map.entry("owner-exists", line -> plain(world -> world.owner(0).isPresent())));
+          Map.entry("owner-exists", line -> withoutDetail(world -> world.owner(0).isPresent())));
 
   private CountExpectations() {}
 
-  private static Expectation plain(Expectation.Condition condition) {
+  private static Expectation withoutDetail(Expectation.Condition condition) {
     return Expectation.of(condition, world -> "");
   }
 
@@ -45,8 +45,8 @@
   }
 
   private static Expectation epochAtLeast(ScenarioLine line) {
-    long least = line.longInteger(1);
-    return Expectation.of(world -> epoch(world) >= least, world -> " [" + epoch(world) + "]");
+    long minimum = line.longInteger(1);
+    return Expectation.of(world -> epoch(world) >= minimum, world -> " [" + epoch(world) + "]");
   }
 
   private static Expectation below(ScenarioLine line, ToDoubleFunction<World> value) {
@@ -66,7 +66,7 @@
   /** {@code returned MACHINE}: a controller has returned it to the cloud. */
   private static Expectation returned(ScenarioLine line) {
     String machine = line.word(1);
-    return plain(world -> world.cloud.wasReturned(machine));
+    return withoutDetail(world -> world.cloud.wasReturned(machine));
   }
 
   /** {@code log TEXT} or {@code nolog TEXT}: whether any controller has logged it so far. */
--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -24,7 +24,7 @@
           Map.entry("random-faults", RandomMix.reader(RandomFaults::new)),
           Map.entry("random-rollouts", RandomMix.reader(RolloutMix::new)),
           Map.entry("random-moves", RandomMix.reader(SharesMix::new)),
-          Map.entry("must-break", Declarations::mustBreak),
+          Map.entry("must-break", Declarations::expectViolation),
           Map.entry("capacity", Declarations::capacity),
           Map.entry("boot-failures", Declarations::bootFailures),
           Map.entry("machines", Declarations::machines),
@@ -32,7 +32,7 @@
           Map.entry("on", Declarations::on),
           Map.entry("until", Declarations::until));
 
-  private static final String TRIGGER_END = " : ";
+  private static final String TRIGGER_SEPARATOR = " : ";
 
   private Declarations() {}
 
@@ -52,7 +52,7 @@
   /** {@code controllers COUNT}. */
   private static Declaration controllers(ScenarioLine line) {
     int count = line.integer(1);
-    return setup -> setup.controllers(count);
+    return setup -> setup.controllerCount(count);
   }
 
   /** {@code zones ZONE,ZONE}: those of the controllers, in turn. */
@@ -168,9 +168,9 @@
   }
 
   /** {@code must-break RULE}: a test of the checker, which has to report this. */
-  private static Declaration mustBreak(ScenarioLine line) {
+  private static Declaration expectViolation(ScenarioLine line) {
     String rule = line.word(1);
-    return setup -> setup.mustBreak(rule);
+    return setup -> setup.expectViolation(rule);
   }
 
   /** {@code capacity COUNT}: so many machines can be rented at a time. */
@@ -210,12 +210,12 @@
   /** {@code on TEXT : ACTION}: once, when a controller first logs the text. */
   private static Declaration on(ScenarioLine line) {
     String text = line.textFrom(1);
-    int end = text.indexOf(TRIGGER_END);
+    int end = text.indexOf(TRIGGER_SEPARATOR);
     if (end < 0) {
-      throw line.error("'" + TRIGGER_END + "' is missing after the text");
+      throw line.error("'" + TRIGGER_SEPARATOR + "' is missing after the text");
     }
     String trigger = text.substring(0, end).trim();
-    Action action = Actions.read(line.withText(text.substring(end + TRIGGER_END.length())));
+    Action action = Actions.read(line.withText(text.substring(end + TRIGGER_SEPARATOR.length())));
     return setup -> setup.world().log.whenLogged(trigger, () -> action.run(setup.world()));
   }
 
--- a/src/test/java/shorecrank/sim/DependencyRule.java
+++ b/src/test/java/shorecrank/sim/DependencyRule.java
@@ -18,10 +18,11 @@
 
   @Override
   void started(TaskStart start) {
-    for (String needed : start.plan().dependencies()) {
-      JsonNode record = world().store.peek(JobRecord.FINAL_PREFIX + needed);
+    for (String dependency : start.plan().dependencies()) {
+      JsonNode record = world().store.peek(JobRecord.FINAL_PREFIX + dependency);
       if (!record.path("p").asText().equals(AnswerHistory.DONE)) {
-        report("too_early: %s starts, %s is not recorded as done".formatted(start.task(), needed));
+        report(
+            "too_early: %s starts, %s is not recorded as done".formatted(start.task(), dependency));
       }
     }
   }
@@ -31,12 +32,13 @@
     if (!answer.isOk() || answer.phase().equals(AnswerHistory.CANCELLED)) {
       return;
     }
-    for (String needed : world().jobs.withDependencies(answer.job())) {
-      OptionalLong cancelledAt = answers().cancelledAtMs(needed);
-      double graceMs = world().site.cancelS() * MS_PER_S;
-      if (cancelledAt.isPresent() && answer.before().atMs() > cancelledAt.getAsLong() + graceMs) {
+    for (String dependency : world().jobs.withDependencies(answer.job())) {
+      OptionalLong cancelledAt = answers().cancelledAtMs(dependency);
+      double cancelMs = world().site.cancelS() * MS_PER_S;
+      if (cancelledAt.isPresent() && answer.before().atMs() > cancelledAt.getAsLong() + cancelMs) {
         report(
-            "orphaned: %s is %s, %s is cancelled".formatted(answer.job(), answer.phase(), needed));
+            "orphaned: %s is %s, %s is cancelled"
+                .formatted(answer.job(), answer.phase(), dependency));
       }
     }
   }
--- a/src/test/java/shorecrank/sim/Expectation.java
+++ b/src/test/java/shorecrank/sim/Expectation.java
@@ -6,7 +6,7 @@
   boolean holds(World world);
 
   /** What there is instead, for the report of a failure; may be empty. */
-  String found(World world);
+  String describeActual(World world);
 
   /** Reads the words after {@code expect}, of which the first is the expectation's name. */
   @FunctionalInterface
@@ -42,7 +42,7 @@
       }
 
       @Override
-      public String found(World world) {
+      public String describeActual(World world) {
         return description.of(world);
       }
     };
--- a/src/test/java/shorecrank/sim/Expectations.java
+++ b/src/test/java/shorecrank/sim/Expectations.java
@@ -16,8 +16,8 @@
 
   private Expectations() {}
 
-  private static void addAll(Map<String, Expectation.Reader> family) {
-    family.forEach(
+  private static void addAll(Map<String, Expectation.Reader> readers) {
+    readers.forEach(
         (name, reader) -> {
           if (BY_NAME.put(name, reader) != null) {
             throw new IllegalStateException("two expectations are named " + name);
@@ -38,7 +38,8 @@
     Expectation expectation = reader.read(line);
     return world -> {
       if (!expectation.holds(world)) {
-        world.addUnmetExpectation("not so: " + line.source() + expectation.found(world));
+        world.addUnmetExpectation(
+            "expectation not met: " + line.source() + expectation.describeActual(world));
       }
     };
   }
--- a/src/test/java/shorecrank/sim/FairnessRule.java
+++ b/src/test/java/shorecrank/sim/FairnessRule.java
@@ -13,12 +13,12 @@
  */
 final class FairnessRule extends Rule {
   /** What came later than this before the end has not had its time. */
-  private static final long LATEST_MS = 60_000;
+  private static final long MIN_TIME_MS = 60_000;
 
-  private static final long BEGIN_WITHIN_MS = 240_000;
+  private static final long MAX_START_DELAY_MS = 240_000;
 
   /** The largest quarter of a class. */
-  private static final int LARGEST = 4;
+  private static final int LARGEST_FRACTION_DIVISOR = 4;
 
   FairnessRule(World world, Checker checker) {
     super(world, checker);
@@ -30,40 +30,42 @@
     Map<String, List<String>> teams = new HashMap<>();
     for (String job : answers().accepted()) {
       JobPlan plan = world().jobs.plan(job);
-      boolean hadTime = sim().now() - answers().submittedAtMs(job) > LATEST_MS;
+      boolean hadTime = sim().now() - answers().submittedAtMs(job) > MIN_TIME_MS;
       if (hadTime && !plan.faulty() && !world().jobs.isCancelExpected(job)) {
         classes.computeIfAbsent(plan.jobClass(), k -> new ArrayList<>()).add(job);
         teams.computeIfAbsent(plan.team(), k -> new ArrayList<>()).add(job);
       }
     }
-    teams.forEach((name, jobs) -> checkServed("team " + name, jobs));
+    teams.forEach((name, jobs) -> checkHalfStarted("team " + name, jobs));
     classes.forEach(
         (name, jobs) -> {
-          checkServed("class " + name, jobs);
-          List<String> largest = largest(jobs);
-          checkServed("largest of class " + name, largest);
-          checkBegun(largest);
+          checkHalfStarted("class " + name, jobs);
+          List<String> largestJobs = largestJobs(jobs);
+          checkHalfStarted("largest of class " + name, largestJobs);
+          checkStartDelay(largestJobs);
         });
   }
 
-  private List<String> largest(List<String> jobs) {
+  private List<String> largestJobs(List<String> jobs) {
     List<String> bySize = new ArrayList<>(jobs);
     bySize.sort(Comparator.comparingInt(job -> -world().jobs.plan(job).tasks()));
-    return bySize.subList(0, (bySize.size() + LARGEST - 1) / LARGEST);
+    return bySize.subList(
+        0, (bySize.size() + LARGEST_FRACTION_DIVISOR - 1) / LARGEST_FRACTION_DIVISOR);
   }
 
-  private void checkServed(String group, List<String> jobs) {
-    long served =
-        jobs.stream().filter(job -> answers().isDone(job) || tasks().hasBegun(job)).count();
-    if (served * 2 < jobs.size()) {
-      report("unserved: %d of %d of %s".formatted(served, jobs.size(), group));
+  private void checkHalfStarted(String group, List<String> jobs) {
+    long started =
+        jobs.stream().filter(job -> answers().isDone(job) || tasks().hasStarted(job)).count();
+    if (started * 2 < jobs.size()) {
+      report("unserved: %d of %d of %s".formatted(started, jobs.size(), group));
     }
   }
 
-  private void checkBegun(List<String> jobs) {
+  private void checkStartDelay(List<String> jobs) {
     for (String job : jobs) {
-      boolean isFree = world().jobs.plan(job).dependencies().isEmpty();
-      if (isFree && tasks().begunAtMs(job) - answers().submittedAtMs(job) > BEGIN_WITHIN_MS) {
+      boolean hasNoDependencies = world().jobs.plan(job).dependencies().isEmpty();
+      if (hasNoDependencies
+          && tasks().firstStartAtMs(job) - answers().submittedAtMs(job) > MAX_START_DELAY_MS) {
         report("late: %s not begun within four minutes".formatted(job));
       }
     }
--- a/src/test/java/shorecrank/sim/JobExpectations.java
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -27,7 +27,7 @@
     List<String> jobs = line.list(1);
     return Expectation.of(
         world -> jobs.stream().allMatch(job -> condition.test(world, job)),
-        world -> found(world, jobs));
+        world -> describeJobs(world, jobs));
   }
 
   private static boolean isCancelled(World world, String job) {
@@ -45,7 +45,8 @@
     String job = line.word(1);
     int status = line.integer(2);
     return Expectation.of(
-        world -> world.users.latestStatus(job) == status, world -> found(world, List.of(job)));
+        world -> world.users.latestStatus(job) == status,
+        world -> describeJobs(world, List.of(job)));
   }
 
   /** {@code final JOB,JOB PHASE}: as the state service has them. */
@@ -62,23 +63,23 @@
     String first = line.word(1);
     String second = line.word(2);
     return Expectation.of(
-        world -> world.checker.tasks().isBegunBefore(first, second),
-        world -> found(world, List.of(first)));
+        world -> world.checker.tasks().isStartedBefore(first, second),
+        world -> describeJobs(world, List.of(first)));
   }
 
   /** {@code starts-of JOB LEAST MOST}. */
   private static Expectation startsOf(ScenarioLine line) {
     String job = line.word(1);
-    int least = line.integer(2);
-    int most = line.integer(3);
+    int minimum = line.integer(2);
+    int maximum = line.integer(3);
     return Expectation.of(
         world ->
-            world.checker.tasks().startsOf(job) >= least
-                && world.checker.tasks().startsOf(job) <= most,
+            world.checker.tasks().startsOf(job) >= minimum
+                && world.checker.tasks().startsOf(job) <= maximum,
         world -> " [" + world.checker.tasks().startsOf(job) + "]");
   }
 
-  private static String found(World world, List<String> jobs) {
+  private static String describeJobs(World world, List<String> jobs) {
     StringBuilder text = new StringBuilder();
     for (String job : jobs) {
       if (world.jobs.isSubmitted(job)) {
--- a/src/test/java/shorecrank/sim/JobRetentionRule.java
+++ b/src/test/java/shorecrank/sim/JobRetentionRule.java
@@ -11,7 +11,7 @@
  */
 final class JobRetentionRule extends Rule {
   /** Stricter than the 90 s of the protocol. */
-  private static final long UNANSWERED_MS = 75_000;
+  private static final long MAX_UNANSWERED_MS = 75_000;
 
   private final Map<String, Long> unansweredSinceMs = new HashMap<>();
 
@@ -36,8 +36,8 @@
     if (isAnswered) {
       unansweredSinceMs.remove(job);
     } else if (world().faults.areOverAt(sentAtMs) && answers().isAccepted(job)) {
-      long since = unansweredSinceMs.computeIfAbsent(job, k -> sentAtMs);
-      if (sentAtMs - since > UNANSWERED_MS) {
+      long sinceMs = unansweredSinceMs.computeIfAbsent(job, k -> sentAtMs);
+      if (sentAtMs - sinceMs > MAX_UNANSWERED_MS) {
         report("forgotten: no question about %s is answered".formatted(job));
       }
     }
--- a/src/test/java/shorecrank/sim/MonotonicAnswerRule.java
+++ b/src/test/java/shorecrank/sim/MonotonicAnswerRule.java
@@ -16,17 +16,17 @@
     if (!answer.isOk()) {
       return;
     }
-    checkAge(answer);
+    checkNotOlder(answer);
     if (!world().jobs.isSubmitted(answer.job())) {
       return;
     }
     String job = answer.job();
     String phase = answer.phase();
-    boolean isOtherEnd =
+    boolean isOtherFinalPhase =
         AnswerHistory.isFinalPhase(phase)
             && answers().isOver(job)
             && !answers().phase(job).equals(phase);
-    if (isOtherEnd) {
+    if (isOtherFinalPhase) {
       report("went_back: %s was %s, is %s".formatted(job, answers().phase(job), phase));
     }
     if (phase.equals(AnswerHistory.CANCELLED) && !world().jobs.isCancelExpected(job)) {
@@ -34,7 +34,7 @@
     }
   }
 
-  private void checkAge(UserAnswer answer) {
+  private void checkNotOlder(UserAnswer answer) {
     KnownJobState before = answer.before();
     int done = answer.body().path("done").asInt();
     if (!before.finalPhase().isEmpty() && !before.finalPhase().equals(answer.phase())) {
--- a/src/test/java/shorecrank/sim/OutputDigest.java
+++ b/src/test/java/shorecrank/sim/OutputDigest.java
@@ -18,7 +18,7 @@
  * behave alike in it.
  */
 final class OutputDigest {
-  private final MessageDigest hash = DigestUtils.getSha256Digest();
+  private final MessageDigest digest = DigestUtils.getSha256Digest();
   private long outputs;
 
   /**
@@ -46,7 +46,7 @@
 
   /** The number of outputs and their hash; nothing can be added afterwards. */
   String finish() {
-    return outputs + " " + Hex.encodeHexString(hash.digest());
+    return outputs + " " + Hex.encodeHexString(digest.digest());
   }
 
   private void begin(String node, long timeMs, String kind) {
@@ -78,10 +78,10 @@
 
   private void add(byte[] bytes) {
     add(bytes.length);
-    hash.update(bytes);
+    digest.update(bytes);
   }
 
   private void add(long number) {
-    hash.update(ByteBuffer.allocate(Long.BYTES).putLong(number).array());
+    digest.update(ByteBuffer.allocate(Long.BYTES).putLong(number).array());
   }
 }
--- a/src/test/java/shorecrank/sim/RecordedQuotaRule.java
+++ b/src/test/java/shorecrank/sim/RecordedQuotaRule.java
@@ -53,8 +53,8 @@
     records.keySet().retainAll(Set.copyOf(keys));
     for (String key : keys) {
       JsonNode stored = world().store.peek(key);
-      Decoded known = records.get(key);
-      if (known == null || known.value != stored) {
+      Decoded cached = records.get(key);
+      if (cached == null || cached.value != stored) {
         decode(key, stored);
       }
     }
@@ -71,15 +71,15 @@
     for (Decoded decoded : records.values()) {
       JobRecord record = decoded.record;
       if (record != null) {
-        double used = usableAttempts(record) * record.spec().cpus();
+        double used = runnableAttempts(record) * record.spec().cpus();
         cpus.merge(record.spec().team(), used, Double::sum);
       }
     }
     return cpus;
   }
 
-  private int usableAttempts(JobRecord record) {
-    int usable = 0;
+  private int runnableAttempts(JobRecord record) {
+    int runnable = 0;
     for (AttemptRange range : record.live()) {
       SimulatedWorker worker = world().worker(range.machine().value()).orElse(null);
       if (worker == null || worker.incarnation() != range.incarnation().value()) {
@@ -89,10 +89,10 @@
         String task = record.spec().id().value() + "/" + index;
         if (!record.done().get(index)
             && worker.tasks().mayRun(task, range.attempt().value(), record.cancelled())) {
-          usable++;
+          runnable++;
         }
       }
     }
-    return usable;
+    return runnable;
   }
 }
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -16,7 +16,7 @@
  */
 final class RolloutRule extends Rule {
   /** An announcement may be so old when the level rises. */
-  private static final long ANNOUNCED_LATELY_MS = 6000;
+  private static final long MAX_ANNOUNCEMENT_AGE_MS = 6000;
 
   private int rises;
   private int falls;
@@ -79,7 +79,7 @@
         .forEachRunning(
             (index, version) -> {
               long runningMs = sentAtMs - world().rollouts.runningSinceMs(index);
-              if (!version.supports(level) && runningMs >= ANNOUNCED_LATELY_MS) {
+              if (!version.supports(level) && runningMs >= MAX_ANNOUNCEMENT_AGE_MS) {
                 report("raised_without_support: n%d to %s".formatted(index, level));
               }
             });
@@ -123,7 +123,7 @@
     if (node.label().equals(leading)
         && node.isUp()
         && !version.supports(level)
-        && runningMs >= ANNOUNCED_LATELY_MS) {
+        && runningMs >= MAX_ANNOUNCEMENT_AGE_MS) {
       report("leader_below_level: %s at %s".formatted(node.label(), level));
     }
   }
--- a/src/test/java/shorecrank/sim/RuleTestWorld.java
+++ b/src/test/java/shorecrank/sim/RuleTestWorld.java
@@ -29,7 +29,7 @@
  */
 final class RuleTestWorld extends World {
   /** A fencing token holds its epoch above so many bits. */
-  static final int TOKEN_BITS = 24;
+  static final int NUMBER_BITS = 24;
 
   private static final double LIMIT_CPUS = 8;
 
@@ -44,7 +44,7 @@
   }
 
   /** Starts the controllers and machines. */
-  RuleTestWorld opened() {
+  RuleTestWorld launch() {
     open(2);
     for (int i = 0; i < 4; i++) {
       cloud.boot("p8", i < 2 ? "a" : "b", i % 2 == 1, 0);
@@ -78,23 +78,23 @@
   /** A user submits a job and is told that it is accepted. */
   void accept(String job, JobPlan.Builder plan) {
     submit(job, plan);
-    tell(Kind.SUBMIT, job, 201, "queued");
+    answer(Kind.SUBMIT, job, 201, "queued");
   }
 
   /** A user has an answer to a request that was sent a moment ago. */
-  void tell(Kind kind, String job, int status, String phase) {
-    tell(kind, job, status, Json.object().put("phase", phase), checker.answers().snapshot(job));
+  void answer(Kind kind, String job, int status, String phase) {
+    answer(kind, job, status, Json.object().put("phase", phase), checker.answers().snapshot(job));
   }
 
   /** A user has an answer to a request that was sent when users had been told that. */
-  void tell(Kind kind, String job, int status, ObjectNode body, KnownJobState before) {
+  void answer(Kind kind, String job, int status, ObjectNode body, KnownJobState before) {
     checker.answered(new UserAnswer(kind, job, status, body, before));
   }
 
   /** A user asks for a job to be cancelled and is told that it is. */
   void cancel(String job) {
     jobs.requestCancel(job);
-    tell(Kind.CANCEL, job, 200, AnswerHistory.CANCELLED);
+    answer(Kind.CANCEL, job, 200, AnswerHistory.CANCELLED);
   }
 
   // ---- what runs -------------------------------------------------------------------------------
@@ -122,7 +122,7 @@
   }
 
   private void command(int machine, long epoch, ObjectNode order) {
-    ObjectNode body = Json.object().put("epoch", epoch << TOKEN_BITS);
+    ObjectNode body = Json.object().put("epoch", epoch << NUMBER_BITS);
     body.put("tenure", machine(machine).incarnation()).putArray("orders").add(order);
     machine(machine).takeCommands(body, ReplyHandler.IGNORE);
   }
@@ -170,14 +170,14 @@
   // ---- what was found --------------------------------------------------------------------------
 
   /** Exactly one rule was found broken, and that is it. */
-  void assertBroken(String rule) {
+  void assertViolation(String rule) {
     List<String> found = checker.violations();
     assertEquals(1, found.size(), found.toString());
     assertTrue(found.get(0).contains(" s: " + rule), found.toString());
   }
 
   /** No rule was found broken. */
-  void assertSound() {
+  void assertNoViolations() {
     assertEquals(List.of(), checker.violations());
   }
 }
--- a/src/test/java/shorecrank/sim/RunCounters.java
+++ b/src/test/java/shorecrank/sim/RunCounters.java
@@ -5,7 +5,7 @@
 
 /** What is counted in a run, by the controllers themselves and by those around them. */
 final class RunCounters {
-  private static final String LOOKS = "round.looks";
+  private static final String SCANNED_ITEMS = "round.looks";
 
   private final Map<String, Long> counts = new TreeMap<>();
   private final Map<String, Double> gauges = new TreeMap<>();
@@ -31,9 +31,9 @@
 
   /** All counts by metric, of metrics that begin so. */
   Map<String, Long> countsWithPrefix(String prefix) {
-    Map<String, Long> some = new TreeMap<>(counts);
-    some.keySet().removeIf(metric -> !metric.startsWith(prefix));
-    return some;
+    Map<String, Long> matching = new TreeMap<>(counts);
+    matching.keySet().removeIf(metric -> !metric.startsWith(prefix));
+    return matching;
   }
 
   /** The latest value that any controller has set, or 0. */
@@ -48,7 +48,7 @@
 
   /** Machines and jobs that an owner's round looks at, on average. */
   double itemsScannedPerRound() {
-    return (double) total(LOOKS) / Math.max(1, rounds);
+    return (double) total(SCANNED_ITEMS) / Math.max(1, rounds);
   }
 
   /** A controller takes an answer with so many changes to a watch. */
--- a/src/test/java/shorecrank/sim/Scenario.java
+++ b/src/test/java/shorecrank/sim/Scenario.java
@@ -59,13 +59,13 @@
   }
 
   /** Has the cost of steps and messages taken by the next runs. */
-  void measureWith(Measurements taker) {
-    measurements = taker;
+  void measureWith(Measurements receiver) {
+    measurements = receiver;
   }
 
   /** Has every reply and call of the controllers taken by the next run; null for none. */
-  void digestWith(OutputDigest taker) {
-    digest = taker;
+  void digestWith(OutputDigest receiver) {
+    digest = receiver;
   }
 
   /** Has something done to the world before it runs, for what no line can say. */
@@ -84,22 +84,22 @@
    * @return what was wrong, with simulated times; empty if nothing was
    */
   List<String> play(long seed, boolean verbose) throws InvalidConfigException {
-    Settings tuning =
+    Settings worldSettings =
         settings.isEmpty() ? SettingsFile.defaults() : SettingsFile.read(settings.toString());
-    world = new World(seed, tuning, new RunOptions(verbose, measurements, digest));
+    world = new World(seed, worldSettings, new RunOptions(verbose, measurements, digest));
     ScenarioSetup setup = new ScenarioSetup(world);
     declarations.forEach(declaration -> declaration.apply(setup));
     setup.open();
     beforeRun.accept(world);
-    world.sim.runUntil(setup.untilMs());
+    world.sim.runUntil(setup.endMs());
     world.checker.end();
-    return setup.ruleToBreak().map(this::unseen).orElseGet(this::failures);
+    return setup.expectedViolation().map(this::missingViolation).orElseGet(this::failures);
   }
 
   /** The checker itself is under test: it has to see this. */
-  private List<String> unseen(String rule) {
-    boolean seen = world.checker.violations().stream().anyMatch(text -> text.contains(rule));
-    return seen ? List.of() : List.of("unseen: " + rule);
+  private List<String> missingViolation(String rule) {
+    boolean isReported = world.checker.violations().stream().anyMatch(text -> text.contains(rule));
+    return isReported ? List.of() : List.of("violation not reported: " + rule);
   }
 
   private List<String> failures() {
--- a/src/test/java/shorecrank/sim/ScenarioLine.java
+++ b/src/test/java/shorecrank/sim/ScenarioLine.java
@@ -21,7 +21,7 @@
   private final String source;
   private final String text;
   private final List<String> words = new ArrayList<>();
-  private final List<Integer> starts = new ArrayList<>();
+  private final List<Integer> wordStarts = new ArrayList<>();
 
   /**
    * A whole line.
@@ -40,14 +40,14 @@
     Matcher matcher = WORD.matcher(text);
     while (matcher.find()) {
       words.add(matcher.group());
-      starts.add(matcher.start());
+      wordStarts.add(matcher.start());
     }
   }
 
   /** The rest from a word on, as a line whose first word that is. */
   ScenarioLine from(int index) {
     word(index);
-    return withText(text.substring(starts.get(index)));
+    return withText(text.substring(wordStarts.get(index)));
   }
 
   /** Another text, such as an action, that stands in this line. */
@@ -68,7 +68,7 @@
   /** The text from a word on, spaces as they are. */
   String textFrom(int index) {
     word(index);
-    return text.substring(starts.get(index));
+    return text.substring(wordStarts.get(index));
   }
 
   /** Whether there is a word at an index. */
--- a/src/test/java/shorecrank/sim/ScenarioOptions.java
+++ b/src/test/java/shorecrank/sim/ScenarioOptions.java
@@ -11,7 +11,7 @@
 
 /** The {@code key=value} words of a scenario line; a word without a value is a flag. */
 final class ScenarioOptions {
-  private static final String FLAG = "true";
+  private static final String FLAG_VALUE = "true";
 
   private final ScenarioLine line;
   private final Map<String, String> values = new TreeMap<>();
@@ -20,7 +20,7 @@
     this.line = line;
     for (String word : words) {
       String[] parts = word.split("=", 2);
-      values.put(parts[0], parts.length > 1 ? parts[1] : FLAG);
+      values.put(parts[0], parts.length > 1 ? parts[1] : FLAG_VALUE);
     }
   }
 
@@ -53,18 +53,18 @@
   }
 
   /** The option's value, or another if the line does not have it. */
-  String text(String name, String unset) {
-    return values.getOrDefault(name, unset);
+  String text(String name, String defaultValue) {
+    return values.getOrDefault(name, defaultValue);
   }
 
   /** The option's value as a number, or another if the line does not have it. */
-  double decimal(String name, double unset) {
-    return text(name).map(value -> number(name, value)).orElse(unset);
+  double decimal(String name, double defaultValue) {
+    return text(name).map(value -> number(name, value)).orElse(defaultValue);
   }
 
   /** The same, cut off to a whole number. */
-  int integer(String name, int unset) {
-    return (int) decimal(name, unset);
+  int integer(String name, int defaultValue) {
+    return (int) decimal(name, defaultValue);
   }
 
   private double number(String name, String value) {
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -7,16 +7,16 @@
 
 /** A world while the lines of a scenario describe it, before its controllers start. */
 final class ScenarioSetup {
-  private static final int CONTROLLERS = 3;
-  private static final long UNTIL_MS = 120_000;
+  private static final int DEFAULT_CONTROLLER_COUNT = 3;
+  private static final long DEFAULT_END_MS = 120_000;
   private static final String DEFAULT_TEAM = "t";
 
   private final World world;
   private final List<Runnable> afterStart = new ArrayList<>();
   private final StringBuilder rolloutSettings = new StringBuilder();
-  private int controllers = CONTROLLERS;
-  private long untilMs = UNTIL_MS;
-  private String ruleToBreak;
+  private int controllerCount = DEFAULT_CONTROLLER_COUNT;
+  private long endMs = DEFAULT_END_MS;
+  private String expectedViolation;
 
   ScenarioSetup(World world) {
     this.world = world;
@@ -28,28 +28,28 @@
   }
 
   /** There will be so many controllers. */
-  void controllers(int count) {
-    controllers = count;
+  void controllerCount(int count) {
+    controllerCount = count;
   }
 
   /** When the run ends, in simulated time. */
-  long untilMs() {
-    return untilMs;
+  long endMs() {
+    return endMs;
   }
 
   /** The run ends at a time. */
   void runUntil(long ms) {
-    untilMs = ms;
+    endMs = ms;
   }
 
   /** The rule that the run has to break, if it is a test of the checker. */
-  Optional<String> ruleToBreak() {
-    return Optional.ofNullable(ruleToBreak);
+  Optional<String> expectedViolation() {
+    return Optional.ofNullable(expectedViolation);
   }
 
   /** The run has to break a rule. */
-  void mustBreak(String rule) {
-    ruleToBreak = rule;
+  void expectViolation(String rule) {
+    expectedViolation = rule;
   }
 
   /** A line of the operators' rollout file. */
@@ -74,7 +74,7 @@
     if (!rolloutSettings.isEmpty()) {
       world.rollouts.enable(rolloutSettings.toString());
     }
-    world.open(controllers);
+    world.open(controllerCount);
     afterStart.forEach(Runnable::run);
   }
 }
--- a/src/test/java/shorecrank/sim/ScenarioTest.java
+++ b/src/test/java/shorecrank/sim/ScenarioTest.java
@@ -19,33 +19,36 @@
   @TestFactory
   List<DynamicTest> scenarios() throws Exception {
     List<Path> files;
-    try (Stream<Path> s = Files.list(DIR)) {
-      files = s.filter(p -> p.toString().endsWith(".txt")).sorted().toList();
+    try (Stream<Path> stream = Files.list(DIR)) {
+      files = stream.filter(path -> path.toString().endsWith(".txt")).sorted().toList();
     }
     assertTrue(files.size() >= 24, "scenario files are missing");
-    String only = System.getProperty("scenario", "");
+    String selected = System.getProperty("scenario", "");
     DigestFile digests = DigestFile.create();
     KnownFailures knownFailures = KnownFailures.read();
     List<DynamicTest> tests = new ArrayList<>();
-    for (Path p : files) {
-      String name = p.getFileName().toString().replace(".txt", "");
-      boolean all = only.endsWith("*") && name.startsWith(only.substring(0, only.length() - 1));
-      if (!only.isEmpty() && !name.equals(only) && !all) {
+    for (Path path : files) {
+      String name = path.getFileName().toString().replace(".txt", "");
+      boolean matchesPrefix =
+          selected.endsWith("*") && name.startsWith(selected.substring(0, selected.length() - 1));
+      if (!selected.isEmpty() && !name.equals(selected) && !matchesPrefix) {
         continue;
       }
-      long seeds = Long.getLong("seeds", Scenario.seeds(Files.readString(p)));
+      long seeds = Long.getLong("seeds", Scenario.seeds(Files.readString(path)));
       for (long seed = 1; seed <= seeds; seed++) {
-        long s = seed;
+        long fixedSeed = seed;
         tests.add(
             DynamicTest.dynamicTest(
-                name + " seed " + s,
+                name + " seed " + fixedSeed,
                 () -> {
-                  assumeFalse(only.isEmpty() && knownFailures.hasScenario(name), "known to be red");
-                  Scenario scenario = new Scenario(name, Files.readString(p));
+                  assumeFalse(
+                      selected.isEmpty() && knownFailures.hasScenario(name),
+                      "listed in KNOWN-RED.txt");
+                  Scenario scenario = new Scenario(name, Files.readString(path));
                   OutputDigest digest = digests.newDigest();
                   scenario.digestWith(digest);
-                  assertEquals(List.of(), scenario.play(s, name.equals(only)));
-                  digests.write(name, s, digest);
+                  assertEquals(List.of(), scenario.play(fixedSeed, name.equals(selected)));
+                  digests.write(name, fixedSeed, digest);
                 }));
       }
     }
--- a/src/test/java/shorecrank/sim/ShareActions.java
+++ b/src/test/java/shorecrank/sim/ShareActions.java
@@ -40,12 +40,12 @@
         id,
         options.has(DRY_RUN),
         options.text("team", null),
-        amount(options, "weight"),
-        amount(options, "min"),
-        amount(options, "max"));
+        optionalDecimal(options, "weight"),
+        optionalDecimal(options, "min"),
+        optionalDecimal(options, "max"));
   }
 
-  private static Double amount(ScenarioOptions options, String name) {
+  private static Double optionalDecimal(ScenarioOptions options, String name) {
     return options.has(name) ? (Double) options.decimal(name, 0) : null;
   }
 
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -24,24 +24,24 @@
   /** {@code share SHARD LEAST MOST}: machines that are assigned to it. */
   private static Expectation share(ScenarioLine line) {
     int shard = line.integer(1);
-    int least = line.integer(2);
-    int most = line.integer(3);
+    int minimum = line.integer(2);
+    int maximum = line.integer(3);
     return of(
         world -> {
           int machines = world.shares.assigned().getOrDefault(shard, List.of()).size();
-          return machines >= least && machines <= most;
+          return machines >= minimum && machines <= maximum;
         });
   }
 
   /** {@code counted METRIC LEAST MOST}: by all controllers together. */
   private static Expectation counted(ScenarioLine line) {
     String metric = line.word(1);
-    long least = line.longInteger(2);
-    long most = line.longInteger(3);
+    long minimum = line.longInteger(2);
+    long maximum = line.longInteger(3);
     return of(
         world -> {
           long count = world.counters.total(metric);
-          return count >= least && count <= most;
+          return count >= minimum && count <= maximum;
         });
   }
 
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -20,7 +20,7 @@
  */
 final class ShareRule extends Rule {
   /** Machines whose only assignment so far was carried out late. */
-  private final Set<String> neverTold = new HashSet<>();
+  private final Set<String> unannouncedMachines = new HashSet<>();
 
   private int storeOperations;
 
@@ -36,8 +36,8 @@
   @Override
   void beforeTransaction(JsonNode operations) {
     // Below the level an earlier version may lead, which writes assignments without moves.
-    boolean inForce = world().rollouts.state().level().includes(Feature.SHARES.level());
-    if (!world().shares.isEnabled() || !inForce) {
+    boolean isLevelInForce = world().rollouts.state().level().includes(Feature.SHARES.level());
+    if (!world().shares.isEnabled() || !isLevelInForce) {
       return;
     }
     SharesState before = world().shares.state();
@@ -67,11 +67,11 @@
   private void checkMoves(SharesState before, SharesState after) {
     for (Move move : after.active()) {
       Move earlier = before.activeMoveOf(move.machine());
-      boolean same = earlier != null && earlier.id().equals(move.id());
-      if (!same && move.id().value() < before.nextMove()) {
+      boolean isSameMove = earlier != null && earlier.id().equals(move.id());
+      if (!isSameMove && move.id().value() < before.nextMove()) {
         report("move_id_reused: " + move.id());
       }
-      if (same && move.phase().compareTo(earlier.phase()) < 0) {
+      if (isSameMove && move.phase().compareTo(earlier.phase()) < 0) {
         report("move_went_back: %s to %s".formatted(move.id(), move.phase()));
       }
     }
@@ -83,24 +83,24 @@
       Map<Integer, List<String>> assigned,
       SharesState before,
       SharesState after) {
-    boolean known = assigned.values().stream().anyMatch(names -> names.contains(name));
+    boolean isAssigned = assigned.values().stream().anyMatch(names -> names.contains(name));
     boolean isLate = world().store.lateByMs() > 0;
-    if (!known && isLate) {
+    if (!isAssigned && isLate) {
       // First written by a write whose sender has no answer: it has told nobody.
-      neverTold.add(name);
+      unannouncedMachines.add(name);
     }
-    if (neverTold.contains(name)) {
+    if (unannouncedMachines.contains(name)) {
       if (!isLate) {
-        neverTold.remove(name);
+        unannouncedMachines.remove(name);
       }
       return;
     }
     assigned.forEach(
-        (former, names) -> {
-          if (former != shard
+        (formerShard, names) -> {
+          if (formerShard != shard
               && names.contains(name)
-              && !isHandedOver(new MachineName(name), former, shard, before, after)) {
-            report("moved_unwritten: %s from %d to %d".formatted(name, former, shard));
+              && !isHandedOver(new MachineName(name), formerShard, shard, before, after)) {
+            report("moved_unwritten: %s from %d to %d".formatted(name, formerShard, shard));
           }
         });
   }
--- a/src/test/java/shorecrank/sim/SingleExecutionRule.java
+++ b/src/test/java/shorecrank/sim/SingleExecutionRule.java
@@ -8,10 +8,10 @@
 
   @Override
   void started(TaskStart start) {
-    if (!start.otherMachines().isEmpty()) {
+    if (!start.machinesBefore().isEmpty()) {
       report(
           "ran_twice: %s starts on %s while on %s"
-              .formatted(start.task(), start.worker().name(), start.otherMachines()));
+              .formatted(start.task(), start.worker().name(), start.machinesBefore()));
     }
   }
 }
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -26,53 +26,53 @@
 class StateRulesTest {
   private static final String TWO_SHARDS = "parts: 2";
 
-  private static JsonNode level(FeatureLevel level) {
+  private static JsonNode levelState(FeatureLevel levelState) {
     return RolloutCodec.writeState(
-        new RolloutState(RolloutPhase.STABLE, level, level, "", "", false, List.of()));
+        new RolloutState(RolloutPhase.STABLE, levelState, levelState, "", "", false, List.of()));
   }
 
-  private static RuleTestWorld ofLevels(String... versions) throws Exception {
+  private static RuleTestWorld launchWithVersions(String... versions) throws Exception {
     RuleTestWorld world = new RuleTestWorld("");
     world.rollouts.observe();
     for (int i = 0; i < versions.length; i++) {
       world.rollouts.setVersion(i, Version.of(versions[i]));
     }
-    return world.opened();
+    return world.launch();
   }
 
   // ---- owners ----------------------------------------------------------------------------------
 
   @Test
   void twoOwnersOfOneShardAreFound() throws Exception {
-    RuleTestWorld world = new RuleTestWorld("").opened();
+    RuleTestWorld world = new RuleTestWorld("").launch();
     world.controller(0).commandShard(0, 1);
     world.checker.roundCompleted(world.controller(0));
-    world.assertSound();
+    world.assertNoViolations();
     world.controller(1).commandShard(0, 2);
     world.checker.roundCompleted(world.controller(0));
-    world.assertBroken("two_owners: n0");
+    world.assertViolation("two_owners: n0");
   }
 
   @Test
   void twoCommandersOfOneMachineAreFound() throws Exception {
-    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
+    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000002");
     world.checker.roundCompleted(world.controller(0));
-    world.assertSound();
+    world.assertNoViolations();
     world.controller(1).commandMachine("n-000001");
     world.checker.roundCompleted(world.controller(0));
-    world.assertBroken("two_commanders: ");
+    world.assertViolation("two_commanders: ");
   }
 
   @Test
   void aMachineThatIsGoneHasNoCommanders() throws Exception {
-    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
+    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000001");
     world.cloud.take("n-000001");
     world.checker.roundCompleted(world.controller(0));
-    world.assertSound();
+    world.assertNoViolations();
   }
 
   // ---- assignments -----------------------------------------------------------------------------
@@ -80,110 +80,110 @@
   @Test
   void aRecordThatNamesAMachineOfAnotherShardIsFoundWhicheverIsWrittenLater() throws Exception {
     for (boolean recordFirst : List.of(true, false)) {
-      RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
+      RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
       world.submit("wk-1", JobPlan.builder());
       int shard = ShardId.of(world.record("wk-1", 1).spec().team(), 2).value();
       world.writeAssignment(1, recordFirst ? shard : 1 - shard);
-      world.assertSound();
+      world.assertNoViolations();
       world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
       if (recordFirst) {
-        world.assertSound();
+        world.assertNoViolations();
         world.writeAssignment(1, 1 - shard);
       }
-      world.assertBroken("named_elsewhere: j/wk-1 names n-000001");
+      world.assertViolation("named_elsewhere: j/wk-1 names n-000001");
     }
   }
 
   @Test
   void aStartByTheOwnerOfAnotherShardIsFound() throws Exception {
-    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).opened();
+    RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
     world.accept("wk-1", JobPlan.builder().tasks(2));
     world.writeEpoch(0, 1);
     world.writeEpoch(1, 2);
     world.writeAssignment(1, 0);
     world.commandStart(1, "wk-1/0", 1);
-    world.assertSound();
+    world.assertNoViolations();
     world.commandStart(1, "wk-1/1", 2);
-    world.assertBroken("start_of_other_shard: wk-1/1 on n-000001");
+    world.assertViolation("start_of_other_shard: wk-1/1 on n-000001");
   }
 
   // ---- levels ----------------------------------------------------------------------------------
 
   @Test
   void aFormAboveTheLevelInForceIsFound() throws Exception {
-    RuleTestWorld world = ofLevels("0-1", "0-1");
+    RuleTestWorld world = launchWithVersions("0-1", "0-1");
     world.submit("wk-1", JobPlan.builder());
     JobRecord record = world.record("wk-1", 1);
     world.write(JobRecord.LIVE_PREFIX + "wk-1", record.write());
-    world.assertSound();
+    world.assertNoViolations();
     world.write(JobRecord.LIVE_PREFIX + "wk-1", record.writeDense());
-    world.assertBroken("form_above_level: j/wk-1");
+    world.assertViolation("form_above_level: j/wk-1");
   }
 
   @Test
   void aRiseThatAControllerDoesNotSupportIsFound() throws Exception {
-    RuleTestWorld world = ofLevels("0-1", "0-0");
+    RuleTestWorld world = launchWithVersions("0-1", "0-0");
     world.sim.runUntil(10_000);
-    world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
-    world.assertBroken("raised_without_support: n1");
+    world.write(RolloutMessages.KEY, levelState(Feature.DENSE_RECORDS.level()));
+    world.assertViolation("raised_without_support: n1");
   }
 
   @Test
   void aRiseThatAllSupportBreaksNothing() throws Exception {
-    RuleTestWorld world = ofLevels("0-1", "0-2");
+    RuleTestWorld world = launchWithVersions("0-1", "0-2");
     world.sim.runUntil(10_000);
-    world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
-    world.assertSound();
+    world.write(RolloutMessages.KEY, levelState(Feature.DENSE_RECORDS.level()));
+    world.assertNoViolations();
   }
 
   @Test
   void aFallThatLeavesDenseRecordsIsFound() throws Exception {
-    RuleTestWorld world = ofLevels("0-1", "0-1");
+    RuleTestWorld world = launchWithVersions("0-1", "0-1");
     world.sim.runUntil(10_000);
-    world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
+    world.write(RolloutMessages.KEY, levelState(Feature.DENSE_RECORDS.level()));
     world.submit("wk-1", JobPlan.builder());
     world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).writeDense());
-    world.assertSound();
-    world.write(RolloutMessages.KEY, level(FeatureLevel.LOWEST));
-    world.assertBroken("fell_too_early: 1 dense records left");
+    world.assertNoViolations();
+    world.write(RolloutMessages.KEY, levelState(FeatureLevel.LOWEST));
+    world.assertViolation("fell_too_early: 1 dense records left");
   }
 
   @Test
   void anOwnerBelowTheLevelIsFound() throws Exception {
-    RuleTestWorld world = ofLevels("0-1", "0-1");
+    RuleTestWorld world = launchWithVersions("0-1", "0-1");
     world.sim.runUntil(10_000);
-    world.write(RolloutMessages.KEY, level(Feature.DENSE_RECORDS.level()));
+    world.write(RolloutMessages.KEY, levelState(Feature.DENSE_RECORDS.level()));
     world.write("leader", Json.object().put("label", "n0"));
     world.rollouts.setVersion(1, Version.of("0-0"));
     world.controller(1).crash(0);
     world.sim.runUntil(10_001);
     world.checker.roundCompleted(world.controller(1));
-    world.assertSound();
+    world.assertNoViolations();
     world.controller(1).commandShard(0, 1);
     world.checker.roundCompleted(world.controller(1));
-    world.assertBroken("owner_below_level: n1");
+    world.assertViolation("owner_below_level: n1");
   }
 
   @Test
   void leadershipThatIsDroppedIsFound() throws Exception {
-    RuleTestWorld world = ofLevels("0-1", "0-1");
+    RuleTestWorld world = launchWithVersions("0-1", "0-1");
     world.write("leader", Json.object().put("label", "n0"));
-    world.assertSound();
+    world.assertNoViolations();
     world.remove("leader");
-    world.assertBroken("leadership_vacant: dropped");
+    world.assertViolation("leadership_vacant: dropped");
   }
 
   // ---- moves -----------------------------------------------------------------------------------
 
-  private static RuleTestWorld ofShares() throws Exception {
+  private static RuleTestWorld launchWithShares() throws Exception {
     RuleTestWorld world = new RuleTestWorld(TWO_SHARDS);
     world.rollouts.observe();
     world.shares.addSetting("automatic: false");
-    world.opened();
+    world.launch();
     world.sim.runUntil(10_000);
-    world.write(RolloutMessages.KEY, level(Feature.SHARES.level()));
+    world.write(RolloutMessages.KEY, levelState(Feature.SHARES.level()));
     world.writeAssignment(1, 0);
-    world.assertSound();
+    world.assertNoViolations();
     return world;
   }
 
@@ -200,43 +200,43 @@
         "");
   }
 
-  private static JsonNode shares(long nextMove, Move... moves) {
+  private static JsonNode sharesState(long nextMove, Move... moves) {
     return ShareStateCodec.write(
         new SharesState(2, nextMove, List.of(moves), List.of(), List.of(), List.of()));
   }
 
   @Test
   void aMoveWithAnIdThatWasUsedIsFound() throws Exception {
-    RuleTestWorld world = ofShares();
-    world.write(ShareStateMessages.KEY, shares(3));
-    world.write(ShareStateMessages.KEY, shares(4, move(3, MovePhase.REQUESTED)));
-    world.assertSound();
-    world.write(ShareStateMessages.KEY, shares(4, move(2, MovePhase.REQUESTED)));
-    world.assertBroken("move_id_reused: ");
+    RuleTestWorld world = launchWithShares();
+    world.write(ShareStateMessages.KEY, sharesState(3));
+    world.write(ShareStateMessages.KEY, sharesState(4, move(3, MovePhase.REQUESTED)));
+    world.assertNoViolations();
+    world.write(ShareStateMessages.KEY, sharesState(4, move(2, MovePhase.REQUESTED)));
+    world.assertViolation("move_id_reused: ");
   }
 
   @Test
   void aMoveThatGoesBackAStepIsFound() throws Exception {
-    RuleTestWorld world = ofShares();
-    world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.REQUESTED)));
-    world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.DRAINING)));
-    world.assertSound();
-    world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.REQUESTED)));
-    world.assertBroken("move_went_back: ");
+    RuleTestWorld world = launchWithShares();
+    world.write(ShareStateMessages.KEY, sharesState(2, move(1, MovePhase.REQUESTED)));
+    world.write(ShareStateMessages.KEY, sharesState(2, move(1, MovePhase.DRAINING)));
+    world.assertNoViolations();
+    world.write(ShareStateMessages.KEY, sharesState(2, move(1, MovePhase.REQUESTED)));
+    world.assertViolation("move_went_back: ");
   }
 
   @Test
   void anAssignmentThatChangesWithoutItsMoveIsFound() throws Exception {
-    RuleTestWorld world = ofShares();
-    world.write(ShareStateMessages.KEY, shares(2, move(1, MovePhase.DRAINING)));
+    RuleTestWorld world = launchWithShares();
+    world.write(ShareStateMessages.KEY, sharesState(2, move(1, MovePhase.DRAINING)));
     world.writeAssignment(1, 1);
-    world.assertBroken("moved_unwritten: n-000001 from 0 to 1");
+    world.assertViolation("moved_unwritten: n-000001 from 0 to 1");
   }
 
   @Test
   void sharesThatNobodyCanReadAreFound() throws Exception {
-    RuleTestWorld world = ofShares();
+    RuleTestWorld world = launchWithShares();
     world.write(ShareStateMessages.KEY, Json.object().put("v", 1).put("moves", "none"));
-    world.assertBroken("shares_unreadable: ");
+    world.assertViolation("shares_unreadable: ");
   }
 }
--- a/src/test/java/shorecrank/sim/TaskRulesTest.java
+++ b/src/test/java/shorecrank/sim/TaskRulesTest.java
@@ -15,8 +15,8 @@
   private RuleTestWorld world;
 
   @BeforeEach
-  void open() throws Exception {
-    world = new RuleTestWorld("").opened();
+  void launch() throws Exception {
+    world = new RuleTestWorld("").launch();
   }
 
   @Test
@@ -24,7 +24,7 @@
     world.accept("wk-1", JobPlan.builder().cpus(8));
     world.checker.stopped(world.machine(1), world.start(1, "wk-1/0"));
     world.start(3, "wk-1/0");
-    world.assertSound();
+    world.assertNoViolations();
   }
 
   @Test
@@ -32,7 +32,7 @@
     world.accept("wk-1", JobPlan.builder());
     world.start(1, "wk-1/0");
     world.start(2, "wk-1/0");
-    world.assertBroken("ran_twice: wk-1/0 starts on n-000002 while on [n-000001]");
+    world.assertViolation("ran_twice: wk-1/0 starts on n-000002 while on [n-000001]");
   }
 
   @Test
@@ -40,7 +40,7 @@
     world.accept("wk-1", JobPlan.builder());
     world.start(1, "wk-1/0");
     world.start(1, "wk-1/0");
-    world.assertBroken("ran_twice: wk-1/0 starts on n-000001 while on [n-000001]");
+    world.assertViolation("ran_twice: wk-1/0 starts on n-000001 while on [n-000001]");
   }
 
   @Test
@@ -48,9 +48,9 @@
     world.accept("wk-1", JobPlan.builder().tasks(3).cpus(4));
     world.start(1, "wk-1/0");
     world.start(2, "wk-1/1");
-    world.assertSound();
+    world.assertNoViolations();
     world.start(3, "wk-1/2");
-    world.assertBroken("quota: team t uses 12.0");
+    world.assertViolation("quota: team t uses 12.0");
   }
 
   @Test
@@ -59,10 +59,10 @@
     world.accept("wk-2", JobPlan.builder().cpus(1));
     world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
     world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 2).write());
-    world.assertSound();
+    world.assertNoViolations();
     world.write(JobRecord.LIVE_PREFIX + "wk-2", world.record("wk-2", 2).write());
     world.write(JobRecord.LIVE_PREFIX + "wk-2", world.record("wk-2", 2).write());
-    world.assertBroken("recorded_use: records of team t name 9.0 CPUs");
+    world.assertViolation("recorded_use: records of team t name 9.0 CPUs");
   }
 
   @Test
@@ -76,28 +76,28 @@
     world.commandStop(1, "wk-1/0", 1);
     world.write(JobRecord.LIVE_PREFIX + "wk-2", world.record("wk-2", 2).markedCancelled().write());
     world.write(JobRecord.LIVE_PREFIX + "wk-3", world.record("wk-3", 3).write());
-    world.assertSound();
+    world.assertNoViolations();
   }
 
   @Test
   void aTaskInAnotherZoneIsInTheWrongPlace() {
     world.accept("wk-1", JobPlan.builder().zone("b"));
     world.start(1, "wk-1/0");
-    world.assertBroken("wrong_place: wk-1/0 on n-000001");
+    world.assertViolation("wrong_place: wk-1/0 on n-000001");
   }
 
   @Test
   void aTaskOnASpotMachineThatItMayNotUseIsInTheWrongPlace() {
     world.accept("wk-1", JobPlan.builder().spot(false));
     world.start(2, "wk-1/0");
-    world.assertBroken("wrong_place: wk-1/0 on n-000002");
+    world.assertViolation("wrong_place: wk-1/0 on n-000002");
   }
 
   @Test
   void aTaskOnAnotherTypeOfMachineIsInTheWrongPlace() {
     world.accept("wk-1", JobPlan.builder().machineType("g8"));
     world.start(1, "wk-1/0");
-    world.assertBroken("wrong_place: wk-1/0 on n-000001");
+    world.assertViolation("wrong_place: wk-1/0 on n-000001");
   }
 
   @Test
@@ -105,12 +105,12 @@
     world.accept("wk-1", JobPlan.builder().tasks(3).together(true));
     world.start(1, "wk-1/0");
     world.start(2, "wk-1/1");
-    world.assertSound();
+    world.assertNoViolations();
     world.start(3, "wk-1/2");
-    assertBrokenFor("wrong_place: wk-1/2 apart from wk-1/");
+    assertTwoViolations("wrong_place: wk-1/2 apart from wk-1/");
   }
 
-  private void assertBrokenFor(String text) {
+  private void assertTwoViolations(String text) {
     assertEquals(
         2, world.checker.violations().stream().filter(found -> found.contains(text)).count());
   }
@@ -120,9 +120,9 @@
     world.accept("wk-1", JobPlan.builder().tasks(3).spread(true));
     world.start(1, "wk-1/0");
     world.start(2, "wk-1/1");
-    world.assertSound();
+    world.assertNoViolations();
     world.start(1, "wk-1/2");
-    world.assertBroken("wrong_place: 3 of 3 tasks of wk-1 in a");
+    world.assertViolation("wrong_place: 3 of 3 tasks of wk-1 in a");
   }
 
   @Test
@@ -131,10 +131,10 @@
     world.cancel("wk-1");
     world.sim.runUntil(CANCEL_MS);
     world.checker.stopped(world.machine(1), world.start(1, "wk-1/0"));
-    world.assertSound();
+    world.assertNoViolations();
     world.sim.runUntil(CANCEL_MS + 1);
     world.start(2, "wk-1/1");
-    world.assertBroken("ran_cancelled: wk-1/1 starts on n-000002");
+    world.assertViolation("ran_cancelled: wk-1/1 starts on n-000002");
   }
 
   @Test
@@ -143,9 +143,9 @@
     world.start(1, "wk-1/0");
     world.cancel("wk-1");
     world.sim.runUntil(CANCEL_MS + 250);
-    world.assertSound();
+    world.assertNoViolations();
     world.sim.runUntil(CANCEL_MS + 750);
-    world.assertBroken("ran_cancelled: wk-1/0 is on n-000001");
+    world.assertViolation("ran_cancelled: wk-1/0 is on n-000001");
   }
 
   @Test
@@ -153,10 +153,10 @@
     world.accept("wk-1", JobPlan.builder());
     world.accept("wk-2", JobPlan.builder().tasks(2).dependencies(List.of("wk-1")));
     world.start(1, "wk-2/0");
-    world.assertBroken("too_early: wk-2/0 starts, wk-1 is not recorded as done");
+    world.assertViolation("too_early: wk-2/0 starts, wk-1 is not recorded as done");
     world.write(JobRecord.FINAL_PREFIX + "wk-1", Json.object().put("p", "done"));
     world.start(2, "wk-2/1");
-    world.assertBroken("too_early: wk-2/0");
+    world.assertViolation("too_early: wk-2/0");
   }
 
   @Test
@@ -165,9 +165,9 @@
     world.writeEpoch(0, 1);
     world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
     world.commandStart(1, "wk-1/0", 1);
-    world.assertSound();
+    world.assertNoViolations();
     world.commandStart(1, "wk-1/1", 1);
-    world.assertBroken("started before recorded: wk-1/1 on n-000001");
+    world.assertViolation("started before recorded: wk-1/1 on n-000001");
   }
 
   @Test
@@ -178,23 +178,23 @@
     world.commandStart(1, "wk-1/0", 1);
     world.commandStop(1, "wk-1/0", 1);
     world.commandReap(1, "wk-1/0", 1);
-    world.assertBroken("reaped before recorded: wk-1/0 on n-000001");
+    world.assertViolation("reaped before recorded: wk-1/0 on n-000001");
   }
 
   @Test
   void aStartUnderAnEpochThatNobodyAllocatedIsFound() {
     world.accept("wk-1", JobPlan.builder());
     world.commandStart(1, "wk-1/0", 7);
-    world.assertBroken("start_unallocated: wk-1/0 on n-000001");
+    world.assertViolation("start_unallocated: wk-1/0 on n-000001");
   }
 
   @Test
   void aJobThatWaitsBesideAFreeMachineIsFoundAfter90Seconds() {
     world.accept("wk-1", JobPlan.builder());
     world.sim.runUntil(91_500);
-    world.assertSound();
+    world.assertNoViolations();
     world.sim.runUntil(92_500);
-    world.assertBroken("waits: wk-1 for 90 s");
+    world.assertViolation("waits: wk-1 for 90 s");
   }
 
   @Test
@@ -203,11 +203,11 @@
     world.start(1, "wk-1/0");
     world.accept("wk-2", JobPlan.builder());
     world.sim.runUntil(200_000);
-    world.assertSound();
+    world.assertNoViolations();
     world.accept("wk-3", JobPlan.builder().team("u"));
     world.faults.lastFor(200_000);
     world.sim.runUntil(400_000);
-    world.assertSound();
+    world.assertNoViolations();
   }
 
   @Test
@@ -215,7 +215,7 @@
     world.faults.lastFor(300_000);
     for (int i = 1; i <= 8; i++) {
       world.accept("wk-" + i, JobPlan.builder().jobClass("c" + i % 2).tasks(i));
-      record("wk-" + i);
+      writeFinalRecord("wk-" + i);
     }
     world.start(1, "wk-1/0");
     world.start(2, "wk-7/0");
@@ -224,31 +224,31 @@
     }
     world.sim.runUntil(61_000);
     world.checker.end();
-    world.assertSound();
+    world.assertNoViolations();
     world.accept("wk-9", JobPlan.builder().jobClass("c1"));
-    record("wk-9");
+    writeFinalRecord("wk-9");
     world.sim.runUntil(125_000);
     world.checker.end();
-    world.assertBroken("unserved: 2 of 5 of class c1");
+    world.assertViolation("unserved: 2 of 5 of class c1");
   }
 
   @Test
   void aLargestJobThatBeginsAfterFourMinutesIsLate() {
     world.accept("wk-1", JobPlan.builder().spread(true));
-    record("wk-1");
+    writeFinalRecord("wk-1");
     world.sim.runUntil(240_000);
     world.start(1, "wk-1/0");
     world.checker.end();
-    world.assertSound();
+    world.assertNoViolations();
     world.accept("wk-2", JobPlan.builder().jobClass("d").spread(true));
-    record("wk-2");
+    writeFinalRecord("wk-2");
     world.sim.runUntil(480_001);
     world.start(2, "wk-2/0");
     world.checker.end();
-    world.assertBroken("late: wk-2");
+    world.assertViolation("late: wk-2");
   }
 
-  private void record(String job) {
+  private void writeFinalRecord(String job) {
     world.write(JobRecord.FINAL_PREFIX + job, Json.object().put("p", "done"));
   }
 
@@ -256,9 +256,9 @@
   void aClaimThatIsUsedForAnotherRequestIsFound() {
     rent("r-1", 1);
     rent("r-1", 1);
-    world.assertSound();
+    world.assertNoViolations();
     rent("r-1", 2);
-    world.assertBroken("claim_reused: r-1");
+    world.assertViolation("claim_reused: r-1");
   }
 
   private void rent(String claim, int count) {
--- a/src/test/java/shorecrank/sim/TaskTracker.java
+++ b/src/test/java/shorecrank/sim/TaskTracker.java
@@ -10,10 +10,10 @@
 /** Which task is on which machines now, and what was started so far. */
 final class TaskTracker {
   private final Simulation sim;
-  private final Map<String, Set<SimulatedWorker>> machines = new HashMap<>();
-  private final Map<String, Double> cpusOfTeam = new HashMap<>();
-  private final Map<String, Long> firstStartMs = new HashMap<>();
-  private final Map<String, Integer> startsOfJob = new HashMap<>();
+  private final Map<String, Set<SimulatedWorker>> machinesByTask = new HashMap<>();
+  private final Map<String, Double> cpusByTeam = new HashMap<>();
+  private final Map<String, Long> firstStartAtMsByJob = new HashMap<>();
+  private final Map<String, Integer> startsByJob = new HashMap<>();
   private int starts;
   private int startsAfterCancel;
 
@@ -25,25 +25,26 @@
   Set<String> start(SimulatedWorker worker, SimulatedTask task, JobPlan plan, boolean cancelled) {
     starts++;
     startsAfterCancel += cancelled ? 1 : 0;
-    firstStartMs.putIfAbsent(task.job(), sim.now());
-    startsOfJob.merge(task.job(), 1, Integer::sum);
-    cpusOfTeam.merge(plan.team(), plan.cpus(), Double::sum);
-    Set<SimulatedWorker> on = machines.computeIfAbsent(task.id(), k -> new HashSet<>());
-    Set<String> before = names(on);
-    on.add(worker);
-    return before;
+    firstStartAtMsByJob.putIfAbsent(task.job(), sim.now());
+    startsByJob.merge(task.job(), 1, Integer::sum);
+    cpusByTeam.merge(plan.team(), plan.cpus(), Double::sum);
+    Set<SimulatedWorker> taskMachines =
+        machinesByTask.computeIfAbsent(task.id(), k -> new HashSet<>());
+    Set<String> machinesBefore = names(taskMachines);
+    taskMachines.add(worker);
+    return machinesBefore;
   }
 
   /** A task is on a machine no more. */
   void stop(SimulatedWorker worker, SimulatedTask task, JobPlan plan) {
-    Set<SimulatedWorker> on = machines.get(task.id());
-    if (on != null) {
-      on.remove(worker);
-      if (on.isEmpty()) {
-        machines.remove(task.id());
+    Set<SimulatedWorker> taskMachines = machinesByTask.get(task.id());
+    if (taskMachines != null) {
+      taskMachines.remove(worker);
+      if (taskMachines.isEmpty()) {
+        machinesByTask.remove(task.id());
       }
     }
-    cpusOfTeam.merge(plan.team(), -plan.cpus(), Double::sum);
+    cpusByTeam.merge(plan.team(), -plan.cpus(), Double::sum);
   }
 
   private static Set<String> names(Set<SimulatedWorker> workers) {
@@ -52,22 +53,22 @@
 
   /** Whether a task is on any machine. */
   boolean isOnMachine(String task) {
-    return machines.containsKey(task);
+    return machinesByTask.containsKey(task);
   }
 
   /** All tasks of a job that are on machines, with these. */
   void forEachTaskOf(String job, BiConsumer<String, Set<SimulatedWorker>> consumer) {
-    machines.forEach(
-        (task, on) -> {
+    machinesByTask.forEach(
+        (task, taskMachines) -> {
           if (task.startsWith(job + "/")) {
-            consumer.accept(task, on);
+            consumer.accept(task, taskMachines);
           }
         });
   }
 
   /** Processors that a team's tasks use. */
   double cpusOf(String team) {
-    return cpusOfTeam.getOrDefault(team, 0.0);
+    return cpusByTeam.getOrDefault(team, 0.0);
   }
 
   /** How often any task came on a machine. */
@@ -77,7 +78,7 @@
 
   /** How often a task of the job came on a machine. */
   int startsOf(String job) {
-    return startsOfJob.getOrDefault(job, 0);
+    return startsByJob.getOrDefault(job, 0);
   }
 
   /** Starts of jobs after a user was told that they are cancelled. */
@@ -86,18 +87,18 @@
   }
 
   /** Whether any task of the job has started. */
-  boolean hasBegun(String job) {
-    return firstStartMs.containsKey(job);
+  boolean hasStarted(String job) {
+    return firstStartAtMsByJob.containsKey(job);
   }
 
   /** When the job's first task started; now if none has. */
-  long begunAtMs(String job) {
-    return firstStartMs.getOrDefault(job, sim.now());
+  long firstStartAtMs(String job) {
+    return firstStartAtMsByJob.getOrDefault(job, sim.now());
   }
 
   /** Whether the first job's first task started before the second's. */
-  boolean isBegunBefore(String first, String second) {
-    return firstStartMs.getOrDefault(first, Long.MAX_VALUE)
-        < firstStartMs.getOrDefault(second, Long.MAX_VALUE);
+  boolean isStartedBefore(String first, String second) {
+    return firstStartAtMsByJob.getOrDefault(first, Long.MAX_VALUE)
+        < firstStartAtMsByJob.getOrDefault(second, Long.MAX_VALUE);
   }
 }
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -8,15 +8,15 @@
       Map.ofEntries(
           Map.entry("submit", UserActions::submit),
           Map.entry("submit-every", UserActions::submitEvery),
-          Map.entry("resubmit", line -> ofJob(line, SimulatedUsers::resubmit)),
-          Map.entry("query", line -> ofJob(line, SimulatedUsers::query)),
-          Map.entry("cancel", line -> ofJob(line, SimulatedUsers::cancel)),
+          Map.entry("resubmit", line -> jobRequest(line, SimulatedUsers::resubmit)),
+          Map.entry("query", line -> jobRequest(line, SimulatedUsers::query)),
+          Map.entry("cancel", line -> jobRequest(line, SimulatedUsers::cancel)),
           Map.entry("lose-requests", UserActions::loseRequests),
           Map.entry("cancel-now", UserActions::cancelNow),
           Map.entry("cancel-each", UserActions::cancelEach),
           Map.entry("cancel-at-end", UserActions::cancelAtEnd),
-          Map.entry("query-everywhere", line -> forAWhile(line, UserHabits::lookCloselyFor)),
-          Map.entry("malformed-requests", line -> forAWhile(line, UserHabits::sendOddRequestsFor)));
+          Map.entry("query-everywhere", line -> timed(line, UserHabits::lookCloselyFor)),
+          Map.entry("malformed-requests", line -> timed(line, UserHabits::sendOddRequestsFor)));
 
   private static final String[] PLAN_OPTIONS = {
     "team",
@@ -77,13 +77,13 @@
   }
 
   /** {@code NAME JOB}. */
-  private static Action ofJob(ScenarioLine line, JobRequest request) {
+  private static Action jobRequest(ScenarioLine line, JobRequest request) {
     String job = line.word(1);
     return world -> request.send(world.users, job);
   }
 
   /** {@code NAME SECONDS}. */
-  private static Action forAWhile(ScenarioLine line, Habit habit) {
+  private static Action timed(ScenarioLine line, Habit habit) {
     long durationMs = line.milliseconds(1);
     return world -> habit.begin(world.users.habits(), durationMs);
   }
@@ -121,22 +121,22 @@
 
   private static JobPlan.Builder plan(ScenarioOptions options) {
     options.allow(PLAN_OPTIONS);
-    JobPlan plain = JobPlan.builder().build();
+    JobPlan defaults = JobPlan.builder().build();
     return JobPlan.builder()
-        .team(options.text("team", plain.team()))
-        .jobClass(options.text("class", plain.jobClass()))
-        .image(options.text("image", plain.image()))
+        .team(options.text("team", defaults.team()))
+        .jobClass(options.text("class", defaults.jobClass()))
+        .image(options.text("image", defaults.image()))
         .zone(options.text("zone", null))
         .machineType(options.text("machine-type", null))
-        .priority(options.text("priority", plain.priority()))
-        .tasks(options.integer("tasks", plain.tasks()))
-        .cpus(options.decimal("cpus", plain.cpus()))
-        .memoryGb(options.decimal("memory", plain.memoryGb()))
-        .runS(options.decimal("run", plain.runS()))
-        .fetchS(options.decimal("fetch", plain.fetchS()))
-        .checkpointS(options.decimal("checkpoint", plain.checkpointS()))
+        .priority(options.text("priority", defaults.priority()))
+        .tasks(options.integer("tasks", defaults.tasks()))
+        .cpus(options.decimal("cpus", defaults.cpus()))
+        .memoryGb(options.decimal("memory", defaults.memoryGb()))
+        .runS(options.decimal("run", defaults.runS()))
+        .fetchS(options.decimal("fetch", defaults.fetchS()))
+        .checkpointS(options.decimal("checkpoint", defaults.checkpointS()))
         .checkpoints(options.has("checkpoint"))
-        .dueS(options.decimal("due", plain.dueS()))
+        .dueS(options.decimal("due", defaults.dueS()))
         .spot(!options.has("no-spot"))
         .together(options.has("together"))
         .spread(options.has("spread"))
--- a/src/test/java/shorecrank/sim/UserRulesTest.java
+++ b/src/test/java/shorecrank/sim/UserRulesTest.java
@@ -13,47 +13,47 @@
   private RuleTestWorld world;
 
   @BeforeEach
-  void open() throws Exception {
-    world = new RuleTestWorld("").opened();
+  void launch() throws Exception {
+    world = new RuleTestWorld("").launch();
     world.accept("wk-1", JobPlan.builder());
   }
 
   @Test
   void aJobThatIsAcceptedAndDoneBreaksNothing() {
     world.jobs.addResult("wk-1/0");
-    world.tell(Kind.SUBMIT, "wk-1", 200, "queued");
-    world.tell(Kind.QUERY, "wk-1", 200, "done");
-    world.tell(Kind.CANCEL, "wk-1", 409, "done");
-    world.tell(Kind.QUERY, "wk-1", 200, "done");
-    world.assertSound();
+    world.answer(Kind.SUBMIT, "wk-1", 200, "queued");
+    world.answer(Kind.QUERY, "wk-1", 200, "done");
+    world.answer(Kind.CANCEL, "wk-1", 409, "done");
+    world.answer(Kind.QUERY, "wk-1", 200, "done");
+    world.assertNoViolations();
   }
 
   @Test
   void anAcceptedJobThatIsNotFoundIsForgotten() {
-    world.tell(Kind.QUERY, "wk-1", 404, "");
-    world.assertBroken("forgotten: query wk-1 gets 404");
+    world.answer(Kind.QUERY, "wk-1", 404, "");
+    world.assertViolation("forgotten: query wk-1 gets 404");
   }
 
   @Test
   void aJobIsNotForgottenByAnAnswerToAnEarlierQuestion() {
     KnownJobState before = new KnownJobState(false, "", 0, 0);
-    world.tell(Kind.QUERY, "wk-1", 404, Json.object(), before);
-    world.assertSound();
+    world.answer(Kind.QUERY, "wk-1", 404, Json.object(), before);
+    world.assertNoViolations();
   }
 
   @Test
   void anAcceptedJobThatIsRefusedWhenSubmittedAgainIsForgotten() {
-    world.tell(Kind.SUBMIT, "wk-1", 422, "");
-    world.assertBroken("forgotten: submitting wk-1 again gets 422");
+    world.answer(Kind.SUBMIT, "wk-1", 422, "");
+    world.assertViolation("forgotten: submitting wk-1 again gets 422");
   }
 
   @Test
   void aJobWhoseQuestionsStayUnansweredIsForgotten() {
     world.checker.requestFinished("wk-1", 0, false);
     world.checker.requestFinished("wk-1", 75_000, false);
-    world.assertSound();
+    world.assertNoViolations();
     world.checker.requestFinished("wk-1", 75_001, false);
-    world.assertBroken("forgotten: no question about wk-1");
+    world.assertViolation("forgotten: no question about wk-1");
   }
 
   @Test
@@ -61,68 +61,68 @@
     world.checker.requestFinished("wk-1", 0, false);
     world.checker.requestFinished("wk-1", 10_000, true);
     world.checker.requestFinished("wk-1", 80_000, false);
-    world.assertSound();
+    world.assertNoViolations();
   }
 
   @Test
   void anAcceptedJobWithoutARecordAtTheEndIsForgotten() {
     world.checker.end();
-    world.assertBroken("forgotten: wk-1 is not in the store");
+    world.assertViolation("forgotten: wk-1 is not in the store");
   }
 
   @Test
   void aJobThatNobodySubmittedIsInvented() {
-    world.tell(Kind.QUERY, "wk-2", 200, "queued");
-    world.assertBroken("invented: wk-2");
+    world.answer(Kind.QUERY, "wk-2", 200, "queued");
+    world.assertViolation("invented: wk-2");
   }
 
   @Test
   void aJobThatIsCalledDoneBeforeItsTasksAreIsNotDone() {
     world.accept("wk-2", JobPlan.builder().tasks(2));
     world.jobs.addResult("wk-2/0");
-    world.tell(Kind.QUERY, "wk-2", 200, "done");
-    world.assertBroken("not_done: wk-2");
+    world.answer(Kind.QUERY, "wk-2", 200, "done");
+    world.assertViolation("not_done: wk-2");
   }
 
   @Test
   void aJobThatRunsAfterItWasDoneWentBack() {
     world.jobs.addResult("wk-1/0");
-    world.tell(Kind.QUERY, "wk-1", 200, "done");
-    world.tell(Kind.QUERY, "wk-1", 200, "running");
-    world.assertBroken("went_back: query wk-1 is running after done");
+    world.answer(Kind.QUERY, "wk-1", 200, "done");
+    world.answer(Kind.QUERY, "wk-1", 200, "running");
+    world.assertViolation("went_back: query wk-1 is running after done");
   }
 
   @Test
   void aJobWithTwoEndsWentBackWhicheverWasAskedFirst() {
     KnownJobState before = world.checker.answers().snapshot("wk-1");
     world.jobs.addResult("wk-1/0");
-    world.tell(Kind.QUERY, "wk-1", 200, "done");
+    world.answer(Kind.QUERY, "wk-1", 200, "done");
     world.jobs.requestCancel("wk-1");
-    world.tell(Kind.CANCEL, "wk-1", 200, Json.object().put("phase", "withdrawn"), before);
-    world.assertBroken("went_back: wk-1 was done, is withdrawn");
+    world.answer(Kind.CANCEL, "wk-1", 200, Json.object().put("phase", "withdrawn"), before);
+    world.assertViolation("went_back: wk-1 was done, is withdrawn");
   }
 
   @Test
   void aJobThatIsCancelledUnaskedWentBack() {
-    world.tell(Kind.QUERY, "wk-1", 200, "withdrawn");
-    world.assertBroken("went_back: wk-1 cancelled unasked");
+    world.answer(Kind.QUERY, "wk-1", 200, "withdrawn");
+    world.assertViolation("went_back: wk-1 cancelled unasked");
   }
 
   @Test
   void aJobMayBeCancelledBecauseOneThatItDependsOnIs() {
     world.accept("wk-2", JobPlan.builder().dependencies(List.of("wk-1")));
     world.cancel("wk-1");
-    world.tell(Kind.QUERY, "wk-2", 200, "withdrawn");
-    world.assertSound();
+    world.answer(Kind.QUERY, "wk-2", 200, "withdrawn");
+    world.assertNoViolations();
   }
 
   @Test
   void aJobWithFewerTasksDoneThanBeforeIsOlder() {
     KnownJobState before = world.checker.answers().snapshot("wk-1");
-    world.tell(Kind.QUERY, "wk-1", 200, Json.object().put("done", 3), before);
+    world.answer(Kind.QUERY, "wk-1", 200, Json.object().put("done", 3), before);
     before = world.checker.answers().snapshot("wk-1");
-    world.tell(Kind.QUERY, "wk-1", 200, Json.object().put("done", 2), before);
-    world.assertBroken("older: query wk-1");
+    world.answer(Kind.QUERY, "wk-1", 200, Json.object().put("done", 2), before);
+    world.assertViolation("older: query wk-1");
   }
 
   @Test
@@ -130,10 +130,10 @@
     world.accept("wk-2", JobPlan.builder().dependencies(List.of("wk-1")));
     world.cancel("wk-1");
     world.sim.runUntil(CANCEL_MS);
-    world.tell(Kind.QUERY, "wk-2", 200, "queued");
-    world.assertSound();
+    world.answer(Kind.QUERY, "wk-2", 200, "queued");
+    world.assertNoViolations();
     world.sim.runUntil(CANCEL_MS + 1);
-    world.tell(Kind.QUERY, "wk-2", 200, "queued");
-    world.assertBroken("orphaned: wk-2");
+    world.answer(Kind.QUERY, "wk-2", 200, "queued");
+    world.assertViolation("orphaned: wk-2");
   }
 }
--- a/src/test/java/shorecrank/sim/Violations.java
+++ b/src/test/java/shorecrank/sim/Violations.java
@@ -6,7 +6,7 @@
 
 /** What broke a rule, with the simulated time; only the first are kept. */
 final class Violations {
-  private static final int KEPT = 20;
+  private static final int MAX_KEPT = 20;
   private static final double MS_PER_S = 1000;
 
   private final Simulation sim;
@@ -18,7 +18,7 @@
 
   /** A rule is broken; the text begins with its name. */
   void add(String text) {
-    if (texts.size() < KEPT) {
+    if (texts.size() < MAX_KEPT) {
       texts.add(String.format("%.2f s: %s", sim.now() / MS_PER_S, text));
     }
   }
--- a/src/test/java/shorecrank/sim/WaitingRule.java
+++ b/src/test/java/shorecrank/sim/WaitingRule.java
@@ -9,8 +9,8 @@
  */
 final class WaitingRule extends Rule {
   private static final long CHECK_EVERY_MS = 1000;
-  private static final long LONGEST_WAIT_MS = 90_000;
-  private static final double ROUNDING = 1e-9;
+  private static final long MAX_WAIT_MS = 90_000;
+  private static final double CPU_TOLERANCE = 1e-9;
 
   /** Since when a job waits although a machine that fits has room. */
   private final Map<String, Long> waitingSinceMs = new HashMap<>();
@@ -31,39 +31,39 @@
 
   private void checkJob(String job) {
     JobPlan plan = world().jobs.plan(job);
-    if (!waits(job, plan) || world().workers().stream().noneMatch(w -> fits(w, plan))) {
+    if (!isWaiting(job, plan) || world().workers().stream().noneMatch(w -> canRun(w, plan))) {
       waitingSinceMs.remove(job);
       return;
     }
     long now = sim().now();
-    if (now - waitingSinceMs.computeIfAbsent(job, k -> now) > LONGEST_WAIT_MS) {
+    if (now - waitingSinceMs.computeIfAbsent(job, k -> now) > MAX_WAIT_MS) {
       report("waits: %s for 90 s while a machine that fits has room".formatted(job));
       waitingSinceMs.remove(job);
     }
   }
 
-  private boolean waits(String job, JobPlan plan) {
-    boolean mayRun =
+  private boolean isWaiting(String job, JobPlan plan) {
+    boolean isEligible =
         !answers().isOver(job)
             && !world().jobs.isCancelExpected(job)
             && plan.dependencies().stream().allMatch(answers()::isDone)
             && !plan.faulty();
-    double cpusThen = tasks().cpusOf(plan.team()) + plan.cpus();
-    if (!mayRun || !world().site.isWithinLimit(plan.team(), cpusThen)) {
+    double cpusIfStarted = tasks().cpusOf(plan.team()) + plan.cpus();
+    if (!isEligible || !world().site.isWithinLimit(plan.team(), cpusIfStarted)) {
       return false;
     }
-    int busy = 0;
+    int placedOrDone = 0;
     for (int i = 0; i < plan.tasks(); i++) {
       String task = job + "/" + i;
-      busy += world().jobs.hasResult(task) || tasks().isOnMachine(task) ? 1 : 0;
+      placedOrDone += world().jobs.hasResult(task) || tasks().isOnMachine(task) ? 1 : 0;
     }
-    return busy < plan.tasks() && !plan.together() && !plan.spread();
+    return placedOrDone < plan.tasks() && !plan.together() && !plan.spread();
   }
 
-  private static boolean fits(SimulatedWorker worker, JobPlan plan) {
+  private static boolean canRun(SimulatedWorker worker, JobPlan plan) {
     return !worker.isHung()
         && !worker.isSick()
         && PlacementConstraintRule.allows(plan, worker)
-        && worker.tasks().freeCpus() >= plan.cpus() - ROUNDING;
+        && worker.tasks().freeCpus() >= plan.cpus() - CPU_TOLERANCE;
   }
 }
