--- a/src/test/java/shorecrank/sim/Action.java
+++ b/src/test/java/shorecrank/sim/Action.java
@@ -1,18 +1,20 @@
 package shorecrank.sim;
 
-/** What a scenario line does to a world at its time. */
+/**
+ * An action of a scenario line, such as a fault or a user request, that is run at a simulated time.
+ */
 @FunctionalInterface
 interface Action {
-  /** Does it, once, in simulated time. */
+  /** Performs the action once, at the current simulated time. */
   void run(World world);
 
-  /** Reads the words of an action, of which the first is its name. */
+  /** Parses the words of an action, the first of which is its name. */
   @FunctionalInterface
   interface Reader {
     /**
-     * The action that the words describe.
+     * Returns the action that the words describe.
      *
-     * @throws ScenarioSyntaxException if they describe none
+     * @throws ScenarioSyntaxException if the words can't be parsed
      */
     Action read(ScenarioLine line);
   }
--- a/src/test/java/shorecrank/sim/Actions.java
+++ b/src/test/java/shorecrank/sim/Actions.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All actions of scenarios by their names. */
+/** The registry of all scenario actions by name. */
 final class Actions {
   private static final Map<String, Action.Reader> BY_NAME = new HashMap<>();
 
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Reads an action whose name is the first word.
+   * Parses an action whose name is the first word of the line.
    *
-   * @throws ScenarioSyntaxException if there is no such action, or its words can't be read
+   * @throws ScenarioSyntaxException if there is no such action or its words can't be parsed
    */
   static Action read(ScenarioLine line) {
     Action.Reader reader = BY_NAME.get(line.word(0));
--- a/src/test/java/shorecrank/sim/AnswerHistory.java
+++ b/src/test/java/shorecrank/sim/AnswerHistory.java
@@ -10,18 +10,27 @@
 import java.util.Set;
 import java.util.function.ObjLongConsumer;
 
-/** What users have submitted, and what they have been told since. */
+/**
+ * The jobs that users have submitted, and what the answers to users have said about them so far.
+ * The rules of the {@link Checker} compare later answers and the state of the workers with it.
+ */
 final class AnswerHistory {
-  /** Phase of a job whose tasks have all completed. */
+  /** The phase of a job whose tasks have all completed. */
   static final String DONE = "done";
 
-  /** Phase of a cancelled job. */
+  /** The phase of a cancelled job. */
   static final String CANCELLED = "withdrawn";
 
   private static final String ACCEPTED = "accepted";
   private static final String UNKNOWN = "unknown";
 
-  /** When a job was first submitted, and how long after that its user was told it is accepted. */
+  /**
+   * The acceptance of a job.
+   *
+   * @param submittedAtMs the simulated time of the job's first submission, in milliseconds
+   * @param delayMs the milliseconds from the first submission until the user was told that the job
+   *     is accepted
+   */
   record Acceptance(long submittedAtMs, long delayMs) {}
 
   private final Simulation sim;
@@ -36,22 +45,28 @@
     this.sim = sim;
   }
 
-  /** Whether a phase is one that a job ends with. */
+  /** Reports whether the phase is a final one: done or cancelled. */
   static boolean isFinalPhase(String phase) {
     return phase.equals(DONE) || phase.equals(CANCELLED);
   }
 
-  /** A job is submitted, maybe again. */
+  /** Records the submission of a job. Only the time of the first submission is kept. */
   void submitted(String job) {
     submittedAtMs.putIfAbsent(job, sim.now());
   }
 
-  /** When a job was first submitted. */
+  /**
+   * Returns the simulated time in milliseconds at which the job was first submitted, or the current
+   * time if it has not been submitted.
+   */
   long submittedAtMs(String job) {
     return submittedAtMs.getOrDefault(job, sim.now());
   }
 
-  /** To be taken when a request is sent: an answer to it may not be older. */
+  /**
+   * Returns what users have been told about the job so far. It is taken when a request is sent,
+   * because the answer to that request must not be older.
+   */
   KnownJobState snapshot(String job) {
     return new KnownJobState(
         isAccepted(job),
@@ -60,7 +75,11 @@
         sim.now());
   }
 
-  /** An answer has been checked; {@code known} tells whether anybody submitted the job. */
+  /**
+   * Records an answer that the rules have checked.
+   *
+   * @param known whether any user has submitted the job
+   */
   void add(UserAnswer answer, boolean known) {
     String job = answer.job();
     if (answer.isOk() && answer.body().has("done")) {
@@ -81,53 +100,62 @@
     }
   }
 
-  /** Whether a user was told that the job is accepted. */
+  /** Reports whether a user was told that the job is accepted. */
   boolean isAccepted(String job) {
     return accepted.contains(job);
   }
 
-  /** All jobs that users were told are accepted. */
+  /** Returns all jobs that users were told are accepted. */
   Set<String> accepted() {
     return Collections.unmodifiableSet(accepted);
   }
 
-  /** How long each accepted job had waited, in the order of acceptance. */
+  /** Returns the acceptances of all jobs, in the order of acceptance. */
   List<Acceptance> acceptances() {
     return Collections.unmodifiableList(acceptances);
   }
 
-  /** The end of a job if it was told, else whether it is accepted or unknown. */
+  /**
+   * Returns the final phase of the job if a user was told it, otherwise {@code accepted} or {@code
+   * unknown}.
+   */
   String phase(String job) {
     return finalPhases.getOrDefault(job, isAccepted(job) ? ACCEPTED : UNKNOWN);
   }
 
-  /** Whether a user was told that the job is done. */
+  /** Reports whether a user was told that the job is done. */
   boolean isDone(String job) {
     return phase(job).equals(DONE);
   }
 
-  /** Whether no user was told that the job is accepted. */
+  /** Reports whether no user was told that the job is accepted. */
   boolean isUnknown(String job) {
     return phase(job).equals(UNKNOWN);
   }
 
-  /** Whether its user was told that it is done or cancelled. */
+  /** Reports whether a user was told that the job is done or cancelled. */
   boolean isOver(String job) {
     return finalPhases.containsKey(job);
   }
 
-  /** How many jobs have been told done or cancelled. */
+  /** Returns the number of jobs that users were told are done or cancelled. */
   int endedJobCount() {
     return finalPhases.size();
   }
 
-  /** When a user was first told that the job is cancelled, if one was. */
+  /**
+   * Returns the simulated time in milliseconds at which a user was first told that the job is
+   * cancelled, or empty if none was.
+   */
   OptionalLong cancelledAtMs(String job) {
     Long at = cancelledAtMs.get(job);
     return at == null ? OptionalLong.empty() : OptionalLong.of(at);
   }
 
-  /** All jobs that users were told are cancelled, with the time. */
+  /**
+   * Calls the consumer with each job that users were told is cancelled, and with the time at which
+   * they were first told, in milliseconds.
+   */
   void forEachCancelled(ObjLongConsumer<String> consumer) {
     cancelledAtMs.forEach(consumer::accept);
   }
--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -6,9 +6,10 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * The design's claims about machines of shards. {@code named_elsewhere}: no record names a machine
- * of another shard, whichever of the two is written later. {@code start_...}: a worker starts tasks
- * only for the owner of the shard that its machine is assigned to, see {@link CommandHistory}.
+ * Checks the assignment of machines to shards. {@code named_elsewhere}: no job record names a
+ * machine that is assigned to another shard than the job's, whichever of record and assignment is
+ * written later. {@code start_...}: a worker starts tasks only for the owner of the shard that its
+ * machine is assigned to, see {@link CommandHistory}.
  */
 final class AssignmentRule extends Rule {
   private static final String SHARD_KEYS = "part/";
--- a/src/test/java/shorecrank/sim/CancellationRule.java
+++ b/src/test/java/shorecrank/sim/CancellationRule.java
@@ -3,8 +3,8 @@
 import java.util.OptionalLong;
 
 /**
- * {@code ran_cancelled} of the protocol: more than {@code cancel_s} after a user was told that a
- * job is cancelled, none of its tasks is on a machine or starts.
+ * Checks the protocol's rule {@code ran_cancelled}: once {@code cancel_s} has passed since a user
+ * was told that a job is cancelled, none of its tasks is on a machine or starts.
  */
 final class CancellationRule extends Rule {
   private static final double MS_PER_S = 1000;
--- a/src/test/java/shorecrank/sim/Checker.java
+++ b/src/test/java/shorecrank/sim/Checker.java
@@ -5,7 +5,9 @@
 import java.util.Set;
 import shorecrank.sim.UserRequest.Kind;
 
-/** Shows what happens in a run to all rules, and keeps what broke them. */
+/**
+ * Passes the events of a simulation run to all rules and collects the violations that they report.
+ */
 final class Checker {
   private final World world;
   private final Violations violations;
@@ -43,42 +45,49 @@
             new FairnessRule(world, this));
   }
 
-  /** What users have been told. */
+  /** Returns what users have been told about their jobs. */
   AnswerHistory answers() {
     return answers;
   }
 
-  /** What runs, and what was started. */
+  /** Returns the tasks that are on machines and the counts of starts. */
   TaskTracker tasks() {
     return tasks;
   }
 
-  /** What broke a rule, in the order of time; only the first are kept. */
+  /** Returns the first violations in the order of time, up to a limit. */
   List<String> violations() {
     return violations.texts();
   }
 
-  /** How often the feature level rose and fell. */
+  /** Returns the rule that counts how often the feature level rose and fell. */
   RolloutRule rollout() {
     return rolloutRule;
   }
 
-  /** What moves of machines have written. */
+  /** Returns the rule that counts the state service operations of moves. */
   ShareRule shares() {
     return shareRule;
   }
 
-  /** A rule is broken; the text begins with its name. */
+  /**
+   * Records a violation.
+   *
+   * @param text a description that begins with the name of the rule
+   */
   void report(String text) {
     violations.add(text);
   }
 
-  /** A user submits a job, maybe again. */
+  /** Records that a user submits a job; repeated submissions are allowed. */
   void submitted(String job) {
     answers.submitted(job);
   }
 
-  /** A user has an answer. */
+  /**
+   * Checks and records an answer that a user has received. Answers to malformed requests are
+   * ignored.
+   */
   void answered(UserAnswer answer) {
     if (answer.kind() != Kind.MALFORMED) {
       rules.forEach(rule -> rule.answered(answer));
@@ -86,12 +95,17 @@
     }
   }
 
-  /** A user's request is over, maybe without an answer. */
+  /**
+   * Notifies the rules that a user's request is over.
+   *
+   * @param sentAtMs the simulated time at which the request was sent, in milliseconds
+   * @param isAnswered whether the answer was 200, 201 or 404
+   */
   void requestFinished(String job, long sentAtMs, boolean isAnswered) {
     rules.forEach(rule -> rule.requestFinished(job, sentAtMs, isAnswered));
   }
 
-  /** A task is on a machine from now on. */
+  /** Records that a task is on a machine from now on, and checks its start. */
   void started(SimulatedWorker worker, SimulatedTask task) {
     JobPlan plan = world.jobs.plan(task.job());
     boolean cancelled = answers.cancelledAtMs(task.job()).isPresent();
@@ -100,32 +114,32 @@
     rules.forEach(rule -> rule.started(start));
   }
 
-  /** A task is on a machine no more. */
+  /** Records that a task is no longer on a machine. */
   void stopped(SimulatedWorker worker, SimulatedTask task) {
     tasks.stop(worker, task, world.jobs.plan(task.job()));
   }
 
-  /** A worker is about to carry a start out. */
+  /** Notifies the rules that a worker is about to execute a start command. */
   void startCommanded(SimulatedWorker worker, String task, long attempt) {
     rules.forEach(rule -> rule.startCommanded(worker, task, attempt));
   }
 
-  /** A worker is about to forget an exited task. */
+  /** Notifies the rules that a worker is about to reap an exited task. */
   void reapCommanded(SimulatedWorker worker, String task, long attempt) {
     rules.forEach(rule -> rule.reapCommanded(worker, task, attempt));
   }
 
-  /** A controller in this process has made a round. */
+  /** Notifies the rules that a controller in this process has completed a round. */
   void roundCompleted(ControllerNode node) {
     rules.forEach(rule -> rule.roundCompleted(node));
   }
 
-  /** The state service is about to apply a transaction. */
+  /** Notifies the rules that the state service is about to apply a transaction. */
   void beforeTransaction(JsonNode operations) {
     rules.forEach(rule -> rule.beforeTransaction(operations));
   }
 
-  /** The run is over. */
+  /** Notifies the rules that the run has ended. */
   void end() {
     rules.forEach(Rule::ended);
   }
--- a/src/test/java/shorecrank/sim/CommandHistory.java
+++ b/src/test/java/shorecrank/sim/CommandHistory.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 
 /**
- * What was written machineShard shards and machines, and which starts workers carried out, in the
- * order in which it happened. A start may only come from the owner machineShard the shard that the
- * machine was assigned to at that moment, and never under an epoch below one that the machine has
- * highestEpochOfMachine.
+ * The epochs and machine assignments that were written, and the start commands that workers
+ * executed, in the order in which they happened. A start command may only come from the owner of
+ * the shard that the machine is assigned to at that moment, and never under a lower epoch than one
+ * whose start command the machine has executed before.
  */
 final class CommandHistory {
   private static final int NUMBER_BITS = 24;
@@ -18,26 +18,29 @@
   private final Map<String, Integer> shardOfMachine = new HashMap<>();
   private final Map<String, Long> highestEpochOfMachine = new HashMap<>();
 
-  /** An epoch was allocated for a shard. */
+  /** Records that an epoch was allocated for a shard. */
   void recordAllocation(long epoch, int shard) {
     shardOfEpoch.put(epoch, shard);
   }
 
-  /** A machine's assignment stands in the state service. */
+  /** Records that the state service holds an assignment of the machine to the shard. */
   void recordAssignment(String machine, int shard) {
     shardOfMachine.put(machine, shard);
   }
 
-  /** Whether a machine is assigned to a shard, as far as that was ever written down. */
+  /**
+   * Reports whether a machine may belong to a shard: it is assigned to that shard, or no assignment
+   * of the machine was ever written.
+   */
   boolean canBelong(String machine, int shard) {
     return shardOfMachine.getOrDefault(machine, shard) == shard;
   }
 
   /**
-   * A worker carries a start out.
+   * Records that a worker executes a start command.
    *
-   * @param token what the command came under
-   * @return what is violations with it; empty if nothing is
+   * @param token the fencing token of the command
+   * @return the violations of this start; empty if there are none
    */
   List<String> recordStart(String machine, long token, String task) {
     List<String> violations = new ArrayList<>();
--- a/src/test/java/shorecrank/sim/CommandHistoryTest.java
+++ b/src/test/java/shorecrank/sim/CommandHistoryTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Faults are planted in a history, and each is found. */
+/** Verifies that {@link CommandHistory} reports each start command that violates a rule. */
 class CommandHistoryTest {
   private final CommandHistory history = new CommandHistory();
 
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aCleanHandoverHasNoFault() {
+  void handoverCausesNoViolation() {
     assertEquals(List.of(), history.recordStart("n-1", token(3, 0), "wk-1/0"));
     assertEquals(List.of(), history.recordStart("n-1", token(3, 7), "wk-1/1"));
     history.recordAssignment("n-1", 1);
@@ -36,25 +36,25 @@
   }
 
   @Test
-  void aStartByTheNextOwnerBeforeTheHandover() {
+  void reportsStartByNextOwnerBeforeHandover() {
     assertViolation("start_of_other_shard", history.recordStart("n-1", token(4, 0), "wk-2/0"));
   }
 
   @Test
-  void aStartByTheFormerOwnerAfterTheHandover() {
+  void reportsStartByFormerOwnerAfterHandover() {
     history.recordAssignment("n-1", 1);
     assertViolation("start_of_other_shard", history.recordStart("n-1", token(3, 0), "wk-1/0"));
   }
 
   @Test
-  void aStartUnderAnEpochThatTheMachineHasLeftBehind() {
+  void reportsStartUnderLowerEpochThanBefore() {
     history.recordAllocation(5, 0);
     assertEquals(List.of(), history.recordStart("n-1", token(5, 0), "wk-1/0"));
     assertViolation("start_below", history.recordStart("n-1", token(3, 9), "wk-1/1"));
   }
 
   @Test
-  void aStartUnderAnEpochThatNobodyAllocated() {
+  void reportsStartUnderUnallocatedEpoch() {
     assertViolation("start_unallocated", history.recordStart("n-1", token(9, 0), "wk-1/0"));
   }
 }
--- a/src/test/java/shorecrank/sim/CompletionRule.java
+++ b/src/test/java/shorecrank/sim/CompletionRule.java
@@ -1,6 +1,9 @@
 package shorecrank.sim;
 
-/** {@code not_done} of the protocol: before all its tasks are done, no job is called done. */
+/**
+ * Checks the protocol's rule {@code not_done}: no answer says that a job is done before all its
+ * tasks have completed.
+ */
 final class CompletionRule extends Rule {
   CompletionRule(World world, Checker checker) {
     super(world, checker);
--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** Bounds of what was counted, and what controllers logged. */
+/** Expectations about counters and gauges of the run, and about lines that controllers logged. */
 final class CountExpectations {
   static final Map<String, Expectation.Reader> EXPECTATIONS =
       Map.ofEntries(
@@ -63,13 +63,16 @@
         world -> " [" + value.applyAsDouble(world) + "]");
   }
 
-  /** {@code returned MACHINE}: a controller has returned it to the cloud. */
+  /** Parses {@code returned MACHINE}: a controller has returned the machine to the cloud. */
   private static Expectation returned(ScenarioLine line) {
     String machine = line.word(1);
     return withoutDetail(world -> world.cloud.wasReturned(machine));
   }
 
-  /** {@code log TEXT} or {@code nolog TEXT}: whether any controller has logged it so far. */
+  /**
+   * Parses {@code log TEXT} or {@code nolog TEXT}: some controller has, or none has, logged the
+   * text so far.
+   */
   private static Expectation logged(ScenarioLine line, boolean expected) {
     String text = line.textFrom(1);
     return Expectation.of(
--- a/src/test/java/shorecrank/sim/Declaration.java
+++ b/src/test/java/shorecrank/sim/Declaration.java
@@ -1,18 +1,18 @@
 package shorecrank.sim;
 
-/** What a scenario line says of a world before its controllers start. */
+/** A scenario line that configures a world before its controllers start. */
 @FunctionalInterface
 interface Declaration {
-  /** Describes it, in the order of the lines. */
+  /** Applies the declaration; declarations are applied in the order of their lines. */
   void apply(ScenarioSetup setup);
 
-  /** Reads the words of a line, of which the first is the declaration's name. */
+  /** Parses the words of a line, the first of which is the declaration's name. */
   @FunctionalInterface
   interface Reader {
     /**
-     * The declaration that the words make.
+     * Returns the declaration that the words describe.
      *
-     * @throws ScenarioSyntaxException if they make none
+     * @throws ScenarioSyntaxException if the words can't be parsed
      */
     Declaration read(ScenarioLine line);
   }
--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -5,7 +5,10 @@
 import shorecrank.protocol.Json;
 import shorecrank.sim.Rollouts.Version;
 
-/** All first words of scenario lines: the site, its limits, and when actions run. */
+/**
+ * The registry of all declarations by the first word of a scenario line: they configure the site
+ * and its limits and schedule actions.
+ */
 final class Declarations {
   private static final Map<String, Declaration.Reader> BY_NAME =
       Map.ofEntries(
@@ -37,9 +40,9 @@
   private Declarations() {}
 
   /**
-   * Reads a line by its first word.
+   * Parses a line according to its first word.
    *
-   * @throws ScenarioSyntaxException if there is no such declaration, or its words can't be read
+   * @throws ScenarioSyntaxException if there is no such declaration or its words can't be parsed
    */
   static Declaration read(ScenarioLine line) {
     Declaration.Reader reader = BY_NAME.get(line.word(0));
@@ -49,19 +52,22 @@
     return reader.read(line);
   }
 
-  /** {@code controllers COUNT}. */
+  /** Parses {@code controllers COUNT}: the number of controllers. */
   private static Declaration controllers(ScenarioLine line) {
     int count = line.integer(1);
     return setup -> setup.controllerCount(count);
   }
 
-  /** {@code zones ZONE,ZONE}: those of the controllers, in turn. */
+  /** Parses {@code zones ZONE,ZONE}: the zones, in which the controllers are placed in turn. */
   private static Declaration zones(ScenarioLine line) {
     List<String> zones = line.list(1);
     return setup -> setup.world().site.setZones(zones);
   }
 
-  /** {@code workers heartbeat=S lease=S cancel=S}. */
+  /**
+   * Parses {@code workers heartbeat=S lease=S cancel=S}: the heartbeat interval, the worker lease
+   * and the cancellation deadline, in seconds.
+   */
   private static Declaration workers(ScenarioLine line) {
     String[] names = {"heartbeat", "lease", "cancel"};
     ScenarioOptions options = line.options(1).allow(names).requireNumbers(names);
@@ -74,7 +80,11 @@
     };
   }
 
-  /** {@code state} with the limits of the state service, now and announced. */
+  /**
+   * Parses {@code state} with the limits of the state service: those in force and, with the prefix
+   * {@code next-}, those that come later. The later ones are announced to the controllers unless
+   * {@code unannounced} is given.
+   */
   private static Declaration state(ScenarioLine line) {
     String[] names = {"rps", "writes", "ops", "value", "next-value", "next-ops"};
     ScenarioOptions options = line.options(1);
@@ -98,7 +108,7 @@
     };
   }
 
-  /** {@code type NAME options}: a type of machine. */
+  /** Parses {@code type NAME options}: a machine type. */
   private static Declaration type(ScenarioLine line) {
     String name = line.word(1);
     ScenarioOptions options = line.options(2).allow("cpus", "memory", "boot", "zones");
@@ -111,7 +121,7 @@
     return setup -> setup.world().site.addType(name, type);
   }
 
-  /** {@code team NAME [limit=CPUS] [guarantee=CPUS]}. */
+  /** Parses {@code team NAME [limit=CPUS] [guarantee=CPUS]}: a team with its quota. */
   private static Declaration team(ScenarioLine line) {
     String name = line.word(1);
     ScenarioOptions options = line.options(2).allow("limit", "guarantee");
@@ -119,7 +129,10 @@
     return setup -> setup.world().site.addTeam(name, quota);
   }
 
-  /** {@code objective KIND CLASS [within=S] [times=FACTOR]}: an objective of a class of jobs. */
+  /**
+   * Parses {@code objective KIND CLASS [within=S] [times=FACTOR]}: a service-level objective of a
+   * job class.
+   */
   private static Declaration objective(ScenarioLine line) {
     String kind = line.word(1);
     String jobClass = line.word(2);
@@ -138,25 +151,37 @@
                     .put("times", times));
   }
 
-  /** {@code seeds COUNT}: read by {@link Scenario#seeds}. */
+  /**
+   * Parses {@code seeds COUNT}, which has no effect on the world: {@link Scenario#seeds} reads the
+   * count.
+   */
   private static Declaration seeds(ScenarioLine line) {
     line.longInteger(1);
     return setup -> {};
   }
 
-  /** {@code rollout SETTING: VALUE}, as in the operators' file; several lines are one file. */
+  /**
+   * Parses {@code rollout SETTING: VALUE}: a line of the operators' rollout file. All such lines of
+   * a scenario form one file.
+   */
   private static Declaration rollout(ScenarioLine line) {
     String setting = line.textFrom(1);
     return setup -> setup.rolloutSetting(setting);
   }
 
-  /** {@code shares SETTING: VALUE}, as in the operators' file; several lines are one file. */
+  /**
+   * Parses {@code shares SETTING: VALUE}: a line of the operators' shares file. All such lines of a
+   * scenario form one file.
+   */
   private static Declaration shares(ScenarioLine line) {
     String setting = line.textFrom(1);
     return setup -> setup.world().shares.addSetting(setting);
   }
 
-  /** {@code levels LEVELS,LEVELS}: what each controller supports at first. */
+  /**
+   * Parses {@code levels LEVELS,LEVELS}: the feature levels that each controller supports at its
+   * first start.
+   */
   private static Declaration levels(ScenarioLine line) {
     List<Version> versions =
         line.list(1).stream().map(word -> RolloutActions.readVersion(line, word)).toList();
@@ -167,25 +192,28 @@
     };
   }
 
-  /** {@code must-break RULE}: a test of the checker, which has to report this. */
+  /**
+   * Parses {@code must-break RULE}: the scenario tests the checker, which has to report a violation
+   * with this text.
+   */
   private static Declaration expectViolation(ScenarioLine line) {
     String rule = line.word(1);
     return setup -> setup.expectViolation(rule);
   }
 
-  /** {@code capacity COUNT}: so many machines can be rented at a time. */
+  /** Parses {@code capacity COUNT}: the number of machines that can be rented at a time. */
   private static Declaration capacity(ScenarioLine line) {
     int count = line.integer(1);
     return setup -> setup.world().cloud.setCapacity(count);
   }
 
-  /** {@code boot-failures COUNT}: so many machines never come up. */
+  /** Parses {@code boot-failures COUNT}: the number of rented machines that never boot. */
   private static Declaration bootFailures(ScenarioLine line) {
     int count = line.integer(1);
     return setup -> setup.world().cloud.failBoots(count);
   }
 
-  /** {@code machines TYPE ZONE COUNT [spot]}: they are up when the run begins. */
+  /** Parses {@code machines TYPE ZONE COUNT [spot]}: machines that are up when the run begins. */
   private static Declaration machines(ScenarioLine line) {
     String type = line.word(1);
     String zone = line.word(2);
@@ -200,14 +228,16 @@
             });
   }
 
-  /** {@code at SECONDS ACTION}. */
+  /** Parses {@code at SECONDS ACTION}: the action runs at a simulated time. */
   private static Declaration at(ScenarioLine line) {
     long ms = line.milliseconds(1);
     Action action = Actions.read(line.from(2));
     return setup -> setup.world().sim.at(ms, () -> action.run(setup.world()));
   }
 
-  /** {@code on TEXT : ACTION}: once, when a controller first logs the text. */
+  /**
+   * Parses {@code on TEXT : ACTION}: the action runs once, when a controller first logs the text.
+   */
   private static Declaration on(ScenarioLine line) {
     String text = line.textFrom(1);
     int end = text.indexOf(TRIGGER_SEPARATOR);
@@ -219,7 +249,7 @@
     return setup -> setup.world().log.whenLogged(trigger, () -> action.run(setup.world()));
   }
 
-  /** {@code until SECONDS}: when the run ends. */
+  /** Parses {@code until SECONDS}: the simulated time at which the run ends. */
   private static Declaration until(ScenarioLine line) {
     long ms = line.milliseconds(1);
     return setup -> setup.runUntil(ms);
--- a/src/test/java/shorecrank/sim/DependencyRule.java
+++ b/src/test/java/shorecrank/sim/DependencyRule.java
@@ -5,9 +5,10 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * The design's claims about dependencies. {@code too_early}: no task starts before all jobs that
- * its job depends on are recorded as done. {@code orphaned}: soon after a user was told that a job
- * is cancelled, those that depend on it are too.
+ * Checks dependencies between jobs. {@code too_early}: no task starts before all dependencies of
+ * its job are recorded as done. {@code orphaned}: once {@code cancel_s} has passed since a user was
+ * told that a job is cancelled, all jobs that depend on it, directly or through others, are
+ * cancelled too.
  */
 final class DependencyRule extends Rule {
   private static final double MS_PER_S = 1000;
--- a/src/test/java/shorecrank/sim/DigestFile.java
+++ b/src/test/java/shorecrank/sim/DigestFile.java
@@ -6,8 +6,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The file named by {@code -Ddigests=FILE}: a line for each scenario and seed played, with the
- * number of outputs and their hash. CONTRIBUTING.md says how it is used.
+ * The file that the system property {@code digests} names. It receives one line per scenario and
+ * seed, with the number of outputs of the controllers and their hash; CONTRIBUTING.md explains its
+ * use.
  */
 final class DigestFile {
   private static final String PROPERTY = "digests";
@@ -18,7 +19,11 @@
     this.file = file;
   }
 
-  /** The file that was asked for, emptied; one that takes nothing if none was. */
+  /**
+   * Empties the file that the system property names.
+   *
+   * @return a digest file that writes nothing if the property is not set
+   */
   static DigestFile create() throws IOException {
     String name = System.getProperty(PROPERTY, "");
     if (name.isEmpty()) {
@@ -29,12 +34,12 @@
     return new DigestFile(file);
   }
 
-  /** A new digest for one run, or null if no file was asked for. */
+  /** Returns a new digest for one run, or null if the property is not set. */
   OutputDigest newDigest() {
     return file == null ? null : new OutputDigest();
   }
 
-  /** Writes the line of one run, if a file was asked for. */
+  /** Appends the line of one run, if the property is set. */
   void write(String scenario, long seed, OutputDigest digest) throws IOException {
     if (file != null) {
       String line = scenario + " " + seed + " " + digest.finish() + "\n";
--- a/src/test/java/shorecrank/sim/Expectation.java
+++ b/src/test/java/shorecrank/sim/Expectation.java
@@ -1,39 +1,42 @@
 package shorecrank.sim;
 
-/** What an {@code expect} line asks of a world at its time, beyond the rules of the checker. */
+/**
+ * A condition that an {@code expect} line of a scenario checks at a simulated time, in addition to
+ * the rules of the checker.
+ */
 interface Expectation {
-  /** Whether it is so now. */
+  /** Reports whether the condition holds now. */
   boolean holds(World world);
 
-  /** What there is instead, for the report of a failure; may be empty. */
+  /** Returns the actual state for the message of a failure; may be empty. */
   String describeActual(World world);
 
-  /** Reads the words after {@code expect}, of which the first is the expectation's name. */
+  /** Parses the words after {@code expect}, the first of which is the expectation's name. */
   @FunctionalInterface
   interface Reader {
     /**
-     * The expectation that the words describe.
+     * Returns the expectation that the words describe.
      *
-     * @throws ScenarioSyntaxException if they describe none
+     * @throws ScenarioSyntaxException if the words can't be parsed
      */
     Expectation read(ScenarioLine line);
   }
 
-  /** Tells something of a world. */
+  /** A predicate over the current state of a world. */
   @FunctionalInterface
   interface Condition {
-    /** Whether it is so now. */
+    /** Reports whether the condition holds now. */
     boolean holds(World world);
   }
 
-  /** Tells what there is. */
+  /** A function that describes the current state of a world. */
   @FunctionalInterface
   interface Description {
-    /** What there is now. */
+    /** Returns the description of the current state. */
     String of(World world);
   }
 
-  /** One of two functions. */
+  /** Returns an expectation that is made of the two functions. */
   static Expectation of(Condition condition, Description description) {
     return new Expectation() {
       @Override
--- a/src/test/java/shorecrank/sim/Expectations.java
+++ b/src/test/java/shorecrank/sim/Expectations.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All expectations of scenarios by their names. */
+/** The registry of all expectations by name. */
 final class Expectations {
   private static final Map<String, Expectation.Reader> BY_NAME = new HashMap<>();
 
@@ -26,9 +26,11 @@
   }
 
   /**
-   * Reads an expectation whose name is the first word; what it finds wrong is a failure of the run.
+   * Parses an expectation whose name is the first word of the line.
    *
-   * @throws ScenarioSyntaxException if there is no such expectation, or its words can't be read
+   * @return an action that checks the expectation when it is run, and adds a failure to the world
+   *     if it is not met
+   * @throws ScenarioSyntaxException if there is no such expectation or its words can't be parsed
    */
   static Action read(ScenarioLine line) {
     Expectation.Reader reader = BY_NAME.get(line.word(0));
--- a/src/test/java/shorecrank/sim/FairnessRule.java
+++ b/src/test/java/shorecrank/sim/FairnessRule.java
@@ -7,17 +7,20 @@
 import java.util.Map;
 
 /**
- * The design's claims at the end of a run. {@code unserved}: of each class and team, and of the
- * largest jobs of each class, at least half have begun. {@code late}: those largest begin within
- * four minutes.
+ * Checks at the end of a run that no class of jobs and no team is starved. {@code unserved}: of
+ * each class, of each team, and of the largest jobs of each class, at least half have started.
+ * {@code late}: the largest jobs of each class start within four minutes.
  */
 final class FairnessRule extends Rule {
-  /** What came later than this before the end has not had its time. */
-  private static final long MIN_TIME_MS = 60_000;
+  /**
+   * Jobs that were submitted later than this before the end of the run are not checked, because
+   * they had too little time to start.
+   */
+  private static final long MIN_TIME_BEFORE_END_MS = 60_000;
 
   private static final long MAX_START_DELAY_MS = 240_000;
 
-  /** The largest quarter of a class. */
+  /** The largest jobs of a class are one quarter of its jobs. */
   private static final int LARGEST_FRACTION_DIVISOR = 4;
 
   FairnessRule(World world, Checker checker) {
@@ -30,7 +33,7 @@
     Map<String, List<String>> teams = new HashMap<>();
     for (String job : answers().accepted()) {
       JobPlan plan = world().jobs.plan(job);
-      boolean hadTime = sim().now() - answers().submittedAtMs(job) > MIN_TIME_MS;
+      boolean hadTime = sim().now() - answers().submittedAtMs(job) > MIN_TIME_BEFORE_END_MS;
       if (hadTime && !plan.faulty() && !world().jobs.isCancelExpected(job)) {
         classes.computeIfAbsent(plan.jobClass(), k -> new ArrayList<>()).add(job);
         teams.computeIfAbsent(plan.team(), k -> new ArrayList<>()).add(job);
--- a/src/test/java/shorecrank/sim/JobExpectations.java
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -7,7 +7,10 @@
 import shorecrank.protocol.Json;
 import shorecrank.storage.JobRecord;
 
-/** What users were told of jobs, and how their records ended. */
+/**
+ * Expectations about what users were told about jobs, about final job records, and about starts of
+ * tasks.
+ */
 final class JobExpectations {
   static final Map<String, Expectation.Reader> EXPECTATIONS =
       Map.of(
@@ -34,13 +37,16 @@
     return world.checker.answers().phase(job).equals(AnswerHistory.CANCELLED);
   }
 
-  /** Done or cancelled; or never accepted, in faults that lasted for as long as its user tried. */
+  /**
+   * Reports whether a user was told the end of the job, or the job was never accepted because
+   * faults lasted for as long as its user retried the submission.
+   */
   private static boolean isEndedOrRefused(World world, String job) {
     AnswerHistory answers = world.checker.answers();
     return answers.isOver(job) || (answers.isUnknown(job) && world.users.gaveUpInFaults(job));
   }
 
-  /** {@code status JOB STATUS}: of the latest answer to its user. */
+  /** Parses {@code status JOB STATUS}: the HTTP status of the latest answer to the job's user. */
   private static Expectation status(ScenarioLine line) {
     String job = line.word(1);
     int status = line.integer(2);
@@ -49,7 +55,10 @@
         world -> describeJobs(world, List.of(job)));
   }
 
-  /** {@code final JOB,JOB PHASE}: as the state service has them. */
+  /**
+   * Parses {@code final JOB,JOB PHASE}: the phase in the final records of the jobs in the state
+   * service.
+   */
   private static Expectation finalRecord(ScenarioLine line) {
     String phase = line.word(2);
     return all(
@@ -58,7 +67,10 @@
             world.store.peek(JobRecord.FINAL_PREFIX + job).path("p").asText().equals(phase));
   }
 
-  /** {@code begun-before JOB JOB}. */
+  /**
+   * Parses {@code begun-before JOB JOB}: the first task of the first job started before that of the
+   * second.
+   */
   private static Expectation begunBefore(ScenarioLine line) {
     String first = line.word(1);
     String second = line.word(2);
@@ -67,7 +79,7 @@
         world -> describeJobs(world, List.of(first)));
   }
 
-  /** {@code starts-of JOB LEAST MOST}. */
+  /** Parses {@code starts-of JOB LEAST MOST}: bounds of the number of task starts of the job. */
   private static Expectation startsOf(ScenarioLine line) {
     String job = line.word(1);
     int minimum = line.integer(2);
--- a/src/test/java/shorecrank/sim/JobRetentionRule.java
+++ b/src/test/java/shorecrank/sim/JobRetentionRule.java
@@ -6,11 +6,12 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * {@code forgotten} of the protocol: an accepted job never gets 404, a repeated submission of it
- * never 400 or 422, and its questions are answered; at the end the state service has its record.
+ * Checks the protocol's rule {@code forgotten}: an accepted job is never answered with 404, its
+ * repeated submission is never answered with 400 or 422, and queries about it do not stay
+ * unanswered. At the end of the run the state service holds its record.
  */
 final class JobRetentionRule extends Rule {
-  /** Stricter than the 90 s of the protocol. */
+  /** Shorter than the 90 s that the protocol allows. */
   private static final long MAX_UNANSWERED_MS = 75_000;
 
   private final Map<String, Long> unansweredSinceMs = new HashMap<>();
--- a/src/test/java/shorecrank/sim/KnownFailures.java
+++ b/src/test/java/shorecrank/sim/KnownFailures.java
@@ -7,8 +7,9 @@
 import java.util.stream.Collectors;
 
 /**
- * The tests that {@code KNOWN-RED.txt} lists, one a line: the test, a semicolon, its cause and the
- * issue about it. A run of all tests passes over these; asked for by name, they are run.
+ * The tests that are listed in {@code KNOWN-RED.txt}. Each line holds the test, a semicolon, the
+ * cause of the failure and its issue. A run of all tests skips these tests; a run that selects one
+ * of them by name executes it.
  */
 final class KnownFailures {
   private static final Path FILE = Path.of("KNOWN-RED.txt");
@@ -20,7 +21,7 @@
     this.tests = tests;
   }
 
-  /** Reads the list. */
+  /** Reads the file. */
   static KnownFailures read() throws IOException {
     return new KnownFailures(
         Files.readAllLines(FILE).stream()
@@ -28,7 +29,7 @@
             .collect(Collectors.toSet()));
   }
 
-  /** Whether a scenario is listed. */
+  /** Reports whether the scenario is listed. */
   boolean hasScenario(String name) {
     return tests.contains("ScenarioTest " + name);
   }
--- a/src/test/java/shorecrank/sim/MonotonicAnswerRule.java
+++ b/src/test/java/shorecrank/sim/MonotonicAnswerRule.java
@@ -1,10 +1,12 @@
 package shorecrank.sim;
 
 /**
- * {@code went_back} of the protocol: once a job was called done or cancelled, it is called nothing
- * else, and none is called cancelled unasked. Also {@code older}: an answer is not older than any
- * that was received before its request was sent. Requests that overlap may be answered in either
- * order; two different ends are wrong in any.
+ * Checks that answers about a job never contradict earlier ones. {@code went_back} of the protocol:
+ * after an answer says that a job is done or cancelled, no answer to a later request names another
+ * phase, and no job is reported as cancelled without a request. {@code older}: an answer reports no
+ * fewer completed tasks than any answer that was received before its request was sent. Requests
+ * that overlap in time may be answered in either order, but two different final phases are a
+ * violation in any order.
  */
 final class MonotonicAnswerRule extends Rule {
   MonotonicAnswerRule(World world, Checker checker) {
--- a/src/test/java/shorecrank/sim/OutputDigest.java
+++ b/src/test/java/shorecrank/sim/OutputDigest.java
@@ -10,21 +10,21 @@
 import shorecrank.protocol.Json;
 
 /**
- * A hash over every reply and call of the controllers of one world, in their order, with node and
+ * A hash over every reply and call of the controllers of one world, in order, with controller and
  * simulated time.
  *
- * <p>It holds what other processes can see and nothing else: no name of a Java type, no log line
- * and no metric. Two versions of the program that give the same digest for a scenario and seed
- * behave alike in it.
+ * <p>The hash covers only what other processes can observe: no name of a Java type, no log line and
+ * no metric. Two versions of the program that yield the same digest for a scenario and seed behave
+ * identically in that run.
  */
 final class OutputDigest {
   private final MessageDigest digest = DigestUtils.getSha256Digest();
   private long outputs;
 
   /**
-   * Adds an output of a controller; log lines and metrics are left out.
+   * Adds an output of a controller; log lines and metrics are ignored.
    *
-   * @param timeMs simulated time in milliseconds
+   * @param timeMs the simulated time in milliseconds
    */
   void add(String node, long timeMs, Output output) {
     if (output instanceof Output.Reply reply) {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** The number of outputs and their hash; nothing can be added afterwards. */
+  /** Returns the number of outputs and their hash. Nothing can be added afterwards. */
   String finish() {
     return outputs + " " + Hex.encodeHexString(digest.digest());
   }
--- a/src/test/java/shorecrank/sim/PlacementConstraintRule.java
+++ b/src/test/java/shorecrank/sim/PlacementConstraintRule.java
@@ -1,15 +1,19 @@
 package shorecrank.sim;
 
 /**
- * {@code wrong_place} of the protocol: a task starts on a type of machine, in a zone and on a kind
- * of machine that its job allows, given the job's other tasks.
+ * Checks the protocol's rule {@code wrong_place}: a task starts only on a machine whose type, zone
+ * and kind (spot or not) its job allows, and only in a zone that is allowed beside the job's other
+ * tasks.
  */
 final class PlacementConstraintRule extends Rule {
   PlacementConstraintRule(World world, Checker checker) {
     super(world, checker);
   }
 
-  /** Whether a job may use a machine, as long as its other tasks do not matter. */
+  /**
+   * Reports whether a job may use a machine, apart from constraints that depend on the job's other
+   * tasks.
+   */
   static boolean allows(JobPlan plan, SimulatedWorker worker) {
     return (plan.zone() == null || plan.zone().equals(worker.zone()))
         && (plan.spot() || !worker.isSpot())
--- a/src/test/java/shorecrank/sim/QuotaRule.java
+++ b/src/test/java/shorecrank/sim/QuotaRule.java
@@ -1,6 +1,9 @@
 package shorecrank.sim;
 
-/** {@code quota} of the protocol: a team's tasks use no more than its limit. */
+/**
+ * Checks the protocol's rule {@code quota}: the tasks of a team together use no more CPUs than the
+ * team's limit.
+ */
 final class QuotaRule extends Rule {
   QuotaRule(World world, Checker checker) {
     super(world, checker);
--- a/src/test/java/shorecrank/sim/RecordedQuotaRule.java
+++ b/src/test/java/shorecrank/sim/RecordedQuotaRule.java
@@ -9,14 +9,19 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * The design's claim about quotas: no transaction raises what the records of a team name, of
- * attempts that still run or can yet start, above the team's limit. The next owner starts them all.
+ * Checks the quotas in the job records: no transaction raises the CPUs of a team's recorded
+ * attempts above the team's limit, counting the attempts that are running or can still start.
+ * Otherwise the next shard owner, which starts all recorded attempts, would exceed the limit.
  */
 final class RecordedQuotaRule extends Rule {
-  /** A stored value and the record that it holds. */
+  /**
+   * A stored value and the job record that was decoded from it.
+   *
+   * @param record null if the value is not a record, or the team of its job has no limit
+   */
   private record Decoded(JsonNode value, JobRecord record) {}
 
-  /** All records by key, decoded only for teams with a limit. */
+  /** The latest value of each live record by key, decoded if its team has a limit. */
   private final Map<String, Decoded> records = new HashMap<>();
 
   RecordedQuotaRule(World world, Checker checker) {
@@ -47,7 +52,10 @@
     }
   }
 
-  /** Takes in what came into records otherwise, and which of them are gone. */
+  /**
+   * Reloads records that were changed other than by the checked transactions, and forgets deleted
+   * ones.
+   */
   private void refresh() {
     List<String> keys = world().store.keys(JobRecord.LIVE_PREFIX);
     records.keySet().retainAll(Set.copyOf(keys));
--- a/src/test/java/shorecrank/sim/RolloutActions.java
+++ b/src/test/java/shorecrank/sim/RolloutActions.java
@@ -4,7 +4,10 @@
 import shorecrank.protocol.RolloutMessages.OrderKind;
 import shorecrank.sim.Rollouts.Version;
 
-/** Upgrades of controllers, their settings, and operators' orders of the feature level. */
+/**
+ * Actions that upgrade controllers, change their settings, and send operators' orders about the
+ * feature level.
+ */
 final class RolloutActions {
   static final Map<String, Action.Reader> ACTIONS =
       Map.of(
@@ -17,14 +20,20 @@
 
   private RolloutActions() {}
 
-  /** {@code version WHO LEVELS}: what controllers run from their next start on. */
+  /**
+   * Parses {@code version WHO LEVELS}: the version that the controllers run from their next start
+   * on.
+   */
   private static Action version(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     Version version = readVersion(line, line.word(2));
     return world -> who.forEach(world, node -> world.rollouts.setVersion(node.index(), version));
   }
 
-  /** {@code roll WHO LEVELS SECONDS}: controllers end, and are back as that version. */
+  /**
+   * Parses {@code roll WHO LEVELS SECONDS}: the controllers crash and restart in that version after
+   * the given time.
+   */
   private static Action roll(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     Version version = readVersion(line, line.word(2));
@@ -38,7 +47,9 @@
             });
   }
 
-  /** {@code rollout-order WHO ID KIND [LEVEL]}: sent until it is answered. */
+  /**
+   * Parses {@code rollout-order WHO ID KIND [LEVEL]}: an order that is sent until it is answered.
+   */
   private static Action order(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     String id = line.word(2);
@@ -48,14 +59,20 @@
         who.forEach(world, node -> world.rollouts.sendOrder(node.index(), id, kind, level));
   }
 
-  /** {@code settings WHO SETTING: VALUE}: from their next start on. */
+  /**
+   * Parses {@code settings WHO SETTING: VALUE}: a setting that the controllers use from their next
+   * start on.
+   */
   private static Action settings(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     String text = line.textFrom(2);
     return world -> who.forEach(world, node -> world.rollouts.setSettings(node.index(), text));
   }
 
-  /** A version as scenarios write it: {@code none}, or {@code 0-1}. */
+  /**
+   * Parses a version: {@code none} for a version without feature levels, or a range of supported
+   * levels such as {@code 0-1}.
+   */
   static Version readVersion(ScenarioLine line, String word) {
     return line.parse(word, "a range of levels", Version::of);
   }
--- a/src/test/java/shorecrank/sim/RolloutExpectations.java
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -3,7 +3,10 @@
 import java.util.Map;
 import shorecrank.protocol.RolloutMessages.RolloutPhase;
 
-/** The feature level, the forms of records, and answers to operators' orders of the level. */
+/**
+ * Expectations about the feature level, the forms of job records, and the answers to operators'
+ * orders about the level.
+ */
 final class RolloutExpectations {
   static final Map<String, Expectation.Reader> EXPECTATIONS =
       Map.of(
@@ -21,43 +24,46 @@
     return Expectation.of(condition, world -> " " + world.rollouts.describe());
   }
 
-  /** {@code level LEVEL}: the one in force. */
+  /** Parses {@code level LEVEL}: the feature level in force. */
   private static Expectation level(ScenarioLine line) {
     int level = line.integer(1);
     return of(world -> world.rollouts.state().level().value() == level);
   }
 
-  /** {@code phase PHASE}. */
+  /** Parses {@code phase PHASE}: the phase of the rollout. */
   private static Expectation phase(ScenarioLine line) {
     RolloutPhase phase = line.constant(1, RolloutPhase.class);
     return of(world -> world.rollouts.state().phase() == phase);
   }
 
-  /** {@code dense none|some}: records in the dense form. */
+  /** Parses {@code dense none|some}: whether any record is in the dense form. */
   private static Expectation dense(ScenarioLine line) {
     boolean none = line.word(1).equals("none");
     return of(world -> (world.rollouts.denseRecords() == 0) == none);
   }
 
-  /** {@code rollout-order ID accepted|refused [words that the answer holds]}. */
+  /**
+   * Parses {@code rollout-order ID accepted|refused [TEXT]}: the answers to the order, and a text
+   * that they contain.
+   */
   private static Expectation order(ScenarioLine line) {
     OrderAnswer answer = OrderAnswer.read(line);
     return of(world -> answer.isOf(world.rollouts.orders()));
   }
 
-  /** {@code rises COUNT}. */
+  /** Parses {@code rises COUNT}: how often the feature level rose. */
   private static Expectation rises(ScenarioLine line) {
     int count = line.integer(1);
     return of(world -> world.checker.rollout().rises() == count);
   }
 
-  /** {@code falls COUNT}. */
+  /** Parses {@code falls COUNT}: how often the feature level fell. */
   private static Expectation falls(ScenarioLine line) {
     int count = line.integer(1);
     return of(world -> world.checker.rollout().falls() == count);
   }
 
-  /** {@code archived}: the latest archive shows the keys as they were. */
+  /** Parses {@code archived}: the latest archive matches the keys at the time of its creation. */
   private static Expectation archived(ScenarioLine line) {
     return of(world -> new StoredArchive(world.store, world.rollouts.state().archive()).matches());
   }
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -10,12 +10,16 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * The design's claims about rollouts: no form above the level in force is written, no controller
- * owns a shard or leads below that level, the level rises only when all support it and falls only
- * when nothing is left that needs it, and leadership is never vacant where it is protected.
+ * Checks the rollout of feature levels: no value is written in a form above the level in force, and
+ * no controller that does not support that level owns a shard or leads. The level rises only when
+ * all controllers support it, and falls only when no stored data needs it. Leadership is never
+ * vacant at levels that protect it.
  */
 final class RolloutRule extends Rule {
-  /** An announcement may be so old when the level rises. */
+  /**
+   * The longest age of an announcement that a rise of the level may rely on. A controller that has
+   * run a version for less time may not have replaced its former announcement yet.
+   */
   private static final long MAX_ANNOUNCEMENT_AGE_MS = 6000;
 
   private int rises;
@@ -25,17 +29,18 @@
     super(world, checker);
   }
 
-  /** How often the level rose. */
+  /** Returns how often the level rose. */
   int rises() {
     return rises;
   }
 
-  /** How often the level fell. */
+  /** Returns how often the level fell. */
   int falls() {
     return falls;
   }
 
-  // ---- what is written -------------------------------------------------------------------------
+  // ---- writes
+  // ----------------------------------------------------------------------------------
 
   @Override
   void beforeTransaction(JsonNode operations) {
@@ -72,7 +77,7 @@
   }
 
   private void checkRise(FeatureLevel level) {
-    // What counts is what was known when the change was sent.
+    // A transaction that is applied late may rely only on what was known when it was sent.
     long sentAtMs = sim().now() - world().store.lateByMs();
     world()
         .rollouts
@@ -96,7 +101,8 @@
     }
   }
 
-  // ---- who owns and leads ----------------------------------------------------------------------
+  // ---- owners and leader
+  // -----------------------------------------------------------------------
 
   @Override
   void roundCompleted(ControllerNode node) {
@@ -118,7 +124,8 @@
       report("leadership_vacant: no leader key at level " + level);
     }
     String leading = world().store.peek("leadership").path("label").asText("");
-    // A process may be back in an earlier version under the label of the one that led.
+    // The process of the former leader may have restarted in an earlier version under the
+    // same label.
     long runningMs = sim().now() - world().rollouts.runningSinceMs(node.index());
     if (node.label().equals(leading)
         && node.isUp()
--- a/src/test/java/shorecrank/sim/RuleTestWorld.java
+++ b/src/test/java/shorecrank/sim/RuleTestWorld.java
@@ -24,17 +24,23 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * A world whose controllers do nothing, in which tests plant what must not happen. There are two
- * controllers, two machines in each of the zones a and b, and a team t with a limit of 8 CPUs.
+ * A world with idle controllers, in which unit tests cause violations of the checker's rules
+ * directly. It has two controllers, two machines in each of the zones a and b, and a team t with a
+ * limit of 8 CPUs.
  */
 final class RuleTestWorld extends World {
-  /** A fencing token holds its epoch above so many bits. */
+  /**
+   * The number of low bits of a fencing token that hold the command number; the epoch is above
+   * them.
+   */
   static final int NUMBER_BITS = 24;
 
   private static final double LIMIT_CPUS = 8;
 
   /**
-   * @param settings as in the controllers' settings file
+   * Creates the world, without controllers and machines.
+   *
+   * @param settings the content of the controllers' settings file; empty for the defaults
    */
   RuleTestWorld(String settings) throws InvalidConfigException {
     super(1, settings.isEmpty() ? SettingsFile.defaults() : SettingsFile.read(settings));
@@ -57,66 +63,74 @@
     return new IdleController(this, index);
   }
 
-  /** One of the two controllers. */
+  /** Returns one of the two controllers. */
   IdleController controller(int index) {
     return (IdleController) controllers().get(index);
   }
 
-  /** One of the machines n-000001 to n-000004; the even ones are spot machines. */
+  /**
+   * Returns one of the machines n-000001 to n-000004; those with an even number are spot machines.
+   */
   SimulatedWorker machine(int number) {
     return worker("n-%06d".formatted(number)).orElseThrow();
   }
 
-  // ---- what users see --------------------------------------------------------------------------
+  // ---- user requests
+  // ---------------------------------------------------------------------------
 
-  /** A user submits a job that no controller hears of. */
+  /** Submits a job without sending a request to any controller. */
   void submit(String job, JobPlan.Builder plan) {
     jobs.submit(job, plan.build());
     checker.submitted(job);
   }
 
-  /** A user submits a job and is told that it is accepted. */
+  /** Submits a job and answers that it is accepted. */
   void accept(String job, JobPlan.Builder plan) {
     submit(job, plan);
     answer(Kind.SUBMIT, job, 201, "queued");
   }
 
-  /** A user has an answer to a request that was sent a moment ago. */
+  /** Delivers an answer to a request that was sent at the current time. */
   void answer(Kind kind, String job, int status, String phase) {
     answer(kind, job, status, Json.object().put("phase", phase), checker.answers().snapshot(job));
   }
 
-  /** A user has an answer to a request that was sent when users had been told that. */
+  /**
+   * Delivers an answer to a request that was sent earlier.
+   *
+   * @param before what users had been told about the job when the request was sent
+   */
   void answer(Kind kind, String job, int status, ObjectNode body, KnownJobState before) {
     checker.answered(new UserAnswer(kind, job, status, body, before));
   }
 
-  /** A user asks for a job to be cancelled and is told that it is. */
+  /** Requests the cancellation of a job and answers that it is cancelled. */
   void cancel(String job) {
     jobs.requestCancel(job);
     answer(Kind.CANCEL, job, 200, AnswerHistory.CANCELLED);
   }
 
-  // ---- what runs -------------------------------------------------------------------------------
+  // ---- workers
+  // ---------------------------------------------------------------------------------
 
-  /** A task is on a machine from now on. */
+  /** Puts a task on a machine and returns it. */
   SimulatedTask start(int machine, String task) {
     SimulatedTask started = new SimulatedTask(task, 1);
     checker.started(machine(machine), started);
     return started;
   }
 
-  /** A worker is told to start a task. */
+  /** Sends a worker the command to start a task. */
   void commandStart(int machine, String task, long epoch) {
     command(machine, epoch, Json.object().put("verb", "start").put("piece", task).put("try", 1));
   }
 
-  /** A worker is told to forget a task. */
+  /** Sends a worker the command to reap a task. */
   void commandReap(int machine, String task, long epoch) {
     command(machine, epoch, Json.object().put("verb", "reap").put("piece", task).put("try", 1));
   }
 
-  /** A worker is told to stop a task at once. */
+  /** Sends a worker the command to stop a task at once. */
   void commandStop(int machine, String task, long epoch) {
     command(machine, epoch, Json.object().put("verb", "stop").put("piece", task).put("try", 1));
   }
@@ -127,9 +141,10 @@
     machine(machine).takeCommands(body, ReplyHandler.IGNORE);
   }
 
-  // ---- what is written -------------------------------------------------------------------------
+  // ---- state service
+  // ---------------------------------------------------------------------------
 
-  /** A controller writes a key. */
+  /** Writes a key in a transaction, as a controller does. */
   void write(String key, JsonNode value) {
     ObjectNode transaction = Json.object();
     ObjectNode operation = transaction.putArray("apply").addObject().put("write", key);
@@ -138,19 +153,19 @@
         "POST", "/multi", transaction, (status, body) -> assertEquals(200, status, body::toString));
   }
 
-  /** A controller removes a key. */
+  /** Removes a key in a transaction, as a controller does. */
   void remove(String key) {
     ObjectNode transaction = Json.object();
     transaction.putArray("apply").addObject().put("drop", key);
     store.handle("POST", "/multi", transaction, ReplyHandler.IGNORE);
   }
 
-  /** A controller has an epoch for a shard. */
+  /** Writes the epoch of a shard. */
   void writeEpoch(int shard, long epoch) {
     write("part/" + shard, Json.object().put("part", shard).put("epoch", epoch));
   }
 
-  /** The leader assigns a machine to a shard. */
+  /** Writes the assignment of a machine to a shard. */
   void writeAssignment(int machine, int shard) {
     ObjectNode value = Json.object();
     ArrayNode entry = value.putArray("m").addArray();
@@ -158,7 +173,7 @@
     write("hosts/" + machine, value);
   }
 
-  /** The record of a job whose first task is live on a machine. */
+  /** Returns a record of the job whose first task has a live attempt on the machine. */
   JobRecord record(String job, int machine) throws MalformedMessageException {
     JobSpec spec = JobSpecCodec.read(UserRequest.write(job, jobs.plan(job)));
     MachineName name = new MachineName(machine(machine).name());
@@ -167,16 +182,19 @@
         spec, new Epoch(1), new WriterId("n0.1"), 1, new BitSet(), List.of(live), 1, false, 1, 0);
   }
 
-  // ---- what was found --------------------------------------------------------------------------
+  // ---- violations
+  // ------------------------------------------------------------------------------
 
-  /** Exactly one rule was found broken, and that is it. */
+  /**
+   * Asserts that exactly one violation was reported, and that its text begins with the given one.
+   */
   void assertViolation(String rule) {
     List<String> found = checker.violations();
     assertEquals(1, found.size(), found.toString());
     assertTrue(found.get(0).contains(" s: " + rule), found.toString());
   }
 
-  /** No rule was found broken. */
+  /** Asserts that no violation was reported. */
   void assertNoViolations() {
     assertEquals(List.of(), checker.violations());
   }
--- a/src/test/java/shorecrank/sim/RunCounters.java
+++ b/src/test/java/shorecrank/sim/RunCounters.java
@@ -3,7 +3,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What is counted in a run, by the controllers themselves and by those around them. */
+/**
+ * Counters and gauges of a simulation run, of the controllers themselves and of the simulated
+ * services and workers.
+ */
 final class RunCounters {
   private static final String SCANNED_ITEMS = "round.looks";
 
@@ -14,69 +17,69 @@
   private int leaseExpiriesWithTasks;
   private int startsRefusedForResources;
 
-  /** A controller counts something. */
+  /** Increases a counter of a controller. */
   void count(String metric, long by) {
     counts.merge(metric, by, Long::sum);
   }
 
-  /** A controller sets a gauge. */
+  /** Sets a gauge of a controller. */
   void gauge(String metric, double value) {
     gauges.put(metric, value);
   }
 
-  /** What all controllers together have counted. */
+  /** Returns the sum of a counter over all controllers. */
   long total(String metric) {
     return counts.getOrDefault(metric, 0L);
   }
 
-  /** All counts by metric, of metrics that begin so. */
+  /** Returns all counters whose metric names begin with the prefix. */
   Map<String, Long> countsWithPrefix(String prefix) {
     Map<String, Long> matching = new TreeMap<>(counts);
     matching.keySet().removeIf(metric -> !metric.startsWith(prefix));
     return matching;
   }
 
-  /** The latest value that any controller has set, or 0. */
+  /** Returns the latest value that any controller has set, or 0 if none has. */
   double gaugeValue(String metric) {
     return gauges.getOrDefault(metric, 0.0);
   }
 
-  /** A controller has made a round for each of its shards. */
+  /** Counts rounds of a controller, which completes one for each of its shards. */
   void addRounds(int count) {
     rounds += count;
   }
 
-  /** Machines and jobs that an owner's round looks at, on average. */
+  /** Returns the average number of machines and jobs that a shard owner inspects in a round. */
   double itemsScannedPerRound() {
     return (double) total(SCANNED_ITEMS) / Math.max(1, rounds);
   }
 
-  /** A controller takes an answer with so many changes to a watch. */
+  /** Records the number of changes in an answer to a watch request of a controller. */
   void recordWatchChanges(int changes) {
     mostWatchChanges = Math.max(mostWatchChanges, changes);
   }
 
-  /** Changes in the fullest answer to a watch that a controller had to hold. */
+  /** Returns the largest number of changes in one answer to a watch request. */
   int mostWatchChanges() {
     return mostWatchChanges;
   }
 
-  /** A worker with tasks has killed them because its lease had expired. */
+  /** Counts a worker whose lease expired while it had tasks, which it has killed. */
   void addLeaseExpiry() {
     leaseExpiriesWithTasks++;
   }
 
-  /** How often a worker has killed its tasks because its lease had expired. */
+  /** Returns how often a worker has killed its tasks because its lease had expired. */
   int leaseExpiriesWithTasks() {
     return leaseExpiriesWithTasks;
   }
 
-  /** A worker has refused a start because it lacks resources. */
+  /** Counts a start command that a worker refused for lack of resources. */
   void addStartRefusedForResources() {
     startsRefusedForResources++;
   }
 
-  /** How often a worker has refused a start because it lacks resources. */
+  /** Returns how many start commands workers refused for lack of resources. */
   int startsRefusedForResources() {
     return startsRefusedForResources;
   }
--- a/src/test/java/shorecrank/sim/RunOptions.java
+++ b/src/test/java/shorecrank/sim/RunOptions.java
@@ -1,13 +1,13 @@
 package shorecrank.sim;
 
 /**
- * What is taken of a run besides its result.
+ * Options for logging and recording a simulation run.
  *
- * @param verbose whether what controllers log is printed
- * @param measurements takes what steps and messages cost; null if nobody asks
- * @param digest takes every reply and call of the controllers; null if nobody asks
+ * @param verbose whether the log lines of the controllers are printed
+ * @param measurements receives the costs of steps and messages; null to measure nothing
+ * @param digest receives every reply and call of the controllers; null to compute no digest
  */
 record RunOptions(boolean verbose, Measurements measurements, OutputDigest digest) {
-  /** Nothing is taken. */
+  /** Neither prints nor records anything. */
   static final RunOptions DEFAULT = new RunOptions(false, null, null);
 }
--- a/src/test/java/shorecrank/sim/RunRecorder.java
+++ b/src/test/java/shorecrank/sim/RunRecorder.java
@@ -4,15 +4,20 @@
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.Output;
 
-/** Passes what controllers do on to who measures or digests it, if anybody does. */
+/**
+ * Passes the steps and outputs of controllers to the measurements and the digest of a run, if they
+ * are requested.
+ */
 final class RunRecorder {
   private final Simulation sim;
   private final Measurements measurements;
   private final OutputDigest digest;
 
   /**
+   * Creates a recorder.
+   *
    * @param measurements null if nothing is measured
-   * @param digest null if there is none
+   * @param digest null if no digest is computed
    */
   RunRecorder(Simulation sim, Measurements measurements, OutputDigest digest) {
     this.sim = sim;
@@ -20,7 +25,11 @@
     this.digest = digest;
   }
 
-  /** A controller has made a step; returns the nanoseconds to count, 0 if nothing is measured. */
+  /**
+   * Records a step of a controller that took the given time.
+   *
+   * @return the nanoseconds to add to the controller's processing time, 0 if nothing is measured
+   */
   long recordStep(Input input, long nanos, List<Output> outputs) {
     if (measurements == null) {
       return 0;
@@ -29,7 +38,7 @@
     return nanos;
   }
 
-  /** An output takes effect now. */
+  /** Records an output that takes effect now. */
   void recordOutput(ControllerNode node, Output output) {
     if (digest != null) {
       digest.add(node.label(), sim.now(), output);
--- a/src/test/java/shorecrank/sim/Scenario.java
+++ b/src/test/java/shorecrank/sim/Scenario.java
@@ -8,10 +8,10 @@
 import shorecrank.config.SettingsFile;
 
 /**
- * A scenario in a text file, a line a step; docs/design.md says what the lines mean.
+ * A scenario that is read from a text file, one step per line; docs/design.md explains the lines.
  *
- * <p>Every rule of the protocol is checked at every step; {@code expect} lines add what else must
- * hold.
+ * <p>The checker checks all its rules throughout the run; {@code expect} lines add further
+ * conditions.
  */
 final class Scenario {
   private static final String COMMENT = "#";
@@ -27,10 +27,10 @@
   private World world;
 
   /**
-   * Reads a scenario.
+   * Parses a scenario.
    *
-   * @param name of its file
-   * @throws ScenarioSyntaxException if a line can't be read
+   * @param name the name of the file, for error messages
+   * @throws ScenarioSyntaxException if a line can't be parsed
    */
   Scenario(String name, String text) {
     String[] lines = text.split("\n");
@@ -49,7 +49,7 @@
     declarations.add(Declarations.read(line));
   }
 
-  /** From how many seeds a file is played. */
+  /** Returns the number of seeds with which the scenario of this text is run. */
   static long seeds(String text) {
     return text.lines()
         .filter(line -> line.startsWith(SEEDS))
@@ -58,30 +58,33 @@
         .orElse(DEFAULT_SEEDS);
   }
 
-  /** Has the cost of steps and messages taken by the next runs. */
+  /** Sets what receives the costs of steps and messages of the following runs. */
   void measureWith(Measurements receiver) {
     measurements = receiver;
   }
 
-  /** Has every reply and call of the controllers taken by the next run; null for none. */
+  /** Sets what receives every reply and call of the controllers in the next run; null for none. */
   void digestWith(OutputDigest receiver) {
     digest = receiver;
   }
 
-  /** Has something done to the world before it runs, for what no line can say. */
+  /**
+   * Sets an action on the world that is performed before it runs, for setups that no line can
+   * express.
+   */
   void beforeRun(Consumer<World> action) {
     beforeRun = action;
   }
 
-  /** Where it was played last. */
+  /** Returns the world of the latest run. */
   World world() {
     return world;
   }
 
   /**
-   * Plays it in a world of its own.
+   * Runs the scenario in a new world.
    *
-   * @return what was wrong, with simulated times; empty if nothing was
+   * @return the failures, with simulated times; empty if there are none
    */
   List<String> play(long seed, boolean verbose) throws InvalidConfigException {
     Settings worldSettings =
@@ -96,7 +99,10 @@
     return setup.expectedViolation().map(this::missingViolation).orElseGet(this::failures);
   }
 
-  /** The checker itself is under test: it has to see this. */
+  /**
+   * Returns a failure if the checker did not report the violation that this test of the checker
+   * expects.
+   */
   private List<String> missingViolation(String rule) {
     boolean isReported = world.checker.violations().stream().anyMatch(text -> text.contains(rule));
     return isReported ? List.of() : List.of("violation not reported: " + rule);
--- a/src/test/java/shorecrank/sim/ScenarioLine.java
+++ b/src/test/java/shorecrank/sim/ScenarioLine.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Words of one line of a scenario file, or of its rest from some word on. Every accessor refuses
- * what it can't read with a {@link ScenarioSyntaxException}.
+ * The words of a scenario line, or of a part of it. Every accessor throws {@link
+ * ScenarioSyntaxException} if the word is missing or can't be parsed.
  */
 final class ScenarioLine {
   private static final Pattern WORD = Pattern.compile("\\S+");
@@ -24,9 +24,10 @@
   private final List<Integer> wordStarts = new ArrayList<>();
 
   /**
-   * A whole line.
+   * Creates a whole line.
    *
-   * @param number of the line in its file, from 1
+   * @param file the name of the scenario, for error messages
+   * @param number the number of the line in its file, from 1
    */
   ScenarioLine(String file, int number, String text) {
     this(file, number, text, text);
@@ -44,39 +45,42 @@
     }
   }
 
-  /** The rest from a word on, as a line whose first word that is. */
+  /** Returns the part of the line that begins with a word; that word has index 0 in the part. */
   ScenarioLine from(int index) {
     word(index);
     return withText(text.substring(wordStarts.get(index)));
   }
 
-  /** Another text, such as an action, that stands in this line. */
+  /**
+   * Returns a line with another text, such as an action, that keeps the position of this line for
+   * error messages.
+   */
   ScenarioLine withText(String part) {
     return new ScenarioLine(file, number, source, part.trim());
   }
 
-  /** The line as it stands in the file. */
+  /** Returns the whole line as it is in the file. */
   String source() {
     return source;
   }
 
-  /** All that stands in it, without the words before. */
+  /** Returns the text of this line or part of a line. */
   String text() {
     return text;
   }
 
-  /** The text from a word on, spaces as they are. */
+  /** Returns the text from a word on, with its spaces unchanged. */
   String textFrom(int index) {
     word(index);
     return text.substring(wordStarts.get(index));
   }
 
-  /** Whether there is a word at an index. */
+  /** Reports whether there is a word at the index. */
   boolean has(int index) {
     return index < words.size();
   }
 
-  /** The word at an index; the first is at 0. */
+  /** Returns the word at the index; the first word has index 0. */
   String word(int index) {
     if (!has(index)) {
       throw error("word " + (index + 1) + " is missing in '" + text + "'");
@@ -84,32 +88,32 @@
     return words.get(index);
   }
 
-  /** Words that are separated by commas. */
+  /** Returns the items of a word that are separated by commas. */
   List<String> list(int index) {
     return Arrays.asList(word(index).split(","));
   }
 
-  /** The word as a whole number. */
+  /** Returns the word as an {@code int}. */
   int integer(int index) {
     return parse(word(index), "a whole number", Integer::valueOf);
   }
 
-  /** The word as a whole number that may be large. */
+  /** Returns the word as a {@code long}. */
   long longInteger(int index) {
     return parse(word(index), "a whole number", Long::valueOf);
   }
 
-  /** The word as a number. */
+  /** Returns the word as a decimal number. */
   double decimal(int index) {
     return parse(word(index), "a number", Double::valueOf);
   }
 
-  /** A duration or time, which is given in seconds. */
+  /** Returns the word, a time or duration in seconds, in milliseconds. */
   long milliseconds(int index) {
     return (long) (decimal(index) * MS_PER_S);
   }
 
-  /** A constant of an enum, which is given in lower case. */
+  /** Returns the word, a lower-case name, as a constant of the enum. */
   <E extends Enum<E>> E constant(int index, Class<E> type) {
     return parse(
         word(index),
@@ -117,12 +121,17 @@
         word -> Enum.valueOf(type, word.toUpperCase(Locale.ROOT)));
   }
 
-  /** The {@code key=value} words from a word on; there may be none. */
+  /** Returns the {@code key=value} words from a word on; there may be none. */
   ScenarioOptions options(int from) {
     return new ScenarioOptions(this, words.subList(Math.min(from, words.size()), words.size()));
   }
 
-  /** Reads a word; what the reader can't read is refused as not being what was expected. */
+  /**
+   * Parses a word.
+   *
+   * @param expected what the word should be, for the error message
+   * @throws ScenarioSyntaxException if the reader throws {@link IllegalArgumentException}
+   */
   <T> T parse(String word, String expected, Function<String, T> reader) {
     try {
       return reader.apply(word);
@@ -131,7 +140,7 @@
     }
   }
 
-  /** To be thrown by who can't read this line. */
+  /** Returns an exception that names this line; the caller throws it. */
   ScenarioSyntaxException error(String reason) {
     return new ScenarioSyntaxException(file, number, reason);
   }
--- a/src/test/java/shorecrank/sim/ScenarioOptions.java
+++ b/src/test/java/shorecrank/sim/ScenarioOptions.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The {@code key=value} words of a scenario line; a word without a value is a flag. */
+/** The {@code key=value} words of a scenario line. A word without a value is a flag. */
 final class ScenarioOptions {
   private static final String FLAG_VALUE = "true";
 
@@ -24,7 +24,12 @@
     }
   }
 
-  /** Refuses the line if it has any other option. */
+  /**
+   * Checks that the line has no options other than these.
+   *
+   * @return this
+   * @throws ScenarioSyntaxException if it has
+   */
   ScenarioOptions allow(String... names) {
     Set<String> unknown = new TreeSet<>(values.keySet());
     unknown.removeAll(Arrays.asList(names));
@@ -34,7 +39,12 @@
     return this;
   }
 
-  /** Refuses the line if one of these has a value that is no number. */
+  /**
+   * Checks that the values of these options, where present, are numbers.
+   *
+   * @return this
+   * @throws ScenarioSyntaxException if one is not
+   */
   ScenarioOptions requireNumbers(String... names) {
     for (String name : names) {
       decimal(name, 0);
@@ -42,27 +52,32 @@
     return this;
   }
 
-  /** Whether the line has the option. */
+  /** Reports whether the line has the option. */
   boolean has(String name) {
     return values.containsKey(name);
   }
 
-  /** The option's value, if the line has it. */
+  /** Returns the option's value, or empty if the line does not have the option. */
   Optional<String> text(String name) {
     return Optional.ofNullable(values.get(name));
   }
 
-  /** The option's value, or another if the line does not have it. */
+  /** Returns the option's value, or the default if the line does not have the option. */
   String text(String name, String defaultValue) {
     return values.getOrDefault(name, defaultValue);
   }
 
-  /** The option's value as a number, or another if the line does not have it. */
+  /**
+   * Returns the option's value as a number, or the default if the line does not have the option.
+   */
   double decimal(String name, double defaultValue) {
     return text(name).map(value -> number(name, value)).orElse(defaultValue);
   }
 
-  /** The same, cut off to a whole number. */
+  /**
+   * Returns the option's value truncated to an integer, or the default if the line does not have
+   * the option.
+   */
   int integer(String name, int defaultValue) {
     return (int) decimal(name, defaultValue);
   }
@@ -71,7 +86,7 @@
     return line.parse(value, "a number, as " + name + " must be", Double::valueOf);
   }
 
-  /** Jobs by their ids; {@code wk-10..19} are ten. */
+  /** Returns the job ids of the option's value; {@code wk-10..19} stands for ten jobs. */
   List<String> jobs(String name) {
     List<String> jobs = new ArrayList<>();
     if (has(name)) {
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import shorecrank.config.InvalidConfigException;
 
-/** A world while the lines of a scenario describe it, before its controllers start. */
+/** The setup of a scenario's world: collects what the lines declare, and starts the controllers. */
 final class ScenarioSetup {
   private static final int DEFAULT_CONTROLLER_COUNT = 3;
   private static final long DEFAULT_END_MS = 120_000;
@@ -22,53 +22,59 @@
     this.world = world;
   }
 
-  /** What is described. */
+  /** Returns the world that is set up. */
   World world() {
     return world;
   }
 
-  /** There will be so many controllers. */
+  /** Sets the number of controllers. */
   void controllerCount(int count) {
     controllerCount = count;
   }
 
-  /** When the run ends, in simulated time. */
+  /** Returns the simulated time at which the run ends, in milliseconds. */
   long endMs() {
     return endMs;
   }
 
-  /** The run ends at a time. */
+  /** Sets the simulated time at which the run ends, in milliseconds. */
   void runUntil(long ms) {
     endMs = ms;
   }
 
-  /** The rule that the run has to break, if it is a test of the checker. */
+  /**
+   * Returns the text of the violation that the checker has to report, or empty if the scenario is
+   * not a test of the checker.
+   */
   Optional<String> expectedViolation() {
     return Optional.ofNullable(expectedViolation);
   }
 
-  /** The run has to break a rule. */
+  /**
+   * Declares the scenario a test of the checker, which has to report a violation with this text.
+   */
   void expectViolation(String rule) {
     expectedViolation = rule;
   }
 
-  /** A line of the operators' rollout file. */
+  /** Adds a line to the operators' rollout file. */
   void rolloutSetting(String line) {
     rolloutSettings.append(line).append('\n');
   }
 
-  /** To be done once the controllers have started. */
+  /** Adds an action that runs once the controllers have started. */
   void afterStart(Runnable action) {
     afterStart.add(action);
   }
 
-  /** Starts the controllers. */
+  /** Starts the controllers, and then runs the actions of {@link #afterStart}. */
   void open() throws InvalidConfigException {
     if (world.site.teams().isEmpty()) {
       world.site.addTeam(DEFAULT_TEAM, new TeamQuota(0, 0));
     }
     if (world.shares.isEnabled() && rolloutSettings.isEmpty()) {
-      // Shares need their feature level; most scenarios show what comes after it is reached.
+      // Shares need their feature level, and most scenarios with shares test what happens
+      // once it is in force. So by default the level rises as soon as possible.
       rolloutSetting("automatic: true settle_s: 1 archive_before_raise: false");
     }
     if (!rolloutSettings.isEmpty()) {
--- a/src/test/java/shorecrank/sim/ScenarioSyntaxException.java
+++ b/src/test/java/shorecrank/sim/ScenarioSyntaxException.java
@@ -1,6 +1,6 @@
 package shorecrank.sim;
 
-/** A line of a scenario file that can't be read. The message names file, line and reason. */
+/** Thrown if a line of a scenario file can't be parsed. The message names file, line and reason. */
 final class ScenarioSyntaxException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/src/test/java/shorecrank/sim/ScenarioSyntaxTest.java
+++ b/src/test/java/shorecrank/sim/ScenarioSyntaxTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A line that can't be read is refused before the run, with file, line and reason. */
+/**
+ * Verifies that a malformed scenario line is refused before the run, with file, line and reason.
+ */
 class ScenarioSyntaxTest {
   @ParameterizedTest
   @CsvSource(
@@ -40,13 +42,13 @@
           on elected : explode                       | no action is named 'explode'
           random-faults many 5 10                    | 'many' is not a whole number
           """)
-  void aBadLineIsRefusedWithItsPlace(String line, String reason) {
+  void malformedLineIsRefusedWithFileLineAndReason(String line, String reason) {
     ScenarioSyntaxException refusal = refusalOf("# a comment\n\n  " + line + "\nuntil 10\n");
     assertEquals("bad, line 3: " + reason, refusal.getMessage());
   }
 
   @Test
-  void anUnknownOptionIsRefusedWithThoseThatThereAre() {
+  void unknownOptionIsRefusedWithKnownOptions() {
     ScenarioSyntaxException refusal = refusalOf("type p8 cpus=8 cores=8");
     assertEquals(
         "bad, line 1: unknown options [cores], known are [cpus, memory, boot, zones]",
--- a/src/test/java/shorecrank/sim/ScenarioTest.java
+++ b/src/test/java/shorecrank/sim/ScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every scenario file, each from a few fixed seeds. */
+/** Runs every scenario file with a fixed set of seeds. */
 class ScenarioTest {
   private static final Path DIR = Path.of("src/test/resources/scenarios");
 
--- a/src/test/java/shorecrank/sim/ShareActions.java
+++ b/src/test/java/shorecrank/sim/ShareActions.java
@@ -11,7 +11,7 @@
 import shorecrank.protocol.ShareOrderMessages.SetShare;
 import shorecrank.protocol.ShareOrderMessages.ShareOrder;
 
-/** Operators' orders of shares and moves. */
+/** Actions that send operators' orders about shares and moves of machines. */
 final class ShareActions {
   static final Map<String, Action.Reader> ACTIONS = Map.of("share-order", ShareActions::order);
 
@@ -19,7 +19,10 @@
 
   private ShareActions() {}
 
-  /** {@code share-order WHO ID set|move|abort key=value...}: sent until it is answered. */
+  /**
+   * Parses {@code share-order WHO ID set|move|abort key=value...}: an order that is sent until it
+   * is answered.
+   */
   private static Action order(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
     String id = line.word(2);
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Machines of shards, moves under way, and answers to operators' orders of shares. */
+/**
+ * Expectations about the machines of shards, active moves, and the answers to operators' orders
+ * about shares.
+ */
 final class ShareExpectations {
   static final Map<String, Expectation.Reader> EXPECTATIONS =
       Map.of(
@@ -21,7 +24,10 @@
     return Expectation.of(condition, world -> " " + world.shares.describe());
   }
 
-  /** {@code share SHARD LEAST MOST}: machines that are assigned to it. */
+  /**
+   * Parses {@code share SHARD LEAST MOST}: bounds of the number of machines that are assigned to
+   * the shard.
+   */
   private static Expectation share(ScenarioLine line) {
     int shard = line.integer(1);
     int minimum = line.integer(2);
@@ -33,7 +39,9 @@
         });
   }
 
-  /** {@code counted METRIC LEAST MOST}: by all controllers together. */
+  /**
+   * Parses {@code counted METRIC LEAST MOST}: bounds of the sum of a counter over all controllers.
+   */
   private static Expectation counted(ScenarioLine line) {
     String metric = line.word(1);
     long minimum = line.longInteger(2);
@@ -45,19 +53,25 @@
         });
   }
 
-  /** {@code moves COUNT}: moves under way. */
+  /** Parses {@code moves COUNT}: the number of active moves. */
   private static Expectation moves(ScenarioLine line) {
     int count = line.integer(1);
     return of(world -> world.shares.state().active().size() == count);
   }
 
-  /** {@code share-order ID accepted|refused [words that the answer holds]}. */
+  /**
+   * Parses {@code share-order ID accepted|refused [TEXT]}: the answers to the order, and a text
+   * that they contain.
+   */
   private static Expectation order(ScenarioLine line) {
     OrderAnswer answer = OrderAnswer.read(line);
     return of(world -> answer.isOf(world.shares.orders()));
   }
 
-  /** {@code share-orders ID,ID ACCEPTED REFUSED}: how many of their answers said what. */
+  /**
+   * Parses {@code share-orders ID,ID ACCEPTED REFUSED}: how many answers to these orders accept,
+   * and how many refuse them.
+   */
   private static Expectation orders(ScenarioLine line) {
     List<String> ids = line.list(1);
     long acceptedExpected = line.longInteger(2);
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -14,12 +14,12 @@
 import shorecrank.rollout.Feature;
 
 /**
- * The design's claims about moves of machines between shards: no id of a move is used again, no
- * move goes back a step, and an assignment changes only together with the move that hands the
- * machine over and was written down before.
+ * Checks moves of machines between shards: the id of a move is never used again, a move never
+ * returns to an earlier phase, and the assignment of a machine changes only in the transaction that
+ * marks its move as handed over, where the move was recorded before.
  */
 final class ShareRule extends Rule {
-  /** Machines whose only assignment so far was carried out late. */
+  /** Machines whose only assignment so far was written by a transaction that was applied late. */
   private final Set<String> unannouncedMachines = new HashSet<>();
 
   private int storeOperations;
@@ -28,14 +28,15 @@
     super(world, checker);
   }
 
-  /** Changes of the state service in transactions that change moves. */
+  /** Returns the number of operations in transactions that change moves. */
   int storeOperations() {
     return storeOperations;
   }
 
   @Override
   void beforeTransaction(JsonNode operations) {
-    // Below the level an earlier version may lead, which writes assignments without moves.
+    // Below this level a controller of an earlier version may lead, which writes
+    // assignments without moves.
     boolean isLevelInForce = world().rollouts.state().level().includes(Feature.SHARES.level());
     if (!world().shares.isEnabled() || !isLevelInForce) {
       return;
@@ -86,7 +87,9 @@
     boolean isAssigned = assigned.values().stream().anyMatch(names -> names.contains(name));
     boolean isLate = world().store.lateByMs() > 0;
     if (!isAssigned && isLate) {
-      // First written by a write whose sender has no answer: it has told nobody.
+      // The sender of a late transaction got no answer, so it has announced this first
+      // assignment to no shard owner, and the machine may still be assigned to another
+      // shard without a move.
       unannouncedMachines.add(name);
     }
     if (unannouncedMachines.contains(name)) {
--- a/src/test/java/shorecrank/sim/SingleExecutionRule.java
+++ b/src/test/java/shorecrank/sim/SingleExecutionRule.java
@@ -1,6 +1,9 @@
 package shorecrank.sim;
 
-/** {@code ran_twice} of the protocol: while a task is on one machine, it starts on none. */
+/**
+ * Checks the protocol's rule {@code ran_twice}: a task that is on a machine is not started on any
+ * machine.
+ */
 final class SingleExecutionRule extends Rule {
   SingleExecutionRule(World world, Checker checker) {
     super(world, checker);
--- a/src/test/java/shorecrank/sim/SingleOwnerRule.java
+++ b/src/test/java/shorecrank/sim/SingleOwnerRule.java
@@ -6,8 +6,8 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /**
- * The design's claims that no two processes may command the same shard ({@code two_owners}), under
- * whichever epochs, nor the same machine ({@code two_commanders}), as owners of whichever shards.
+ * Checks that no two processes may command the same shard ({@code two_owners}), whatever their
+ * epochs, nor the same machine ({@code two_commanders}), whichever shards they own.
  */
 final class SingleOwnerRule extends Rule {
   SingleOwnerRule(World world, Checker checker) {
@@ -37,7 +37,8 @@
 
   private void checkMachines(ControllerNode node) {
     for (MachineName machine : node.commandedMachines()) {
-      // One that is gone does not count: a list that lags may bring its name back.
+      // Machines that are gone don't count: an owner whose machine list is out of date
+      // may add such a machine again.
       if (world().worker(machine.value()).isEmpty()) {
         continue;
       }
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -22,7 +22,7 @@
 import shorecrank.sim.Rollouts.Version;
 import shorecrank.storage.JobRecord;
 
-/** Wrong owners and wrong writes are planted, and the rule that forbids each finds it. */
+/** Verifies that the rules about shard owners and stored data report each violation. */
 class StateRulesTest {
   private static final String TWO_SHARDS = "parts: 2";
 
@@ -43,7 +43,7 @@
   // ---- owners ----------------------------------------------------------------------------------
 
   @Test
-  void twoOwnersOfOneShardAreFound() throws Exception {
+  void reportsTwoOwnersOfOneShard() throws Exception {
     RuleTestWorld world = new RuleTestWorld("").launch();
     world.controller(0).commandShard(0, 1);
     world.checker.roundCompleted(world.controller(0));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void twoCommandersOfOneMachineAreFound() throws Exception {
+  void reportsTwoCommandersOfOneMachine() throws Exception {
     RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000002");
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void aMachineThatIsGoneHasNoCommanders() throws Exception {
+  void acceptsTwoCommandersOfRemovedMachine() throws Exception {
     RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000001");
@@ -78,7 +78,7 @@
   // ---- assignments -----------------------------------------------------------------------------
 
   @Test
-  void aRecordThatNamesAMachineOfAnotherShardIsFoundWhicheverIsWrittenLater() throws Exception {
+  void reportsRecordWithMachineOfAnotherShardWhicheverIsWrittenLater() throws Exception {
     for (boolean recordFirst : List.of(true, false)) {
       RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
       world.submit("wk-1", JobPlan.builder());
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void aStartByTheOwnerOfAnotherShardIsFound() throws Exception {
+  void reportsStartByOwnerOfAnotherShard() throws Exception {
     RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
     world.accept("wk-1", JobPlan.builder().tasks(2));
     world.writeEpoch(0, 1);
@@ -110,7 +110,7 @@
   // ---- levels ----------------------------------------------------------------------------------
 
   @Test
-  void aFormAboveTheLevelInForceIsFound() throws Exception {
+  void reportsRecordFormAboveLevelInForce() throws Exception {
     RuleTestWorld world = launchWithVersions("0-1", "0-1");
     world.submit("wk-1", JobPlan.builder());
     JobRecord record = world.record("wk-1", 1);
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void aRiseThatAControllerDoesNotSupportIsFound() throws Exception {
+  void reportsRiseThatOneControllerDoesNotSupport() throws Exception {
     RuleTestWorld world = launchWithVersions("0-1", "0-0");
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, levelState(Feature.DENSE_RECORDS.level()));
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void aRiseThatAllSupportBreaksNothing() throws Exception {
+  void acceptsRiseThatAllControllersSupport() throws Exception {
     RuleTestWorld world = launchWithVersions("0-1", "0-2");
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, levelState(Feature.DENSE_RECORDS.level()));
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void aFallThatLeavesDenseRecordsIsFound() throws Exception {
+  void reportsFallThatLeavesDenseRecords() throws Exception {
     RuleTestWorld world = launchWithVersions("0-1", "0-1");
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, levelState(Feature.DENSE_RECORDS.level()));
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void anOwnerBelowTheLevelIsFound() throws Exception {
+  void reportsOwnerBelowLevel() throws Exception {
     RuleTestWorld world = launchWithVersions("0-1", "0-1");
     world.sim.runUntil(10_000);
     world.write(RolloutMessages.KEY, levelState(Feature.DENSE_RECORDS.level()));
@@ -165,7 +165,7 @@
   }
 
   @Test
-  void leadershipThatIsDroppedIsFound() throws Exception {
+  void reportsRemovalOfLeaderKey() throws Exception {
     RuleTestWorld world = launchWithVersions("0-1", "0-1");
     world.write("leader", Json.object().put("label", "n0"));
     world.assertNoViolations();
@@ -206,7 +206,7 @@
   }
 
   @Test
-  void aMoveWithAnIdThatWasUsedIsFound() throws Exception {
+  void reportsMoveWithUsedId() throws Exception {
     RuleTestWorld world = launchWithShares();
     world.write(ShareStateMessages.KEY, sharesState(3));
     world.write(ShareStateMessages.KEY, sharesState(4, move(3, MovePhase.REQUESTED)));
@@ -216,7 +216,7 @@
   }
 
   @Test
-  void aMoveThatGoesBackAStepIsFound() throws Exception {
+  void reportsMoveThatReturnsToEarlierPhase() throws Exception {
     RuleTestWorld world = launchWithShares();
     world.write(ShareStateMessages.KEY, sharesState(2, move(1, MovePhase.REQUESTED)));
     world.write(ShareStateMessages.KEY, sharesState(2, move(1, MovePhase.DRAINING)));
@@ -226,7 +226,7 @@
   }
 
   @Test
-  void anAssignmentThatChangesWithoutItsMoveIsFound() throws Exception {
+  void reportsAssignmentChangeWithoutHandover() throws Exception {
     RuleTestWorld world = launchWithShares();
     world.write(ShareStateMessages.KEY, sharesState(2, move(1, MovePhase.DRAINING)));
     world.writeAssignment(1, 1);
@@ -234,7 +234,7 @@
   }
 
   @Test
-  void sharesThatNobodyCanReadAreFound() throws Exception {
+  void reportsUnreadableShares() throws Exception {
     RuleTestWorld world = launchWithShares();
     world.write(ShareStateMessages.KEY, Json.object().put("v", 1).put("moves", "none"));
     world.assertViolation("shares_unreadable: ");
--- a/src/test/java/shorecrank/sim/TaskPhase.java
+++ b/src/test/java/shorecrank/sim/TaskPhase.java
@@ -1,6 +1,6 @@
 package shorecrank.sim;
 
-/** Where a task on a machine stands, with the protocol's names. */
+/** The phase of a task on a machine, with its name in the worker protocol. */
 enum TaskPhase {
   FETCHING("pulling"),
   RUNNING("running"),
@@ -13,7 +13,7 @@
     this.wireName = wireName;
   }
 
-  /** As in reports. */
+  /** Returns the name of the phase in heartbeats. */
   String wireName() {
     return wireName;
   }
--- a/src/test/java/shorecrank/sim/TaskRulesTest.java
+++ b/src/test/java/shorecrank/sim/TaskRulesTest.java
@@ -8,7 +8,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.storage.JobRecord;
 
-/** Wrong starts and long waits are planted, and the rule that forbids each finds it. */
+/** Verifies that the rules about starts and waiting times of tasks report each violation. */
 class TaskRulesTest {
   private static final long CANCEL_MS = 40_000;
 
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void aTaskThatMovesToAnotherMachineBreaksNothing() {
+  void acceptsStartAfterTaskLeftItsMachine() {
     world.accept("wk-1", JobPlan.builder().cpus(8));
     world.checker.stopped(world.machine(1), world.start(1, "wk-1/0"));
     world.start(3, "wk-1/0");
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aTaskOnTwoMachinesRanTwice() {
+  void reportsTaskOnTwoMachines() {
     world.accept("wk-1", JobPlan.builder());
     world.start(1, "wk-1/0");
     world.start(2, "wk-1/0");
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aTaskTwiceOnOneMachineRanTwice() {
+  void reportsTaskStartedTwiceOnOneMachine() {
     world.accept("wk-1", JobPlan.builder());
     world.start(1, "wk-1/0");
     world.start(1, "wk-1/0");
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aTeamAboveItsLimitBreaksItsQuota() {
+  void reportsTeamAboveItsLimit() {
     world.accept("wk-1", JobPlan.builder().tasks(3).cpus(4));
     world.start(1, "wk-1/0");
     world.start(2, "wk-1/1");
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void recordsThatNameMoreThanATeamsLimitAreFound() throws Exception {
+  void reportsRecordedAttemptsAboveTeamsLimit() throws Exception {
     world.accept("wk-1", JobPlan.builder().cpus(8));
     world.accept("wk-2", JobPlan.builder().cpus(1));
     world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void recordedAttemptsThatCanStartNoMoreDontCount() throws Exception {
+  void recordedAttemptsThatCanNoLongerStartDontCount() throws Exception {
     world.accept("wk-1", JobPlan.builder().cpus(8));
     world.accept("wk-2", JobPlan.builder().cpus(8));
     world.accept("wk-3", JobPlan.builder().cpus(8));
@@ -80,28 +80,28 @@
   }
 
   @Test
-  void aTaskInAnotherZoneIsInTheWrongPlace() {
+  void reportsTaskInWrongZone() {
     world.accept("wk-1", JobPlan.builder().zone("b"));
     world.start(1, "wk-1/0");
     world.assertViolation("wrong_place: wk-1/0 on n-000001");
   }
 
   @Test
-  void aTaskOnASpotMachineThatItMayNotUseIsInTheWrongPlace() {
+  void reportsTaskOnForbiddenSpotMachine() {
     world.accept("wk-1", JobPlan.builder().spot(false));
     world.start(2, "wk-1/0");
     world.assertViolation("wrong_place: wk-1/0 on n-000002");
   }
 
   @Test
-  void aTaskOnAnotherTypeOfMachineIsInTheWrongPlace() {
+  void reportsTaskOnWrongMachineType() {
     world.accept("wk-1", JobPlan.builder().machineType("g8"));
     world.start(1, "wk-1/0");
     world.assertViolation("wrong_place: wk-1/0 on n-000001");
   }
 
   @Test
-  void tasksThatBelongTogetherInTwoZonesAreInTheWrongPlace() {
+  void reportsTogetherTasksInTwoZones() {
     world.accept("wk-1", JobPlan.builder().tasks(3).together(true));
     world.start(1, "wk-1/0");
     world.start(2, "wk-1/1");
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void moreThanHalfOfTasksThatAreSpreadInOneZoneIsTheWrongPlace() {
+  void reportsMoreThanHalfOfSpreadTasksInOneZone() {
     world.accept("wk-1", JobPlan.builder().tasks(3).spread(true));
     world.start(1, "wk-1/0");
     world.start(2, "wk-1/1");
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void aStartTooLongAfterTheCancellationRanCancelled() {
+  void reportsStartAfterCancellationDeadline() {
     world.accept("wk-1", JobPlan.builder().tasks(2));
     world.cancel("wk-1");
     world.sim.runUntil(CANCEL_MS);
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void aTaskThatStaysOnItsMachineAfterTheCancellationRanCancelled() {
+  void reportsTaskThatRunsBeyondCancellationDeadline() {
     world.accept("wk-1", JobPlan.builder());
     world.start(1, "wk-1/0");
     world.cancel("wk-1");
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void aTaskThatStartsBeforeAJobItDependsOnIsDoneIsTooEarly() {
+  void reportsStartBeforeDependencyIsDone() {
     world.accept("wk-1", JobPlan.builder());
     world.accept("wk-2", JobPlan.builder().tasks(2).dependencies(List.of("wk-1")));
     world.start(1, "wk-2/0");
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void aTaskThatIsStartedWithoutItsRecordIsFound() throws Exception {
+  void reportsStartThatIsNotRecorded() throws Exception {
     world.accept("wk-1", JobPlan.builder().tasks(2));
     world.writeEpoch(0, 1);
     world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void aTaskThatIsReapedWhileItsRecordHasItLiveIsFound() throws Exception {
+  void reportsReapOfAttemptThatIsRecordedAsLive() throws Exception {
     world.accept("wk-1", JobPlan.builder());
     world.writeEpoch(0, 1);
     world.write(JobRecord.LIVE_PREFIX + "wk-1", world.record("wk-1", 1).write());
@@ -182,14 +182,14 @@
   }
 
   @Test
-  void aStartUnderAnEpochThatNobodyAllocatedIsFound() {
+  void reportsStartUnderUnallocatedEpoch() {
     world.accept("wk-1", JobPlan.builder());
     world.commandStart(1, "wk-1/0", 7);
     world.assertViolation("start_unallocated: wk-1/0 on n-000001");
   }
 
   @Test
-  void aJobThatWaitsBesideAFreeMachineIsFoundAfter90Seconds() {
+  void reportsJobThatWaits90SecondsDespiteFreeMachine() {
     world.accept("wk-1", JobPlan.builder());
     world.sim.runUntil(91_500);
     world.assertNoViolations();
@@ -198,7 +198,7 @@
   }
 
   @Test
-  void aJobMayWaitDuringAFaultAndForItsTeamsLimit() {
+  void acceptsWaitingDuringFaultsAndForTeamsLimit() {
     world.accept("wk-1", JobPlan.builder().cpus(8));
     world.start(1, "wk-1/0");
     world.accept("wk-2", JobPlan.builder());
@@ -211,7 +211,7 @@
   }
 
   @Test
-  void aClassOfWhichLessThanHalfBeginIsUnserved() {
+  void reportsClassOfWhichLessThanHalfStart() {
     world.faults.lastFor(300_000);
     for (int i = 1; i <= 8; i++) {
       world.accept("wk-" + i, JobPlan.builder().jobClass("c" + i % 2).tasks(i));
@@ -233,7 +233,7 @@
   }
 
   @Test
-  void aLargestJobThatBeginsAfterFourMinutesIsLate() {
+  void reportsLargestJobThatStartsAfterFourMinutes() {
     world.accept("wk-1", JobPlan.builder().spread(true));
     writeFinalRecord("wk-1");
     world.sim.runUntil(240_000);
@@ -253,7 +253,7 @@
   }
 
   @Test
-  void aClaimThatIsUsedForAnotherRequestIsFound() {
+  void reportsClaimIdThatIsReusedForAnotherRequest() {
     rent("r-1", 1);
     rent("r-1", 1);
     world.assertNoViolations();
--- a/src/test/java/shorecrank/sim/TaskStart.java
+++ b/src/test/java/shorecrank/sim/TaskStart.java
@@ -3,9 +3,11 @@
 import java.util.Set;
 
 /**
- * A task is on a machine from now on.
+ * The start of a task on a machine.
  *
- * @param machinesBefore names of those that it was on already
+ * @param task the task's id
+ * @param job the id of the task's job
+ * @param machinesBefore the names of the machines that the task was on when it started
  */
 record TaskStart(
     SimulatedWorker worker, String task, String job, JobPlan plan, Set<String> machinesBefore) {}
--- a/src/test/java/shorecrank/sim/TaskTracker.java
+++ b/src/test/java/shorecrank/sim/TaskTracker.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
 
-/** Which task is on which machines now, and what was started so far. */
+/** Tracks which tasks are on which machines, and counts their starts. */
 final class TaskTracker {
   private final Simulation sim;
   private final Map<String, Set<SimulatedWorker>> machinesByTask = new HashMap<>();
@@ -21,7 +21,12 @@
     this.sim = sim;
   }
 
-  /** A task is on a machine from now on; returns the names of those that it was on before. */
+  /**
+   * Records that a task is on a machine from now on.
+   *
+   * @param cancelled whether a user was told that the job is cancelled
+   * @return the names of the machines that the task was on before
+   */
   Set<String> start(SimulatedWorker worker, SimulatedTask task, JobPlan plan, boolean cancelled) {
     starts++;
     startsAfterCancel += cancelled ? 1 : 0;
@@ -35,7 +40,7 @@
     return machinesBefore;
   }
 
-  /** A task is on a machine no more. */
+  /** Records that a task is no longer on a machine. */
   void stop(SimulatedWorker worker, SimulatedTask task, JobPlan plan) {
     Set<SimulatedWorker> taskMachines = machinesByTask.get(task.id());
     if (taskMachines != null) {
@@ -51,12 +56,12 @@
     return workers.stream().map(SimulatedWorker::name).collect(Collectors.toSet());
   }
 
-  /** Whether a task is on any machine. */
+  /** Reports whether a task is on any machine. */
   boolean isOnMachine(String task) {
     return machinesByTask.containsKey(task);
   }
 
-  /** All tasks of a job that are on machines, with these. */
+  /** Calls the consumer with each task of the job that is on a machine, and with its machines. */
   void forEachTaskOf(String job, BiConsumer<String, Set<SimulatedWorker>> consumer) {
     machinesByTask.forEach(
         (task, taskMachines) -> {
@@ -66,37 +71,42 @@
         });
   }
 
-  /** Processors that a team's tasks use. */
+  /** Returns the CPUs that the team's tasks use. */
   double cpusOf(String team) {
     return cpusByTeam.getOrDefault(team, 0.0);
   }
 
-  /** How often any task came on a machine. */
+  /** Returns how many times tasks were started. */
   int starts() {
     return starts;
   }
 
-  /** How often a task of the job came on a machine. */
+  /** Returns how many times tasks of the job were started. */
   int startsOf(String job) {
     return startsByJob.getOrDefault(job, 0);
   }
 
-  /** Starts of jobs after a user was told that they are cancelled. */
+  /**
+   * Returns how many times tasks were started after a user was told that their job is cancelled.
+   */
   int startsAfterCancel() {
     return startsAfterCancel;
   }
 
-  /** Whether any task of the job has started. */
+  /** Reports whether any task of the job has started. */
   boolean hasStarted(String job) {
     return firstStartAtMsByJob.containsKey(job);
   }
 
-  /** When the job's first task started; now if none has. */
+  /**
+   * Returns the simulated time in milliseconds at which the first task of the job started, or the
+   * current time if none has.
+   */
   long firstStartAtMs(String job) {
     return firstStartAtMsByJob.getOrDefault(job, sim.now());
   }
 
-  /** Whether the first job's first task started before the second's. */
+  /** Reports whether the first task of one job started before the first task of the other. */
   boolean isStartedBefore(String first, String second) {
     return firstStartAtMsByJob.getOrDefault(first, Long.MAX_VALUE)
         < firstStartAtMsByJob.getOrDefault(second, Long.MAX_VALUE);
--- a/src/test/java/shorecrank/sim/UnknownJobRule.java
+++ b/src/test/java/shorecrank/sim/UnknownJobRule.java
@@ -1,6 +1,9 @@
 package shorecrank.sim;
 
-/** {@code invented} of the protocol: 200 is no answer for a job that nobody submitted. */
+/**
+ * Checks the protocol's rule {@code invented}: no request about a job that nobody submitted is
+ * answered with 200 or 201.
+ */
 final class UnknownJobRule extends Rule {
   UnknownJobRule(World world, Checker checker) {
     super(world, checker);
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What users ask for. */
+/** Actions of users: requests about jobs, and behaviour that lasts for some time. */
 final class UserActions {
   static final Map<String, Action.Reader> ACTIONS =
       Map.ofEntries(
@@ -45,7 +45,7 @@
     void send(SimulatedUsers users, String job);
   }
 
-  /** Something that users do for a while. */
+  /** A behaviour of users that lasts for some time. */
   @FunctionalInterface
   private interface Habit {
     void begin(UserHabits habits, long durationMs);
@@ -53,14 +53,17 @@
 
   private UserActions() {}
 
-  /** {@code submit JOB options}. */
+  /** Parses {@code submit JOB options}: a new job. */
   private static Action submit(ScenarioLine line) {
     String job = line.word(1);
     JobPlan plan = plan(line.options(2)).build();
     return world -> world.users.submit(job, plan);
   }
 
-  /** {@code submit-every FIRST EVERY UNTIL CLASS options}: a job every so many seconds. */
+  /**
+   * Parses {@code submit-every FIRST EVERY UNTIL CLASS options}: new jobs at an interval in
+   * seconds, with ascending numbers from FIRST on.
+   */
   private static Action submitEvery(ScenarioLine line) {
     int first = line.integer(1);
     long everyMs = line.milliseconds(2);
@@ -76,32 +79,40 @@
     };
   }
 
-  /** {@code NAME JOB}. */
+  /** Parses {@code NAME JOB}: one request about a job. */
   private static Action jobRequest(ScenarioLine line, JobRequest request) {
     String job = line.word(1);
     return world -> request.send(world.users, job);
   }
 
-  /** {@code NAME SECONDS}. */
+  /** Parses {@code NAME SECONDS}: a behaviour that lasts for so many seconds. */
   private static Action timed(ScenarioLine line, Habit habit) {
     long durationMs = line.milliseconds(1);
     return world -> habit.begin(world.users.habits(), durationMs);
   }
 
-  /** {@code lose-requests JOB}: no request about the job reaches a controller from now on. */
+  /**
+   * Parses {@code lose-requests JOB}: from now on, no request about the job reaches a controller.
+   */
   private static Action loseRequests(ScenarioLine line) {
     String job = line.word(1);
     return world -> world.users.client().loseAllAbout(job);
   }
 
-  /** {@code cancel-now COUNT [HANG_S]}: running jobs are cancelled; their machines may hang. */
+  /**
+   * Parses {@code cancel-now COUNT [HANG_S]}: cancels running jobs; their machines hang for that
+   * time, if it is given.
+   */
   private static Action cancelNow(ScenarioLine line) {
     int count = line.integer(1);
     long hangMs = line.has(2) ? line.milliseconds(2) : 0;
     return world -> world.users.habits().cancelNow(count, hangMs);
   }
 
-  /** {@code cancel-each CLASS AFTER FOR}: for a while each job of a class is cancelled so late. */
+  /**
+   * Parses {@code cancel-each CLASS AFTER FOR}: for FOR seconds, each new job of the class is
+   * cancelled AFTER seconds after its submission.
+   */
   private static Action cancelEach(ScenarioLine line) {
     String jobClass = line.word(1);
     long afterMs = line.milliseconds(2);
@@ -112,7 +123,10 @@
     };
   }
 
-  /** {@code cancel-at-end SHARE SECONDS}: a share of jobs is cancelled at the moment they end. */
+  /**
+   * Parses {@code cancel-at-end SHARE SECONDS}: for that time, a share of the jobs is cancelled at
+   * the moment they end.
+   */
   private static Action cancelAtEnd(ScenarioLine line) {
     double share = line.decimal(1);
     long durationMs = line.milliseconds(2);
--- a/src/test/java/shorecrank/sim/UserRulesTest.java
+++ b/src/test/java/shorecrank/sim/UserRulesTest.java
@@ -6,7 +6,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.sim.UserRequest.Kind;
 
-/** Wrong answers to users are planted, and the rule that forbids each finds it. */
+/** Verifies that the rules about answers to users report each violation. */
 class UserRulesTest {
   private static final long CANCEL_MS = 40_000;
 
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void aJobThatIsAcceptedAndDoneBreaksNothing() {
+  void acceptsAnswersAboutCompletedJob() {
     world.jobs.addResult("wk-1/0");
     world.answer(Kind.SUBMIT, "wk-1", 200, "queued");
     world.answer(Kind.QUERY, "wk-1", 200, "done");
@@ -29,26 +29,26 @@
   }
 
   @Test
-  void anAcceptedJobThatIsNotFoundIsForgotten() {
+  void reportsNotFoundForAcceptedJob() {
     world.answer(Kind.QUERY, "wk-1", 404, "");
     world.assertViolation("forgotten: query wk-1 gets 404");
   }
 
   @Test
-  void aJobIsNotForgottenByAnAnswerToAnEarlierQuestion() {
+  void acceptsNotFoundForQueryBeforeAcceptance() {
     KnownJobState before = new KnownJobState(false, "", 0, 0);
     world.answer(Kind.QUERY, "wk-1", 404, Json.object(), before);
     world.assertNoViolations();
   }
 
   @Test
-  void anAcceptedJobThatIsRefusedWhenSubmittedAgainIsForgotten() {
+  void reportsRefusedResubmissionOfAcceptedJob() {
     world.answer(Kind.SUBMIT, "wk-1", 422, "");
     world.assertViolation("forgotten: submitting wk-1 again gets 422");
   }
 
   @Test
-  void aJobWhoseQuestionsStayUnansweredIsForgotten() {
+  void reportsJobWhoseQueriesStayUnanswered() {
     world.checker.requestFinished("wk-1", 0, false);
     world.checker.requestFinished("wk-1", 75_000, false);
     world.assertNoViolations();
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void anAnswerEndsTheTimeOfUnansweredQuestions() {
+  void answerResetsTimeOfUnansweredQueries() {
     world.checker.requestFinished("wk-1", 0, false);
     world.checker.requestFinished("wk-1", 10_000, true);
     world.checker.requestFinished("wk-1", 80_000, false);
@@ -65,19 +65,19 @@
   }
 
   @Test
-  void anAcceptedJobWithoutARecordAtTheEndIsForgotten() {
+  void reportsAcceptedJobWithoutRecordAtEnd() {
     world.checker.end();
     world.assertViolation("forgotten: wk-1 is not in the store");
   }
 
   @Test
-  void aJobThatNobodySubmittedIsInvented() {
+  void reportsAnswerAboutJobThatNobodySubmitted() {
     world.answer(Kind.QUERY, "wk-2", 200, "queued");
     world.assertViolation("invented: wk-2");
   }
 
   @Test
-  void aJobThatIsCalledDoneBeforeItsTasksAreIsNotDone() {
+  void reportsDoneAnswerBeforeAllTasksAreDone() {
     world.accept("wk-2", JobPlan.builder().tasks(2));
     world.jobs.addResult("wk-2/0");
     world.answer(Kind.QUERY, "wk-2", 200, "done");
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void aJobThatRunsAfterItWasDoneWentBack() {
+  void reportsRunningAnswerAfterDone() {
     world.jobs.addResult("wk-1/0");
     world.answer(Kind.QUERY, "wk-1", 200, "done");
     world.answer(Kind.QUERY, "wk-1", 200, "running");
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void aJobWithTwoEndsWentBackWhicheverWasAskedFirst() {
+  void reportsTwoFinalPhasesEvenForOverlappingRequests() {
     KnownJobState before = world.checker.answers().snapshot("wk-1");
     world.jobs.addResult("wk-1/0");
     world.answer(Kind.QUERY, "wk-1", 200, "done");
@@ -103,13 +103,13 @@
   }
 
   @Test
-  void aJobThatIsCancelledUnaskedWentBack() {
+  void reportsCancellationThatNobodyRequested() {
     world.answer(Kind.QUERY, "wk-1", 200, "withdrawn");
     world.assertViolation("went_back: wk-1 cancelled unasked");
   }
 
   @Test
-  void aJobMayBeCancelledBecauseOneThatItDependsOnIs() {
+  void acceptsCancellationBecauseOfDependency() {
     world.accept("wk-2", JobPlan.builder().dependencies(List.of("wk-1")));
     world.cancel("wk-1");
     world.answer(Kind.QUERY, "wk-2", 200, "withdrawn");
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void aJobWithFewerTasksDoneThanBeforeIsOlder() {
+  void reportsFewerCompletedTasksThanBefore() {
     KnownJobState before = world.checker.answers().snapshot("wk-1");
     world.answer(Kind.QUERY, "wk-1", 200, Json.object().put("done", 3), before);
     before = world.checker.answers().snapshot("wk-1");
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void aJobThatOutlivesOneThatItDependsOnIsOrphaned() {
+  void reportsDependentThatStaysAfterCancellation() {
     world.accept("wk-2", JobPlan.builder().dependencies(List.of("wk-1")));
     world.cancel("wk-1");
     world.sim.runUntil(CANCEL_MS);
--- a/src/test/java/shorecrank/sim/Violations.java
+++ b/src/test/java/shorecrank/sim/Violations.java
@@ -4,7 +4,9 @@
 import java.util.Collections;
 import java.util.List;
 
-/** What broke a rule, with the simulated time; only the first are kept. */
+/**
+ * The violations that the rules report, with their simulated times. Only the first ones are kept.
+ */
 final class Violations {
   private static final int MAX_KEPT = 20;
   private static final double MS_PER_S = 1000;
@@ -16,14 +18,18 @@
     this.sim = sim;
   }
 
-  /** A rule is broken; the text begins with its name. */
+  /**
+   * Adds a violation.
+   *
+   * @param text a description that begins with the name of the rule
+   */
   void add(String text) {
     if (texts.size() < MAX_KEPT) {
       texts.add(String.format("%.2f s: %s", sim.now() / MS_PER_S, text));
     }
   }
 
-  /** The first of them, in the order of time. */
+  /** Returns the violations that were kept, in the order of time. */
   List<String> texts() {
     return Collections.unmodifiableList(texts);
   }
--- a/src/test/java/shorecrank/sim/WaitingRule.java
+++ b/src/test/java/shorecrank/sim/WaitingRule.java
@@ -4,15 +4,18 @@
 import java.util.Map;
 
 /**
- * The design's claim {@code waits}: while there are no faults, no job waits for 90 s while a
- * machine that fits has room and its team is under its limit.
+ * Checks the rule {@code waits}: in the absence of faults, no job waits for 90 s while a suitable
+ * machine has enough free CPUs and the job's team is below its limit.
  */
 final class WaitingRule extends Rule {
   private static final long CHECK_EVERY_MS = 1000;
   private static final long MAX_WAIT_MS = 90_000;
   private static final double CPU_TOLERANCE = 1e-9;
 
-  /** Since when a job waits although a machine that fits has room. */
+  /**
+   * The simulated time since which a job waits although a suitable machine has enough free CPUs, by
+   * job.
+   */
   private final Map<String, Long> waitingSinceMs = new HashMap<>();
 
   WaitingRule(World world, Checker checker) {
--- a/src/test/java/shorecrank/sim/WriteAheadRule.java
+++ b/src/test/java/shorecrank/sim/WriteAheadRule.java
@@ -4,8 +4,8 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * The design's order of writes and commands: an attempt is recorded before it is started, and its
- * end is recorded before it is reaped.
+ * Checks the order of writes and commands: an attempt is recorded before it is started, and its end
+ * is recorded before it is reaped.
  */
 final class WriteAheadRule extends Rule {
   WriteAheadRule(World world, Checker checker) {
