--- a/src/test/java/shorecrank/sim/DependencyRule.java
+++ b/src/test/java/shorecrank/sim/DependencyRule.java
@@ -5,9 +5,10 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * The design's claims about dependencies. {@code too_early}: no task starts before all jobs that
- * its job depends on are recorded as done. {@code orphaned}: soon after a user was told that a job
- * is cancelled, those that depend on it are too.
+ * Checks dependencies between jobs. {@code too_early}: no task starts before all dependencies of
+ * its job are recorded as done. {@code orphaned}: once {@code cancel_s} has passed since a user was
+ * told that a job is cancelled, all jobs that depend on it, directly or through others, are
+ * cancelled too.
  */
 final class DependencyRule extends Rule {
   private static final double MS_PER_S = 1000;
@@ -18,10 +19,11 @@
 
   @Override
   void started(TaskStart start) {
-    for (String needed : start.plan().dependencies()) {
-      JsonNode record = world().store.peek(JobRecord.FINAL_PREFIX + needed);
+    for (String dependency : start.plan().dependencies()) {
+      JsonNode record = world().store.peek(JobRecord.FINAL_PREFIX + dependency);
       if (!record.path("p").asText().equals(AnswerHistory.DONE)) {
-        report("too_early: %s starts, %s is not recorded as done".formatted(start.task(), needed));
+        report(
+            "too_early: %s starts, %s is not recorded as done".formatted(start.task(), dependency));
       }
     }
   }
@@ -31,12 +33,13 @@
     if (!answer.isOk() || answer.phase().equals(AnswerHistory.CANCELLED)) {
       return;
     }
-    for (String needed : world().jobs.withDependencies(answer.job())) {
-      OptionalLong cancelledAt = answers().cancelledAtMs(needed);
-      double graceMs = world().site.cancelS() * MS_PER_S;
-      if (cancelledAt.isPresent() && answer.before().atMs() > cancelledAt.getAsLong() + graceMs) {
+    for (String dependency : world().jobs.withDependencies(answer.job())) {
+      OptionalLong cancelledAt = answers().cancelledAtMs(dependency);
+      double cancelMs = world().site.cancelS() * MS_PER_S;
+      if (cancelledAt.isPresent() && answer.before().atMs() > cancelledAt.getAsLong() + cancelMs) {
         report(
-            "orphaned: %s is %s, %s is cancelled".formatted(answer.job(), answer.phase(), needed));
+            "orphaned: %s is %s, %s is cancelled"
+                .formatted(answer.job(), answer.phase(), dependency));
       }
     }
   }
--- a/src/test/java/shorecrank/sim/Expectations.java
+++ b/src/test/java/shorecrank/sim/Expectations.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All expectations of scenarios by their names. */
+/** The registry of all expectations by name. */
 final class Expectations {
   private static final Map<String, Expectation.Reader> BY_NAME = new HashMap<>();
 
@@ -16,8 +16,8 @@
 
   private Expectations() {}
 
-  private static void addAll(Map<String, Expectation.Reader> family) {
-    family.forEach(
+  private static void addAll(Map<String, Expectation.Reader> readers) {
+    readers.forEach(
         (name, reader) -> {
           if (BY_NAME.put(name, reader) != null) {
             throw new IllegalStateException("two expectations are named " + name);
@@ -26,9 +26,11 @@
   }
 
   /**
-   * Reads an expectation whose name is the first word; what it finds wrong is a failure of the run.
+   * Parses an expectation whose name is the first word of the line.
    *
-   * @throws ScenarioSyntaxException if there is no such expectation, or its words can't be read
+   * @return an action that checks the expectation when it is run, and adds a failure to the world
+   *     if it is not met
+   * @throws ScenarioSyntaxException if there is no such expectation or its words can't be parsed
    */
   static Action read(ScenarioLine line) {
     Expectation.Reader reader = BY_NAME.get(line.word(0));
@@ -38,7 +40,8 @@
     Expectation expectation = reader.read(line);
     return world -> {
       if (!expectation.holds(world)) {
-        world.addUnmetExpectation("not so: " + line.source() + expectation.found(world));
+        world.addUnmetExpectation(
+            "expectation not met: " + line.source() + expectation.describeActual(world));
       }
     };
   }
--- a/src/test/java/shorecrank/sim/ForgottenRule.java
+++ b/src/test/java/shorecrank/sim/JobRetentionRule.java
@@ -6,16 +6,17 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * {@code forgotten} of the protocol: an accepted job never gets 404, a repeated submission of it
- * never 400 or 422, and its questions are answered; at the end the state service has its record.
+ * Checks the protocol's rule {@code forgotten}: an accepted job is never answered with 404, its
+ * repeated submission is never answered with 400 or 422, and queries about it do not stay
+ * unanswered. At the end of the run the state service holds its record.
  */
-final class ForgottenRule extends Rule {
-  /** Stricter than the 90 s of the protocol. */
-  private static final long UNANSWERED_MS = 75_000;
+final class JobRetentionRule extends Rule {
+  /** Shorter than the 90 s that the protocol allows. */
+  private static final long MAX_UNANSWERED_MS = 75_000;
 
   private final Map<String, Long> unansweredSinceMs = new HashMap<>();
 
-  ForgottenRule(World world, Checker checker) {
+  JobRetentionRule(World world, Checker checker) {
     super(world, checker);
   }
 
@@ -36,8 +37,8 @@
     if (isAnswered) {
       unansweredSinceMs.remove(job);
     } else if (world().faults.areOverAt(sentAtMs) && answers().isAccepted(job)) {
-      long since = unansweredSinceMs.computeIfAbsent(job, k -> sentAtMs);
-      if (sentAtMs - since > UNANSWERED_MS) {
+      long sinceMs = unansweredSinceMs.computeIfAbsent(job, k -> sentAtMs);
+      if (sentAtMs - sinceMs > MAX_UNANSWERED_MS) {
         report("forgotten: no question about %s is answered".formatted(job));
       }
     }
--- a/src/test/java/shorecrank/sim/WentBackRule.java
+++ b/src/test/java/shorecrank/sim/MonotonicAnswerRule.java
@@ -1,13 +1,15 @@
 package shorecrank.sim;
 
 /**
- * {@code went_back} of the protocol: once a job was called done or cancelled, it is called nothing
- * else, and none is called cancelled unasked. Also {@code older}: an answer is not older than any
- * that was received before its request was sent. Requests that overlap may be answered in either
- * order; two different ends are wrong in any.
+ * Checks that answers about a job never contradict earlier ones. {@code went_back} of the protocol:
+ * after an answer says that a job is done or cancelled, no answer to a later request names another
+ * phase, and no job is reported as cancelled without a request. {@code older}: an answer reports no
+ * fewer completed tasks than any answer that was received before its request was sent. Requests
+ * that overlap in time may be answered in either order, but two different final phases are a
+ * violation in any order.
  */
-final class WentBackRule extends Rule {
-  WentBackRule(World world, Checker checker) {
+final class MonotonicAnswerRule extends Rule {
+  MonotonicAnswerRule(World world, Checker checker) {
     super(world, checker);
   }
 
@@ -16,17 +18,17 @@
     if (!answer.isOk()) {
       return;
     }
-    checkAge(answer);
+    checkNotOlder(answer);
     if (!world().jobs.isSubmitted(answer.job())) {
       return;
     }
     String job = answer.job();
     String phase = answer.phase();
-    boolean isOtherEnd =
+    boolean isOtherFinalPhase =
         AnswerHistory.isFinalPhase(phase)
             && answers().isOver(job)
             && !answers().phase(job).equals(phase);
-    if (isOtherEnd) {
+    if (isOtherFinalPhase) {
       report("went_back: %s was %s, is %s".formatted(job, answers().phase(job), phase));
     }
     if (phase.equals(AnswerHistory.CANCELLED) && !world().jobs.isCancelExpected(job)) {
@@ -34,7 +36,7 @@
     }
   }
 
-  private void checkAge(UserAnswer answer) {
+  private void checkNotOlder(UserAnswer answer) {
     KnownJobState before = answer.before();
     int done = answer.body().path("done").asInt();
     if (!before.finalPhase().isEmpty() && !before.finalPhase().equals(answer.phase())) {
--- a/src/test/java/shorecrank/sim/RecordedUseRule.java
+++ b/src/test/java/shorecrank/sim/RecordedQuotaRule.java
@@ -9,17 +9,22 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * The design's claim about quotas: no transaction raises what the records of a team name, of
- * attempts that still run or can yet start, above the team's limit. The next owner starts them all.
+ * Checks the quotas in the job records: no transaction raises the CPUs of a team's recorded
+ * attempts above the team's limit, counting the attempts that are running or can still start.
+ * Otherwise the next shard owner, which starts all recorded attempts, would exceed the limit.
  */
-final class RecordedUseRule extends Rule {
-  /** A stored value and the record that it holds. */
+final class RecordedQuotaRule extends Rule {
+  /**
+   * A stored value and the job record that was decoded from it.
+   *
+   * @param record null if the value is not a record, or the team of its job has no limit
+   */
   private record Decoded(JsonNode value, JobRecord record) {}
 
-  /** All records by key, decoded only for teams with a limit. */
+  /** The latest value of each live record by key, decoded if its team has a limit. */
   private final Map<String, Decoded> records = new HashMap<>();
 
-  RecordedUseRule(World world, Checker checker) {
+  RecordedQuotaRule(World world, Checker checker) {
     super(world, checker);
   }
 
@@ -47,14 +52,17 @@
     }
   }
 
-  /** Takes in what came into records otherwise, and which of them are gone. */
+  /**
+   * Reloads records that were changed other than by the checked transactions, and forgets deleted
+   * ones.
+   */
   private void refresh() {
     List<String> keys = world().store.keys(JobRecord.LIVE_PREFIX);
     records.keySet().retainAll(Set.copyOf(keys));
     for (String key : keys) {
       JsonNode stored = world().store.peek(key);
-      Decoded known = records.get(key);
-      if (known == null || known.value != stored) {
+      Decoded cached = records.get(key);
+      if (cached == null || cached.value != stored) {
         decode(key, stored);
       }
     }
@@ -71,15 +79,15 @@
     for (Decoded decoded : records.values()) {
       JobRecord record = decoded.record;
       if (record != null) {
-        double used = usableAttempts(record) * record.spec().cpus();
+        double used = runnableAttempts(record) * record.spec().cpus();
         cpus.merge(record.spec().team(), used, Double::sum);
       }
     }
     return cpus;
   }
 
-  private int usableAttempts(JobRecord record) {
-    int usable = 0;
+  private int runnableAttempts(JobRecord record) {
+    int runnable = 0;
     for (AttemptRange range : record.live()) {
       SimulatedWorker worker = world().worker(range.machine().value()).orElse(null);
       if (worker == null || worker.incarnation() != range.incarnation().value()) {
@@ -89,10 +97,10 @@
         String task = record.spec().id().value() + "/" + index;
         if (!record.done().get(index)
             && worker.tasks().mayRun(task, range.attempt().value(), record.cancelled())) {
-          usable++;
+          runnable++;
         }
       }
     }
-    return usable;
+    return runnable;
   }
 }
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -14,13 +14,13 @@
 import shorecrank.rollout.Feature;
 
 /**
- * The design's claims about moves of machines between shards: no id of a move is used again, no
- * move goes back a step, and an assignment changes only together with the move that hands the
- * machine over and was written down before.
+ * Checks moves of machines between shards: the id of a move is never used again, a move never
+ * returns to an earlier phase, and the assignment of a machine changes only in the transaction that
+ * marks its move as handed over, where the move was recorded before.
  */
 final class ShareRule extends Rule {
-  /** Machines whose only assignment so far was carried out late. */
-  private final Set<String> neverTold = new HashSet<>();
+  /** Machines whose only assignment so far was written by a transaction that was applied late. */
+  private final Set<String> unannouncedMachines = new HashSet<>();
 
   private int storeOperations;
 
@@ -28,16 +28,17 @@
     super(world, checker);
   }
 
-  /** Changes of the state service in transactions that change moves. */
+  /** Returns the number of operations in transactions that change moves. */
   int storeOperations() {
     return storeOperations;
   }
 
   @Override
   void beforeTransaction(JsonNode operations) {
-    // Below the level an earlier version may lead, which writes assignments without moves.
-    boolean inForce = world().rollouts.state().level().includes(Feature.SHARES.level());
-    if (!world().shares.isEnabled() || !inForce) {
+    // Below this level a controller of an earlier version may lead, which writes
+    // assignments without moves.
+    boolean isLevelInForce = world().rollouts.state().level().includes(Feature.SHARES.level());
+    if (!world().shares.isEnabled() || !isLevelInForce) {
       return;
     }
     SharesState before = world().shares.state();
@@ -67,11 +68,11 @@
   private void checkMoves(SharesState before, SharesState after) {
     for (Move move : after.active()) {
       Move earlier = before.activeMoveOf(move.machine());
-      boolean same = earlier != null && earlier.id().equals(move.id());
-      if (!same && move.id().value() < before.nextMove()) {
+      boolean isSameMove = earlier != null && earlier.id().equals(move.id());
+      if (!isSameMove && move.id().value() < before.nextMove()) {
         report("move_id_reused: " + move.id());
       }
-      if (same && move.phase().compareTo(earlier.phase()) < 0) {
+      if (isSameMove && move.phase().compareTo(earlier.phase()) < 0) {
         report("move_went_back: %s to %s".formatted(move.id(), move.phase()));
       }
     }
@@ -83,24 +84,26 @@
       Map<Integer, List<String>> assigned,
       SharesState before,
       SharesState after) {
-    boolean known = assigned.values().stream().anyMatch(names -> names.contains(name));
+    boolean isAssigned = assigned.values().stream().anyMatch(names -> names.contains(name));
     boolean isLate = world().store.lateByMs() > 0;
-    if (!known && isLate) {
-      // First written by a write whose sender has no answer: it has told nobody.
-      neverTold.add(name);
+    if (!isAssigned && isLate) {
+      // The sender of a late transaction got no answer, so it has announced this first
+      // assignment to no shard owner, and the machine may still be assigned to another
+      // shard without a move.
+      unannouncedMachines.add(name);
     }
-    if (neverTold.contains(name)) {
+    if (unannouncedMachines.contains(name)) {
       if (!isLate) {
-        neverTold.remove(name);
+        unannouncedMachines.remove(name);
       }
       return;
     }
     assigned.forEach(
-        (former, names) -> {
-          if (former != shard
+        (formerShard, names) -> {
+          if (formerShard != shard
               && names.contains(name)
-              && !isHandedOver(new MachineName(name), former, shard, before, after)) {
-            report("moved_unwritten: %s from %d to %d".formatted(name, former, shard));
+              && !isHandedOver(new MachineName(name), formerShard, shard, before, after)) {
+            report("moved_unwritten: %s from %d to %d".formatted(name, formerShard, shard));
           }
         });
   }
