--- a/src/test/java/shorecrank/sim/ControllerFaults.java
+++ b/src/test/java/shorecrank/sim/ControllerFaults.java
@@ -23,7 +23,7 @@
     ControllerSelector who = ControllerSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
     return world -> {
-      world.faults.lastFor(durationMs);
+      world.faults.addFault(durationMs);
       who.forEach(world, node -> node.freeze(durationMs));
     };
   }
--- a/src/test/java/shorecrank/sim/ControllerNode.java
+++ b/src/test/java/shorecrank/sim/ControllerNode.java
@@ -75,7 +75,7 @@
     if (!up) {
       return;
     }
-    world.faults.lastFor(restartMs);
+    world.faults.addFault(restartMs);
     up = false;
     downSinceMs = world.sim.now();
     kill();
--- a/src/test/java/shorecrank/sim/Cuts.java
+++ b/src/test/java/shorecrank/sim/Cuts.java
@@ -29,12 +29,12 @@
   }
 
   private final Simulation sim;
-  private final FaultTimes faults;
+  private final FaultPeriod faults;
   private final Map<ControllerNode, List<LinkCut>> ofControllers = new HashMap<>();
   private final Map<String, List<WorkerCut>> ofWorkers = new HashMap<>();
   private final List<ZoneCut> ofZones = new ArrayList<>();
 
-  Cuts(Simulation sim, FaultTimes faults) {
+  Cuts(Simulation sim, FaultPeriod faults) {
     this.sim = sim;
     this.faults = faults;
   }
@@ -62,7 +62,7 @@
   }
 
   private Cut begin(long durationMs, CutMode mode) {
-    faults.lastFor(durationMs);
+    faults.addFault(durationMs);
     Cut cut = new Cut(sim.now() + durationMs, mode);
     sim.after(durationMs, cut::end);
     return cut;
--- a/src/test/java/shorecrank/sim/DuplicateMessages.java
+++ b/src/test/java/shorecrank/sim/DuplicateMessages.java
@@ -39,14 +39,14 @@
     inOrder = allInOrder;
     untilMs = sim.now() + durationMs;
     latestMs = (int) (latestS * MS_PER_S);
-    world.faults.lastFor(durationMs + (long) (latestS * MS_PER_S) + SETTLING_MS);
+    world.faults.addFault(durationMs + (long) (latestS * MS_PER_S) + SETTLING_MS);
   }
 
   /** A copy of each heartbeat of a while is kept, and reaches all under the next leader. */
   void keepForNextLeader(long durationMs) {
     keptForNextLeader = true;
     untilMs = sim.now() + durationMs;
-    world.faults.lastFor(durationMs);
+    world.faults.addFault(durationMs);
     deliverToNext(leadingWriter(), sim.now() + durationMs + WATCH_MS);
   }
 
@@ -57,7 +57,7 @@
   private void deliverToNext(String former, long giveUpAtMs) {
     String leading = leadingWriter();
     if (!leading.isEmpty() && !leading.equals(former)) {
-      world.faults.lastFor(0);
+      world.faults.addFault(0);
       List<Runnable> all = List.copyOf(kept);
       kept.clear();
       // Some copies come in order, some do not.
--- a/src/test/java/shorecrank/sim/FaultTimes.java
+++ b/src/test/java/shorecrank/sim/FaultPeriod.java
@@ -1,19 +1,19 @@
 package shorecrank.sim;
 
 /** Until when the faults known so far last. */
-final class FaultTimes {
+final class FaultPeriod {
   /** An election, an allocation of an epoch and a recovery take no longer. */
   private static final long FAILOVER_MS = 15_000;
 
   private final Simulation sim;
   private long overAtMs;
 
-  FaultTimes(Simulation sim) {
+  FaultPeriod(Simulation sim) {
     this.sim = sim;
   }
 
   /** A fault begins that lasts so long from now. */
-  void lastFor(long durationMs) {
+  void addFault(long durationMs) {
     overAtMs = Math.max(overAtMs, sim.now() + durationMs);
   }
 
@@ -23,7 +23,7 @@
   }
 
   /** Whether one is not over, or has just been: a failover may still be under way. */
-  boolean mayStillShow() {
+  boolean mayStillHaveEffects() {
     return sim.now() < overAtMs + FAILOVER_MS;
   }
 }
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -112,7 +112,7 @@
   }
 
   private void outage() {
-    world.faults.lastFor(12_000);
+    world.faults.addFault(12_000);
     world.store.beginOutage(12_000);
     serveFor(14_000);
   }
--- a/src/test/java/shorecrank/sim/ServiceFaults.java
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -31,7 +31,7 @@
           default -> throw line.error("an outage is of state or cloud");
         };
     return world -> {
-      world.faults.lastFor(durationMs);
+      world.faults.addFault(durationMs);
       begin.run(world);
     };
   }
--- a/src/test/java/shorecrank/sim/SimulatedUsers.java
+++ b/src/test/java/shorecrank/sim/SimulatedUsers.java
@@ -83,7 +83,7 @@
       sim.after(RETRY_MS, () -> trySubmit(request, untilMs, queries));
     } else {
       latestStatuses.put(job, status);
-      if (!refused && world.faults.mayStillShow()) {
+      if (!refused && world.faults.mayStillHaveEffects()) {
         givenUpInFaults.add(job);
       }
     }
--- a/src/test/java/shorecrank/sim/StateServiceLink.java
+++ b/src/test/java/shorecrank/sim/StateServiceLink.java
@@ -10,7 +10,7 @@
   private static final long LATEST_MS = LATE_FROM_MS + LATE_SPREAD_MS;
 
   private final Simulation sim;
-  private final FaultTimes faults;
+  private final FaultPeriod faults;
   private final SimulatedStateService store;
   private long lateUntilMs = -1;
   private double lateShare;
@@ -18,7 +18,7 @@
   private long slowUntilMs = -1;
   private double slowFactor = 1;
 
-  StateServiceLink(Simulation sim, FaultTimes faults, SimulatedStateService store) {
+  StateServiceLink(Simulation sim, FaultPeriod faults, SimulatedStateService store) {
     this.sim = sim;
     this.faults = faults;
     this.store = store;
@@ -26,7 +26,7 @@
 
   /** That share of transactions gets no answer and is carried out late, or at once. */
   void loseAnswers(double share, long durationMs, boolean atOnce) {
-    faults.lastFor(durationMs + LATEST_MS);
+    faults.addFault(durationMs + LATEST_MS);
     lateShare = share;
     lateUntilMs = sim.now() + durationMs;
     lateAtOnce = atOnce;
@@ -34,7 +34,7 @@
 
   /** Every answer takes longer by a factor. */
   void slowDown(double factor, long durationMs) {
-    faults.lastFor(durationMs);
+    faults.addFault(durationMs);
     slowFactor = factor;
     slowUntilMs = sim.now() + durationMs;
   }
--- a/src/test/java/shorecrank/sim/TaskRulesTest.java
+++ b/src/test/java/shorecrank/sim/TaskRulesTest.java
@@ -205,14 +205,14 @@
     world.sim.runUntil(200_000);
     world.assertSound();
     world.accept("wk-3", JobPlan.builder().team("u"));
-    world.faults.lastFor(200_000);
+    world.faults.addFault(200_000);
     world.sim.runUntil(400_000);
     world.assertSound();
   }
 
   @Test
   void aClassOfWhichLessThanHalfBeginIsUnserved() {
-    world.faults.lastFor(300_000);
+    world.faults.addFault(300_000);
     for (int i = 1; i <= 8; i++) {
       world.accept("wk-" + i, JobPlan.builder().jobClass("c" + i % 2).tasks(i));
       record("wk-" + i);
--- a/src/test/java/shorecrank/sim/UserHabits.java
+++ b/src/test/java/shorecrank/sim/UserHabits.java
@@ -126,7 +126,7 @@
       sim.after(sim.random().nextInt(CANCEL_NOW_WITHIN_MS), () -> world.users.cancel(job));
     }
     if (hangMs > 0) {
-      world.faults.lastFor(hangMs);
+      world.faults.addFault(hangMs);
       hanging.forEach(worker -> worker.hang(hangMs));
     }
   }
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -17,7 +17,7 @@
   final Site site = new Site();
   final SubmittedJobs jobs = new SubmittedJobs();
   final RunCounters counters = new RunCounters();
-  final FaultTimes faults;
+  final FaultPeriod faults;
   final ControllerLog log;
   final RunRecorder recorder;
   final SimulatedStateService store;
@@ -42,7 +42,7 @@
   World(long seed, Settings settings, RunOptions options) {
     this.sim = new Simulation(seed);
     this.settings = settings;
-    this.faults = new FaultTimes(sim);
+    this.faults = new FaultPeriod(sim);
     this.log = new ControllerLog(sim, options.verbose());
     this.recorder = new RunRecorder(sim, options.measurements(), options.digest());
     this.store = new SimulatedStateService(sim);
