--- a/src/test/java/shorecrank/sim/RandomMix.java
+++ b/src/test/java/shorecrank/sim/RandomActions.java
@@ -4,7 +4,7 @@
 import java.util.function.BiFunction;
 
 /** Actions that are drawn from the scenario's seed, so many between two times. */
-abstract class RandomMix {
+abstract class RandomActions {
   private final World world;
   private final SplittableRandom random;
   private final FaultScript script;
@@ -12,14 +12,14 @@
   /**
    * @param line that asked for them
    */
-  RandomMix(World world, ScenarioLine line) {
+  RandomActions(World world, ScenarioLine line) {
     this.world = world;
     this.random = world.sim.random().split();
     this.script = new FaultScript(world, line);
   }
 
   /** Reads {@code NAME COUNT FROM TO}, with times in seconds. */
-  static Declaration.Reader reader(BiFunction<World, ScenarioLine, RandomMix> kind) {
+  static Declaration.Reader reader(BiFunction<World, ScenarioLine, RandomActions> kind) {
     return line -> {
       int count = line.integer(1);
       double fromS = line.decimal(2);
--- a/src/test/java/shorecrank/sim/RandomFaults.java
+++ b/src/test/java/shorecrank/sim/RandomFaults.java
@@ -1,7 +1,7 @@
 package shorecrank.sim;
 
 /** Faults of all kinds, alone and together, drawn from the scenario's seed. */
-final class RandomFaults extends RandomMix {
+final class RandomFaults extends RandomActions {
   private static final String[] CONTROLLERS = {"owner", "leader", "all", "n0", "n1", "n2"};
   private static final String[] LINKS = {"state", "peers", "workers", "users", "all"};
   private static final String[] MODES = {"drop", "hold", "refuse"};
--- a/src/test/java/shorecrank/sim/RolloutMix.java
+++ b/src/test/java/shorecrank/sim/RandomRolloutActions.java
@@ -1,12 +1,12 @@
 package shorecrank.sim;
 
 /** Upgrades, returns of earlier versions, orders and faults, all drawn from the seed. */
-final class RolloutMix extends RandomMix {
+final class RandomRolloutActions extends RandomActions {
   private static final String[] VERSIONS = {"none", "0-0", "0-1", "0-1", "0-1", "0-2", "0-2"};
   private static final String NEWEST = "0-2";
   private static final double LAST_ROLL_EVERY_S = 2.5;
 
-  RolloutMix(World world, ScenarioLine line) {
+  RandomRolloutActions(World world, ScenarioLine line) {
     super(world, line);
   }
 
--- a/src/test/java/shorecrank/sim/SharesMix.java
+++ b/src/test/java/shorecrank/sim/RandomShareActions.java
@@ -7,7 +7,7 @@
  * Orders that move machines all the time, and faults at the steps of those moves, all drawn from
  * the seed.
  */
-final class SharesMix extends RandomMix {
+final class RandomShareActions extends RandomActions {
   private static final double ORDER_EVERY_S = 2;
 
   /** Moves whose steps may meet a fault: those numbered from 1 to here. */
@@ -20,7 +20,7 @@
 
   private int orders;
 
-  SharesMix(World world, ScenarioLine line) {
+  RandomShareActions(World world, ScenarioLine line) {
     super(world, line);
   }
 
