--- a/src/test/java/shorecrank/sim/OrderAnswer.java
+++ b/src/test/java/shorecrank/sim/ExpectedOrderAnswer.java
@@ -5,19 +5,19 @@
  *
  * @param words that they hold; may be empty
  */
-record OrderAnswer(String id, boolean accepted, String words) {
+record ExpectedOrderAnswer(String id, boolean accepted, String words) {
   /** Reads {@code NAME ID accepted|refused [words]}. */
-  static OrderAnswer read(ScenarioLine line) {
+  static ExpectedOrderAnswer read(ScenarioLine line) {
     String verdict = line.word(2);
     if (!verdict.equals("accepted") && !verdict.equals("refused")) {
       throw line.error("an order is accepted or refused");
     }
     String words = line.has(3) ? String.join(" ", line.textFrom(3).split("\\s+")) : "";
-    return new OrderAnswer(line.word(1), verdict.equals("accepted"), words);
+    return new ExpectedOrderAnswer(line.word(1), verdict.equals("accepted"), words);
   }
 
   /** Whether there are answers, and all of them say so. */
-  boolean isOf(OrderSender orders) {
-    return orders.allSay(id, accepted, words);
+  boolean matches(OrderSender orders) {
+    return orders.allAnswersMatch(id, accepted, words);
   }
 }
--- a/src/test/java/shorecrank/sim/OrderSender.java
+++ b/src/test/java/shorecrank/sim/OrderSender.java
@@ -63,7 +63,7 @@
   }
 
   /** Whether all answers to an order accepted or refused it, and hold some words. */
-  boolean allSay(String id, boolean accepted, String words) {
+  boolean allAnswersMatch(String id, boolean accepted, String words) {
     return !answers(id).isEmpty()
         && answers(id).stream()
             .allMatch(
--- a/src/test/java/shorecrank/sim/RolloutExpectations.java
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -41,8 +41,8 @@
 
   /** {@code rollout-order ID accepted|refused [words that the answer holds]}. */
   private static Expectation order(ScenarioLine line) {
-    OrderAnswer answer = OrderAnswer.read(line);
-    return of(world -> answer.isOf(world.rollouts.orders()));
+    ExpectedOrderAnswer answer = ExpectedOrderAnswer.read(line);
+    return of(world -> answer.matches(world.rollouts.orders()));
   }
 
   /** {@code rises COUNT}. */
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -53,8 +53,8 @@
 
   /** {@code share-order ID accepted|refused [words that the answer holds]}. */
   private static Expectation order(ScenarioLine line) {
-    OrderAnswer answer = OrderAnswer.read(line);
-    return of(world -> answer.isOf(world.shares.orders()));
+    ExpectedOrderAnswer answer = ExpectedOrderAnswer.read(line);
+    return of(world -> answer.matches(world.shares.orders()));
   }
 
   /** {@code share-orders ID,ID ACCEPTED REFUSED}: how many of their answers said what. */
