--- a/src/test/java/shorecrank/sim/JobExpectations.java
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -37,7 +37,7 @@
   /** Done or cancelled; or never accepted, in faults that lasted for as long as its user tried. */
   private static boolean isEndedOrRefused(World world, String job) {
     AnswerHistory answers = world.checker.answers();
-    return answers.isOver(job) || (answers.isUnknown(job) && world.users.gaveUpInFaults(job));
+    return answers.isOver(job) || (answers.isUnknown(job) && world.users.gaveUpDuringFaults(job));
   }
 
   /** {@code status JOB STATUS}: of the latest answer to its user. */
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -160,7 +160,7 @@
     world.describeSmallSite();
     world.cloud.setCapacity(6);
     world.site.setNextLimits(new StateLimits(5, 2), true);
-    world.users.habits().lookCloselyFor(600_000);
+    world.users.behavior().queryAllControllersFor(600_000);
   }
 
   private boolean submitting = true;
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -42,7 +42,7 @@
     world = new ProcessWorld(seed, first, Files.createTempDirectory(logs, "run"), tuning);
     world.describeSmallSite();
     world.cloud.setCapacity(machines + 2);
-    world.users.habits().lookCloselyFor(600_000);
+    world.users.behavior().queryAllControllersFor(600_000);
     world.rollouts.observe();
     world.open(3);
     for (int i = 0; i < machines; i++) {
--- a/src/test/java/shorecrank/sim/SimulatedUsers.java
+++ b/src/test/java/shorecrank/sim/SimulatedUsers.java
@@ -18,15 +18,15 @@
   private final World world;
   private final Simulation sim;
   private final UserClient client;
-  private final UserHabits habits;
+  private final UserBehavior behavior;
   private final Map<String, Integer> latestStatuses = new HashMap<>();
   private final Set<String> givenUpInFaults = new HashSet<>();
 
   SimulatedUsers(World world) {
     this.world = world;
     this.sim = world.sim;
-    this.habits = new UserHabits(world);
-    this.client = new UserClient(world, habits::answered);
+    this.behavior = new UserBehavior(world);
+    this.client = new UserClient(world, behavior::answered);
   }
 
   /** Sends their requests. */
@@ -35,8 +35,8 @@
   }
 
   /** What they do beyond submitting and asking. */
-  UserHabits habits() {
-    return habits;
+  UserBehavior behavior() {
+    return behavior;
   }
 
   /** Status of the latest answer to a query, or of a submission that was refused; 0 if none. */
@@ -45,7 +45,7 @@
   }
 
   /** Whether the job's user gave up submitting it while there still were faults. */
-  boolean gaveUpInFaults(String job) {
+  boolean gaveUpDuringFaults(String job) {
     return givenUpInFaults.contains(job);
   }
 
@@ -54,7 +54,7 @@
     world.jobs.submit(job, plan);
     world.checker.submitted(job);
     trySubmit(UserRequest.submit(job, plan), sim.now() + GIVE_UP_MS, true);
-    habits.submitted(job, plan);
+    behavior.submitted(job, plan);
   }
 
   /** Submits again a job that may be long over. */
@@ -122,6 +122,6 @@
   /** A task has completed; called by its worker. */
   void completed(String task) {
     world.jobs.addResult(task);
-    habits.completed(SubmittedJobs.jobOf(task));
+    behavior.completed(SubmittedJobs.jobOf(task));
   }
 }
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -15,8 +15,8 @@
           Map.entry("cancel-now", UserActions::cancelNow),
           Map.entry("cancel-each", UserActions::cancelEach),
           Map.entry("cancel-at-end", UserActions::cancelAtEnd),
-          Map.entry("query-everywhere", line -> forAWhile(line, UserHabits::lookCloselyFor)),
-          Map.entry("malformed-requests", line -> forAWhile(line, UserHabits::sendOddRequestsFor)));
+          Map.entry("query-everywhere", line -> forAWhile(line, UserBehavior::queryAllControllersFor)),
+          Map.entry("malformed-requests", line -> forAWhile(line, UserBehavior::sendUnusualRequestsFor)));
 
   private static final String[] PLAN_OPTIONS = {
     "team",
@@ -48,7 +48,7 @@
   /** Something that users do for a while. */
   @FunctionalInterface
   private interface Habit {
-    void begin(UserHabits habits, long durationMs);
+    void begin(UserBehavior behavior, long durationMs);
   }
 
   private UserActions() {}
@@ -85,20 +85,20 @@
   /** {@code NAME SECONDS}. */
   private static Action forAWhile(ScenarioLine line, Habit habit) {
     long durationMs = line.milliseconds(1);
-    return world -> habit.begin(world.users.habits(), durationMs);
+    return world -> habit.begin(world.users.behavior(), durationMs);
   }
 
   /** {@code lose-requests JOB}: no request about the job reaches a controller from now on. */
   private static Action loseRequests(ScenarioLine line) {
     String job = line.word(1);
-    return world -> world.users.client().loseAllAbout(job);
+    return world -> world.users.client().dropRequestsAbout(job);
   }
 
   /** {@code cancel-now COUNT [HANG_S]}: running jobs are cancelled; their machines may hang. */
   private static Action cancelNow(ScenarioLine line) {
     int count = line.integer(1);
     long hangMs = line.has(2) ? line.milliseconds(2) : 0;
-    return world -> world.users.habits().cancelNow(count, hangMs);
+    return world -> world.users.behavior().cancelNow(count, hangMs);
   }
 
   /** {@code cancel-each CLASS AFTER FOR}: for a while each job of a class is cancelled so late. */
@@ -107,8 +107,8 @@
     long afterMs = line.milliseconds(2);
     long durationMs = line.milliseconds(3);
     return world -> {
-      world.users.habits().cancelEach(jobClass, afterMs);
-      world.sim.after(durationMs, () -> world.users.habits().cancelEach("", 0));
+      world.users.behavior().cancelEach(jobClass, afterMs);
+      world.sim.after(durationMs, () -> world.users.behavior().cancelEach("", 0));
     };
   }
 
@@ -116,7 +116,7 @@
   private static Action cancelAtEnd(ScenarioLine line) {
     double share = line.decimal(1);
     long durationMs = line.milliseconds(2);
-    return world -> world.users.habits().cancelAtEnd(share, durationMs);
+    return world -> world.users.behavior().cancelAtEnd(share, durationMs);
   }
 
   private static JobPlan.Builder plan(ScenarioOptions options) {
--- a/src/test/java/shorecrank/sim/UserHabits.java
+++ b/src/test/java/shorecrank/sim/UserBehavior.java
@@ -8,7 +8,7 @@
 import shorecrank.sim.UserRequest.Kind;
 
 /** What users do for a while that is hard on the service. */
-final class UserHabits {
+final class UserBehavior {
   private static final int CLOSE_LOOKS = 12;
   private static final long CLOSE_LOOK_EVERY_MS = 3;
   private static final int CLOSE_LOOK_SPREAD_MS = 5;
@@ -33,7 +33,7 @@
   private String cancelledClass = "";
   private long cancelledAfterMs;
 
-  UserHabits(World world) {
+  UserBehavior(World world) {
     this.world = world;
     this.sim = world.sim;
   }
@@ -45,7 +45,7 @@
   // ---- close looks -----------------------------------------------------------------------------
 
   /** For a while users ask all controllers within milliseconds of any news of their jobs. */
-  void lookCloselyFor(long durationMs) {
+  void queryAllControllersFor(long durationMs) {
     closeLooksUntilMs = sim.now() + durationMs;
   }
 
@@ -134,7 +134,7 @@
   // ---- odd requests ----------------------------------------------------------------------------
 
   /** Submissions repeated, done jobs cancelled, jobs that fit no machine or lack a field. */
-  void sendOddRequestsFor(long durationMs) {
+  void sendUnusualRequestsFor(long durationMs) {
     oddRequestsUntilMs = sim.now() + durationMs;
     sendOdd(FIRST_MALFORMED);
   }
--- a/src/test/java/shorecrank/sim/UserClient.java
+++ b/src/test/java/shorecrank/sim/UserClient.java
@@ -29,7 +29,7 @@
   }
 
   /** No request about a job arrives from now on. */
-  void loseAllAbout(String job) {
+  void dropRequestsAbout(String job) {
     unreachable.add(job);
   }
 
