--- a/src/test/java/shorecrank/sim/ForgottenRule.java
+++ b/src/test/java/shorecrank/sim/ForgottenRule.java
@@ -22,8 +22,8 @@
   @Override
   void answered(UserAnswer answer) {
     int status = answer.status();
-    if (status == 404 && answer.before().accepted()) {
-      report("forgotten: %s gets 404".formatted(answer.what()));
+    if (status == 404 && answer.toldBefore().accepted()) {
+      report("forgotten: %s gets 404".formatted(answer.describe()));
     }
     boolean refused = status == 400 || status == 422;
     if (refused && answer.kind() == Kind.SUBMIT && answers().isAccepted(answer.job())) {
--- a/src/test/java/shorecrank/sim/UserAnswer.java
+++ b/src/test/java/shorecrank/sim/UserAnswer.java
@@ -7,9 +7,9 @@
 /**
  * An answer to a user.
  *
- * @param before what users had been told when the request was sent
+ * @param toldBefore what users had been told when the request was sent
  */
-record UserAnswer(Kind kind, String job, int status, JsonNode body, KnownJobState before) {
+record UserAnswer(Kind kind, String job, int status, JsonNode body, KnownJobState toldBefore) {
   boolean isOk() {
     return status == 200 || status == 201;
   }
@@ -20,7 +20,7 @@
   }
 
   /** What it answers, for reports. */
-  String what() {
+  String describe() {
     return kind.name().toLowerCase(Locale.ROOT) + " " + job;
   }
 }
--- a/src/test/java/shorecrank/sim/WentBackRule.java
+++ b/src/test/java/shorecrank/sim/WentBackRule.java
@@ -35,14 +35,14 @@
   }
 
   private void checkAge(UserAnswer answer) {
-    KnownJobState before = answer.before();
+    KnownJobState before = answer.toldBefore();
     int done = answer.body().path("done").asInt();
     if (!before.finalPhase().isEmpty() && !before.finalPhase().equals(answer.phase())) {
       report(
           "went_back: %s is %s after %s"
-              .formatted(answer.what(), answer.phase(), before.finalPhase()));
+              .formatted(answer.describe(), answer.phase(), before.finalPhase()));
     } else if (answer.body().has("done") && done < before.doneTasks()) {
-      report("older: %s has %d after %d".formatted(answer.what(), done, before.doneTasks()));
+      report("older: %s has %d after %d".formatted(answer.describe(), done, before.doneTasks()));
     }
   }
 }
