--- a/src/test/java/shorecrank/sim/ControllerLog.java
+++ b/src/test/java/shorecrank/sim/ControllerLog.java
@@ -59,7 +59,7 @@
   }
 
   /** The first line that holds a text. */
-  Optional<String> first(String text) {
+  Optional<String> firstContaining(String text) {
     return lines.stream().filter(line -> line.contains(text)).findFirst();
   }
 }
--- a/src/test/java/shorecrank/sim/ControllerNode.java
+++ b/src/test/java/shorecrank/sim/ControllerNode.java
@@ -102,10 +102,10 @@
   abstract void handle(ControllerRequest request, ReplyHandler reply);
 
   /** The epochs of the shards that it owns. */
-  abstract Map<ShardId, Epoch> owned();
+  abstract Map<ShardId, Epoch> ownedEpochs();
 
   /** The epochs of the shards that it may command now, as far as that can be seen. */
-  abstract Map<ShardId, Epoch> commanded();
+  abstract Map<ShardId, Epoch> commandedEpochs();
 
   /** The machines that it may command now, as far as that can be seen. */
   abstract Set<MachineName> commandedMachines();
--- a/src/test/java/shorecrank/sim/ControllerProcess.java
+++ b/src/test/java/shorecrank/sim/ControllerProcess.java
@@ -183,7 +183,7 @@
   // ---- what is seen from outside ---------------------------------------------------------------
 
   @Override
-  Map<ShardId, Epoch> owned() {
+  Map<ShardId, Epoch> ownedEpochs() {
     Map<ShardId, Epoch> owned = new HashMap<>();
     for (String key : world().store.keys(SHARDS)) {
       JsonNode owner = world().store.peek(key);
@@ -197,7 +197,7 @@
 
   /** What a process may command is not seen from outside. */
   @Override
-  Map<ShardId, Epoch> commanded() {
+  Map<ShardId, Epoch> commandedEpochs() {
     return Map.of();
   }
 
--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -73,7 +73,7 @@
   private static Expectation logged(ScenarioLine line, boolean expected) {
     String text = line.textFrom(1);
     return Expectation.of(
-        world -> world.log.first(text).isPresent() == expected,
-        world -> world.log.first(text).map(log -> " [" + log + "]").orElse(""));
+        world -> world.log.firstContaining(text).isPresent() == expected,
+        world -> world.log.firstContaining(text).map(log -> " [" + log + "]").orElse(""));
   }
 }
--- a/src/test/java/shorecrank/sim/IdleController.java
+++ b/src/test/java/shorecrank/sim/IdleController.java
@@ -42,12 +42,12 @@
   void handle(ControllerRequest request, ReplyHandler reply) {}
 
   @Override
-  Map<ShardId, Epoch> owned() {
+  Map<ShardId, Epoch> ownedEpochs() {
     return shards;
   }
 
   @Override
-  Map<ShardId, Epoch> commanded() {
+  Map<ShardId, Epoch> commandedEpochs() {
     return shards;
   }
 
--- a/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
+++ b/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
@@ -40,8 +40,7 @@
     assertTrue(
         scenario
             .world()
-            .log
-            .first("team.quota.exceeded team=t cpus=16.00 cpus_max=8.00")
+            .log.firstContaining("team.quota.exceeded team=t cpus=16.00 cpus_max=8.00")
             .isPresent());
   }
 
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -105,7 +105,7 @@
     }
     RolloutState state = world().rollouts.state();
     Version version = world().rollouts.running(node);
-    if (!node.commanded().isEmpty() && !version.supports(state.level())) {
+    if (!node.commandedEpochs().isEmpty() && !version.supports(state.level())) {
       report("owner_below_level: %s at %s".formatted(node.label(), state.level()));
     }
     if (state.level().includes(Feature.PROTECTED_LEADERSHIP.level())) {
--- a/src/test/java/shorecrank/sim/SimulatedController.java
+++ b/src/test/java/shorecrank/sim/SimulatedController.java
@@ -115,7 +115,7 @@
   }
 
   @Override
-  Map<ShardId, Epoch> owned() {
+  Map<ShardId, Epoch> ownedEpochs() {
     return core.ownedEpochs();
   }
 
@@ -125,7 +125,7 @@
   }
 
   @Override
-  Map<ShardId, Epoch> commanded() {
+  Map<ShardId, Epoch> commandedEpochs() {
     return isUp() ? core.commandedEpochs(steadyTime()) : Map.of();
   }
 
--- a/src/test/java/shorecrank/sim/SingleOwnerRule.java
+++ b/src/test/java/shorecrank/sim/SingleOwnerRule.java
@@ -23,9 +23,9 @@
   }
 
   private void checkShards(ControllerNode node) {
-    for (Map.Entry<ShardId, Epoch> shard : node.commanded().entrySet()) {
+    for (Map.Entry<ShardId, Epoch> shard : node.commandedEpochs().entrySet()) {
       for (ControllerNode other : world().controllers()) {
-        Epoch epoch = other == node ? null : other.commanded().get(shard.getKey());
+        Epoch epoch = other == node ? null : other.commandedEpochs().get(shard.getKey());
         if (epoch != null) {
           report(
               "two_owners: %s at %s and %s at %s"
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -120,7 +120,7 @@
     ControllerNode best = null;
     long highest = -1;
     for (ControllerNode node : controllers) {
-      Epoch epoch = node.isUp() ? node.owned().get(new ShardId(shard)) : null;
+      Epoch epoch = node.isUp() ? node.ownedEpochs().get(new ShardId(shard)) : null;
       if (epoch != null && epoch.value() > highest) {
         highest = epoch.value();
         best = node;
