--- a/src/test/java/shorecrank/sim/Backlog.java
+++ b/src/test/java/shorecrank/sim/Backlog.java
@@ -61,7 +61,7 @@
             .map(move -> move.machine().value())
             .collect(Collectors.toSet());
     long machines =
-        world.shares.assigned().getOrDefault(shard.value(), List.of()).stream()
+        world.shares.machinesByShard().getOrDefault(shard.value(), List.of()).stream()
             .filter(machine -> !leaving.contains(machine))
             .count();
     double cpusEach =
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -104,7 +104,7 @@
       return;
     }
     RolloutState state = world().rollouts.state();
-    Version version = world().rollouts.running(node);
+    Version version = world().rollouts.runningVersion(node);
     if (!node.commandedEpochs().isEmpty() && !version.supports(state.level())) {
       report("owner_below_level: %s at %s".formatted(node.label(), state.level()));
     }
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -116,7 +116,7 @@
   }
 
   /** What a controller runs, or ran last; null if that is not known. */
-  Version running(ControllerNode node) {
+  Version runningVersion(ControllerNode node) {
     return running.get(node.index());
   }
 
@@ -132,12 +132,12 @@
 
   /** Whether the version that a controller runs knows of shares, and has them enabled. */
   boolean knowsShares(ControllerNode node) {
-    Version version = running(node);
+    Version version = runningVersion(node);
     return version != null && version.supports(Feature.SHARES.level());
   }
 
   private boolean readsDense(ControllerNode node) {
-    Version version = running(node);
+    Version version = runningVersion(node);
     return !isEnabled() || version == null || version.supports(Feature.DENSE_RECORDS.level());
   }
 
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -28,7 +28,7 @@
     int most = line.integer(3);
     return of(
         world -> {
-          int machines = world.shares.assigned().getOrDefault(shard, List.of()).size();
+          int machines = world.shares.machinesByShard().getOrDefault(shard, List.of()).size();
           return machines >= least && machines <= most;
         });
   }
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -53,7 +53,7 @@
       return;
     }
     checkMoves(before, after);
-    Map<Integer, List<String>> assigned = world().shares.assigned();
+    Map<Integer, List<String>> assigned = world().shares.machinesByShard();
     for (JsonNode operation : operations) {
       if (operation.path("write").asText().startsWith(Shares.MACHINES)) {
         for (JsonNode machine : operation.path("data").path("m")) {
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -66,7 +66,7 @@
   }
 
   /** Machines by shard, as the state service has them. */
-  Map<Integer, List<String>> assigned() {
+  Map<Integer, List<String>> machinesByShard() {
     Map<Integer, List<String>> byShard = new TreeMap<>();
     for (String key : world.store.keys(MACHINES)) {
       for (JsonNode machine : world.store.peek(key).path("m")) {
@@ -91,7 +91,7 @@
   String describe() {
     return Json.object()
         .put("state", ShareStateCodec.write(state()).toString())
-        .put("assigned", assigned().toString())
+        .put("assigned", machinesByShard().toString())
         .put("counts", world.counters.countsWithPrefix("shares.").toString())
         .put("outcomes", orders.describe())
         .toString();
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -95,11 +95,11 @@
     fleet.await(
         "machines to be movable",
         () -> fleet.client("shares", "show", "@").out().startsWith("machines may move"));
-    fleet.await("machines of both shards", () -> fleet.world.shares.assigned().size() == 2);
+    fleet.await("machines of both shards", () -> fleet.world.shares.machinesByShard().size() == 2);
   }
 
   private static Map<Integer, List<String>> assigned(ProcessFleet fleet) {
-    return fleet.world.shares.assigned();
+    return fleet.world.shares.machinesByShard();
   }
 
   private void session(ProcessFleet fleet) {
