--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -195,7 +195,7 @@
         setup.afterStart(
             () -> {
               for (int i = 0; i < count; i++) {
-                setup.world().cloud.boot(type, zone, spot, 0);
+                setup.world().cloud.addMachine(type, zone, spot, 0);
               }
             });
   }
--- a/src/test/java/shorecrank/sim/MachineFaults.java
+++ b/src/test/java/shorecrank/sim/MachineFaults.java
@@ -24,13 +24,13 @@
   /** {@code fail-tasks MACHINES}: every task fails on them. */
   private static Action failTasks(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
-    return world -> machines.forEach(world, worker -> worker.makeSick());
+    return world -> machines.forEach(world, worker -> worker.startFailingTasks());
   }
 
   /** {@code preempt-machine MACHINES}: the cloud takes them back without notice. */
   private static Action preempt(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
-    return world -> machines.forEach(world, worker -> world.cloud.take(worker.name()));
+    return world -> machines.forEach(world, worker -> world.cloud.removeMachine(worker.name()));
   }
 
   /** {@code preemption-notice MACHINES SECONDS}: the cloud takes them back after a notice. */
@@ -43,7 +43,7 @@
             world,
             worker -> {
               worker.giveNotice(noticeS);
-              world.sim.after(noticeMs, () -> world.cloud.take(worker.name()));
+              world.sim.after(noticeMs, () -> world.cloud.removeMachine(worker.name()));
             });
   }
 
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -41,7 +41,7 @@
       world.open(3);
       world.letLeadOnly(node(1));
       for (int i = 0; i < 4; i++) {
-        world.cloud.boot("p8", i % 2 == 0 ? "a" : "b", false, 0);
+        world.cloud.addMachine("p8", i % 2 == 0 ? "a" : "b", false, 0);
       }
       await("the first leader", () -> leads(1) && world.owner(0).isPresent());
       submitEvery(JOB_EVERY_MS);
--- a/src/test/java/shorecrank/sim/PlantedWorld.java
+++ b/src/test/java/shorecrank/sim/PlantedWorld.java
@@ -47,7 +47,7 @@
   PlantedWorld opened() {
     open(2);
     for (int i = 0; i < 4; i++) {
-      cloud.boot("p8", i < 2 ? "a" : "b", i % 2 == 1, 0);
+      cloud.addMachine("p8", i < 2 ? "a" : "b", i % 2 == 1, 0);
     }
     return this;
   }
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -46,7 +46,7 @@
     world.rollouts.observe();
     world.open(3);
     for (int i = 0; i < machines; i++) {
-      world.cloud.boot("p8", i % 2 == 0 ? "a" : "b", false, 0);
+      world.cloud.addMachine("p8", i % 2 == 0 ? "a" : "b", false, 0);
     }
     await("the first owner", () -> world.owner(0).isPresent() && world.leader().isPresent());
   }
--- a/src/test/java/shorecrank/sim/SimulatedCloud.java
+++ b/src/test/java/shorecrank/sim/SimulatedCloud.java
@@ -122,7 +122,7 @@
    * @param bootS its nominal boot time in seconds; 0 if it is up at once
    * @return its name
    */
-  String boot(String type, String zone, boolean spot, double bootS) {
+  String addMachine(String type, String zone, boolean spot, double bootS) {
     String name = String.format("n-%06d", nextNumber++);
     Machine machine = new Machine(name, type, zone, spot, sim.now());
     machines.put(name, machine);
@@ -147,7 +147,7 @@
   }
 
   /** Takes a machine away, with everything on it. */
-  void take(String name) {
+  void removeMachine(String name) {
     Machine machine = machines.remove(name);
     if (machine != null && machine.worker != null) {
       machine.worker.remove();
@@ -166,7 +166,7 @@
     } else if (path.equals("/hosts/release")) {
       for (JsonNode name : body.path("hosts")) {
         returned.add(name.asText());
-        take(name.asText());
+        removeMachine(name.asText());
       }
       reply.accept(200, Json.object());
     } else if (path.equals("/hosts")) {
@@ -240,7 +240,7 @@
     boolean spot = body.path("loaner").asBoolean();
     List<String> names = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      names.add(boot(type, zone, spot, world.site.type(type).bootS()));
+      names.add(addMachine(type, zone, spot, world.site.type(type).bootS()));
     }
     return names;
   }
--- a/src/test/java/shorecrank/sim/SimulatedWorker.java
+++ b/src/test/java/shorecrank/sim/SimulatedWorker.java
@@ -107,11 +107,11 @@
   }
 
   /** All tasks fail on it from now on. */
-  void makeSick() {
+  void startFailingTasks() {
     sick = true;
   }
 
-  boolean isSick() {
+  boolean failsTasks() {
     return sick;
   }
 
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -70,7 +70,7 @@
     PlantedWorld world = new PlantedWorld(TWO_SHARDS).opened();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000001");
-    world.cloud.take("n-000001");
+    world.cloud.removeMachine("n-000001");
     world.checker.stepped(world.controller(0));
     world.assertSound();
   }
--- a/src/test/java/shorecrank/sim/WaitingRule.java
+++ b/src/test/java/shorecrank/sim/WaitingRule.java
@@ -62,7 +62,7 @@
 
   private static boolean fits(SimulatedWorker worker, JobPlan plan) {
     return !worker.isHung()
-        && !worker.isSick()
+        && !worker.failsTasks()
         && WrongPlaceRule.allows(plan, worker)
         && worker.tasks().freeCpus() >= plan.cpus() - ROUNDING;
   }
--- a/src/test/java/shorecrank/sim/WorkerTasks.java
+++ b/src/test/java/shorecrank/sim/WorkerTasks.java
@@ -104,7 +104,7 @@
   }
 
   private boolean fails(SimulatedTask task) {
-    return worker.isSick() || plan(task).faulty();
+    return worker.failsTasks() || plan(task).faulty();
   }
 
   private void run(SimulatedTask task) {
