--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -38,7 +38,7 @@
       world = w;
       describeSite();
       world.letLeadOnly(null);
-      world.open(3);
+      world.startControllers(3);
       world.letLeadOnly(node(1));
       for (int i = 0; i < 4; i++) {
         world.cloud.addMachine("p8", i % 2 == 0 ? "a" : "b", false, 0);
--- a/src/test/java/shorecrank/sim/PlantedWorld.java
+++ b/src/test/java/shorecrank/sim/PlantedWorld.java
@@ -45,7 +45,7 @@
 
   /** Starts the controllers and machines. */
   PlantedWorld opened() {
-    open(2);
+    startControllers(2);
     for (int i = 0; i < 4; i++) {
       cloud.addMachine("p8", i < 2 ? "a" : "b", i % 2 == 1, 0);
     }
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -44,7 +44,7 @@
     world.cloud.setCapacity(machines + 2);
     world.users.behavior().queryAllControllersFor(600_000);
     world.rollouts.observe();
-    world.open(3);
+    world.startControllers(3);
     for (int i = 0; i < machines; i++) {
       world.cloud.addMachine("p8", i % 2 == 0 ? "a" : "b", false, 0);
     }
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -74,7 +74,7 @@
     if (!rolloutSettings.isEmpty()) {
       world.rollouts.enable(rolloutSettings.toString());
     }
-    world.open(controllers);
+    world.startControllers(controllers);
     afterStart.forEach(Runnable::run);
   }
 }
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -78,7 +78,7 @@
   // ---- controllers -----------------------------------------------------------------------------
 
   /** Starts so many controllers. */
-  void open(int count) {
+  void startControllers(int count) {
     for (int i = 0; i < count; i++) {
       controllers.add(newController(i));
     }
