--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -32,12 +32,12 @@
       JsonNode data = operation.path("data");
       if (key.startsWith(SHARDS)) {
         history.allocated(data.path("epoch").asLong(), data.path("part").asInt());
-      } else if (several && key.startsWith(Shares.MACHINES)) {
+      } else if (several && key.startsWith(Shares.ASSIGNMENT_PREFIX)) {
         data.path("m")
             .forEach(
                 machine ->
                     history.assigned(
-                        machine.path(Shares.NAME).asText(), machine.path(Shares.SHARD).asInt()));
+                        machine.path(Shares.NAME_INDEX).asText(), machine.path(Shares.SHARD_INDEX).asInt()));
       }
     }
     if (several) {
@@ -49,7 +49,7 @@
     String key = operation.path("write").asText();
     if (key.startsWith(JobRecord.LIVE_PREFIX)) {
       checkNames(key, operation.path("data"));
-    } else if (key.startsWith(Shares.MACHINES)) {
+    } else if (key.startsWith(Shares.ASSIGNMENT_PREFIX)) {
       SimulatedStateService store = world().store;
       store.keys(JobRecord.LIVE_PREFIX).forEach(record -> checkNames(record, store.peek(record)));
     }
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -43,7 +43,7 @@
     world.describeSmallSite();
     world.cloud.setCapacity(machines + 2);
     world.users.behavior().queryAllControllersFor(600_000);
-    world.rollouts.observe();
+    world.rollouts.enableWithDefaults();
     world.startControllers(3);
     for (int i = 0; i < machines; i++) {
       world.cloud.addMachine("p8", i % 2 == 0 ? "a" : "b", false, 0);
--- a/src/test/java/shorecrank/sim/RolloutExpectations.java
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -36,7 +36,7 @@
   /** {@code dense none|some}: records in the dense form. */
   private static Expectation dense(ScenarioLine line) {
     boolean none = line.word(1).equals("none");
-    return of(world -> (world.rollouts.denseRecords() == 0) == none);
+    return of(world -> (world.rollouts.denseRecordCount() == 0) == none);
   }
 
   /** {@code rollout-order ID accepted|refused [words that the answer holds]}. */
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -51,7 +51,7 @@
         });
     assertEquals(List.of(), scenario.play(1, false));
     World world = scenario.world();
-    assertEquals(0, world.rollouts.denseRecords());
+    assertEquals(0, world.rollouts.denseRecordCount());
     long durationMs = fell[0] - FALL_AT_MS;
     System.out.printf(
         Locale.ROOT,
--- a/src/test/java/shorecrank/sim/RolloutProcessTest.java
+++ b/src/test/java/shorecrank/sim/RolloutProcessTest.java
@@ -41,7 +41,7 @@
     Run again = fleet.clientOf(1, "rollout", "finalize", "@", "--level=1", "--id=up");
     assertEquals(order, again);
     fleet.await("level 1", () -> fleet.state().level().value() == 1);
-    fleet.await("a dense record", () -> fleet.world.rollouts.denseRecords() > 0);
+    fleet.await("a dense record", () -> fleet.world.rollouts.denseRecordCount() > 0);
     assertEquals(1, fleet.world.checker.rollout().rises());
     fleet.serveFor(1500);
     String[] told = new String[3];
@@ -94,6 +94,6 @@
     fleet.await(
         "level 0",
         () -> fleet.state().level().value() == 0 && fleet.state().phase() == RolloutPhase.STABLE);
-    assertEquals(0, fleet.world.rollouts.denseRecords());
+    assertEquals(0, fleet.world.rollouts.denseRecordCount());
   }
 }
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -86,7 +86,7 @@
   }
 
   private void checkFall(FeatureLevel level) {
-    long dense = world().rollouts.denseRecords();
+    long dense = world().rollouts.denseRecordCount();
     if (dense > 0 && !level.includes(Feature.DENSE_RECORDS.level())) {
       report("fell_too_early: %d dense records left".formatted(dense));
     }
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -113,6 +113,6 @@
         () -> fleet.client("rollout", "downgrade", "@", "--timeout=3").status() == 0);
     fleet.await("level 0", () -> fleet.state().level().value() == 0);
     falls++;
-    assertEquals(0, fleet.world.rollouts.denseRecords());
+    assertEquals(0, fleet.world.rollouts.denseRecordCount());
   }
 }
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -70,7 +70,7 @@
   }
 
   /** Has the level and the forms watched only: what runs is not known here. */
-  void observe() throws InvalidConfigException {
+  void enableWithDefaults() throws InvalidConfigException {
     enable("");
   }
 
@@ -168,7 +168,7 @@
   }
 
   /** How many live records are in the dense form. */
-  long denseRecords() {
+  long denseRecordCount() {
     return world.store.keys(JobRecord.LIVE_PREFIX).stream()
         .filter(key -> JobRecord.isDense(world.store.peek(key)))
         .count();
@@ -190,7 +190,7 @@
     return Json.object()
         .put("rises", rule.rises())
         .put("falls", rule.falls())
-        .put("dense", denseRecords())
+        .put("dense", denseRecordCount())
         .put("state", RolloutCodec.writeState(state()).toString())
         .put("outcomes", orders.describe())
         .toString();
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -55,10 +55,10 @@
     checkMoves(before, after);
     Map<Integer, List<String>> assigned = world().shares.machinesByShard();
     for (JsonNode operation : operations) {
-      if (operation.path("write").asText().startsWith(Shares.MACHINES)) {
+      if (operation.path("write").asText().startsWith(Shares.ASSIGNMENT_PREFIX)) {
         for (JsonNode machine : operation.path("data").path("m")) {
-          String name = machine.path(Shares.NAME).asText();
-          checkAssignment(name, machine.path(Shares.SHARD).asInt(), assigned, before, after);
+          String name = machine.path(Shares.NAME_INDEX).asText();
+          checkAssignment(name, machine.path(Shares.SHARD_INDEX).asInt(), assigned, before, after);
         }
       }
     }
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -18,10 +18,10 @@
 /** The settings of shares, operators' orders of them, and what controllers wrote of both. */
 final class Shares {
   /** Keys of machines' assignments, and where name and shard stand in each entry. */
-  static final String MACHINES = "hosts/";
+  static final String ASSIGNMENT_PREFIX = "hosts/";
 
-  static final int NAME = 0;
-  static final int SHARD = 4;
+  static final int NAME_INDEX = 0;
+  static final int SHARD_INDEX = 4;
 
   private final World world;
   private final StringBuilder file = new StringBuilder();
@@ -68,10 +68,10 @@
   /** Machines by shard, as the state service has them. */
   Map<Integer, List<String>> machinesByShard() {
     Map<Integer, List<String>> byShard = new TreeMap<>();
-    for (String key : world.store.keys(MACHINES)) {
+    for (String key : world.store.keys(ASSIGNMENT_PREFIX)) {
       for (JsonNode machine : world.store.peek(key).path("m")) {
-        int shard = machine.path(SHARD).asInt();
-        byShard.computeIfAbsent(shard, k -> new ArrayList<>()).add(machine.path(NAME).asText());
+        int shard = machine.path(SHARD_INDEX).asInt();
+        byShard.computeIfAbsent(shard, k -> new ArrayList<>()).add(machine.path(NAME_INDEX).asText());
       }
     }
     return byShard;
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -33,7 +33,7 @@
 
   private static PlantedWorld ofLevels(String... versions) throws Exception {
     PlantedWorld world = new PlantedWorld("");
-    world.rollouts.observe();
+    world.rollouts.enableWithDefaults();
     for (int i = 0; i < versions.length; i++) {
       world.rollouts.setVersion(i, Version.of(versions[i]));
     }
@@ -177,7 +177,7 @@
 
   private static PlantedWorld ofShares() throws Exception {
     PlantedWorld world = new PlantedWorld(TWO_SHARDS);
-    world.rollouts.observe();
+    world.rollouts.enableWithDefaults();
     world.shares.addSetting("automatic: false");
     world.opened();
     world.sim.runUntil(10_000);
