--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -37,7 +37,8 @@
             .forEach(
                 machine ->
                     history.assigned(
-                        machine.path(Shares.NAME_INDEX).asText(), machine.path(Shares.SHARD_INDEX).asInt()));
+                        machine.path(Shares.NAME_INDEX).asText(),
+                        machine.path(Shares.SHARD_INDEX).asInt()));
       }
     }
     if (several) {
--- a/src/test/java/shorecrank/sim/DependencyRule.java
+++ b/src/test/java/shorecrank/sim/DependencyRule.java
@@ -34,7 +34,8 @@
     for (String needed : world().jobs.withDependencies(answer.job())) {
       OptionalLong cancelledAt = answers().cancelledAtMs(needed);
       double graceMs = world().site.cancelS() * MS_PER_S;
-      if (cancelledAt.isPresent() && answer.toldBefore().atMs() > cancelledAt.getAsLong() + graceMs) {
+      if (cancelledAt.isPresent()
+          && answer.toldBefore().atMs() > cancelledAt.getAsLong() + graceMs) {
         report(
             "orphaned: %s is %s, %s is cancelled".formatted(answer.job(), answer.phase(), needed));
       }
--- a/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
+++ b/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
@@ -40,7 +40,8 @@
     assertTrue(
         scenario
             .world()
-            .log.firstContaining("team.quota.exceeded team=t cpus=16.00 cpus_max=8.00")
+            .log
+            .firstContaining("team.quota.exceeded team=t cpus=16.00 cpus_max=8.00")
             .isPresent());
   }
 
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -71,7 +71,9 @@
     for (String key : world.store.keys(ASSIGNMENT_PREFIX)) {
       for (JsonNode machine : world.store.peek(key).path("m")) {
         int shard = machine.path(SHARD_INDEX).asInt();
-        byShard.computeIfAbsent(shard, k -> new ArrayList<>()).add(machine.path(NAME_INDEX).asText());
+        byShard
+            .computeIfAbsent(shard, k -> new ArrayList<>())
+            .add(machine.path(NAME_INDEX).asText());
       }
     }
     return byShard;
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -15,8 +15,10 @@
           Map.entry("cancel-now", UserActions::cancelNow),
           Map.entry("cancel-each", UserActions::cancelEach),
           Map.entry("cancel-at-end", UserActions::cancelAtEnd),
-          Map.entry("query-everywhere", line -> forAWhile(line, UserBehavior::queryAllControllersFor)),
-          Map.entry("malformed-requests", line -> forAWhile(line, UserBehavior::sendUnusualRequestsFor)));
+          Map.entry(
+              "query-everywhere", line -> forAWhile(line, UserBehavior::queryAllControllersFor)),
+          Map.entry(
+              "malformed-requests", line -> forAWhile(line, UserBehavior::sendUnusualRequestsFor)));
 
   private static final String[] PLAN_OPTIONS = {
     "team",
