--- a/src/test/java/shorecrank/sim/AssignmentRule.java
+++ b/src/test/java/shorecrank/sim/AssignmentRule.java
@@ -33,12 +33,13 @@
       JsonNode data = operation.path("data");
       if (key.startsWith(SHARD_KEYS)) {
         history.recordAllocation(data.path("epoch").asLong(), data.path("part").asInt());
-      } else if (hasSeveralShards && key.startsWith(Shares.MACHINES)) {
+      } else if (hasSeveralShards && key.startsWith(Shares.ASSIGNMENT_PREFIX)) {
         data.path("m")
             .forEach(
                 machine ->
                     history.recordAssignment(
-                        machine.path(Shares.NAME).asText(), machine.path(Shares.SHARD).asInt()));
+                        machine.path(Shares.NAME_INDEX).asText(),
+                        machine.path(Shares.SHARD_INDEX).asInt()));
       }
     }
     if (hasSeveralShards) {
@@ -50,7 +51,7 @@
     String key = operation.path("write").asText();
     if (key.startsWith(JobRecord.LIVE_PREFIX)) {
       checkRecordedMachines(key, operation.path("data"));
-    } else if (key.startsWith(Shares.MACHINES)) {
+    } else if (key.startsWith(Shares.ASSIGNMENT_PREFIX)) {
       SimulatedStateService store = world().store;
       store
           .keys(JobRecord.LIVE_PREFIX)
--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -24,9 +24,9 @@
           Map.entry("rollout", Declarations::rollout),
           Map.entry("shares", Declarations::shares),
           Map.entry("levels", Declarations::levels),
-          Map.entry("random-faults", RandomMix.reader(RandomFaults::new)),
-          Map.entry("random-rollouts", RandomMix.reader(RolloutMix::new)),
-          Map.entry("random-moves", RandomMix.reader(SharesMix::new)),
+          Map.entry("random-faults", RandomActions.reader(RandomFaults::new)),
+          Map.entry("random-rollouts", RandomActions.reader(RandomRolloutActions::new)),
+          Map.entry("random-moves", RandomActions.reader(RandomShareActions::new)),
           Map.entry("must-break", Declarations::expectViolation),
           Map.entry("capacity", Declarations::capacity),
           Map.entry("boot-failures", Declarations::bootFailures),
@@ -223,7 +223,7 @@
         setup.afterStart(
             () -> {
               for (int i = 0; i < count; i++) {
-                setup.world().cloud.boot(type, zone, spot, 0);
+                setup.world().cloud.addMachine(type, zone, spot, 0);
               }
             });
   }
--- a/src/test/java/shorecrank/sim/DependencyRule.java
+++ b/src/test/java/shorecrank/sim/DependencyRule.java
@@ -36,7 +36,8 @@
     for (String dependency : world().jobs.withDependencies(answer.job())) {
       OptionalLong cancelledAt = answers().cancelledAtMs(dependency);
       double cancelMs = world().site.cancelS() * MS_PER_S;
-      if (cancelledAt.isPresent() && answer.before().atMs() > cancelledAt.getAsLong() + cancelMs) {
+      if (cancelledAt.isPresent()
+          && answer.toldBefore().atMs() > cancelledAt.getAsLong() + cancelMs) {
         report(
             "orphaned: %s is %s, %s is cancelled"
                 .formatted(answer.job(), answer.phase(), dependency));
--- a/src/test/java/shorecrank/sim/JobExpectations.java
+++ b/src/test/java/shorecrank/sim/JobExpectations.java
@@ -43,7 +43,7 @@
    */
   private static boolean isEndedOrRefused(World world, String job) {
     AnswerHistory answers = world.checker.answers();
-    return answers.isOver(job) || (answers.isUnknown(job) && world.users.gaveUpInFaults(job));
+    return answers.isOver(job) || (answers.isUnknown(job) && world.users.gaveUpDuringFaults(job));
   }
 
   /** Parses {@code status JOB STATUS}: the HTTP status of the latest answer to the job's user. */
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -38,10 +38,10 @@
       world = w;
       describeSite();
       world.letLeadOnly(null);
-      world.open(3);
+      world.startControllers(3);
       world.letLeadOnly(node(1));
       for (int i = 0; i < 4; i++) {
-        world.cloud.boot("p8", i % 2 == 0 ? "a" : "b", false, 0);
+        world.cloud.addMachine("p8", i % 2 == 0 ? "a" : "b", false, 0);
       }
       await("the first leader", () -> leads(1) && world.owner(0).isPresent());
       submitEvery(JOB_EVERY_MS);
@@ -112,7 +112,7 @@
   }
 
   private void outage() {
-    world.faults.lastFor(12_000);
+    world.faults.addFault(12_000);
     world.store.beginOutage(12_000);
     serveFor(14_000);
   }
@@ -160,7 +160,7 @@
     world.describeSmallSite();
     world.cloud.setCapacity(6);
     world.site.setNextLimits(new StateLimits(5, 2), true);
-    world.users.habits().lookCloselyFor(600_000);
+    world.users.behavior().queryAllControllersFor(600_000);
   }
 
   private boolean submitting = true;
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -42,11 +42,11 @@
     world = new ProcessWorld(seed, first, Files.createTempDirectory(logs, "run"), tuning);
     world.describeSmallSite();
     world.cloud.setCapacity(machines + 2);
-    world.users.habits().lookCloselyFor(600_000);
-    world.rollouts.observe();
-    world.open(3);
+    world.users.behavior().queryAllControllersFor(600_000);
+    world.rollouts.enableWithDefaults();
+    world.startControllers(3);
     for (int i = 0; i < machines; i++) {
-      world.cloud.boot("p8", i % 2 == 0 ? "a" : "b", false, 0);
+      world.cloud.addMachine("p8", i % 2 == 0 ? "a" : "b", false, 0);
     }
     await("the first owner", () -> world.owner(0).isPresent() && world.leader().isPresent());
   }
--- a/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
+++ b/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
@@ -41,7 +41,7 @@
         scenario
             .world()
             .log
-            .first("team.quota.exceeded team=t cpus=16.00 cpus_max=8.00")
+            .firstContaining("team.quota.exceeded team=t cpus=16.00 cpus_max=8.00")
             .isPresent());
   }
 
--- a/src/test/java/shorecrank/sim/RolloutExpectations.java
+++ b/src/test/java/shorecrank/sim/RolloutExpectations.java
@@ -39,7 +39,7 @@
   /** Parses {@code dense none|some}: whether any record is in the dense form. */
   private static Expectation dense(ScenarioLine line) {
     boolean none = line.word(1).equals("none");
-    return of(world -> (world.rollouts.denseRecords() == 0) == none);
+    return of(world -> (world.rollouts.denseRecordCount() == 0) == none);
   }
 
   /**
@@ -47,8 +47,8 @@
    * that they contain.
    */
   private static Expectation order(ScenarioLine line) {
-    OrderAnswer answer = OrderAnswer.read(line);
-    return of(world -> answer.isOf(world.rollouts.orders()));
+    ExpectedOrderAnswer answer = ExpectedOrderAnswer.read(line);
+    return of(world -> answer.matches(world.rollouts.orders()));
   }
 
   /** Parses {@code rises COUNT}: how often the feature level rose. */
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -91,7 +91,7 @@
   }
 
   private void checkFall(FeatureLevel level) {
-    long dense = world().rollouts.denseRecords();
+    long dense = world().rollouts.denseRecordCount();
     if (dense > 0 && !level.includes(Feature.DENSE_RECORDS.level())) {
       report("fell_too_early: %d dense records left".formatted(dense));
     }
@@ -110,8 +110,8 @@
       return;
     }
     RolloutState state = world().rollouts.state();
-    Version version = world().rollouts.running(node);
-    if (!node.commanded().isEmpty() && !version.supports(state.level())) {
+    Version version = world().rollouts.runningVersion(node);
+    if (!node.commandedEpochs().isEmpty() && !version.supports(state.level())) {
       report("owner_below_level: %s at %s".formatted(node.label(), state.level()));
     }
     if (state.level().includes(Feature.PROTECTED_LEADERSHIP.level())) {
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -70,7 +70,7 @@
   }
 
   /** Has the level and the forms watched only: what runs is not known here. */
-  void observe() throws InvalidConfigException {
+  void enableWithDefaults() throws InvalidConfigException {
     enable("");
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** What a controller runs, or ran last; null if that is not known. */
-  Version running(ControllerNode node) {
+  Version runningVersion(ControllerNode node) {
     return running.get(node.index());
   }
 
@@ -132,12 +132,12 @@
 
   /** Whether the version that a controller runs knows of shares, and has them enabled. */
   boolean knowsShares(ControllerNode node) {
-    Version version = running(node);
+    Version version = runningVersion(node);
     return version != null && version.supports(Feature.SHARES.level());
   }
 
   private boolean readsDense(ControllerNode node) {
-    Version version = running(node);
+    Version version = runningVersion(node);
     return !isEnabled() || version == null || version.supports(Feature.DENSE_RECORDS.level());
   }
 
@@ -168,7 +168,7 @@
   }
 
   /** How many live records are in the dense form. */
-  long denseRecords() {
+  long denseRecordCount() {
     return world.store.keys(JobRecord.LIVE_PREFIX).stream()
         .filter(key -> JobRecord.isDense(world.store.peek(key)))
         .count();
@@ -190,7 +190,7 @@
     return Json.object()
         .put("rises", rule.rises())
         .put("falls", rule.falls())
-        .put("dense", denseRecords())
+        .put("dense", denseRecordCount())
         .put("state", RolloutCodec.writeState(state()).toString())
         .put("outcomes", orders.describe())
         .toString();
--- a/src/test/java/shorecrank/sim/RuleTestWorld.java
+++ b/src/test/java/shorecrank/sim/RuleTestWorld.java
@@ -51,9 +51,9 @@
 
   /** Starts the controllers and machines. */
   RuleTestWorld launch() {
-    open(2);
+    startControllers(2);
     for (int i = 0; i < 4; i++) {
-      cloud.boot("p8", i < 2 ? "a" : "b", i % 2 == 1, 0);
+      cloud.addMachine("p8", i < 2 ? "a" : "b", i % 2 == 1, 0);
     }
     return this;
   }
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -80,7 +80,7 @@
     if (!rolloutSettings.isEmpty()) {
       world.rollouts.enable(rolloutSettings.toString());
     }
-    world.open(controllerCount);
+    world.startControllers(controllerCount);
     afterStart.forEach(Runnable::run);
   }
 }
--- a/src/test/java/shorecrank/sim/ShareExpectations.java
+++ b/src/test/java/shorecrank/sim/ShareExpectations.java
@@ -34,7 +34,7 @@
     int maximum = line.integer(3);
     return of(
         world -> {
-          int machines = world.shares.assigned().getOrDefault(shard, List.of()).size();
+          int machines = world.shares.machinesByShard().getOrDefault(shard, List.of()).size();
           return machines >= minimum && machines <= maximum;
         });
   }
@@ -64,8 +64,8 @@
    * that they contain.
    */
   private static Expectation order(ScenarioLine line) {
-    OrderAnswer answer = OrderAnswer.read(line);
-    return of(world -> answer.isOf(world.shares.orders()));
+    ExpectedOrderAnswer answer = ExpectedOrderAnswer.read(line);
+    return of(world -> answer.matches(world.shares.orders()));
   }
 
   /**
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -33,7 +33,7 @@
 
   private static RuleTestWorld launchWithVersions(String... versions) throws Exception {
     RuleTestWorld world = new RuleTestWorld("");
-    world.rollouts.observe();
+    world.rollouts.enableWithDefaults();
     for (int i = 0; i < versions.length; i++) {
       world.rollouts.setVersion(i, Version.of(versions[i]));
     }
@@ -70,7 +70,7 @@
     RuleTestWorld world = new RuleTestWorld(TWO_SHARDS).launch();
     world.controller(0).commandMachine("n-000001");
     world.controller(1).commandMachine("n-000001");
-    world.cloud.take("n-000001");
+    world.cloud.removeMachine("n-000001");
     world.checker.roundCompleted(world.controller(0));
     world.assertNoViolations();
   }
@@ -177,7 +177,7 @@
 
   private static RuleTestWorld launchWithShares() throws Exception {
     RuleTestWorld world = new RuleTestWorld(TWO_SHARDS);
-    world.rollouts.observe();
+    world.rollouts.enableWithDefaults();
     world.shares.addSetting("automatic: false");
     world.launch();
     world.sim.runUntil(10_000);
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -15,8 +15,10 @@
           Map.entry("cancel-now", UserActions::cancelNow),
           Map.entry("cancel-each", UserActions::cancelEach),
           Map.entry("cancel-at-end", UserActions::cancelAtEnd),
-          Map.entry("query-everywhere", line -> timed(line, UserHabits::lookCloselyFor)),
-          Map.entry("malformed-requests", line -> timed(line, UserHabits::sendOddRequestsFor)));
+          Map.entry(
+              "query-everywhere", line -> timed(line, UserBehavior::queryAllControllersFor)),
+          Map.entry(
+              "malformed-requests", line -> timed(line, UserBehavior::sendUnusualRequestsFor)));
 
   private static final String[] PLAN_OPTIONS = {
     "team",
@@ -48,7 +50,7 @@
   /** A behaviour of users that lasts for some time. */
   @FunctionalInterface
   private interface Habit {
-    void begin(UserHabits habits, long durationMs);
+    void begin(UserBehavior behavior, long durationMs);
   }
 
   private UserActions() {}
@@ -88,7 +90,7 @@
   /** Parses {@code NAME SECONDS}: a behaviour that lasts for so many seconds. */
   private static Action timed(ScenarioLine line, Habit habit) {
     long durationMs = line.milliseconds(1);
-    return world -> habit.begin(world.users.habits(), durationMs);
+    return world -> habit.begin(world.users.behavior(), durationMs);
   }
 
   /**
@@ -96,7 +98,7 @@
    */
   private static Action loseRequests(ScenarioLine line) {
     String job = line.word(1);
-    return world -> world.users.client().loseAllAbout(job);
+    return world -> world.users.client().dropRequestsAbout(job);
   }
 
   /**
@@ -106,7 +108,7 @@
   private static Action cancelNow(ScenarioLine line) {
     int count = line.integer(1);
     long hangMs = line.has(2) ? line.milliseconds(2) : 0;
-    return world -> world.users.habits().cancelNow(count, hangMs);
+    return world -> world.users.behavior().cancelNow(count, hangMs);
   }
 
   /**
@@ -118,8 +120,8 @@
     long afterMs = line.milliseconds(2);
     long durationMs = line.milliseconds(3);
     return world -> {
-      world.users.habits().cancelEach(jobClass, afterMs);
-      world.sim.after(durationMs, () -> world.users.habits().cancelEach("", 0));
+      world.users.behavior().cancelEach(jobClass, afterMs);
+      world.sim.after(durationMs, () -> world.users.behavior().cancelEach("", 0));
     };
   }
 
@@ -130,7 +132,7 @@
   private static Action cancelAtEnd(ScenarioLine line) {
     double share = line.decimal(1);
     long durationMs = line.milliseconds(2);
-    return world -> world.users.habits().cancelAtEnd(share, durationMs);
+    return world -> world.users.behavior().cancelAtEnd(share, durationMs);
   }
 
   private static JobPlan.Builder plan(ScenarioOptions options) {
