--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -14,36 +14,36 @@
 import shorecrank.storage.ListResult;
 
 /**
- * Removes archives that are no longer kept, and what was left of those that were never completed.
- * An archive's index entry goes last, so that an interrupted removal is found again.
+ * Removes archives that are no longer archivesToKeep, and what was left of those that were never
+ * completed. An archive's index entry goes last, so that an interrupted removal is found again.
  */
 final class ArchiveCleaner {
-  private static final int MAX_ARCHIVES = 500;
+  private static final int PAGE_KEYS = 500;
   private static final long RETRY_MS = 1000;
 
   private final LeaderEnvironment environment;
   private final Leadership leadership;
   private final SequentialStore store;
-  private final int kept;
+  private final int archivesToKeep;
 
-  /** Keys that are to be removed, in this order. */
+  /** Keys that are to be handleRemoval, in this order. */
   private final ArrayDeque<String> toRemove = new ArrayDeque<>();
 
-  private boolean due = true;
+  private boolean isScanDue = true;
 
   /**
-   * @param kept how many complete archives stay
+   * @param archivesToKeep how many complete archives stay
    */
-  ArchiveCleaner(LeaderEnvironment environment, Leadership leadership, int kept) {
+  ArchiveCleaner(LeaderEnvironment environment, Leadership leadership, int archivesToKeep) {
     this.environment = environment;
     this.leadership = leadership;
     this.store = new SequentialStore(environment);
-    this.kept = kept;
+    this.archivesToKeep = archivesToKeep;
   }
 
   /** Has the archives looked through again: one may have been completed. */
-  void schedule() {
-    due = true;
+  void scheduleScan() {
+    isScanDue = true;
   }
 
   /** Goes on with the removal; called once a round while no archive is being written. */
@@ -52,18 +52,18 @@
       return;
     }
     if (!toRemove.isEmpty()) {
-      remove();
-    } else if (due && environment.hasRequestBudget()) {
-      store.list(ArchiveKeys.INDEX_PREFIX, "", MAX_ARCHIVES, this::archivesListed);
+      removeBatch();
+    } else if (isScanDue && environment.hasRequestBudget()) {
+      store.list(ArchiveKeys.INDEX_PREFIX, "", PAGE_KEYS, this::handleArchiveList);
     }
   }
 
-  private void archivesListed(ListResult result) {
+  private void handleArchiveList(ListResult result) {
     if (!(result instanceof ListResult.Page page)) {
       store.pause(RETRY_MS);
       return;
     }
-    due = false;
+    isScanDue = false;
     List<IndexEntry> complete = new ArrayList<>();
     for (Entry stored : page.entries()) {
       Optional<IndexEntry> entry = ArchiveValueCodec.readIndex(stored.key(), stored.value());
@@ -74,39 +74,39 @@
         complete.add(entry.get());
       } else {
         // How many chunks it has is not known; they have to be listed.
-        findChunks(entry.get().id());
+        listChunks(entry.get().id());
       }
     }
     // Ids begin with the time, so the oldest come first.
-    for (int i = 0; i < complete.size() - kept; i++) {
-      IndexEntry old = complete.get(i);
-      for (int chunk = 0; chunk < old.chunks(); chunk++) {
-        toRemove.add(ArchiveKeys.chunkKey(old.id(), chunk));
+    for (int i = 0; i < complete.size() - archivesToKeep; i++) {
+      IndexEntry expired = complete.get(i);
+      for (int chunk = 0; chunk < expired.chunks(); chunk++) {
+        toRemove.add(ArchiveKeys.chunkKey(expired.id(), chunk));
       }
-      toRemove.add(ArchiveKeys.indexKey(old.id()));
+      toRemove.add(ArchiveKeys.indexKey(expired.id()));
     }
   }
 
-  private void findChunks(String id) {
+  private void listChunks(String id) {
     store.list(
         ArchiveKeys.chunkPrefix(id),
         "",
-        MAX_ARCHIVES,
+        PAGE_KEYS,
         result -> {
           if (!(result instanceof ListResult.Page page)) {
-            due = true;
+            isScanDue = true;
             return;
           }
           page.entries().forEach(entry -> toRemove.add(entry.key()));
           if (page.more()) {
-            due = true;
+            isScanDue = true;
           } else {
             toRemove.add(ArchiveKeys.indexKey(id));
           }
         });
   }
 
-  private void remove() {
+  private void removeBatch() {
     int count = Math.min(toRemove.size(), environment.maxTransactionOperations());
     if (!environment.tryTakeWrites(count)) {
       return;
@@ -118,10 +118,10 @@
       batch.add(toRemove.poll());
     }
     batch.forEach(transaction::delete);
-    store.commit(transaction, result -> removed(batch, result));
+    store.commit(transaction, result -> handleRemoval(batch, result));
   }
 
-  private void removed(List<String> batch, CommitResult result) {
+  private void handleRemoval(List<String> batch, CommitResult result) {
     if (!result.isCommitted()) {
       store.pause(RETRY_MS);
       // Whether or not they are gone already, removing them again does no harm.
--- a/src/main/java/shorecrank/rollout/ArchiveFormat.java
+++ b/src/main/java/shorecrank/rollout/ArchiveFormat.java
@@ -23,7 +23,7 @@
  */
 public final class ArchiveFormat {
   /** The only version of the format that is written and read so far. */
-  public static final int VERSION = 1;
+  public static final int FORMAT_VERSION = 1;
 
   static final String MANIFEST_FILE = "manifest.json";
 
@@ -34,7 +34,7 @@
   private static final String ENTRIES = "entries";
   private static final String CHANGES = "changes";
 
-  private static final String VERSION_FIELD = "format";
+  private static final String FORMAT = "format";
   private static final String ID = "id";
   private static final String BUILD = "build";
   private static final String LEVEL = "level";
@@ -85,20 +85,20 @@
   record ManifestFile(long version, Optional<Manifest> manifest, List<FileEntry> files) {}
 
   /** The name of a file with a page of keys; the first is 1. */
-  static String entriesFile(int number) {
+  static String entriesFileName(int number) {
     return FILE_NAME_FORMAT.formatted(ENTRIES, number);
   }
 
   /** The name of a file with changes; the first is 1. */
-  static String changesFile(int number) {
+  static String changesFileName(int number) {
     return FILE_NAME_FORMAT.formatted(CHANGES, number);
   }
 
   /** The content of the manifest's file. */
-  static byte[] write(Manifest manifest, List<FileEntry> files) {
+  static byte[] writeManifest(Manifest manifest, List<FileEntry> files) {
     ObjectNode written =
         Json.object()
-            .put(VERSION_FIELD, VERSION)
+            .put(FORMAT, FORMAT_VERSION)
             .put(ID, manifest.id())
             .put(BUILD, manifest.build())
             .put(LEVEL, manifest.level())
@@ -115,12 +115,12 @@
 
   /** Reads the manifest's file. */
   static ManifestFile readManifest(byte[] content) {
-    JsonNode read = Json.parse(content);
+    JsonNode json = Json.parse(content);
     return new ManifestFile(
-        Json.countOrMinusOne(read.path(VERSION_FIELD)), manifest(read), files(read));
+        Json.countOrMinusOne(json.path(FORMAT)), readManifestFields(json), readFileEntries(json));
   }
 
-  private static Optional<Manifest> manifest(JsonNode manifest) {
+  private static Optional<Manifest> readManifestFields(JsonNode manifest) {
     long level = Json.countOrMinusOne(manifest.path(LEVEL));
     long firstRevision = Json.countOrMinusOne(manifest.path(FIRST_REVISION));
     long revision = Json.countOrMinusOne(manifest.path(REVISION));
@@ -139,7 +139,7 @@
             madeAtMs));
   }
 
-  private static List<FileEntry> files(JsonNode manifest) {
+  private static List<FileEntry> readFileEntries(JsonNode manifest) {
     List<FileEntry> files = new ArrayList<>();
     for (JsonNode file : manifest.path(FILES)) {
       files.add(new FileEntry(Json.text(file.path(NAME)), Json.text(file.path(SHA256))));
@@ -148,7 +148,7 @@
   }
 
   /** The content of a file with a page of keys. */
-  static byte[] entries(Collection<Entry> page) {
+  static byte[] writeEntries(Collection<Entry> page) {
     ArrayNode written = Json.array();
     for (Entry entry : page) {
       written
@@ -161,7 +161,7 @@
   }
 
   /** The content of a file with changes; one without data is a removal. */
-  static byte[] changes(Collection<Change> changes) {
+  static byte[] writeChanges(Collection<Change> changes) {
     ArrayNode written = Json.array();
     for (Change change : changes) {
       ObjectNode one =
@@ -180,18 +180,18 @@
    * @return false if the file is malformed
    */
   static boolean apply(byte[] file, Map<String, VersionedValue> keys) {
-    JsonNode read = Json.parse(file);
-    if (!read.isArray()) {
+    JsonNode json = Json.parse(file);
+    if (!json.isArray()) {
       return false;
     }
-    for (JsonNode one : read) {
+    for (JsonNode one : json) {
       String key = Json.text(one.path(KEY));
       long revision = Json.countOrMinusOne(one.path(REVISION));
       if (key.isEmpty() || revision < 0) {
         return false;
       }
-      VersionedValue known = keys.get(key);
-      if (known != null && known.revision() > revision) {
+      VersionedValue current = keys.get(key);
+      if (current != null && current.revision() > revision) {
         continue;
       }
       if (one.has(DATA)) {
--- a/src/main/java/shorecrank/rollout/ArchiveKeys.java
+++ b/src/main/java/shorecrank/rollout/ArchiveKeys.java
@@ -18,7 +18,7 @@
       List.of("catalog", "epoch", "f/", "hosts/", "j/", "part/", "rollout", "shares");
 
   /** Base64 makes four characters of three bytes, and the stored value has a few more around. */
-  private static final double VALUE_FILL = 0.7;
+  private static final double CHUNK_SHARE_OF_VALUE = 0.7;
 
   private static final int VALUE_OVERHEAD_BYTES = 16;
 
@@ -48,8 +48,8 @@
     return chunkPrefix(id) + "%06d".formatted(number);
   }
 
-  /** The most bytes of a chunk where a value may have {@code valueBytes}. */
-  static int chunkBytes(int valueBytes) {
-    return Math.max(1, (int) (valueBytes * VALUE_FILL) - VALUE_OVERHEAD_BYTES);
+  /** The most bytes of a chunk where a value may have {@code maxValueBytes}. */
+  static int maxChunkBytes(int maxValueBytes) {
+    return Math.max(1, (int) (maxValueBytes * CHUNK_SHARE_OF_VALUE) - VALUE_OVERHEAD_BYTES);
   }
 }
--- a/src/main/java/shorecrank/rollout/ArchiveReader.java
+++ b/src/main/java/shorecrank/rollout/ArchiveReader.java
@@ -43,7 +43,7 @@
     try (TarArchiveInputStream tar = new TarArchiveInputStream(new ZstdInputStream(in))) {
       for (TarArchiveEntry file = tar.getNextEntry(); file != null; file = tar.getNextEntry()) {
         checkName(file);
-        if (files.putIfAbsent(file.getName(), content(tar, file)) != null) {
+        if (files.putIfAbsent(file.getName(), readContent(tar, file)) != null) {
           throw new DamagedArchiveException("file " + file.getName() + " stands in it twice");
         }
       }
@@ -56,7 +56,7 @@
       throw new DamagedArchiveException(
           "it has no " + ArchiveFormat.MANIFEST_FILE + ", so it is not complete");
     }
-    return check(manifestFile, files);
+    return readFiles(manifestFile, files);
   }
 
   private static void checkName(TarArchiveEntry file) throws DamagedArchiveException {
@@ -73,7 +73,7 @@
     }
   }
 
-  private static byte[] content(TarArchiveInputStream tar, TarArchiveEntry file)
+  private static byte[] readContent(TarArchiveInputStream tar, TarArchiveEntry file)
       throws IOException, DamagedArchiveException {
     byte[] content = tar.readNBytes((int) file.getSize());
     if (content.length < file.getSize()) {
@@ -82,15 +82,15 @@
     return content;
   }
 
-  private static Archive check(byte[] manifestFile, Map<String, byte[]> files)
+  private static Archive readFiles(byte[] manifestFile, Map<String, byte[]> files)
       throws DamagedArchiveException {
     ManifestFile read = ArchiveFormat.readManifest(manifestFile);
-    if (read.version() != ArchiveFormat.VERSION) {
+    if (read.version() != ArchiveFormat.FORMAT_VERSION) {
       throw new DamagedArchiveException(
           "format "
               + read.version()
               + " is not read by this version, which reads "
-              + ArchiveFormat.VERSION);
+              + ArchiveFormat.FORMAT_VERSION);
     }
     Manifest manifest =
         read.manifest().orElseThrow(() -> new DamagedArchiveException("its manifest lacks fields"));
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -20,10 +20,10 @@
 /**
  * Makes one archive of the service's keys, and stores it in the state service.
  *
- * <p>Keys are listed page by page, then the changes made meanwhile are read prefix by prefix. Each
- * of these answers reaches up to some revision; changes above the lowest of them are left out, so
- * the archive shows the keys at that one revision. Where the service no longer has the changes, the
- * archive says that it is not consistent.
+ * <p>Keys are listed page by page, then the changes made meanwhile are read = =prefixIndex == by
+ * prefix. Each of these answers reaches up to some revision; changes above the lowest of them are
+ * left out, so the archive shows the keys at that one revision. Where the service no longer has the
+ * changes, the archive says that it is not consistent.
  *
  * <p>One call is under way at a time. Every write is behind the leader's term; a write of unknown
  * outcome is repeated behind the same guard.
@@ -53,20 +53,20 @@
 
   private Step step = Step.ANNOUNCE;
 
-  /** The index of the prefix that is being listed, or whose changes are being read. */
-  private int prefix;
+  /** The index of the = =prefixIndex == that is being listed, or whose changes are being read. */
+  private int prefixIndex;
 
-  private String lastListed = "";
+  private String lastListedKey = "";
 
   /** The lowest and the highest revision of a listed page; the lowest is negative before one. */
   private long firstRevision = -1;
 
-  private long listedUpTo;
+  private long listedUpToRevision;
 
   /** Changes made while the keys were listed, and up to which revision they are complete. */
   private final List<Change> changes = new ArrayList<>();
 
-  private long changesUpTo = Long.MAX_VALUE;
+  private long changesUpToRevision = Long.MAX_VALUE;
   private boolean areChangesLost;
 
   /** The chunk that is being written; null if there is none. */
@@ -114,7 +114,7 @@
       return;
     }
     // What is ready is written before more is read, so that little is held in memory.
-    if (chunk != null || writer.available() >= chunkBytes()) {
+    if (chunk != null || writer.availableBytes() >= maxChunkBytes()) {
       writeChunk();
       return;
     }
@@ -123,7 +123,7 @@
       case LIST -> list();
       case READ_CHANGES -> readChanges();
       case WRITE_CHUNKS -> {
-        if (writer.available() > 0) {
+        if (writer.availableBytes() > 0) {
           writeChunk();
         } else {
           step = Step.COMPLETE;
@@ -134,64 +134,64 @@
     }
   }
 
-  private int chunkBytes() {
-    return ArchiveKeys.chunkBytes(environment.maxValueBytes());
+  private int maxChunkBytes() {
+    return ArchiveKeys.maxChunkBytes(environment.maxValueBytes());
   }
 
   // ---- reading ---------------------------------------------------------------------------------
 
   private void list() {
     store.list(
-        ArchiveKeys.ARCHIVED_PREFIXES.get(prefix),
-        lastListed,
+        ArchiveKeys.ARCHIVED_PREFIXES.get(prefixIndex),
+        lastListedKey,
         PAGE_KEYS,
         result -> {
           if (result instanceof ListResult.Page page) {
-            add(page);
+            addPage(page);
           } else {
             store.pause(RETRY_MS);
           }
         });
   }
 
-  private void add(ListResult.Page page) {
+  private void addPage(ListResult.Page page) {
     firstRevision = firstRevision < 0 ? page.revision() : firstRevision;
-    listedUpTo = Math.max(listedUpTo, page.revision());
+    listedUpToRevision = Math.max(listedUpToRevision, page.revision());
     List<Entry> entries = page.entries();
     if (!entries.isEmpty()) {
-      writer.addEntries(ArchiveFormat.entries(entries));
-      lastListed = entries.get(entries.size() - 1).key();
+      writer.addEntries(ArchiveFormat.writeEntries(entries));
+      lastListedKey = entries.get(entries.size() - 1).key();
     }
     if (!page.more() || entries.isEmpty()) {
-      nextPrefix(Step.READ_CHANGES);
+      advancePrefix(Step.READ_CHANGES);
     }
   }
 
   /** Goes over to the next prefix, and after the last one to the next step. */
-  private void nextPrefix(Step afterLast) {
-    lastListed = "";
-    prefix++;
-    if (prefix == ArchiveKeys.ARCHIVED_PREFIXES.size()) {
-      prefix = 0;
+  private void advancePrefix(Step afterLast) {
+    lastListedKey = "";
+    prefixIndex++;
+    if (prefixIndex == ArchiveKeys.ARCHIVED_PREFIXES.size()) {
+      prefixIndex = 0;
       step = afterLast;
     }
   }
 
   private void readChanges() {
     store.readChanges(
-        ArchiveKeys.ARCHIVED_PREFIXES.get(prefix),
+        ArchiveKeys.ARCHIVED_PREFIXES.get(prefixIndex),
         firstRevision,
         result -> {
           if (result instanceof WatchResult.Changes read) {
             changes.addAll(read.changes());
-            changesUpTo = Math.min(changesUpTo, read.revision());
+            changesUpToRevision = Math.min(changesUpToRevision, read.revision());
           } else if (result instanceof WatchResult.Compacted) {
             areChangesLost = true;
           } else {
             store.pause(RETRY_MS);
             return;
           }
-          nextPrefix(Step.WRITE_CHUNKS);
+          advancePrefix(Step.WRITE_CHUNKS);
           if (step == Step.WRITE_CHUNKS) {
             finishReading();
           }
@@ -199,11 +199,11 @@
   }
 
   private void finishReading() {
-    boolean isConsistent = !areChangesLost && changesUpTo >= listedUpTo;
-    long revision = areChangesLost ? listedUpTo : changesUpTo;
+    boolean isConsistent = !areChangesLost && changesUpToRevision >= listedUpToRevision;
+    long revision = areChangesLost ? listedUpToRevision : changesUpToRevision;
     changes.removeIf(change -> change.revision().value() > revision);
     if (!changes.isEmpty()) {
-      writer.addChanges(ArchiveFormat.changes(changes));
+      writer.addChanges(ArchiveFormat.writeChanges(changes));
     }
     writer.finish(
         new Manifest(
@@ -222,17 +222,17 @@
       return;
     }
     if (chunk == null) {
-      chunk = writer.take(chunkBytes());
+      chunk = writer.take(maxChunkBytes());
     }
     String key = ArchiveKeys.chunkKey(id, chunksWritten);
     Transaction transaction =
         new Transaction()
             .guard(key, Revision.ABSENT)
             .write(key, ArchiveValueCodec.writeChunk(chunk));
-    commit(transaction, result -> chunkWritten(key, result));
+    commit(transaction, result -> handleChunkResult(key, result));
   }
 
-  private void chunkWritten(String key, CommitResult result) {
+  private void handleChunkResult(String key, CommitResult result) {
     // Nobody else writes under this id: a chunk that exists is this task's, written without answer.
     boolean existed =
         result instanceof CommitResult.Conflict conflict && conflict.failedKeys().contains(key);
--- a/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
+++ b/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
@@ -8,10 +8,10 @@
 
 /** The stored forms of archives' index entries and chunks. */
 public final class ArchiveValueCodec {
-  private static final String BYTES = "base64";
+  private static final String BASE64 = "base64";
   private static final String COMPLETE = "complete";
   private static final String CHUNK_COUNT = "chunks";
-  private static final String SIZE = "bytes";
+  private static final String SIZE_BYTES = "bytes";
 
   private ArchiveValueCodec() {}
 
@@ -20,13 +20,13 @@
     return Json.object()
         .put(COMPLETE, entry.isComplete())
         .put(CHUNK_COUNT, entry.chunks())
-        .put(SIZE, entry.bytes());
+        .put(SIZE_BYTES, entry.bytes());
   }
 
   /** Reads an index entry; empty if the key or the value is malformed. */
   public static Optional<IndexEntry> readIndex(String key, JsonNode stored) {
     long chunks = Json.countOrMinusOne(stored.path(CHUNK_COUNT));
-    long bytes = Json.countOrMinusOne(stored.path(SIZE));
+    long bytes = Json.countOrMinusOne(stored.path(SIZE_BYTES));
     if (!key.startsWith(ArchiveKeys.INDEX_PREFIX)
         || chunks < 0
         || chunks > Integer.MAX_VALUE
@@ -39,13 +39,13 @@
 
   /** The stored form of a chunk. */
   static JsonNode writeChunk(byte[] bytes) {
-    return Json.object().put(BYTES, Base64.getEncoder().encodeToString(bytes));
+    return Json.object().put(BASE64, Base64.getEncoder().encodeToString(bytes));
   }
 
   /** The bytes of a chunk; null if it is malformed. */
   public static byte[] readChunk(JsonNode stored) {
     try {
-      String text = Json.text(stored.path(BYTES));
+      String text = Json.text(stored.path(BASE64));
       return text.isEmpty() ? null : Base64.getDecoder().decode(text);
     } catch (IllegalArgumentException e) {
       return null;
--- a/src/main/java/shorecrank/rollout/ArchiveWriter.java
+++ b/src/main/java/shorecrank/rollout/ArchiveWriter.java
@@ -13,32 +13,32 @@
 import shorecrank.rollout.ArchiveFormat.FileEntry;
 import shorecrank.rollout.ArchiveFormat.Manifest;
 
-/** Writes an archive file by file; the bytes that are ready can be taken at any time. */
+/** Writes an archive file by file; the bytes that are output can be taken at any time. */
 final class ArchiveWriter {
-  private final ByteArrayOutputStream ready = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream output = new ByteArrayOutputStream();
   private final TarArchiveOutputStream tar;
   private final List<FileEntry> files = new ArrayList<>();
-  private int entryFiles;
-  private int changeFiles;
+  private int entriesFileCount;
+  private int changesFileCount;
 
   ArchiveWriter() {
     try {
-      tar = new TarArchiveOutputStream(new ZstdOutputStream(ready));
+      tar = new TarArchiveOutputStream(new ZstdOutputStream(output));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Adds a page of keys, see {@link ArchiveFormat#entries}. */
+  /** Adds a page of keys, see {@link ArchiveFormat#writeEntries}. */
   void addEntries(byte[] page) {
-    entryFiles++;
-    addFile(ArchiveFormat.entriesFile(entryFiles), page);
+    entriesFileCount++;
+    addFile(ArchiveFormat.entriesFileName(entriesFileCount), page);
   }
 
-  /** Adds changes that came while pages were read, see {@link ArchiveFormat#changes}. */
+  /** Adds changes that came while pages were read, see {@link ArchiveFormat#writeChanges}. */
   void addChanges(byte[] changes) {
-    changeFiles++;
-    addFile(ArchiveFormat.changesFile(changeFiles), changes);
+    changesFileCount++;
+    addFile(ArchiveFormat.changesFileName(changesFileCount), changes);
   }
 
   private void addFile(String name, byte[] content) {
@@ -61,7 +61,7 @@
 
   /** Writes the manifest; nothing may be added after it. */
   void finish(Manifest manifest) {
-    put(ArchiveFormat.MANIFEST_FILE, ArchiveFormat.write(manifest, files));
+    put(ArchiveFormat.MANIFEST_FILE, ArchiveFormat.writeManifest(manifest, files));
     try {
       tar.close();
     } catch (IOException e) {
@@ -70,16 +70,16 @@
   }
 
   /** How many bytes can be taken. */
-  int available() {
-    return ready.size();
+  int availableBytes() {
+    return output.size();
   }
 
-  /** Takes the next bytes, at most {@code most}. */
-  byte[] take(int most) {
-    byte[] all = ready.toByteArray();
-    int size = Math.min(most, all.length);
-    ready.reset();
-    ready.write(all, size, all.length - size);
+  /** Takes the next bytes, at maxBytes {@code maxBytes}. */
+  byte[] take(int maxBytes) {
+    byte[] all = output.toByteArray();
+    int size = Math.min(maxBytes, all.length);
+    output.reset();
+    output.write(all, size, all.length - size);
     return Arrays.copyOf(all, size);
   }
 }
--- a/src/main/java/shorecrank/rollout/Archiver.java
+++ b/src/main/java/shorecrank/rollout/Archiver.java
@@ -9,7 +9,10 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 
-/** Makes one archive at a time; while none is being made, removes those that are no longer kept. */
+/**
+ * Makes one archive at a time; while none is being made, removes those that are no longer
+ * archivesToKeep.
+ */
 final class Archiver {
   /** After an archive failed, the next one is begun no sooner than this. */
   private static final long RETRY_MS = 10_000;
@@ -29,13 +32,13 @@
 
   /**
    * @param build the version of this program
-   * @param kept how many complete archives stay in the state service
+   * @param archivesToKeep how many complete archives stay in the state service
    */
-  Archiver(LeaderEnvironment environment, Leadership leadership, String build, int kept) {
+  Archiver(LeaderEnvironment environment, Leadership leadership, String build, int archivesToKeep) {
     this.environment = environment;
     this.leadership = leadership;
     this.build = build;
-    this.cleaner = new ArchiveCleaner(environment, leadership, kept);
+    this.cleaner = new ArchiveCleaner(environment, leadership, archivesToKeep);
   }
 
   /** The id of the archive that is being made. */
@@ -87,12 +90,12 @@
   /** The complete archive was written down: another may be made, and old ones removed. */
   void release() {
     task = null;
-    cleaner.schedule();
+    cleaner.scheduleScan();
   }
 
   /** Gives up an archive that was begun under an earlier term. */
   void reset() {
     task = null;
-    cleaner.schedule();
+    cleaner.scheduleScan();
   }
 }
--- a/src/main/java/shorecrank/rollout/DowngradeCodec.java
+++ b/src/main/java/shorecrank/rollout/DowngradeCodec.java
@@ -30,17 +30,17 @@
     }
 
     /** Whether there is another form to be tried where this one is too large. */
-    boolean hasShorterForm() {
+    boolean hasNextForm() {
       return formIndex + 1 < forms.size();
     }
 
     /** The same value in the next form. */
-    Rewrite shorter() {
+    Rewrite withNextForm() {
       return new Rewrite(key, revision, forms, formIndex + 1);
     }
 
     /** Whether the value could be read at all. */
-    boolean isPossible() {
+    boolean isReadable() {
       return !forms.isEmpty();
     }
   }
@@ -57,7 +57,7 @@
   abstract List<? extends JsonNode> earlierForms(JsonNode stored);
 
   /** Puts dense job records back into the forms that all versions read. */
-  static final class OfJobRecords extends DowngradeCodec {
+  static final class JobRecordDowngradeCodec extends DowngradeCodec {
     @Override
     boolean isNewerForm(Entry entry) {
       return JobRecord.isDense(entry.value());
@@ -74,7 +74,7 @@
    * Takes moves out of the shares' key. They end with the level, and the number of shards may then
    * be changed by versions that know nothing of it; what operators have set stays.
    */
-  static final class OfShares extends DowngradeCodec {
+  static final class SharesDowngradeCodec extends DowngradeCodec {
     @Override
     boolean isNewerForm(Entry entry) {
       SharesState state = ShareStateCodec.read(entry.value()).orElse(null);
--- a/src/main/java/shorecrank/rollout/Feature.java
+++ b/src/main/java/shorecrank/rollout/Feature.java
@@ -20,19 +20,19 @@
   PROTECTED_LEADERSHIP(1, "", null),
 
   /** Job records in the dense form ({@link JobRecord#writeDense}). */
-  DENSE_RECORDS(1, JobRecord.LIVE_PREFIX, new DowngradeCodec.OfJobRecords()),
+  DENSE_RECORDS(1, JobRecord.LIVE_PREFIX, new DowngradeCodec.JobRecordDowngradeCodec()),
 
   /** Moves of machines between shards, which {@link ShareStateMessages#KEY} holds. */
-  SHARES(2, ShareStateMessages.KEY, new DowngradeCodec.OfShares());
+  SHARES(2, ShareStateMessages.KEY, new DowngradeCodec.SharesDowngradeCodec());
 
   private final FeatureLevel level;
-  private final String prefix;
-  private final DowngradeCodec downgrade;
+  private final String keyPrefix;
+  private final DowngradeCodec downgradeCodec;
 
-  Feature(int level, String prefix, DowngradeCodec downgrade) {
+  Feature(int level, String keyPrefix, DowngradeCodec downgradeCodec) {
     this.level = new FeatureLevel(level);
-    this.prefix = prefix;
-    this.downgrade = downgrade;
+    this.keyPrefix = keyPrefix;
+    this.downgradeCodec = downgradeCodec;
   }
 
   /** The lowest level at which the feature is in force. */
@@ -43,13 +43,13 @@
   /**
    * The levels that a controller of this build supports.
    *
-   * @param shares whether shares are enabled on it: a leader without them would not go on with the
-   *     moves that an earlier one has written down
+   * @param sharesEnabled whether sharesEnabled are enabled on it: a leader without them would not
+   *     go on with the moves that an earlier one has written down
    */
-  public static LevelRange supportedLevels(boolean shares) {
+  public static LevelRange supportedLevels(boolean sharesEnabled) {
     FeatureLevel highest =
         Stream.of(values())
-            .filter(feature -> shares || feature != SHARES)
+            .filter(feature -> sharesEnabled || feature != SHARES)
             .map(Feature::level)
             .max(FeatureLevel::compareTo)
             .orElseThrow();
@@ -57,19 +57,19 @@
   }
 
   /** The features above a level that leave forms of their own in the state service. */
-  static List<Feature> storedAbove(FeatureLevel target) {
+  static List<Feature> withStoredFormsAbove(FeatureLevel target) {
     return Stream.of(values())
-        .filter(feature -> feature.downgrade != null && feature.level.compareTo(target) > 0)
+        .filter(feature -> feature.downgradeCodec != null && feature.level.compareTo(target) > 0)
         .toList();
   }
 
-  /** The prefix of the keys whose values may be in the feature's form. */
-  String prefix() {
-    return prefix;
+  /** The keyPrefix of the keys whose values may be in the feature's form. */
+  String keyPrefix() {
+    return keyPrefix;
   }
 
   /** Rewrites the feature's form; null if the feature leaves none in the state service. */
-  DowngradeCodec downgrade() {
-    return downgrade;
+  DowngradeCodec downgradeCodec() {
+    return downgradeCodec;
   }
 }
--- a/src/main/java/shorecrank/rollout/FeatureGate.java
+++ b/src/main/java/shorecrank/rollout/FeatureGate.java
@@ -15,39 +15,39 @@
  */
 public final class FeatureGate {
   /** The latest notice; null before the first. */
-  private RolloutNotice known;
+  private RolloutNotice latest;
 
   /** Notices up to this revision permit nothing, since a guard on it has failed. */
-  private Revision refused = Revision.ABSENT;
+  private Revision refusedUpTo = Revision.ABSENT;
 
   /** Takes a notice from the leader or the state service; null and earlier ones are ignored. */
   public void observe(RolloutNotice notice) {
-    if (notice != null && (known == null || notice.revision().isAfter(known.revision()))) {
-      known = notice;
+    if (notice != null && (latest == null || notice.revision().isAfter(latest.revision()))) {
+      latest = notice;
     }
   }
 
   /** Whether the feature's forms may be written, behind {@link #guard}. */
   public boolean permits(Feature feature) {
-    return known != null
-        && known.revision().isAfter(refused)
-        && known.state().writeLevel().includes(feature.level());
+    return latest != null
+        && latest.revision().isAfter(refusedUpTo)
+        && latest.state().writeLevel().includes(feature.level());
   }
 
   /** Makes a transaction fail unless the level is still the one that {@link #permits} used. */
   public void guard(Transaction transaction) {
-    transaction.guard(RolloutMessages.KEY, known.revision());
+    transaction.guard(RolloutMessages.KEY, latest.revision());
   }
 
   /** A guard failed: nothing above the lowest level is written until a newer notice comes. */
   public void guardFailed() {
-    if (known != null) {
-      refused = known.revision();
+    if (latest != null) {
+      refusedUpTo = latest.revision();
     }
   }
 
-  /** The highest level whose forms may be written, as far as known. */
+  /** The highest level whose forms may be written, as far as latest. */
   public FeatureLevel writeLevel() {
-    return known == null ? FeatureLevel.LOWEST : known.state().writeLevel();
+    return latest == null ? FeatureLevel.LOWEST : latest.state().writeLevel();
   }
 }
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -50,15 +50,15 @@
   private String cursor;
 
   /** The last key of the present page; null before a page is read. */
-  private String pageEnd;
+  private String lastPageKey;
 
   private boolean isLastPage;
 
   /** Whether the present page has to be read again before the cursor passes it. */
-  private boolean mustReadAgain;
+  private boolean mustRereadPage;
 
   /** Whether each value is written alone, since several were too large for one transaction. */
-  private boolean isOneByOne;
+  private boolean isOnePerTransaction;
 
   private boolean done;
   private String tooLargeKey = "";
@@ -78,13 +78,13 @@
     this.environment = environment;
     this.leadership = leadership;
     this.store = new SequentialStore(environment);
-    this.features = Feature.storedAbove(target);
+    this.features = Feature.withStoredFormsAbove(target);
     Set<String> sorted = new TreeSet<>();
-    features.forEach(feature -> sorted.add(feature.prefix()));
+    features.forEach(feature -> sorted.add(feature.keyPrefix()));
     this.prefixes = List.copyOf(sorted);
     // A limiter of its own, since the leader needs little for its other writes.
-    double most = environment.maxChangesPerSecond() * CAPACITY_FRACTION;
-    this.rate = new RateLimiter(Math.min(rewritesPerS, most));
+    double maxRate = environment.maxChangesPerSecond() * CAPACITY_FRACTION;
+    this.rate = new RateLimiter(Math.min(rewritesPerS, maxRate));
     this.cursor = cursor;
     this.done = prefixes.isEmpty();
   }
@@ -120,11 +120,11 @@
       return;
     }
     if (!pending.isEmpty()) {
-      rewrite();
-    } else if (pageEnd != null) {
+      commitBatch();
+    } else if (lastPageKey != null) {
       endPage();
     } else if (environment.hasRequestBudget()) {
-      list();
+      listPage();
     }
   }
 
@@ -136,7 +136,7 @@
         .orElse(null);
   }
 
-  private void list() {
+  private void listPage() {
     String prefix = currentPrefix();
     if (prefix == null) {
       done = true;
@@ -153,21 +153,22 @@
             return;
           }
           List<Entry> entries = page.entries();
-          entries.forEach(this::schedule);
+          entries.forEach(this::addIfNewerForm);
           isLastPage = !page.more() || entries.isEmpty();
-          pageEnd = entries.isEmpty() ? after : entries.get(entries.size() - 1).key();
+          lastPageKey = entries.isEmpty() ? after : entries.get(entries.size() - 1).key();
         });
   }
 
-  private void schedule(Entry entry) {
+  private void addIfNewerForm(Entry entry) {
     for (Feature feature : features) {
       boolean isNewer =
-          entry.key().startsWith(feature.prefix()) && feature.downgrade().isNewerForm(entry);
+          entry.key().startsWith(feature.keyPrefix())
+              && feature.downgradeCodec().isNewerForm(entry);
       if (!isNewer) {
         continue;
       }
-      Rewrite rewrite = feature.downgrade().rewrite(entry);
-      if (rewrite.isPossible()) {
+      Rewrite rewrite = feature.downgradeCodec().rewrite(entry);
+      if (rewrite.isReadable()) {
         pending.add(rewrite);
       } else {
         unreadable++;
@@ -179,13 +180,13 @@
   }
 
   /** Sends one transaction: as many values as fit, and as the rate allows. */
-  private void rewrite() {
+  private void commitBatch() {
     Transaction transaction = new Transaction();
     leadership.guard(transaction);
     List<Rewrite> batch = new ArrayList<>();
     int bytes = 0;
-    int most = isOneByOne ? 1 : environment.maxTransactionOperations();
-    while (!pending.isEmpty() && batch.size() < most) {
+    int maxValues = isOnePerTransaction ? 1 : environment.maxTransactionOperations();
+    while (!pending.isEmpty() && batch.size() < maxValues) {
       Rewrite next = pending.peek();
       bytes += next.bytes();
       boolean isFull = !batch.isEmpty() && bytes > StoreMessages.MAX_BATCH_BYTES;
@@ -196,67 +197,67 @@
       next.addTo(transaction);
     }
     if (!batch.isEmpty()) {
-      store.commit(transaction, result -> finish(batch, result));
+      store.commit(transaction, result -> handleResult(batch, result));
     }
   }
 
-  private void finish(List<Rewrite> batch, CommitResult result) {
+  private void handleResult(List<Rewrite> batch, CommitResult result) {
     if (result instanceof CommitResult.Committed) {
       rewritten += batch.size();
       environment.count("rollout.rewritten", batch.size());
-      isOneByOne = false;
+      isOnePerTransaction = false;
       tooLargeKey = "";
     } else if (result instanceof CommitResult.Conflict conflict) {
       // Values that changed meanwhile may have done so before the level fell: look once more.
-      mustReadAgain = true;
+      mustRereadPage = true;
       store.pause(RETRY_MS);
       batch.stream()
           .filter(rewrite -> !conflict.failedKeys().contains(rewrite.key()))
           .forEach(pending::add);
     } else if (result instanceof CommitResult.TooLarge) {
-      refusedForSize(batch);
+      handleTooLarge(batch);
     } else {
       // Carried out or not, the page is read again before the cursor passes it.
-      mustReadAgain = true;
+      mustRereadPage = true;
       pending.addAll(batch);
       store.pause(RETRY_MS);
     }
   }
 
-  private void refusedForSize(List<Rewrite> batch) {
+  private void handleTooLarge(List<Rewrite> batch) {
     if (batch.size() > 1) {
-      isOneByOne = true;
+      isOnePerTransaction = true;
       pending.addAll(batch);
       return;
     }
     Rewrite only = batch.get(0);
-    if (only.hasShorterForm()) {
-      pending.addFirst(only.shorter());
+    if (only.hasNextForm()) {
+      pending.addFirst(only.withNextForm());
       return;
     }
     // Its owner writes it shorter as its tasks end.
     tooLargeKey = only.key();
-    mustReadAgain = true;
+    mustRereadPage = true;
     store.pause(TOO_LARGE_RETRY_MS);
   }
 
   private void endPage() {
-    String end = pageEnd;
-    pageEnd = null;
-    if (mustReadAgain) {
-      mustReadAgain = false;
+    String end = lastPageKey;
+    lastPageKey = null;
+    if (mustRereadPage) {
+      mustRereadPage = false;
       return;
     }
     cursor = end;
     if (isLastPage) {
-      passPrefix();
+      advancePrefix();
     }
   }
 
   /** Moves the cursor to the next prefix. */
-  private void passPrefix() {
-    String passed = currentPrefix();
-    List<String> later = prefixes.stream().filter(prefix -> prefix.compareTo(passed) > 0).toList();
+  private void advancePrefix() {
+    String current = currentPrefix();
+    List<String> later = prefixes.stream().filter(prefix -> prefix.compareTo(current) > 0).toList();
     if (later.isEmpty()) {
       done = true;
     } else {
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -25,19 +25,19 @@
 /**
  * The leader's part in a rollout: it collects which levels the members support, raises the level in
  * force once all of them support the next one, lowers it when an operator asks, and says which
- * controllers may own shards meanwhile.
+ * controllers may ownAnnouncement shards meanwhile.
  */
 public final class RolloutCoordinator {
   /** A member that was not heard for so many heartbeats and a second more holds the level back. */
-  private static final long FRESH_HEARTBEATS = 3;
+  private static final long HEARTBEAT_TIMEOUT_INTERVALS = 3;
 
-  private static final long FRESH_EXTRA_MS = 1000;
+  private static final long HEARTBEAT_TIMEOUT_EXTRA_MS = 1000;
 
   /** The least time between two writes of a downgrade's cursor. */
-  private static final long CURSOR_PAUSE_MS = 2000;
+  private static final long CURSOR_WRITE_INTERVAL_MS = 2000;
 
   /** How many outcomes of orders are kept, so that a repeated order is not carried out again. */
-  private static final int KEPT_ORDERS = 16;
+  private static final int KEPT_OUTCOMES = 16;
 
   private static final double MS_PER_S = 1000;
 
@@ -55,15 +55,15 @@
   private final LeaderEnvironment environment;
   private final Leadership leadership;
   private final RolloutSettings settings;
-  private final Announcement own;
+  private final Announcement ownAnnouncement;
   private final List<ControllerName> members;
-  private final long freshMs;
-  private final SupportVotes votes;
+  private final long heartbeatTimeoutMs;
+  private final MemberAnnouncements announcements;
   private final LevelStore store;
   private final Archiver archiver;
   private final RolloutOrders orders;
 
-  /** The term under which votes, archive and rewriter were begun. */
+  /** The term under which announcements, archive and rewriter were begun. */
   private Revision term = Revision.ABSENT;
 
   /** The pass over the keys of a downgrade; null if none is under way. */
@@ -73,7 +73,7 @@
   private MonotonicTime cursorWrittenAt = MonotonicTime.NEVER;
 
   /**
-   * @param own what this controller announces itself
+   * @param ownAnnouncement what this controller announces itself
    * @param members all controllers of the configuration, this one included
    * @param heartbeatMs how often they are heard
    */
@@ -81,24 +81,26 @@
       LeaderEnvironment environment,
       Leadership leadership,
       RolloutSettings settings,
-      Announcement own,
+      Announcement ownAnnouncement,
       List<ControllerName> members,
       long heartbeatMs) {
     this.environment = environment;
     this.leadership = leadership;
     this.settings = settings;
-    this.own = own;
+    this.ownAnnouncement = ownAnnouncement;
     this.members = List.copyOf(members);
-    this.freshMs = FRESH_HEARTBEATS * heartbeatMs + FRESH_EXTRA_MS;
-    this.votes = new SupportVotes(this.members, own.settingsDigest());
-    this.store = new LevelStore(environment, leadership, own.supported().highest());
-    this.archiver = new Archiver(environment, leadership, own.build(), settings.archivesKept());
-    this.orders = new RolloutOrders(own, level -> reasonsAgainst(level, 0), archiver);
+    this.heartbeatTimeoutMs =
+        HEARTBEAT_TIMEOUT_INTERVALS * heartbeatMs + HEARTBEAT_TIMEOUT_EXTRA_MS;
+    this.announcements = new MemberAnnouncements(this.members, ownAnnouncement.settingsDigest());
+    this.store = new LevelStore(environment, leadership, ownAnnouncement.supported().highest());
+    this.archiver =
+        new Archiver(environment, leadership, ownAnnouncement.build(), settings.archivesKept());
+    this.orders = new RolloutOrders(ownAnnouncement, level -> raiseBlockers(level, 0), archiver);
   }
 
   /** Takes a controller's heartbeat; {@code announcement} is null if it names no levels. */
   public void recordHeartbeat(ControllerName member, WriterId writer, Announcement announcement) {
-    votes.recordHeartbeat(member, writer, announcement, environment.now());
+    announcements.recordHeartbeat(member, writer, announcement, environment.now());
   }
 
   /** Whether the level is known, so that shards may be granted. */
@@ -112,27 +114,29 @@
   }
 
   /**
-   * Why a controller may not own a shard; null if it may. It has to support the level in force, and
-   * to have the settings that all controllers share.
+   * Why a controller may not ownAnnouncement a shard; null if it may. It has to support the level
+   * in force, and to have the settings that all controllers share.
    */
   public String ineligibilityReason(ControllerName member) {
-    LevelRange supported = votes.supported(member);
+    LevelRange supported = announcements.supportedLevels(member);
     FeatureLevel required = store.requiredLevel();
     if (!supported.supports(required)) {
       return "it supports levels %s, and %s is in force".formatted(supported, required);
     }
-    return votes.settingsDiffer(member) ? "its shared settings differ from the leader's" : null;
+    return announcements.settingsDiffer(member)
+        ? "its shared settings differ from the leader's"
+        : null;
   }
 
   /** Controllers of the fleet that were heard and don't support a level. */
   public List<ControllerName> membersNotSupporting(FeatureLevel level) {
-    return votes.membersNotSupporting(level);
+    return announcements.membersNotSupporting(level);
   }
 
   /** Takes the next step of a rollout, if one is due; called once a round. */
   public void tick() {
     if (leadership.isLeading() && !leadership.term().equals(term)) {
-      termBegan();
+      beginTerm();
     }
     store.tick();
     if (!leadership.isLeading() || !store.isIdle()) {
@@ -145,9 +149,9 @@
       return;
     }
     switch (store.state().phase()) {
-      case STABLE -> beginRaiseIfAutomatic();
-      case RAISING -> raise();
-      case FALLING -> lower();
+      case STABLE -> startAutomaticRaise();
+      case RAISING -> continueRaising();
+      case FALLING -> continueLowering();
     }
   }
 
@@ -155,11 +159,11 @@
    * Drops what was heard and begun under an earlier term; the store holds the rest. If the term has
    * changed with the level, the store is still read, and nothing is dropped.
    */
-  private void termBegan() {
-    boolean isSwitched = store.isRead();
+  private void beginTerm() {
+    boolean isLevelSwitch = store.isRead();
     term = leadership.term();
-    if (!isSwitched) {
-      votes.reset();
+    if (!isLevelSwitch) {
+      announcements.reset();
       rewriter = null;
       archiver.reset();
     }
@@ -169,7 +173,7 @@
     RolloutState state = store.state();
     environment.gauge("rollout.level", state.level().value());
     environment.gauge("rollout.write_level", state.writeLevel().value());
-    long differing = members.stream().filter(votes::settingsDiffer).count();
+    long differing = members.stream().filter(announcements::settingsDiffer).count();
     environment.gauge("rollout.settings_differ", differing);
   }
 
@@ -195,33 +199,33 @@
 
   // ---- raising the level -----------------------------------------------------------------------
 
-  private List<String> reasonsAgainst(FeatureLevel level, long settleMs) {
-    return votes.reasonsAgainst(level, environment.now(), freshMs, settleMs);
+  private List<String> raiseBlockers(FeatureLevel level, long settleMs) {
+    return announcements.raiseBlockers(level, environment.now(), heartbeatTimeoutMs, settleMs);
   }
 
-  private List<String> reasonsAgainst(FeatureLevel level) {
-    return reasonsAgainst(level, (long) (settings.settleS() * MS_PER_S));
+  private List<String> raiseBlockers(FeatureLevel level) {
+    return raiseBlockers(level, (long) (settings.settleS() * MS_PER_S));
   }
 
-  private void beginRaiseIfAutomatic() {
-    FeatureLevel target = votes.highestOfAll();
+  private void startAutomaticRaise() {
+    FeatureLevel target = announcements.highestCommonLevel();
     RolloutState state = store.state();
     boolean isAutomatic = settings.automatic() && !state.autoRaiseSuspended();
     boolean isDue = isAutomatic && target.compareTo(state.level()) > 0;
-    if (isDue && reasonsAgainst(target).isEmpty()) {
+    if (isDue && raiseBlockers(target).isEmpty()) {
       environment.info("rollout.started level=%s target=%s", state.level(), target);
       change(state.withTarget(RolloutPhase.RAISING, target).withArchive(""), result -> {});
     }
   }
 
-  private void raise() {
+  private void continueRaising() {
     RolloutState state = store.state();
     if (settings.archiveBeforeRaise() && state.archive().isEmpty()) {
       archiver.startIfPossible(state.level());
       return;
     }
     // Counted anew right before the change: a member may have come back in an earlier version.
-    if (!reasonsAgainst(state.target()).isEmpty()) {
+    if (!raiseBlockers(state.target()).isEmpty()) {
       return;
     }
     environment.info("rollout.raising level=%s target=%s", state.level(), state.target());
@@ -237,7 +241,7 @@
 
   // ---- lowering the level ----------------------------------------------------------------------
 
-  private void lower() {
+  private void continueLowering() {
     RolloutState state = store.state();
     if (rewriter == null || !state.target().equals(rewriteTarget)) {
       rewriteTarget = state.target();
@@ -249,7 +253,7 @@
     if (rewriter.isDone()) {
       finishLowering(state);
     } else if (!rewriter.cursor().equals(state.cursor())
-        && environment.now().since(cursorWrittenAt) >= CURSOR_PAUSE_MS) {
+        && environment.now().since(cursorWrittenAt) >= CURSOR_WRITE_INTERVAL_MS) {
       cursorWrittenAt = environment.now();
       change(state.withCursor(rewriter.cursor()), result -> {});
     }
@@ -298,7 +302,7 @@
         order.id(), order.kind().wireName(), decision.text());
     rewriter = null;
     store.write(
-        decision.next().get().withOutcome(outcome, KEPT_ORDERS),
+        decision.next().get().withOutcome(outcome, KEPT_OUTCOMES),
         result -> {
           boolean isCommitted = result.isCommitted();
           if (isCommitted && !decision.archiveId().isEmpty() && archiver.currentId().isEmpty()) {
@@ -319,26 +323,26 @@
       all.add(
           new RolloutMember(
               member.value(),
-              votes.announcement(member),
-              votes.heardMsAgo(member, environment.now()),
-              votes.settingsDiffer(member)));
+              announcements.announcement(member),
+              announcements.heardMsAgo(member, environment.now()),
+              announcements.settingsDiffer(member)));
     }
     Optional<RecordRewriter> pass = Optional.ofNullable(rewriter);
     return new RolloutStatus(
         state,
         settings.automatic(),
         all,
-        waitingFor(state),
+        describeWaiting(state),
         archiver.currentId().orElse(""),
         pass.map(RecordRewriter::rewritten).orElse(0L),
         pass.map(RecordRewriter::unreadable).orElse(0L));
   }
 
-  private List<String> waitingFor(RolloutState state) {
+  private List<String> describeWaiting(RolloutState state) {
     List<String> waiting = new ArrayList<>();
     if (state.phase() == RolloutPhase.RAISING) {
       archiver.currentId().ifPresent(id -> waiting.add("archive %s to be written".formatted(id)));
-      waiting.addAll(reasonsAgainst(state.target()));
+      waiting.addAll(raiseBlockers(state.target()));
     } else if (state.phase() == RolloutPhase.FALLING && rewriter != null) {
       waiting.add("records to be rewritten, up to key \"%s\" so far".formatted(rewriter.cursor()));
       if (!rewriter.tooLargeKey().isEmpty()) {
@@ -346,8 +350,9 @@
             "%s is too large for an earlier form until tasks of it end"
                 .formatted(rewriter.tooLargeKey()));
       }
-    } else if (settings.automatic() && own.supported().highest().compareTo(state.level()) > 0) {
-      waiting.addAll(reasonsAgainst(own.supported().highest()));
+    } else if (settings.automatic()
+        && ownAnnouncement.supported().highest().compareTo(state.level()) > 0) {
+      waiting.addAll(raiseBlockers(ownAnnouncement.supported().highest()));
     }
     return waiting;
   }
--- a/src/main/java/shorecrank/rollout/RolloutOrders.java
+++ b/src/main/java/shorecrank/rollout/RolloutOrders.java
@@ -14,18 +14,20 @@
  * Decides operators' orders: whether one can be carried out, what it changes, and what is answered.
  */
 final class RolloutOrders {
-  private final Announcement own;
-  private final Function<FeatureLevel, List<String>> reasonsAgainst;
+  private final Announcement ownAnnouncement;
+  private final Function<FeatureLevel, List<String>> raiseBlockers;
   private final Archiver archiver;
 
   /**
-   * @param own what this controller announces itself
-   * @param reasonsAgainst why the level may not rise, whatever time members have supported it
+   * @param ownAnnouncement what this controller announces itself
+   * @param raiseBlockers why the level may not rise, whatever time members have supported it
    */
   RolloutOrders(
-      Announcement own, Function<FeatureLevel, List<String>> reasonsAgainst, Archiver archiver) {
-    this.own = own;
-    this.reasonsAgainst = reasonsAgainst;
+      Announcement ownAnnouncement,
+      Function<FeatureLevel, List<String>> raiseBlockers,
+      Archiver archiver) {
+    this.ownAnnouncement = ownAnnouncement;
+    this.raiseBlockers = raiseBlockers;
     this.archiver = archiver;
   }
 
@@ -60,16 +62,17 @@
       case FINALIZE -> finalizeLevel(state, order.target());
       case DOWNGRADE -> downgrade(state, order.target());
       case ABORT -> abort(state);
-      case ARCHIVE -> archiveNow(state);
+      case ARCHIVE -> startArchive(state);
     };
   }
 
-  private Decision finalizeLevel(RolloutState state, int asked) {
-    FeatureLevel target = asked < 0 ? own.supported().highest() : new FeatureLevel(asked);
-    if (!own.supported().supports(target)) {
+  private Decision finalizeLevel(RolloutState state, int requested) {
+    FeatureLevel target =
+        requested < 0 ? ownAnnouncement.supported().highest() : new FeatureLevel(requested);
+    if (!ownAnnouncement.supported().supports(target)) {
       return Decision.refuse(
           "level %s is out of range: the leader's build %s supports %s"
-              .formatted(target, own.build(), own.supported()));
+              .formatted(target, ownAnnouncement.build(), ownAnnouncement.supported()));
     }
     if (state.phase() == RolloutPhase.FALLING) {
       return Decision.refuse(
@@ -91,9 +94,9 @@
               .formatted(target, state.level()));
     }
     // Whether members support it is answered at once; for how long they have is waited for.
-    List<String> against = reasonsAgainst.apply(target);
-    if (!against.isEmpty()) {
-      return Decision.refuse(against.get(0));
+    List<String> blockers = raiseBlockers.apply(target);
+    if (!blockers.isEmpty()) {
+      return Decision.refuse(blockers.get(0));
     }
     return Decision.change(
         state
@@ -103,8 +106,8 @@
         "level rises from %s to %s".formatted(state.level(), target));
   }
 
-  private static Decision downgrade(RolloutState state, int asked) {
-    FeatureLevel target = asked < 0 ? FeatureLevel.LOWEST : new FeatureLevel(asked);
+  private static Decision downgrade(RolloutState state, int requested) {
+    FeatureLevel target = requested < 0 ? FeatureLevel.LOWEST : new FeatureLevel(requested);
     if (state.phase() == RolloutPhase.FALLING && state.target().equals(target)) {
       return Decision.alreadyDone("level %s is being lowered to already".formatted(target));
     }
@@ -135,7 +138,7 @@
         "level stays at %s, no longer on its way to %s".formatted(state.level(), state.target()));
   }
 
-  private Decision archiveNow(RolloutState state) {
+  private Decision startArchive(RolloutState state) {
     Optional<String> current = archiver.currentId();
     if (current.isPresent()) {
       String id = current.get();
--- a/src/main/java/shorecrank/rollout/RolloutSettings.java
+++ b/src/main/java/shorecrank/rollout/RolloutSettings.java
@@ -24,7 +24,7 @@
   private static final Field AUTOMATIC = Field.flag("automatic", false);
   private static final Field SETTLE_S = Field.number("settle_s", 0, 86_400, 30);
   private static final Field REWRITES_PER_S = Field.number("rewrites_per_s", 0.1, 1000, 10);
-  private static final Field ARCHIVE = Field.flag("archive_before_raise", true);
+  private static final Field ARCHIVE_BEFORE_RAISE = Field.flag("archive_before_raise", true);
   private static final Field ARCHIVES_KEPT = Field.number("archives_kept", 1, 100, 2);
 
   /**
@@ -35,12 +35,14 @@
   public static RolloutSettings read(String text) throws InvalidConfigException {
     Message message =
         TextProto.parse(
-            "Rollout", List.of(AUTOMATIC, SETTLE_S, REWRITES_PER_S, ARCHIVE, ARCHIVES_KEPT), text);
+            "Rollout",
+            List.of(AUTOMATIC, SETTLE_S, REWRITES_PER_S, ARCHIVE_BEFORE_RAISE, ARCHIVES_KEPT),
+            text);
     return new RolloutSettings(
         AUTOMATIC.flagOf(message),
         SETTLE_S.numberOf(message),
         REWRITES_PER_S.numberOf(message),
-        ARCHIVE.flagOf(message),
+        ARCHIVE_BEFORE_RAISE.flagOf(message),
         (int) ARCHIVES_KEPT.numberOf(message));
   }
 }
--- a/src/main/java/shorecrank/rollout/RolloutSetup.java
+++ b/src/main/java/shorecrank/rollout/RolloutSetup.java
@@ -15,11 +15,11 @@
    * The setup of this build, with the levels that it supports.
    *
    * @param tuning the settings that all controllers share
-   * @param shares whether shares are enabled too
+   * @param sharesEnabled whether sharesEnabled are enabled too
    */
   public static RolloutSetup of(
-      RolloutSettings settings, String build, Settings sharedSettings, boolean shares) {
-    return of(settings, build, sharedSettings, Feature.supportedLevels(shares));
+      RolloutSettings settings, String build, Settings sharedSettings, boolean sharesEnabled) {
+    return of(settings, build, sharedSettings, Feature.supportedLevels(sharesEnabled));
   }
 
   /** The setup of a build that supports other levels. */
--- a/src/main/java/shorecrank/storage/CompressedJson.java
+++ b/src/main/java/shorecrank/storage/CompressedJson.java
@@ -16,7 +16,7 @@
   /** No stored record is longer; a value that decompresses to more is rejected. */
   private static final int MAX_BYTES = 8 << 20;
 
-  private static final int CHUNK_BYTES = 4096;
+  private static final int BUFFER_BYTES = 4096;
 
   private CompressedJson() {}
 
@@ -27,9 +27,9 @@
       deflater.setInput(Json.bytes(tree));
       deflater.finish();
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      byte[] chunk = new byte[CHUNK_BYTES];
+      byte[] buffer = new byte[BUFFER_BYTES];
       while (!deflater.finished()) {
-        out.write(chunk, 0, deflater.deflate(chunk));
+        out.write(buffer, 0, deflater.deflate(buffer));
       }
       return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
     } finally {
@@ -61,16 +61,16 @@
   private static byte[] inflate(String field, Inflater inflater)
       throws DataFormatException, MalformedRecordException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    byte[] chunk = new byte[CHUNK_BYTES];
+    byte[] buffer = new byte[BUFFER_BYTES];
     while (!inflater.finished()) {
-      int length = inflater.inflate(chunk);
+      int length = inflater.inflate(buffer);
       if (length == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
         throw new MalformedRecordException(field, "is truncated");
       }
       if (out.size() + length > MAX_BYTES) {
         throw new MalformedRecordException(field, "exceeds " + MAX_BYTES + " bytes");
       }
-      out.write(chunk, 0, length);
+      out.write(buffer, 0, length);
     }
     return out.toByteArray();
   }
--- a/src/main/java/shorecrank/storage/DenseBodyCodec.java
+++ b/src/main/java/shorecrank/storage/DenseBodyCodec.java
@@ -42,7 +42,7 @@
     MACHINE_DIGITS,
     MACHINES;
 
-    private JsonNode of(JsonNode body) {
+    private JsonNode from(JsonNode body) {
       return body.path(ordinal());
     }
   }
@@ -51,10 +51,11 @@
   private static final List<Column> RANGE_COLUMNS =
       List.of(Column.COUNTS, Column.MACHINES, Column.INCARNATIONS, Column.ATTEMPTS);
 
-  private static final int MAX_DIGITS = 9;
+  private static final int MAX_NUMBER_DIGITS = 9;
 
   /** A machine name that ends in a number; names alike but for it are stored as the number. */
-  private static final Pattern NUMBERED = Pattern.compile("(.*?)(\\d{1," + MAX_DIGITS + "})");
+  private static final Pattern NUMBERED_NAME =
+      Pattern.compile("(.*?)(\\d{1," + MAX_NUMBER_DIGITS + "})");
 
   private DenseBodyCodec() {}
 
@@ -65,7 +66,7 @@
     columns.add(
         body.done().isEmpty()
             ? ""
-            : Base64.getEncoder().withoutPadding().encodeToString(serialize(body.done())));
+            : Base64.getEncoder().withoutPadding().encodeToString(serializeBitmap(body.done())));
     ArrayNode gaps = columns.addArray();
     ArrayNode counts = columns.addArray();
     ArrayNode incarnations = columns.addArray();
@@ -85,7 +86,7 @@
   }
 
   private static void writeMachines(List<AttemptRange> live, ArrayNode columns) {
-    Matcher first = NUMBERED.matcher(live.isEmpty() ? "" : live.get(0).machine().value());
+    Matcher first = NUMBERED_NAME.matcher(live.isEmpty() ? "" : live.get(0).machine().value());
     boolean isNumbered = first.matches();
     String prefix = isNumbered ? first.group(1) : "";
     int digits = isNumbered ? first.group(2).length() : 0;
@@ -93,7 +94,7 @@
     ArrayNode machines = columns.addArray();
     for (AttemptRange range : live) {
       String name = range.machine().value();
-      Matcher matcher = NUMBERED.matcher(name);
+      Matcher matcher = NUMBERED_NAME.matcher(name);
       if (matcher.matches()
           && matcher.group(1).equals(prefix)
           && matcher.group(2).length() == digits) {
@@ -104,7 +105,7 @@
     }
   }
 
-  private static byte[] serialize(BitSet tasks) {
+  private static byte[] serializeBitmap(BitSet tasks) {
     RoaringBitmap bitmap = RoaringBitmap.bitmapOf(tasks.stream().toArray());
     bitmap.runOptimize();
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -125,11 +126,11 @@
     JsonNode columns = CompressedJson.decompress(field, text);
     JobSpec spec;
     try {
-      spec = JobSpecCodec.read(Column.SPEC.of(columns));
+      spec = JobSpecCodec.read(Column.SPEC.from(columns));
     } catch (MalformedMessageException e) {
       throw new MalformedRecordException(field, e);
     }
-    BitSet done = readDone(Column.DONE.of(columns), spec);
+    BitSet done = readDone(Column.DONE.from(columns), spec);
     return new RecordBody(spec, done, readLive(columns, spec));
   }
 
@@ -156,9 +157,9 @@
 
   private static List<AttemptRange> readLive(JsonNode columns, JobSpec spec)
       throws MalformedRecordException {
-    int size = Column.GAPS.of(columns).size();
+    int size = Column.GAPS.from(columns).size();
     for (Column column : RANGE_COLUMNS) {
-      if (column.of(columns).size() != size) {
+      if (column.from(columns).size() != size) {
         throw new MalformedRecordException(column.name(), "must have " + size + " elements");
       }
     }
@@ -166,10 +167,10 @@
     long end = 0;
     long attempt = 0;
     for (int i = 0; i < size; i++) {
-      long first = end + Column.GAPS.of(columns).path(i).asLong(-1);
-      long count = Column.COUNTS.of(columns).path(i).asLong(-1);
-      attempt += Column.ATTEMPTS.of(columns).path(i).asLong();
-      String machine = readMachine(columns, Column.MACHINES.of(columns).path(i));
+      long first = end + Column.GAPS.from(columns).path(i).asLong(-1);
+      long count = Column.COUNTS.from(columns).path(i).asLong(-1);
+      attempt += Column.ATTEMPTS.from(columns).path(i).asLong();
+      String machine = readMachine(columns, Column.MACHINES.from(columns).path(i));
       if (first < end || count < 0 || first + count > spec.tasks()) {
         throw new MalformedRecordException(
             Column.GAPS.name(), "or COUNTS names a task that the job has not");
@@ -179,7 +180,7 @@
               (int) first,
               (int) count,
               new MachineName(machine),
-              new Incarnation(Column.INCARNATIONS.of(columns).path(i).asLong()),
+              new Incarnation(Column.INCARNATIONS.from(columns).path(i).asLong()),
               new AttemptNumber(attempt)));
       end = first + count;
     }
@@ -192,12 +193,13 @@
       return machine.textValue();
     }
     long number = Json.countOrMinusOne(machine);
-    int digits = Column.MACHINE_DIGITS.of(columns).asInt();
-    if (number < 0 || digits < 1 || digits > MAX_DIGITS) {
+    int digits = Column.MACHINE_DIGITS.from(columns).asInt();
+    if (number < 0 || digits < 1 || digits > MAX_NUMBER_DIGITS) {
       throw new MalformedRecordException(
-          Column.MACHINES.name(), "must hold names, or numbers of 1 to " + MAX_DIGITS + " digits");
+          Column.MACHINES.name(),
+          "must hold names, or numbers of 1 to " + MAX_NUMBER_DIGITS + " digits");
     }
-    String prefix = Json.text(Column.MACHINE_PREFIX.of(columns));
+    String prefix = Json.text(Column.MACHINE_PREFIX.from(columns));
     return prefix + String.format("%0" + digits + "d", number);
   }
 }
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -162,7 +162,7 @@
    * @param done the number of tasks that ended successfully
    */
   public record Final(JobState state, int done) {
-    private static final String PHASE = "p";
+    private static final String STATE = "p";
     private static final String DONE_COUNT = "n";
     private static final String DONE = "done";
     private static final String CANCELLED = "withdrawn";
@@ -174,7 +174,7 @@
 
     private ObjectNode write() {
       return Json.object()
-          .put(PHASE, state == JobState.DONE ? DONE : CANCELLED)
+          .put(STATE, state == JobState.DONE ? DONE : CANCELLED)
           .put(DONE_COUNT, done);
     }
 
@@ -188,7 +188,7 @@
       if (done < 0 || done > JobSpec.MAX_TASKS) {
         return null;
       }
-      return switch (Json.text(value.path(PHASE))) {
+      return switch (Json.text(value.path(STATE))) {
         case DONE -> new Final(JobState.DONE, (int) done);
         case CANCELLED -> new Final(JobState.CANCELLED, (int) done);
         default -> null;
--- a/src/main/java/shorecrank/storage/JobRecordCodec.java
+++ b/src/main/java/shorecrank/storage/JobRecordCodec.java
@@ -50,7 +50,7 @@
   private static final String LIVE = "l";
 
   /** Plain form of a large record: the compressed columns in place of the runs and ranges. */
-  private static final String PACKED_COLUMNS = "z";
+  private static final String COMPRESSED_COLUMNS = "z";
 
   /** Compact form: the compressed columns with the spec behind them. */
   private static final String COMPACT_BODY = "y";
@@ -69,7 +69,7 @@
     /** In the compact form only. */
     SPEC;
 
-    private JsonNode of(JsonNode columns) {
+    private JsonNode from(JsonNode columns) {
       return columns.path(ordinal());
     }
   }
@@ -82,16 +82,16 @@
     INCARNATION,
     ATTEMPT;
 
-    private JsonNode of(JsonNode range) {
+    private JsonNode from(JsonNode range) {
       return range.path(ordinal());
     }
   }
 
   /** With more live ranges than this the plain form is compressed, to fit the store's values. */
-  private static final int PACK_ABOVE = 24;
+  private static final int MAX_PLAIN_RANGES = 24;
 
   /** The same for runs of done tasks, each of which is two numbers. */
-  private static final int PACK_ABOVE_RUN_NUMBERS = 4 * PACK_ABOVE;
+  private static final int MAX_PLAIN_RUN_NUMBERS = 4 * MAX_PLAIN_RANGES;
 
   private JobRecordCodec() {}
 
@@ -101,8 +101,8 @@
   static ObjectNode writePlain(JobRecord record) {
     ObjectNode value = writeHead(record);
     ArrayNode doneRuns = doneRuns(record.done());
-    if (record.live().size() > PACK_ABOVE || doneRuns.size() > PACK_ABOVE_RUN_NUMBERS) {
-      value.put(PACKED_COLUMNS, CompressedJson.compress(columns(doneRuns, record.live())));
+    if (record.live().size() > MAX_PLAIN_RANGES || doneRuns.size() > MAX_PLAIN_RUN_NUMBERS) {
+      value.put(COMPRESSED_COLUMNS, CompressedJson.compress(columns(doneRuns, record.live())));
     } else {
       value.set(DONE, doneRuns);
       ArrayNode ranges = value.putArray(LIVE);
@@ -125,7 +125,7 @@
     ArrayNode columns = columns(doneRuns(record.done()), record.live());
     // Tasks that end out of order leave many short runs; then one bit per task takes less space.
     String bits = Base64.getEncoder().withoutPadding().encodeToString(record.done().toByteArray());
-    if (bits.length() < Json.bytes(Column.DONE.of(columns)).length) {
+    if (bits.length() < Json.bytes(Column.DONE.from(columns)).length) {
       columns.set(Column.DONE.ordinal(), TextNode.valueOf(bits));
     }
     columns.add(JobSpecCodec.write(record.spec()));
@@ -140,7 +140,8 @@
 
   /** Whether the plain form of a record may be compressed, so that its size has to be measured. */
   static boolean isLarge(JobRecord record) {
-    return record.live().size() > PACK_ABOVE || record.done().cardinality() > PACK_ABOVE;
+    return record.live().size() > MAX_PLAIN_RANGES
+        || record.done().cardinality() > MAX_PLAIN_RANGES;
   }
 
   private static ObjectNode writeHead(JobRecord record) {
@@ -215,7 +216,7 @@
       return withHead(value, DenseBodyCodec.read(DENSE_BODY, text));
     }
     boolean isCompact = value.has(COMPACT_BODY);
-    String field = isCompact ? COMPACT_BODY : PACKED_COLUMNS;
+    String field = isCompact ? COMPACT_BODY : COMPRESSED_COLUMNS;
     JsonNode compressed = value.path(field);
     if (!compressed.isTextual()) {
       JobSpec spec = readSpec(value.path(SPEC));
@@ -223,8 +224,8 @@
       return withHead(value, new RecordBody(spec, done, readRanges(value.path(LIVE), spec)));
     }
     JsonNode columns = CompressedJson.decompress(field, compressed.textValue());
-    JobSpec spec = readSpec(isCompact ? Column.SPEC.of(columns) : value.path(SPEC));
-    BitSet done = readDone(Column.DONE.of(columns), spec);
+    JobSpec spec = readSpec(isCompact ? Column.SPEC.from(columns) : value.path(SPEC));
+    BitSet done = readDone(Column.DONE.from(columns), spec);
     return withHead(value, new RecordBody(spec, done, readColumns(columns, spec)));
   }
 
@@ -271,11 +272,11 @@
       JsonNode range = ranges.path(i);
       live.add(
           checkedRange(
-              RangeElement.FIRST.of(range).asInt(-1),
-              RangeElement.COUNT.of(range),
-              RangeElement.MACHINE.of(range),
-              RangeElement.INCARNATION.of(range),
-              RangeElement.ATTEMPT.of(range),
+              RangeElement.FIRST.from(range).asInt(-1),
+              RangeElement.COUNT.from(range),
+              RangeElement.MACHINE.from(range),
+              RangeElement.INCARNATION.from(range),
+              RangeElement.ATTEMPT.from(range),
               spec));
     }
     return live;
@@ -284,16 +285,16 @@
   private static List<AttemptRange> readColumns(JsonNode columns, JobSpec spec)
       throws MalformedRecordException {
     List<AttemptRange> live = new ArrayList<>();
-    JsonNode gaps = Column.GAPS.of(columns);
+    JsonNode gaps = Column.GAPS.from(columns);
     int end = 0;
     for (int i = 0; i < gaps.size(); i++) {
       AttemptRange range =
           checkedRange(
               gaps.path(i).asInt(-1) + end,
-              Column.COUNTS.of(columns).path(i),
-              Column.MACHINES.of(columns).path(i),
-              Column.INCARNATIONS.of(columns).path(i),
-              Column.ATTEMPTS.of(columns).path(i),
+              Column.COUNTS.from(columns).path(i),
+              Column.MACHINES.from(columns).path(i),
+              Column.INCARNATIONS.from(columns).path(i),
+              Column.ATTEMPTS.from(columns).path(i),
               spec);
       live.add(range);
       end = range.first() + range.count();
--- a/src/test/java/shorecrank/rollout/ArchiveTest.java
+++ b/src/test/java/shorecrank/rollout/ArchiveTest.java
@@ -35,9 +35,9 @@
     for (int i = 0; i < 300; i++) {
       page.add(new Entry("j/wk-" + i, Json.object().put("n", i), new Revision(3), 0));
     }
-    writer.addEntries(ArchiveFormat.entries(page));
+    writer.addEntries(ArchiveFormat.writeEntries(page));
     writer.addChanges(
-        ArchiveFormat.changes(
+        ArchiveFormat.writeChanges(
             List.of(
                 new Change("j/wk-1", null, new Revision(7)),
                 new Change("j/wk-2", Json.object().put("n", "new"), new Revision(8)),
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void archiveTakenChunkByChunkIsWhole() throws Exception {
+  void archiveTakenInChunksIsComplete() throws Exception {
     ArchiveWriter writer = new ArchiveWriter();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int page = 0; page < 40; page++) {
@@ -69,8 +69,8 @@
       new Random(page).nextBytes(noise);
       String text = Base64.getEncoder().encodeToString(noise);
       Entry entry = new Entry("f/" + page, Json.object().put("t", text), new Revision(page), 0);
-      writer.addEntries(ArchiveFormat.entries(List.of(entry)));
-      while (writer.available() >= 1000) {
+      writer.addEntries(ArchiveFormat.writeEntries(List.of(entry)));
+      while (writer.availableBytes() >= 1000) {
         all.writeBytes(writer.take(1000));
       }
     }
@@ -117,7 +117,7 @@
   }
 
   private static String manifest(int format, String files) {
-    return new String(ArchiveFormat.write(MANIFEST, List.of()), StandardCharsets.UTF_8)
+    return new String(ArchiveFormat.writeManifest(MANIFEST, List.of()), StandardCharsets.UTF_8)
         .replace("\"format\":1", "\"format\":" + format)
         .replace("\"files\":[]", files);
   }
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -32,7 +32,10 @@
 import shorecrank.protocol.RolloutMessages.RolloutState;
 import shorecrank.protocol.RolloutOrderCodec;
 
-/** The level's key, the settings and the votes, against malformed and contradictory input. */
+/**
+ * The level's key, the settings and the announcements, raiseBlockers malformed and contradictory
+ * input.
+ */
 class RolloutFormsTest {
   private static final RolloutState STATE =
       new RolloutState(
@@ -45,7 +48,7 @@
           List.of(new OrderOutcome("o", OrderKind.DOWNGRADE, true, "falls", "")));
 
   @Test
-  void levelKeyIsReadAsWritten() {
+  void levelValueReadsAsWritten() {
     ObjectNode written = RolloutCodec.writeState(STATE);
     assertEquals(STATE, RolloutCodec.readState(Json.parse(Json.bytes(written))).orElse(null));
     assertEquals(1, STATE.writeLevel().value());
@@ -67,7 +70,7 @@
         "{'v':1,'phase':'stable','level':1,'target':1}",
         "{'v':1,'phase':'stable','level':1,'target':1,'orders':[{'id':''}]}"
       })
-  void malformedKeyIsNotRead(String text) {
+  void malformedLevelValueIsRejected(String text) {
     byte[] json = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     assertNull(RolloutCodec.readState(Json.parse(json)).orElse(null));
   }
@@ -81,7 +84,7 @@
         "{'id':'x','order':'finalize','level':99999999}",
         "{'id':'x','order':'finalize','level':'1'}"
       })
-  void malformedOrderIsNotRead(String text) {
+  void malformedOrderIsRejected(String text) {
     byte[] json = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     assertThrows(MalformedMessageException.class, () -> RolloutOrderCodec.read(Json.parse(json)));
   }
@@ -109,7 +112,7 @@
   }
 
   @Test
-  void digestChangesWithSharedSettingsOnly() throws Exception {
+  void digestDependsOnSharedSettingsOnly() throws Exception {
     String own = SettingsDigest.of(SettingsFile.defaults());
     assertEquals(own, SettingsDigest.of(SettingsFile.read("round_ms: 60 clear_s: 9")));
     for (String other :
@@ -122,43 +125,53 @@
   private static final ControllerName B = new ControllerName("b");
   private static final FeatureLevel ONE = new FeatureLevel(1);
 
-  private static Announcement announces(int highest, String digest) {
+  private static Announcement announcement(int highest, String digest) {
     return new Announcement(
         "v", new LevelRange(FeatureLevel.LOWEST, new FeatureLevel(highest)), digest);
   }
 
-  private static String against(SupportVotes votes, long atMs) {
-    return String.join("; ", votes.reasonsAgainst(ONE, new MonotonicTime(atMs), 4000, 10_000));
+  private static String raiseBlockers(MemberAnnouncements announcements, long atMs) {
+    return String.join(
+        "; ", announcements.raiseBlockers(ONE, new MonotonicTime(atMs), 4000, 10_000));
   }
 
   @Test
-  void eachReasonAgainstRaisingTheLevelIsNamed() {
-    SupportVotes votes = new SupportVotes(List.of(A, B), "d");
-    votes.recordHeartbeat(A, new WriterId("a1"), announces(1, "d"), new MonotonicTime(0));
-    assertTrue(against(votes, 100).contains("b: not heard by this leader yet"));
-    votes.recordHeartbeat(B, new WriterId("b1"), null, new MonotonicTime(0));
-    assertTrue(against(votes, 100).contains("b: announces no levels"));
-    votes.recordHeartbeat(B, new WriterId("b2"), announces(0, "d"), new MonotonicTime(1000));
-    assertTrue(against(votes, 1100).contains("b: build v supports levels 0-0, not 1"));
-    votes.recordHeartbeat(B, new WriterId("b3"), announces(1, "e"), new MonotonicTime(2000));
-    assertTrue(against(votes, 2100).contains("b: its shared settings differ"));
-    votes.recordHeartbeat(B, new WriterId("b4"), announces(1, "d"), new MonotonicTime(3000));
-    assertTrue(against(votes, 3100).contains("b: has announced this for 0 of 10 s"));
-    assertEquals(0, votes.highestOfAll().compareTo(ONE));
+  void eachBlockerOfARaiseIsNamed() {
+    MemberAnnouncements announcements = new MemberAnnouncements(List.of(A, B), "d");
+    announcements.recordHeartbeat(
+        A, new WriterId("a1"), announcement(1, "d"), new MonotonicTime(0));
+    assertTrue(raiseBlockers(announcements, 100).contains("b: not heard by this leader yet"));
+    announcements.recordHeartbeat(B, new WriterId("b1"), null, new MonotonicTime(0));
+    assertTrue(raiseBlockers(announcements, 100).contains("b: announces no levels"));
+    announcements.recordHeartbeat(
+        B, new WriterId("b2"), announcement(0, "d"), new MonotonicTime(1000));
+    assertTrue(
+        raiseBlockers(announcements, 1100).contains("b: build v supports levels 0-0, not 1"));
+    announcements.recordHeartbeat(
+        B, new WriterId("b3"), announcement(1, "e"), new MonotonicTime(2000));
+    assertTrue(raiseBlockers(announcements, 2100).contains("b: its shared settings differ"));
+    announcements.recordHeartbeat(
+        B, new WriterId("b4"), announcement(1, "d"), new MonotonicTime(3000));
+    assertTrue(raiseBlockers(announcements, 3100).contains("b: has announced this for 0 of 10 s"));
+    assertEquals(0, announcements.highestCommonLevel().compareTo(ONE));
   }
 
   @Test
-  void supportCountsForOneProcessAndWhileItIsHeard() {
-    SupportVotes votes = new SupportVotes(List.of(A, B), "d");
+  void announcementCountsForOneProcessUntilHeartbeatTimeout() {
+    MemberAnnouncements announcements = new MemberAnnouncements(List.of(A, B), "d");
     for (long at = 0; at <= 12_000; at += 1000) {
-      votes.recordHeartbeat(A, new WriterId("a1"), announces(1, "d"), new MonotonicTime(at));
-      votes.recordHeartbeat(B, new WriterId("b1"), announces(1, "d"), new MonotonicTime(at));
+      announcements.recordHeartbeat(
+          A, new WriterId("a1"), announcement(1, "d"), new MonotonicTime(at));
+      announcements.recordHeartbeat(
+          B, new WriterId("b1"), announcement(1, "d"), new MonotonicTime(at));
     }
-    assertEquals("", against(votes, 12_100));
+    assertEquals("", raiseBlockers(announcements, 12_100));
     // Silent for long.
-    assertTrue(against(votes, 17_000).contains("a: not heard for 5 s"));
+    assertTrue(raiseBlockers(announcements, 17_000).contains("a: not heard for 5 s"));
     // The same label and build, another process: its time begins anew.
-    votes.recordHeartbeat(B, new WriterId("b2"), announces(1, "d"), new MonotonicTime(12_200));
-    assertTrue(against(votes, 12_300).contains("b: has announced this for 0 of 10 s"));
+    announcements.recordHeartbeat(
+        B, new WriterId("b2"), announcement(1, "d"), new MonotonicTime(12_200));
+    assertTrue(
+        raiseBlockers(announcements, 12_300).contains("b: has announced this for 0 of 10 s"));
   }
 }
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void saysTheSameInFewerBytes() throws Exception {
+  void denseFormReadsAsWrittenInFewerBytes() throws Exception {
     for (int ranges : new int[] {0, 1, 24, 100, 700, 3000}) {
       for (String names : List.of("n-%06d", "machine%d.rack", "n-%d")) {
         JobRecord record = scattered(ranges, names);
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void damagedIsNotRead() throws Exception {
+  void damagedDenseFormIsRejected() throws Exception {
     ObjectNode whole = scattered(40, "n-%06d").writeDense();
     String body = whole.path("b").asText();
     Random random = new Random(3);
--- a/src/test/java/shorecrank/storage/ProductionFormsTest.java
+++ b/src/test/java/shorecrank/storage/EarlierVersionFormsTest.java
@@ -37,12 +37,12 @@
 
 /**
  * What earlier versions write is read here, and written again to the letter: so they read ours. The
- * files hold records, keys and messages of commits 6afd132 and b9fa1f3, as their own scenarios
- * wrote and sent them.
+ * files hold recordsAreWrittenAgainAsRead, keys and messagesAreWrittenAgainAsRead of commits
+ * 6afd132 and b9fa1f3, as their own scenarios wrote and sent them.
  */
-class ProductionFormsTest {
-  private static final String PRODUCTION = "forms.txt";
-  private static final String PIPELINES = "forms-b9fa1f3.txt";
+class EarlierVersionFormsTest {
+  private static final String WITHOUT_DEPENDENCIES = "forms.txt";
+  private static final String WITH_DEPENDENCIES = "forms-b9fa1f3.txt";
 
   private static Map<String, List<JsonNode>> forms(String file) throws Exception {
     Map<String, List<JsonNode>> m = new TreeMap<>();
@@ -61,13 +61,13 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {PRODUCTION, PIPELINES})
-  void records(String file) throws Exception {
+  @ValueSource(strings = {WITHOUT_DEPENDENCIES, WITH_DEPENDENCIES})
+  void recordsAreWrittenAgainAsRead(String file) throws Exception {
     int packed = 0;
     int marked = 0;
     for (String kind : List.of("key j/", "key j/ packed", "key j/ marked")) {
       for (JsonNode n : of(file, kind)) {
-        assertSame(n);
+        assertWrittenAgainAsRead(n);
         packed += n.has("z") ? 1 : 0;
         marked += JobRecord.isMarkedCancelled(n) ? 1 : 0;
         assertFalse(n.path("s").has("prereqs"));
@@ -81,15 +81,15 @@
   }
 
   @Test
-  void recordsWithPrerequisites() throws Exception {
-    for (JsonNode n : of(PIPELINES, "key j/ prereqs")) {
-      assertSame(n);
+  void recordsWithDependenciesAreWrittenAgainAsRead() throws Exception {
+    for (JsonNode n : of(WITH_DEPENDENCIES, "key j/ prereqs")) {
+      assertWrittenAgainAsRead(n);
       assertFalse(JobRecord.read(n).spec().dependencies().isEmpty());
     }
   }
 
   /** Read and written again, a record is the same; a packed one says the same. */
-  private static void assertSame(JsonNode stored) {
+  private static void assertWrittenAgainAsRead(JsonNode stored) {
     JobRecord record = JobRecord.read(stored);
     assertNotNull(record, stored.toString());
     ObjectNode written = record.write();
@@ -102,8 +102,8 @@
 
   /** What makes no sense is refused, wherever it is wrong, and ends nothing. */
   @Test
-  void damagedRecords() throws Exception {
-    for (String file : List.of(PRODUCTION, PIPELINES)) {
+  void damagedRecordsAreRejected() throws Exception {
+    for (String file : List.of(WITHOUT_DEPENDENCIES, WITH_DEPENDENCIES)) {
       for (String kind : List.of("key j/", "key j/ packed")) {
         for (JsonNode n : of(file, kind)) {
           for (String field : List.of("e", "w", "q", "t", "at", "s")) {
@@ -121,7 +121,7 @@
         }
       }
     }
-    ObjectNode n = of(PRODUCTION, "key j/").get(1).deepCopy();
+    ObjectNode n = of(WITHOUT_DEPENDENCIES, "key j/").get(1).deepCopy();
     for (int[] range :
         new int[][] {{0, Integer.MAX_VALUE}, {Integer.MAX_VALUE, 2}, {-1, 1}, {0, -1}}) {
       ObjectNode done = n.deepCopy();
@@ -137,8 +137,8 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {PRODUCTION, PIPELINES})
-  void messages(String file) throws Exception {
+  @ValueSource(strings = {WITHOUT_DEPENDENCIES, WITH_DEPENDENCIES})
+  void messagesAreWrittenAgainAsRead(String file) throws Exception {
     for (JsonNode n : of(file, "ask /peer/beat")) {
       assertEquals(n, Json.parse(Json.bytes(HeartbeatCodec.write(HeartbeatCodec.read(n)))));
     }
@@ -167,9 +167,9 @@
 
   /** A message with a number or name missing or out of range is refused as a whole. */
   @Test
-  void damagedMessages() throws Exception {
+  void damagedMessagesAreRejected() throws Exception {
     ObjectNode heartbeat =
-        of(PRODUCTION, "ask /peer/beat").stream()
+        of(WITHOUT_DEPENDENCIES, "ask /peer/beat").stream()
             .filter(n -> !n.path("parts").isEmpty())
             .findFirst()
             .orElseThrow()
@@ -184,7 +184,7 @@
       }
     }
     ObjectNode answer =
-        of(PRODUCTION, "answer /peer/beat").stream()
+        of(WITHOUT_DEPENDENCIES, "answer /peer/beat").stream()
             .filter(n -> !n.path("leases").isEmpty())
             .findFirst()
             .orElseThrow()
@@ -198,7 +198,7 @@
         assertNull(HeartbeatAnswerCodec.read(n).orElse(null), list + " " + field);
       }
     }
-    ObjectNode confirmed = of(PIPELINES, "answer /peer/confirmed").get(0).deepCopy();
+    ObjectNode confirmed = of(WITH_DEPENDENCIES, "answer /peer/confirmed").get(0).deepCopy();
     confirmed.putArray("owners").addObject().put("part", 0).put("label", "").put("epoch", 9);
     assertNull(
         CancellationCodec.read(confirmed, CancellationMessages.DEFAULT_MAX_CANCELLATIONS)
@@ -207,8 +207,8 @@
 
   /** Since b9fa1f3 the answer also names owners; what it held before is the same. */
   @Test
-  void confirmedCancellations() throws Exception {
-    for (JsonNode n : of(PIPELINES, "ask /peer/confirmed")) {
+  void cancellationAnswersKeepTheirEarlierFields() throws Exception {
+    for (JsonNode n : of(WITH_DEPENDENCIES, "ask /peer/confirmed")) {
       long within = CancellationCodec.readQuery(n).withinMs();
       assertEquals(
           n,
@@ -217,7 +217,7 @@
                   CancellationCodec.writeQuery(
                       within, CancellationMessages.DEFAULT_MAX_CANCELLATIONS))));
     }
-    for (JsonNode n : of(PIPELINES, "answer /peer/confirmed")) {
+    for (JsonNode n : of(WITH_DEPENDENCIES, "answer /peer/confirmed")) {
       ObjectNode ours =
           CancellationCodec.write(
               CancellationCodec.read(n, CancellationMessages.DEFAULT_MAX_CANCELLATIONS)
@@ -229,8 +229,8 @@
 
   /** The shortest form says the same, however scattered the ends of tasks are. */
   @Test
-  void compact() throws Exception {
-    for (JsonNode n : of(PRODUCTION, "key j/ packed")) {
+  void compactFormReadsAsWrittenAndIsSmaller() throws Exception {
+    for (JsonNode n : of(WITHOUT_DEPENDENCIES, "key j/ packed")) {
       JobRecord r = JobRecord.read(n);
       BitSet done = new BitSet();
       for (int i = 0; i < r.spec().tasks(); i += 2) {
@@ -256,8 +256,8 @@
   }
 
   @Test
-  void prerequisites() throws Exception {
-    ObjectNode spec = (ObjectNode) of(PRODUCTION, "key j/").get(0).path("s").deepCopy();
+  void dependenciesReadAsWritten() throws Exception {
+    ObjectNode spec = (ObjectNode) of(WITHOUT_DEPENDENCIES, "key j/").get(0).path("s").deepCopy();
     spec.putArray("prereqs").add("wk-7").add("wk-8").add("wk-7");
     JobSpec s = JobSpecCodec.read(spec);
     assertEquals(List.of(new JobId("wk-7"), new JobId("wk-8")), s.dependencies());
--- a/src/test/java/shorecrank/storage/JobRecordCodecTest.java
+++ b/src/test/java/shorecrank/storage/JobRecordCodecTest.java
@@ -58,7 +58,7 @@
 
   /** The names and the order of fields are what other versions read. */
   @Test
-  void thePlainFormIsStable() throws Exception {
+  void plainFormHasItsFieldsInOrder() throws Exception {
     ObjectNode value = record().write();
     value.remove("s");
     assertEquals(
@@ -87,7 +87,7 @@
         "y, '', y is truncated",
         "b, 7, b is truncated"
       })
-  void aMalformedFieldIsNamed(String field, String value, String message) throws Exception {
+  void malformedFieldIsNamed(String field, String value, String message) throws Exception {
     ObjectNode stored = record().write();
     stored.set(field, json(value));
     MalformedRecordException e =
--- a/src/test/java/shorecrank/storage/RateLimiterTest.java
+++ b/src/test/java/shorecrank/storage/RateLimiterTest.java
@@ -25,14 +25,14 @@
     "25, 1599, false",
     "25, 1600, true"
   })
-  void refillsAtItsRate(double taken, long waitedMs, boolean isThere) {
+  void refillsAtItsRate(double taken, long waitedMs, boolean isAvailable) {
     RateLimiter limiter = new RateLimiter(10);
     limiter.take(taken, at(1000));
-    assertEquals(isThere, limiter.has(1, at(1000 + waitedMs)));
+    assertEquals(isAvailable, limiter.has(1, at(1000 + waitedMs)));
   }
 
   @Test
-  void holdsNoMoreThanASecondsWorth() {
+  void holdsTokensOfAtMostOneSecond() {
     RateLimiter limiter = new RateLimiter(10);
     assertTrue(limiter.tryTake(1, at(0)));
     assertTrue(limiter.tryTake(10, at(60_000)));
@@ -41,7 +41,7 @@
 
   /** A transaction larger than the rate is never stuck: it passes on a full bucket, on credit. */
   @Test
-  void moreThanASecondsWorthPassesOnAFullBucket() {
+  void demandAboveOneSecondPassesOnAFullBucket() {
     RateLimiter limiter = new RateLimiter(10);
     assertTrue(limiter.tryTake(30, at(0)));
     assertFalse(limiter.has(1, at(2000)));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void afterARefusalNothingIsThere() {
+  void drainedBucketIsEmpty() {
     RateLimiter limiter = new RateLimiter(10);
     limiter.drain();
     assertFalse(limiter.has(1, at(0)));
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void aNewRateLeavesTheTokensAtHand() {
+  void rateChangeKeepsTokens() {
     RateLimiter limiter = new RateLimiter(10);
     limiter.take(10, at(0));
     limiter.updateRate(100);
