--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -14,8 +14,11 @@
 import shorecrank.storage.ListResult;
 
 /**
- * Removes archives that are no longer archivesToKeep, and what was left of those that were never
- * completed. An archive's index entry goes last, so that an interrupted removal is found again.
+ * Deletes the oldest archives beyond the number that is kept, and the remains of archives that were
+ * never completed.
+ *
+ * <p>An archive's index entry is deleted after its chunks. If the deletion is interrupted, the
+ * index entry is still there and the next scan of the index finds the archive again.
  */
 final class ArchiveCleaner {
   private static final int PAGE_KEYS = 500;
@@ -26,13 +29,16 @@
   private final SequentialStore store;
   private final int archivesToKeep;
 
-  /** Keys that are to be handleRemoval, in this order. */
+  /** Keys still to be deleted, in the order of deletion. */
   private final ArrayDeque<String> toRemove = new ArrayDeque<>();
 
+  /** Whether the index entries of all archives have to be listed again. */
   private boolean isScanDue = true;
 
   /**
-   * @param archivesToKeep how many complete archives stay
+   * Creates a cleaner whose first {@link #tick} scans the index.
+   *
+   * @param archivesToKeep the number of complete archives that are kept
    */
   ArchiveCleaner(LeaderEnvironment environment, Leadership leadership, int archivesToKeep) {
     this.environment = environment;
@@ -41,12 +47,15 @@
     this.archivesToKeep = archivesToKeep;
   }
 
-  /** Has the archives looked through again: one may have been completed. */
+  /** Requests a new scan of the index, for example because another archive has been completed. */
   void scheduleScan() {
     isScanDue = true;
   }
 
-  /** Goes on with the removal; called once a round while no archive is being written. */
+  /**
+   * Sends the next call, if one is due: a deletion, or a scan of the index. Called once per round
+   * while no archive is being written.
+   */
   void tick() {
     if (!store.isReady()) {
       return;
@@ -73,11 +82,11 @@
       } else if (entry.get().isComplete()) {
         complete.add(entry.get());
       } else {
-        // How many chunks it has is not known; they have to be listed.
+        // The index entry of an incomplete archive does not count its chunks.
         listChunks(entry.get().id());
       }
     }
-    // Ids begin with the time, so the oldest come first.
+    // Archive ids begin with the time of creation, so the index lists the oldest archives first.
     for (int i = 0; i < complete.size() - archivesToKeep; i++) {
       IndexEntry expired = complete.get(i);
       for (int chunk = 0; chunk < expired.chunks(); chunk++) {
@@ -87,6 +96,10 @@
     }
   }
 
+  /**
+   * Schedules the deletion of an incomplete archive's chunks and index entry. If more than one page
+   * of chunks exists, only the first page is scheduled and the next scan continues.
+   */
   private void listChunks(String id) {
     store.list(
         ArchiveKeys.chunkPrefix(id),
@@ -124,7 +137,7 @@
   private void handleRemoval(List<String> batch, CommitResult result) {
     if (!result.isCommitted()) {
       store.pause(RETRY_MS);
-      // Whether or not they are gone already, removing them again does no harm.
+      // The batch may have been deleted already; deleting it again has no effect.
       for (int i = batch.size() - 1; i >= 0; i--) {
         toRemove.addFirst(batch.get(i));
       }
--- a/src/main/java/shorecrank/rollout/ArchiveFormat.java
+++ b/src/main/java/shorecrank/rollout/ArchiveFormat.java
@@ -14,20 +14,19 @@
 import shorecrank.protocol.StoreMessages.Entry;
 
 /**
- * The files of an archive of the state service's keys, which is a tar file compressed with
- * Zstandard.
+ * The format of an archive of the state service's keys: a tar file compressed with Zstandard.
  *
- * <p>Files {@code entries/N.json} hold keys page by page, as they were listed; {@code
- * changes/N.json} what changed while they were listed. {@code manifest.json} comes last and names
- * every file with its SHA-256.
+ * <p>The files {@code entries/N.json} hold the keys page by page, as they were listed. The files
+ * {@code changes/N.json} hold the changes that were made while the keys were listed. {@code
+ * manifest.json} is the last file and names every other file with its SHA-256 digest.
  */
 public final class ArchiveFormat {
-  /** The only version of the format that is written and read so far. */
+  /** The version of the format that is written, and the only one that is read. */
   public static final int FORMAT_VERSION = 1;
 
   static final String MANIFEST_FILE = "manifest.json";
 
-  /** The names of all other files that an archive may have. */
+  /** Matches the names of all files of an archive except the manifest. */
   static final Pattern FILE_NAME = Pattern.compile("(entries|changes)/[0-9]{6}\\.json");
 
   private static final String FILE_NAME_FORMAT = "%s/%06d.json";
@@ -50,18 +49,21 @@
 
   private ArchiveFormat() {}
 
-  /** A key's value and the revision of its last change. */
+  /** A key's value with the revision of the key's last change. */
   public record VersionedValue(JsonNode data, long revision) {}
 
   /**
-   * What an archive says of itself.
+   * Describes an archive.
    *
-   * @param level the feature level in force
-   * @param firstRevision the store's revision when the first page was listed
-   * @param revision the revision that the archive shows, see {@code consistent}
-   * @param consistent whether it shows the keys as they were at {@code revision}; if not, each is
-   *     as it was at some moment from {@code firstRevision} to {@code revision}
-   * @param madeAtMs the time of day, in milliseconds since 1970
+   * @param id the archive's id
+   * @param build the version of the program that wrote the archive
+   * @param level the feature level in force when the archive was started
+   * @param firstRevision the revision of the state service when the first page of keys was listed
+   * @param revision the revision whose state of the keys the archive holds
+   * @param consistent whether all values are those at {@code revision}; if false, each value was
+   *     current at some revision from {@code firstRevision} to {@code revision}
+   * @param madeAtMs the wall-clock time at which the manifest was written, in milliseconds since
+   *     1970
    */
   public record Manifest(
       String id,
@@ -72,29 +74,29 @@
       boolean consistent,
       long madeAtMs) {}
 
-  /** A file of an archive, as its manifest names it; {@code sha256} is in hexadecimal. */
+  /** A file as the manifest lists it; {@code sha256} is the digest in hexadecimal. */
   record FileEntry(String name, String sha256) {}
 
   /**
-   * The content of a manifest's file.
+   * The decoded content of {@code manifest.json}.
    *
-   * @param version the version of the format; negative if none is named
-   * @param manifest empty if fields are missing
-   * @param files the files that it names
+   * @param version the version of the format; negative if the field is missing or not a number
+   * @param manifest the description of the archive; empty if a field is missing or malformed
+   * @param files the files that the manifest lists
    */
   record ManifestFile(long version, Optional<Manifest> manifest, List<FileEntry> files) {}
 
-  /** The name of a file with a page of keys; the first is 1. */
+  /** Returns the name of a file with a page of keys; numbers start at 1. */
   static String entriesFileName(int number) {
     return FILE_NAME_FORMAT.formatted(ENTRIES, number);
   }
 
-  /** The name of a file with changes; the first is 1. */
+  /** Returns the name of a file with changes; numbers start at 1. */
   static String changesFileName(int number) {
     return FILE_NAME_FORMAT.formatted(CHANGES, number);
   }
 
-  /** The content of the manifest's file. */
+  /** Encodes the content of {@code manifest.json}. */
   static byte[] writeManifest(Manifest manifest, List<FileEntry> files) {
     ObjectNode written =
         Json.object()
@@ -113,7 +115,7 @@
     return Json.bytes(written);
   }
 
-  /** Reads the manifest's file. */
+  /** Decodes the content of {@code manifest.json}. */
   static ManifestFile readManifest(byte[] content) {
     JsonNode json = Json.parse(content);
     return new ManifestFile(
@@ -147,7 +149,7 @@
     return files;
   }
 
-  /** The content of a file with a page of keys. */
+  /** Encodes a page of keys with their values and revisions. */
   static byte[] writeEntries(Collection<Entry> page) {
     ArrayNode written = Json.array();
     for (Entry entry : page) {
@@ -160,7 +162,9 @@
     return Json.bytes(written);
   }
 
-  /** The content of a file with changes; one without data is a removal. */
+  /**
+   * Encodes changes of keys; a change without a value is written without data and means a deletion.
+   */
   static byte[] writeChanges(Collection<Change> changes) {
     ArrayNode written = Json.array();
     for (Change change : changes) {
@@ -174,9 +178,11 @@
   }
 
   /**
-   * Applies a file's keys and changes to those that were read before; of two versions of a key the
-   * later one counts.
+   * Applies the keys or changes of a file to the keys read from earlier files. A key that already
+   * has a value of a higher revision keeps it.
    *
+   * @param file the content of an entries or changes file
+   * @param keys the keys read so far, which are updated
    * @return false if the file is malformed
    */
   static boolean apply(byte[] file, Map<String, VersionedValue> keys) {
--- a/src/main/java/shorecrank/rollout/ArchiveReader.java
+++ b/src/main/java/shorecrank/rollout/ArchiveReader.java
@@ -14,14 +14,17 @@
 import shorecrank.rollout.ArchiveFormat.ManifestFile;
 import shorecrank.rollout.ArchiveFormat.VersionedValue;
 
-/** Reads an archive and checks all of it. */
+/** Reads an archive and verifies its files against the manifest. */
 public final class ArchiveReader {
-  /** A page holds 512 KiB; a file that is larger than this was not written by this program. */
+  /**
+   * Maximum size of a file in an archive. A page of keys takes 512 KiB, so a larger file was not
+   * written by {@link ArchiveWriter}.
+   */
   private static final long MAX_FILE_BYTES = 256L << 20;
 
   private ArchiveReader() {}
 
-  /** Thrown if an archive is damaged, or of a format that this version does not read. */
+  /** Thrown if an archive is damaged or has a format version that is not supported. */
   public static final class DamagedArchiveException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -30,13 +33,17 @@
     }
   }
 
-  /** A checked archive: what it says of itself, and the keys with their values. */
+  /**
+   * A verified archive: its description, and the keys with their values in ascending order of the
+   * keys.
+   */
   public record Archive(Manifest manifest, Map<String, VersionedValue> keys) {}
 
   /**
-   * Reads an archive to its end and checks every file.
+   * Reads an archive to its end and verifies every file.
    *
-   * @throws DamagedArchiveException if anything is not as it was written; the message names what
+   * @throws DamagedArchiveException if the archive is damaged, incomplete or of another format
+   *     version; the message names the file or field
    */
   public static Archive read(InputStream in) throws DamagedArchiveException {
     Map<String, byte[]> files = new LinkedHashMap<>();
@@ -48,7 +55,7 @@
         }
       }
     } catch (IOException | RuntimeException e) {
-      // The libraries report damaged input by exceptions of either kind.
+      // The tar and Zstandard libraries report damaged input by checked or unchecked exceptions.
       throw new DamagedArchiveException("not a complete archive: " + e.getMessage());
     }
     byte[] manifestFile = files.remove(ArchiveFormat.MANIFEST_FILE);
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -18,21 +18,21 @@
 import shorecrank.storage.WatchResult;
 
 /**
- * Makes one archive of the service's keys, and stores it in the state service.
+ * Creates one archive of the state service's keys and stores it in the state service.
  *
- * <p>Keys are listed page by page, then the changes made meanwhile are read = =prefixIndex == by
- * prefix. Each of these answers reaches up to some revision; changes above the lowest of them are
- * left out, so the archive shows the keys at that one revision. Where the service no longer has the
- * changes, the archive says that it is not consistent.
+ * <p>The keys are listed page by page, then the changes made meanwhile are read prefix by prefix.
+ * Each answer with changes is complete up to its own revision. Changes above the lowest of these
+ * revisions are left out, so that the archive holds the keys as they were at that revision. If the
+ * service no longer has all changes, the manifest marks the archive as not consistent.
  *
- * <p>One call is under way at a time. Every write is behind the leader's term; a write of unknown
- * outcome is repeated behind the same guard.
+ * <p>At most one call is in flight. Every write is guarded by the leader's term. A write of unknown
+ * outcome is repeated with the same guards.
  */
 final class ArchiveTask {
   private static final int PAGE_KEYS = 200;
   private static final long RETRY_MS = 1000;
 
-  /** The steps of the task, in their order. */
+  /** The steps of the task, in the order in which they are taken. */
   private enum Step {
     ANNOUNCE,
     LIST,
@@ -53,31 +53,42 @@
 
   private Step step = Step.ANNOUNCE;
 
-  /** The index of the = =prefixIndex == that is being listed, or whose changes are being read. */
+  /**
+   * Index in {@link ArchiveKeys#ARCHIVED_PREFIXES} of the prefix whose keys are listed or whose
+   * changes are read.
+   */
   private int prefixIndex;
 
+  /** Last key of the pages listed so far under the current prefix; empty before the first page. */
   private String lastListedKey = "";
 
-  /** The lowest and the highest revision of a listed page; the lowest is negative before one. */
+  /** Revision of the state service at the first listed page; negative before that page is read. */
   private long firstRevision = -1;
 
+  /** Highest revision of the state service at any listed page. */
   private long listedUpToRevision;
 
-  /** Changes made while the keys were listed, and up to which revision they are complete. */
+  /** Changes made since {@link #firstRevision}, read so far. */
   private final List<Change> changes = new ArrayList<>();
 
+  /** Revision up to which the changes of every prefix read so far are complete. */
   private long changesUpToRevision = Long.MAX_VALUE;
+
+  /** Whether the state service no longer had the changes of some prefix. */
   private boolean areChangesLost;
 
-  /** The chunk that is being written; null if there is none. */
+  /** The chunk that is being written; null if none is. */
   private byte[] chunk;
 
   private int chunksWritten;
   private long bytesWritten;
 
   /**
-   * @param build the version of this program
-   * @param level the feature level in force
+   * Creates a task for an archive that is not started yet.
+   *
+   * @param id the archive's id
+   * @param build the version of this program, for the manifest
+   * @param level the feature level in force, for the manifest
    */
   ArchiveTask(
       LeaderEnvironment environment,
@@ -93,27 +104,27 @@
     this.level = level;
   }
 
-  /** The archive's id. */
+  /** Returns the archive's id. */
   String id() {
     return id;
   }
 
-  /** Whether the archive is complete. */
+  /** Reports whether the archive has been written completely. */
   boolean isDone() {
     return step == Step.DONE;
   }
 
-  /** Whether the archive was given up. */
+  /** Reports whether the archive was abandoned. */
   boolean isFailed() {
     return step == Step.FAILED;
   }
 
-  /** Goes on with the archive, by one call at most. */
+  /** Takes the next step, if the previous call is answered; sends at most one call. */
   void tick() {
     if (isDone() || isFailed() || !store.isReady() || !environment.hasRequestBudget()) {
       return;
     }
-    // What is ready is written before more is read, so that little is held in memory.
+    // Chunks are written before more keys are read, to bound the memory that buffered output takes.
     if (chunk != null || writer.availableBytes() >= maxChunkBytes()) {
       writeChunk();
       return;
@@ -167,7 +178,10 @@
     }
   }
 
-  /** Goes over to the next prefix, and after the last one to the next step. */
+  /**
+   * Moves on to the next prefix; after the last prefix, starts over at the first one with the step
+   * {@code afterLast}.
+   */
   private void advancePrefix(Step afterLast) {
     lastListedKey = "";
     prefixIndex++;
@@ -233,7 +247,8 @@
   }
 
   private void handleChunkResult(String key, CommitResult result) {
-    // Nobody else writes under this id: a chunk that exists is this task's, written without answer.
+    // No other process writes keys with this archive's id. A chunk that exists already was written
+    // by an earlier attempt of this task whose answer was lost.
     boolean existed =
         result instanceof CommitResult.Conflict conflict && conflict.failedKeys().contains(key);
     if (result.isCommitted() || existed) {
--- a/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
+++ b/src/main/java/shorecrank/rollout/ArchiveValueCodec.java
@@ -6,7 +6,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.rollout.ArchiveKeys.IndexEntry;
 
-/** The stored forms of archives' index entries and chunks. */
+/** Encodes and decodes the stored index entries and chunks of archives. */
 public final class ArchiveValueCodec {
   private static final String BASE64 = "base64";
   private static final String COMPLETE = "complete";
@@ -15,7 +15,7 @@
 
   private ArchiveValueCodec() {}
 
-  /** The stored form of an index entry. */
+  /** Encodes an index entry. */
   static JsonNode writeIndex(IndexEntry entry) {
     return Json.object()
         .put(COMPLETE, entry.isComplete())
@@ -23,7 +23,12 @@
         .put(SIZE_BYTES, entry.bytes());
   }
 
-  /** Reads an index entry; empty if the key or the value is malformed. */
+  /**
+   * Decodes an index entry.
+   *
+   * @param key the key under which the entry is stored; it ends with the archive's id
+   * @return empty if the key or the value is malformed
+   */
   public static Optional<IndexEntry> readIndex(String key, JsonNode stored) {
     long chunks = Json.countOrMinusOne(stored.path(CHUNK_COUNT));
     long bytes = Json.countOrMinusOne(stored.path(SIZE_BYTES));
@@ -37,12 +42,16 @@
     return Optional.of(new IndexEntry(id, stored.path(COMPLETE).asBoolean(), (int) chunks, bytes));
   }
 
-  /** The stored form of a chunk. */
+  /** Encodes the bytes of a chunk. */
   static JsonNode writeChunk(byte[] bytes) {
     return Json.object().put(BASE64, Base64.getEncoder().encodeToString(bytes));
   }
 
-  /** The bytes of a chunk; null if it is malformed. */
+  /**
+   * Decodes the bytes of a chunk.
+   *
+   * @return null if the value is malformed or holds no bytes
+   */
   public static byte[] readChunk(JsonNode stored) {
     try {
       String text = Json.text(stored.path(BASE64));
--- a/src/main/java/shorecrank/rollout/ArchiveWriter.java
+++ b/src/main/java/shorecrank/rollout/ArchiveWriter.java
@@ -13,7 +13,9 @@
 import shorecrank.rollout.ArchiveFormat.FileEntry;
 import shorecrank.rollout.ArchiveFormat.Manifest;
 
-/** Writes an archive file by file; the bytes that are output can be taken at any time. */
+/**
+ * Writes an archive file by file. The compressed output is buffered and can be taken at any time.
+ */
 final class ArchiveWriter {
   private final ByteArrayOutputStream output = new ByteArrayOutputStream();
   private final TarArchiveOutputStream tar;
@@ -29,13 +31,13 @@
     }
   }
 
-  /** Adds a page of keys, see {@link ArchiveFormat#writeEntries}. */
+  /** Adds a file with a page of keys, as encoded by {@link ArchiveFormat#writeEntries}. */
   void addEntries(byte[] page) {
     entriesFileCount++;
     addFile(ArchiveFormat.entriesFileName(entriesFileCount), page);
   }
 
-  /** Adds changes that came while pages were read, see {@link ArchiveFormat#writeChanges}. */
+  /** Adds a file with changes, as encoded by {@link ArchiveFormat#writeChanges}. */
   void addChanges(byte[] changes) {
     changesFileCount++;
     addFile(ArchiveFormat.changesFileName(changesFileCount), changes);
@@ -59,7 +61,7 @@
     }
   }
 
-  /** Writes the manifest; nothing may be added after it. */
+  /** Writes the manifest and ends the archive; nothing can be added after it. */
   void finish(Manifest manifest) {
     put(ArchiveFormat.MANIFEST_FILE, ArchiveFormat.writeManifest(manifest, files));
     try {
@@ -69,12 +71,14 @@
     }
   }
 
-  /** How many bytes can be taken. */
+  /** Returns the number of buffered bytes of output. */
   int availableBytes() {
     return output.size();
   }
 
-  /** Takes the next bytes, at maxBytes {@code maxBytes}. */
+  /**
+   * Removes up to {@code maxBytes} bytes from the front of the buffered output and returns them.
+   */
   byte[] take(int maxBytes) {
     byte[] all = output.toByteArray();
     int size = Math.min(maxBytes, all.length);
--- a/src/main/java/shorecrank/rollout/Archiver.java
+++ b/src/main/java/shorecrank/rollout/Archiver.java
@@ -10,11 +10,11 @@
 import shorecrank.protocol.RolloutMessages.FeatureLevel;
 
 /**
- * Makes one archive at a time; while none is being made, removes those that are no longer
- * archivesToKeep.
+ * Creates archives of the state service's keys, one at a time. While none is being created, it
+ * deletes old archives.
  */
 final class Archiver {
-  /** After an archive failed, the next one is begun no sooner than this. */
+  /** Minimum delay before another automatic archive is started after one has failed. */
   private static final long RETRY_MS = 10_000;
 
   private static final DateTimeFormatter ID_TIME =
@@ -25,14 +25,19 @@
   private final String build;
   private final ArchiveCleaner cleaner;
 
-  /** The archive that is being made, or is complete and not yet released; null if there is none. */
+  /**
+   * The archive that is being written, or is complete and not yet released by {@link #release};
+   * null if there is none.
+   */
   private ArchiveTask task;
 
   private MonotonicTime retryAt = MonotonicTime.NEVER;
 
   /**
+   * Creates an archiver without an archive.
+   *
    * @param build the version of this program
-   * @param archivesToKeep how many complete archives stay in the state service
+   * @param archivesToKeep the number of complete archives kept in the state service
    */
   Archiver(LeaderEnvironment environment, Leadership leadership, String build, int archivesToKeep) {
     this.environment = environment;
@@ -41,23 +46,31 @@
     this.cleaner = new ArchiveCleaner(environment, leadership, archivesToKeep);
   }
 
-  /** The id of the archive that is being made. */
+  /**
+   * Returns the id of the archive that is being written or is complete but not released; empty if
+   * there is none.
+   */
   Optional<String> currentId() {
     return Optional.ofNullable(task).map(ArchiveTask::id);
   }
 
-  /** The id of an archive that is complete and was not released yet. */
+  /** Returns the id of the archive that is complete but not released; empty if there is none. */
   Optional<String> completeId() {
     return Optional.ofNullable(task).filter(ArchiveTask::isDone).map(ArchiveTask::id);
   }
 
-  /** An id for a new archive: the time of day and the leader's term. */
+  /** Returns an id for a new archive, made of the wall-clock time in UTC and the leader's term. */
   String newId() {
     String time = ID_TIME.format(Instant.ofEpochMilli(environment.wallMs()));
     return time + "-" + leadership.term();
   }
 
-  /** Begins an archive unless one is being made, or one failed lately. */
+  /**
+   * Starts an archive unless one exists that is not released, or the last one failed less than
+   * {@link #RETRY_MS} ago.
+   *
+   * @param level the feature level in force
+   */
   void startIfPossible(FeatureLevel level) {
     if (task == null && !environment.now().isBefore(retryAt)) {
       start(newId(), level);
@@ -65,8 +78,9 @@
   }
 
   /**
-   * Begins an archive.
+   * Starts an archive.
    *
+   * @param id the id of the archive, from {@link #newId}
    * @param level the feature level in force
    */
   void start(String id, FeatureLevel level) {
@@ -74,7 +88,7 @@
     task = new ArchiveTask(environment, leadership, id, build, level);
   }
 
-  /** Goes on with the archive, or else with the removal of old ones. */
+  /** Continues writing the archive; if there is none, continues deleting old archives. */
   void tick() {
     if (task == null) {
       cleaner.tick();
@@ -87,13 +101,19 @@
     }
   }
 
-  /** The complete archive was written down: another may be made, and old ones removed. */
+  /**
+   * Drops the complete archive, once its id has been stored in the feature level's key. Another
+   * archive may then be started, and old ones deleted.
+   */
   void release() {
     task = null;
     cleaner.scheduleScan();
   }
 
-  /** Gives up an archive that was begun under an earlier term. */
+  /**
+   * Abandons an archive that was started under an earlier term, and schedules a scan that deletes
+   * what was written of it.
+   */
   void reset() {
     task = null;
     cleaner.scheduleScan();
--- a/src/main/java/shorecrank/rollout/DowngradeCodec.java
+++ b/src/main/java/shorecrank/rollout/DowngradeCodec.java
@@ -10,53 +10,71 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 import shorecrank.storage.JobRecord;
 
-/** Finds values in a feature's stored form, and puts them into the forms of the level below. */
+/**
+ * Recognizes stored values in the form that a feature introduced, and converts them to forms that
+ * versions below the feature's level read.
+ */
 abstract class DowngradeCodec {
   /**
-   * A value that is to be written in an earlier form, behind the revision at which it was read.
+   * A stored value and its encodings in earlier forms. Writing one is guarded by the revision at
+   * which the value was read, so a concurrent change of the value is not overwritten.
    *
-   * @param forms the earlier forms, the preferred one first; all mean the same
-   * @param formIndex which of them is written next
+   * @param key the value's key
+   * @param revision the revision at which the value was read
+   * @param forms equivalent encodings in earlier forms, the preferred one first; empty if the value
+   *     could not be decoded
+   * @param formIndex index in {@code forms} of the encoding to write next
    */
   record Rewrite(String key, Revision revision, List<? extends JsonNode> forms, int formIndex) {
-    /** The size of the form that is written next. */
+    /** Returns the size in bytes of the encoding to write next. */
     int bytes() {
       return Json.bytes(forms.get(formIndex)).length;
     }
 
-    /** Adds guard and write to a transaction. */
+    /** Adds the write and its guard to a transaction. */
     void addTo(Transaction transaction) {
       transaction.guard(key, revision).write(key, forms.get(formIndex));
     }
 
-    /** Whether there is another form to be tried where this one is too large. */
+    /**
+     * Reports whether there is another form to try if the current one is too large for the state
+     * service.
+     */
     boolean hasNextForm() {
       return formIndex + 1 < forms.size();
     }
 
-    /** The same value in the next form. */
+    /** Returns the rewrite of the same value in the next form. */
     Rewrite withNextForm() {
       return new Rewrite(key, revision, forms, formIndex + 1);
     }
 
-    /** Whether the value could be read at all. */
+    /** Reports whether the stored value could be decoded. */
     boolean isReadable() {
       return !forms.isEmpty();
     }
   }
 
-  /** Whether a stored value is in the feature's form. */
+  /** Reports whether a stored value is in the form that the feature introduced. */
   abstract boolean isNewerForm(Entry entry);
 
-  /** The rewriting of a value in the feature's form; not possible if the value can't be read. */
+  /**
+   * Returns the rewrite of a value; {@link Rewrite#isReadable} is false if it cannot be decoded.
+   */
   final Rewrite rewrite(Entry entry) {
     return new Rewrite(entry.key(), entry.revision(), earlierForms(entry.value()), 0);
   }
 
-  /** Earlier forms of a value, the preferred one first; none if it can't be read. */
+  /**
+   * Returns the encodings of a value in earlier forms, the preferred one first; empty if it cannot
+   * be decoded.
+   */
   abstract List<? extends JsonNode> earlierForms(JsonNode stored);
 
-  /** Puts dense job records back into the forms that all versions read. */
+  /**
+   * Converts job records from the dense form to the plain one, or to the compact one where the
+   * plain one is too large.
+   */
   static final class JobRecordDowngradeCodec extends DowngradeCodec {
     @Override
     boolean isNewerForm(Entry entry) {
@@ -71,8 +89,9 @@
   }
 
   /**
-   * Takes moves out of the shares' key. They end with the level, and the number of shards may then
-   * be changed by versions that know nothing of it; what operators have set stays.
+   * Removes moves and the number of shards from the value of the shares key. Versions below the
+   * feature's level know neither, and may change the number of shards. Teams' shares, which
+   * operators have set, are kept.
    */
   static final class SharesDowngradeCodec extends DowngradeCodec {
     @Override
--- a/src/main/java/shorecrank/rollout/Feature.java
+++ b/src/main/java/shorecrank/rollout/Feature.java
@@ -8,21 +8,22 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * A behaviour or stored form that a fleet may only use once all of its controllers understand it.
- * Each feature names the level from which it is in force, and how the forms that it left in the
- * state service are put back into earlier ones.
+ * A behaviour or stored form that may only be used once all controllers of the fleet support it.
+ * Each feature has the feature level from which on it may be used, and a codec that converts the
+ * values it left in the state service to earlier forms.
  */
 public enum Feature {
   /**
-   * The leader's grant is on a key of its own, while the key that earlier versions look at stays
-   * and names the leader, so that none of them finds the leadership vacant.
+   * The leader's grant is attached to a key that earlier versions do not use. The key that earlier
+   * versions read for the leadership still exists and names the leader, so that none of them
+   * considers the leadership vacant.
    */
   PROTECTED_LEADERSHIP(1, "", null),
 
-  /** Job records in the dense form ({@link JobRecord#writeDense}). */
+  /** Job records are written in the dense form, see {@link JobRecord#writeDense}. */
   DENSE_RECORDS(1, JobRecord.LIVE_PREFIX, new DowngradeCodec.JobRecordDowngradeCodec()),
 
-  /** Moves of machines between shards, which {@link ShareStateMessages#KEY} holds. */
+  /** Machines are moved between shards; {@link ShareStateMessages#KEY} holds the moves. */
   SHARES(2, ShareStateMessages.KEY, new DowngradeCodec.SharesDowngradeCodec());
 
   private final FeatureLevel level;
@@ -35,16 +36,17 @@
     this.downgradeCodec = downgradeCodec;
   }
 
-  /** The lowest level at which the feature is in force. */
+  /** Returns the lowest feature level at which the feature may be used. */
   public FeatureLevel level() {
     return level;
   }
 
   /**
-   * The levels that a controller of this build supports.
+   * Returns the levels that a controller of this build supports.
    *
-   * @param sharesEnabled whether sharesEnabled are enabled on it: a leader without them would not
-   *     go on with the moves that an earlier one has written down
+   * @param sharesEnabled whether the controller has settings for shares. Without them it does not
+   *     support {@link #SHARES}: as a leader it would not continue the moves that an earlier leader
+   *     has stored.
    */
   public static LevelRange supportedLevels(boolean sharesEnabled) {
     FeatureLevel highest =
@@ -56,19 +58,25 @@
     return new LevelRange(FeatureLevel.LOWEST, highest);
   }
 
-  /** The features above a level that leave forms of their own in the state service. */
+  /**
+   * Returns the features of levels above {@code target} that leave values in newer forms in the
+   * state service.
+   */
   static List<Feature> withStoredFormsAbove(FeatureLevel target) {
     return Stream.of(values())
         .filter(feature -> feature.downgradeCodec != null && feature.level.compareTo(target) > 0)
         .toList();
   }
 
-  /** The keyPrefix of the keys whose values may be in the feature's form. */
+  /** Returns the prefix of the keys whose values may be in the form that the feature introduced. */
   String keyPrefix() {
     return keyPrefix;
   }
 
-  /** Rewrites the feature's form; null if the feature leaves none in the state service. */
+  /**
+   * Returns the codec that converts values to earlier forms; null if the feature leaves none in the
+   * state service.
+   */
   DowngradeCodec downgradeCodec() {
     return downgradeCodec;
   }
--- a/src/main/java/shorecrank/rollout/FeatureGate.java
+++ b/src/main/java/shorecrank/rollout/FeatureGate.java
@@ -7,46 +7,58 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
- * Says whether a feature may be used now, by the feature level as last heard.
+ * Decides whether a feature may be used, from the latest known feature level.
  *
- * <p>That level may be out of date, which is safe in both directions: forms of the lowest level may
- * always be written, and every write of a higher form carries the guard of {@link #guard}, which
- * fails once the level's key has changed.
+ * <p>The known level may be out of date, which is safe: forms of the lowest level may always be
+ * written, and every write of a newer form is guarded by {@link #guard}, which fails once the value
+ * of the feature level's key has changed.
  */
 public final class FeatureGate {
-  /** The latest notice; null before the first. */
+  /** The notice of the highest revision received so far; null before the first. */
   private RolloutNotice latest;
 
-  /** Notices up to this revision permit nothing, since a guard on it has failed. */
+  /** Highest revision at which the guard is known to fail; notices up to it permit no feature. */
   private Revision refusedUpTo = Revision.ABSENT;
 
-  /** Takes a notice from the leader or the state service; null and earlier ones are ignored. */
+  /**
+   * Receives a notice of the feature level from the leader or the state service. Null and notices
+   * that are not newer than the known one are ignored.
+   */
   public void observe(RolloutNotice notice) {
     if (notice != null && (latest == null || notice.revision().isAfter(latest.revision()))) {
       latest = notice;
     }
   }
 
-  /** Whether the feature's forms may be written, behind {@link #guard}. */
+  /**
+   * Reports whether values may be written in the feature's form, in a transaction with {@link
+   * #guard}.
+   */
   public boolean permits(Feature feature) {
     return latest != null
         && latest.revision().isAfter(refusedUpTo)
         && latest.state().writeLevel().includes(feature.level());
   }
 
-  /** Makes a transaction fail unless the level is still the one that {@link #permits} used. */
+  /**
+   * Adds a guard to a transaction that makes it fail if the feature level has changed since the
+   * notice that {@link #permits} used; call it only if a feature is permitted.
+   */
   public void guard(Transaction transaction) {
     transaction.guard(RolloutMessages.KEY, latest.revision());
   }
 
-  /** A guard failed: nothing above the lowest level is written until a newer notice comes. */
+  /**
+   * Called after a guard on the feature level's key has failed; no feature is permitted until a
+   * newer notice is received.
+   */
   public void guardFailed() {
     if (latest != null) {
       refusedUpTo = latest.revision();
     }
   }
 
-  /** The highest level whose forms may be written, as far as latest. */
+  /** Returns the highest level whose forms may be written, according to the latest notice. */
   public FeatureLevel writeLevel() {
     return latest == null ? FeatureLevel.LOWEST : latest.state().writeLevel();
   }
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -18,11 +18,11 @@
 import shorecrank.storage.CommitResult;
 
 /**
- * The feature level's key as the leader reads and writes it. A change of the level in force changes
- * the leader's own keys in the same transaction.
+ * Reads and writes the key of the feature level for the leader. If a write changes the level in
+ * force, the same transaction changes the leadership keys accordingly.
  *
- * <p>While the outcome of a write is unknown, the fleet is taken to be at the higher of both
- * levels.
+ * <p>While the outcome of a write is unknown, the higher of the old and the new level counts as the
+ * level in force.
  */
 final class LevelStore {
   private static final LeaderKeyCodec<RolloutState> CODEC =
@@ -37,7 +37,9 @@
   private final LeaderKey<RolloutState> key;
 
   /**
-   * @param highest the highest level that this build knows
+   * Creates a store whose key is not read yet.
+   *
+   * @param highest the highest level that this build supports
    */
   LevelStore(LeaderEnvironment environment, Leadership leadership, FeatureLevel highest) {
     this.leadership = leadership;
@@ -45,27 +47,33 @@
     this.key = new LeaderKey<>(environment, leadership, CODEC, new LevelKeyRules());
   }
 
-  /** Whether the key was read under the present term, whatever it holds. */
+  /** Reports whether the key has been read in the current term, even if its value is malformed. */
   boolean isRead() {
     return key.isRead();
   }
 
-  /** Whether a change can be begun. */
+  /** Reports whether a write can be started. */
   boolean isIdle() {
     return key.isIdle();
   }
 
-  /** Whether the key was read under the present term, and holds a value that this build reads. */
+  /** Reports whether the key has been read in the current term and its value could be decoded. */
   boolean isReadable() {
     return key.isReadable();
   }
 
-  /** The key's value as last read or written; the initial one before the first reading. */
+  /**
+   * Returns the key's value as last read or written; {@link RolloutState#INITIAL} before the first
+   * read.
+   */
   RolloutState state() {
     return key.value();
   }
 
-  /** What other controllers are told; empty while the level is not known for sure. */
+  /**
+   * Returns the notice that is sent to the other controllers; empty while the value is not known or
+   * the outcome of a write is unknown.
+   */
   Optional<RolloutNotice> notice() {
     return key.isReadable() && key.pending().isEmpty()
         ? Optional.of(new RolloutNotice(key.value(), key.revision()))
@@ -73,8 +81,9 @@
   }
 
   /**
-   * The level that every owner has to support: while a change is not settled, the higher one. If
-   * the key was never read or is unreadable, the highest that this build knows.
+   * Returns the level that a controller must support to own a shard. While a write is in flight or
+   * its outcome is unknown, that is the higher of the old and the new level. If no value of the key
+   * has ever been decoded, it is the highest level that this build supports.
    */
   FeatureLevel requiredLevel() {
     if (!key.isKnown()) {
@@ -87,12 +96,17 @@
         .orElse(level);
   }
 
-  /** Reads the key, or settles a change of unknown outcome, if that is due. */
+  /** Reads the key, or resolves a write of unknown outcome, if that is due. */
   void tick() {
     key.tick();
   }
 
-  /** Changes the key; {@link #isIdle} must hold. */
+  /**
+   * Writes the key; call it only if {@link #isIdle}.
+   *
+   * @param next the new value
+   * @param then receives the result
+   */
   void write(RolloutState next, Consumer<CommitResult> then) {
     FeatureLevel level = next.level();
     boolean switchesLevel = !level.equals(key.value().level());
@@ -116,7 +130,7 @@
     key.continueUnderNewTerm();
   }
 
-  /** When a change of unknown outcome is settled. */
+  /** Decides how the outcome of a write in doubt is determined from a later read of the key. */
   private final class LevelKeyRules implements LeaderKey.Rules<RolloutState> {
     @Override
     public boolean canWrite() {
@@ -131,17 +145,18 @@
 
     @Override
     public boolean isConflictInDoubt() {
-      // The key is read again first, which shows it.
+      // A refused write counts as in doubt; the next read of the key determines its outcome.
       return true;
     }
 
     @Override
     public WriteOutcome resolveOutcome(Reading reading) {
       if (!reading.readTerm().equals(reading.writeTerm())) {
-        // Sent under an earlier term of this process: its guard refuses it.
+        // The write is guarded by an earlier term of this process, so it can no longer be
+        // committed.
         return WriteOutcome.NOT_COMMITTED;
       }
-      // Under one term nobody else writes the key.
+      // Within a term only this process writes the key, so a change is the write in doubt.
       return reading.isChanged() ? WriteOutcome.COMMITTED : WriteOutcome.UNKNOWN;
     }
 
--- a/src/main/java/shorecrank/rollout/MemberAnnouncements.java
+++ b/src/main/java/shorecrank/rollout/MemberAnnouncements.java
@@ -12,20 +12,26 @@
 import shorecrank.protocol.RolloutMessages.LevelRange;
 
 /**
- * The levels that the members of the configuration have announced, since when, and how lately.
+ * The last heartbeat of each configured controller, with the feature levels that it announced.
  *
- * <p>An announcement counts for the process that made it: another process of the same controller
- * begins anew.
+ * <p>An announcement is attributed to a process, not to a controller name: if a controller
+ * restarts, the time for which it has announced its levels starts again.
  */
 final class MemberAnnouncements {
   /**
    * The last heartbeat of a member.
    *
-   * @param announcement null if it names no levels
-   * @param since when this process first announced the same
+   * @param writer the process that sent it
+   * @param announcement null if the heartbeat announced no levels
+   * @param since the time since which this process has sent the same announcement without
+   *     interruption
+   * @param heardAt when the heartbeat arrived
    */
   private record LastHeartbeat(
       WriterId writer, Announcement announcement, MonotonicTime since, MonotonicTime heardAt) {
+    /**
+     * Reports whether the given heartbeat comes from the same process with the same announcement.
+     */
     boolean isRepeatedBy(WriterId other, Announcement announced) {
       return writer.equals(other) && announced != null && announced.equals(announcement);
     }
@@ -36,7 +42,9 @@
   private final Map<ControllerName, LastHeartbeat> lastHeartbeats = new HashMap<>();
 
   /**
-   * @param members all controllers of the configuration, this one included
+   * Creates an instance that has received no heartbeats.
+   *
+   * @param members all configured controllers, this one included
    * @param ownDigest the digest of this controller's shared settings
    */
   MemberAnnouncements(List<ControllerName> members, String ownDigest) {
@@ -44,12 +52,16 @@
     this.ownDigest = ownDigest;
   }
 
-  /** Forgets all announcements, which were heard under an earlier term. */
+  /** Forgets all heartbeats, which were received in an earlier term. */
   void reset() {
     lastHeartbeats.clear();
   }
 
-  /** Takes a member's heartbeat; {@code announcement} is null if it names no levels. */
+  /**
+   * Records a member's heartbeat.
+   *
+   * @param announcement null if the heartbeat announces no levels
+   */
   void recordHeartbeat(
       ControllerName member, WriterId writer, Announcement announcement, MonotonicTime now) {
     LastHeartbeat previous = lastHeartbeats.get(member);
@@ -58,19 +70,22 @@
         member, new LastHeartbeat(writer, announcement, isSame ? previous.since : now, now));
   }
 
-  /** The levels that a member supports, as it last announced. */
+  /**
+   * Returns the levels that a member has announced in its last heartbeat; {@link
+   * LevelRange#UNANNOUNCED} if it has announced none.
+   */
   LevelRange supportedLevels(ControllerName member) {
     Announcement announcement = announcement(member);
     return announcement == null ? LevelRange.UNANNOUNCED : announcement.supported();
   }
 
-  /** What a member last announced; null if nothing. */
+  /** Returns the announcement in a member's last heartbeat; null if there is none. */
   Announcement announcement(ControllerName member) {
     LastHeartbeat last = lastHeartbeats.get(member);
     return last == null ? null : last.announcement;
   }
 
-  /** Members that were heard and have not announced that they support a level. */
+  /** Returns the members that have sent a heartbeat but not announced support for a level. */
   List<ControllerName> membersNotSupporting(FeatureLevel level) {
     return members.stream()
         .filter(
@@ -79,19 +94,24 @@
         .toList();
   }
 
-  /** The milliseconds since a member was heard; negative if it was not under this leader. */
+  /**
+   * Returns the milliseconds since a member's last heartbeat; -1 if none has arrived in this term.
+   */
   long heardMsAgo(ControllerName member, MonotonicTime now) {
     LastHeartbeat last = lastHeartbeats.get(member);
     return last == null ? -1 : now.since(last.heardAt);
   }
 
-  /** Whether a member has announced settings that differ from this controller's. */
+  /** Reports whether a member has announced shared settings that differ from this controller's. */
   boolean settingsDiffer(ControllerName member) {
     Announcement announcement = announcement(member);
     return announcement != null && !announcement.settingsDigest().equals(ownDigest);
   }
 
-  /** The highest level that all members support; the lowest while one was not heard. */
+  /**
+   * Returns the highest level that all members support; {@link FeatureLevel#LOWEST} if one of them
+   * has announced none.
+   */
   FeatureLevel highestCommonLevel() {
     FeatureLevel highest = null;
     for (ControllerName member : members) {
@@ -102,10 +122,13 @@
   }
 
   /**
-   * Why the level may not rise yet, one line for each member that holds it back; empty if it may.
+   * Returns the reasons why the level may not be raised yet, at most one line per member; empty if
+   * it may be raised.
    *
-   * @param heartbeatTimeoutMs a member that was not heard for longer holds it back
-   * @param settleMs for how long all must have announced the same without a break
+   * @param level the level to raise to
+   * @param heartbeatTimeoutMs maximum age of a member's last heartbeat in milliseconds
+   * @param settleMs for how many milliseconds each member must have sent the same announcement
+   *     without interruption
    */
   List<String> raiseBlockers(
       FeatureLevel level, MonotonicTime now, long heartbeatTimeoutMs, long settleMs) {
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -19,22 +19,31 @@
 import shorecrank.storage.RateLimiter;
 
 /**
- * Puts values in newer stored forms back into those of a lower level, in one pass over the keys.
+ * Converts stored values from newer forms to the forms of a lower feature level, in one pass over
+ * the keys.
  *
- * <p>The pass begins once the level is marked as falling. From then on every write of a newer form
- * fails at its guard, so no key behind the cursor gets a newer form again, and the pass can go on
- * from any cursor that was written down. A value is written in another form with nothing else
- * changed, behind its own revision and the leader's term. If its owner or a user's cancellation
- * writes it at the same moment, either that write comes first, and the value is read again, or it
- * is refused.
+ * <p>The pass starts once the stored phase is {@code FALLING}. From then on the guard on the
+ * feature level's key refuses every write of a newer form. So no key up to the cursor gets a value
+ * in a newer form again, and a pass can resume at a stored cursor.
+ *
+ * <p>A rewrite changes only the form of a value. It is guarded by the value's revision and the
+ * leader's term. If the job's owner or a user's cancellation writes the value first, the rewrite is
+ * refused and the page is read again; if the rewrite comes first, the other write is refused.
  */
 final class RecordRewriter {
   private static final int PAGE_KEYS = 100;
 
-  /** The most of the state service's capacity that is used, whatever rate is configured. */
+  /**
+   * Maximum fraction of the state service's write capacity that the pass uses, whatever rate is
+   * configured.
+   */
   private static final double CAPACITY_FRACTION = 0.2;
 
   private static final long RETRY_MS = 500;
+
+  /**
+   * Delay before the page is read again if no earlier form of a value fits into the state service.
+   */
   private static final long TOO_LARGE_RETRY_MS = 2000;
 
   private final LeaderEnvironment environment;
@@ -44,20 +53,25 @@
   private final List<String> prefixes;
   private final RateLimiter rate;
 
-  /** Values of the present page that are still to be written. */
+  /** Rewrites of the current page that have not been sent or must be sent again. */
   private final ArrayDeque<Rewrite> pending = new ArrayDeque<>();
 
+  /** Key or prefix up to which the pass is complete; empty at the start. */
   private String cursor;
 
-  /** The last key of the present page; null before a page is read. */
+  /** Last key of the current page; null if no page has been read since the last one ended. */
   private String lastPageKey;
 
+  /** Whether the current page is the last one of the current prefix. */
   private boolean isLastPage;
 
-  /** Whether the present page has to be read again before the cursor passes it. */
+  /** Whether the current page must be read again before the cursor moves past it. */
   private boolean mustRereadPage;
 
-  /** Whether each value is written alone, since several were too large for one transaction. */
+  /**
+   * Whether each value is written in a transaction of its own, after a transaction with several
+   * values was too large.
+   */
   private boolean isOnePerTransaction;
 
   private boolean done;
@@ -66,8 +80,12 @@
   private long unreadable;
 
   /**
-   * @param rewritesPerS the most values written in a second, as operators allow
-   * @param cursor the last key that an earlier pass to the same level has passed, or empty
+   * Creates a pass that starts after {@code cursor}.
+   *
+   * @param target the level whose forms remain
+   * @param cursor the stored cursor of an earlier pass to the same level; empty to start from the
+   *     first key
+   * @param rewritesPerS the configured maximum number of values written per second
    */
   RecordRewriter(
       LeaderEnvironment environment,
@@ -82,39 +100,42 @@
     Set<String> sorted = new TreeSet<>();
     features.forEach(feature -> sorted.add(feature.keyPrefix()));
     this.prefixes = List.copyOf(sorted);
-    // A limiter of its own, since the leader needs little for its other writes.
+    // A limiter of its own, separate from the leader's other writes, which are few.
     double maxRate = environment.maxChangesPerSecond() * CAPACITY_FRACTION;
     this.rate = new RateLimiter(Math.min(rewritesPerS, maxRate));
     this.cursor = cursor;
     this.done = prefixes.isEmpty();
   }
 
-  /** The last key that the pass has passed. */
+  /** Returns the key or prefix up to which the pass is complete; empty at its start. */
   String cursor() {
     return cursor;
   }
 
-  /** Whether the pass is complete. */
+  /** Reports whether the pass is complete. */
   boolean isDone() {
     return done;
   }
 
-  /** How many values were written. */
+  /** Returns the number of values rewritten. */
   long rewritten() {
     return rewritten;
   }
 
-  /** How many values could not be read, and were left as they are. */
+  /** Returns how many times a value could not be decoded and was left unchanged. */
   long unreadable() {
     return unreadable;
   }
 
-  /** The key that holds the pass up because no earlier form of it fits; empty if none does. */
+  /**
+   * Returns the key that blocks the pass because its value is too large in all earlier forms; empty
+   * if there is none.
+   */
   String tooLargeKey() {
     return tooLargeKey;
   }
 
-  /** Goes on with the pass, by one call at most. */
+  /** Continues the pass with at most one call to the state service. */
   void tick() {
     if (done || !store.isReady()) {
       return;
@@ -128,7 +149,7 @@
     }
   }
 
-  /** The prefix at which the pass is; null if it has passed all of them. */
+  /** Returns the prefix that the pass has reached; null if it has completed all of them. */
   private String currentPrefix() {
     return prefixes.stream()
         .filter(prefix -> cursor.startsWith(prefix) || prefix.compareTo(cursor) > 0)
@@ -159,6 +180,9 @@
         });
   }
 
+  /**
+   * Schedules the rewrite of a value if it is in a newer form; counts it if it cannot be decoded.
+   */
   private void addIfNewerForm(Entry entry) {
     for (Feature feature : features) {
       boolean isNewer =
@@ -179,7 +203,7 @@
     }
   }
 
-  /** Sends one transaction: as many values as fit, and as the rate allows. */
+  /** Sends a transaction with as many rewrites as its size limits and the rate allow. */
   private void commitBatch() {
     Transaction transaction = new Transaction();
     leadership.guard(transaction);
@@ -208,7 +232,8 @@
       isOnePerTransaction = false;
       tooLargeKey = "";
     } else if (result instanceof CommitResult.Conflict conflict) {
-      // Values that changed meanwhile may have done so before the level fell: look once more.
+      // A value that changed may have been written in a newer form just before the level began to
+      // fall, so its page is read again.
       mustRereadPage = true;
       store.pause(RETRY_MS);
       batch.stream()
@@ -217,7 +242,8 @@
     } else if (result instanceof CommitResult.TooLarge) {
       handleTooLarge(batch);
     } else {
-      // Carried out or not, the page is read again before the cursor passes it.
+      // The transaction may or may not have been committed. Reading the page again before the
+      // cursor moves past it finds values that were not rewritten.
       mustRereadPage = true;
       pending.addAll(batch);
       store.pause(RETRY_MS);
@@ -235,12 +261,16 @@
       pending.addFirst(only.withNextForm());
       return;
     }
-    // Its owner writes it shorter as its tasks end.
+    // The job's owner writes a shorter record as tasks end, so a later rewrite may fit.
     tooLargeKey = only.key();
     mustRereadPage = true;
     store.pause(TOO_LARGE_RETRY_MS);
   }
 
+  /**
+   * Moves the cursor past the current page, or has the page read again if its values may still be
+   * in newer forms.
+   */
   private void endPage() {
     String end = lastPageKey;
     lastPageKey = null;
@@ -254,7 +284,7 @@
     }
   }
 
-  /** Moves the cursor to the next prefix. */
+  /** Moves the cursor to the next prefix; after the last one, ends the pass. */
   private void advancePrefix() {
     String current = currentPrefix();
     List<String> later = prefixes.stream().filter(prefix -> prefix.compareTo(current) > 0).toList();
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -23,31 +23,38 @@
 import shorecrank.storage.CommitResult;
 
 /**
- * The leader's part in a rollout: it collects which levels the members support, raises the level in
- * force once all of them support the next one, lowers it when an operator asks, and says which
- * controllers may ownAnnouncement shards meanwhile.
+ * Coordinates a rollout on the leader. It collects the feature levels that the configured
+ * controllers support, raises the level in force once all of them support a higher one, lowers it
+ * on an operator's order, and decides which controllers may own shards.
  */
 public final class RolloutCoordinator {
-  /** A member that was not heard for so many heartbeats and a second more holds the level back. */
+  /**
+   * A member whose last heartbeat is older than this many heartbeat intervals and {@link
+   * #HEARTBEAT_TIMEOUT_EXTRA_MS} prevents the level from being raised.
+   */
   private static final long HEARTBEAT_TIMEOUT_INTERVALS = 3;
 
   private static final long HEARTBEAT_TIMEOUT_EXTRA_MS = 1000;
 
-  /** The least time between two writes of a downgrade's cursor. */
+  /** Minimum time between two writes of the cursor while the level is being lowered. */
   private static final long CURSOR_WRITE_INTERVAL_MS = 2000;
 
-  /** How many outcomes of orders are kept, so that a repeated order is not carried out again. */
+  /**
+   * Number of orders whose outcomes are stored. A repeated order with a stored outcome is not
+   * executed again.
+   */
   private static final int KEPT_OUTCOMES = 16;
 
   private static final double MS_PER_S = 1000;
 
-  /** Takes an order's outcome. */
+  /** Receives the outcome of an order. */
   @FunctionalInterface
   public interface OnOutcome {
     /**
-     * Called once.
+     * Called once per order.
      *
-     * @param outcome null if it is not known, and the order has to be sent again
+     * @param outcome null if the outcome is unknown or the order could not be executed now; the
+     *     operator has to send the order again
      */
     void outcome(OrderOutcome outcome);
   }
@@ -63,19 +70,23 @@
   private final Archiver archiver;
   private final RolloutOrders orders;
 
-  /** The term under which announcements, archive and rewriter were begun. */
+  /** The term in which the announcements were recorded and the archive or rewriter was started. */
   private Revision term = Revision.ABSENT;
 
-  /** The pass over the keys of a downgrade; null if none is under way. */
+  /** The pass that rewrites stored values for a lower level; null if none is running. */
   private RecordRewriter rewriter;
 
+  /** The level to which {@link #rewriter} was started. */
   private FeatureLevel rewriteTarget;
+
   private MonotonicTime cursorWrittenAt = MonotonicTime.NEVER;
 
   /**
-   * @param ownAnnouncement what this controller announces itself
-   * @param members all controllers of the configuration, this one included
-   * @param heartbeatMs how often they are heard
+   * Creates a coordinator that has not read the feature level.
+   *
+   * @param ownAnnouncement what this controller announces
+   * @param members all configured controllers, this one included
+   * @param heartbeatMs interval between two heartbeats of a controller, in milliseconds
    */
   public RolloutCoordinator(
       LeaderEnvironment environment,
@@ -98,24 +109,34 @@
     this.orders = new RolloutOrders(ownAnnouncement, level -> raiseBlockers(level, 0), archiver);
   }
 
-  /** Takes a controller's heartbeat; {@code announcement} is null if it names no levels. */
+  /**
+   * Records a controller's heartbeat.
+   *
+   * @param announcement null if the heartbeat announces no levels
+   */
   public void recordHeartbeat(ControllerName member, WriterId writer, Announcement announcement) {
     announcements.recordHeartbeat(member, writer, announcement, environment.now());
   }
 
-  /** Whether the level is known, so that shards may be granted. */
+  /**
+   * Reports whether the feature level's key has been read in this term, so that shards may be
+   * granted.
+   */
   public boolean isReady() {
     return store.isRead();
   }
 
-  /** What other controllers are told of the level; null while it is not known for sure. */
+  /**
+   * Returns the notice of the feature level for the other controllers; null while the level is not
+   * known for certain.
+   */
   public RolloutNotice notice() {
     return store.notice().orElse(null);
   }
 
   /**
-   * Why a controller may not ownAnnouncement a shard; null if it may. It has to support the level
-   * in force, and to have the settings that all controllers share.
+   * Returns why a controller may not own shards; null if it may. To own shards, it must support the
+   * level in force and have the leader's shared settings.
    */
   public String ineligibilityReason(ControllerName member) {
     LevelRange supported = announcements.supportedLevels(member);
@@ -128,12 +149,12 @@
         : null;
   }
 
-  /** Controllers of the fleet that were heard and don't support a level. */
+  /** Returns the controllers that have sent a heartbeat but not announced support for a level. */
   public List<ControllerName> membersNotSupporting(FeatureLevel level) {
     return announcements.membersNotSupporting(level);
   }
 
-  /** Takes the next step of a rollout, if one is due; called once a round. */
+  /** Takes the next step of a rollout, if one is due; called once per round. */
   public void tick() {
     if (leadership.isLeading() && !leadership.term().equals(term)) {
       beginTerm();
@@ -156,8 +177,8 @@
   }
 
   /**
-   * Drops what was heard and begun under an earlier term; the store holds the rest. If the term has
-   * changed with the level, the store is still read, and nothing is dropped.
+   * Drops what was recorded and started in an earlier term, unless this process entered the new
+   * term by switching the feature level. In that case the level's key still counts as read.
    */
   private void beginTerm() {
     boolean isLevelSwitch = store.isRead();
@@ -224,7 +245,7 @@
       archiver.startIfPossible(state.level());
       return;
     }
-    // Counted anew right before the change: a member may have come back in an earlier version.
+    // Checked again right before the write: a member may have restarted with an earlier version.
     if (!raiseBlockers(state.target()).isEmpty()) {
       return;
     }
@@ -273,7 +294,10 @@
 
   // ---- operators -------------------------------------------------------------------------------
 
-  /** Carries an order out, once for each id. */
+  /**
+   * Executes an order, unless the outcome of an order with the same id is stored; then it returns
+   * that outcome.
+   */
   public void order(RolloutOrder order, OnOutcome then) {
     if (!store.isIdle()) {
       then.outcome(null);
@@ -289,7 +313,7 @@
     RolloutOrders.Decision decision = orders.decide(order, state);
     OrderOutcome outcome = decision.outcomeOf(order);
     if (decision.next().isEmpty()) {
-      // Nothing changes, so a repetition does no harm.
+      // The outcome is not stored: nothing has changed, so executing the order again is harmless.
       then.outcome(outcome);
       return;
     }
@@ -312,7 +336,10 @@
         });
   }
 
-  /** All that an operator is told of the rollout; null while the level is not known. */
+  /**
+   * Returns the status of the rollout for operators; null if the level's key has not been read in
+   * this term or is malformed.
+   */
   public RolloutStatus status() {
     if (!store.isReadable()) {
       return null;
@@ -327,15 +354,15 @@
               announcements.heardMsAgo(member, environment.now()),
               announcements.settingsDiffer(member)));
     }
-    Optional<RecordRewriter> pass = Optional.ofNullable(rewriter);
+    Optional<RecordRewriter> currentRewriter = Optional.ofNullable(rewriter);
     return new RolloutStatus(
         state,
         settings.automatic(),
         all,
         describeWaiting(state),
         archiver.currentId().orElse(""),
-        pass.map(RecordRewriter::rewritten).orElse(0L),
-        pass.map(RecordRewriter::unreadable).orElse(0L));
+        currentRewriter.map(RecordRewriter::rewritten).orElse(0L),
+        currentRewriter.map(RecordRewriter::unreadable).orElse(0L));
   }
 
   private List<String> describeWaiting(RolloutState state) {
--- a/src/main/java/shorecrank/rollout/RolloutOrders.java
+++ b/src/main/java/shorecrank/rollout/RolloutOrders.java
@@ -11,7 +11,8 @@
 import shorecrank.protocol.RolloutMessages.RolloutState;
 
 /**
- * Decides operators' orders: whether one can be carried out, what it changes, and what is answered.
+ * Decides on operators' orders: whether an order can be executed, which state it leads to, and what
+ * the operator is told. It writes nothing.
  */
 final class RolloutOrders {
   private final Announcement ownAnnouncement;
@@ -19,8 +20,11 @@
   private final Archiver archiver;
 
   /**
-   * @param ownAnnouncement what this controller announces itself
-   * @param raiseBlockers why the level may not rise, whatever time members have supported it
+   * Creates an instance that decides by the given level checks and archives.
+   *
+   * @param ownAnnouncement the levels and the build of this controller, the leader
+   * @param raiseBlockers returns the reasons why the level may not be raised, regardless of for how
+   *     long the members have supported it; empty if it may be raised
    */
   RolloutOrders(
       Announcement ownAnnouncement,
@@ -34,8 +38,12 @@
   /**
    * The decision on an order.
    *
-   * @param next what the level's key is to hold beside the outcome; empty if it stays as it is
-   * @param archiveId the archive that the order starts or that is being made; empty if none
+   * @param next the state to write to the feature level's key, without the order's outcome; empty
+   *     if the key is not written
+   * @param isAccepted whether the order is executed, or has been already
+   * @param text the answer to the operator
+   * @param archiveId the archive that the order starts or that is being written already; empty if
+   *     the order concerns none
    */
   record Decision(Optional<RolloutState> next, boolean isAccepted, String text, String archiveId) {
     private static Decision refuse(String reason) {
@@ -50,13 +58,13 @@
       return new Decision(Optional.of(next), true, text, "");
     }
 
-    /** What the operator is answered. */
+    /** Returns the outcome of the order that this decision is about. */
     OrderOutcome outcomeOf(RolloutOrder order) {
       return new OrderOutcome(order.id(), order.kind(), isAccepted, text, archiveId);
     }
   }
 
-  /** Decides an order that was not carried out before. */
+  /** Decides on an order that has not been executed before. */
   Decision decide(RolloutOrder order, RolloutState state) {
     return switch (order.kind()) {
       case FINALIZE -> finalizeLevel(state, order.target());
@@ -93,7 +101,8 @@
           "level %s is below %s, which is in force: use downgrade"
               .formatted(target, state.level()));
     }
-    // Whether members support it is answered at once; for how long they have is waited for.
+    // Missing support is reported at once. Support that has not lasted for settle_s does not refuse
+    // the order: the RAISING phase waits for it.
     List<String> blockers = raiseBlockers.apply(target);
     if (!blockers.isEmpty()) {
       return Decision.refuse(blockers.get(0));
--- a/src/main/java/shorecrank/rollout/RolloutSettings.java
+++ b/src/main/java/shorecrank/rollout/RolloutSettings.java
@@ -7,13 +7,16 @@
 import shorecrank.config.TextProto.Field;
 
 /**
- * The operators' settings of rollouts, in protobuf text format.
+ * The operators' settings of rollouts, read from protobuf text format.
  *
- * @param automatic whether the level rises by itself once all controllers support it
- * @param settleS for how long all must have announced their support without a break, in seconds
- * @param rewritesPerS the most records rewritten in a second during a downgrade
- * @param archiveBeforeRaise whether an archive of the keys is made before the level rises
- * @param archivesKept how many archives stay in the state service
+ * @param automatic whether the leader raises the feature level by itself once all controllers
+ *     support a higher one
+ * @param settleS for how many seconds all controllers must have announced their support without
+ *     interruption before the level is raised
+ * @param rewritesPerS maximum number of values rewritten per second while the level is being
+ *     lowered
+ * @param archiveBeforeRaise whether an archive of the keys is written before the level is raised
+ * @param archivesKept number of complete archives kept in the state service
  */
 public record RolloutSettings(
     boolean automatic,
@@ -28,9 +31,10 @@
   private static final Field ARCHIVES_KEPT = Field.number("archives_kept", 1, 100, 2);
 
   /**
-   * Reads the file's text; a setting that is not named has its default.
+   * Reads the settings from a file's text; a missing setting has its default.
    *
-   * @throws InvalidConfigException naming the field that is unknown or out of range
+   * @throws InvalidConfigException if a field is unknown, malformed or out of range; the message
+   *     names it
    */
   public static RolloutSettings read(String text) throws InvalidConfigException {
     Message message =
--- a/src/main/java/shorecrank/rollout/RolloutSetup.java
+++ b/src/main/java/shorecrank/rollout/RolloutSetup.java
@@ -5,24 +5,25 @@
 import shorecrank.protocol.RolloutMessages.LevelRange;
 
 /**
- * Rollouts as enabled on one controller.
+ * The settings and the announcement of a controller on which rollouts are enabled.
  *
- * @param announcement what the controller announces to the leader
+ * @param settings the operators' settings of rollouts
+ * @param announcement what the controller announces to the leader in its heartbeats
  */
 public record RolloutSetup(RolloutSettings settings, Announcement announcement) {
-
   /**
-   * The setup of this build, with the levels that it supports.
+   * Returns the setup of this build, which announces the levels that this build supports.
    *
-   * @param tuning the settings that all controllers share
-   * @param sharesEnabled whether sharesEnabled are enabled too
+   * @param build the version of this program
+   * @param sharedSettings the settings that must be the same on all controllers
+   * @param sharesEnabled whether the controller has settings for shares
    */
   public static RolloutSetup of(
       RolloutSettings settings, String build, Settings sharedSettings, boolean sharesEnabled) {
     return of(settings, build, sharedSettings, Feature.supportedLevels(sharesEnabled));
   }
 
-  /** The setup of a build that supports other levels. */
+  /** Returns the setup of a build that announces the given levels. */
   public static RolloutSetup of(
       RolloutSettings settings, String build, Settings sharedSettings, LevelRange supported) {
     return new RolloutSetup(
--- a/src/main/java/shorecrank/rollout/SettingsDigest.java
+++ b/src/main/java/shorecrank/rollout/SettingsDigest.java
@@ -4,11 +4,11 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 import shorecrank.config.Settings;
 
-/** A digest of the settings that have to be the same on all controllers. */
+/** Computes a digest of the settings that must be the same on all controllers. */
 public final class SettingsDigest {
   private SettingsDigest() {}
 
-  /** The digest, 32 hexadecimal digits: the same wherever the shared settings are the same. */
+  /** Returns the digest as 32 hexadecimal digits; equal shared settings have equal digests. */
   public static String of(Settings settings) {
     String shared =
         "parts=%d lease_ms=%d leader_ttl_ms=%d grace_ms=%d"
