--- a/src/main/java/shorecrank/rollout/ArchiveReader.java
+++ b/src/main/java/shorecrank/rollout/ArchiveReader.java
@@ -14,14 +14,17 @@
 import shorecrank.rollout.ArchiveFormat.ManifestFile;
 import shorecrank.rollout.ArchiveFormat.VersionedValue;
 
-/** Reads an archive and checks all of it. */
+/** Reads an archive and verifies its files against the manifest. */
 public final class ArchiveReader {
-  /** A page holds 512 KiB; a file that is larger than this was not written by this program. */
+  /**
+   * Maximum size of a file in an archive. A page of keys takes 512 KiB, so a larger file was not
+   * written by {@link ArchiveWriter}.
+   */
   private static final long MAX_FILE_BYTES = 256L << 20;
 
   private ArchiveReader() {}
 
-  /** Thrown if an archive is damaged, or of a format that this version does not read. */
+  /** Thrown if an archive is damaged or has a format version that is not supported. */
   public static final class DamagedArchiveException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -30,25 +33,29 @@
     }
   }
 
-  /** A checked archive: what it says of itself, and the keys with their values. */
+  /**
+   * A verified archive: its description, and the keys with their values in ascending order of the
+   * keys.
+   */
   public record Archive(Manifest manifest, Map<String, VersionedValue> keys) {}
 
   /**
-   * Reads an archive to its end and checks every file.
+   * Reads an archive to its end and verifies every file.
    *
-   * @throws DamagedArchiveException if anything is not as it was written; the message names what
+   * @throws DamagedArchiveException if the archive is damaged, incomplete or of another format
+   *     version; the message names the file or field
    */
   public static Archive read(InputStream in) throws DamagedArchiveException {
     Map<String, byte[]> files = new LinkedHashMap<>();
     try (TarArchiveInputStream tar = new TarArchiveInputStream(new ZstdInputStream(in))) {
       for (TarArchiveEntry file = tar.getNextEntry(); file != null; file = tar.getNextEntry()) {
         checkName(file);
-        if (files.putIfAbsent(file.getName(), content(tar, file)) != null) {
+        if (files.putIfAbsent(file.getName(), readContent(tar, file)) != null) {
           throw new DamagedArchiveException("file " + file.getName() + " stands in it twice");
         }
       }
     } catch (IOException | RuntimeException e) {
-      // The libraries report damaged input by exceptions of either kind.
+      // The tar and Zstandard libraries report damaged input by checked or unchecked exceptions.
       throw new DamagedArchiveException("not a complete archive: " + e.getMessage());
     }
     byte[] manifestFile = files.remove(ArchiveFormat.MANIFEST_FILE);
@@ -56,7 +63,7 @@
       throw new DamagedArchiveException(
           "it has no " + ArchiveFormat.MANIFEST_FILE + ", so it is not complete");
     }
-    return check(manifestFile, files);
+    return readFiles(manifestFile, files);
   }
 
   private static void checkName(TarArchiveEntry file) throws DamagedArchiveException {
@@ -73,7 +80,7 @@
     }
   }
 
-  private static byte[] content(TarArchiveInputStream tar, TarArchiveEntry file)
+  private static byte[] readContent(TarArchiveInputStream tar, TarArchiveEntry file)
       throws IOException, DamagedArchiveException {
     byte[] content = tar.readNBytes((int) file.getSize());
     if (content.length < file.getSize()) {
@@ -82,15 +89,15 @@
     return content;
   }
 
-  private static Archive check(byte[] manifestFile, Map<String, byte[]> files)
+  private static Archive readFiles(byte[] manifestFile, Map<String, byte[]> files)
       throws DamagedArchiveException {
     ManifestFile read = ArchiveFormat.readManifest(manifestFile);
-    if (read.version() != ArchiveFormat.VERSION) {
+    if (read.version() != ArchiveFormat.FORMAT_VERSION) {
       throw new DamagedArchiveException(
           "format "
               + read.version()
               + " is not read by this version, which reads "
-              + ArchiveFormat.VERSION);
+              + ArchiveFormat.FORMAT_VERSION);
     }
     Manifest manifest =
         read.manifest().orElseThrow(() -> new DamagedArchiveException("its manifest lacks fields"));
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -23,31 +23,38 @@
 import shorecrank.storage.CommitResult;
 
 /**
- * The leader's part in a rollout: it collects which levels the members support, raises the level in
- * force once all of them support the next one, lowers it when an operator asks, and says which
- * controllers may own shards meanwhile.
+ * Coordinates a rollout on the leader. It collects the feature levels that the configured
+ * controllers support, raises the level in force once all of them support a higher one, lowers it
+ * on an operator's order, and decides which controllers may own shards.
  */
 public final class RolloutCoordinator {
-  /** A member that was not heard for so many heartbeats and a second more holds the level back. */
-  private static final long FRESH_HEARTBEATS = 3;
+  /**
+   * A member whose last heartbeat is older than this many heartbeat intervals and {@link
+   * #HEARTBEAT_TIMEOUT_EXTRA_MS} prevents the level from being raised.
+   */
+  private static final long HEARTBEAT_TIMEOUT_INTERVALS = 3;
 
-  private static final long FRESH_EXTRA_MS = 1000;
+  private static final long HEARTBEAT_TIMEOUT_EXTRA_MS = 1000;
 
-  /** The least time between two writes of a downgrade's cursor. */
-  private static final long CURSOR_PAUSE_MS = 2000;
+  /** Minimum time between two writes of the cursor while the level is being lowered. */
+  private static final long CURSOR_WRITE_INTERVAL_MS = 2000;
 
-  /** How many outcomes of orders are kept, so that a repeated order is not carried out again. */
-  private static final int KEPT_ORDERS = 16;
+  /**
+   * Number of orders whose outcomes are stored. A repeated order with a stored outcome is not
+   * executed again.
+   */
+  private static final int KEPT_OUTCOMES = 16;
 
   private static final double MS_PER_S = 1000;
 
-  /** Takes an order's outcome. */
+  /** Receives the outcome of an order. */
   @FunctionalInterface
   public interface OnOutcome {
     /**
-     * Called once.
+     * Called once per order.
      *
-     * @param outcome null if it is not known, and the order has to be sent again
+     * @param outcome null if the outcome is unknown or the order could not be executed now; the
+     *     operator has to send the order again
      */
     void outcome(OrderOutcome outcome);
   }
@@ -55,84 +62,102 @@
   private final LeaderEnvironment environment;
   private final Leadership leadership;
   private final RolloutSettings settings;
-  private final Announcement own;
+  private final Announcement ownAnnouncement;
   private final List<ControllerName> members;
-  private final long freshMs;
-  private final SupportVotes votes;
+  private final long heartbeatTimeoutMs;
+  private final MemberAnnouncements announcements;
   private final LevelStore store;
   private final Archiver archiver;
   private final RolloutOrders orders;
 
-  /** The term under which votes, archive and rewriter were begun. */
+  /** The term in which the announcements were recorded and the archive or rewriter was started. */
   private Revision term = Revision.ABSENT;
 
-  /** The pass over the keys of a downgrade; null if none is under way. */
+  /** The pass that rewrites stored values for a lower level; null if none is running. */
   private RecordRewriter rewriter;
 
+  /** The level to which {@link #rewriter} was started. */
   private FeatureLevel rewriteTarget;
+
   private MonotonicTime cursorWrittenAt = MonotonicTime.NEVER;
 
   /**
-   * @param own what this controller announces itself
-   * @param members all controllers of the configuration, this one included
-   * @param heartbeatMs how often they are heard
+   * Creates a coordinator that has not read the feature level.
+   *
+   * @param ownAnnouncement what this controller announces
+   * @param members all configured controllers, this one included
+   * @param heartbeatMs interval between two heartbeats of a controller, in milliseconds
    */
   public RolloutCoordinator(
       LeaderEnvironment environment,
       Leadership leadership,
       RolloutSettings settings,
-      Announcement own,
+      Announcement ownAnnouncement,
       List<ControllerName> members,
       long heartbeatMs) {
     this.environment = environment;
     this.leadership = leadership;
     this.settings = settings;
-    this.own = own;
+    this.ownAnnouncement = ownAnnouncement;
     this.members = List.copyOf(members);
-    this.freshMs = FRESH_HEARTBEATS * heartbeatMs + FRESH_EXTRA_MS;
-    this.votes = new SupportVotes(this.members, own.settingsDigest());
-    this.store = new LevelStore(environment, leadership, own.supported().highest());
-    this.archiver = new Archiver(environment, leadership, own.build(), settings.archivesKept());
-    this.orders = new RolloutOrders(own, level -> reasonsAgainst(level, 0), archiver);
+    this.heartbeatTimeoutMs =
+        HEARTBEAT_TIMEOUT_INTERVALS * heartbeatMs + HEARTBEAT_TIMEOUT_EXTRA_MS;
+    this.announcements = new MemberAnnouncements(this.members, ownAnnouncement.settingsDigest());
+    this.store = new LevelStore(environment, leadership, ownAnnouncement.supported().highest());
+    this.archiver =
+        new Archiver(environment, leadership, ownAnnouncement.build(), settings.archivesKept());
+    this.orders = new RolloutOrders(ownAnnouncement, level -> raiseBlockers(level, 0), archiver);
   }
 
-  /** Takes a controller's heartbeat; {@code announcement} is null if it names no levels. */
+  /**
+   * Records a controller's heartbeat.
+   *
+   * @param announcement null if the heartbeat announces no levels
+   */
   public void recordHeartbeat(ControllerName member, WriterId writer, Announcement announcement) {
-    votes.recordHeartbeat(member, writer, announcement, environment.now());
+    announcements.recordHeartbeat(member, writer, announcement, environment.now());
   }
 
-  /** Whether the level is known, so that shards may be granted. */
+  /**
+   * Reports whether the feature level's key has been read in this term, so that shards may be
+   * granted.
+   */
   public boolean isReady() {
     return store.isRead();
   }
 
-  /** What other controllers are told of the level; null while it is not known for sure. */
+  /**
+   * Returns the notice of the feature level for the other controllers; null while the level is not
+   * known for certain.
+   */
   public RolloutNotice notice() {
     return store.notice().orElse(null);
   }
 
   /**
-   * Why a controller may not own a shard; null if it may. It has to support the level in force, and
-   * to have the settings that all controllers share.
+   * Returns why a controller may not own shards; null if it may. To own shards, it must support the
+   * level in force and have the leader's shared settings.
    */
   public String ineligibilityReason(ControllerName member) {
-    LevelRange supported = votes.supported(member);
+    LevelRange supported = announcements.supportedLevels(member);
     FeatureLevel required = store.requiredLevel();
     if (!supported.supports(required)) {
       return "it supports levels %s, and %s is in force".formatted(supported, required);
     }
-    return votes.settingsDiffer(member) ? "its shared settings differ from the leader's" : null;
+    return announcements.settingsDiffer(member)
+        ? "its shared settings differ from the leader's"
+        : null;
   }
 
-  /** Controllers of the fleet that were heard and don't support a level. */
+  /** Returns the controllers that have sent a heartbeat but not announced support for a level. */
   public List<ControllerName> membersNotSupporting(FeatureLevel level) {
-    return votes.membersNotSupporting(level);
+    return announcements.membersNotSupporting(level);
   }
 
-  /** Takes the next step of a rollout, if one is due; called once a round. */
+  /** Takes the next step of a rollout, if one is due; called once per round. */
   public void tick() {
     if (leadership.isLeading() && !leadership.term().equals(term)) {
-      termBegan();
+      beginTerm();
     }
     store.tick();
     if (!leadership.isLeading() || !store.isIdle()) {
@@ -145,21 +170,21 @@
       return;
     }
     switch (store.state().phase()) {
-      case STABLE -> beginRaiseIfAutomatic();
-      case RAISING -> raise();
-      case FALLING -> lower();
+      case STABLE -> startAutomaticRaise();
+      case RAISING -> continueRaising();
+      case FALLING -> continueLowering();
     }
   }
 
   /**
-   * Drops what was heard and begun under an earlier term; the store holds the rest. If the term has
-   * changed with the level, the store is still read, and nothing is dropped.
+   * Drops what was recorded and started in an earlier term, unless this process entered the new
+   * term by switching the feature level. In that case the level's key still counts as read.
    */
-  private void termBegan() {
-    boolean isSwitched = store.isRead();
+  private void beginTerm() {
+    boolean isLevelSwitch = store.isRead();
     term = leadership.term();
-    if (!isSwitched) {
-      votes.reset();
+    if (!isLevelSwitch) {
+      announcements.reset();
       rewriter = null;
       archiver.reset();
     }
@@ -169,7 +194,7 @@
     RolloutState state = store.state();
     environment.gauge("rollout.level", state.level().value());
     environment.gauge("rollout.write_level", state.writeLevel().value());
-    long differing = members.stream().filter(votes::settingsDiffer).count();
+    long differing = members.stream().filter(announcements::settingsDiffer).count();
     environment.gauge("rollout.settings_differ", differing);
   }
 
@@ -195,33 +220,33 @@
 
   // ---- raising the level -----------------------------------------------------------------------
 
-  private List<String> reasonsAgainst(FeatureLevel level, long settleMs) {
-    return votes.reasonsAgainst(level, environment.now(), freshMs, settleMs);
+  private List<String> raiseBlockers(FeatureLevel level, long settleMs) {
+    return announcements.raiseBlockers(level, environment.now(), heartbeatTimeoutMs, settleMs);
   }
 
-  private List<String> reasonsAgainst(FeatureLevel level) {
-    return reasonsAgainst(level, (long) (settings.settleS() * MS_PER_S));
+  private List<String> raiseBlockers(FeatureLevel level) {
+    return raiseBlockers(level, (long) (settings.settleS() * MS_PER_S));
   }
 
-  private void beginRaiseIfAutomatic() {
-    FeatureLevel target = votes.highestOfAll();
+  private void startAutomaticRaise() {
+    FeatureLevel target = announcements.highestCommonLevel();
     RolloutState state = store.state();
     boolean isAutomatic = settings.automatic() && !state.autoRaiseSuspended();
     boolean isDue = isAutomatic && target.compareTo(state.level()) > 0;
-    if (isDue && reasonsAgainst(target).isEmpty()) {
+    if (isDue && raiseBlockers(target).isEmpty()) {
       environment.info("rollout.started level=%s target=%s", state.level(), target);
       change(state.withTarget(RolloutPhase.RAISING, target).withArchive(""), result -> {});
     }
   }
 
-  private void raise() {
+  private void continueRaising() {
     RolloutState state = store.state();
     if (settings.archiveBeforeRaise() && state.archive().isEmpty()) {
       archiver.startIfPossible(state.level());
       return;
     }
-    // Counted anew right before the change: a member may have come back in an earlier version.
-    if (!reasonsAgainst(state.target()).isEmpty()) {
+    // Checked again right before the write: a member may have restarted with an earlier version.
+    if (!raiseBlockers(state.target()).isEmpty()) {
       return;
     }
     environment.info("rollout.raising level=%s target=%s", state.level(), state.target());
@@ -237,7 +262,7 @@
 
   // ---- lowering the level ----------------------------------------------------------------------
 
-  private void lower() {
+  private void continueLowering() {
     RolloutState state = store.state();
     if (rewriter == null || !state.target().equals(rewriteTarget)) {
       rewriteTarget = state.target();
@@ -249,7 +274,7 @@
     if (rewriter.isDone()) {
       finishLowering(state);
     } else if (!rewriter.cursor().equals(state.cursor())
-        && environment.now().since(cursorWrittenAt) >= CURSOR_PAUSE_MS) {
+        && environment.now().since(cursorWrittenAt) >= CURSOR_WRITE_INTERVAL_MS) {
       cursorWrittenAt = environment.now();
       change(state.withCursor(rewriter.cursor()), result -> {});
     }
@@ -269,7 +294,10 @@
 
   // ---- operators -------------------------------------------------------------------------------
 
-  /** Carries an order out, once for each id. */
+  /**
+   * Executes an order, unless the outcome of an order with the same id is stored; then it returns
+   * that outcome.
+   */
   public void order(RolloutOrder order, OnOutcome then) {
     if (!store.isIdle()) {
       then.outcome(null);
@@ -285,7 +313,7 @@
     RolloutOrders.Decision decision = orders.decide(order, state);
     OrderOutcome outcome = decision.outcomeOf(order);
     if (decision.next().isEmpty()) {
-      // Nothing changes, so a repetition does no harm.
+      // The outcome is not stored: nothing has changed, so executing the order again is harmless.
       then.outcome(outcome);
       return;
     }
@@ -298,7 +326,7 @@
         order.id(), order.kind().wireName(), decision.text());
     rewriter = null;
     store.write(
-        decision.next().get().withOutcome(outcome, KEPT_ORDERS),
+        decision.next().get().withOutcome(outcome, KEPT_OUTCOMES),
         result -> {
           boolean isCommitted = result.isCommitted();
           if (isCommitted && !decision.archiveId().isEmpty() && archiver.currentId().isEmpty()) {
@@ -308,7 +336,10 @@
         });
   }
 
-  /** All that an operator is told of the rollout; null while the level is not known. */
+  /**
+   * Returns the status of the rollout for operators; null if the level's key has not been read in
+   * this term or is malformed.
+   */
   public RolloutStatus status() {
     if (!store.isReadable()) {
       return null;
@@ -319,26 +350,26 @@
       all.add(
           new RolloutMember(
               member.value(),
-              votes.announcement(member),
-              votes.heardMsAgo(member, environment.now()),
-              votes.settingsDiffer(member)));
+              announcements.announcement(member),
+              announcements.heardMsAgo(member, environment.now()),
+              announcements.settingsDiffer(member)));
     }
-    Optional<RecordRewriter> pass = Optional.ofNullable(rewriter);
+    Optional<RecordRewriter> currentRewriter = Optional.ofNullable(rewriter);
     return new RolloutStatus(
         state,
         settings.automatic(),
         all,
-        waitingFor(state),
+        describeWaiting(state),
         archiver.currentId().orElse(""),
-        pass.map(RecordRewriter::rewritten).orElse(0L),
-        pass.map(RecordRewriter::unreadable).orElse(0L));
+        currentRewriter.map(RecordRewriter::rewritten).orElse(0L),
+        currentRewriter.map(RecordRewriter::unreadable).orElse(0L));
   }
 
-  private List<String> waitingFor(RolloutState state) {
+  private List<String> describeWaiting(RolloutState state) {
     List<String> waiting = new ArrayList<>();
     if (state.phase() == RolloutPhase.RAISING) {
       archiver.currentId().ifPresent(id -> waiting.add("archive %s to be written".formatted(id)));
-      waiting.addAll(reasonsAgainst(state.target()));
+      waiting.addAll(raiseBlockers(state.target()));
     } else if (state.phase() == RolloutPhase.FALLING && rewriter != null) {
       waiting.add("records to be rewritten, up to key \"%s\" so far".formatted(rewriter.cursor()));
       if (!rewriter.tooLargeKey().isEmpty()) {
@@ -346,8 +377,9 @@
             "%s is too large for an earlier form until tasks of it end"
                 .formatted(rewriter.tooLargeKey()));
       }
-    } else if (settings.automatic() && own.supported().highest().compareTo(state.level()) > 0) {
-      waiting.addAll(reasonsAgainst(own.supported().highest()));
+    } else if (settings.automatic()
+        && ownAnnouncement.supported().highest().compareTo(state.level()) > 0) {
+      waiting.addAll(raiseBlockers(ownAnnouncement.supported().highest()));
     }
     return waiting;
   }
--- a/src/main/java/shorecrank/rollout/RolloutOrders.java
+++ b/src/main/java/shorecrank/rollout/RolloutOrders.java
@@ -11,29 +11,39 @@
 import shorecrank.protocol.RolloutMessages.RolloutState;
 
 /**
- * Decides operators' orders: whether one can be carried out, what it changes, and what is answered.
+ * Decides on operators' orders: whether an order can be executed, which state it leads to, and what
+ * the operator is told. It writes nothing.
  */
 final class RolloutOrders {
-  private final Announcement own;
-  private final Function<FeatureLevel, List<String>> reasonsAgainst;
+  private final Announcement ownAnnouncement;
+  private final Function<FeatureLevel, List<String>> raiseBlockers;
   private final Archiver archiver;
 
   /**
-   * @param own what this controller announces itself
-   * @param reasonsAgainst why the level may not rise, whatever time members have supported it
+   * Creates an instance that decides by the given level checks and archives.
+   *
+   * @param ownAnnouncement the levels and the build of this controller, the leader
+   * @param raiseBlockers returns the reasons why the level may not be raised, regardless of for how
+   *     long the members have supported it; empty if it may be raised
    */
   RolloutOrders(
-      Announcement own, Function<FeatureLevel, List<String>> reasonsAgainst, Archiver archiver) {
-    this.own = own;
-    this.reasonsAgainst = reasonsAgainst;
+      Announcement ownAnnouncement,
+      Function<FeatureLevel, List<String>> raiseBlockers,
+      Archiver archiver) {
+    this.ownAnnouncement = ownAnnouncement;
+    this.raiseBlockers = raiseBlockers;
     this.archiver = archiver;
   }
 
   /**
    * The decision on an order.
    *
-   * @param next what the level's key is to hold beside the outcome; empty if it stays as it is
-   * @param archiveId the archive that the order starts or that is being made; empty if none
+   * @param next the state to write to the feature level's key, without the order's outcome; empty
+   *     if the key is not written
+   * @param isAccepted whether the order is executed, or has been already
+   * @param text the answer to the operator
+   * @param archiveId the archive that the order starts or that is being written already; empty if
+   *     the order concerns none
    */
   record Decision(Optional<RolloutState> next, boolean isAccepted, String text, String archiveId) {
     private static Decision refuse(String reason) {
@@ -48,28 +58,29 @@
       return new Decision(Optional.of(next), true, text, "");
     }
 
-    /** What the operator is answered. */
+    /** Returns the outcome of the order that this decision is about. */
     OrderOutcome outcomeOf(RolloutOrder order) {
       return new OrderOutcome(order.id(), order.kind(), isAccepted, text, archiveId);
     }
   }
 
-  /** Decides an order that was not carried out before. */
+  /** Decides on an order that has not been executed before. */
   Decision decide(RolloutOrder order, RolloutState state) {
     return switch (order.kind()) {
       case FINALIZE -> finalizeLevel(state, order.target());
       case DOWNGRADE -> downgrade(state, order.target());
       case ABORT -> abort(state);
-      case ARCHIVE -> archiveNow(state);
+      case ARCHIVE -> startArchive(state);
     };
   }
 
-  private Decision finalizeLevel(RolloutState state, int asked) {
-    FeatureLevel target = asked < 0 ? own.supported().highest() : new FeatureLevel(asked);
-    if (!own.supported().supports(target)) {
+  private Decision finalizeLevel(RolloutState state, int requested) {
+    FeatureLevel target =
+        requested < 0 ? ownAnnouncement.supported().highest() : new FeatureLevel(requested);
+    if (!ownAnnouncement.supported().supports(target)) {
       return Decision.refuse(
           "level %s is out of range: the leader's build %s supports %s"
-              .formatted(target, own.build(), own.supported()));
+              .formatted(target, ownAnnouncement.build(), ownAnnouncement.supported()));
     }
     if (state.phase() == RolloutPhase.FALLING) {
       return Decision.refuse(
@@ -90,10 +101,11 @@
           "level %s is below %s, which is in force: use downgrade"
               .formatted(target, state.level()));
     }
-    // Whether members support it is answered at once; for how long they have is waited for.
-    List<String> against = reasonsAgainst.apply(target);
-    if (!against.isEmpty()) {
-      return Decision.refuse(against.get(0));
+    // Missing support is reported at once. Support that has not lasted for settle_s does not refuse
+    // the order: the RAISING phase waits for it.
+    List<String> blockers = raiseBlockers.apply(target);
+    if (!blockers.isEmpty()) {
+      return Decision.refuse(blockers.get(0));
     }
     return Decision.change(
         state
@@ -103,8 +115,8 @@
         "level rises from %s to %s".formatted(state.level(), target));
   }
 
-  private static Decision downgrade(RolloutState state, int asked) {
-    FeatureLevel target = asked < 0 ? FeatureLevel.LOWEST : new FeatureLevel(asked);
+  private static Decision downgrade(RolloutState state, int requested) {
+    FeatureLevel target = requested < 0 ? FeatureLevel.LOWEST : new FeatureLevel(requested);
     if (state.phase() == RolloutPhase.FALLING && state.target().equals(target)) {
       return Decision.alreadyDone("level %s is being lowered to already".formatted(target));
     }
@@ -135,7 +147,7 @@
         "level stays at %s, no longer on its way to %s".formatted(state.level(), state.target()));
   }
 
-  private Decision archiveNow(RolloutState state) {
+  private Decision startArchive(RolloutState state) {
     Optional<String> current = archiver.currentId();
     if (current.isPresent()) {
       String id = current.get();
