--- a/src/main/java/shorecrank/protocol/CancellationCodec.java
+++ b/src/main/java/shorecrank/protocol/CancellationCodec.java
@@ -10,7 +10,7 @@
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.PeerRequests.ConfirmationQuery;
 
-/** Questions for confirmed cancellations and their answers as JSON. */
+/** Encodes and decodes queries for confirmed cancellations, and their answers, as JSON. */
 public final class CancellationCodec {
   private static final String WITHIN_MS = "withinMs";
   private static final String LIMIT = "most";
@@ -18,15 +18,21 @@
 
   private CancellationCodec() {}
 
-  /** Asks for the cancellations of the last {@code withinMs}, at most {@code limit} of them. */
+  /**
+   * Writes a query for the cancellations that were confirmed in the last {@code withinMs}
+   * milliseconds.
+   *
+   * @param limit the maximum number of cancellations in the answer; the default applies if it is
+   *     lower
+   */
   public static ObjectNode writeQuery(long withinMs, int limit) {
     ObjectNode message = Json.object().put(WITHIN_MS, withinMs);
-    // Earlier versions don't know the field, and tell of no more than the default.
+    // Earlier versions don't know the field, and answer with at most the default number.
     boolean isDefault = limit <= CancellationMessages.DEFAULT_MAX_CANCELLATIONS;
     return isDefault ? message : message.put(LIMIT, limit);
   }
 
-  /** Reads a question; one that names no limit takes the default number of cancellations. */
+  /** Reads a query; without a limit, or with one below the default, the default limit applies. */
   public static ConfirmationQuery readQuery(JsonNode message) {
     long limit = Math.min(Integer.MAX_VALUE, Json.countOrMinusOne(message.path(LIMIT)));
     return new ConfirmationQuery(
@@ -34,7 +40,7 @@
         (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, limit));
   }
 
-  /** An answer as JSON. */
+  /** Writes an answer as JSON. */
   public static ObjectNode write(ConfirmedCancellations confirmed) {
     ObjectNode message = Json.object().put(SPAN_MS, confirmed.spanMs());
     ArrayNode ids = message.putArray(PeerFields.JOB_IDS);
@@ -43,7 +49,12 @@
     return message;
   }
 
-  /** Reads an answer; empty if it is malformed or holds more than {@code limit} cancellations. */
+  /**
+   * Reads an answer.
+   *
+   * @param limit the maximum number of cancellations that an answer may hold
+   * @return the answer, or empty if it is malformed or holds more than {@code limit} cancellations
+   */
   public static Optional<ConfirmedCancellations> read(JsonNode message, int limit) {
     try {
       return Optional.of(readChecked(message, limit));
--- a/src/main/java/shorecrank/protocol/CancellationMessages.java
+++ b/src/main/java/shorecrank/protocol/CancellationMessages.java
@@ -4,18 +4,22 @@
 import shorecrank.protocol.HeartbeatMessages.OwnerInfo;
 import shorecrank.protocol.Ids.JobId;
 
-/** Confirmed cancellations, of which controllers tell each other. */
+/**
+ * Messages by which controllers tell each other which cancellations they have confirmed to users.
+ */
 public final class CancellationMessages {
-  /** How many cancellations an answer holds at most if the asker names no number. */
+  /** Maximum number of cancellations in an answer if the query names no limit. */
   public static final int DEFAULT_MAX_CANCELLATIONS = 2000;
 
   private CancellationMessages() {}
 
   /**
-   * All cancellations that a controller has lately confirmed to users.
+   * The cancellations that a controller has recently confirmed to users.
    *
-   * @param spanMs how far back they reach, in milliseconds before the answer
-   * @param owners the shard owners that the controller knows of
+   * @param spanMs how far back from the answer the list is complete, in milliseconds
+   * @param ids the cancelled jobs
+   * @param owners the shard owners that the controller knows; empty from versions that don't send
+   *     them
    */
   public record ConfirmedCancellations(long spanMs, List<JobId> ids, List<OwnerInfo> owners) {}
 }
--- a/src/main/java/shorecrank/protocol/CloudCodec.java
+++ b/src/main/java/shorecrank/protocol/CloudCodec.java
@@ -13,7 +13,7 @@
 import shorecrank.protocol.CloudMessages.Offer;
 import shorecrank.protocol.Ids.MachineName;
 
-/** Messages to and from the cloud as JSON. */
+/** Encodes and decodes the messages exchanged with the cloud as JSON. */
 public final class CloudCodec {
   private static final String TYPES = "hosttypes";
   private static final String TYPE_NAME = "sku";
@@ -40,7 +40,12 @@
 
   private CloudCodec() {}
 
-  /** Reads the catalog, by type's name; empty if the answer holds no type with its processors. */
+  /**
+   * Reads the catalog of machine types.
+   *
+   * @return the types by name, without those that lack a name or their processors; empty if the
+   *     answer holds none
+   */
   public static Map<String, MachineType> readCatalog(JsonNode answer) {
     Map<String, MachineType> catalog = new TreeMap<>();
     for (JsonNode type : answer.path(TYPES)) {
@@ -69,9 +74,10 @@
   }
 
   /**
-   * Asks for machines.
+   * Writes a request that rents machines.
    *
-   * @param claim the request's name: once it was answered with machines, it rents no others
+   * @param claim the idempotency key: repeating a request with the same key rents no further
+   *     machines
    */
   public static ObjectNode writeRental(String claim, Offer offer, int count) {
     return Json.object()
@@ -82,14 +88,14 @@
         .put(COUNT, count);
   }
 
-  /** The machines that were rented. */
+  /** Reads the names of the machines that a request has rented. */
   public static List<MachineName> readRented(JsonNode answer) {
     List<MachineName> machines = new ArrayList<>();
     answer.path(MACHINES).forEach(name -> machines.add(new MachineName(name.asText())));
     return machines;
   }
 
-  /** Returns machines. */
+  /** Writes a request that returns machines to the cloud. */
   public static ObjectNode writeRelease(Collection<MachineName> machines) {
     ObjectNode message = Json.object();
     ArrayNode names = message.putArray(MACHINES);
@@ -97,7 +103,7 @@
     return message;
   }
 
-  /** The machines on one page of the list; those without a name are left out. */
+  /** Reads one page of the list of machines; machines without a name are left out. */
   public static List<ListedMachine> readListed(JsonNode answer) {
     List<ListedMachine> machines = new ArrayList<>();
     for (JsonNode machine : answer.path(MACHINES)) {
@@ -116,7 +122,7 @@
     return machines;
   }
 
-  /** Whether another page of the list follows. */
+  /** Reports whether another page of the list follows. */
   public static boolean hasMore(JsonNode answer) {
     return answer.path(HAS_MORE).asBoolean(false);
   }
--- a/src/main/java/shorecrank/protocol/Fields.java
+++ b/src/main/java/shorecrank/protocol/Fields.java
@@ -6,21 +6,21 @@
 import shorecrank.protocol.Ids.ShardId;
 
 /**
- * Checked reading of single values. Each method takes the value and the name under which it is
- * reported when it is refused.
+ * Reads and validates single JSON values. Each method takes the value and the field's name, which
+ * the exception names if the value is not valid.
  */
 final class Fields {
-  /** The longest text that operators' messages and stored values may hold, in characters. */
+  /** Maximum length, in characters, of a text in operators' messages and in stored values. */
   static final int MAX_TEXT = 300;
 
   private Fields() {}
 
-  /** A whole number from 0 up. */
+  /** Reads a whole number from 0 up. */
   static long readCount(JsonNode value, String field) throws MalformedMessageException {
     return readCount(value, field, Long.MAX_VALUE);
   }
 
-  /** A whole number from 0 to {@code max}. */
+  /** Reads a whole number from 0 to {@code max}. */
   static long readCount(JsonNode value, String field, long max) throws MalformedMessageException {
     long count = Json.countOrMinusOne(value);
     if (count < 0 || count > max) {
@@ -29,12 +29,15 @@
     return count;
   }
 
-  /** A whole number from 0 up; larger ones than an int holds become the largest int. */
+  /**
+   * Reads a whole number from 0 up; one that an int can't hold is read as {@link
+   * Integer#MAX_VALUE}.
+   */
   static int readCappedCount(JsonNode value, String field) throws MalformedMessageException {
     return (int) Math.min(Integer.MAX_VALUE, readCount(value, field));
   }
 
-  /** A number from 0 to {@code max}. */
+  /** Reads a number from 0 to {@code max}, which need not be whole. */
   static double readAmount(JsonNode value, String field, double max)
       throws MalformedMessageException {
     double amount = value.isNumber() ? value.doubleValue() : -1;
@@ -44,7 +47,7 @@
     return amount;
   }
 
-  /** A text that is not empty, of any length. */
+  /** Reads a text that is not empty, of any length. */
   static String readNonEmptyText(JsonNode value, String field) throws MalformedMessageException {
     String name = Json.text(value);
     if (name.isEmpty()) {
@@ -53,7 +56,7 @@
     return name;
   }
 
-  /** A text of 1 to {@link #MAX_TEXT} characters. */
+  /** Reads a text of 1 to {@link #MAX_TEXT} characters. */
   static String readText(JsonNode value, String field) throws MalformedMessageException {
     String text = Json.text(value);
     if (text.isEmpty() || text.length() > MAX_TEXT) {
@@ -63,13 +66,13 @@
     return text;
   }
 
-  /** A machine's name, of at most {@link #MAX_TEXT} characters. */
+  /** Reads a machine's name of 1 to {@link #MAX_TEXT} characters. */
   static MachineName readMachineName(JsonNode value, String field)
       throws MalformedMessageException {
     return new MachineName(readText(value, field));
   }
 
-  /** A move's id, from 1 up. */
+  /** Reads a move's id, a whole number from 1 up. */
   static MoveId readMoveId(JsonNode value, String field) throws MalformedMessageException {
     long id = readCount(value, field);
     if (id == 0) {
@@ -78,17 +81,20 @@
     return new MoveId(id);
   }
 
-  /** A move's id, or {@link MoveId#NONE} if the field holds none. */
+  /** Reads a move's id; {@link MoveId#NONE} if the value is not a whole number from 1 up. */
   static MoveId readMoveIdOrNone(JsonNode value) {
     return new MoveId(Math.max(0, Json.countOrMinusOne(value)));
   }
 
-  /** A shard's number. */
+  /** Reads a shard's number, from 0 up. */
   static ShardId readShardId(JsonNode value, String field) throws MalformedMessageException {
     return new ShardId((int) readCount(value, field, Integer.MAX_VALUE));
   }
 
-  /** A list of at most {@code max} elements; one that is absent is empty. */
+  /**
+   * Checks that a list has at most {@code max} elements, and returns it. A value that is absent, or
+   * is not a list, counts as one without elements.
+   */
   static JsonNode readList(JsonNode value, String field, int max) throws MalformedMessageException {
     if (value.size() > max) {
       throw new MalformedMessageException(field, "must have at most " + max + " elements");
--- a/src/main/java/shorecrank/protocol/ForwardedRequestCodec.java
+++ b/src/main/java/shorecrank/protocol/ForwardedRequestCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import shorecrank.protocol.PeerRequests.ForwardedRequest;
 
-/** Users' requests that one controller forwards to another, as JSON. */
+/** Encodes and decodes the user requests that one controller forwards to another as JSON. */
 public final class ForwardedRequestCodec {
   private static final String METHOD = "method";
   private static final String PATH = "path";
@@ -12,14 +12,14 @@
 
   private ForwardedRequestCodec() {}
 
-  /** A request as JSON; a body that is not JSON is left out. */
+  /** Writes a request as JSON; a body that is not JSON is left out. */
   public static ObjectNode write(ForwardedRequest request) {
     ObjectNode message = Json.object().put(METHOD, request.method()).put(PATH, request.path());
     message.set(BODY, Json.parse(request.body()));
     return message;
   }
 
-  /** Reads a request; what the message does not hold is empty. */
+  /** Reads a request; parts that the message lacks are empty. */
   public static ForwardedRequest read(JsonNode message) {
     return new ForwardedRequest(
         Json.text(message.path(METHOD)),
--- a/src/main/java/shorecrank/protocol/HealthCodec.java
+++ b/src/main/java/shorecrank/protocol/HealthCodec.java
@@ -2,13 +2,17 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The answer to a load balancer that asks for a controller's health, as JSON. */
+/** Encodes the answer to a load balancer's health check as JSON. */
 public final class HealthCodec {
   private static final String STATUS = "status";
 
   private HealthCodec() {}
 
-  /** Says whether the controller serves users. */
+  /**
+   * Writes the answer.
+   *
+   * @param isHealthy whether the controller serves users
+   */
   public static ObjectNode write(boolean isHealthy) {
     return Json.object().put(STATUS, isHealthy ? "serving" : "not serving");
   }
--- a/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
@@ -12,8 +12,9 @@
 import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.Epoch;
 
-/** The leader's answers to heartbeats as JSON. */
+/** Encodes and decodes the leader's answers to heartbeats as JSON. */
 public final class HeartbeatAnswerCodec {
+  // In an answer the leader's term, in a machine's assignment the required epoch.
   private static final String TERM = "term";
   private static final String STORE_REACHABLE_BY_OTHERS = "othersOk";
   private static final String STORE_REACHABLE = "stateOk";
@@ -30,12 +31,12 @@
   private static final String OFFERS_WITHOUT_CAPACITY = "blocked";
   private static final String RETRY_AFTER_MS = "ms";
 
-  /** A day: no leader grants a longer lease. */
+  /** Upper bound for a lease's duration, one day; no leader grants a longer lease. */
   private static final long MAX_LEASE_MS = 86_400_000;
 
   private HeartbeatAnswerCodec() {}
 
-  /** An answer as JSON. */
+  /** Writes an answer as JSON. */
   public static ObjectNode write(HeartbeatAnswer answer) {
     ObjectNode message = Json.object();
     message.put(TERM, answer.term());
@@ -131,12 +132,19 @@
         Fields.readMoveIdOrNone(object.path(MOVE)));
   }
 
-  /** The answer of a controller that can't answer with leases, for it does not lead. */
+  /**
+   * Writes the answer of a controller that grants no leases because it is not the leader.
+   *
+   * @param storeReachable whether the state service answers the controller
+   */
   public static ObjectNode writeRefusal(boolean storeReachable) {
     return Json.object().put(STORE_REACHABLE, storeReachable);
   }
 
-  /** Whether the state service answers the controller that refused; true if it does not say. */
+  /**
+   * Reports whether the state service answers the controller that sent a refusal; true if the
+   * refusal does not say.
+   */
   public static boolean isStoreReachable(JsonNode refusal) {
     return refusal.path(STORE_REACHABLE).asBoolean(true);
   }
--- a/src/main/java/shorecrank/protocol/HeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatCodec.java
@@ -19,7 +19,7 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Ids.WriterId;
 
-/** Controllers' heartbeats to the leader as JSON. */
+/** Encodes and decodes the controllers' heartbeats to the leader as JSON. */
 public final class HeartbeatCodec {
   private static final String SENDER = "from";
   private static final String WRITER = "writer";
@@ -45,7 +45,7 @@
 
   private HeartbeatCodec() {}
 
-  /** A heartbeat as JSON. */
+  /** Writes a heartbeat as JSON. */
   public static ObjectNode write(Heartbeat heartbeat) {
     ObjectNode message = Json.object();
     message.put(SENDER, heartbeat.sender().value()).put(WRITER, heartbeat.writer().value());
@@ -86,7 +86,10 @@
     putMoves(object, report);
   }
 
-  /** The fields of moves; those that not every version knows are left out where they are empty. */
+  /**
+   * Writes the fields about moves. Earlier versions do not know {@code moves}, {@code misplaced}
+   * and {@code demand}, so these are left out unless the report needs them.
+   */
   private static void putMoves(ObjectNode object, ShardReport report) {
     ArrayNode machines = object.putArray(HANDOVERS);
     report.handovers().forEach(handover -> machines.add(handover.machine().value()));
@@ -144,7 +147,7 @@
     return new ShardReport(
         PeerFields.readShard(object),
         PeerFields.readEpoch(object),
-        // From the record that refused the owner, whatever it held: no bound but that of a long.
+        // The owner read this epoch in a stored record, which may be damaged: any long is allowed.
         new Epoch(Fields.readCount(object.path(REFUSED_EPOCH), REFUSED_EPOCH)),
         object.path(HAS_QUEUED_TASKS).asBoolean(),
         new WorkerReachability(readInt(object, EXPECTED), readInt(object, UNHEARD), zones),
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -15,45 +15,51 @@
 
 /**
  * Heartbeats between controllers: each controller reports its shards to the leader, which answers
- * with leases, owners and machine assignments.
+ * with leases, shard owners and machine assignments.
  */
 public final class HeartbeatMessages {
   private HeartbeatMessages() {}
 
-  /** A machine that a controller has seen, or that is assigned to a shard. */
+  /**
+   * A machine whose worker sent a heartbeat to a controller, or that is assigned to a shard.
+   *
+   * @param type the name of its machine type
+   */
   public record MachineInfo(MachineName name, String type, String zone, boolean spot) {}
 
-  /** So many machines of an offer that a shard asks the leader to rent. */
+  /** A shard's request that the leader rent {@code count} machines of an offer. */
   public record CapacityRequest(Offer offer, int count) {}
 
   /**
-   * How many of its machines' workers an owner does not hear.
+   * Counts the machines of a shard whose workers' heartbeats reach its owner or fail to.
    *
-   * @param expected machines that it should hear
-   * @param unheard those of them that it does not hear
-   * @param unreachableZones zones in which most of them are
+   * @param expected number of machines whose heartbeats should reach the owner
+   * @param unheard how many of {@code expected} have not sent a heartbeat in time
+   * @param unreachableZones zones in which more than half of the expected machines are unheard
    */
   public record WorkerReachability(int expected, int unheard, List<String> unreachableZones) {}
 
   /**
-   * A machine that its owner has emptied on an order.
+   * A machine that the shard's owner has emptied for a move and hands over.
    *
-   * @param move the order; {@link MoveId#NONE} from versions that don't repeat it
+   * @param move the move; {@link MoveId#NONE} from versions that do not send its id
    */
   public record MachineHandover(MachineName machine, MoveId move) {}
 
   /**
-   * What an owner reports of one shard.
+   * A shard owner's report on one shard.
    *
-   * @param refusedEpoch the epoch of a record that refused the owner; {@link Epoch#NONE} if none
-   *     did
-   * @param hasQueuedTasks whether tasks wait, or the owner has not loaded its jobs yet
-   * @param capacityRequests machines to be rented
-   * @param machinesToRelease machines to be returned to the cloud
+   * @param epoch the epoch under which the owner serves the shard
+   * @param refusedEpoch the epoch of a stored record that refused a write of the owner; {@link
+   *     Epoch#NONE} if none did
+   * @param hasQueuedTasks whether tasks are queued, or the owner has not loaded its jobs yet
+   * @param capacityRequests machines to rent
+   * @param machinesToRelease machines to return to the cloud
    * @param spareMachines machines that have been empty for a while
-   * @param handovers machines emptied to be handed over to another shard
-   * @param misplaced machines that records of this shard name although they are assigned to another
-   * @param echoesMoveIds whether the owner repeats the order's id when it hands a machine over
+   * @param handovers machines that are empty and ready to be assigned to another shard
+   * @param misplaced machines that hold tasks of this shard although they are assigned to another
+   *     one
+   * @param echoesMoveIds whether {@code handovers} name the move's id; earlier versions do not
    * @param demand what the shard needs and could give up; null where shares are not enabled
    */
   public record ShardReport(
@@ -69,7 +75,10 @@
       List<MachineName> misplaced,
       boolean echoesMoveIds,
       ShardDemand demand) {
-    /** The report of an owner that can't serve the shard under its present epoch. */
+    /**
+     * Returns the report of a controller that can't serve the shard under its current epoch, so
+     * that the leader allocates a higher one.
+     */
     public static ShardReport refused(ShardId shard, Epoch epoch) {
       return new ShardReport(
           shard,
@@ -88,15 +97,17 @@
   }
 
   /**
-   * A controller's heartbeat.
+   * A controller's heartbeat to the leader.
    *
    * @param writer the sender's process
    * @param storeReachable whether the state service answers the sender
-   * @param assignmentVersion of the assignments that the sender knows; negative if it knows none
-   * @param seenMachines machines whose workers sent their heartbeats to the sender
-   * @param misroutedWorkers by shard, how many workers lately reported here and were sent on to
-   *     their owner
-   * @param announcement the levels that the sender supports; null if it announces none
+   * @param assignmentVersion the version of the machine assignments that the sender knows; negative
+   *     if it knows none
+   * @param seenMachines machines without an assignment whose workers sent heartbeats to the sender
+   * @param misroutedWorkers by shard, the number of workers that recently sent heartbeats to the
+   *     sender instead of to the shard's owner
+   * @param announcement the build and feature levels that the sender supports; null if it announces
+   *     none
    */
   public record Heartbeat(
       ControllerName sender,
@@ -111,21 +122,23 @@
   /**
    * A shard's lease.
    *
-   * @param ttlMs how long it runs, counted from when the owner sent its heartbeat
+   * @param ttlMs the lease's duration in milliseconds, from the time at which the owner sent its
+   *     heartbeat
    */
   public record Lease(ShardId shard, Epoch epoch, long ttlMs) {}
 
-  /** Which controller owns a shard. */
+  /** The controller that owns a shard, and its epoch. */
   public record OwnerInfo(ShardId shard, ControllerName controller, Epoch epoch) {}
 
   /**
-   * A machine's shard.
+   * A machine's assignment to a shard.
    *
-   * @param ageMs time since the machine was assigned
-   * @param requiredEpoch the lowest epoch under which its worker's heartbeats count; {@link
-   *     Epoch#NONE} where there is only one shard
-   * @param handoverRequested whether the owner is to empty the machine and hand it over
-   * @param move the order under which it is to be handed over, or has just come
+   * @param ageMs milliseconds since the machine was assigned
+   * @param requiredEpoch the lowest epoch under which heartbeats of the machine's worker count;
+   *     {@link Epoch#NONE} if there is only one shard
+   * @param handoverRequested whether the owner has to empty the machine and hand it over
+   * @param move the move by which the machine is to leave the shard or has come to it; {@link
+   *     MoveId#NONE} if there is none
    */
   public record MachineAssignment(
       MachineInfo machine,
@@ -135,7 +148,10 @@
       boolean handoverRequested,
       MoveId move) {}
 
-  /** An offer that the cloud lately refused; it is not asked for again for {@code retryAfterMs}. */
+  /**
+   * An offer of which the cloud recently had no machines; it is not requested again for {@code
+   * retryAfterMs} milliseconds.
+   */
   public record UnavailableOffer(Offer offer, long retryAfterMs) {}
 
   /**
@@ -143,13 +159,16 @@
    *
    * @param term the leader's term
    * @param storeReachableByOthers whether the state service answers another controller
-   * @param assignmentVersion of the assignments after this answer
-   * @param isComplete whether {@code assigned} holds all assignments; else what changed since the
-   *     asker's version
-   * @param unassigned machines that no longer belong to the asker's shards
-   * @param released machines that no longer exist
-   * @param offersWithoutCapacity offers that the cloud refused
-   * @param rolloutNotice the feature level as the leader knows it; null if it says nothing
+   * @param leases the leases of the asker's shards
+   * @param assignmentVersion the version of the machine assignments that the asker knows after this
+   *     answer
+   * @param isComplete whether {@code assigned} holds all assignments; otherwise it holds those
+   *     changed since the version that the heartbeat named
+   * @param unassigned if not complete, the machines that have lost their assignment since then
+   * @param released machines that were released to the cloud and no longer exist
+   * @param offersWithoutCapacity offers of which the cloud had no machines
+   * @param rolloutNotice the feature level's state as the leader knows it; null if the leader does
+   *     not know it
    */
   public record HeartbeatAnswer(
       long term,
--- a/src/main/java/shorecrank/protocol/HttpStatus.java
+++ b/src/main/java/shorecrank/protocol/HttpStatus.java
@@ -1,8 +1,8 @@
 package shorecrank.protocol;
 
-/** The statuses of HTTP that controllers, their clients and the services they call use. */
+/** HTTP status codes that controllers, their clients and the services they call use. */
 public final class HttpStatus {
-  /** No answer came in time; no status of HTTP. */
+  /** Stands for an answer that did not arrive in time; not an HTTP status code. */
   public static final int NO_ANSWER = 0;
 
   public static final int OK = 200;
@@ -12,18 +12,18 @@
   public static final int METHOD_NOT_ALLOWED = 405;
   public static final int CONFLICT = 409;
 
-  /** What was asked for is no longer kept. */
+  /** The requested data is no longer kept. */
   public static final int GONE = 410;
 
-  /** The request belongs to another controller. */
+  /** The request has to go to another controller. */
   public static final int MISDIRECTED = 421;
 
-  /** A submission is well formed and can never be accepted. */
+  /** The submission is well formed but can never be accepted. */
   public static final int UNPROCESSABLE = 422;
 
   public static final int TOO_MANY_REQUESTS = 429;
 
-  /** The first of the statuses that tell of a fault of the server. */
+  /** The lowest of the status codes for server errors. */
   public static final int SERVER_ERROR = 500;
 
   public static final int UNAVAILABLE = 503;
--- a/src/main/java/shorecrank/protocol/Ids.java
+++ b/src/main/java/shorecrank/protocol/Ids.java
@@ -1,10 +1,13 @@
 package shorecrank.protocol;
 
-/** Small types for ids, versions and times, so that none can be passed where another is meant. */
+/**
+ * Value types for ids, versions and times. Each has its own type, so that none can be passed where
+ * another is expected.
+ */
 public final class Ids {
   private Ids() {}
 
-  /** A job's id, which its user chooses. */
+  /** A job's id, chosen by its user. */
   public record JobId(String value) implements Comparable<JobId> {
     @Override
     public int compareTo(JobId other) {
@@ -17,7 +20,7 @@
     }
   }
 
-  /** A machine's name. */
+  /** A machine's name in the cloud. */
   public record MachineName(String value) implements Comparable<MachineName> {
     @Override
     public int compareTo(MachineName other) {
@@ -43,9 +46,9 @@
     }
   }
 
-  /** Names one process of a controller; a restarted controller has another one. */
+  /** Identifies one process of a controller; a restarted controller has a new one. */
   public record WriterId(String value) {
-    /** No process. */
+    /** Stands for no process. */
     public static final WriterId NONE = new WriterId("");
 
     @Override
@@ -54,14 +57,18 @@
     }
   }
 
-  /** A partition of the teams, served by one owner at a time. */
+  /**
+   * The number of a shard. Shards partition the teams, and one controller at a time owns a shard.
+   */
   public record ShardId(int value) implements Comparable<ShardId> {
-    // Spreads hashes of similar names: the golden ratio in 32 bits.
+    // Spreads the hashes of similar names: 2^32 divided by the golden ratio.
     private static final int HASH_FACTOR = 0x9E3779B1;
 
     /**
-     * The shard of a team. It is the same on every controller and in every Java release:
-     * String.hashCode is specified.
+     * Returns the shard of a team. The result is the same on every controller and in every Java
+     * release, because {@link String#hashCode} is specified.
+     *
+     * @param shards the number of shards
      */
     public static ShardId of(String team, int shards) {
       return new ShardId(Math.floorMod(team.hashCode() * HASH_FACTOR, shards));
@@ -78,17 +85,20 @@
     }
   }
 
-  /** A fencing number that rises fleet-wide with every shard owner; also a machine's term. */
+  /**
+   * A fencing number that increases across the fleet with every new shard owner. Workers and stored
+   * records refuse commands and writes under an epoch below one that they have seen.
+   */
   public record Epoch(long value) implements Comparable<Epoch> {
-    /** No epoch; all others are above it. */
+    /** Stands for no epoch; all others are above it. */
     public static final Epoch NONE = new Epoch(0);
 
-    /** The higher of two. */
+    /** Returns the higher of two epochs. */
     public static Epoch higher(Epoch one, Epoch other) {
       return one.isAbove(other) ? one : other;
     }
 
-    /** Whether this epoch is higher than the other. */
+    /** Reports whether this epoch is higher than another. */
     public boolean isAbove(Epoch other) {
       return value > other.value;
     }
@@ -105,43 +115,50 @@
   }
 
   /**
-   * What a worker is shown with commands: the owner's epoch, and below it a number that the owner
-   * keeps for each machine. A higher epoch makes the higher token, whatever the numbers.
+   * The fencing token that commands to a worker carry. Its high bits are the owner's epoch, its low
+   * bits a number that the owner counts up for each machine, so a token of a higher epoch is higher
+   * whatever the numbers. A worker rejects commands with a token below the highest that it has
+   * seen.
    */
   public record FencingToken(long value) implements Comparable<FencingToken> {
-    /** Bits of the number below the epoch. */
+    /** Number of bits of the number below the epoch. */
     private static final int NUMBER_BITS = 24;
 
-    /** Bits that a token may use: as a signed number it is never negative. */
+    /**
+     * Number of bits that a token may use, so that it is not negative as a signed 64-bit integer.
+     */
     private static final int TOKEN_BITS = 62;
 
-    /** Epochs from here on have no tokens. */
+    /** Upper bound of epochs: this epoch and higher ones do not fit into a token. */
     public static final long MAX_EPOCH = 1L << (TOKEN_BITS - NUMBER_BITS);
 
-    /** No token; all others are above it. */
+    /** Stands for no token; all others are above it. */
     public static final FencingToken NONE = new FencingToken(0);
 
-    /** The lowest token of an epoch. */
+    /** Returns the lowest token of an epoch. */
     public static FencingToken of(Epoch epoch) {
       return new FencingToken(epoch.value() << NUMBER_BITS);
     }
 
-    /** The epoch that the token belongs to. */
+    /** Returns the epoch that the token belongs to. */
     public Epoch epoch() {
       return new Epoch(value >>> NUMBER_BITS);
     }
 
-    /** The next number under the same epoch; none is left after the last. */
+    /**
+     * Returns the token with the next number; it belongs to the same epoch unless this token
+     * {@linkplain #isLast is the last}.
+     */
     public FencingToken next() {
       return new FencingToken(value + 1);
     }
 
-    /** Whether no other token follows under the same epoch. */
+    /** Reports whether this token is the highest of its epoch. */
     public boolean isLast() {
       return !next().epoch().equals(epoch());
     }
 
-    /** Whether this token is higher than the other. */
+    /** Reports whether this token is higher than another. */
     public boolean isAbove(FencingToken other) {
       return value > other.value;
     }
@@ -152,12 +169,14 @@
     }
   }
 
-  /** Revision of a key's last change in the state service; 0 means the key does not exist. */
+  /**
+   * The revision at which a key in the state service was last changed; 0 if the key does not exist.
+   */
   public record Revision(long value) {
     /** The revision of a key that does not exist. */
     public static final Revision ABSENT = new Revision(0);
 
-    /** Whether this revision is later than the other. */
+    /** Reports whether this revision is later than another. */
     public boolean isAfter(Revision other) {
       return value > other.value;
     }
@@ -169,14 +188,14 @@
   }
 
   /**
-   * Names one order to hand a machine over to another shard. No two orders of a fleet have the same
-   * id, so that an answer to an earlier one is never taken for an answer to this one.
+   * The id of a move of one machine to another shard. No two moves of a fleet have the same id, so
+   * that a late answer to an earlier move is not taken for the answer to this one.
    */
   public record MoveId(long value) implements Comparable<MoveId> {
-    /** No order. */
+    /** Stands for no move. */
     public static final MoveId NONE = new MoveId(0);
 
-    /** Whether it names an order. */
+    /** Reports whether this is the id of a move. */
     public boolean isSet() {
       return value > 0;
     }
@@ -192,7 +211,7 @@
     }
   }
 
-  /** Numbers the incarnations of a worker; a new one begins when its lease has expired. */
+  /** The number of a worker's incarnation; a new one begins when the worker's lease has expired. */
   public record Incarnation(long value) implements Comparable<Incarnation> {
     @Override
     public int compareTo(Incarnation other) {
@@ -200,28 +219,35 @@
     }
   }
 
-  /** Numbers a task's attempt; unique among all attempts of its job. */
+  /** The number of a task's attempt, unique among all attempts of the job's tasks. */
   public record AttemptNumber(long value) {}
 
-  /** One attempt of one task of a job. */
+  /**
+   * Identifies one attempt of a task.
+   *
+   * @param index the task's number in its job
+   */
   public record TaskAttemptId(JobId job, int index, AttemptNumber attempt) {}
 
-  /** A point on this process's steady clock, in milliseconds. */
+  /** A reading of this process's monotonic clock in milliseconds. */
   public record MonotonicTime(long ms) implements Comparable<MonotonicTime> {
-    /** Earlier than all others, and far enough from the ends of a long to be counted with. */
+    /**
+     * Stands for no time. It is earlier than all others, and adding or subtracting a duration does
+     * not overflow a long.
+     */
     public static final MonotonicTime NEVER = new MonotonicTime(Long.MIN_VALUE / 4);
 
-    /** So many milliseconds later; earlier if negative. */
+    /** Returns the time {@code millis} milliseconds later, or earlier if negative. */
     public MonotonicTime plus(long millis) {
       return new MonotonicTime(ms + millis);
     }
 
-    /** Milliseconds from an earlier point to this one. */
+    /** Returns the milliseconds from an earlier time to this one. */
     public long since(MonotonicTime earlier) {
       return ms - earlier.ms;
     }
 
-    /** Whether this point is earlier than the other. */
+    /** Reports whether this time is earlier than another. */
     public boolean isBefore(MonotonicTime other) {
       return ms < other.ms;
     }
--- a/src/main/java/shorecrank/protocol/JobSpec.java
+++ b/src/main/java/shorecrank/protocol/JobSpec.java
@@ -5,26 +5,26 @@
 import shorecrank.protocol.Ids.JobId;
 
 /**
- * What a user asks for: a job array of equal tasks.
+ * A user's job: an array of equal tasks and what each of them needs.
  *
- * @param jobClass the class whose objectives apply
+ * @param jobClass the class of jobs whose objectives apply
  * @param team the team whose quota and guarantee apply
  * @param tasks the number of tasks
  * @param cpus processors of one task
  * @param gpus accelerators of one task
- * @param memoryGb memory of one task
+ * @param memoryGb memory of one task in GB
  * @param image the image that a machine needs before it can start a task
- * @param imageGb the image's size
- * @param machineTypes the allowed types of machines; null for any
+ * @param imageGb the image's size in GB
+ * @param machineTypes the allowed machine types; null for any
  * @param zone the only allowed zone; null for any
  * @param singleZone whether all tasks must be in the same zone
  * @param spreadOverZones whether at most half of the tasks, rounded up, may be in one zone
  * @param allowsSpot whether spot machines may be used
- * @param estimateS the user's estimate of one task's run, in seconds
+ * @param estimateS the user's estimate of one task's run time, in seconds
  * @param checkpointIntervalS seconds between checkpoints; 0 if there are none
  * @param checkpointDurationS seconds that a checkpoint takes
  * @param deadlineS seconds from the submission until the job is due; 0 for no deadline
- * @param dependencies the jobs that have to be done before, each once
+ * @param dependencies the jobs that have to be done before this one, without duplicates
  */
 public record JobSpec(
     JobId id,
@@ -47,17 +47,17 @@
     double checkpointDurationS,
     double deadlineS,
     List<JobId> dependencies) {
-  /** How many jobs one job may depend on. */
+  /** Maximum number of jobs that one job may depend on. */
   public static final int MAX_DEPENDENCIES = 2000;
 
-  /** How many tasks a job may have. */
+  /** Maximum number of tasks of a job. */
   public static final int MAX_TASKS = 100_000;
 
   private static final Pattern ID = Pattern.compile("wk-[0-9]{1,40}");
 
-  /** How urgent a job is, from the first to the last. */
+  /** A job's priority, from the highest to the lowest. */
   public enum Priority {
-    /** Serves production: goes before all others. */
+    /** Production work: goes before all others. */
     PROD,
     /** Goes before ordinary work. */
     URGENT,
@@ -67,17 +67,17 @@
     LOW
   }
 
-  /** Whether a text has the form of a job's id. */
+  /** Reports whether a text has the form of a job's id. */
   public static boolean isValidId(String id) {
     return ID.matcher(id).matches();
   }
 
-  /** Whether the job is due at some time. */
+  /** Reports whether the job has a deadline. */
   public boolean hasDeadline() {
     return deadlineS > 0;
   }
 
-  /** The same job without its dependencies. */
+  /** Returns the same job without its dependencies. */
   public JobSpec withoutDependencies() {
     if (dependencies.isEmpty()) {
       return this;
@@ -105,7 +105,7 @@
         List.of());
   }
 
-  /** How many of the tasks may be in one zone at once. */
+  /** Returns how many of the tasks may be in one zone at the same time. */
   public int maxTasksPerZone() {
     return spreadOverZones ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/shorecrank/protocol/JobSpecCodec.java
+++ b/src/main/java/shorecrank/protocol/JobSpecCodec.java
@@ -10,7 +10,10 @@
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.JobSpec.Priority;
 
-/** Users' submissions, which records hold too, as JSON. */
+/**
+ * Encodes and decodes users' submissions as JSON. Stored job records hold submissions in the same
+ * form.
+ */
 public final class JobSpecCodec {
   private static final String ID = "nameId";
   private static final String JOB_CLASS = "jobclass";
@@ -41,7 +44,7 @@
 
   private JobSpecCodec() {}
 
-  /** A submission as JSON. */
+  /** Writes a submission as JSON. */
   public static ObjectNode write(JobSpec spec) {
     ObjectNode message = Json.object().put(ID, spec.id().value());
     message.put(JOB_CLASS, spec.jobClass()).put(TEAM, spec.team()).put(SHAPE, ARRAY_SHAPE);
@@ -72,7 +75,8 @@
   /**
    * Reads a submission.
    *
-   * @throws MalformedMessageException if a field is not well formed; the user is told its text
+   * @throws MalformedMessageException if a field is not well formed; its message is the text that
+   *     the user receives
    */
   public static JobSpec read(JsonNode message) throws MalformedMessageException {
     if (!message.isObject()) {
--- a/src/main/java/shorecrank/protocol/JobStatusCodec.java
+++ b/src/main/java/shorecrank/protocol/JobStatusCodec.java
@@ -7,7 +7,7 @@
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.protocol.UserMessages.JobStatus;
 
-/** Jobs' statuses as JSON, for users. */
+/** Encodes jobs' statuses as JSON for users. */
 public final class JobStatusCodec {
   private static final String JOB_ID = "nameId";
   private static final String STATE = "phase";
@@ -16,17 +16,17 @@
 
   private JobStatusCodec() {}
 
-  /** A job's whole status. */
+  /** Writes a job's state and its numbers of done and running tasks. */
   public static ObjectNode writeStatus(JobId id, JobStatus status) {
     return writeState(id, status.state()).put(DONE, status.done()).put(RUNNING, status.running());
   }
 
-  /** A job's state alone. */
+  /** Writes only a job's state. */
   public static ObjectNode writeState(JobId id, JobState state) {
     return Json.object().put(JOB_ID, id.value()).put(STATE, wireName(state));
   }
 
-  /** A state's name on the wire. */
+  /** Returns a state's name on the wire. */
   static String wireName(JobState state) {
     return switch (state) {
       case QUEUED -> "queued";
@@ -36,7 +36,7 @@
     };
   }
 
-  /** Reads a state; empty if there is none of this name. */
+  /** Reads a state; empty if no state has this name. */
   static Optional<JobState> readState(JsonNode value) {
     String name = Json.text(value);
     for (JobState state : JobState.values()) {
--- a/src/main/java/shorecrank/protocol/Json.java
+++ b/src/main/java/shorecrank/protocol/Json.java
@@ -10,7 +10,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** The one JSON mapper, with bounds for messages from senders that are not trusted. */
+/**
+ * Parses and writes JSON with one shared mapper. It limits the nesting depth and the length of
+ * numbers, because some messages come from untrusted senders.
+ */
 public final class Json {
   private static final int MAX_NESTING_DEPTH = 32;
   private static final int MAX_NUMBER_LENGTH = 40;
@@ -28,17 +31,19 @@
 
   private Json() {}
 
-  /** A new object. */
+  /** Returns a new empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** A new array. */
+  /** Returns a new empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** Parses a body; anything that is not JSON becomes a missing node, never an exception. */
+  /**
+   * Parses a body. One that is null, empty or not JSON becomes a missing node, never an exception.
+   */
   public static JsonNode parse(byte[] body) {
     if (body == null || body.length == 0) {
       return MissingNode.getInstance();
@@ -51,7 +56,7 @@
     }
   }
 
-  /** JSON text in UTF-8. */
+  /** Returns a value as JSON text in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -60,19 +65,23 @@
     }
   }
 
-  /** The body of an answer that refuses a request; the reason is one line. */
+  /**
+   * Returns the body of an answer that rejects a request.
+   *
+   * @param reason the reason, one line
+   */
   public static ObjectNode error(String reason) {
     return object().put("error", reason);
   }
 
-  /** A whole number from 0 up, or -1 if the field holds anything else. */
+  /** Returns a whole number from 0 up, or -1 if the value is anything else. */
   public static long countOrMinusOne(JsonNode value) {
     boolean isCount =
         value.isIntegralNumber() && value.canConvertToLong() && value.longValue() >= 0;
     return isCount ? value.longValue() : -1;
   }
 
-  /** A text, or an empty one if the field holds anything else. */
+  /** Returns a text, or an empty one if the value is anything else. */
   public static String text(JsonNode value) {
     return value.isTextual() ? value.textValue() : "";
   }
--- a/src/main/java/shorecrank/protocol/MalformedMessageException.java
+++ b/src/main/java/shorecrank/protocol/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package shorecrank.protocol;
 
 /**
- * A message that no version of its sender would write. It is refused as a whole; the message text
- * is one line that begins with the field.
+ * Thrown when a message is not well formed, which no version of its sender would write. The message
+ * is rejected as a whole. The exception's text is one line that begins with the field's name.
  */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -11,24 +11,24 @@
   private final String reason;
 
   /**
-   * Names what is wrong.
+   * Creates an exception for a field.
    *
    * @param field the field's name on the wire
    * @param reason what the field must be, as the predicate of a sentence: "must be ..."
    */
   public MalformedMessageException(String field, String reason) {
-    // Anyone can send malformed messages, so they must be cheap: no stack trace.
+    // Without a stack trace, as anyone can send many malformed messages and they must cost little.
     super(field + " " + reason, null, false, false);
     this.field = field;
     this.reason = reason;
   }
 
-  /** The field's name on the wire. */
+  /** Returns the field's name on the wire. */
   public String field() {
     return field;
   }
 
-  /** What the field must be. */
+  /** Returns what the field must be, as the predicate of a sentence. */
   public String reason() {
     return reason;
   }
--- a/src/main/java/shorecrank/protocol/MessageEncoder.java
+++ b/src/main/java/shorecrank/protocol/MessageEncoder.java
@@ -9,6 +9,10 @@
  */
 @FunctionalInterface
 public interface MessageEncoder<T> {
-  /** Encodes a message, which is not null. */
+  /**
+   * Encodes a message.
+   *
+   * @param message the message, not null
+   */
   JsonNode encode(T message);
 }
--- a/src/main/java/shorecrank/protocol/OperatorPaths.java
+++ b/src/main/java/shorecrank/protocol/OperatorPaths.java
@@ -1,20 +1,26 @@
 package shorecrank.protocol;
 
-/** Paths of operators' requests, on the peer address; controllers forward them to the leader. */
+/**
+ * Paths of operators' requests to a controller's peer address. A controller that is not the leader
+ * forwards them to the leader.
+ */
 public final class OperatorPaths {
-  /** Shows the feature level and the controllers' support for others. */
+  /** Returns the feature level in force and the levels that each controller supports. */
   public static final String ROLLOUT_STATUS = "/rollout/status";
 
-  /** Takes an order that raises, lowers or archives. */
+  /**
+   * Accepts an order that raises or lowers the feature level, stops such a change, or makes an
+   * archive.
+   */
   public static final String ROLLOUT_ORDERS = "/rollout/orders";
 
-  /** Reads keys of the state service, page by page. */
+  /** Reads keys of the state service page by page. */
   public static final String ROLLOUT_KEYS = "/rollout/keys";
 
-  /** Shows the shards' shares of the machines and the moves under way. */
+  /** Returns the shards' machines, targets and moves. */
   public static final String SHARES_STATUS = "/shares/show";
 
-  /** Takes an order that sets a share, or begins or aborts moves. */
+  /** Accepts an order that sets a team's share, or begins or aborts moves. */
   public static final String SHARES_ORDERS = "/shares/orders";
 
   private OperatorPaths() {}
--- a/src/main/java/shorecrank/protocol/OperatorRequestCodec.java
+++ b/src/main/java/shorecrank/protocol/OperatorRequestCodec.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** What operators' requests have in common, and questions for keys, as JSON. */
+/**
+ * Encodes and decodes queries for keys of the state service, and what all operators' requests have
+ * in common, as JSON.
+ */
 public final class OperatorRequestCodec {
   private static final String FORWARDED = "forwarded";
   private static final String PREFIX = "prefix";
@@ -14,38 +17,38 @@
   private OperatorRequestCodec() {}
 
   /**
-   * A question for a page of keys of the state service.
+   * A query for a page of keys of the state service.
    *
-   * @param prefix of all keys asked for
-   * @param after the key behind which the page begins; empty for the first page
+   * @param prefix the prefix of all keys of the page
+   * @param after the last key of the page before; empty for the first page
    */
   public record KeysQuery(String prefix, String after) {}
 
-  /** A request marked as one that a controller forwards to the leader. */
+  /** Returns a copy of a request that is marked as forwarded to the leader by a controller. */
   public static ObjectNode markForwarded(JsonNode request) {
     ObjectNode marked = request.isObject() ? ((ObjectNode) request).deepCopy() : Json.object();
     return marked.put(FORWARDED, true);
   }
 
-  /** Whether another controller forwarded the request. */
+  /** Reports whether another controller forwarded the request. */
   public static boolean isForwarded(JsonNode request) {
     return request.path(FORWARDED).asBoolean(false);
   }
 
-  /** Asks for the keys that begin with {@code prefix}, behind {@code after}. */
+  /** Writes a query for the keys after {@code after} that begin with {@code prefix}. */
   public static ObjectNode writeKeysQuery(String prefix, String after) {
     return Json.object().put(PREFIX, prefix).put(AFTER, after);
   }
 
-  /** Reads a question for keys; what the message does not hold is empty. */
+  /** Reads a query for keys; parts that the message lacks are empty. */
   public static KeysQuery readKeysQuery(JsonNode message) {
     return new KeysQuery(Json.text(message.path(PREFIX)), Json.text(message.path(AFTER)));
   }
 
   /**
-   * The answer when no controller can tell.
+   * Writes the answer to a request that no controller can answer at present.
    *
-   * @param reason one line
+   * @param reason why not, one line
    */
   public static ObjectNode writeUnknown(String reason) {
     return Json.object().put(UNKNOWN, true).put(REASON, reason);
--- a/src/main/java/shorecrank/protocol/PeerFields.java
+++ b/src/main/java/shorecrank/protocol/PeerFields.java
@@ -15,7 +15,7 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Parts that several messages between controllers share. */
+/** Reads and writes fields that several messages between controllers have in common. */
 final class PeerFields {
   static final String SHARD = "part";
   static final String EPOCH = "epoch";
@@ -30,7 +30,7 @@
 
   private PeerFields() {}
 
-  /** Puts owners under their field. */
+  /** Writes shard owners into a message. */
   static void putOwners(ObjectNode message, Collection<OwnerInfo> owners) {
     ArrayNode array = message.putArray(OWNERS);
     for (OwnerInfo owner : owners) {
@@ -42,7 +42,7 @@
     }
   }
 
-  /** The owners under their field; empty if it is absent. */
+  /** Reads the shard owners of a message; empty if it holds none. */
   static List<OwnerInfo> readOwners(JsonNode message) throws MalformedMessageException {
     List<OwnerInfo> owners = new ArrayList<>();
     for (JsonNode owner : message.path(OWNERS)) {
@@ -55,7 +55,7 @@
     return owners;
   }
 
-  /** Puts a machine's fields into an object. */
+  /** Writes a machine's fields into an object. */
   static ObjectNode putMachine(ObjectNode object, MachineInfo machine) {
     return object
         .put(MACHINE, machine.name().value())
@@ -64,7 +64,7 @@
         .put(SPOT, machine.spot());
   }
 
-  /** The machine whose fields an object holds. */
+  /** Reads the machine whose fields an object holds. */
   static MachineInfo readMachine(JsonNode object) throws MalformedMessageException {
     return new MachineInfo(
         new MachineName(Fields.readNonEmptyText(object.path(MACHINE), MACHINE)),
@@ -73,24 +73,24 @@
         object.path(SPOT).asBoolean());
   }
 
-  /** Puts an offer's fields into an object. */
+  /** Writes an offer's fields into an object. */
   static ObjectNode putOffer(ObjectNode object, Offer offer) {
     return object.put(TYPE, offer.type()).put(ZONE, offer.zone()).put(SPOT, offer.spot());
   }
 
-  /** The offer whose fields an object holds. */
+  /** Reads the offer whose fields an object holds. */
   static Offer readOffer(JsonNode object) {
     return new Offer(
         Json.text(object.path(TYPE)), Json.text(object.path(ZONE)), object.path(SPOT).asBoolean());
   }
 
-  /** Puts machines' names under a field. */
+  /** Writes machines' names as a list into a field. */
   static void putMachineNames(ObjectNode object, String field, Collection<MachineName> machines) {
     ArrayNode array = object.putArray(field);
     machines.forEach(machine -> array.add(machine.value()));
   }
 
-  /** The machines' names under a field; empty if it is absent. */
+  /** Reads machines' names from a field; empty if it is absent. */
   static List<MachineName> readMachineNames(JsonNode object, String field)
       throws MalformedMessageException {
     List<MachineName> names = new ArrayList<>();
@@ -100,12 +100,12 @@
     return names;
   }
 
-  /** The shard's number under its field. */
+  /** Reads the shard's number from an object. */
   static ShardId readShard(JsonNode object) throws MalformedMessageException {
     return new ShardId((int) Fields.readCount(object.path(SHARD), SHARD, MAX_SHARDS));
   }
 
-  /** The epoch under its field; one that no fencing token could hold is malformed. */
+  /** Reads the epoch from an object; one that does not fit into a fencing token is malformed. */
   static Epoch readEpoch(JsonNode object) throws MalformedMessageException {
     return new Epoch(Fields.readCount(object.path(EPOCH), EPOCH, FencingToken.MAX_EPOCH));
   }
--- a/src/main/java/shorecrank/protocol/RolloutCodec.java
+++ b/src/main/java/shorecrank/protocol/RolloutCodec.java
@@ -18,9 +18,12 @@
 import shorecrank.protocol.RolloutMessages.RolloutState;
 import shorecrank.protocol.RolloutMessages.RolloutStatus;
 
-/** The level's key, what heartbeats and their answers hold of it, and its status, as JSON. */
+/**
+ * Encodes and decodes the stored state of the feature level, the parts of heartbeats and their
+ * answers that concern it, and the status for operators, as JSON.
+ */
 public final class RolloutCodec {
-  /** The field of heartbeats that holds an announcement, and of answers a notice. */
+  /** Field that holds the announcement in a heartbeat, and the notice in an answer. */
   static final String HEARTBEAT_FIELD = "rollout";
 
   private static final String FORMAT = "v";
@@ -50,7 +53,7 @@
   private static final String REWRITTEN = "rewritten";
   private static final String UNREADABLE = "unreadable";
 
-  /** The form of the level's key; another one is not read. */
+  /** Version of the stored value's format; values of other versions are not read. */
   private static final long FORMAT_VERSION = 1;
 
   private static final int MAX_LEVEL = 1_000_000;
@@ -58,7 +61,7 @@
 
   private RolloutCodec() {}
 
-  /** The key's value as JSON. */
+  /** Writes the value of the feature level's key as JSON. */
   public static ObjectNode writeState(RolloutState state) {
     ObjectNode value = Json.object();
     value.put(FORMAT, FORMAT_VERSION).put(PHASE, wireName(state.phase()));
@@ -72,7 +75,11 @@
     return value;
   }
 
-  /** Reads the key's value; empty if it is not of this form, or holds what no version writes. */
+  /**
+   * Reads the value of the feature level's key.
+   *
+   * @return the state, or empty if the value has another format or holds what no version writes
+   */
   public static Optional<RolloutState> readState(JsonNode value) {
     try {
       return Optional.of(readCheckedState(value));
@@ -128,12 +135,12 @@
     throw new MalformedMessageException(PHASE, "must name a known phase");
   }
 
-  /** A level, from 0 to a million. */
+  /** Reads a feature level from 0 to {@link #MAX_LEVEL}. */
   static FeatureLevel readLevel(JsonNode value, String field) throws MalformedMessageException {
     return new FeatureLevel((int) Fields.readCount(value, field, MAX_LEVEL));
   }
 
-  /** An announcement as JSON. */
+  /** Writes an announcement as JSON. */
   static ObjectNode writeAnnouncement(Announcement announcement) {
     return Json.object()
         .put(BUILD, announcement.build())
@@ -143,8 +150,10 @@
   }
 
   /**
-   * Reads an announcement; empty if there is none or it is malformed: the sender then counts as of
-   * the lowest level.
+   * Reads an announcement.
+   *
+   * @return the announcement, or empty if there is none or it is malformed; the sender then counts
+   *     as one that supports only the lowest level
    */
   static Optional<Announcement> readAnnouncement(JsonNode message) {
     try {
@@ -177,7 +186,7 @@
     return text;
   }
 
-  /** A notice as JSON. */
+  /** Writes a notice as JSON. */
   static ObjectNode writeNotice(RolloutNotice notice) {
     return writeState(notice.state()).put(REVISION, notice.revision().value());
   }
@@ -193,7 +202,7 @@
     }
   }
 
-  /** The status as JSON. */
+  /** Writes the status for operators as JSON. */
   public static ObjectNode writeStatus(RolloutStatus status) {
     RolloutState state = status.state();
     ObjectNode message = writeState(state);
--- a/src/main/java/shorecrank/protocol/RolloutMessages.java
+++ b/src/main/java/shorecrank/protocol/RolloutMessages.java
@@ -5,19 +5,24 @@
 import java.util.Locale;
 import shorecrank.protocol.Ids.Revision;
 
-/** Feature levels: controllers' announcements, the level's key, operators' orders and status. */
+/**
+ * Feature levels: controllers' announcements, the stored state, operators' orders and the status.
+ */
 public final class RolloutMessages {
-  /** The key that holds the {@link RolloutState}. */
+  /** The key of the state service that holds the {@link RolloutState}. */
   public static final String KEY = "rollout";
 
   private RolloutMessages() {}
 
-  /** A step in the sequence of forms and behaviours; what a fleet may use rises and falls by it. */
+  /**
+   * The number of a step in the sequence of stored forms and behaviours. A fleet uses only those of
+   * the level that is in force and of lower ones.
+   */
   public record FeatureLevel(int value) implements Comparable<FeatureLevel> {
-    /** The level of all versions from before levels existed. */
+    /** The level of all versions from before feature levels existed. */
     public static final FeatureLevel LOWEST = new FeatureLevel(0);
 
-    /** Whether this level is at least the other. */
+    /** Reports whether this level is at least as high as another. */
     public boolean includes(FeatureLevel other) {
       return value >= other.value;
     }
@@ -33,13 +38,13 @@
     }
   }
 
-  /** The levels that a version can work at. */
+  /** The feature levels that a version supports. */
   public record LevelRange(FeatureLevel lowest, FeatureLevel highest) {
-    /** The range of versions that announce nothing. */
+    /** The range assumed of versions that announce none. */
     public static final LevelRange UNANNOUNCED =
         new LevelRange(FeatureLevel.LOWEST, FeatureLevel.LOWEST);
 
-    /** Whether a version with this range can work at the level. */
+    /** Reports whether a version with this range can work at a level. */
     public boolean supports(FeatureLevel level) {
       return level.includes(lowest) && highest.includes(level);
     }
@@ -50,48 +55,56 @@
     }
   }
 
-  /** What a controller says of its version in its heartbeat. */
+  /**
+   * What a controller's heartbeat says about its version.
+   *
+   * @param build the name of the build
+   * @param supported the feature levels that the build supports
+   * @param settingsDigest a digest of the settings that all controllers have to share
+   */
   public record Announcement(String build, LevelRange supported, String settingsDigest) {}
 
-  /** Whether the level in force stays, rises, or falls. */
+  /** Whether the level in force stays, rises or falls. */
   public enum RolloutPhase {
     /** The level stays. */
     STABLE,
     /** The level rises to the target. */
     RAISING,
-    /** Records are rewritten to the forms of the target, a lower level. */
+    /** Records are rewritten into the forms of the target, which is a lower level. */
     FALLING
   }
 
-  /** What operators may ask for. */
+  /** The kinds of operators' orders on the feature level. */
   public enum OrderKind {
     /** Raise the level. */
     FINALIZE,
     /** Lower the level. */
     DOWNGRADE,
-    /** Stop a rise or fall that is under way. */
+    /** Stop a rise or fall of the level that is under way. */
     ABORT,
     /** Archive the keys of the state service. */
     ARCHIVE;
 
-    /** The order's name on the wire and on the command line. */
+    /** Returns the order's name on the wire and on the command line. */
     public String wireName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
   /**
-   * An operator's order. One {@code id} is carried out once, however often and wherever it is sent.
+   * An operator's order.
    *
-   * @param target the level asked for; negative if the order names none
+   * @param id the idempotency key: an order is carried out once, however often and to whichever
+   *     controllers it is sent
+   * @param target the level to reach; negative if the order names none
    */
   public record RolloutOrder(String id, OrderKind kind, int target) {}
 
   /**
-   * What became of an order.
+   * The outcome of an order.
    *
    * @param text the outcome for operators, one line
-   * @param archive the archive that the order is about; empty if none
+   * @param archive the id of the archive that the order is about; empty if none
    */
   public record OrderOutcome(
       String id, OrderKind kind, boolean accepted, String text, String archive) {}
@@ -99,13 +112,13 @@
   /**
    * The value of {@link #KEY}.
    *
-   * @param level what is in force: every owner must support it, since its forms may be stored
-   * @param target where a rise or fall leads; the level itself when stable
-   * @param cursor while falling, the last key that was looked at; empty before the first
-   * @param archive the newest complete archive of the keys; empty if there is none
-   * @param autoRaiseSuspended whether an operator has lowered the level or stopped a rise: it then
-   *     rises by an operator's order only
-   * @param recentOrders outcomes of the latest orders, the oldest first
+   * @param level the level in force: every owner must support it, since its forms may be stored
+   * @param target the level that a rise or fall leads to; {@code level} itself when stable
+   * @param cursor while falling, the last key that the rewriting has passed; empty before the first
+   * @param archive the id of the newest complete archive of the keys; empty if there is none
+   * @param autoRaiseSuspended whether an operator has lowered the level or stopped a rise, so that
+   *     it rises again only on an operator's order
+   * @param recentOrders the outcomes of the latest orders, the oldest first
    */
   public record RolloutState(
       RolloutPhase phase,
@@ -127,39 +140,39 @@
             false,
             List.of());
 
-    /** The highest level whose forms may be written. */
+    /** Returns the highest level whose forms may be written. */
     public FeatureLevel writeLevel() {
       return phase == RolloutPhase.FALLING ? target : level;
     }
 
-    /** The same in another phase with another target; the cursor begins anew. */
+    /** Returns this state in another phase, with another target and the cursor at the beginning. */
     public RolloutState withTarget(RolloutPhase newPhase, FeatureLevel newTarget) {
       return new RolloutState(
           newPhase, level, newTarget, "", archive, autoRaiseSuspended, recentOrders);
     }
 
-    /** The same, stable at a level. */
+    /** Returns this state, stable at a level. */
     public RolloutState stableAt(FeatureLevel newLevel) {
       return new RolloutState(
           RolloutPhase.STABLE, newLevel, newLevel, "", archive, autoRaiseSuspended, recentOrders);
     }
 
-    /** The same with another cursor. */
+    /** Returns this state with another cursor. */
     public RolloutState withCursor(String key) {
       return new RolloutState(phase, level, target, key, archive, autoRaiseSuspended, recentOrders);
     }
 
-    /** The same with another archive. */
+    /** Returns this state with another newest archive. */
     public RolloutState withArchive(String id) {
       return new RolloutState(phase, level, target, cursor, id, autoRaiseSuspended, recentOrders);
     }
 
-    /** The same, to rise by an operator's order only or by itself. */
+    /** Returns this state with automatic rises of the level suspended or allowed. */
     public RolloutState withAutoRaiseSuspended(boolean isSuspended) {
       return new RolloutState(phase, level, target, cursor, archive, isSuspended, recentOrders);
     }
 
-    /** The same with one more outcome, of which the latest {@code maxOutcomes} are kept. */
+    /** Returns this state with one more outcome; only the latest {@code maxOutcomes} are kept. */
     public RolloutState withOutcome(OrderOutcome outcome, int maxOutcomes) {
       List<OrderOutcome> all = new ArrayList<>(recentOrders);
       all.add(outcome);
@@ -170,16 +183,17 @@
   }
 
   /**
-   * The level's key as the leader tells it to the others.
+   * The stored state of the feature level, as the leader sends it to the other controllers.
    *
-   * @param revision of the key when it held this state
+   * @param revision the key's revision when it held this state
    */
   public record RolloutNotice(RolloutState state, Revision revision) {}
 
   /**
-   * A controller of the configuration, as the leader sees it.
+   * A configured controller as the leader sees it.
    *
-   * @param announcement what it supports; null if it announced nothing
+   * @param label the controller's name
+   * @param announcement what the controller has announced; null if nothing
    * @param heardMsAgo milliseconds since its last heartbeat
    * @param settingsDiffer whether its settings differ from the leader's
    */
@@ -187,13 +201,13 @@
       String label, Announcement announcement, long heardMsAgo, boolean settingsDiffer) {}
 
   /**
-   * All that an operator is told of a rollout.
+   * The status of the feature level for operators.
    *
-   * @param automatic whether the level rises by itself
-   * @param waitingFor what is in the way of a rise, one line each
-   * @param archiveUnderWay the archive that is being written; empty if none
-   * @param rewritten keys that the present fall has rewritten
-   * @param unreadable keys that it could not read
+   * @param automatic whether the settings let the level rise without an order
+   * @param waitingFor what the rise or fall waits for, one line each
+   * @param archiveUnderWay the id of the archive that is being written; empty if none
+   * @param rewritten number of keys that the current fall has rewritten
+   * @param unreadable number of keys that the current fall could not read
    */
   public record RolloutStatus(
       RolloutState state,
--- a/src/main/java/shorecrank/protocol/RolloutOrderCodec.java
+++ b/src/main/java/shorecrank/protocol/RolloutOrderCodec.java
@@ -6,7 +6,7 @@
 import shorecrank.protocol.RolloutMessages.OrderOutcome;
 import shorecrank.protocol.RolloutMessages.RolloutOrder;
 
-/** Operators' orders on the feature level, and their outcomes, as JSON. */
+/** Encodes and decodes operators' orders on the feature level, and their outcomes, as JSON. */
 public final class RolloutOrderCodec {
   private static final String ID = "id";
   private static final String KIND = "order";
@@ -15,12 +15,12 @@
   private static final String TEXT = "text";
   private static final String ARCHIVE = "archive";
 
-  /** The target of an order that names no level. */
+  /** Stands for the target of an order that names no level. */
   private static final int NO_LEVEL = -1;
 
   private RolloutOrderCodec() {}
 
-  /** An order as the client sends it. */
+  /** Writes an order as the client sends it. */
   public static ObjectNode write(RolloutOrder order) {
     ObjectNode message = Json.object().put(ID, order.id()).put(KIND, order.kind().wireName());
     return order.target() < 0 ? message : message.put(LEVEL, order.target());
@@ -40,7 +40,7 @@
     return new RolloutOrder(id, kind, target);
   }
 
-  /** An order's outcome, as it stands in the key and as the client gets it. */
+  /** Writes an order's outcome, as it is stored and as the client receives it. */
   public static ObjectNode writeOutcome(OrderOutcome outcome) {
     return Json.object()
         .put(ID, outcome.id())
@@ -53,7 +53,8 @@
   /**
    * Reads an order's outcome.
    *
-   * @throws MalformedMessageException if it has no id or verdict, or is of no known kind
+   * @throws MalformedMessageException if it has no id, does not say whether the order was accepted,
+   *     or is of no known kind
    */
   static OrderOutcome readOutcome(JsonNode message) throws MalformedMessageException {
     OrderKind kind = readKind(message.path(KIND));
--- a/src/main/java/shorecrank/protocol/ShardDemandCodec.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandCodec.java
@@ -15,7 +15,8 @@
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 
 /**
- * A shard's demand as JSON, a part of heartbeats. Lists hold arrays, whose fields have no names.
+ * Encodes and decodes a shard's demand, a part of heartbeats, as JSON. The elements of its lists
+ * are arrays instead of objects, so each value is known by its position.
  */
 final class ShardDemandCodec {
   private static final String CAPACITY = "capacity";
@@ -34,7 +35,7 @@
 
   private ShardDemandCodec() {}
 
-  /** A demand as JSON. */
+  /** Writes a demand as JSON. */
   static ObjectNode write(ShardDemand demand) {
     ObjectNode message = Json.object();
     message.put(CAPACITY, demand.capacity()).put(RUNNING, demand.running());
@@ -61,8 +62,10 @@
   }
 
   /**
-   * Reads a demand; empty if there is none or it is malformed: the shard then neither gives nor
-   * gets machines.
+   * Reads a demand.
+   *
+   * @return the demand, or empty if there is none or it is malformed; the shard then neither gives
+   *     nor gets machines
    */
   static Optional<ShardDemand> read(JsonNode message) {
     if (!message.isObject()) {
--- a/src/main/java/shorecrank/protocol/ShardDemandMessages.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandMessages.java
@@ -5,48 +5,50 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.MoveId;
 
-/** What owners report to the leader of their shards' demand for machines. */
+/** What shard owners report to the leader about their shards' demand for machines. */
 public final class ShardDemandMessages {
   private ShardDemandMessages() {}
 
   /**
-   * A machine that a shard could give up.
+   * A machine that the shard could give up.
    *
-   * @param emptyInS in how many seconds it would be empty
+   * @param cpus the machine's processors
+   * @param emptyInS seconds after which it is expected to be empty
    */
   public record DrainCandidate(MachineName machine, double cpus, double emptyInS) {}
 
-  /** What keeps a machine from being handed over. */
+  /** Why a machine that is to be handed over has not been handed over yet. */
   public enum DrainState {
     /** Tasks run on it, or records that may name it are not settled. */
     DRAINING,
-    /** Its worker is not heard. */
+    /** Heartbeats of its worker are overdue. */
     SILENT,
-    /** The cloud takes it back. */
+    /** The cloud has announced that it takes the machine back. */
     NOTICED
   }
 
   /**
-   * How far a machine is that is to be handed over.
+   * The progress of emptying a machine that is to be handed over.
    *
-   * @param tasks those that it still holds
-   * @param emptyInS in how many seconds they should have ended
+   * @param tasks number of tasks that the machine still holds
+   * @param emptyInS seconds after which these tasks are expected to have ended
    */
   public record DrainProgress(MoveId move, DrainState state, int tasks, double emptyInS) {}
 
   /**
-   * What a shard has, needs and could give up. Amounts are processors.
+   * What a shard has, needs and could give up. Amounts are numbers of processors.
    *
-   * @param capacity of the machines that it may place tasks on
-   * @param running taken by tasks
-   * @param waiting asked for by waiting tasks within their teams' limits, by priority, the highest
-   *     first
-   * @param guaranteed of what runs and waits, the part within its teams' guarantees
-   * @param oldestWaitS since when the oldest job without any task waits, in seconds
-   * @param usableOffers machines that waiting tasks could run on
-   * @param candidates machines that it could give up, the soonest empty first
-   * @param draining machines that are to be handed over
-   * @param arrived orders whose machine has come and is heard
+   * @param capacity processors of the machines on which the shard may place tasks
+   * @param running processors that tasks use
+   * @param waiting processors that queued tasks within their teams' limits need, one element per
+   *     priority from the highest to the lowest
+   * @param guaranteed of the processors that tasks use or wait for, those within the teams'
+   *     guarantees
+   * @param oldestWaitS seconds for which the oldest job without any started task has waited
+   * @param usableOffers offers of machines that queued tasks could run on
+   * @param candidates machines that the shard could give up, the soonest empty first
+   * @param draining machines that are being emptied to be handed over
+   * @param arrived moves whose machine has come to this shard and sends heartbeats to its owner
    */
   public record ShardDemand(
       double capacity,
@@ -59,7 +61,7 @@
       List<DrainProgress> draining,
       List<MoveId> arrived) {
 
-    /** The processors that all waiting tasks ask for, whatever their priority. */
+    /** Returns the processors that queued tasks of all priorities need. */
     public double totalWaiting() {
       return waiting.stream().mapToDouble(Double::doubleValue).sum();
     }
--- a/src/main/java/shorecrank/protocol/ShareOrderCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareOrderCodec.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.ShareOrderMessages.SetShare;
 import shorecrank.protocol.ShareOrderMessages.ShareOrder;
 
-/** Operators' orders on shares and moves as JSON. */
+/** Encodes and decodes operators' orders on shares and moves as JSON. */
 public final class ShareOrderCodec {
   private static final String ID = "id";
   private static final String DRY_RUN = "dryRun";
@@ -40,7 +40,7 @@
 
   private ShareOrderCodec() {}
 
-  /** An order as the client sends it. */
+  /** Writes an order as the client sends it. */
   public static ObjectNode write(ShareOrder order) {
     ObjectNode message = Json.object().put(ID, order.id()).put(DRY_RUN, order.dryRun());
     if (order instanceof SetShare set) {
@@ -124,7 +124,10 @@
         id, dryRun, machines, from, count, Fields.readShardId(message.path(TO), TO));
   }
 
-  /** Null if there is none; it may be negative, which the order's handler refuses with a reason. */
+  /**
+   * Reads a number; null if the field is absent. A negative number is left to the order's handler,
+   * which refuses it with a reason for the operator.
+   */
   private static Double readNumberOrNull(JsonNode message, String field)
       throws MalformedMessageException {
     JsonNode value = message.path(field);
--- a/src/main/java/shorecrank/protocol/ShareOrderMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareOrderMessages.java
@@ -5,40 +5,48 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Operators' orders on shares and moves. */
+/** Operators' orders on teams' shares and on moves of machines between shards. */
 public final class ShareOrderMessages {
   private ShareOrderMessages() {}
 
-  /** What an operator asks for. */
+  /** An operator's order. */
   public sealed interface ShareOrder permits SetShare, MoveMachines, AbortMoves {
-    /** The order's id: under one id an order is carried out once. */
+    /** Returns the order's idempotency key: an order is carried out once under one id. */
     String id();
 
-    /** Whether only the plan is asked for. */
+    /** Reports whether the operator only wants to see what the order would do. */
     boolean dryRun();
   }
 
-  /** Sets a team's share, in processors and weight; what is null stays as it is. */
+  /**
+   * Sets a team's share; what is null stays unchanged.
+   *
+   * @param weight the factor by which the team's demand counts
+   * @param minCpus processors that the team's shard keeps
+   * @param maxCpus processors that the team's shard gets at most; 0 for no limit
+   */
   public record SetShare(
       String id, boolean dryRun, String team, Double weight, Double minCpus, Double maxCpus)
       implements ShareOrder {}
 
   /**
-   * Moves machines to a shard: those named, or so many of another shard.
+   * Moves machines to a shard, either named ones or a number of another shard's machines.
    *
-   * @param machines the machines named; empty if a number is given
-   * @param from the shard that gives them; null if machines are named
-   * @param count how many; 0 if machines are named
+   * @param machines the machines' names; empty if a number is given
+   * @param from the shard that gives up the machines; null if they are named
+   * @param count the number of machines; 0 if they are named
+   * @param to the shard that gets the machines
    */
   public record MoveMachines(
       String id, boolean dryRun, List<MachineName> machines, ShardId from, int count, ShardId to)
       implements ShareOrder {}
 
   /**
-   * Aborts a move, all of an order, or all that are under way.
+   * Aborts one move, all moves of an order, or all moves under way.
    *
    * @param move the move; {@link MoveId#NONE} if none is named
-   * @param order the order whose moves are aborted; empty if none is named
+   * @param order the id of the order whose moves are aborted; empty if none is named
+   * @param all whether to abort all moves under way
    */
   public record AbortMoves(String id, boolean dryRun, MoveId move, String order, boolean all)
       implements ShareOrder {}
--- a/src/main/java/shorecrank/protocol/ShareStateCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStateCodec.java
@@ -14,7 +14,7 @@
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.protocol.ShareStateMessages.TeamShare;
 
-/** The value of the shares' key as JSON. */
+/** Encodes and decodes the value of the key that holds shares and moves, as JSON. */
 public final class ShareStateCodec {
   static final String MOVES = "moves";
   static final String ENDED = "ended";
@@ -35,7 +35,7 @@
   private static final String ACCEPTED = "accepted";
   private static final String TEXT = "text";
 
-  /** The form of the value; another one is not read. */
+  /** Version of the stored value's format; values of other versions are not read. */
   private static final long FORMAT_VERSION = 1;
 
   private static final int MAX_ELEMENTS = 4096;
@@ -43,7 +43,7 @@
 
   private ShareStateCodec() {}
 
-  /** The key's value as JSON. */
+  /** Writes the key's value as JSON. */
   public static ObjectNode write(SharesState state) {
     ObjectNode value = Json.object().put(FORMAT, FORMAT_VERSION);
     value.put(SHARDS, state.shards()).put(NEXT_MOVE, state.nextMove());
@@ -58,7 +58,7 @@
     return value;
   }
 
-  /** Many moves are to fit into one value, so their fields have no names there. */
+  /** Writes a move as an array without field names, so that many moves fit into one value. */
   private static ArrayNode writeColumns(Move move) {
     ArrayNode columns = Json.array().add(move.id().value()).add(move.machine().value());
     columns.add(move.from().value()).add(move.to().value()).add(move.assignmentEpoch().value());
@@ -66,7 +66,7 @@
     return columns.add(move.beganMs()).add(move.reason());
   }
 
-  /** A team's share as JSON. */
+  /** Writes a team's share as JSON. */
   static ObjectNode writeTeamShare(TeamShare share) {
     return Json.object()
         .put(TEAM, share.team())
@@ -75,7 +75,7 @@
         .put(MAX_CPUS, share.maxCpus());
   }
 
-  /** An order's outcome, as it stands in the key and as the client gets it. */
+  /** Writes an order's outcome, as it is stored and as the client receives it. */
   public static ObjectNode writeOutcome(ShareOutcome outcome) {
     ObjectNode object =
         Json.object().put(ORDER_ID, outcome.id()).put(CONTENT, outcome.contentDigest());
@@ -85,7 +85,11 @@
     return object;
   }
 
-  /** Reads the key's value; empty if it is not of this form, or holds what no version writes. */
+  /**
+   * Reads the key's value.
+   *
+   * @return the state, or empty if the value has another format or holds what no version writes
+   */
   public static Optional<SharesState> read(JsonNode value) {
     try {
       return Optional.of(readChecked(value));
--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -8,45 +8,47 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Shards' shares and the moves of machines between them, as the state service keeps them. */
+/** Teams' shares and the moves of machines between shards, as the state service stores them. */
 public final class ShareStateMessages {
-  /** The key that holds the {@link SharesState}. */
+  /** The key of the state service that holds the {@link SharesState}. */
   public static final String KEY = "shares";
 
   private ShareStateMessages() {}
 
-  /** How far a move is. */
+  /** The phase of a move. */
   public enum MovePhase {
-    /** Written down; the owner may not know of it yet. */
+    /** Stored; the owner of the shard that gives up the machine may not know of the move yet. */
     REQUESTED,
-    /** The owner places nothing on the machine any more. */
+    /** That owner no longer places tasks on the machine. */
     DRAINING,
-    /** Assigned to the other shard, whose owner has not heard the machine yet. */
+    /**
+     * The machine is assigned to the other shard, whose owner has not received its heartbeats yet.
+     */
     HANDED_OVER,
-    /** The other owner hears the machine. */
+    /** The other shard's owner receives the machine's heartbeats. */
     DONE,
-    /** Ended before that; the reason says why. */
+    /** Ended before it was done; {@link Move#reason} says why. */
     ABORTED;
 
-    /** The name in the state service and for operators. */
+    /** Returns the phase's name in the state service and for operators. */
     public String wireName() {
       return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Whether nothing more happens to the move. */
+    /** Reports whether the move has ended. */
     public boolean isEnd() {
       return this == DONE || this == ABORTED;
     }
   }
 
   /**
-   * The passage of a machine from one shard to another.
+   * A move of a machine from one shard to another.
    *
-   * @param assignmentEpoch the epoch of the machine's assignment when the move began: its fencing
-   *     token
-   * @param order the operator's order that asked for it; empty if demand did
-   * @param beganMs the time of day at which it was written down, in milliseconds
-   * @param reason why it ended, if it was aborted; else empty
+   * @param assignmentEpoch the epoch of the machine's assignment when the move began; a changed
+   *     epoch shows that the machine has been reassigned since
+   * @param order the id of the operator's order that requested the move; empty if demand did
+   * @param beganMs when the move was stored, in milliseconds since 1970
+   * @param reason why the move was aborted; empty if it was not
    */
   public record Move(
       MoveId id,
@@ -59,12 +61,12 @@
       long beganMs,
       String reason) {
 
-    /** This move in another phase. */
+    /** Returns this move in another phase. */
     public Move withPhase(MovePhase newPhase) {
       return new Move(id, machine, from, to, assignmentEpoch, newPhase, order, beganMs, reason);
     }
 
-    /** This move, ended before its machine was handed over, or heard. */
+    /** Returns this move in the phase {@link MovePhase#ABORTED}. */
     public Move aborted(String abortReason) {
       return new Move(
           id, machine, from, to, assignmentEpoch, MovePhase.ABORTED, order, beganMs, abortReason);
@@ -72,20 +74,20 @@
   }
 
   /**
-   * A team's share as an operator sets it; it replaces that of the settings file.
+   * A team's share as an operator has set it; it replaces the share in the settings file.
    *
-   * @param weight of its need beside others'
-   * @param minCpus processors that its shard keeps
-   * @param maxCpus processors that its shard gets at the most; 0 for no bound
+   * @param weight the factor by which the team's demand counts
+   * @param minCpus processors that the team's shard keeps
+   * @param maxCpus processors that the team's shard gets at most; 0 for no limit
    */
   public record TeamShare(String team, double weight, double minCpus, double maxCpus) {}
 
   /**
-   * What became of an order.
+   * The outcome of an order.
    *
-   * @param contentDigest a digest of what was ordered: the same id with other content is refused
+   * @param contentDigest a digest of the order: another order with the same id is refused
    * @param text the outcome for operators, one line
-   * @param moves the moves that the order began, or is about
+   * @param moves the moves that the order began or concerns
    */
   public record ShareOutcome(
       String id, String contentDigest, boolean accepted, String text, List<MoveId> moves) {}
@@ -93,11 +95,12 @@
   /**
    * The value of {@link #KEY}.
    *
-   * @param shards the number of shards by which jobs and machines were assigned; 0 if not known
-   * @param nextMove the number of the next move; none is used twice
+   * @param shards the number of shards in force when jobs and machines were assigned; 0 if unknown
+   * @param nextMove the id of the next move; no id is used twice
    * @param active moves that are under way
-   * @param ended the latest that ended, the oldest first
-   * @param recentOrders outcomes of the latest orders, the oldest first
+   * @param ended the moves that ended last, the oldest first
+   * @param teams the shares that operators have set
+   * @param recentOrders the outcomes of the latest orders, the oldest first
    */
   public record SharesState(
       int shards,
@@ -110,7 +113,7 @@
     public static final SharesState INITIAL =
         new SharesState(0, 1, List.of(), List.of(), List.of(), List.of());
 
-    /** The active move of a machine; null if there is none. */
+    /** Returns the active move of a machine; null if there is none. */
     public Move activeMoveOf(MachineName machine) {
       for (Move move : active) {
         if (move.machine.equals(machine)) {
@@ -120,18 +123,21 @@
       return null;
     }
 
-    /** The same with other moves under way. */
+    /** Returns this state with other active moves. */
     public SharesState withActiveMoves(List<Move> activeMoves) {
       return new SharesState(
           shards, nextMove, List.copyOf(activeMoves), ended, teams, recentOrders);
     }
 
-    /** The same of a fleet with so many shards. */
+    /** Returns this state with another number of shards. */
     public SharesState withShards(int shardCount) {
       return new SharesState(shardCount, nextMove, active, ended, teams, recentOrders);
     }
 
-    /** The same with moves that begin; their numbers follow each other from the next. */
+    /**
+     * Returns this state with additional active moves, whose ids must follow each other from {@code
+     * nextMove}.
+     */
     public SharesState withNewMoves(List<Move> newMoves) {
       List<Move> all = new ArrayList<>(active);
       all.addAll(newMoves);
@@ -140,9 +146,10 @@
     }
 
     /**
-     * The same with a move in another phase.
+     * Returns this state with an active move replaced by the move with the same id. A move whose
+     * new phase is an end goes to the ended ones.
      *
-     * @param maxEnded how many of the moves that ended are kept
+     * @param maxEnded how many ended moves are kept
      */
     public SharesState withUpdatedMove(Move changed, int maxEnded) {
       List<Move> moves = new ArrayList<>(active);
@@ -156,14 +163,14 @@
           shards, nextMove, List.copyOf(moves), latest(nowEnded, maxEnded), teams, recentOrders);
     }
 
-    /** The same with one more outcome, of which the latest {@code maxOutcomes} are kept. */
+    /** Returns this state with one more outcome; only the latest {@code maxOutcomes} are kept. */
     public SharesState withOutcome(ShareOutcome outcome, int maxOutcomes) {
       List<ShareOutcome> all = new ArrayList<>(recentOrders);
       all.add(outcome);
       return new SharesState(shards, nextMove, active, ended, teams, latest(all, maxOutcomes));
     }
 
-    /** The same with a team's share as an operator wants it. */
+    /** Returns this state with a team's share set or replaced. */
     public SharesState withTeamShare(TeamShare share) {
       List<TeamShare> all = new ArrayList<>(teams);
       all.removeIf(other -> other.team.equals(share.team));
@@ -171,7 +178,7 @@
       return new SharesState(shards, nextMove, active, ended, List.copyOf(all), recentOrders);
     }
 
-    /** The last {@code max} of a list. */
+    /** Returns the last {@code max} elements of a list, or all if it has fewer. */
     public static <T> List<T> latest(List<T> list, int max) {
       return List.copyOf(list.subList(Math.max(0, list.size() - max), list.size()));
     }
--- a/src/main/java/shorecrank/protocol/ShareStatusCodec.java
+++ b/src/main/java/shorecrank/protocol/ShareStatusCodec.java
@@ -7,7 +7,7 @@
 import shorecrank.protocol.ShareStatusMessages.ShardStatus;
 import shorecrank.protocol.ShareStatusMessages.SharesStatus;
 
-/** The shares' status as JSON, for operators. */
+/** Encodes the status of shares and moves for operators as JSON. */
 public final class ShareStatusCodec {
   private static final String MOVES_ALLOWED = "moving";
   private static final String REASON = "reason";
@@ -35,7 +35,7 @@
 
   private ShareStatusCodec() {}
 
-  /** The status as JSON. */
+  /** Writes the status as JSON. */
   public static ObjectNode write(SharesStatus status) {
     ObjectNode message = Json.object();
     message.put(MOVES_ALLOWED, status.movesAllowed()).put(REASON, status.reason());
--- a/src/main/java/shorecrank/protocol/ShareStatusMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStatusMessages.java
@@ -5,15 +5,20 @@
 import shorecrank.protocol.ShareStateMessages.Move;
 import shorecrank.protocol.ShareStateMessages.TeamShare;
 
-/** What operators are shown of shares and moves. */
+/** The status of shares and moves for operators. */
 public final class ShareStatusMessages {
   private ShareStatusMessages() {}
 
   /**
-   * A shard as the leader sees it; amounts are processors.
+   * A shard as the leader sees it.
    *
-   * @param machines the number of its machines
-   * @param target the processors that it should have
+   * @param owner the name of the controller that owns it
+   * @param machines number of its machines
+   * @param cpus processors of its machines
+   * @param target processors that it should have
+   * @param running processors that its tasks use
+   * @param waiting processors that its queued tasks need
+   * @param teams the teams that belong to the shard
    */
   public record ShardStatus(
       ShardId shard,
@@ -26,20 +31,22 @@
       List<String> teams) {}
 
   /**
-   * A move under way.
+   * A move that is under way.
    *
-   * @param ageS seconds since it began
-   * @param waitsFor what is in its way
+   * @param ageS seconds since the move began
+   * @param waitsFor what the move waits for
    */
   public record MoveStatus(Move move, double ageS, String waitsFor) {}
 
   /**
-   * All that an operator is told.
+   * The whole status.
    *
-   * @param movesAllowed whether the leader begins moves by itself
-   * @param reason why it does not; else empty
-   * @param medianMs median duration of the moves that are done, in milliseconds
-   * @param p99Ms 99th percentile of that, in milliseconds
+   * @param movesAllowed whether moves may begin now
+   * @param reason why moves may not begin; empty if they may
+   * @param active moves that are under way
+   * @param ended the moves that ended last, the oldest first
+   * @param medianMs median duration of the completed moves, in milliseconds
+   * @param p99Ms 99th percentile of the durations of the completed moves, in milliseconds
    */
   public record SharesStatus(
       boolean movesAllowed,
--- a/src/main/java/shorecrank/protocol/StatusQueryCodec.java
+++ b/src/main/java/shorecrank/protocol/StatusQueryCodec.java
@@ -15,9 +15,11 @@
 import shorecrank.protocol.UserMessages.JobState;
 import shorecrank.protocol.UserMessages.JobStatus;
 
-/** Status queries to a shard's owner, which ask where jobs stand, and their answers as JSON. */
+/**
+ * Encodes and decodes queries to a shard's owner for jobs' statuses, and their answers, as JSON.
+ */
 public final class StatusQueryCodec {
-  /** How many jobs one query asks for at most. */
+  /** Maximum number of jobs in one query. */
   public static final int MAX_JOBS = 400;
 
   private static final String STATUSES = "told";
@@ -28,7 +30,7 @@
 
   private StatusQueryCodec() {}
 
-  /** Asks a shard's owner where jobs stand now. */
+  /** Writes a query for the current statuses of a shard's jobs. */
   public static ObjectNode writeQuery(ShardId shard, Collection<JobId> jobs) {
     ObjectNode message = Json.object().put(PeerFields.SHARD, shard.value());
     ArrayNode ids = message.putArray(PeerFields.JOB_IDS);
@@ -37,8 +39,8 @@
   }
 
   /**
-   * Reads a query: the first {@link #MAX_JOBS} of its jobs, and as its shard a number that none has
-   * if the message names none.
+   * Reads a query. Only the first {@link #MAX_JOBS} of its jobs are read; if the query names no
+   * shard, the shard's number is -1, which no shard has.
    */
   public static StatusQuery readQuery(JsonNode message) {
     List<JobId> jobs = new ArrayList<>();
@@ -51,9 +53,10 @@
   }
 
   /**
-   * Answers a query.
+   * Writes the answer to a query.
    *
-   * @param statuses only those that were found current in the store while the query was open
+   * @param statuses only statuses that were found to be current in the state service after the
+   *     query arrived
    */
   public static ObjectNode writeAnswer(Map<JobId, JobStatus> statuses) {
     ObjectNode message = Json.object();
@@ -69,7 +72,9 @@
     return message;
   }
 
-  /** The statuses in an answer, without those whose state is not known. */
+  /**
+   * Reads the statuses in an answer; jobs in a state that this version does not know are left out.
+   */
   public static Map<JobId, JobStatus> readAnswer(JsonNode message) {
     Map<JobId, JobStatus> statuses = new HashMap<>();
     for (JsonNode status : message.path(STATUSES)) {
--- a/src/main/java/shorecrank/protocol/StoreCodec.java
+++ b/src/main/java/shorecrank/protocol/StoreCodec.java
@@ -10,7 +10,10 @@
 import shorecrank.protocol.StoreMessages.Change;
 import shorecrank.protocol.StoreMessages.Entry;
 
-/** Answers of the state service as JSON, and requests that are no transactions. */
+/**
+ * Encodes and decodes the messages exchanged with the state service as JSON, except transactions,
+ * which {@link StoreMessages.Transaction} encodes.
+ */
 public final class StoreCodec {
   static final String KEY = "k";
   static final String VALUE = "data";
@@ -30,22 +33,25 @@
 
   private StoreCodec() {}
 
-  /** Asks for a grant that runs for so many milliseconds unless it is renewed. */
+  /**
+   * Writes a request for a grant that expires after {@code ttlMs} milliseconds unless it is
+   * renewed.
+   */
   public static ObjectNode writeGrantRequest(long ttlMs) {
     return Json.object().put(TTL_MS, ttlMs);
   }
 
-  /** The id of a new grant; negative if the answer holds none. */
+  /** Reads the id of a new grant; -1 if the answer holds none. */
   public static long readGrantId(JsonNode answer) {
     return Json.countOrMinusOne(answer.path(GRANT_ID));
   }
 
-  /** The service's revision at the time of an answer; negative if it holds none. */
+  /** Reads the state service's revision at the time of an answer; -1 if the answer holds none. */
   public static long readRevision(JsonNode answer) {
     return Json.countOrMinusOne(answer.path(STORE_REVISION));
   }
 
-  /** A key that was read. */
+  /** Reads a key with its value. */
   public static Entry readEntry(JsonNode answer) {
     return new Entry(
         Json.text(answer.path(KEY)),
@@ -54,26 +60,29 @@
         answer.path(GRANT_ID).asLong());
   }
 
-  /** One page of a list. */
+  /** Reads one page of a list of keys. */
   public static List<Entry> readEntries(JsonNode answer) {
     List<Entry> entries = new ArrayList<>();
     answer.path(ENTRIES).forEach(entry -> entries.add(readEntry(entry)));
     return entries;
   }
 
-  /** Whether another page of the list follows. */
+  /** Reports whether another page of the list follows. */
   public static boolean hasMore(JsonNode answer) {
     return answer.path(HAS_MORE).asBoolean(false);
   }
 
-  /** The keys whose guards refused a transaction. */
+  /** Reads the keys whose guards made a transaction fail. */
   public static Set<String> readFailedKeys(JsonNode answer) {
     Set<String> keys = new HashSet<>();
     answer.path(FAILED_KEYS).forEach(key -> keys.add(key.asText()));
     return keys;
   }
 
-  /** The changes that a watch has seen, in their order; elements of other kinds are left out. */
+  /**
+   * Reads the changes that a watch reports, in their order; kinds of changes that this version does
+   * not know are left out.
+   */
   public static List<Change> readChanges(JsonNode answer) {
     List<Change> changes = new ArrayList<>();
     for (JsonNode change : answer.path(CHANGES)) {
--- a/src/main/java/shorecrank/protocol/StoreMessages.java
+++ b/src/main/java/shorecrank/protocol/StoreMessages.java
@@ -5,14 +5,20 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import shorecrank.protocol.Ids.Revision;
 
-/** What the state service holds, and transactions on it. */
+/** Keys, values and changes of the state service, and transactions on it. */
 public final class StoreMessages {
-  /** A transaction is filled up to here: the service takes 64 KiB, guards included. */
+  /**
+   * Size up to which a transaction is filled, in bytes. The state service accepts 64 KiB including
+   * guards; the rest is a margin.
+   */
   public static final int MAX_BATCH_BYTES = 56 * 1024;
 
   private StoreMessages() {}
 
-  /** Whether a status says that the request was not carried out and never will be. */
+  /**
+   * Reports whether an HTTP status shows that the request was not carried out and will not be
+   * later. Any other failure leaves open whether it was.
+   */
   public static boolean isNotCarriedOut(int status) {
     return status == HttpStatus.BAD_REQUEST
         || status == HttpStatus.CONFLICT
@@ -23,40 +29,43 @@
   /**
    * A key and its value.
    *
-   * @param revision of the key's last change
+   * @param revision the revision of the key's last change
    * @param grantId the grant that the key is attached to and is removed with; 0 if none
    */
   public record Entry(String key, JsonNode value, Revision revision, long grantId) {}
 
   /**
-   * A change that a watch has seen.
+   * A change that a watch reports.
    *
-   * @param value null if the key was deleted
+   * @param value the new value; null if the key was deleted
    */
   public record Change(String key, JsonNode value, Revision revision) {}
 
   /**
-   * A transaction while it is put together. It is carried out as a whole, if every guard holds, or
-   * not at all. Not safe for use by several threads.
+   * A transaction under construction. The state service applies all its operations if every guard
+   * holds, and none otherwise. Not thread-safe.
    */
   public static final class Transaction {
     private final ObjectNode body = Json.object();
     private final ArrayNode guards = body.putArray(StoreCodec.GUARDS);
     private final ArrayNode operations = body.putArray(StoreCodec.OPERATIONS);
 
-    /** Requires a key's revision; {@link Revision#ABSENT} requires that it does not exist. */
+    /**
+     * Requires that a key's revision is {@code revision}; {@link Revision#ABSENT} requires that the
+     * key does not exist.
+     */
     public Transaction guard(String key, Revision revision) {
       guards.addObject().put(StoreCodec.KEY, key).put(StoreCodec.REVISION, revision.value());
       return this;
     }
 
-    /** Writes a key's value and detaches it from its grant. */
+    /** Writes a key's value and detaches the key from its grant. */
     public Transaction write(String key, JsonNode value) {
       operations.addObject().put(StoreCodec.WRITE, key).set(StoreCodec.VALUE, value);
       return this;
     }
 
-    /** Writes a key's value and attaches it to a grant. */
+    /** Writes a key's value and attaches the key to a grant. */
     public Transaction write(String key, JsonNode value, long grantId) {
       ObjectNode operation = operations.addObject();
       operation.put(StoreCodec.WRITE, key).put(StoreCodec.GRANT_ID, grantId);
@@ -70,12 +79,12 @@
       return this;
     }
 
-    /** The number of writes and deletions. */
+    /** Returns the number of writes and deletions. */
     public int operationCount() {
       return operations.size();
     }
 
-    /** The request's body. */
+    /** Returns the body of the request that carries out the transaction. */
     public ObjectNode body() {
       return body;
     }
--- a/src/main/java/shorecrank/protocol/StorePaths.java
+++ b/src/main/java/shorecrank/protocol/StorePaths.java
@@ -2,26 +2,30 @@
 
 /** Paths of requests to the state service. */
 public final class StorePaths {
-  /** Carries out a transaction. */
+  /** Path of transactions. */
   public static final String TRANSACTION = "/multi";
 
-  /** Begins a grant: a time-limited hold on keys, which are removed when it ends. */
+  /**
+   * Path of requests for grants. A grant is a time-limited hold on keys, which are removed when it
+   * ends.
+   */
   public static final String GRANTS = "/grants";
 
   private static final String STORE = "/store";
 
   private StorePaths() {}
 
-  /** Reads a key. */
+  /** Returns the path that reads a key. */
   public static String key(String key) {
     return STORE + "/" + key;
   }
 
   /**
-   * Lists keys and values in the order of keys.
+   * Returns the path that lists keys and values in the order of the keys.
    *
-   * @param after the key behind which the page begins; empty for the first page
-   * @param limit how many entries the page holds at most
+   * @param prefix the prefix of the listed keys
+   * @param after the last key of the page before; empty for the first page
+   * @param limit the maximum number of entries on the page
    */
   public static String list(String prefix, String after, int limit) {
     String from = after.isEmpty() ? "" : "&from=" + after;
@@ -29,21 +33,22 @@
   }
 
   /**
-   * Waits for changes of keys.
+   * Returns the path that waits for changes of keys.
    *
-   * @param from the revision behind which changes are wanted
-   * @param holdMs how long the service waits for one, in milliseconds
+   * @param prefix the prefix of the watched keys
+   * @param from the revision after which changes are reported
+   * @param holdMs how long the state service waits for a change, in milliseconds
    */
   public static String watch(String prefix, long from, long holdMs) {
     return "/changes?prefix=" + prefix + "&from=" + from + "&holdMs=" + holdMs;
   }
 
-  /** A grant, to be ended. */
+  /** Returns the path of a grant, by which it is ended. */
   public static String grant(long grantId) {
     return GRANTS + "/" + grantId;
   }
 
-  /** A grant's renewal. */
+  /** Returns the path that renews a grant. */
   public static String grantRenewal(long grantId) {
     return grant(grantId) + "/touch";
   }
--- a/src/main/java/shorecrank/protocol/WorkerCommandCodec.java
+++ b/src/main/java/shorecrank/protocol/WorkerCommandCodec.java
@@ -11,7 +11,7 @@
 import shorecrank.protocol.WorkerMessages.Stop;
 import shorecrank.protocol.WorkerMessages.WorkerCommand;
 
-/** Answers to workers' heartbeats, and direct commands, as JSON. */
+/** Encodes the answers to workers' heartbeats, and direct commands to workers, as JSON. */
 public final class WorkerCommandCodec {
   private static final String TOKEN = "epoch";
   private static final String INCARNATION = "tenure";
@@ -24,12 +24,18 @@
 
   private WorkerCommandCodec() {}
 
-  /** The answer to a heartbeat: it renews the worker's lease and holds commands in order. */
+  /**
+   * Writes the answer to a heartbeat, which renews the worker's lease and holds commands in the
+   * order in which the worker is to carry them out.
+   */
   public static ObjectNode writeAnswer(FencingToken token, List<WorkerCommand> commands) {
     return putCommands(Json.object().put(TOKEN, token.value()), commands);
   }
 
-  /** Direct commands, which the worker takes only in this incarnation and under this token. */
+  /**
+   * Writes direct commands. The worker accepts them only in this incarnation and if the token is
+   * not below the highest that it has seen.
+   */
   public static ObjectNode writeDirect(
       FencingToken token, Incarnation incarnation, List<WorkerCommand> commands) {
     ObjectNode message = Json.object().put(TOKEN, token.value());
@@ -61,9 +67,9 @@
   }
 
   /**
-   * The answer to a heartbeat that belongs to another controller.
+   * Writes the answer to a heartbeat that has to go to another controller.
    *
-   * @param owner the owner of the worker's shard; null if it is not known
+   * @param owner the owner of the worker's shard; null if unknown
    */
   public static ObjectNode writeRedirect(ControllerName owner) {
     ObjectNode message = Json.object();
--- a/src/main/java/shorecrank/protocol/WorkerHeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/WorkerHeartbeatCodec.java
@@ -15,7 +15,7 @@
 import shorecrank.protocol.WorkerMessages.TaskStatus;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
-/** Workers' heartbeats as JSON. */
+/** Decodes workers' heartbeats from JSON. */
 public final class WorkerHeartbeatCodec {
   private static final String MACHINE = "host";
   private static final String TYPE = "hosttype";
@@ -33,12 +33,18 @@
   private static final String STATE = "phase";
   private static final String EXIT_REASON = "cause";
 
-  /** Machines' names are parts of keys, which hold 200 bytes at most. */
+  /**
+   * Maximum length of a machine's name in characters. Names are parts of keys of the state service,
+   * which may have 200 bytes.
+   */
   private static final int MAX_MACHINE_NAME = 150;
 
   private static final double NO_RECLAIM_NOTICE = -1;
 
-  /** Host names are not looked up. */
+  /**
+   * Form of a worker's address. Host names are not accepted, because controllers do not resolve
+   * them.
+   */
   private static final Pattern IP_ADDRESS_AND_PORT =
       Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[1-9][0-9]{0,4}");
 
@@ -92,7 +98,10 @@
     return new MachineName(name);
   }
 
-  /** Empty if the text is no address: commands then go in answers only. */
+  /**
+   * Returns the address, or an empty text if it is not an IP address and port. Commands then reach
+   * the worker only in answers to its heartbeats.
+   */
   private static String readAddressOrEmpty(String text) {
     if (!IP_ADDRESS_AND_PORT.matcher(text).matches()) {
       return "";
@@ -138,7 +147,7 @@
     };
   }
 
-  /** A reason that this version does not know counts as a failure. */
+  /** Reads why an attempt exited; a reason that this version does not know counts as a failure. */
   private static ExitReason readExitReason(JsonNode value) {
     return switch (Json.text(value)) {
       case "done" -> ExitReason.DONE;
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -6,14 +6,16 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.TaskAttemptId;
 
-/** Workers' heartbeats and the commands that workers are given. */
+/** Workers' heartbeats and the commands to workers. */
 public final class WorkerMessages {
-  /** Where a worker takes commands outside the answers to its heartbeats. */
+  /**
+   * Path on the worker's address that receives direct commands, those outside heartbeat answers.
+   */
   public static final String DIRECT_COMMANDS_PATH = "/orders";
 
   private WorkerMessages() {}
 
-  /** The state of an attempt on its machine. */
+  /** The state of a task's attempt on its machine. */
   public enum TaskState {
     /** The machine does not have the task's image yet. */
     WAITING_FOR_IMAGE,
@@ -29,34 +31,37 @@
   public enum ExitReason {
     /** The task is complete. */
     DONE,
-    /** It was stopped by a command. */
+    /** A command stopped the task. */
     STOPPED,
-    /** It failed. */
+    /** The task failed. */
     ERROR,
-    /** Its start was refused: not enough is free on the machine. */
+    /** The start was refused: the machine does not have enough free resources. */
     INSUFFICIENT_RESOURCES,
-    /** Its start was refused: the machine has another attempt of the task. */
+    /** The start was refused: the machine holds another attempt of the task. */
     BUSY,
-    /** Its start was refused: there is no such job or task. */
+    /** The start was refused: there is no such job or task. */
     UNKNOWN
   }
 
   /**
-   * What a worker reports of one attempt.
+   * A worker's report on one attempt.
    *
-   * @param exitReason why it exited; null while it has not
+   * @param exitReason why the attempt exited; null while it has not
    */
   public record TaskStatus(TaskAttemptId attemptId, TaskState state, ExitReason exitReason) {}
 
   /**
-   * A worker's heartbeat. Of two with the same incarnation that with the larger sequence number is
-   * the newer one.
+   * A worker's heartbeat.
    *
+   * @param sequence the heartbeat's number; of two heartbeats of the same incarnation, the one with
+   *     the larger number is the newer
    * @param token the highest fencing token that the worker has seen
-   * @param address where it takes direct commands, as IP address and port; empty if it names none
-   * @param reclaimInS seconds until the cloud takes the machine back; negative if there is no
-   *     notice
-   * @param tasks all attempts on the machine, also those that have exited and are not reaped yet
+   * @param address the IP address and port that receive direct commands; empty if the worker names
+   *     none
+   * @param reclaimInS seconds until the cloud takes the machine back; negative if it has not
+   *     announced that
+   * @param tasks all attempts on the machine, including those that have exited and that no {@link
+   *     Reap} command has removed yet
    */
   public record WorkerHeartbeat(
       MachineName machine,
@@ -69,28 +74,28 @@
       String address,
       double reclaimInS,
       List<TaskStatus> tasks) {
-    /** Whether the cloud has announced that it takes the machine back. */
+    /** Reports whether the cloud has announced that it takes the machine back. */
     public boolean hasPreemptionNotice() {
       return reclaimInS >= 0;
     }
   }
 
-  /** What a worker is told to do with an attempt. */
+  /** A command to a worker about one attempt. */
   public sealed interface WorkerCommand {
-    /** The attempt that the command is for. */
+    /** Returns the attempt that the command is for. */
     TaskAttemptId attemptId();
   }
 
-  /** Start an attempt. */
+  /** Starts an attempt. */
   public record Start(TaskAttemptId attemptId) implements WorkerCommand {}
 
   /**
-   * Stop an attempt.
+   * Stops an attempt.
    *
-   * @param graceS seconds that it has to save its progress; 0 ends it at once
+   * @param graceS seconds that the task has to save its progress; 0 ends it immediately
    */
   public record Stop(TaskAttemptId attemptId, double graceS) implements WorkerCommand {}
 
-  /** Forget an attempt that has exited. */
+  /** Removes an attempt that has exited from the worker's reports. */
   public record Reap(TaskAttemptId attemptId) implements WorkerCommand {}
 }
