--- a/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatAnswerCodec.java
@@ -14,8 +14,9 @@
 
 /** Encodes and decodes the leader's answers to heartbeats as JSON. */
 public final class HeartbeatAnswerCodec {
-  // In an answer the leader's term, in a machine's assignment the required epoch.
+  /** The leader's term in an answer, or the required epoch in a machine's assignment. */
   private static final String TERM = "term";
+
   private static final String STORE_REACHABLE_BY_OTHERS = "othersOk";
   private static final String STORE_REACHABLE = "stateOk";
   private static final String ASSIGNMENT_VERSION = "ver";
--- a/src/main/java/shorecrank/protocol/HeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatCodec.java
@@ -147,7 +147,8 @@
     return new ShardReport(
         PeerFields.readShard(object),
         PeerFields.readEpoch(object),
-        // The owner read this epoch in a stored record, which may be damaged: any long is allowed.
+        // This epoch comes from a stored record, which may be damaged, so any non-negative long is
+        // valid.
         new Epoch(Fields.readCount(object.path(REFUSED_EPOCH), REFUSED_EPOCH)),
         object.path(HAS_QUEUED_TASKS).asBoolean(),
         new WorkerReachability(readInt(object, EXPECTED), readInt(object, UNHEARD), zones),
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -31,7 +31,7 @@
   public record CapacityRequest(Offer offer, int count) {}
 
   /**
-   * Counts the machines of a shard whose workers' heartbeats reach its owner or fail to.
+   * How many of a shard's workers do not reach the shard's owner with their heartbeats.
    *
    * @param expected number of machines whose heartbeats should reach the owner
    * @param unheard how many of {@code expected} have not sent a heartbeat in time
@@ -158,13 +158,15 @@
    * The leader's answer to a heartbeat.
    *
    * @param term the leader's term
-   * @param storeReachableByOthers whether the state service answers another controller
-   * @param leases the leases of the asker's shards
-   * @param assignmentVersion the version of the machine assignments that the asker knows after this
-   *     answer
+   * @param storeReachableByOthers whether the state service answers a controller other than the
+   *     heartbeat's sender
+   * @param leases the leases of the sender's shards
+   * @param owners the owners of the shards that have one
+   * @param assignmentVersion the version of the machine assignments after this answer
    * @param isComplete whether {@code assigned} holds all assignments; otherwise it holds those
    *     changed since the version that the heartbeat named
-   * @param unassigned if not complete, the machines that have lost their assignment since then
+   * @param unassigned if {@code isComplete} is false, the machines that have lost their assignment
+   *     since that version; otherwise empty
    * @param released machines that were released to the cloud and no longer exist
    * @param offersWithoutCapacity offers of which the cloud had no machines
    * @param rolloutNotice the feature level's state as the leader knows it; null if the leader does
--- a/src/main/java/shorecrank/protocol/Ids.java
+++ b/src/main/java/shorecrank/protocol/Ids.java
@@ -125,7 +125,7 @@
     private static final int NUMBER_BITS = 24;
 
     /**
-     * Number of bits that a token may use, so that it is not negative as a signed 64-bit integer.
+     * Number of bits that a token may use, so that it is never negative as a signed 64-bit integer.
      */
     private static final int TOKEN_BITS = 62;
 
--- a/src/main/java/shorecrank/protocol/JobSpec.java
+++ b/src/main/java/shorecrank/protocol/JobSpec.java
@@ -7,7 +7,7 @@
 /**
  * A user's job: an array of equal tasks and what each of them needs.
  *
- * @param jobClass the class of jobs whose objectives apply
+ * @param jobClass the class whose objectives apply to the job
  * @param team the team whose quota and guarantee apply
  * @param tasks the number of tasks
  * @param cpus processors of one task
@@ -59,11 +59,11 @@
   public enum Priority {
     /** Production work: goes before all others. */
     PROD,
-    /** Goes before ordinary work. */
+    /** Urgent work: goes before ordinary work. */
     URGENT,
     /** Ordinary work. */
     NORMAL,
-    /** May be preempted by all others. */
+    /** Work that all other priorities may preempt. */
     LOW
   }
 
--- a/src/main/java/shorecrank/protocol/MalformedMessageException.java
+++ b/src/main/java/shorecrank/protocol/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package shorecrank.protocol;
 
 /**
- * Thrown when a message is not well formed, which no version of its sender would write. The message
- * is rejected as a whole. The exception's text is one line that begins with the field's name.
+ * Thrown when a message is not well formed. No version of a correct sender writes such a message,
+ * so it is rejected as a whole. The exception's text is one line that begins with the field's name.
  */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -17,7 +17,7 @@
    * @param reason what the field must be, as the predicate of a sentence: "must be ..."
    */
   public MalformedMessageException(String field, String reason) {
-    // Without a stack trace, as anyone can send many malformed messages and they must cost little.
+    // Anyone can send malformed messages, so refusing one must cost little: no stack trace.
     super(field + " " + reason, null, false, false);
     this.field = field;
     this.reason = reason;
--- a/src/main/java/shorecrank/protocol/OperatorRequestCodec.java
+++ b/src/main/java/shorecrank/protocol/OperatorRequestCodec.java
@@ -24,7 +24,7 @@
    */
   public record KeysQuery(String prefix, String after) {}
 
-  /** Returns a copy of a request that is marked as forwarded to the leader by a controller. */
+  /** Returns a copy of a request with the mark that a controller has forwarded it. */
   public static ObjectNode markForwarded(JsonNode request) {
     ObjectNode marked = request.isObject() ? ((ObjectNode) request).deepCopy() : Json.object();
     return marked.put(FORWARDED, true);
@@ -48,7 +48,7 @@
   /**
    * Writes the answer to a request that no controller can answer at present.
    *
-   * @param reason why not, one line
+   * @param reason why no controller can answer, one line
    */
   public static ObjectNode writeUnknown(String reason) {
     return Json.object().put(UNKNOWN, true).put(REASON, reason);
--- a/src/main/java/shorecrank/protocol/PeerFields.java
+++ b/src/main/java/shorecrank/protocol/PeerFields.java
@@ -105,7 +105,7 @@
     return new ShardId((int) Fields.readCount(object.path(SHARD), SHARD, MAX_SHARDS));
   }
 
-  /** Reads the epoch from an object; one that does not fit into a fencing token is malformed. */
+  /** Reads the epoch from an object; one above {@link FencingToken#MAX_EPOCH} is malformed. */
   static Epoch readEpoch(JsonNode object) throws MalformedMessageException {
     return new Epoch(Fields.readCount(object.path(EPOCH), EPOCH, FencingToken.MAX_EPOCH));
   }
--- a/src/main/java/shorecrank/protocol/RolloutMessages.java
+++ b/src/main/java/shorecrank/protocol/RolloutMessages.java
@@ -15,8 +15,8 @@
   private RolloutMessages() {}
 
   /**
-   * The number of a step in the sequence of stored forms and behaviours. A fleet uses only those of
-   * the level that is in force and of lower ones.
+   * A feature level. Each level adds stored forms and behaviours; a fleet uses those of the level
+   * that is in force and of the levels below it.
    */
   public record FeatureLevel(int value) implements Comparable<FeatureLevel> {
     /** The level of all versions from before feature levels existed. */
@@ -40,7 +40,7 @@
 
   /** The feature levels that a version supports. */
   public record LevelRange(FeatureLevel lowest, FeatureLevel highest) {
-    /** The range assumed of versions that announce none. */
+    /** The range that is assumed for controllers that announce no levels. */
     public static final LevelRange UNANNOUNCED =
         new LevelRange(FeatureLevel.LOWEST, FeatureLevel.LOWEST);
 
@@ -76,13 +76,13 @@
 
   /** The kinds of operators' orders on the feature level. */
   public enum OrderKind {
-    /** Raise the level. */
+    /** Raises the level. */
     FINALIZE,
-    /** Lower the level. */
+    /** Lowers the level. */
     DOWNGRADE,
-    /** Stop a rise or fall of the level that is under way. */
+    /** Stops a rise or fall of the level that is under way. */
     ABORT,
-    /** Archive the keys of the state service. */
+    /** Archives the keys of the state service. */
     ARCHIVE;
 
     /** Returns the order's name on the wire and on the command line. */
@@ -114,7 +114,8 @@
    *
    * @param level the level in force: every owner must support it, since its forms may be stored
    * @param target the level that a rise or fall leads to; {@code level} itself when stable
-   * @param cursor while falling, the last key that the rewriting has passed; empty before the first
+   * @param cursor while the level falls, the last key that has been checked and rewritten if
+   *     necessary; empty before the first
    * @param archive the id of the newest complete archive of the keys; empty if there is none
    * @param autoRaiseSuspended whether an operator has lowered the level or stopped a rise, so that
    *     it rises again only on an operator's order
@@ -185,7 +186,7 @@
   /**
    * The stored state of the feature level, as the leader sends it to the other controllers.
    *
-   * @param revision the key's revision when it held this state
+   * @param revision the revision of the key that holds the state
    */
   public record RolloutNotice(RolloutState state, Revision revision) {}
 
--- a/src/main/java/shorecrank/protocol/ShardDemandCodec.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandCodec.java
@@ -15,8 +15,8 @@
 import shorecrank.protocol.ShardDemandMessages.ShardDemand;
 
 /**
- * Encodes and decodes a shard's demand, a part of heartbeats, as JSON. The elements of its lists
- * are arrays instead of objects, so each value is known by its position.
+ * Encodes and decodes a shard's demand, a part of heartbeats, as JSON. Offers, candidates and the
+ * progress of draining machines are written as arrays without field names.
  */
 final class ShardDemandCodec {
   private static final String CAPACITY = "capacity";
--- a/src/main/java/shorecrank/protocol/ShardDemandMessages.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandMessages.java
@@ -19,7 +19,7 @@
 
   /** Why a machine that is to be handed over has not been handed over yet. */
   public enum DrainState {
-    /** Tasks run on it, or records that may name it are not settled. */
+    /** Tasks run on it, or a job record that is stored or being written may still name it. */
     DRAINING,
     /** Heartbeats of its worker are overdue. */
     SILENT,
--- a/src/main/java/shorecrank/protocol/ShareOrderMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareOrderMessages.java
@@ -11,7 +11,10 @@
 
   /** An operator's order. */
   public sealed interface ShareOrder permits SetShare, MoveMachines, AbortMoves {
-    /** Returns the order's idempotency key: an order is carried out once under one id. */
+    /**
+     * Returns the order's idempotency key: of several orders with the same id only the first is
+     * carried out.
+     */
     String id();
 
     /** Reports whether the operator only wants to see what the order would do. */
@@ -19,9 +22,9 @@
   }
 
   /**
-   * Sets a team's share; what is null stays unchanged.
+   * An order that sets a team's share; what is null stays unchanged.
    *
-   * @param weight the factor by which the team's demand counts
+   * @param weight the factor by which the team's demand counts beside that of other teams
    * @param minCpus processors that the team's shard keeps
    * @param maxCpus processors that the team's shard gets at most; 0 for no limit
    */
@@ -30,7 +33,8 @@
       implements ShareOrder {}
 
   /**
-   * Moves machines to a shard, either named ones or a number of another shard's machines.
+   * An order that moves machines to a shard, either named ones or a number of another shard's
+   * machines.
    *
    * @param machines the machines' names; empty if a number is given
    * @param from the shard that gives up the machines; null if they are named
@@ -42,7 +46,7 @@
       implements ShareOrder {}
 
   /**
-   * Aborts one move, all moves of an order, or all moves under way.
+   * An order that aborts one move, all moves of an earlier order, or all moves under way.
    *
    * @param move the move; {@link MoveId#NONE} if none is named
    * @param order the id of the order whose moves are aborted; empty if none is named
--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -76,7 +76,7 @@
   /**
    * A team's share as an operator has set it; it replaces the share in the settings file.
    *
-   * @param weight the factor by which the team's demand counts
+   * @param weight the factor by which the team's demand counts beside that of other teams
    * @param minCpus processors that the team's shard keeps
    * @param maxCpus processors that the team's shard gets at most; 0 for no limit
    */
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Returns this state with an active move replaced by the move with the same id. A move whose
-     * new phase is an end goes to the ended ones.
+     * Returns this state with the active move that has the same id as {@code changed} replaced by
+     * it. If {@code changed} has ended, it is added to the ended moves instead.
      *
      * @param maxEnded how many ended moves are kept
      */
--- a/src/main/java/shorecrank/protocol/StoreMessages.java
+++ b/src/main/java/shorecrank/protocol/StoreMessages.java
@@ -17,7 +17,7 @@
 
   /**
    * Reports whether an HTTP status shows that the request was not carried out and will not be
-   * later. Any other failure leaves open whether it was.
+   * later. Other failures leave it open whether the request was carried out.
    */
   public static boolean isNotCarriedOut(int status) {
     return status == HttpStatus.BAD_REQUEST
--- a/src/main/java/shorecrank/protocol/WorkerHeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/WorkerHeartbeatCodec.java
@@ -35,7 +35,7 @@
 
   /**
    * Maximum length of a machine's name in characters. Names are parts of keys of the state service,
-   * which may have 200 bytes.
+   * which may have at most 200 bytes.
    */
   private static final int MAX_MACHINE_NAME = 150;
 
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -86,16 +86,16 @@
     TaskAttemptId attemptId();
   }
 
-  /** Starts an attempt. */
+  /** A command that starts an attempt. */
   public record Start(TaskAttemptId attemptId) implements WorkerCommand {}
 
   /**
-   * Stops an attempt.
+   * A command that stops an attempt.
    *
    * @param graceS seconds that the task has to save its progress; 0 ends it immediately
    */
   public record Stop(TaskAttemptId attemptId, double graceS) implements WorkerCommand {}
 
-  /** Removes an attempt that has exited from the worker's reports. */
+  /** A command by which the worker forgets an attempt that has exited. */
   public record Reap(TaskAttemptId attemptId) implements WorkerCommand {}
 }
--- a/src/test/java/shorecrank/protocol/CloudAndStoreCodecsTest.java
+++ b/src/test/java/shorecrank/protocol/CloudAndStoreCodecsTest.java
@@ -21,14 +21,14 @@
 import shorecrank.protocol.StoreMessages.Entry;
 import shorecrank.protocol.StoreMessages.Transaction;
 
-/** Messages of the cloud and the state service, as their documents show them. */
+/** Tests the codecs for the cloud and the state service with the JSON that these services use. */
 class CloudAndStoreCodecsTest {
   private static JsonNode json(String text) {
     return Json.parse(text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void catalog() {
+  void catalogLeavesOutTypesWithoutNameOrProcessors() {
     String type =
         """
         {"sku":"g8","cpus":96,"accelerators":8,"memoryGb":768,"localGb":200,"fetchGbPerS":1.0,\
@@ -44,12 +44,12 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "null", "[]", "{}", "{\"hosttypes\":7}"})
-  void answerWithoutTypesIsEmptyCatalog(String answer) {
+  void answerWithoutTypesIsReadAsEmptyCatalog(String answer) {
     assertTrue(CloudCodec.readCatalog(json(answer)).isEmpty());
   }
 
   @Test
-  void rentalAndRelease() {
+  void rentalAndReleaseHaveTheirWireForm() {
     assertEquals(
         "{\"claim\":\"r-17\",\"hosttype\":\"g8\",\"site\":\"a\",\"loaner\":true,\"count\":12}",
         CloudCodec.writeRental("r-17", new Offer("g8", "a", true), 12).toString());
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void listOfMachines() {
+  void listedMachinesWithoutNameAreLeftOut() {
     JsonNode answer =
         json(
             """
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void transaction() {
+  void transactionHoldsGuardsAndOperationsInOrder() {
     Transaction transaction =
         new Transaction()
             .guard("a/b", Revision.ABSENT)
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void entriesAndChanges() {
+  void entriesAndKnownChangesAreRead() {
     JsonNode page =
         json(
             """
@@ -101,12 +101,12 @@
     assertEquals(List.of(entry), StoreCodec.readEntries(page));
     assertTrue(StoreCodec.hasMore(page));
     assertEquals(431, StoreCodec.readRevision(page));
-    JsonNode news =
+    JsonNode watchAnswer =
         json(
             """
             {"ledgerRev":433,"news":[{"write":"c/9","data":1,"stamp":433},\
             {"drop":"c/d","stamp":432},{"moved":"c/e"}]}""");
-    List<Change> changes = StoreCodec.readChanges(news);
+    List<Change> changes = StoreCodec.readChanges(watchAnswer);
     assertEquals(2, changes.size());
     assertEquals(new Change("c/9", json("1"), new Revision(433)), changes.get(0));
     assertEquals("c/d", changes.get(1).key());
@@ -116,7 +116,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "7", "{}", "{\"hold\":-1,\"ledgerRev\":\"4\"}"})
-  void malformedAnswersHoldNothing(String answer) {
+  void malformedAnswersAreReadAsEmpty(String answer) {
     JsonNode message = json(answer);
     assertTrue(StoreCodec.readEntries(message).isEmpty());
     assertTrue(StoreCodec.readChanges(message).isEmpty());
@@ -137,12 +137,12 @@
     "503, true",
     "0, false"
   })
-  void certainlyNotCarriedOut(int status, boolean certain) {
-    assertEquals(certain, StoreMessages.isNotCarriedOut(status));
+  void statusShowsWhetherRequestWasNotCarriedOut(int status, boolean isNotCarriedOut) {
+    assertEquals(isNotCarriedOut, StoreMessages.isNotCarriedOut(status));
   }
 
   @Test
-  void paths() {
+  void pathsAndGrantRequestHaveTheirWireForm() {
     assertEquals("/store/a/b", StorePaths.key("a/b"));
     assertEquals("/store?prefix=c/&page=200", StorePaths.list("c/", "", 200));
     assertEquals("/store?prefix=c/&from=c/7&page=200", StorePaths.list("c/", "c/7", 200));
--- a/src/test/java/shorecrank/protocol/JobSpecCodecTest.java
+++ b/src/test/java/shorecrank/protocol/JobSpecCodecTest.java
@@ -15,7 +15,10 @@
 import shorecrank.protocol.Ids.JobId;
 import shorecrank.protocol.JobSpec.Priority;
 
-/** A submission is read as it was written, and refused with the text that its user is told. */
+/**
+ * Tests that submissions are read and written field by field, and that a malformed one is refused
+ * with the text that its user receives.
+ */
 class JobSpecCodecTest {
   private static final String SUBMISSION =
       """
@@ -73,7 +76,7 @@
   }
 
   @Test
-  void absentTypesAndZoneAllowAny() throws MalformedMessageException {
+  void nullMachineTypesAndZoneAllowAny() throws MalformedMessageException {
     JobSpec spec = JobSpecCodec.read(submission().putNull("hosttypes").putNull("site"));
     assertNull(spec.machineTypes());
     assertNull(spec.zone());
@@ -124,7 +127,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "nonsense", "null", "[]", "7"})
-  void bodyThatIsNoObjectIsRefused(String body) {
+  void bodyThatIsNotAnObjectIsRefused(String body) {
     MalformedMessageException refusal =
         assertThrows(MalformedMessageException.class, () -> JobSpecCodec.read(json(body)));
     assertEquals("body must be a JSON object", refusal.getMessage());
--- a/src/test/java/shorecrank/protocol/PeerCodecsTest.java
+++ b/src/test/java/shorecrank/protocol/PeerCodecsTest.java
@@ -28,8 +28,8 @@
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
- * Messages between controllers are read as they were written, and refused as a whole where a field
- * is malformed.
+ * Tests that messages between controllers are read as they were written, and that a malformed field
+ * makes the codec refuse the message or leave out the optional part that holds the field.
  */
 class PeerCodecsTest {
   private static final String DEMAND =
@@ -68,7 +68,7 @@
     return Json.parse(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** A copy in which the field at a path holds another value. */
+  /** Returns a copy of a message in which the field at a JSON pointer holds another value. */
   private static JsonNode damaged(String message, String path, String value) {
     JsonNode copy = json(message);
     int end = path.lastIndexOf('/');
@@ -214,7 +214,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2000, 2001, Integer.MAX_VALUE})
-  void cancellationQueryNamesLimitsAboveTheDefaultOnly(int limit) {
+  void cancellationQueryNamesOnlyLimitsAboveTheDefault(int limit) {
     JsonNode query = CancellationCodec.writeQuery(3000, limit);
     assertEquals(limit > 2000, query.has("most"));
     assertEquals(
@@ -223,12 +223,12 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "{}", "{\"withinMs\":-1}", "{\"withinMs\":\"3000\"}"})
-  void malformedCancellationQueryIsTold(String query) {
+  void malformedCancellationQueryIsDetected(String query) {
     assertTrue(CancellationCodec.readQuery(json(query)).isMalformed());
   }
 
   @Test
-  void cancellationsOfEarlierVersionsNameNoOwners() {
+  void cancellationsOfEarlierVersionsAreReadWithoutOwners() {
     ConfirmedCancellations read =
         CancellationCodec.read(json("{\"spanMs\":1,\"ids\":[]}"), 2).orElseThrow();
     assertTrue(read.owners().isEmpty());
@@ -245,7 +245,7 @@
   }
 
   @Test
-  void unknownStatesAreLeftOut() {
+  void statusesWithUnknownStateAreLeftOut() {
     JsonNode answer = json("{\"told\":[{\"id\":\"wk-1\",\"phase\":\"asleep\"},{}]}");
     assertTrue(StatusQueryCodec.readAnswer(answer).isEmpty());
   }
@@ -262,7 +262,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"{\"stateOk\":false}", "{\"stateOk\":true}", "{}", ""})
-  void refusalTellsWhetherTheStoreIsReachable(String refusal) {
+  void refusalSaysWhetherTheStoreIsReachable(String refusal) {
     boolean reachable = !refusal.contains("false");
     assertEquals(reachable, HeartbeatAnswerCodec.isStoreReachable(json(refusal)));
     assertEquals(
@@ -270,7 +270,7 @@
   }
 
   @Test
-  void operatorsRequestIsMarkedOnce() {
+  void forwardedRequestIsMarkedOnACopy() {
     JsonNode query = OperatorRequestCodec.writeKeysQuery("j/", "j/7");
     assertEquals(new KeysQuery("j/", "j/7"), OperatorRequestCodec.readKeysQuery(query));
     assertFalse(OperatorRequestCodec.isForwarded(query));
--- a/src/test/java/shorecrank/protocol/WorkerCodecsTest.java
+++ b/src/test/java/shorecrank/protocol/WorkerCodecsTest.java
@@ -27,7 +27,10 @@
 import shorecrank.protocol.WorkerMessages.WorkerCommand;
 import shorecrank.protocol.WorkerMessages.WorkerHeartbeat;
 
-/** Workers' heartbeats are read field by field or refused; commands are written to the letter. */
+/**
+ * Tests that workers' heartbeats are read field by field, that malformed ones are refused, and that
+ * commands are written exactly in their wire form.
+ */
 class WorkerCodecsTest {
   private static final String HEARTBEAT =
       """
@@ -85,7 +88,8 @@
         "exited, anything else, EXITED, ERROR",
         "exited, '', EXITED, ERROR"
       })
-  void statesAndReasons(String phase, String cause, TaskState state, ExitReason reason)
+  void wireNamesOfStatesAndExitReasonsAreRead(
+      String phase, String cause, TaskState state, ExitReason reason)
       throws MalformedMessageException {
     ObjectNode message = heartbeat();
     ((ObjectNode) message.path("pieces").path(0)).put("phase", phase).put("cause", cause);
@@ -106,8 +110,9 @@
         "worker.example:9000, ''",
         "'10.1.0.1:9000/orders', ''"
       })
-  void onlyIpAddressesAreTaken(String sent, String taken) throws MalformedMessageException {
-    assertEquals(taken, WorkerHeartbeatCodec.read(heartbeat().put("addr", sent)).address());
+  void onlyIpAddressesWithPortAreAccepted(String sent, String accepted)
+      throws MalformedMessageException {
+    assertEquals(accepted, WorkerHeartbeatCodec.read(heartbeat().put("addr", sent)).address());
   }
 
   @ParameterizedTest
@@ -180,7 +185,7 @@
   }
 
   @Test
-  void redirectNamesTheOwnerIfItIsKnown() {
+  void redirectNamesTheOwnerIfKnown() {
     ControllerName owner = new ControllerName("crankhost-2");
     assertEquals(
         "{\"steward\":\"crankhost-2\"}", WorkerCommandCodec.writeRedirect(owner).toString());
