--- a/src/main/java/shorecrank/protocol/CancellationMessages.java
+++ b/src/main/java/shorecrank/protocol/CancellationMessages.java
@@ -16,7 +16,7 @@
   /**
    * The cancellations that a controller has recently confirmed to users.
    *
-   * @param spanMs how far back from the answer the list is complete, in milliseconds
+   * @param spanMs the list is complete for this many milliseconds before the answer was written
    * @param ids the cancelled jobs
    * @param owners the shard owners that the controller knows; empty from versions that don't send
    *     them
--- a/src/main/java/shorecrank/protocol/CloudMessages.java
+++ b/src/main/java/shorecrank/protocol/CloudMessages.java
@@ -61,7 +61,9 @@
       double spotPrice,
       double bootS,
       List<String> zones) {
-    /** Returns the price per hour, of a spot machine if {@code spot} is set. */
+    /**
+     * Returns the price per hour of a spot machine if {@code spot} is set, else of an ordinary one.
+     */
     public double price(boolean spot) {
       return spot ? spotPrice : price;
     }
--- a/src/main/java/shorecrank/protocol/Fields.java
+++ b/src/main/java/shorecrank/protocol/Fields.java
@@ -37,7 +37,7 @@
     return (int) Math.min(Integer.MAX_VALUE, readCount(value, field));
   }
 
-  /** Reads a number from 0 to {@code max}, which need not be whole. */
+  /** Reads a whole or fractional number from 0 to {@code max}. */
   static double readAmount(JsonNode value, String field, double max)
       throws MalformedMessageException {
     double amount = value.isNumber() ? value.doubleValue() : -1;
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -60,7 +60,8 @@
    * @param misplaced machines that hold tasks of this shard although they are assigned to another
    *     one
    * @param echoesMoveIds whether {@code handovers} name the move's id; earlier versions do not
-   * @param demand what the shard needs and could give up; null where shares are not enabled
+   * @param demand what the shard needs and could give up; null where shares are not enabled, or
+   *     while the owner has not read all records or has no valid lease
    */
   public record ShardReport(
       ShardId shard,
--- a/src/main/java/shorecrank/protocol/Ids.java
+++ b/src/main/java/shorecrank/protocol/Ids.java
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Identifies one process of a controller; a restarted controller has a new one. */
+  /** Identifies one process of a controller; a restarted controller has a new id. */
   public record WriterId(String value) {
     /** Stands for no process. */
     public static final WriterId NONE = new WriterId("");
--- a/src/main/java/shorecrank/protocol/JobSpec.java
+++ b/src/main/java/shorecrank/protocol/JobSpec.java
@@ -57,13 +57,13 @@
 
   /** A job's priority, from the highest to the lowest. */
   public enum Priority {
-    /** Production work: goes before all others. */
+    /** Production work: goes before all other work. */
     PROD,
     /** Urgent work: goes before ordinary work. */
     URGENT,
     /** Ordinary work. */
     NORMAL,
-    /** Work that all other priorities may preempt. */
+    /** Work that may be preempted by work of all other priorities. */
     LOW
   }
 
--- a/src/main/java/shorecrank/protocol/JobSpecCodec.java
+++ b/src/main/java/shorecrank/protocol/JobSpecCodec.java
@@ -75,8 +75,8 @@
   /**
    * Reads a submission.
    *
-   * @throws MalformedMessageException if a field is not well formed; its message is the text that
-   *     the user receives
+   * @throws MalformedMessageException if a field is not well formed; the user receives the
+   *     exception's text
    */
   public static JobSpec read(JsonNode message) throws MalformedMessageException {
     if (!message.isObject()) {
--- a/src/main/java/shorecrank/protocol/RolloutMessages.java
+++ b/src/main/java/shorecrank/protocol/RolloutMessages.java
@@ -66,11 +66,11 @@
 
   /** Whether the level in force stays, rises or falls. */
   public enum RolloutPhase {
-    /** The level stays. */
+    /** The level in force stays. */
     STABLE,
-    /** The level rises to the target. */
+    /** The level in force rises to the target. */
     RAISING,
-    /** Records are rewritten into the forms of the target, which is a lower level. */
+    /** The level falls: stored values are rewritten into the forms of the target, a lower level. */
     FALLING
   }
 
@@ -101,7 +101,7 @@
   public record RolloutOrder(String id, OrderKind kind, int target) {}
 
   /**
-   * The outcome of an order.
+   * The outcome of an operator's order.
    *
    * @param text the outcome for operators, one line
    * @param archive the id of the archive that the order is about; empty if none
@@ -112,13 +112,14 @@
   /**
    * The value of {@link #KEY}.
    *
-   * @param level the level in force: every owner must support it, since its forms may be stored
+   * @param level the level in force: every owner must support it, since values in its forms may be
+   *     stored
    * @param target the level that a rise or fall leads to; {@code level} itself when stable
    * @param cursor while the level falls, the last key that has been checked and rewritten if
    *     necessary; empty before the first
    * @param archive the id of the newest complete archive of the keys; empty if there is none
    * @param autoRaiseSuspended whether an operator has lowered the level or stopped a rise, so that
-   *     it rises again only on an operator's order
+   *     the level rises again only on an operator's order
    * @param recentOrders the outcomes of the latest orders, the oldest first
    */
   public record RolloutState(
@@ -130,7 +131,7 @@
       boolean autoRaiseSuspended,
       List<OrderOutcome> recentOrders) {
 
-    /** The state of a store that has never held the key. */
+    /** The state before the state service first holds {@link #KEY}. */
     public static final RolloutState INITIAL =
         new RolloutState(
             RolloutPhase.STABLE,
--- a/src/main/java/shorecrank/protocol/ShardDemandMessages.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandMessages.java
@@ -19,9 +19,11 @@
 
   /** Why a machine that is to be handed over has not been handed over yet. */
   public enum DrainState {
-    /** Tasks run on it, or a job record that is stored or being written may still name it. */
+    /**
+     * Tasks run on the machine, or a job record that is stored or being written may still name it.
+     */
     DRAINING,
-    /** Heartbeats of its worker are overdue. */
+    /** Heartbeats of the machine's worker are overdue. */
     SILENT,
     /** The cloud has announced that it takes the machine back. */
     NOTICED
--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -17,17 +17,18 @@
 
   /** The phase of a move. */
   public enum MovePhase {
-    /** Stored; the owner of the shard that gives up the machine may not know of the move yet. */
+    /** The move is stored, but the old shard's owner may not know of it yet. */
     REQUESTED,
-    /** That owner no longer places tasks on the machine. */
+    /** The old shard's owner no longer places tasks on the machine. */
     DRAINING,
     /**
-     * The machine is assigned to the other shard, whose owner has not received its heartbeats yet.
+     * The machine is assigned to the new shard, whose owner has not received a heartbeat from it
+     * yet.
      */
     HANDED_OVER,
-    /** The other shard's owner receives the machine's heartbeats. */
+    /** The new shard's owner receives the machine's heartbeats. */
     DONE,
-    /** Ended before it was done; {@link Move#reason} says why. */
+    /** The move has ended without the machine's arrival; {@link Move#reason} says why. */
     ABORTED;
 
     /** Returns the phase's name in the state service and for operators. */
@@ -83,7 +84,7 @@
   public record TeamShare(String team, double weight, double minCpus, double maxCpus) {}
 
   /**
-   * The outcome of an order.
+   * The outcome of an operator's order.
    *
    * @param contentDigest a digest of the order: another order with the same id is refused
    * @param text the outcome for operators, one line
@@ -109,7 +110,7 @@
       List<Move> ended,
       List<TeamShare> teams,
       List<ShareOutcome> recentOrders) {
-    /** The state of a store that has never held the key. */
+    /** The state before the state service first holds {@link #KEY}. */
     public static final SharesState INITIAL =
         new SharesState(0, 1, List.of(), List.of(), List.of(), List.of());
 
--- a/src/main/java/shorecrank/protocol/ShareStatusMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStatusMessages.java
@@ -39,12 +39,13 @@
   public record MoveStatus(Move move, double ageS, String waitsFor) {}
 
   /**
-   * The whole status.
+   * The status of all shards, moves and teams' shares.
    *
    * @param movesAllowed whether moves may begin now
    * @param reason why moves may not begin; empty if they may
    * @param active moves that are under way
    * @param ended the moves that ended last, the oldest first
+   * @param teams the teams' shares in force
    * @param medianMs median duration of the completed moves, in milliseconds
    * @param p99Ms 99th percentile of the durations of the completed moves, in milliseconds
    */
