--- a/src/main/java/shorecrank/protocol/Ids.java
+++ b/src/main/java/shorecrank/protocol/Ids.java
@@ -189,7 +189,7 @@
 
   /**
    * The id of a move of one machine to another shard. No two moves of a fleet have the same id, so
-   * that a late answer to an earlier move is not taken for the answer to this one.
+   * that a late answer to an earlier move is not taken for the answer to a later one.
    */
   public record MoveId(long value) implements Comparable<MoveId> {
     /** Stands for no move. */
