--- a/src/main/java/shorecrank/rollout/ArchiveFormat.java
+++ b/src/main/java/shorecrank/rollout/ArchiveFormat.java
@@ -168,10 +168,10 @@
   static byte[] writeChanges(Collection<Change> changes) {
     ArrayNode written = Json.array();
     for (Change change : changes) {
-      ObjectNode one =
+      ObjectNode element =
           written.addObject().put(KEY, change.key()).put(REVISION, change.revision().value());
       if (change.value() != null) {
-        one.set(DATA, change.value());
+        element.set(DATA, change.value());
       }
     }
     return Json.bytes(written);
@@ -190,9 +190,9 @@
     if (!json.isArray()) {
       return false;
     }
-    for (JsonNode one : json) {
-      String key = Json.text(one.path(KEY));
-      long revision = Json.countOrMinusOne(one.path(REVISION));
+    for (JsonNode element : json) {
+      String key = Json.text(element.path(KEY));
+      long revision = Json.countOrMinusOne(element.path(REVISION));
       if (key.isEmpty() || revision < 0) {
         return false;
       }
@@ -200,8 +200,8 @@
       if (current != null && current.revision() > revision) {
         continue;
       }
-      if (one.has(DATA)) {
-        keys.put(key, new VersionedValue(one.path(DATA), revision));
+      if (element.has(DATA)) {
+        keys.put(key, new VersionedValue(element.path(DATA), revision));
       } else {
         keys.remove(key);
       }
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -256,13 +256,13 @@
       pending.addAll(batch);
       return;
     }
-    Rewrite only = batch.get(0);
-    if (only.hasNextForm()) {
-      pending.addFirst(only.withNextForm());
+    Rewrite rewrite = batch.get(0);
+    if (rewrite.hasNextForm()) {
+      pending.addFirst(rewrite.withNextForm());
       return;
     }
     // The job's owner writes a shorter record as tasks end, so a later rewrite may fit.
-    tooLargeKey = only.key();
+    tooLargeKey = rewrite.key();
     mustRereadPage = true;
     store.pause(TOO_LARGE_RETRY_MS);
   }
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -345,9 +345,9 @@
       return null;
     }
     RolloutState state = store.state();
-    List<RolloutMember> all = new ArrayList<>();
+    List<RolloutMember> memberStates = new ArrayList<>();
     for (ControllerName member : members) {
-      all.add(
+      memberStates.add(
           new RolloutMember(
               member.value(),
               announcements.announcement(member),
@@ -358,7 +358,7 @@
     return new RolloutStatus(
         state,
         settings.automatic(),
-        all,
+        memberStates,
         describeWaiting(state),
         archiver.currentId().orElse(""),
         currentRewriter.map(RecordRewriter::rewritten).orElse(0L),
--- a/src/main/java/shorecrank/storage/CommitResult.java
+++ b/src/main/java/shorecrank/storage/CommitResult.java
@@ -3,33 +3,40 @@
 import java.util.Set;
 import shorecrank.protocol.Ids.Revision;
 
-/** What became of a transaction. */
+/** The result of a transaction on the state service. */
 public sealed interface CommitResult {
-  /** It was carried out, at that revision. */
+  /** The transaction was committed at the given revision. */
   record Committed(Revision revision) implements CommitResult {}
 
-  /** It was not carried out: the guards of these keys did not hold. */
+  /** The transaction was not committed because the guards of these keys failed. */
   record Conflict(Set<String> failedKeys) implements CommitResult {}
 
   /**
-   * It was not carried out: it is larger than the service takes, or malformed.
+   * The transaction was not committed because it is larger than the state service accepts, or
+   * malformed.
    *
    * @param answer the body of the service's answer, for the log
    */
   record TooLarge(String answer) implements CommitResult {}
 
-  /** It was not carried out and never will be: the service refused it for its load. */
+  /**
+   * The transaction was not and will not be committed: the state service refused the request, for
+   * example because of its load. {@code status} is the HTTP status.
+   */
   record Refused(int status) implements CommitResult {}
 
-  /** It may have been carried out or may yet be; {@code status} is 0 if there was no answer. */
+  /**
+   * The transaction may have been committed or may still be. {@code status} is the HTTP status, or
+   * 0 if there was no answer.
+   */
   record Unknown(int status) implements CommitResult {}
 
-  /** Whether it was carried out, as far as is known. */
+  /** Reports whether the transaction is known to be committed. */
   default boolean isCommitted() {
     return this instanceof Committed;
   }
 
-  /** Whether it may have been carried out, or may yet be, although that is not known. */
+  /** Reports whether it is unknown if the transaction was or will be committed. */
   default boolean isUnknown() {
     return this instanceof Unknown;
   }
--- a/src/main/java/shorecrank/storage/CompressedJson.java
+++ b/src/main/java/shorecrank/storage/CompressedJson.java
@@ -9,18 +9,21 @@
 import shorecrank.protocol.Json;
 
 /**
- * JSON compressed with raw DEFLATE and written as unpadded Base64 text, so that the record of a job
- * with many scattered tasks fits into one value of the store.
+ * Compresses JSON with raw DEFLATE and encodes it as unpadded Base64 text, so that the record of a
+ * job with many scattered tasks fits into one value of the state service.
  */
 final class CompressedJson {
-  /** No stored record is longer; a value that decompresses to more is rejected. */
+  /**
+   * Maximum decompressed size in bytes. No stored record is larger; a text that decompresses to
+   * more is rejected.
+   */
   private static final int MAX_BYTES = 8 << 20;
 
   private static final int BUFFER_BYTES = 4096;
 
   private CompressedJson() {}
 
-  /** Compresses a JSON tree into text. */
+  /** Compresses a JSON tree to text. */
   static String compress(JsonNode tree) {
     Deflater deflater = new Deflater(Deflater.DEFAULT_COMPRESSION, true);
     try {
@@ -38,9 +41,11 @@
   }
 
   /**
-   * Decompresses a text that {@link #compress} has written.
+   * Decompresses a text that {@link #compress} has returned.
    *
-   * @param field the field that holds the text, for the failure's message
+   * @param field name of the field that holds the text, for the exception's message
+   * @throws MalformedRecordException if the text is damaged, too large when decompressed, or no
+   *     JSON
    */
   static JsonNode decompress(String field, String text) throws MalformedRecordException {
     Inflater inflater = new Inflater(true);
--- a/src/main/java/shorecrank/storage/DenseBodyCodec.java
+++ b/src/main/java/shorecrank/storage/DenseBodyCodec.java
@@ -25,12 +25,15 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * Encodes the body of a job record in the dense form: done tasks as a Roaring bitmap, live ranges
- * by column with machine names reduced to their numbers, all of it compressed. Versions below
- * feature level 1 cannot read it.
+ * Encodes the body of a job record in the dense form: the done tasks as a Roaring bitmap and the
+ * live ranges as columns, compressed together. Machine names that differ only in a trailing number
+ * are stored as that number. Versions below feature level 1 cannot read this form.
  */
 final class DenseBodyCodec {
-  /** The columns of the body, in the order in which they are stored. */
+  /**
+   * The columns of the body; their order is the stored order. The gaps and attempt numbers are
+   * stored as differences from the previous range.
+   */
   private enum Column {
     SPEC,
     DONE,
@@ -47,13 +50,17 @@
     }
   }
 
-  /** The columns with one element per live range, besides the gaps. */
+  /** The columns that have one element per live range, as {@link Column#GAPS} has. */
   private static final List<Column> RANGE_COLUMNS =
       List.of(Column.COUNTS, Column.MACHINES, Column.INCARNATIONS, Column.ATTEMPTS);
 
+  /** Maximum number of digits at the end of a machine name; nine digits fit into an {@code int}. */
   private static final int MAX_NUMBER_DIGITS = 9;
 
-  /** A machine name that ends in a number; names alike but for it are stored as the number. */
+  /**
+   * Matches a machine name that ends in a number. Names with the same prefix and number of digits
+   * as the first one are stored as the number only.
+   */
   private static final Pattern NUMBERED_NAME =
       Pattern.compile("(.*?)(\\d{1," + MAX_NUMBER_DIGITS + "})");
 
@@ -118,9 +125,9 @@
   }
 
   /**
-   * Decodes a text that {@link #write} has encoded.
+   * Decodes a text that {@link #write} has returned.
    *
-   * @param field the field that holds the text, for the failure's message
+   * @param field name of the field that holds the text, for the exception's message
    */
   static RecordBody read(String field, String text) throws MalformedRecordException {
     JsonNode columns = CompressedJson.decompress(field, text);
@@ -144,10 +151,10 @@
       byte[] bytes = Base64.getDecoder().decode(Json.text(column));
       bitmap.deserialize(new DataInputStream(new ByteArrayInputStream(bytes)));
     } catch (IOException | RuntimeException e) {
-      // The library reads damaged containers without checking them first, so it may fail anyhow.
+      // RoaringBitmap does not validate containers, so damaged ones cause unchecked exceptions too.
       throw new MalformedRecordException(Column.DONE.name(), e);
     }
-    // Tasks are numbered from 0, so the highest, as an unsigned number, must be below their count.
+    // RoaringBitmap numbers are unsigned; tasks are numbered from 0 to spec.tasks() - 1.
     if (!bitmap.isEmpty() && Integer.toUnsignedLong(bitmap.last()) >= spec.tasks()) {
       throw new MalformedRecordException(Column.DONE.name(), "names a task that the job has not");
     }
--- a/src/main/java/shorecrank/storage/JobRecord.java
+++ b/src/main/java/shorecrank/storage/JobRecord.java
@@ -16,20 +16,21 @@
 import shorecrank.protocol.UserMessages.JobStatus;
 
 /**
- * The record of an unfinished job, as it is kept in the state store.
+ * The stored record of a job that has not ended.
  *
- * @param spec what the user submitted
- * @param epoch of the shard owner that wrote the record; 0 until one has claimed it
- * @param writer the process that wrote the record
- * @param sequence counts the writer's writes to this record, so that a writer without an answer can
- *     tell which of its writes was carried out
+ * @param spec the job as the user submitted it
+ * @param epoch epoch of the shard owner that wrote the record last; 0 until an owner has claimed
+ *     the job
+ * @param writer the process that wrote the record last
+ * @param sequence number of this writer's writes to the record. A writer that got no answer
+ *     compares it with its own count to find out which of its writes was committed.
  * @param done the tasks that have ended successfully
  * @param live the ranges of running attempts, in ascending order of their first task
- * @param attemptCount how many attempts have been numbered so far
+ * @param attemptCount the number of attempts that have been numbered so far
  * @param cancelled whether the user has cancelled the job
  * @param acceptedAtMs when the job was accepted, in wall-clock milliseconds
- * @param readyAtMs when the last job that this one depends on was done, in wall-clock milliseconds;
- *     0 if it depends on none or that is not known
+ * @param readyAtMs when the last of the job's dependencies was done, in wall-clock milliseconds; 0
+ *     if the job has no dependencies or the time is not known
  */
 public record JobRecord(
     JobSpec spec,
@@ -43,30 +44,35 @@
     long acceptedAtMs,
     long readyAtMs) {
 
-  /** Prefix of the keys of unfinished jobs' records. */
+  /** Prefix of the keys of records of jobs that have not ended. */
   public static final String LIVE_PREFIX = "j/";
 
-  /** Prefix of the keys of ended jobs' records. */
+  /** Prefix of the keys of records of ended jobs. */
   public static final String FINAL_PREFIX = "f/";
 
   /**
-   * Neighbouring tasks that were placed on one machine in one round. Those already done do not
-   * count as running.
+   * A range of consecutive tasks that were placed on one machine in one round. Tasks of the range
+   * that are done no longer run.
+   *
+   * @param first the number of the first task
+   * @param count the number of tasks
+   * @param incarnation the machine's incarnation at the placement
+   * @param attempt the attempt number that all tasks of the range share
    */
   public record AttemptRange(
       int first, int count, MachineName machine, Incarnation incarnation, AttemptNumber attempt) {}
 
-  /** The key of a job's record until the job has ended. */
+  /** Returns the key of a job's record while the job has not ended. */
   public static String liveKey(JobId id) {
     return LIVE_PREFIX + id.value();
   }
 
-  /** The key of a job's record after the job has ended. */
+  /** Returns the key of a job's record after the job has ended. */
   public static String finalKey(JobId id) {
     return FINAL_PREFIX + id.value();
   }
 
-  /** The number of tasks that run. */
+  /** Returns the number of running tasks. */
   public int running() {
     int running = 0;
     for (AttemptRange range : live) {
@@ -76,7 +82,7 @@
     return running;
   }
 
-  /** The state of the job, as its user sees it. */
+  /** Returns the state of the job as reported to its user. */
   public JobState state() {
     if (cancelled) {
       return JobState.CANCELLED;
@@ -84,63 +90,74 @@
     return running() > 0 ? JobState.RUNNING : JobState.QUEUED;
   }
 
-  /** What the job's user is told of it. */
+  /** Returns the job's status as reported to its user. */
   public JobStatus jobStatus() {
     return new JobStatus(state(), done.cardinality(), cancelled ? 0 : running());
   }
 
-  /** The same record marked as cancelled. */
+  /** Returns the same record, marked as cancelled by the user. */
   public JobRecord markedCancelled() {
     return new JobRecord(
         spec, epoch, writer, sequence, done, live, attemptCount, true, acceptedAtMs, readyAtMs);
   }
 
-  /** Encodes the record in the plain form, which every version reads. */
+  /** Encodes the record in the plain form, which all versions read. */
   public ObjectNode write() {
     return JobRecordCodec.writePlain(this);
   }
 
   /**
-   * Encodes the record in the compact form, for where the store takes no larger value. Versions
-   * before job dependencies cannot read it, so it is written only once the store has refused the
-   * plain form for its size.
+   * Encodes the record in the compact form. Versions without job dependencies cannot read it, so it
+   * is written only after the state service has refused the plain form for its size.
    */
   public ObjectNode writeCompact() {
     return JobRecordCodec.writeCompact(this);
   }
 
   /**
-   * Encodes the record in the dense form, which only versions from feature level 1 on read. Earlier
-   * versions find no spec in it, leave it alone, and answer that they cannot tell.
+   * Encodes the record in the dense form, which versions below feature level 1 cannot read. They
+   * find no spec in it, leave the record unchanged, and report the job's state as unknown.
    */
   public ObjectNode writeDense() {
     return JobRecordCodec.writeDense(this);
   }
 
-  /** Whether the plain form may be compressed, so that its size is not small for certain. */
+  /**
+   * Reports whether the plain form may be compressed, in which case its size cannot be assumed to
+   * be small without encoding the record.
+   */
   public boolean isLarge() {
     return JobRecordCodec.isLarge(this);
   }
 
-  /** Whether a stored value is a record in the dense form; does not decode all of it. */
+  /**
+   * Reports whether a stored value is a record in the dense form; reads only the fields that it
+   * needs.
+   */
   public static boolean isDense(JsonNode value) {
     return JobRecordCodec.isDense(value);
   }
 
-  /** Whether no owner has written a stored record yet; does not decode all of it. */
+  /**
+   * Reports whether no shard owner has written a stored record yet; reads only the fields that it
+   * needs.
+   */
   public static boolean isUnclaimed(JsonNode value) {
     return JobRecordCodec.isUnclaimed(value);
   }
 
-  /** Whether a stored record is marked as cancelled by its user; does not decode all of it. */
+  /**
+   * Reports whether a stored record is marked as cancelled by the user; reads only the fields that
+   * it needs.
+   */
   public static boolean isMarkedCancelled(JsonNode value) {
     return JobRecordCodec.isMarkedCancelled(value);
   }
 
   /**
-   * Decodes a stored record of any form.
+   * Decodes a stored record in any form.
    *
-   * @return null if the value is no such record
+   * @return null if the value is not a well-formed record
    */
   public static JobRecord read(JsonNode value) {
     try {
@@ -150,7 +167,12 @@
     }
   }
 
-  /** Encodes the short record that is kept for ever once a job has ended. */
+  /**
+   * Encodes the record of an ended job, which is kept forever.
+   *
+   * @param state {@link JobState#DONE} or {@link JobState#CANCELLED}
+   * @param done the number of tasks that ended successfully
+   */
   public static ObjectNode writeFinal(JobState state, int done) {
     return new Final(state, done).write();
   }
@@ -158,7 +180,7 @@
   /**
    * The record of an ended job.
    *
-   * @param state done or cancelled
+   * @param state {@link JobState#DONE} or {@link JobState#CANCELLED}
    * @param done the number of tasks that ended successfully
    */
   public record Final(JobState state, int done) {
@@ -167,7 +189,7 @@
     private static final String DONE = "done";
     private static final String CANCELLED = "withdrawn";
 
-    /** What the job's user is told of it. */
+    /** Returns the job's status as reported to its user. */
     public JobStatus jobStatus() {
       return new JobStatus(state, done, 0);
     }
@@ -179,9 +201,9 @@
     }
 
     /**
-     * Decodes a stored record.
+     * Decodes the stored record of an ended job.
      *
-     * @return null if the value is no such record
+     * @return null if the value is not a well-formed record
      */
     public static Final read(JsonNode value) {
       long done = Json.countOrMinusOne(value.path(DONE_COUNT));
--- a/src/main/java/shorecrank/storage/JobRecordCodec.java
+++ b/src/main/java/shorecrank/storage/JobRecordCodec.java
@@ -20,14 +20,15 @@
 import shorecrank.storage.JobRecord.AttemptRange;
 
 /**
- * Encodes and decodes the stored forms of a job record. All forms share the head; they differ in
- * how they hold the body:
+ * Encodes and decodes the stored forms of a job record. All forms share the head, which is every
+ * field but the spec, the done tasks and the live ranges. They differ in how they hold the latter
+ * three, the body:
  *
  * <ul>
- *   <li>plain: the spec, runs of done tasks and live ranges as JSON; with many of them, runs and
- *       ranges are compressed. Every version reads it.
- *   <li>compact: spec, done tasks and ranges compressed together. Versions before job dependencies
- *       cannot read it.
+ *   <li>plain: the spec, the runs of done tasks and the live ranges as JSON. If there are many of
+ *       them, the runs and ranges are compressed. All versions read it.
+ *   <li>compact: spec, done tasks and live ranges compressed together. Versions without job
+ *       dependencies cannot read it.
  *   <li>dense: see {@link DenseBodyCodec}. Versions below feature level 1 cannot read it.
  * </ul>
  */
@@ -40,25 +41,28 @@
   private static final String CANCELLED = "x";
   private static final String READY_AT = "r";
 
-  /** Plain form: the job's specification. */
+  /** Plain form: the job's spec. */
   private static final String SPEC = "s";
 
-  /** Plain form: first task and length of each run of done tasks. */
+  /** Plain form: the first task and the length of each run of done tasks. */
   private static final String DONE = "d";
 
   /** Plain form: the live ranges. */
   private static final String LIVE = "l";
 
-  /** Plain form of a large record: the compressed columns in place of the runs and ranges. */
+  /**
+   * Plain form of a large record: the compressed columns, in place of {@link #DONE} and {@link
+   * #LIVE}.
+   */
   private static final String COMPRESSED_COLUMNS = "z";
 
-  /** Compact form: the compressed columns with the spec behind them. */
+  /** Compact form: the compressed columns, followed by the spec as the last column. */
   private static final String COMPACT_BODY = "y";
 
-  /** Dense form: all but the head. */
+  /** Dense form: the whole body. */
   private static final String DENSE_BODY = "b";
 
-  /** The columns of a compressed body, in the order in which they are stored. */
+  /** The columns of a compressed body; their order is the stored order. */
   private enum Column {
     DONE,
     GAPS,
@@ -66,7 +70,7 @@
     MACHINES,
     INCARNATIONS,
     ATTEMPTS,
-    /** In the compact form only. */
+    /** Only in the compact form. */
     SPEC;
 
     private JsonNode from(JsonNode columns) {
@@ -74,7 +78,7 @@
     }
   }
 
-  /** The elements of a live range in the plain form, in the order in which they are stored. */
+  /** The elements of a live range in the plain form; their order is the stored order. */
   private enum RangeElement {
     FIRST,
     COUNT,
@@ -87,10 +91,15 @@
     }
   }
 
-  /** With more live ranges than this the plain form is compressed, to fit the store's values. */
+  /**
+   * Maximum number of live ranges that the plain form holds uncompressed. A record with more ranges
+   * may exceed the state service's maximum value size.
+   */
   private static final int MAX_PLAIN_RANGES = 24;
 
-  /** The same for runs of done tasks, each of which is two numbers. */
+  /**
+   * Maximum length of the uncompressed array of runs of done tasks, which has two numbers per run.
+   */
   private static final int MAX_PLAIN_RUN_NUMBERS = 4 * MAX_PLAIN_RANGES;
 
   private JobRecordCodec() {}
@@ -138,7 +147,10 @@
     return writeHead(record).put(DENSE_BODY, DenseBodyCodec.write(body));
   }
 
-  /** Whether the plain form of a record may be compressed, so that its size has to be measured. */
+  /**
+   * Reports whether the plain form of a record may be compressed, so that its size has to be
+   * measured.
+   */
   static boolean isLarge(JobRecord record) {
     return record.live().size() > MAX_PLAIN_RANGES
         || record.done().cardinality() > MAX_PLAIN_RANGES;
@@ -160,6 +172,7 @@
     return value;
   }
 
+  /** Returns the first task and the length of each run of done tasks. */
   private static ArrayNode doneRuns(BitSet done) {
     ArrayNode runs = Json.array();
     for (int first = done.nextSetBit(0); first >= 0; ) {
@@ -170,7 +183,10 @@
     return runs;
   }
 
-  /** Live ranges by column, first tasks as gaps: similar values side by side compress well. */
+  /**
+   * Returns the done tasks and the live ranges by column, with the first task of each range as the
+   * gap after the previous range. Similar values next to each other compress well.
+   */
   private static ArrayNode columns(ArrayNode doneRuns, List<AttemptRange> live) {
     ArrayNode columns = Json.array();
     columns.add(doneRuns);
@@ -193,22 +209,22 @@
 
   // ---- decoding --------------------------------------------------------------------------------
 
-  /** Whether a value has the dense form; reads no more than the head. */
+  /** Reports whether a value is in the dense form; does not decode the body. */
   static boolean isDense(JsonNode value) {
     return value != null && value.has(DENSE_BODY);
   }
 
-  /** Whether no owner has written the record yet; reads no more than the head. */
+  /** Reports whether no shard owner has written the record yet; reads only the head. */
   static boolean isUnclaimed(JsonNode value) {
     return value != null && value.path(EPOCH).asLong(-1) == 0;
   }
 
-  /** Whether the record is marked as cancelled by its user; reads no more than the head. */
+  /** Reports whether the record is marked as cancelled by the user; reads only the head. */
   static boolean isMarkedCancelled(JsonNode value) {
     return value != null && value.path(CANCELLED).asBoolean(false);
   }
 
-  /** Decodes a record in any of the forms. */
+  /** Decodes a record in any form. */
   static JobRecord read(JsonNode value) throws MalformedRecordException {
     checkHead(value);
     if (isDense(value)) {
@@ -237,7 +253,7 @@
     }
   }
 
-  /** Done tasks, as runs or as a text of one bit per task. */
+  /** Decodes the done tasks, stored as runs or as Base64 text with one bit per task. */
   private static BitSet readDone(JsonNode stored, JobSpec spec) throws MalformedRecordException {
     if (stored.isTextual()) {
       return readDoneBits(stored.textValue(), spec);
@@ -321,7 +337,10 @@
     return range;
   }
 
-  /** Rejects a range that is not one of the job's; sums may exceed what an int holds. */
+  /**
+   * Throws an exception if a range is not within the job's tasks; the end is computed as a long
+   * because it may exceed an int.
+   */
   private static void checkRange(String field, int first, int count, JobSpec spec)
       throws MalformedRecordException {
     if (first < 0 || count < 0 || (long) first + count > spec.tasks()) {
@@ -329,6 +348,7 @@
     }
   }
 
+  /** Returns the record with the given body and the head that {@code value} holds. */
   private static JobRecord withHead(JsonNode value, RecordBody body) {
     return new JobRecord(
         body.spec(),
@@ -343,7 +363,7 @@
         Math.max(0, value.path(READY_AT).asLong()));
   }
 
-  /** Rejects a value without the fields that every version writes. */
+  /** Throws an exception if one of the fields that every version writes is missing or malformed. */
   private static void checkHead(JsonNode value) throws MalformedRecordException {
     for (String field : List.of(EPOCH, SEQUENCE, ATTEMPT_COUNT, ACCEPTED_AT)) {
       if (Json.countOrMinusOne(value.path(field)) < 0) {
--- a/src/main/java/shorecrank/storage/ListResult.java
+++ b/src/main/java/shorecrank/storage/ListResult.java
@@ -3,16 +3,17 @@
 import java.util.List;
 import shorecrank.protocol.StoreMessages.Entry;
 
-/** What became of reading a page of keys. */
+/** The result of listing a page of keys. */
 public sealed interface ListResult {
   /**
-   * A page.
+   * A page of keys with their values.
    *
-   * @param revision of the store when the page was read
-   * @param more whether keys follow after the last of these
+   * @param entries the keys and values, in ascending order of the keys
+   * @param revision the state service's revision when the page was read
+   * @param more whether there are further keys after the last one of this page
    */
   record Page(List<Entry> entries, long revision, boolean more) implements ListResult {}
 
-  /** Nothing is known of the keys; {@code status} is that of HTTP, or 0 without an answer. */
+  /** The page could not be read. {@code status} is the HTTP status, or 0 if there was no answer. */
   record Unavailable(int status) implements ListResult {}
 }
--- a/src/main/java/shorecrank/storage/MalformedRecordException.java
+++ b/src/main/java/shorecrank/storage/MalformedRecordException.java
@@ -1,6 +1,9 @@
 package shorecrank.storage;
 
-/** A stored value that is not a job record; the message names the field and what is wrong in it. */
+/**
+ * Thrown if a stored value is not a well-formed job record; the message names the field and the
+ * fault.
+ */
 final class MalformedRecordException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/shorecrank/storage/RateLimiter.java
+++ b/src/main/java/shorecrank/storage/RateLimiter.java
@@ -2,14 +2,14 @@
 
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** A token bucket that holds at most one second's worth of tokens and starts full. */
+/** A token bucket that holds the tokens of at most one second and starts full. */
 public final class RateLimiter {
   private static final double MS_PER_S = 1000.0;
 
   private double rate;
   private double tokens;
 
-  /** When the bucket was last refilled; null before the first use. */
+  /** When tokens were last added; null before the first use. */
   private MonotonicTime refilledAt;
 
   /**
@@ -22,32 +22,32 @@
     this.tokens = rate;
   }
 
-  /** Changes the rate, in tokens per second; the tokens at hand stay. */
+  /** Changes the rate, in tokens per second. The tokens in the bucket are kept. */
   public void updateRate(double rate) {
     this.rate = rate;
   }
 
-  /** The rate, in tokens per second. */
+  /** Returns the rate in tokens per second. */
   public double rate() {
     return rate;
   }
 
   /**
-   * Whether so many tokens are there. A demand above one second's worth passes on a full bucket;
-   * the excess is paid off afterwards.
+   * Reports whether {@code count} tokens are available. A count above the tokens of one second is
+   * available if the bucket is full; taking it leaves a debt that later refills pay off.
    */
   public boolean has(double count, MonotonicTime now) {
     refill(now);
     return tokens >= Math.min(count, rate);
   }
 
-  /** Takes tokens whether they are there or not; the bucket may go into debt. */
+  /** Takes tokens, even if they are not available; the number of tokens may become negative. */
   public void take(double count, MonotonicTime now) {
     refill(now);
     tokens -= count;
   }
 
-  /** Takes tokens if they are there, and returns whether they were. */
+  /** Takes tokens if they are available, and reports whether it did. */
   public boolean tryTake(double count, MonotonicTime now) {
     if (!has(count, now)) {
       return false;
@@ -56,7 +56,10 @@
     return true;
   }
 
-  /** Empties the bucket after a refusal for excess: the tokens counted on did not exist. */
+  /**
+   * Removes all tokens, after the state service has refused a request because its rate limit was
+   * exceeded: the service has less capacity left than the bucket assumes. A debt is kept.
+   */
   public void drain() {
     tokens = Math.min(tokens, 0);
   }
--- a/src/main/java/shorecrank/storage/ReadResult.java
+++ b/src/main/java/shorecrank/storage/ReadResult.java
@@ -2,18 +2,18 @@
 
 import shorecrank.protocol.StoreMessages.Entry;
 
-/** What became of reading a key. */
+/** The result of reading a key. */
 public sealed interface ReadResult {
-  /** The key exists. */
+  /** The key exists and has this value. */
   record Found(Entry entry) implements ReadResult {}
 
   /**
    * The key does not exist.
    *
-   * @param revision of the store when the key was looked up
+   * @param revision the state service's revision when the key was looked up
    */
   record Absent(long revision) implements ReadResult {}
 
-  /** Nothing is known of the key; {@code status} is that of HTTP, or 0 without an answer. */
+  /** The key could not be read. {@code status} is the HTTP status, or 0 if there was no answer. */
   record Unavailable(int status) implements ReadResult {}
 }
--- a/src/main/java/shorecrank/storage/StateStore.java
+++ b/src/main/java/shorecrank/storage/StateStore.java
@@ -4,34 +4,42 @@
 import shorecrank.protocol.StoreMessages.Transaction;
 
 /**
- * The state service: a consensus-backed key-value store with compare-and-swap transactions.
+ * Client of the state service, a consensus-backed key-value store with compare-and-swap
+ * transactions.
  *
- * <p>Every call returns at once; its result comes later, on the same thread, exactly once. A call
- * that gets no answer within its timeout, in milliseconds, has the result that says so; it may
- * still be carried out.
+ * <p>Every method returns immediately. The callback {@code then} is called exactly once, later and
+ * on the same thread. If the service does not answer within the timeout, the result is {@code
+ * Unavailable} or {@code Unknown}; the service may still execute the call. Timeouts are in
+ * milliseconds.
  */
 public interface StateStore {
   /** Reads one key. */
   void read(String key, int timeoutMs, Consumer<ReadResult> then);
 
   /**
-   * Reads a page of the keys with a prefix, in their order.
+   * Lists a page of the keys with a prefix, in ascending order.
    *
-   * @param after the last key of the page before; empty for the first page
-   * @param limit the most keys in the page
+   * @param after the last key of the previous page; empty for the first page
+   * @param limit the maximum number of keys in the page
    */
   void list(String prefix, String after, int limit, int timeoutMs, Consumer<ListResult> then);
 
   /**
-   * Waits for changes of keys with a prefix after a revision.
+   * Waits for changes of keys with a prefix.
    *
-   * @param holdMs how long the service waits for a change before it answers without one
+   * @param afterRevision only changes of higher revisions are returned
+   * @param holdMs how long the service waits for a change before it answers without one, in
+   *     milliseconds
    */
   void watch(String prefix, long afterRevision, int holdMs, Consumer<WatchResult> then);
 
-  /** Reads the changes of keys with a prefix after a revision, without waiting for further ones. */
+  /**
+   * Reads the changes of keys with a prefix without waiting for further ones.
+   *
+   * @param afterRevision only changes of higher revisions are returned
+   */
   void readChanges(String prefix, long afterRevision, int timeoutMs, Consumer<WatchResult> then);
 
-  /** Carries a transaction out if all its guards hold. */
+  /** Commits a transaction if all its guards hold. */
   void commit(Transaction transaction, int timeoutMs, Consumer<CommitResult> then);
 }
--- a/src/main/java/shorecrank/storage/WatchResult.java
+++ b/src/main/java/shorecrank/storage/WatchResult.java
@@ -3,18 +3,23 @@
 import java.util.List;
 import shorecrank.protocol.StoreMessages.Change;
 
-/** What became of a watch. */
+/** The result of a watch or of reading changes. */
 public sealed interface WatchResult {
   /**
-   * All changes since the revision that was asked for; none if there were none in time.
+   * All changes after the requested revision; empty if there were none before the service answered.
    *
-   * @param revision up to which these are all changes
+   * @param revision the revision up to which {@code changes} is complete
    */
   record Changes(List<Change> changes, long revision) implements WatchResult {}
 
-  /** The store no longer keeps the changes since that revision: the keys have to be read anew. */
+  /**
+   * The state service no longer has all changes after the requested revision; the keys have to be
+   * listed again.
+   */
   record Compacted() implements WatchResult {}
 
-  /** Nothing is known of changes; {@code status} is that of HTTP, or 0 without an answer. */
+  /**
+   * The changes could not be read. {@code status} is the HTTP status, or 0 if there was no answer.
+   */
   record Unavailable(int status) implements WatchResult {}
 }
--- a/src/main/java/shorecrank/storage/package-info.java
+++ b/src/main/java/shorecrank/storage/package-info.java
@@ -1,9 +1,8 @@
 /**
- * The interface of the state service with its typed results, the record of a job with its stored
- * forms, and the rate limiter that keeps calls within the service's limits.
+ * Stored state: the client interface of the state service with its typed results, the keys and
+ * encodings of job records, and the rate limiter that keeps calls within the service's limits.
  *
- * <p>Its one job is how state is kept: which keys job records have, how they are encoded, and what
- * may become of a call to the store. It decides nothing about jobs. It imports {@code
- * shorecrank.protocol} only; leadership, rollout, rebalance and coordination use it.
+ * <p>The package makes no decisions about jobs. It depends on {@code protocol} only, and is used by
+ * {@code leadership}, {@code rollout}, {@code rebalance} and {@code coordination}.
  */
 package shorecrank.storage;
--- a/src/test/java/shorecrank/rollout/ArchiveTest.java
+++ b/src/test/java/shorecrank/rollout/ArchiveTest.java
@@ -25,7 +25,7 @@
 import shorecrank.rollout.ArchiveReader.Archive;
 import shorecrank.rollout.ArchiveReader.DamagedArchiveException;
 
-/** Archives are read back as they were written; damaged ones are refused, and why is said. */
+/** Tests that archives are read as written, and that damaged ones are rejected with a reason. */
 class ArchiveTest {
   private static final Manifest MANIFEST = new Manifest("a-1", "build", 1, 5, 9, true, 77);
 
@@ -64,11 +64,11 @@
   void archiveTakenInChunksIsComplete() throws Exception {
     ArchiveWriter writer = new ArchiveWriter();
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    for (int page = 0; page < 40; page++) {
+    for (int number = 0; number < 40; number++) {
       byte[] noise = new byte[200_000];
-      new Random(page).nextBytes(noise);
+      new Random(number).nextBytes(noise);
       String text = Base64.getEncoder().encodeToString(noise);
-      Entry entry = new Entry("f/" + page, Json.object().put("t", text), new Revision(page), 0);
+      Entry entry = new Entry("f/" + number, Json.object().put("t", text), new Revision(number), 0);
       writer.addEntries(ArchiveFormat.writeEntries(List.of(entry)));
       while (writer.availableBytes() >= 1000) {
         all.writeBytes(writer.take(1000));
@@ -83,7 +83,7 @@
   @Test
   void truncationsAndChangedBytesAreDetected() throws Exception {
     byte[] whole = archive();
-    Archive read = read(whole);
+    Archive expected = read(whole);
     for (int length = 0; length < whole.length; length += 7) {
       byte[] cut = Arrays.copyOf(whole, length);
       assertThrows(DamagedArchiveException.class, () -> read(cut), "cut to " + length);
@@ -92,15 +92,15 @@
       byte[] changed = whole.clone();
       changed[at] ^= 0x10;
       try {
-        // A bit that means nothing, such as padding, changes nothing that is read.
-        assertEquals(read.keys(), read(changed).keys(), "byte " + at);
+        // A change in padding or another unused byte must not change the keys that are read.
+        assertEquals(expected.keys(), read(changed).keys(), "byte " + at);
       } catch (DamagedArchiveException e) {
         assertTrue(!e.getMessage().isBlank());
       }
     }
   }
 
-  /** A tar file with these names and contents. */
+  /** Returns a compressed tar file with the given names and contents in turn. */
   private static byte[] tar(String... namesAndContents) throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try (TarArchiveOutputStream tar = new TarArchiveOutputStream(new ZstdOutputStream(out))) {
@@ -124,8 +124,8 @@
 
   @Test
   void malformedArchiveIsRefusedWithItsReason() throws Exception {
-    String sum = DigestUtils.sha256Hex("[]");
-    String file = "\"files\":[{\"name\":\"entries/000001.json\",\"sha256\":\"" + sum + "\"}]";
+    String digest = DigestUtils.sha256Hex("[]");
+    String file = "\"files\":[{\"name\":\"entries/000001.json\",\"sha256\":\"" + digest + "\"}]";
     assertEquals(
         0,
         read(tar("entries/000001.json", "[]", "manifest.json", manifest(1, file))).keys().size());
@@ -148,12 +148,12 @@
       {"file name", "entries/../../x.json", "x"},
       {"twice", "entries/000001.json", "[]", "entries/000001.json", "[]"},
     };
-    for (String[] one : refused) {
-      byte[] bytes = tar(Arrays.copyOfRange(one, 1, one.length));
+    for (String[] testCase : refused) {
+      byte[] bytes = tar(Arrays.copyOfRange(testCase, 1, testCase.length));
       DamagedArchiveException e =
-          assertThrows(DamagedArchiveException.class, () -> read(bytes), one[0]);
+          assertThrows(DamagedArchiveException.class, () -> read(bytes), testCase[0]);
       String message = e.getMessage().replace("it has no manifest", "no manifest");
-      assertTrue(message.contains(one[0]), one[0] + ": " + e.getMessage());
+      assertTrue(message.contains(testCase[0]), testCase[0] + ": " + e.getMessage());
     }
   }
 }
--- a/src/test/java/shorecrank/rollout/RolloutFormsTest.java
+++ b/src/test/java/shorecrank/rollout/RolloutFormsTest.java
@@ -33,8 +33,9 @@
 import shorecrank.protocol.RolloutOrderCodec;
 
 /**
- * The level's key, the settings and the announcements, raiseBlockers malformed and contradictory
- * input.
+ * Tests that malformed values of the feature level's key, malformed orders and settings out of
+ * range are rejected, and that the announcements of all members are checked before the level is
+ * raised.
  */
 class RolloutFormsTest {
   private static final RolloutState STATE =
@@ -166,9 +167,9 @@
           B, new WriterId("b1"), announcement(1, "d"), new MonotonicTime(at));
     }
     assertEquals("", raiseBlockers(announcements, 12_100));
-    // Silent for long.
+    // The last heartbeat is older than the timeout.
     assertTrue(raiseBlockers(announcements, 17_000).contains("a: not heard for 5 s"));
-    // The same label and build, another process: its time begins anew.
+    // Another process of the same controller and build: its settle time starts again.
     announcements.recordHeartbeat(
         B, new WriterId("b2"), announcement(1, "d"), new MonotonicTime(12_200));
     assertTrue(
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -23,7 +23,7 @@
 import shorecrank.protocol.MalformedMessageException;
 import shorecrank.storage.JobRecord.AttemptRange;
 
-/** The dense form says the same as the others; damaged it is not read. */
+/** Tests that the dense form of a job record reads as written and is rejected when damaged. */
 class DenseRecordTest {
   private static final int MACHINES = 4000;
 
@@ -40,7 +40,7 @@
     return JobSpecCodec.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Every other task live, each on a machine of its own; every fourth of the rest done. */
+  /** Returns a record in which every other task is running, and a fourth of the others are done. */
   private static JobRecord scattered(int ranges, String machine) throws MalformedMessageException {
     Random random = new Random(7);
     BitSet done = new BitSet();
@@ -88,7 +88,7 @@
       int at = random.nextInt(text.length);
       text[at] = (char) ('A' + random.nextInt(26));
       JsonNode changed = whole.deepCopy().put("b", new String(text));
-      // It is refused, or what was changed did not matter; it never ends anything.
+      // A changed body is rejected or, if the change has no effect, read; it causes no exception.
       JobRecord read = JobRecord.read(changed);
       assertTrue(read == null || read.spec().tasks() > 0);
     }
--- a/src/test/java/shorecrank/storage/EarlierVersionFormsTest.java
+++ b/src/test/java/shorecrank/storage/EarlierVersionFormsTest.java
@@ -36,28 +36,30 @@
 import shorecrank.protocol.StatusQueryCodec;
 
 /**
- * What earlier versions write is read here, and written again to the letter: so they read ours. The
- * files hold recordsAreWrittenAgainAsRead, keys and messagesAreWrittenAgainAsRead of commits
- * 6afd132 and b9fa1f3, as their own scenarios wrote and sent them.
+ * Tests that records and messages of earlier versions are read, and are unchanged when written
+ * again, so that earlier versions read what this one writes. The files hold records and messages
+ * that scenarios of commits 6afd132 (without job dependencies) and b9fa1f3 (with them) wrote and
+ * sent.
  */
 class EarlierVersionFormsTest {
   private static final String WITHOUT_DEPENDENCIES = "forms.txt";
   private static final String WITH_DEPENDENCIES = "forms-b9fa1f3.txt";
 
   private static Map<String, List<JsonNode>> forms(String file) throws Exception {
-    Map<String, List<JsonNode>> m = new TreeMap<>();
+    Map<String, List<JsonNode>> byKind = new TreeMap<>();
     for (String line : Files.readAllLines(Path.of("src/test/resources/production", file))) {
       int tab = line.indexOf('\t');
-      m.computeIfAbsent(line.substring(0, tab), k -> new ArrayList<>())
+      byKind
+          .computeIfAbsent(line.substring(0, tab), key -> new ArrayList<>())
           .add(Json.parse(line.substring(tab + 1).getBytes(StandardCharsets.UTF_8)));
     }
-    return m;
+    return byKind;
   }
 
   private static List<JsonNode> of(String file, String kind) throws Exception {
-    List<JsonNode> l = forms(file).get(kind);
-    assertNotNull(l, kind + " is missing in " + file);
-    return l;
+    List<JsonNode> values = forms(file).get(kind);
+    assertNotNull(values, kind + " is missing in " + file);
+    return values;
   }
 
   @ParameterizedTest
@@ -66,29 +68,32 @@
     int packed = 0;
     int marked = 0;
     for (String kind : List.of("key j/", "key j/ packed", "key j/ marked")) {
-      for (JsonNode n : of(file, kind)) {
-        assertWrittenAgainAsRead(n);
-        packed += n.has("z") ? 1 : 0;
-        marked += JobRecord.isMarkedCancelled(n) ? 1 : 0;
-        assertFalse(n.path("s").has("prereqs"));
+      for (JsonNode node : of(file, kind)) {
+        assertWrittenAgainAsRead(node);
+        packed += node.has("z") ? 1 : 0;
+        marked += JobRecord.isMarkedCancelled(node) ? 1 : 0;
+        assertFalse(node.path("s").has("prereqs"));
       }
     }
     assertTrue(packed > 0 && marked > 0);
-    for (JsonNode n : of(file, "key f/")) {
-      JobRecord.Final f = JobRecord.Final.read(n);
-      assertEquals(n, Json.parse(Json.bytes(JobRecord.writeFinal(f.state(), f.done()))));
+    for (JsonNode node : of(file, "key f/")) {
+      JobRecord.Final ended = JobRecord.Final.read(node);
+      assertEquals(node, Json.parse(Json.bytes(JobRecord.writeFinal(ended.state(), ended.done()))));
     }
   }
 
   @Test
   void recordsWithDependenciesAreWrittenAgainAsRead() throws Exception {
-    for (JsonNode n : of(WITH_DEPENDENCIES, "key j/ prereqs")) {
-      assertWrittenAgainAsRead(n);
-      assertFalse(JobRecord.read(n).spec().dependencies().isEmpty());
+    for (JsonNode node : of(WITH_DEPENDENCIES, "key j/ prereqs")) {
+      assertWrittenAgainAsRead(node);
+      assertFalse(JobRecord.read(node).spec().dependencies().isEmpty());
     }
   }
 
-  /** Read and written again, a record is the same; a packed one says the same. */
+  /**
+   * Checks that a record is unchanged when read and written again; of a compressed one, that what
+   * is written decodes to the same record.
+   */
   private static void assertWrittenAgainAsRead(JsonNode stored) {
     JobRecord record = JobRecord.read(stored);
     assertNotNull(record, stored.toString());
@@ -100,34 +105,35 @@
     }
   }
 
-  /** What makes no sense is refused, wherever it is wrong, and ends nothing. */
+  /** A malformed field or a range outside the job's tasks gives null and no exception. */
   @Test
   void damagedRecordsAreRejected() throws Exception {
     for (String file : List.of(WITHOUT_DEPENDENCIES, WITH_DEPENDENCIES)) {
       for (String kind : List.of("key j/", "key j/ packed")) {
-        for (JsonNode n : of(file, kind)) {
+        for (JsonNode node : of(file, kind)) {
           for (String field : List.of("e", "w", "q", "t", "at", "s")) {
-            ObjectNode without = n.deepCopy();
+            ObjectNode without = node.deepCopy();
             without.remove(field);
             assertNull(JobRecord.read(without), field);
-            assertNull(JobRecord.read(((ObjectNode) n.deepCopy()).put(field, -1)), field);
+            assertNull(JobRecord.read(((ObjectNode) node.deepCopy()).put(field, -1)), field);
           }
-          if (n.has("z")) {
-            String z = n.path("z").textValue();
-            ObjectNode cut = ((ObjectNode) n.deepCopy()).put("z", z.substring(0, z.length() / 2));
+          if (node.has("z")) {
+            String z = node.path("z").textValue();
+            ObjectNode cut =
+                ((ObjectNode) node.deepCopy()).put("z", z.substring(0, z.length() / 2));
             assertNull(JobRecord.read(cut));
-            assertNull(JobRecord.read(((ObjectNode) n.deepCopy()).put("z", "no base 64")));
+            assertNull(JobRecord.read(((ObjectNode) node.deepCopy()).put("z", "no base 64")));
           }
         }
       }
     }
-    ObjectNode n = of(WITHOUT_DEPENDENCIES, "key j/").get(1).deepCopy();
+    ObjectNode node = of(WITHOUT_DEPENDENCIES, "key j/").get(1).deepCopy();
     for (int[] range :
         new int[][] {{0, Integer.MAX_VALUE}, {Integer.MAX_VALUE, 2}, {-1, 1}, {0, -1}}) {
-      ObjectNode done = n.deepCopy();
+      ObjectNode done = node.deepCopy();
       done.putArray("d").add(range[0]).add(range[1]);
       assertNull(JobRecord.read(done));
-      ObjectNode live = n.deepCopy();
+      ObjectNode live = node.deepCopy();
       live.putArray("l").addArray().add(range[0]).add(range[1]).add("n-000001").add(1).add(1);
       assertNull(JobRecord.read(live));
     }
@@ -139,63 +145,65 @@
   @ParameterizedTest
   @ValueSource(strings = {WITHOUT_DEPENDENCIES, WITH_DEPENDENCIES})
   void messagesAreWrittenAgainAsRead(String file) throws Exception {
-    for (JsonNode n : of(file, "ask /peer/beat")) {
-      assertEquals(n, Json.parse(Json.bytes(HeartbeatCodec.write(HeartbeatCodec.read(n)))));
+    for (JsonNode node : of(file, "ask /peer/beat")) {
+      assertEquals(node, Json.parse(Json.bytes(HeartbeatCodec.write(HeartbeatCodec.read(node)))));
     }
-    for (JsonNode n : of(file, "answer /peer/beat")) {
+    for (JsonNode node : of(file, "answer /peer/beat")) {
       assertEquals(
-          n,
+          node,
           Json.parse(
-              Json.bytes(HeartbeatAnswerCodec.write(HeartbeatAnswerCodec.read(n).orElse(null)))));
+              Json.bytes(
+                  HeartbeatAnswerCodec.write(HeartbeatAnswerCodec.read(node).orElse(null)))));
     }
-    for (JsonNode n : of(file, "ask /peer/ask")) {
-      List<JobId> ids = StatusQueryCodec.readQuery(n).jobs();
+    for (JsonNode node : of(file, "ask /peer/ask")) {
+      List<JobId> ids = StatusQueryCodec.readQuery(node).jobs();
       assertFalse(ids.isEmpty());
       assertEquals(
-          n,
+          node,
           Json.parse(
-              Json.bytes(StatusQueryCodec.writeQuery(StatusQueryCodec.readQuery(n).shard(), ids))));
+              Json.bytes(
+                  StatusQueryCodec.writeQuery(StatusQueryCodec.readQuery(node).shard(), ids))));
     }
-    for (JsonNode n : of(file, "answer /peer/ask")) {
-      assertEquals(n.path("told").size(), StatusQueryCodec.readAnswer(n).size());
+    for (JsonNode node : of(file, "answer /peer/ask")) {
+      assertEquals(node.path("told").size(), StatusQueryCodec.readAnswer(node).size());
     }
-    for (JsonNode n : of(file, "ask /peer/relay")) {
-      assertFalse(ForwardedRequestCodec.read(n).method().isEmpty());
-      assertFalse(ForwardedRequestCodec.read(n).path().isEmpty());
+    for (JsonNode node : of(file, "ask /peer/relay")) {
+      assertFalse(ForwardedRequestCodec.read(node).method().isEmpty());
+      assertFalse(ForwardedRequestCodec.read(node).path().isEmpty());
     }
   }
 
-  /** A message with a number or name missing or out of range is refused as a whole. */
+  /** A message with a missing or malformed field is rejected as a whole. */
   @Test
   void damagedMessagesAreRejected() throws Exception {
     ObjectNode heartbeat =
         of(WITHOUT_DEPENDENCIES, "ask /peer/beat").stream()
-            .filter(n -> !n.path("parts").isEmpty())
+            .filter(node -> !node.path("parts").isEmpty())
             .findFirst()
             .orElseThrow()
             .deepCopy();
     for (String field : List.of("part", "epoch", "fenced", "expected", "unheard")) {
       for (JsonNode value :
           List.of(IntNode.valueOf(-1), TextNode.valueOf("x"), NullNode.instance)) {
-        ObjectNode n = heartbeat.deepCopy();
-        ((ObjectNode) n.path("parts").path(0)).set(field, value);
+        ObjectNode node = heartbeat.deepCopy();
+        ((ObjectNode) node.path("parts").path(0)).set(field, value);
         assertThrows(
-            MalformedMessageException.class, () -> HeartbeatCodec.read(n), field + " " + value);
+            MalformedMessageException.class, () -> HeartbeatCodec.read(node), field + " " + value);
       }
     }
     ObjectNode answer =
         of(WITHOUT_DEPENDENCIES, "answer /peer/beat").stream()
-            .filter(n -> !n.path("leases").isEmpty())
+            .filter(node -> !node.path("leases").isEmpty())
             .findFirst()
             .orElseThrow()
             .deepCopy();
     for (String list : List.of("leases", "owners")) {
       for (String field : List.of("part", "epoch")) {
-        ObjectNode n = answer.deepCopy();
-        ((ObjectNode) n.path(list).path(0)).remove(field);
-        assertNull(HeartbeatAnswerCodec.read(n).orElse(null), list + " " + field);
-        ((ObjectNode) n.path(list).path(0)).put(field, Long.MAX_VALUE);
-        assertNull(HeartbeatAnswerCodec.read(n).orElse(null), list + " " + field);
+        ObjectNode node = answer.deepCopy();
+        ((ObjectNode) node.path(list).path(0)).remove(field);
+        assertNull(HeartbeatAnswerCodec.read(node).orElse(null), list + " " + field);
+        ((ObjectNode) node.path(list).path(0)).put(field, Long.MAX_VALUE);
+        assertNull(HeartbeatAnswerCodec.read(node).orElse(null), list + " " + field);
       }
     }
     ObjectNode confirmed = of(WITH_DEPENDENCIES, "answer /peer/confirmed").get(0).deepCopy();
@@ -205,46 +213,48 @@
             .orElse(null));
   }
 
-  /** Since b9fa1f3 the answer also names owners; what it held before is the same. */
+  /**
+   * The answer now also has owners, which b9fa1f3 does not write; its other fields are unchanged.
+   */
   @Test
   void cancellationAnswersKeepTheirEarlierFields() throws Exception {
-    for (JsonNode n : of(WITH_DEPENDENCIES, "ask /peer/confirmed")) {
-      long within = CancellationCodec.readQuery(n).withinMs();
+    for (JsonNode node : of(WITH_DEPENDENCIES, "ask /peer/confirmed")) {
+      long within = CancellationCodec.readQuery(node).withinMs();
       assertEquals(
-          n,
+          node,
           Json.parse(
               Json.bytes(
                   CancellationCodec.writeQuery(
                       within, CancellationMessages.DEFAULT_MAX_CANCELLATIONS))));
     }
-    for (JsonNode n : of(WITH_DEPENDENCIES, "answer /peer/confirmed")) {
+    for (JsonNode node : of(WITH_DEPENDENCIES, "answer /peer/confirmed")) {
       ObjectNode ours =
           CancellationCodec.write(
-              CancellationCodec.read(n, CancellationMessages.DEFAULT_MAX_CANCELLATIONS)
+              CancellationCodec.read(node, CancellationMessages.DEFAULT_MAX_CANCELLATIONS)
                   .orElse(null));
       assertTrue(ours.remove("owners").isEmpty());
-      assertEquals(n, Json.parse(Json.bytes(ours)));
+      assertEquals(node, Json.parse(Json.bytes(ours)));
     }
   }
 
-  /** The shortest form says the same, however scattered the ends of tasks are. */
+  /** The compact form is smaller than the plain one even if every other task is done. */
   @Test
   void compactFormReadsAsWrittenAndIsSmaller() throws Exception {
-    for (JsonNode n : of(WITHOUT_DEPENDENCIES, "key j/ packed")) {
-      JobRecord r = JobRecord.read(n);
+    for (JsonNode node : of(WITHOUT_DEPENDENCIES, "key j/ packed")) {
+      JobRecord record = JobRecord.read(node);
       BitSet done = new BitSet();
-      for (int i = 0; i < r.spec().tasks(); i += 2) {
+      for (int i = 0; i < record.spec().tasks(); i += 2) {
         done.set(i);
       }
       JobRecord scattered =
           new JobRecord(
-              r.spec(),
-              r.epoch(),
-              r.writer(),
-              r.sequence(),
+              record.spec(),
+              record.epoch(),
+              record.writer(),
+              record.sequence(),
               done,
-              r.live(),
-              r.attemptCount(),
+              record.live(),
+              record.attemptCount(),
               true,
               7,
               0);
@@ -259,8 +269,8 @@
   void dependenciesReadAsWritten() throws Exception {
     ObjectNode spec = (ObjectNode) of(WITHOUT_DEPENDENCIES, "key j/").get(0).path("s").deepCopy();
     spec.putArray("prereqs").add("wk-7").add("wk-8").add("wk-7");
-    JobSpec s = JobSpecCodec.read(spec);
-    assertEquals(List.of(new JobId("wk-7"), new JobId("wk-8")), s.dependencies());
-    assertEquals(s, JobSpecCodec.read(Json.parse(Json.bytes(JobSpecCodec.write(s)))));
+    JobSpec read = JobSpecCodec.read(spec);
+    assertEquals(List.of(new JobId("wk-7"), new JobId("wk-8")), read.dependencies());
+    assertEquals(read, JobSpecCodec.read(Json.parse(Json.bytes(JobSpecCodec.write(read)))));
   }
 }
--- a/src/test/java/shorecrank/storage/JobRecordCodecTest.java
+++ b/src/test/java/shorecrank/storage/JobRecordCodecTest.java
@@ -23,13 +23,16 @@
 import shorecrank.protocol.MalformedMessageException;
 import shorecrank.storage.JobRecord.AttemptRange;
 
-/** Each form reads as what was written; a malformed value is rejected with the field's name. */
+/**
+ * Tests that each stored form of a job record reads as written, and that a malformed value is
+ * rejected with the name of the field.
+ */
 class JobRecordCodecTest {
   private static JsonNode json(String text) {
     return Json.parse(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Four tasks: the first done, two running on one machine. */
+  /** Returns the record of a job with four tasks: the first is done, two run on one machine. */
   private static JobRecord record() throws MalformedMessageException {
     JobSpec spec =
         JobSpecCodec.read(
@@ -56,7 +59,7 @@
     assertEquals(record, JobRecordCodec.read(record.writeDense()));
   }
 
-  /** The names and the order of fields are what other versions read. */
+  /** Guards the field names and their order, which other versions read. */
   @Test
   void plainFormHasItsFieldsInOrder() throws Exception {
     ObjectNode value = record().write();
--- a/src/test/java/shorecrank/storage/RateLimiterTest.java
+++ b/src/test/java/shorecrank/storage/RateLimiterTest.java
@@ -9,13 +9,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** A full bucket holds one second's worth; it refills at its rate and may go into debt. */
+/**
+ * Tests that the bucket holds the tokens of at most one second, refills at its rate and can go into
+ * debt.
+ */
 class RateLimiterTest {
   private static MonotonicTime at(long ms) {
     return new MonotonicTime(ms);
   }
 
-  /** Ten per second: so many are taken at once, then one more is there after so long, or not. */
+  /** At 10 tokens per second: whether one token is available some time after tokens were taken. */
   @ParameterizedTest
   @CsvSource({
     "9, 0, true",
@@ -39,7 +42,10 @@
     assertFalse(limiter.tryTake(1, at(60_000)));
   }
 
-  /** A transaction larger than the rate is never stuck: it passes on a full bucket, on credit. */
+  /**
+   * A demand above the tokens of one second would never be met if it had to wait until all its
+   * tokens are in the bucket. It passes on a full bucket and leaves a debt.
+   */
   @Test
   void demandAboveOneSecondPassesOnAFullBucket() {
     RateLimiter limiter = new RateLimiter(10);
