--- a/src/test/java/shorecrank/sim/CommandHistory.java
+++ b/src/test/java/shorecrank/sim/CommandHistory.java
@@ -12,6 +12,7 @@
  * whose start command the machine has executed before.
  */
 final class CommandHistory {
+  /** The number of low bits of a fencing token that hold the command number. */
   private static final int NUMBER_BITS = 24;
 
   private final Map<Long, Integer> shardOfEpoch = new HashMap<>();
--- a/src/test/java/shorecrank/sim/Declarations.java
+++ b/src/test/java/shorecrank/sim/Declarations.java
@@ -193,12 +193,12 @@
   }
 
   /**
-   * Parses {@code must-break RULE}: the scenario tests the checker, which has to report a violation
-   * with this text.
+   * Parses {@code must-break WORD}: the scenario tests the checker, which has to report a violation
+   * whose text contains the word. Further words of the line are ignored.
    */
   private static Declaration expectViolation(ScenarioLine line) {
-    String rule = line.word(1);
-    return setup -> setup.expectViolation(rule);
+    String word = line.word(1);
+    return setup -> setup.expectViolation(word);
   }
 
   /** Parses {@code capacity COUNT}: the number of machines that can be rented at a time. */
--- a/src/test/java/shorecrank/sim/RolloutActions.java
+++ b/src/test/java/shorecrank/sim/RolloutActions.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Parses {@code settings WHO SETTING: VALUE}: a setting that the controllers use from their next
-   * start on.
+   * Parses {@code settings WHO SETTING: VALUE}: the content of the settings file that the
+   * controllers read from their next start on.
    */
   private static Action settings(ScenarioLine line) {
     ControllerSelector who = ControllerSelector.read(line, 1);
--- a/src/test/java/shorecrank/sim/RolloutRule.java
+++ b/src/test/java/shorecrank/sim/RolloutRule.java
@@ -39,8 +39,7 @@
     return falls;
   }
 
-  // ---- writes
-  // ----------------------------------------------------------------------------------
+  // ---- writes -----------------------------------------------------------------------------------
 
   @Override
   void beforeTransaction(JsonNode operations) {
@@ -101,8 +100,7 @@
     }
   }
 
-  // ---- owners and leader
-  // -----------------------------------------------------------------------
+  // ---- owners and leader ------------------------------------------------------------------------
 
   @Override
   void roundCompleted(ControllerNode node) {
@@ -124,8 +122,8 @@
       report("leadership_vacant: no leader key at level " + level);
     }
     String leading = world().store.peek("leadership").path("label").asText("");
-    // The process of the former leader may have restarted in an earlier version under the
-    // same label.
+    // The process of the former leader may have restarted in an earlier version under the same
+    // label.
     long runningMs = sim().now() - world().rollouts.runningSinceMs(node.index());
     if (node.label().equals(leading)
         && node.isUp()
--- a/src/test/java/shorecrank/sim/RuleTestWorld.java
+++ b/src/test/java/shorecrank/sim/RuleTestWorld.java
@@ -75,8 +75,7 @@
     return worker("n-%06d".formatted(number)).orElseThrow();
   }
 
-  // ---- user requests
-  // ---------------------------------------------------------------------------
+  // ---- user requests ----------------------------------------------------------------------------
 
   /** Submits a job without sending a request to any controller. */
   void submit(String job, JobPlan.Builder plan) {
@@ -110,8 +109,7 @@
     answer(Kind.CANCEL, job, 200, AnswerHistory.CANCELLED);
   }
 
-  // ---- workers
-  // ---------------------------------------------------------------------------------
+  // ---- workers ----------------------------------------------------------------------------------
 
   /** Puts a task on a machine and returns it. */
   SimulatedTask start(int machine, String task) {
@@ -141,8 +139,7 @@
     machine(machine).takeCommands(body, ReplyHandler.IGNORE);
   }
 
-  // ---- state service
-  // ---------------------------------------------------------------------------
+  // ---- state service ----------------------------------------------------------------------------
 
   /** Writes a key in a transaction, as a controller does. */
   void write(String key, JsonNode value) {
@@ -182,16 +179,15 @@
         spec, new Epoch(1), new WriterId("n0.1"), 1, new BitSet(), List.of(live), 1, false, 1, 0);
   }
 
-  // ---- violations
-  // ------------------------------------------------------------------------------
+  // ---- violations -------------------------------------------------------------------------------
 
   /**
    * Asserts that exactly one violation was reported, and that its text begins with the given one.
    */
-  void assertViolation(String rule) {
-    List<String> found = checker.violations();
-    assertEquals(1, found.size(), found.toString());
-    assertTrue(found.get(0).contains(" s: " + rule), found.toString());
+  void assertViolation(String text) {
+    List<String> violations = checker.violations();
+    assertEquals(1, violations.size(), violations.toString());
+    assertTrue(violations.get(0).contains(" s: " + text), violations.toString());
   }
 
   /** Asserts that no violation was reported. */
--- a/src/test/java/shorecrank/sim/Scenario.java
+++ b/src/test/java/shorecrank/sim/Scenario.java
@@ -100,12 +100,12 @@
   }
 
   /**
-   * Returns a failure if the checker did not report the violation that this test of the checker
-   * expects.
+   * Returns a failure if the checker reported no violation whose text contains the word; used by
+   * scenarios that test the checker.
    */
-  private List<String> missingViolation(String rule) {
-    boolean isReported = world.checker.violations().stream().anyMatch(text -> text.contains(rule));
-    return isReported ? List.of() : List.of("violation not reported: " + rule);
+  private List<String> missingViolation(String word) {
+    boolean isReported = world.checker.violations().stream().anyMatch(text -> text.contains(word));
+    return isReported ? List.of() : List.of("violation not reported: " + word);
   }
 
   private List<String> failures() {
--- a/src/test/java/shorecrank/sim/ScenarioSetup.java
+++ b/src/test/java/shorecrank/sim/ScenarioSetup.java
@@ -43,18 +43,19 @@
   }
 
   /**
-   * Returns the text of the violation that the checker has to report, or empty if the scenario is
-   * not a test of the checker.
+   * Returns a word of the violation that the checker has to report, or empty if the scenario is not
+   * a test of the checker.
    */
   Optional<String> expectedViolation() {
     return Optional.ofNullable(expectedViolation);
   }
 
   /**
-   * Declares the scenario a test of the checker, which has to report a violation with this text.
+   * Declares the scenario a test of the checker, which has to report a violation whose text
+   * contains the word.
    */
-  void expectViolation(String rule) {
-    expectedViolation = rule;
+  void expectViolation(String word) {
+    expectedViolation = word;
   }
 
   /** Adds a line to the operators' rollout file. */
@@ -73,8 +74,8 @@
       world.site.addTeam(DEFAULT_TEAM, new TeamQuota(0, 0));
     }
     if (world.shares.isEnabled() && rolloutSettings.isEmpty()) {
-      // Shares need their feature level, and most scenarios with shares test what happens
-      // once it is in force. So by default the level rises as soon as possible.
+      // Shares need their feature level, and most scenarios with shares test what happens once it
+      // is in force. So by default the level rises as soon as possible.
       rolloutSetting("automatic: true settle_s: 1 archive_before_raise: false");
     }
     if (!rolloutSettings.isEmpty()) {
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -35,8 +35,8 @@
 
   @Override
   void beforeTransaction(JsonNode operations) {
-    // Below this level a controller of an earlier version may lead, which writes
-    // assignments without moves.
+    // Below this level a controller of an earlier version may lead, which writes assignments
+    // without moves.
     boolean isLevelInForce = world().rollouts.state().level().includes(Feature.SHARES.level());
     if (!world().shares.isEnabled() || !isLevelInForce) {
       return;
@@ -87,9 +87,8 @@
     boolean isAssigned = assigned.values().stream().anyMatch(names -> names.contains(name));
     boolean isLate = world().store.lateByMs() > 0;
     if (!isAssigned && isLate) {
-      // The sender of a late transaction got no answer, so it has announced this first
-      // assignment to no shard owner, and the machine may still be assigned to another
-      // shard without a move.
+      // The sender of a late transaction got no answer, so it has announced this first assignment
+      // to no shard owner, and the machine may still be assigned to another shard without a move.
       unannouncedMachines.add(name);
     }
     if (unannouncedMachines.contains(name)) {
--- a/src/test/java/shorecrank/sim/SingleOwnerRule.java
+++ b/src/test/java/shorecrank/sim/SingleOwnerRule.java
@@ -37,8 +37,8 @@
 
   private void checkMachines(ControllerNode node) {
     for (MachineName machine : node.commandedMachines()) {
-      // Machines that are gone don't count: an owner whose machine list is out of date
-      // may add such a machine again.
+      // Machines that the cloud no longer has don't count: an owner whose machine list is out of
+      // date may still list them.
       if (world().worker(machine.value()).isEmpty()) {
         continue;
       }
--- a/src/test/java/shorecrank/sim/StateRulesTest.java
+++ b/src/test/java/shorecrank/sim/StateRulesTest.java
@@ -26,9 +26,9 @@
 class StateRulesTest {
   private static final String TWO_SHARDS = "parts: 2";
 
-  private static JsonNode levelState(FeatureLevel levelState) {
+  private static JsonNode levelState(FeatureLevel level) {
     return RolloutCodec.writeState(
-        new RolloutState(RolloutPhase.STABLE, levelState, levelState, "", "", false, List.of()));
+        new RolloutState(RolloutPhase.STABLE, level, level, "", "", false, List.of()));
   }
 
   private static RuleTestWorld launchWithVersions(String... versions) throws Exception {
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Actions of users: requests about jobs, and behaviour that lasts for some time. */
+/** Actions of users: requests about jobs, and behavior that lasts for some time. */
 final class UserActions {
   static final Map<String, Action.Reader> ACTIONS =
       Map.ofEntries(
@@ -46,9 +46,9 @@
     void send(SimulatedUsers users, String job);
   }
 
-  /** A behaviour of users that lasts for some time. */
+  /** A behavior of users that lasts for some time. */
   @FunctionalInterface
-  private interface Habit {
+  private interface TimedBehavior {
     void begin(UserBehavior behavior, long durationMs);
   }
 
@@ -86,10 +86,10 @@
     return world -> request.send(world.users, job);
   }
 
-  /** Parses {@code NAME SECONDS}: a behaviour that lasts for so many seconds. */
-  private static Action timed(ScenarioLine line, Habit habit) {
+  /** Parses {@code NAME SECONDS}: a behavior that lasts for so many seconds. */
+  private static Action timed(ScenarioLine line, TimedBehavior behavior) {
     long durationMs = line.milliseconds(1);
-    return world -> habit.begin(world.users.behavior(), durationMs);
+    return world -> behavior.begin(world.users.behavior(), durationMs);
   }
 
   /**
