--- a/src/test/java/shorecrank/sim/Backlog.java
+++ b/src/test/java/shorecrank/sim/Backlog.java
@@ -20,13 +20,13 @@
    * tasks hold, over what the team may use of the machines that its shard is sure to keep. Teams of
    * one shard count one after the other, shards side by side.
    */
-  long milliseconds() {
+  long durationMs() {
     Map<ShardId, Double> seconds = new HashMap<>();
-    cpuSeconds()
+    remainingCpuSeconds()
         .forEach(
-            (team, left) -> {
+            (team, remaining) -> {
               ShardId shard = ShardId.of(team, world.settings().shards());
-              seconds.merge(shard, left / usableCpus(team, shard), Double::sum);
+              seconds.merge(shard, remaining / usableCpus(team, shard), Double::sum);
             });
     double longest = seconds.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
     return (long) (longest * 1000);
@@ -36,21 +36,21 @@
    * Processor seconds by team. A task holds its processors from the fetch of its image until the
    * heartbeat after its end, which comes after a whole pause at the latest.
    */
-  private Map<String, Double> cpuSeconds() {
-    Map<String, Double> left = new HashMap<>();
+  private Map<String, Double> remainingCpuSeconds() {
+    Map<String, Double> remaining = new HashMap<>();
     for (String job : world.jobs.ids()) {
       if (world.checker.answers().isOver(job) || world.jobs.isCancelRequested(job)) {
         continue;
       }
       JobPlan plan = world.jobs.plan(job);
-      double each = plan.cpus() * (plan.fetchS() + plan.runS() + world.site.reportS());
+      double cpuSecondsPerTask = plan.cpus() * (plan.fetchS() + plan.runS() + world.site.reportS());
       for (int i = 0; i < plan.tasks(); i++) {
         if (!world.jobs.hasResult(job + "/" + i)) {
-          left.merge(plan.team(), each, Double::sum);
+          remaining.merge(plan.team(), cpuSecondsPerTask, Double::sum);
         }
       }
     }
-    return left;
+    return remaining;
   }
 
   /** Processors of a shard's machines without those about to leave it, but of one at the least. */
--- a/src/test/java/shorecrank/sim/ControllerFaults.java
+++ b/src/test/java/shorecrank/sim/ControllerFaults.java
@@ -13,18 +13,18 @@
 
   /** {@code crash WHO [SECONDS]}: ends and starts again after a while. */
   private static Action crash(ScenarioLine line) {
-    ControllerSelector who = ControllerSelector.read(line, 1);
+    ControllerSelector selector = ControllerSelector.read(line, 1);
     long restartMs = line.has(2) ? line.milliseconds(2) : RESTART_MS;
-    return world -> who.forEach(world, node -> node.crash(restartMs));
+    return world -> selector.forEach(world, node -> node.crash(restartMs));
   }
 
   /** {@code freeze WHO SECONDS}: does nothing for a while, and then goes on. */
   private static Action freeze(ScenarioLine line) {
-    ControllerSelector who = ControllerSelector.read(line, 1);
+    ControllerSelector selector = ControllerSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
     return world -> {
       world.faults.addFault(durationMs);
-      who.forEach(world, node -> node.freeze(durationMs));
+      selector.forEach(world, node -> node.freeze(durationMs));
     };
   }
 }
--- a/src/test/java/shorecrank/sim/ControllerNode.java
+++ b/src/test/java/shorecrank/sim/ControllerNode.java
@@ -12,7 +12,7 @@
   private final int index;
   private final String label;
   private final String zone;
-  private int life;
+  private int startCount;
   private boolean up;
   private long downSinceMs;
 
@@ -49,13 +49,13 @@
   }
 
   /** How many times it has started. */
-  int life() {
-    return life;
+  int startCount() {
+    return startCount;
   }
 
   /** Whether it runs, and has not ended since it had started so many times. */
-  boolean isAlive(int since) {
-    return up && life == since;
+  boolean isSameRun(int startNumber) {
+    return up && startCount == startNumber;
   }
 
   /** Simulated time of its latest end. */
@@ -66,7 +66,7 @@
   /** Starts its process. */
   final void start() {
     up = true;
-    life++;
+    startCount++;
     launch();
   }
 
--- a/src/test/java/shorecrank/sim/ControllerProcess.java
+++ b/src/test/java/shorecrank/sim/ControllerProcess.java
@@ -29,9 +29,9 @@
   private static final long PROBE_EVERY_MS = 250;
   private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(6);
-  private static final String SHARDS = "part/";
+  private static final String SHARD_KEY_PREFIX = "part/";
 
-  private final PlatformFile.Addresses addresses;
+  private final NodeConfigWriter.Addresses addresses;
   private final Path directory;
   private final HttpClient client;
   private final Consumer<Runnable> inbox;
@@ -48,7 +48,7 @@
       World world,
       int index,
       ProgramVersion version,
-      PlatformFile.Addresses addresses,
+      NodeConfigWriter.Addresses addresses,
       Path directory,
       HttpClient client,
       Consumer<Runnable> inbox) {
@@ -61,7 +61,7 @@
   }
 
   /** Where it is found and what it finds. */
-  PlatformFile.Addresses addresses() {
+  NodeConfigWriter.Addresses addresses() {
     return addresses;
   }
 
@@ -81,10 +81,10 @@
   void launch() {
     try {
       Path file = directory.resolve(label() + ".json");
-      Files.write(file, Json.bytes(PlatformFile.write(world(), this)));
+      Files.write(file, Json.bytes(NodeConfigWriter.write(world(), this)));
       List<String> command = new ArrayList<>(version.command());
       command.add(file.toString());
-      String output = label() + "-" + life() + "-" + version.name() + ".log";
+      String output = label() + "-" + startCount() + "-" + version.name() + ".log";
       process =
           new ProcessBuilder(command)
               .directory(version.directory().toFile())
@@ -114,7 +114,7 @@
   }
 
   /** Whether it runs, or was ended by the test. */
-  boolean isSound() {
+  boolean isAliveOrStoppedByTest() {
     return !isUp() || process.isAlive();
   }
 
@@ -185,7 +185,7 @@
   @Override
   Map<ShardId, Epoch> ownedEpochs() {
     Map<ShardId, Epoch> owned = new HashMap<>();
-    for (String key : world().store.keys(SHARDS)) {
+    for (String key : world().store.keys(SHARD_KEY_PREFIX)) {
       JsonNode owner = world().store.peek(key);
       if (owner.path("label").asText().equals(label())) {
         ShardId shard = new ShardId(owner.path("part").asInt());
--- a/src/test/java/shorecrank/sim/Cut.java
+++ b/src/test/java/shorecrank/sim/Cut.java
@@ -25,14 +25,14 @@
   }
 
   /** Takes a message: it is kept until the cut is over, or lost. */
-  void take(Runnable delivery) {
+  void intercept(Runnable delivery) {
     if (mode == CutMode.HOLD) {
       held.add(delivery);
     }
   }
 
   /** Delivers what was kept, in order. */
-  void end() {
+  void deliverHeld() {
     held.forEach(Runnable::run);
   }
 }
--- a/src/test/java/shorecrank/sim/Cuts.java
+++ b/src/test/java/shorecrank/sim/Cuts.java
@@ -12,7 +12,7 @@
   private static final String REGIONAL = "";
 
   /** Some links of one controller. */
-  private record LinkCut(Link link, Cut cut) {}
+  private record LinkCut(LinkKind link, Cut cut) {}
 
   /** What goes to or from one worker. */
   private record WorkerCut(WorkerDirection direction, Cut cut) {}
@@ -30,9 +30,9 @@
 
   private final Simulation sim;
   private final FaultPeriod faults;
-  private final Map<ControllerNode, List<LinkCut>> ofControllers = new HashMap<>();
-  private final Map<String, List<WorkerCut>> ofWorkers = new HashMap<>();
-  private final List<ZoneCut> ofZones = new ArrayList<>();
+  private final Map<ControllerNode, List<LinkCut>> controllerCuts = new HashMap<>();
+  private final Map<String, List<WorkerCut>> workerCuts = new HashMap<>();
+  private final List<ZoneCut> zoneCuts = new ArrayList<>();
 
   Cuts(Simulation sim, FaultPeriod faults) {
     this.sim = sim;
@@ -40,70 +40,70 @@
   }
 
   /** Cuts links of a controller from now on. */
-  void cutLinks(ControllerNode node, Link link, long durationMs, CutMode mode) {
-    Cut cut = begin(durationMs, mode);
-    ofControllers.computeIfAbsent(node, k -> new ArrayList<>()).add(new LinkCut(link, cut));
+  void cutLinks(ControllerNode node, LinkKind link, long durationMs, CutMode mode) {
+    Cut cut = startCut(durationMs, mode);
+    controllerCuts.computeIfAbsent(node, k -> new ArrayList<>()).add(new LinkCut(link, cut));
   }
 
   /** Cuts a worker off from now on, one way or both. */
   void cutWorker(String worker, WorkerDirection direction, long durationMs, CutMode mode) {
-    Cut cut = begin(durationMs, mode);
-    ofWorkers.computeIfAbsent(worker, k -> new ArrayList<>()).add(new WorkerCut(direction, cut));
+    Cut cut = startCut(durationMs, mode);
+    workerCuts.computeIfAbsent(worker, k -> new ArrayList<>()).add(new WorkerCut(direction, cut));
   }
 
   /** Cuts a zone off from all that is outside. */
   void isolateZone(String zone, long durationMs, CutMode mode) {
-    ofZones.add(new ZoneCut(zone, null, begin(durationMs, mode)));
+    zoneCuts.add(new ZoneCut(zone, null, startCut(durationMs, mode)));
   }
 
   /** Cuts two zones off from each other. */
   void separateZones(String zone, String other, long durationMs, CutMode mode) {
-    ofZones.add(new ZoneCut(zone, other, begin(durationMs, mode)));
+    zoneCuts.add(new ZoneCut(zone, other, startCut(durationMs, mode)));
   }
 
-  private Cut begin(long durationMs, CutMode mode) {
+  private Cut startCut(long durationMs, CutMode mode) {
     faults.addFault(durationMs);
     Cut cut = new Cut(sim.now() + durationMs, mode);
-    sim.after(durationMs, cut::end);
+    sim.after(durationMs, cut::deliverHeld);
     return cut;
   }
 
   /** The cut between a controller and the users or a regional service, if there is one now. */
-  Optional<Cut> toRegion(ControllerNode node, Link link) {
-    return ofLinks(node, link).or(() -> betweenZones(node.zone(), REGIONAL));
+  Optional<Cut> forRegionalService(ControllerNode node, LinkKind link) {
+    return forLinks(node, link).or(() -> betweenZones(node.zone(), REGIONAL));
   }
 
   /** Whether a controller is told at once that it can't use its links of a kind. */
-  boolean refuses(ControllerNode node, Link link) {
-    return ofLinks(node, link).map(Cut::refuses).orElse(false);
+  boolean refuses(ControllerNode node, LinkKind link) {
+    return forLinks(node, link).map(Cut::refuses).orElse(false);
   }
 
   /** The cut between two controllers, if there is one now. */
   Optional<Cut> betweenPeers(ControllerNode one, ControllerNode other) {
-    return ofLinks(one, Link.PEERS)
-        .or(() -> ofLinks(other, Link.PEERS))
+    return forLinks(one, LinkKind.PEERS)
+        .or(() -> forLinks(other, LinkKind.PEERS))
         .or(() -> betweenZones(one.zone(), other.zone()));
   }
 
   /** The cut of what goes one way between a worker and a controller, if there is one now. */
-  Optional<Cut> ofWorker(SimulatedWorker worker, ControllerNode node, WorkerDirection direction) {
-    return ofWorkers.getOrDefault(worker.name(), List.of()).stream()
+  Optional<Cut> forWorker(SimulatedWorker worker, ControllerNode node, WorkerDirection direction) {
+    return workerCuts.getOrDefault(worker.name(), List.of()).stream()
         .filter(c -> c.cut.isActive(sim.now()) && c.direction.includes(direction))
         .map(WorkerCut::cut)
         .findFirst()
-        .or(() -> ofLinks(node, Link.WORKERS))
+        .or(() -> forLinks(node, LinkKind.WORKERS))
         .or(() -> betweenZones(node.zone(), worker.zone()));
   }
 
-  private Optional<Cut> ofLinks(ControllerNode node, Link link) {
-    return ofControllers.getOrDefault(node, List.of()).stream()
+  private Optional<Cut> forLinks(ControllerNode node, LinkKind link) {
+    return controllerCuts.getOrDefault(node, List.of()).stream()
         .filter(c -> c.cut.isActive(sim.now()) && c.link.includes(link))
         .map(LinkCut::cut)
         .findFirst();
   }
 
   private Optional<Cut> betweenZones(String one, String other) {
-    return ofZones.stream()
+    return zoneCuts.stream()
         .filter(c -> c.cut.isActive(sim.now()) && c.isBetween(one, other))
         .map(ZoneCut::cut)
         .findFirst();
--- a/src/test/java/shorecrank/sim/FaultScript.java
+++ b/src/test/java/shorecrank/sim/FaultScript.java
@@ -17,7 +17,7 @@
   }
 
   /** Runs actions at a time. */
-  void at(double seconds, String actions) {
+  void schedule(double seconds, String actions) {
     for (String action : actions.split(SEPARATOR)) {
       world.sim.at((long) (seconds * MS_PER_S), () -> run(action));
     }
--- a/src/test/java/shorecrank/sim/IdleController.java
+++ b/src/test/java/shorecrank/sim/IdleController.java
@@ -29,7 +29,7 @@
 
   @Override
   void launch() {
-    world().rollouts.start(this);
+    world().rollouts.setupForStart(this);
   }
 
   @Override
--- a/src/test/java/shorecrank/sim/Link.java
+++ b/src/test/java/shorecrank/sim/LinkKind.java
@@ -1,7 +1,7 @@
 package shorecrank.sim;
 
 /** Kinds of connections of a controller, by who is at the other end. */
-enum Link {
+enum LinkKind {
   STATE,
   CLOUD,
   PEERS,
@@ -10,7 +10,7 @@
   ALL;
 
   /** Whether a cut of these links stops what goes over those. */
-  boolean includes(Link other) {
+  boolean includes(LinkKind other) {
     return this == other || this == ALL;
   }
 }
--- a/src/test/java/shorecrank/sim/LoopbackServers.java
+++ b/src/test/java/shorecrank/sim/LoopbackServers.java
@@ -25,7 +25,7 @@
   /** Watches are answered late. */
   private static final int ANSWER_TIMEOUT_S = 90;
 
-  private final Executor threads;
+  private final Executor executor;
   private final Consumer<Runnable> inbox;
   private final List<HttpServer> servers = new ArrayList<>();
 
@@ -43,8 +43,8 @@
    * @param threads that wait for requests and answers
    * @param inbox takes what the playing thread has to do
    */
-  LoopbackServers(Executor threads, Consumer<Runnable> inbox) {
-    this.threads = threads;
+  LoopbackServers(Executor executor, Consumer<Runnable> inbox) {
+    this.executor = executor;
     this.inbox = inbox;
   }
 
@@ -53,8 +53,8 @@
     try {
       HttpServer server =
           HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-      server.setExecutor(threads);
-      server.createContext("/", exchange -> exchange(exchange, handler));
+      server.setExecutor(executor);
+      server.createContext("/", exchange -> handleExchange(exchange, handler));
       server.start();
       servers.add(server);
       return "127.0.0.1:" + server.getAddress().getPort();
@@ -63,7 +63,7 @@
     }
   }
 
-  private void exchange(HttpExchange exchange, Handler handler) throws IOException {
+  private void handleExchange(HttpExchange exchange, Handler handler) throws IOException {
     String method = exchange.getRequestMethod();
     String path = exchange.getRequestURI().toString();
     JsonNode body = Json.parse(exchange.getRequestBody().readAllBytes());
--- a/src/test/java/shorecrank/sim/MachineFaults.java
+++ b/src/test/java/shorecrank/sim/MachineFaults.java
@@ -9,7 +9,7 @@
           "hang", MachineFaults::hang,
           "fail-tasks", MachineFaults::failTasks,
           "preempt-machine", MachineFaults::preempt,
-          "preemption-notice", MachineFaults::notice,
+          "preemption-notice", MachineFaults::preemptionNotice,
           "capacity", MachineFaults::capacity);
 
   private MachineFaults() {}
@@ -34,7 +34,7 @@
   }
 
   /** {@code preemption-notice MACHINES SECONDS}: the cloud takes them back after a notice. */
-  private static Action notice(ScenarioLine line) {
+  private static Action preemptionNotice(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     double noticeS = line.decimal(2);
     long noticeMs = line.milliseconds(2);
@@ -42,7 +42,7 @@
         machines.forEach(
             world,
             worker -> {
-              worker.giveNotice(noticeS);
+              worker.announcePreemption(noticeS);
               world.sim.after(noticeMs, () -> world.cloud.removeMachine(worker.name()));
             });
   }
--- a/src/test/java/shorecrank/sim/Measurements.java
+++ b/src/test/java/shorecrank/sim/Measurements.java
@@ -19,7 +19,7 @@
   }
 
   private final Map<String, Steps> steps = new TreeMap<>();
-  private final Map<String, Integer> largest = new TreeMap<>();
+  private final Map<String, Integer> largestBodyBytes = new TreeMap<>();
 
   /** A controller has made a step that took so many nanoseconds. */
   void step(Input input, long nanos, List<Output> outputs) {
@@ -29,15 +29,15 @@
     s.longest = Math.max(s.longest, nanos);
     for (Output o : outputs) {
       if (o instanceof Output.Call c && c.body() != null) {
-        message(c.path().split("\\?")[0], Json.bytes(c.body()).length);
+        recordMessage(c.path().split("\\?")[0], Json.bytes(c.body()).length);
       } else if (o instanceof Output.Reply r && r.body() != null) {
-        message("answer to " + kind(input), Json.bytes(r.body()).length);
+        recordMessage("answer to " + kind(input), Json.bytes(r.body()).length);
       }
     }
   }
 
-  private void message(String kind, int bytes) {
-    largest.merge(kind.startsWith("/store/") ? "/store" : kind, bytes, Math::max);
+  private void recordMessage(String kind, int bytes) {
+    largestBodyBytes.merge(kind.startsWith("/store/") ? "/store" : kind, bytes, Math::max);
   }
 
   private static String kind(Input input) {
@@ -47,9 +47,9 @@
     return input instanceof Input.Tick ? "round" : "answer";
   }
 
-  /** The largest body of a kind of message, in bytes. */
+  /** The largestBodyBytes body of a kind of message, in bytes. */
   int largestMessage(String kind) {
-    return largest.getOrDefault(kind, 0);
+    return largestBodyBytes.getOrDefault(kind, 0);
   }
 
   @Override
@@ -61,7 +61,7 @@
                 String.format(
                     "  steps %-18s %8d, mean %.3f ms, longest %.1f ms%n",
                     kind, s.count, s.nanos / NANOS_PER_MS / s.count, s.longest / NANOS_PER_MS)));
-    largest.forEach(
+    largestBodyBytes.forEach(
         (kind, bytes) -> text.append(String.format("  largest %-24s %7d bytes%n", kind, bytes)));
     return text.toString();
   }
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -24,36 +24,38 @@
 
   private ProcessWorld world;
   private ProgramVersion production;
-  private ProgramVersion present;
+  private ProgramVersion current;
   private int submitted;
 
   @Test
   void noRuleBreaksWhenEachPairOfVersionsLeadsAndOwns() throws Exception {
     production = ProgramVersions.production();
-    present = ProgramVersions.present();
-    Path logs = Files.createDirectories(ProgramVersions.BASE.resolve("target/mixed-versions"));
-    Path own = Files.createTempDirectory(logs, "run");
+    current = ProgramVersions.current();
+    Path logs =
+        Files.createDirectories(ProgramVersions.PROJECT_DIRECTORY.resolve("target/mixed-versions"));
+    Path runDirectory = Files.createTempDirectory(logs, "run");
     long seed = Long.getLong("seed", 1);
-    try (ProcessWorld w = new ProcessWorld(seed, production, own, SettingsFile.defaults())) {
+    try (ProcessWorld w =
+        new ProcessWorld(seed, production, runDirectory, SettingsFile.defaults())) {
       world = w;
       describeSite();
-      world.letLeadOnly(null);
+      world.allowLeadershipOnlyOf(null);
       world.startControllers(3);
-      world.letLeadOnly(node(1));
+      world.allowLeadershipOnlyOf(node(1));
       for (int i = 0; i < 4; i++) {
         world.cloud.addMachine("p8", i % 2 == 0 ? "a" : "b", false, 0);
       }
       await("the first leader", () -> leads(1) && world.owner(0).isPresent());
       submitEvery(JOB_EVERY_MS);
-      world.play(5000);
-
-      oldLeaderNewOwner();
-      newLeaderOldOwner();
-      usersPassedOn();
-      outage();
-      oldOnesReturn();
-      allNew();
-      pipelineUnderLowerLimits();
+      world.runFor(5000);
+
+      productionLeadsCurrentOwns();
+      currentLeadsProductionOwns();
+      relayUserRequests();
+      stateServiceOutage();
+      failOverRepeatedly();
+      upgradeAll();
+      submitPipelineUnderLowerLimits();
       finish();
       world.checker.end();
       assertEquals(List.of(), world.checker.violations());
@@ -62,96 +64,96 @@
   }
 
   /** A roll of one while an old process leads; the shard moves to the new one, and away again. */
-  private void oldLeaderNewOwner() {
-    roll(0);
+  private void productionLeadsCurrentOwns() {
+    upgrade(0);
     await("an old leader with a new owner", () -> leads(1) && owns(0));
     assertEquals(production, node(1).version());
-    serveFor(6000);
+    runFor(6000);
     node(0).crash(9000);
     await("a failover to an old one", () -> owns(2));
-    serveFor(4000);
+    runFor(4000);
   }
 
   /** The leader is killed; the new process leads over an old owner. */
-  private void newLeaderOldOwner() {
+  private void currentLeadsProductionOwns() {
     awaitServing(node(0));
-    world.letLeadOnly(node(0));
+    world.allowLeadershipOnlyOf(node(0));
     node(1).crash(12_000);
     await("a new leader with an old owner", () -> leads(0) && owns(2));
     assertEquals(production, node(2).version());
-    serveFor(6000);
+    runFor(6000);
     // Killed before its turn: it comes back old, and meets a new owner under the new leader.
-    node(1).upgrade(present);
+    node(1).upgrade(current);
     awaitServing(node(1));
     node(2).crash(3000);
     await("a failover to a new one", () -> owns(1));
-    serveFor(4000);
+    runFor(4000);
   }
 
   /** A controller that the state service refuses passes users' requests on, to either version. */
-  private void usersPassedOn() {
+  private void relayUserRequests() {
     awaitServing(node(2));
-    refuseState(node(2));
+    refuseStateRequests(node(2));
     assertTrue(node(2).metric("user.relayed") > 0, "the old one passed nothing on");
-    world.letLeadOnly(node(2));
+    world.allowLeadershipOnlyOf(node(2));
     node(0).crash(9000);
     await("an old leader again", () -> leads(2));
     awaitServing(node(0));
-    refuseState(node(0));
+    refuseStateRequests(node(0));
     assertTrue(node(0).metric("user.relayed") > 0, "the new one passed nothing on");
   }
 
   /** Its users go on asking it, and it knows after a while that it must pass them on. */
-  private void refuseState(ControllerProcess node) {
-    world.network.cuts().cutLinks(node, Link.STATE, 8000, CutMode.REFUSE);
+  private void refuseStateRequests(ControllerProcess node) {
+    world.network.cuts().cutLinks(node, LinkKind.STATE, 8000, CutMode.REFUSE);
     for (int i = 0; i < 16; i++) {
-      serveFor(500);
+      runFor(500);
       world.users.resubmitAt(node, "wk-1");
     }
-    serveFor(1000);
+    runFor(1000);
   }
 
-  private void outage() {
+  private void stateServiceOutage() {
     world.faults.addFault(12_000);
     world.store.beginOutage(12_000);
-    serveFor(14_000);
+    runFor(14_000);
   }
 
   /** The owner of one version ends, and the other takes over on its records, several times. */
-  private void oldOnesReturn() {
+  private void failOverRepeatedly() {
     for (int i = 0; i < 3; i++) {
       ControllerProcess owner = (ControllerProcess) world.owner(0).orElseThrow();
       owner.crash(7500);
       await("a failover", () -> world.owner(0).filter(node -> node != owner).isPresent());
-      serveFor(2500);
+      runFor(2500);
       awaitServing(owner);
     }
   }
 
-  private void allNew() {
-    world.letLeadOnly(null);
-    roll(2);
+  private void upgradeAll() {
+    world.allowLeadershipOnlyOf(null);
+    upgrade(2);
     await("a new leader", () -> world.leader().filter(ControllerNode::isUp).isPresent());
-    serveFor(4000);
+    runFor(4000);
     for (ControllerNode n : world.controllers()) {
-      assertEquals(present, ((ControllerProcess) n).version());
+      assertEquals(current, ((ControllerProcess) n).version());
     }
   }
 
-  private void pipelineUnderLowerLimits() {
+  private void submitPipelineUnderLowerLimits() {
     world.store.setLimits(world.site.nextLimits().orElseThrow());
     world.users.submit("wk-9001", plan(4, 1.5).build());
-    world.play(1500);
+    world.runFor(1500);
     world.users.submit("wk-9002", plan(3, 1).dependencies(List.of("wk-9001")).build());
-    world.play(1500);
+    world.runFor(1500);
     world.users.submit("wk-9003", plan(2, 1).dependencies(List.of("wk-9002", "wk-1")).build());
-    serveFor(3000);
+    runFor(3000);
   }
 
   private void finish() {
     submitting = false;
     await("the end of all jobs", world::areAllJobsOver);
-    assertEquals(List.of(), world.endedByThemselves(), "controllers ended by themselves");
+    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended by themselves");
   }
 
   // ---- the site and its load -------------------------------------------------------------------
@@ -190,8 +192,8 @@
     return world.process(index);
   }
 
-  private void roll(int index) {
-    node(index).upgrade(present);
+  private void upgrade(int index) {
+    node(index).upgrade(current);
     node(index).crash(1000);
   }
 
@@ -203,20 +205,20 @@
     return world.owner(0).filter(node(index)::equals).isPresent();
   }
 
-  private void serveFor(long ms) {
-    world.play(ms);
+  private void runFor(long ms) {
+    world.runFor(ms);
     assertEquals(List.of(), world.checker.violations());
   }
 
   /** Until a controller is back and has read who leads and what machines there are. */
   private void awaitServing(ControllerProcess node) {
     await(node.label() + " to serve", node::isHealthy);
-    world.play(1000);
+    world.runFor(1000);
   }
 
   private void await(String what, BooleanSupplier holds) {
-    assertEquals(List.of(), world.endedByThemselves(), "controllers ended by themselves");
-    assertTrue(world.playUntil(holds, WAIT_MS), "waited in vain for " + what);
+    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended by themselves");
+    assertTrue(world.runUntil(holds, WAIT_MS), "waited in vain for " + what);
     assertEquals(List.of(), world.checker.violations());
   }
 }
--- a/src/test/java/shorecrank/sim/Network.java
+++ b/src/test/java/shorecrank/sim/Network.java
@@ -47,7 +47,7 @@
     if (cut.isEmpty()) {
       sim.after(delayMs(), delivery);
     } else {
-      cut.get().take(delivery);
+      cut.get().intercept(delivery);
     }
   }
 
@@ -55,30 +55,33 @@
 
   /** Carries a controller's call out; it has the answer, or none, within the call's time. */
   void call(SimulatedController from, Output.Call call) {
-    ReplyHandler once = once(from, call);
-    sim.after(call.timeoutMs(), once::noAnswer);
+    ReplyHandler firstAnswer = firstAnswerOnly(from, call);
+    sim.after(call.timeoutMs(), firstAnswer::noAnswer);
     if (call.target() instanceof Output.Worker worker) {
-      callWorker(from, worker.address(), call.body(), once);
+      callWorker(from, worker.address(), call.body(), firstAnswer);
     } else if (call.target() instanceof Output.Peer peer) {
-      callPeer(from, world.node(peer.label().value()), call, once);
+      callPeer(from, world.node(peer.label().value()), call, firstAnswer);
     } else if (call.target() == Output.Service.STATE) {
       callService(
           from,
-          Link.STATE,
-          once,
+          LinkKind.STATE,
+          firstAnswer,
           reply -> stateService.send(call.method(), call.path(), call.body(), reply));
     } else {
       callService(
-          from, Link.CLOUD, once, reply -> world.cloud.handle(call.path(), call.body(), reply));
+          from,
+          LinkKind.CLOUD,
+          firstAnswer,
+          reply -> world.cloud.handle(call.path(), call.body(), reply));
     }
   }
 
   /** Only the first answer counts, and only to the process that has asked. */
-  private ReplyHandler once(SimulatedController from, Output.Call call) {
-    int life = from.life();
+  private ReplyHandler firstAnswerOnly(SimulatedController from, Output.Call call) {
+    int startNumber = from.startCount();
     boolean[] answered = new boolean[1];
     return (status, body) -> {
-      if (!answered[0] && from.isAlive(life)) {
+      if (!answered[0] && from.isSameRun(startNumber)) {
         answered[0] = true;
         world.counters.recordWatchChanges(body.path("news").size());
         from.input(new Input.Answer(call.call(), status, body));
@@ -99,17 +102,17 @@
     ReplyHandler reply =
         (status, report) ->
             send(
-                cuts.ofWorker(worker, from, WorkerDirection.FROM_WORKER),
+                cuts.forWorker(worker, from, WorkerDirection.FROM_WORKER),
                 () -> back.accept(status, report));
     send(
-        cuts.ofWorker(worker, from, WorkerDirection.TO_WORKER),
+        cuts.forWorker(worker, from, WorkerDirection.TO_WORKER),
         () -> worker.takeCommands(body, reply));
-    duplicates.sentCommands(worker, body);
+    duplicates.onCommandsSent(worker, body);
   }
 
   private void callPeer(
       SimulatedController from, ControllerNode to, Output.Call call, ReplyHandler back) {
-    if (cuts.refuses(from, Link.PEERS)) {
+    if (cuts.refuses(from, LinkKind.PEERS)) {
       sim.after(delayMs(), back::unavailable);
       return;
     }
@@ -127,8 +130,8 @@
   }
 
   private void callService(
-      SimulatedController from, Link link, ReplyHandler back, Service service) {
-    Optional<Cut> cut = cuts.toRegion(from, link);
+      SimulatedController from, LinkKind link, ReplyHandler back, Service service) {
+    Optional<Cut> cut = cuts.forRegionalService(from, link);
     if (cut.isPresent() && cut.get().refuses()) {
       sim.after(delayMs(), back::unavailable);
       return;
@@ -136,8 +139,8 @@
     ReplyHandler reply =
         (status, body) ->
             send(
-                cuts.toRegion(from, link),
-                () -> back.accept(status, world.rollouts.asRead(from, body)));
+                cuts.forRegionalService(from, link),
+                () -> back.accept(status, world.rollouts.asReadBy(from, body)));
     send(cut, () -> service.handle(reply));
   }
 
@@ -145,7 +148,7 @@
 
   /** A worker's heartbeat to a controller. */
   void sendHeartbeat(SimulatedWorker from, ControllerNode to, JsonNode body, ReplyHandler back) {
-    Optional<Cut> cut = cuts.ofWorker(from, to, WorkerDirection.FROM_WORKER);
+    Optional<Cut> cut = cuts.forWorker(from, to, WorkerDirection.FROM_WORKER);
     if (!to.isUp() && cut.isEmpty()) {
       // The machine is there, the process is not: the connection is refused.
       sim.after(delayMs(), back::noAnswer);
@@ -154,15 +157,15 @@
     ReplyHandler reply =
         (status, answer) ->
             send(
-                cuts.ofWorker(from, to, WorkerDirection.TO_WORKER),
+                cuts.forWorker(from, to, WorkerDirection.TO_WORKER),
                 () -> back.accept(status, answer));
     send(cut, () -> to.receive(ControllerRequest.heartbeat(body), reply));
-    duplicates.sentHeartbeat(to, body);
+    duplicates.onHeartbeatSent(to, body);
   }
 
   /** A user's request; answers come back whatever is cut, as the connection is open. */
   void sendUserRequest(ControllerNode to, ControllerRequest request, ReplyHandler back) {
     ReplyHandler reply = (status, body) -> sim.after(1, () -> back.accept(status, body));
-    send(cuts.toRegion(to, Link.USERS), () -> to.receive(request, reply));
+    send(cuts.forRegionalService(to, LinkKind.USERS), () -> to.receive(request, reply));
   }
 }
--- a/src/test/java/shorecrank/sim/NetworkFaults.java
+++ b/src/test/java/shorecrank/sim/NetworkFaults.java
@@ -19,23 +19,24 @@
 
   /** {@code cut WHO LINK SECONDS [drop|hold|refuse]}: controllers lose a kind of links. */
   private static Action cut(ScenarioLine line) {
-    ControllerSelector who = ControllerSelector.read(line, 1);
-    Link link = line.constant(2, Link.class);
+    ControllerSelector selector = ControllerSelector.read(line, 1);
+    LinkKind link = line.constant(2, LinkKind.class);
     long durationMs = line.milliseconds(3);
     CutMode mode = mode(line, 4);
     return world ->
-        who.forEach(world, node -> world.network.cuts().cutLinks(node, link, durationMs, mode));
+        selector.forEach(
+            world, node -> world.network.cuts().cutLinks(node, link, durationMs, mode));
   }
 
   /**
    * {@code isolate-zone WHO SECONDS [MODE]}: the zone of a controller loses all that is outside.
    */
   private static Action isolateZone(ScenarioLine line) {
-    ControllerSelector who = ControllerSelector.read(line, 1);
+    ControllerSelector selector = ControllerSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
     CutMode mode = mode(line, 3);
     return world ->
-        who.select(world).stream()
+        selector.select(world).stream()
             .findFirst()
             .ifPresent(node -> world.network.cuts().isolateZone(node.zone(), durationMs, mode));
   }
@@ -65,13 +66,13 @@
     long durationMs = line.milliseconds(1);
     double lateS = line.decimal(2);
     boolean inOrder = line.has(3);
-    return world -> world.network.duplicates().sendFor(durationMs, lateS, inOrder);
+    return world -> world.network.duplicates().duplicateFor(durationMs, lateS, inOrder);
   }
 
   /** {@code replay-to-next-leader SECONDS}: copies of heartbeats arrive under the next leader. */
   private static Action replayToNextLeader(ScenarioLine line) {
     long durationMs = line.milliseconds(1);
-    return world -> world.network.duplicates().keepForNextLeader(durationMs);
+    return world -> world.network.duplicates().replayToNextLeader(durationMs);
   }
 
   private static CutMode mode(ScenarioLine line, int index) {
--- a/src/test/java/shorecrank/sim/PlatformFile.java
+++ b/src/test/java/shorecrank/sim/NodeConfigWriter.java
@@ -8,16 +8,16 @@
 import shorecrank.protocol.Json;
 
 /** The file that the platform hands to a controller. */
-final class PlatformFile {
+final class NodeConfigWriter {
   private static final double CLOUD_REQUESTS_PER_S = 4;
 
   /** Where a controller's users and workers, its peers, the state service and the cloud are. */
   record Addresses(String users, String peers, String state, String cloud) {}
 
-  private PlatformFile() {}
+  private NodeConfigWriter() {}
 
   /** As a controller in this process takes it. */
-  static NodeConfig read(World world, ControllerNode node) {
+  static NodeConfig config(World world, ControllerNode node) {
     try {
       return NodeConfigFile.read(Json.bytes(write(world, node)));
     } catch (InvalidConfigException e) {
--- a/src/test/java/shorecrank/sim/OrderSender.java
+++ b/src/test/java/shorecrank/sim/OrderSender.java
@@ -10,7 +10,7 @@
 final class OrderSender {
   private static final long RETRY_MS = 1000;
   private static final long TIMEOUT_MS = 4000;
-  private static final long GIVEN_UP_MS = 90_000;
+  private static final long GIVE_UP_AFTER_MS = 90_000;
 
   private final World world;
   private final String path;
@@ -24,20 +24,20 @@
 
   /** Sends an order to a controller, and to the next ones while there is no answer. */
   void send(int index, String id, JsonNode order) {
-    send(index, id, order, world.sim.now() + GIVEN_UP_MS);
+    send(index, id, order, world.sim.now() + GIVE_UP_AFTER_MS);
   }
 
   private void send(int index, String id, JsonNode order, long untilMs) {
     if (world.sim.now() > untilMs) {
       return;
     }
-    boolean[] over = new boolean[1];
+    boolean[] done = new boolean[1];
     Runnable retry =
         () -> {
-          if (!over[0]) {
-            over[0] = true;
-            int other = (index + 1) % world.controllers().size();
-            world.sim.after(RETRY_MS, () -> send(other, id, order, untilMs));
+          if (!done[0]) {
+            done[0] = true;
+            int next = (index + 1) % world.controllers().size();
+            world.sim.after(RETRY_MS, () -> send(next, id, order, untilMs));
           }
         };
     world.sim.after(TIMEOUT_MS, retry);
@@ -50,8 +50,8 @@
               boolean isFinal = status == 200 || status == 409 || status == 400;
               if (!isFinal) {
                 retry.run();
-              } else if (!over[0]) {
-                over[0] = true;
+              } else if (!done[0]) {
+                done[0] = true;
                 answers.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
               }
             });
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -28,18 +28,19 @@
   private int submitted;
 
   /** What the client did: its exit status and what it printed. */
-  record Run(int status, String out, String err) {}
+  record ClientResult(int status, String out, String err) {}
 
   ProcessFleet(long seed, ProgramVersion first, int machines) throws Exception {
     this(seed, first, machines, SettingsFile.defaults());
   }
 
   /**
-   * @param tuning as in the settings file that the processes are started with
+   * @param settings as in the settings file that the processes are started with
    */
-  ProcessFleet(long seed, ProgramVersion first, int machines, Settings tuning) throws Exception {
-    Path logs = Files.createDirectories(ProgramVersions.BASE.resolve("target/process-fleet"));
-    world = new ProcessWorld(seed, first, Files.createTempDirectory(logs, "run"), tuning);
+  ProcessFleet(long seed, ProgramVersion first, int machines, Settings settings) throws Exception {
+    Path logs =
+        Files.createDirectories(ProgramVersions.PROJECT_DIRECTORY.resolve("target/process-fleet"));
+    world = new ProcessWorld(seed, first, Files.createTempDirectory(logs, "run"), settings);
     world.describeSmallSite();
     world.cloud.setCapacity(machines + 2);
     world.users.behavior().queryAllControllersFor(600_000);
@@ -89,14 +90,14 @@
   }
 
   /** Ends a controller; it is back as that version. */
-  void roll(int index, ProgramVersion version, long backMs) {
+  void restartAs(int index, ProgramVersion version, long backMs) {
     node(index).upgrade(version);
     node(index).crash(backMs);
   }
 
   /** Lets the fleet go on for a while; no rule may break. */
-  void serveFor(long ms) {
-    world.play(ms);
+  void runFor(long ms) {
+    world.runFor(ms);
     assertEquals(List.of(), world.checker.violations());
   }
 
@@ -106,29 +107,29 @@
   }
 
   private void await(String what, BooleanSupplier holds, long ms) {
-    assertTrue(world.playUntil(holds, ms), "waited in vain for " + what);
+    assertTrue(world.runUntil(holds, ms), "waited in vain for " + what);
     assertEquals(List.of(), world.checker.violations());
-    assertEquals(List.of(), world.endedByThemselves(), "controllers ended by themselves");
+    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended by themselves");
   }
 
   /** Runs the client while the fleet goes on; {@code @} stands for all controllers' addresses. */
-  Run client(String... words) {
+  ClientResult runClient(String... words) {
     String all =
         world.controllers().stream()
             .map(n -> world.addresses(n).peers())
             .collect(Collectors.joining(","));
-    return clientAt(all, words);
+    return runClientWith(all, words);
   }
 
   /** The same, asking one controller. */
-  Run clientOf(int index, String... words) {
-    return clientAt(world.addresses(node(index)).peers(), words);
+  ClientResult runClientAt(int index, String... words) {
+    return runClientWith(world.addresses(node(index)).peers(), words);
   }
 
-  private Run clientAt(String controllers, String... words) {
+  private ClientResult runClientWith(String controllers, String... words) {
     List<String> line = new ArrayList<>(Arrays.asList(words));
     line.replaceAll(word -> word.equals("@") ? "--controller=" + controllers : word);
-    CompletableFuture<Run> run =
+    CompletableFuture<ClientResult> run =
         CompletableFuture.supplyAsync(
             () -> {
               StringWriter out = new StringWriter();
@@ -138,9 +139,9 @@
                       new PrintWriter(out, true),
                       new PrintWriter(err, true),
                       line.toArray(String[]::new));
-              return new Run(status, out.toString(), err.toString());
+              return new ClientResult(status, out.toString(), err.toString());
             });
-    assertTrue(world.playUntil(run::isDone, WAIT_MS), "the client does not end: " + line);
+    assertTrue(world.runUntil(run::isDone, WAIT_MS), "the client does not end: " + line);
     return run.join();
   }
 
@@ -158,7 +159,7 @@
    * end.
    */
   void finishBacklog() {
-    long backlogMs = new Backlog(world).milliseconds();
+    long backlogMs = new Backlog(world).durationMs();
     long began = world.sim.now();
     long end = began + backlogMs + WAIT_MS;
     submitting = false;
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -61,7 +61,7 @@
   }
 
   /** From now on only this controller can come to lead; null for any. */
-  void letLeadOnly(ControllerNode node) {
+  void allowLeadershipOnlyOf(ControllerNode node) {
     nextLeader = node;
   }
 
@@ -73,8 +73,9 @@
         servers.serve((method, path, body, reply) -> state(index, method, path, body, reply));
     String cloudAddress =
         servers.serve((method, path, body, reply) -> cloud.handle(path, body, reply));
-    PlatformFile.Addresses addresses =
-        new PlatformFile.Addresses(ports.nextAddress(), ports.nextAddress(), state, cloudAddress);
+    NodeConfigWriter.Addresses addresses =
+        new NodeConfigWriter.Addresses(
+            ports.nextAddress(), ports.nextAddress(), state, cloudAddress);
     return new ControllerProcess(this, index, first, addresses, directory, client, inbox::add);
   }
 
@@ -88,15 +89,15 @@
   }
 
   /** Labels of the controllers whose processes have ended by themselves. */
-  List<String> endedByThemselves() {
+  List<String> unexpectedlyEnded() {
     return processes().stream()
-        .filter(process -> !process.isSound())
+        .filter(process -> !process.isAliveOrStoppedByTest())
         .map(ControllerNode::label)
         .toList();
   }
 
   @Override
-  PlatformFile.Addresses addresses(ControllerNode node) {
+  NodeConfigWriter.Addresses addresses(ControllerNode node) {
     return ((ControllerProcess) node).addresses();
   }
 
@@ -109,7 +110,7 @@
 
   private void state(int from, String method, String path, JsonNode body, ReplyHandler reply) {
     ControllerNode node = controllers().get(from);
-    boolean refused = network.cuts().toRegion(node, Link.STATE).isPresent();
+    boolean refused = network.cuts().forRegionalService(node, LinkKind.STATE).isPresent();
     boolean noLease = path.equals("/grants") && nextLeader != null && nextLeader != node;
     if (refused || noLease) {
       reply.unavailable();
@@ -121,7 +122,7 @@
   // ---- real time -------------------------------------------------------------------------------
 
   /** Plays on in real time until something holds; false if it does not in time. */
-  boolean playUntil(BooleanSupplier holds, long mostMs) {
+  boolean runUntil(BooleanSupplier holds, long mostMs) {
     long end = sim.now() + mostMs;
     while (!holds.getAsBoolean()) {
       if (sim.now() >= end) {
@@ -133,8 +134,8 @@
   }
 
   /** Plays on in real time for a while. */
-  void play(long ms) {
-    playUntil(() -> false, ms);
+  void runFor(long ms) {
+    runUntil(() -> false, ms);
   }
 
   private void step() {
--- a/src/test/java/shorecrank/sim/ProgramVersions.java
+++ b/src/test/java/shorecrank/sim/ProgramVersions.java
@@ -14,14 +14,14 @@
 
 /** The versions of the program that tests start as real processes. */
 final class ProgramVersions {
-  static final Path BASE = Path.of("").toAbsolutePath();
+  static final Path PROJECT_DIRECTORY = Path.of("").toAbsolutePath();
 
   private ProgramVersions() {}
 
   /** This version, with the memory that the service file gives it. */
-  static ProgramVersion present(String... options) throws IOException {
+  static ProgramVersion current(String... options) throws IOException {
     List<String> command = new ArrayList<>();
-    for (String word : setting("run").split(" ")) {
+    for (String word : serviceSetting("run").split(" ")) {
       boolean jar = word.equals("-jar") || word.contains("target/");
       if (word.equals("java") || (word.startsWith("-X") && !jar)) {
         command.add(word);
@@ -31,20 +31,20 @@
     command.addAll(List.of("-cp", classes, "shorecrank.daemon.Main"));
     command.addAll(List.of(options));
     command.add("--config");
-    return new ProgramVersion("present", BASE, command);
+    return new ProgramVersion("present", PROJECT_DIRECTORY, command);
   }
 
   /** The version in production, from the repository's history, built and run as the file says. */
   static ProgramVersion production() throws Exception {
-    String commit = setting("production");
-    Path directory = BASE.resolve("target/production-" + commit.substring(0, 12));
+    String commit = serviceSetting("production");
+    Path directory = PROJECT_DIRECTORY.resolve("target/production-" + commit.substring(0, 12));
     Path built = directory.resolve("target/shorecrank.jar");
     if (!Files.exists(built)) {
       Files.createDirectories(directory);
-      shell(BASE, "git archive " + commit + " | tar -x -C '" + directory + "'");
-      shell(directory, setting("build"));
+      shell(PROJECT_DIRECTORY, "git archive " + commit + " | tar -x -C '" + directory + "'");
+      shell(directory, serviceSetting("build"));
     }
-    return new ProgramVersion("production", directory, List.of(setting("run").split(" ")));
+    return new ProgramVersion("production", directory, List.of(serviceSetting("run").split(" ")));
   }
 
   private static void shell(Path directory, String line) throws Exception {
@@ -57,10 +57,10 @@
     assertEquals(0, p.exitValue(), line);
   }
 
-  private static String setting(String name) throws IOException {
+  private static String serviceSetting(String name) throws IOException {
     Matcher m =
         Pattern.compile("(?m)^" + name + " = \"(.*)\"$")
-            .matcher(Files.readString(BASE.resolve("deploy/service.toml")));
+            .matcher(Files.readString(PROJECT_DIRECTORY.resolve("deploy/service.toml")));
     assertTrue(m.find(), name + " is missing in deploy/service.toml");
     return m.group(1);
   }
--- a/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
+++ b/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
@@ -33,9 +33,9 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void startsThatWouldExceedTheTeamsLimitAreTakenBack(long seed) throws Exception {
+  void startsThatWouldExceedTheTeamsLimitAreWithdrawn(long seed) throws Exception {
     Scenario scenario = new Scenario("over-limit", FLEET);
-    scenario.beforeRun(QuotaTakeoverTest::plantRecords);
+    scenario.beforeRun(QuotaTakeoverTest::writeRecords);
     assertEquals(List.of(), scenario.play(seed, false));
     assertTrue(
         scenario
@@ -45,14 +45,14 @@
             .isPresent());
   }
 
-  private static void plantRecords(World world) {
-    plant(world, "wk-1", "n-000001");
-    plant(world, "wk-2", "n-000002");
+  private static void writeRecords(World world) {
+    writeRecord(world, "wk-1", "n-000001");
+    writeRecord(world, "wk-2", "n-000002");
   }
 
-  private static void plant(World world, String job, String machine) {
+  private static void writeRecord(World world, String job, String machine) {
     JobPlan plan = JobPlan.builder().team("t").tasks(TASKS).cpus(1).runS(10).build();
-    world.store.poke(JobRecord.LIVE_PREFIX + job, record(job, plan, machine).write());
+    world.store.overwrite(JobRecord.LIVE_PREFIX + job, record(job, plan, machine).write());
     world.users.submit(job, plan);
   }
 
--- a/src/test/java/shorecrank/sim/RandomActions.java
+++ b/src/test/java/shorecrank/sim/RandomActions.java
@@ -48,12 +48,12 @@
   }
 
   /** The label of any controller. */
-  String node() {
+  String randomController() {
     return "n" + random.nextInt(world.controllers().size());
   }
 
   /** Any of these. */
-  String any(String... words) {
+  String pick(String... words) {
     return words[random.nextInt(words.length)];
   }
 }
--- a/src/test/java/shorecrank/sim/RandomFaults.java
+++ b/src/test/java/shorecrank/sim/RandomFaults.java
@@ -20,11 +20,11 @@
     for (int i = 0; i < count; i++) {
       double at = fromS + random().nextDouble() * (toS - fromS);
       double durationS = Math.round(Math.pow(random().nextDouble(), 2) * LONGEST) / 10.0;
-      String who = any(CONTROLLERS);
+      String who = pick(CONTROLLERS);
       String node = "n" + random().nextInt(3);
       String machine = String.format("n-%06d", 1 + random().nextInt(MACHINES));
-      String mode = any(MODES);
-      script().at(at, fault(random().nextInt(KINDS), durationS, who, node, machine, mode));
+      String mode = pick(MODES);
+      script().schedule(at, fault(random().nextInt(KINDS), durationS, who, node, machine, mode));
     }
   }
 
@@ -34,7 +34,7 @@
     return switch (kind) {
       case 0, 1 -> "crash " + who + " " + (random().nextBoolean() ? "0.2" : "" + (2 + seconds / 8));
       case 2 -> "freeze " + node + " " + seconds;
-      case 3, 4 -> "cut " + node + " " + any(LINKS) + " " + seconds + " " + mode;
+      case 3, 4 -> "cut " + node + " " + pick(LINKS) + " " + seconds + " " + mode;
       case 5 ->
           "cut owner state " + seconds + " " + mode + ";cut owner peers " + seconds + " " + mode;
       case 6 -> "outage state " + seconds;
@@ -72,6 +72,6 @@
 
   /** Between workers or zones nothing is refused. */
   private String lossOrDelay() {
-    return any("drop", "hold");
+    return pick("drop", "hold");
   }
 }
--- a/src/test/java/shorecrank/sim/RandomRolloutActions.java
+++ b/src/test/java/shorecrank/sim/RandomRolloutActions.java
@@ -15,41 +15,52 @@
   void draw(int count, double fromS, double toS) {
     for (int i = 0; i < count; i++) {
       double at = fromS + random().nextDouble() * (toS - fromS);
-      script().at(at, action(i));
+      script().schedule(at, action(i));
     }
     for (int n = 0; n < world().controllers().size(); n++) {
-      script().at(toS + n * LAST_ROLL_EVERY_S, "roll n" + n + " " + NEWEST + " 1");
+      script().schedule(toS + n * LAST_ROLL_EVERY_S, "roll n" + n + " " + NEWEST + " 1");
     }
   }
 
-  private String who() {
+  private String randomTarget() {
     return switch (random().nextInt(4)) {
       case 0 -> "leader";
       case 1 -> "owner";
-      default -> node();
+      default -> randomController();
     };
   }
 
   private String action(int number) {
     String back = random().nextInt(3) == 0 ? "0.3" : "" + (1 + random().nextInt(4));
-    String version = any(VERSIONS);
+    String version = pick(VERSIONS);
     String seconds = "" + (1 + random().nextInt(12));
     return switch (random().nextInt(20)) {
-      case 0, 1, 2, 3 -> "roll " + node() + " " + version + " " + back;
+      case 0, 1, 2, 3 -> "roll " + randomController() + " " + version + " " + back;
       case 4 -> "roll leader " + version + " " + back;
       case 5 -> "roll owner " + version + " " + back;
       case 6, 7, 8 ->
-          "rollout-order " + node() + " o" + number + " finalize " + (1 + random().nextInt(2));
-      case 9, 10 -> "rollout-order " + node() + " o" + number + " downgrade " + random().nextInt(2);
+          "rollout-order "
+              + randomController()
+              + " o"
+              + number
+              + " finalize "
+              + (1 + random().nextInt(2));
+      case 9, 10 ->
+          "rollout-order "
+              + randomController()
+              + " o"
+              + number
+              + " downgrade "
+              + random().nextInt(2);
       case 11 -> "rollout-order n0 o" + number + " abort;rollout-order n1 o" + number + " abort";
-      case 12 -> "rollout-order " + node() + " o" + number + " archive";
-      case 13 -> "crash " + who() + " " + back;
-      case 14 -> "freeze " + who() + " " + seconds;
-      case 15 -> "cut " + who() + " state " + seconds + " hold";
-      case 16 -> "cut " + who() + " peers " + seconds + " drop";
+      case 12 -> "rollout-order " + randomController() + " o" + number + " archive";
+      case 13 -> "crash " + randomTarget() + " " + back;
+      case 14 -> "freeze " + randomTarget() + " " + seconds;
+      case 15 -> "cut " + randomTarget() + " state " + seconds + " hold";
+      case 16 -> "cut " + randomTarget() + " peers " + seconds + " drop";
       case 17 -> "late-writes 0.4 " + seconds;
       case 18 -> "outage state " + seconds;
-      default -> "cancel-now 2;crash " + who() + " " + back;
+      default -> "cancel-now 2;crash " + randomTarget() + " " + back;
     };
   }
 }
--- a/src/test/java/shorecrank/sim/RandomShareActions.java
+++ b/src/test/java/shorecrank/sim/RandomShareActions.java
@@ -30,7 +30,7 @@
       world().sim.at((long) (at * 1000), this::orderMove);
     }
     for (int i = 0; i < count; i++) {
-      String step = any(STEPS) + (1 + random().nextInt(MOVES)) + " ";
+      String step = pick(STEPS) + (1 + random().nextInt(MOVES)) + " ";
       String actions = fault();
       world().log.replaceWhenLogged(step, () -> script().run(actions));
     }
@@ -52,38 +52,38 @@
       orderTo(names);
     }
     if (random().nextInt(6) == 0) {
-      script().run("share-order " + node() + " o" + ++orders + " abort all");
+      script().run("share-order " + randomController() + " o" + ++orders + " abort all");
     }
   }
 
   private void orderTo(String names) {
     int to = random().nextInt(world().settings().shards());
     String order = "share-order %s o%d move machines=%s to=%d";
-    script().run(order.formatted(node(), ++orders, names, to));
+    script().run(order.formatted(randomController(), ++orders, names, to));
   }
 
-  private String who() {
+  private String randomTarget() {
     return switch (random().nextInt(5)) {
       case 0 -> "leader";
       case 1, 2, 3 -> "owner-of-" + random().nextInt(world().settings().shards());
-      default -> node();
+      default -> randomController();
     };
   }
 
-  private String machine() {
+  private String randomMachine() {
     return "n-%06d".formatted(1 + random().nextInt(12));
   }
 
   private String fault() {
     String seconds = "" + (1 + random().nextInt(12));
-    String mode = any("drop", "hold", "refuse");
+    String mode = pick("drop", "hold", "refuse");
     String back = random().nextInt(2) == 0 ? "0.3" : "" + (1 + random().nextInt(5));
     return switch (random().nextInt(18)) {
-      case 0, 1, 2 -> "crash " + who() + " " + back;
-      case 3, 4 -> "freeze " + who() + " " + seconds;
-      case 5 -> "cut " + who() + " state " + seconds + " " + mode;
-      case 6 -> "cut " + who() + " peers " + seconds + " " + mode;
-      case 7 -> "cut " + who() + " workers " + seconds + " " + mode;
+      case 0, 1, 2 -> "crash " + randomTarget() + " " + back;
+      case 3, 4 -> "freeze " + randomTarget() + " " + seconds;
+      case 5 -> "cut " + randomTarget() + " state " + seconds + " " + mode;
+      case 6 -> "cut " + randomTarget() + " peers " + seconds + " " + mode;
+      case 7 -> "cut " + randomTarget() + " workers " + seconds + " " + mode;
       case 8 -> "cut leader state " + seconds + " hold;cut leader peers " + seconds + " hold";
       case 9 -> "late-writes 1 2";
       case 10 -> "late-writes 0.6 5";
@@ -91,11 +91,11 @@
       case 12 -> "crash all " + back;
       case 13 -> "duplicate-heartbeats 8 30";
       case 14 -> "replay-to-next-leader 6;crash leader 0.3";
-      case 15 -> "hang " + machine() + " " + seconds;
+      case 15 -> "hang " + randomMachine() + " " + seconds;
       case 16 ->
           random().nextInt(2) == 0
-              ? "preempt-machine " + machine()
-              : "preemption-notice " + machine() + " 8";
+              ? "preempt-machine " + randomMachine()
+              : "preemption-notice " + randomMachine() + " 8";
       default -> "cancel-now 2;outage state " + seconds;
     };
   }
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -20,39 +20,39 @@
 @Tag("scale")
 class RolloutMeasurementTest {
   private static final int JOBS = 1000;
-  private static final long FALL_AT_MS = 120_000;
-  private static final long STEP_MS = 100;
+  private static final long DOWNGRADE_AT_MS = 120_000;
+  private static final long POLL_MS = 100;
 
   /** Counts of what reached the state service. */
   private static final class Traffic {
     int requests;
     int changes;
     long bytes;
-    int rewrites;
+    int recordsRewritten;
   }
 
   @ParameterizedTest
   @CsvSource({"5, 50", "1000, 50", "1000, 100"})
-  void downgradeOfAThousandJobs(double rewritesPerS, int writesPerS) throws Exception {
-    Scenario scenario = new Scenario("downgrade", site(rewritesPerS, writesPerS));
+  void downgradeRewritesRecordsOfRunningJobs(double rewritesPerS, int writesPerS) throws Exception {
+    Scenario scenario = new Scenario("downgrade", scenarioText(rewritesPerS, writesPerS));
     Traffic traffic = new Traffic();
-    long[] fell = {-1};
+    long[] loweredAtMs = {-1};
     int[] requestsBefore = {0};
     scenario.beforeRun(
         world -> {
           world.store.beforeTransactions(
               operations -> {
                 if (world.rollouts.state().phase() == RolloutPhase.FALLING) {
-                  count(world, traffic, operations);
+                  countOperations(world, traffic, operations);
                 }
               });
-          world.sim.at(FALL_AT_MS, () -> requestsBefore[0] = world.store.meter().requests());
-          watch(world, fell, traffic, requestsBefore);
+          world.sim.at(DOWNGRADE_AT_MS, () -> requestsBefore[0] = world.store.meter().requests());
+          pollUntilLowered(world, loweredAtMs, traffic, requestsBefore);
         });
     assertEquals(List.of(), scenario.play(1, false));
     World world = scenario.world();
     assertEquals(0, world.rollouts.denseRecordCount());
-    long durationMs = fell[0] - FALL_AT_MS;
+    long durationMs = loweredAtMs[0] - DOWNGRADE_AT_MS;
     System.out.printf(
         Locale.ROOT,
         "downgrade, %.0f rewrites/s allowed, %d changes/s taken: %.1f s, %d records rewritten,"
@@ -60,16 +60,16 @@
         rewritesPerS,
         writesPerS,
         durationMs / 1000.0,
-        traffic.rewrites,
+        traffic.recordsRewritten,
         traffic.changes,
         traffic.requests,
         traffic.bytes / 1024.0,
-        acceptance(world, FALL_AT_MS - durationMs, FALL_AT_MS),
-        acceptance(world, FALL_AT_MS, fell[0]));
-    assertTrue(traffic.rewrites >= JOBS * 0.8, "rewritten " + traffic.rewrites);
+        acceptanceTimes(world, DOWNGRADE_AT_MS - durationMs, DOWNGRADE_AT_MS),
+        acceptanceTimes(world, DOWNGRADE_AT_MS, loweredAtMs[0]));
+    assertTrue(traffic.recordsRewritten >= JOBS * 0.8, "rewritten " + traffic.recordsRewritten);
   }
 
-  private static String site(double rewritesPerS, int writesPerS) {
+  private static String scenarioText(double rewritesPerS, int writesPerS) {
     return String.format(
         Locale.ROOT,
         """
@@ -94,28 +94,29 @@
         writesPerS);
   }
 
-  private static void watch(World world, long[] fell, Traffic traffic, int[] requestsBefore) {
+  private static void pollUntilLowered(
+      World world, long[] loweredAtMs, Traffic traffic, int[] requestsBefore) {
     if (world.checker.rollout().falls() > 0) {
-      fell[0] = world.sim.now();
+      loweredAtMs[0] = world.sim.now();
       traffic.requests = world.store.meter().requests() - requestsBefore[0];
       return;
     }
-    world.sim.after(STEP_MS, () -> watch(world, fell, traffic, requestsBefore));
+    world.sim.after(POLL_MS, () -> pollUntilLowered(world, loweredAtMs, traffic, requestsBefore));
   }
 
-  private static void count(World world, Traffic traffic, JsonNode operations) {
+  private static void countOperations(World world, Traffic traffic, JsonNode operations) {
     traffic.changes += operations.size();
     for (JsonNode o : operations) {
       traffic.bytes += Json.bytes(o).length;
       String key = o.path("write").asText();
-      boolean was =
+      boolean rewritesDense =
           key.startsWith(JobRecord.LIVE_PREFIX) && JobRecord.isDense(world.store.peek(key));
-      traffic.rewrites += was ? 1 : 0;
+      traffic.recordsRewritten += rewritesDense ? 1 : 0;
     }
   }
 
   /** Mean and longest time until users' submissions were accepted. */
-  private static String acceptance(World world, long fromMs, long toMs) {
+  private static String acceptanceTimes(World world, long fromMs, long toMs) {
     var stats =
         world.checker.answers().acceptances().stream()
             .filter(a -> a.submittedAtMs() >= fromMs && a.submittedAtMs() < toMs)
@@ -126,7 +127,7 @@
   }
 
   @Test
-  void riseAfterTheLastUpgrade() throws Exception {
+  void levelRisesOnceAfterLastUpgrade() throws Exception {
     for (String archive : List.of("true", "false")) {
       String text =
           """
@@ -148,8 +149,8 @@
           """
               .formatted(archive);
       Scenario scenario = new Scenario("rise", text);
-      long[] rose = {-1};
-      scenario.beforeRun(world -> watchRise(world, rose));
+      long[] raisedAtMs = {-1};
+      scenario.beforeRun(world -> pollUntilRaised(world, raisedAtMs));
       assertEquals(List.of(), scenario.play(1, false));
       World world = scenario.world();
       long bytes =
@@ -158,16 +159,16 @@
               .sum();
       System.out.printf(
           "rise: archive %s: %.1f s from the last upgraded process to the level; archive %d bytes%n",
-          archive, (rose[0] - 61_000) / 1000.0, bytes);
+          archive, (raisedAtMs[0] - 61_000) / 1000.0, bytes);
       assertEquals(1, world.checker.rollout().rises());
     }
   }
 
-  private static void watchRise(World world, long[] rose) {
+  private static void pollUntilRaised(World world, long[] raisedAtMs) {
     if (world.checker.rollout().rises() > 0) {
-      rose[0] = world.sim.now();
+      raisedAtMs[0] = world.sim.now();
     } else {
-      world.sim.after(STEP_MS, () -> watchRise(world, rose));
+      world.sim.after(POLL_MS, () -> pollUntilRaised(world, raisedAtMs));
     }
   }
 }
--- a/src/test/java/shorecrank/sim/RolloutProcessTest.java
+++ b/src/test/java/shorecrank/sim/RolloutProcessTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import shorecrank.protocol.RolloutMessages.RolloutPhase;
-import shorecrank.sim.ProcessFleet.Run;
+import shorecrank.sim.ProcessFleet.ClientResult;
 
 /**
  * Real controllers and the client, as an operator uses them: up one level, an archive, and back.
@@ -21,74 +21,74 @@
   void anOperatorRaisesArchivesAndLowersTheLevel() throws Exception {
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 archives_kept: 1 rewrites_per_s: 50");
-    ProgramVersion present = ProgramVersions.present("--rollout", settings.toString());
-    try (ProcessFleet fleet = new ProcessFleet(1, present, 4)) {
+    ProgramVersion current = ProgramVersions.current("--rollout", settings.toString());
+    try (ProcessFleet fleet = new ProcessFleet(1, current, 4)) {
       fleet.submitEvery(700);
-      fleet.serveFor(3000);
-      riseBy(fleet);
-      archive(fleet);
-      mistakes(fleet);
-      fall(fleet);
+      fleet.runFor(3000);
+      raiseLevel(fleet);
+      createAndCompareArchive(fleet);
+      rejectInvalidCommands(fleet);
+      lowerLevel(fleet);
       fleet.finish();
     }
   }
 
-  private static void riseBy(ProcessFleet fleet) {
-    assertTrue(fleet.client("rollout", "status", "@").out().startsWith("level 0, stable"));
-    Run order = fleet.clientOf(0, "rollout", "finalize", "@", "--level=1", "--id=up");
+  private static void raiseLevel(ProcessFleet fleet) {
+    assertTrue(fleet.runClient("rollout", "status", "@").out().startsWith("level 0, stable"));
+    ClientResult order = fleet.runClientAt(0, "rollout", "finalize", "@", "--level=1", "--id=up");
     assertEquals(0, order.status(), order.err());
     // The same order at another controller has the same answer, and no further effect.
-    Run again = fleet.clientOf(1, "rollout", "finalize", "@", "--level=1", "--id=up");
+    ClientResult again = fleet.runClientAt(1, "rollout", "finalize", "@", "--level=1", "--id=up");
     assertEquals(order, again);
     fleet.await("level 1", () -> fleet.state().level().value() == 1);
     fleet.await("a dense record", () -> fleet.world.rollouts.denseRecordCount() > 0);
     assertEquals(1, fleet.world.checker.rollout().rises());
-    fleet.serveFor(1500);
+    fleet.runFor(1500);
     String[] told = new String[3];
     for (int i = 0; i < 3; i++) {
-      told[i] = fleet.clientOf(i, "rollout", "status", "@").out().lines().findFirst().orElse("");
+      told[i] = fleet.runClientAt(i, "rollout", "status", "@").out().lines().findFirst().orElse("");
       assertEquals("level 1, stable, written at most 1", told[i]);
     }
   }
 
-  private void archive(ProcessFleet fleet) throws Exception {
+  private void createAndCompareArchive(ProcessFleet fleet) throws Exception {
     Path file = dir.resolve("keys.tar.zst");
-    Run create = fleet.client("archive", "create", "@", file.toString());
+    ClientResult create = fleet.runClient("archive", "create", "@", file.toString());
     assertEquals(0, create.status(), create.err());
     assertTrue(create.out().contains("as they were at revision"), create.out());
-    assertEquals(create.out(), fleet.client("archive", "verify", file.toString()).out());
-    fleet.serveFor(1500);
-    Run diff = fleet.client("archive", "diff", "@", file.toString());
+    assertEquals(create.out(), fleet.runClient("archive", "verify", file.toString()).out());
+    fleet.runFor(1500);
+    ClientResult diff = fleet.runClient("archive", "diff", "@", file.toString());
     assertEquals(1, diff.status(), diff.out() + diff.err());
     assertTrue(diff.out().contains("differ"), diff.out());
     byte[] bytes = Files.readAllBytes(file);
     bytes[bytes.length / 2] ^= 1;
     Path damaged = Files.write(dir.resolve("damaged.tar.zst"), bytes);
-    Run verify = fleet.client("archive", "verify", damaged.toString());
+    ClientResult verify = fleet.runClient("archive", "verify", damaged.toString());
     assertEquals(1, verify.status());
     assertEquals(1, verify.err().strip().lines().count(), verify.err());
   }
 
-  private static void mistakes(ProcessFleet fleet) {
+  private static void rejectInvalidCommands(ProcessFleet fleet) {
     for (List<String> words :
         List.of(
             List.of("rollout", "finalise", "@"),
             List.of("rollout", "finalize", "@", "--level=-3"),
             List.of("rollout", "finalize", "@", "--level=x"))) {
-      Run run = fleet.client(words.toArray(String[]::new));
+      ClientResult run = fleet.runClient(words.toArray(String[]::new));
       assertEquals(2, run.status(), words.toString());
       assertEquals(1, run.err().strip().lines().count(), run.err());
     }
-    Run tooHigh = fleet.client("rollout", "finalize", "@", "--level=9");
+    ClientResult tooHigh = fleet.runClient("rollout", "finalize", "@", "--level=9");
     assertEquals(1, tooHigh.status());
     assertTrue(tooHigh.err().contains("out of range"), tooHigh.err());
-    Run nothing = fleet.client("rollout", "abort", "@");
+    ClientResult nothing = fleet.runClient("rollout", "abort", "@");
     assertEquals(1, nothing.status());
     assertTrue(nothing.err().contains("nothing is under way"), nothing.err());
   }
 
-  private static void fall(ProcessFleet fleet) {
-    Run order = fleet.client("rollout", "downgrade", "@", "--json", "--id=down");
+  private static void lowerLevel(ProcessFleet fleet) {
+    ClientResult order = fleet.runClient("rollout", "downgrade", "@", "--json", "--id=down");
     assertEquals(0, order.status(), order.err());
     assertTrue(order.out().contains("\"accepted\" : true"), order.out());
     fleet.await(
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import shorecrank.protocol.RolloutMessages.RolloutPhase;
-import shorecrank.sim.ProcessFleet.Run;
+import shorecrank.sim.ProcessFleet.ClientResult;
 
 /**
  * Three real controllers, of the version in production and of this one, upgraded and downgraded in
@@ -21,7 +21,7 @@
   private static final int CONTROLLERS = 3;
 
   @TempDir Path dir;
-  private int moves;
+  private int restarts;
   private int rises;
   private int falls;
   private int returnsAtLevel;
@@ -31,14 +31,14 @@
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 rewrites_per_s: 50");
     ProgramVersion production = ProgramVersions.production();
-    ProgramVersion present = ProgramVersions.present("--rollout", settings.toString());
+    ProgramVersion current = ProgramVersions.current("--rollout", settings.toString());
     Random random = new Random(Long.getLong("seed", 1));
     try (ProcessFleet fleet = new ProcessFleet(1, production, 4)) {
       fleet.submitEvery(900);
       for (int round = 0; round < ROUNDS; round++) {
-        round(fleet, random, production, present);
+        round(fleet, random, production, current);
       }
-      allPresent(fleet, present);
+      upgradeAll(fleet, current);
       lower(fleet);
       fleet.finish();
       System.out.printf(
@@ -46,7 +46,7 @@
               + " production back at level 1 %d times, final answers %d%n",
           ROUNDS,
           fleet.submitted(),
-          moves,
+          restarts,
           rises,
           falls,
           returnsAtLevel,
@@ -56,7 +56,7 @@
   }
 
   private void round(
-      ProcessFleet fleet, Random random, ProgramVersion production, ProgramVersion present) {
+      ProcessFleet fleet, Random random, ProgramVersion production, ProgramVersion current) {
     int index = random.nextInt(CONTROLLERS);
     boolean up = random.nextInt(3) > 0;
     if (!up && fleet.state().level().value() > 0) {
@@ -66,11 +66,11 @@
         returnsAtLevel++;
       }
     }
-    roll(fleet, index, up ? present : production);
-    fleet.serveFor(1500 + random.nextInt(3000));
+    roll(fleet, index, up ? current : production);
+    fleet.runFor(1500 + random.nextInt(3000));
     boolean all = true;
     for (int i = 0; i < CONTROLLERS; i++) {
-      all &= fleet.node(i).version() == present;
+      all &= fleet.node(i).version() == current;
     }
     if (all && fleet.state().level().value() == 0) {
       raise(fleet);
@@ -78,16 +78,16 @@
   }
 
   private void roll(ProcessFleet fleet, int index, ProgramVersion version) {
-    fleet.await("a sound controller", () -> fleet.node(index).isUp());
-    fleet.roll(index, version, 700);
-    moves++;
+    fleet.await("a running controller", () -> fleet.node(index).isUp());
+    fleet.restartAs(index, version, 700);
+    restarts++;
     fleet.await("n" + index + " to serve", () -> fleet.node(index).isHealthy());
   }
 
-  private void allPresent(ProcessFleet fleet, ProgramVersion present) {
+  private void upgradeAll(ProcessFleet fleet, ProgramVersion current) {
     for (int i = 0; i < CONTROLLERS; i++) {
-      if (fleet.node(i).version() != present) {
-        roll(fleet, i, present);
+      if (fleet.node(i).version() != current) {
+        roll(fleet, i, current);
       }
     }
   }
@@ -96,12 +96,12 @@
     fleet.await(
         "the order to be taken",
         () -> {
-          Run run = fleet.client("rollout", "finalize", "@", "--timeout=3");
+          ClientResult run = fleet.runClient("rollout", "finalize", "@", "--timeout=3");
           return run.status() == 0;
         });
     fleet.await("level 1", () -> fleet.state().level().value() == 1);
     rises++;
-    fleet.serveFor(2500);
+    fleet.runFor(2500);
   }
 
   private void lower(ProcessFleet fleet) {
@@ -110,7 +110,7 @@
     }
     fleet.await(
         "the order to be taken",
-        () -> fleet.client("rollout", "downgrade", "@", "--timeout=3").status() == 0);
+        () -> fleet.runClient("rollout", "downgrade", "@", "--timeout=3").status() == 0);
     fleet.await("level 0", () -> fleet.state().level().value() == 0);
     falls++;
     assertEquals(0, fleet.world.rollouts.denseRecordCount());
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -51,10 +51,10 @@
   }
 
   private final World world;
-  private final Map<Integer, Version> next = new HashMap<>();
-  private final Map<Integer, Version> running = new HashMap<>();
+  private final Map<Integer, Version> nextVersions = new HashMap<>();
+  private final Map<Integer, Version> runningVersions = new HashMap<>();
   private final Map<Integer, Long> runningSinceMs = new HashMap<>();
-  private final Map<Integer, String> otherSettings = new HashMap<>();
+  private final Map<Integer, String> settingsOverrides = new HashMap<>();
   private RolloutSettings rolloutSettings;
 
   private final OrderSender orders;
@@ -80,17 +80,17 @@
 
   /** What a controller runs as from its next start on. */
   void setVersion(int index, Version version) {
-    next.put(index, version);
+    nextVersions.put(index, version);
   }
 
   /** A controller has other settings from its next start on. */
   void setSettings(int index, String text) {
-    otherSettings.put(index, text);
+    settingsOverrides.put(index, text);
   }
 
   /** What a controller's settings file says. */
   Settings settings(ControllerNode node) {
-    String other = otherSettings.get(node.index());
+    String other = settingsOverrides.get(node.index());
     try {
       return other == null ? world.settings() : SettingsFile.read(other);
     } catch (InvalidConfigException e) {
@@ -99,14 +99,15 @@
   }
 
   /** The setup with which a controller starts; null for a version from before levels. */
-  RolloutSetup start(ControllerNode node) {
+  RolloutSetup setupForStart(ControllerNode node) {
     if (!isEnabled()) {
       return null;
     }
     int index = node.index();
     Version version =
-        next.getOrDefault(index, new Version(Feature.supportedLevels(world.shares.isEnabled())));
-    if (!version.equals(running.put(index, version))) {
+        nextVersions.getOrDefault(
+            index, new Version(Feature.supportedLevels(world.shares.isEnabled())));
+    if (!version.equals(runningVersions.put(index, version))) {
       runningSinceMs.put(index, world.sim.now());
     }
     LevelRange supported = version.supported();
@@ -117,7 +118,7 @@
 
   /** What a controller runs, or ran last; null if that is not known. */
   Version runningVersion(ControllerNode node) {
-    return running.get(node.index());
+    return runningVersions.get(node.index());
   }
 
   /** Since when a controller runs its version, in simulated time. */
@@ -127,23 +128,23 @@
 
   /** All controllers that have started, by index, and what they run. */
   void forEachRunning(BiConsumer<Integer, Version> consumer) {
-    running.forEach(consumer);
+    runningVersions.forEach(consumer);
   }
 
   /** Whether the version that a controller runs knows of shares, and has them enabled. */
-  boolean knowsShares(ControllerNode node) {
+  boolean supportsShares(ControllerNode node) {
     Version version = runningVersion(node);
     return version != null && version.supports(Feature.SHARES.level());
   }
 
-  private boolean readsDense(ControllerNode node) {
+  private boolean readsDenseRecords(ControllerNode node) {
     Version version = runningVersion(node);
     return !isEnabled() || version == null || version.supports(Feature.DENSE_RECORDS.level());
   }
 
   /** What a version that knows no dense records makes of an answer: it finds no body in them. */
-  JsonNode asRead(ControllerNode node, JsonNode answer) {
-    if (readsDense(node)) {
+  JsonNode asReadBy(ControllerNode node, JsonNode answer) {
+    if (readsDenseRecords(node)) {
       return answer;
     }
     JsonNode copy = answer.deepCopy();
--- a/src/test/java/shorecrank/sim/ScaleTest.java
+++ b/src/test/java/shorecrank/sim/ScaleTest.java
@@ -15,29 +15,29 @@
  * once each. Larger fleets run with {@code -Pscale}.
  */
 class ScaleTest {
-  private static final int STATE_RPS = 250;
-  private static final int STATE_WRITES = 250;
+  private static final int STATE_REQUESTS_PER_S = 250;
+  private static final int STATE_WRITES_PER_S = 250;
 
   /** Other controllers take no larger request. */
-  private static final int MAX_PEER_REQUEST = 512 * 1024;
+  private static final int MAX_PEER_REQUEST_BYTES = 512 * 1024;
 
   private static final int TASKS_PER_JOB = 150;
-  private static final long OWNER_ENDS_MS = 90_000;
-  private static final long OWNER_BACK_MS = 4000;
+  private static final long OWNER_CRASH_AT_MS = 90_000;
+  private static final long OWNER_RESTART_MS = 4000;
 
   @Test
   void sixHundredMachinesAreServedWithinTheLimits() throws Exception {
-    play(600);
+    runFleet(600);
   }
 
   @Tag("scale")
   @ParameterizedTest
   @ValueSource(ints = {1000, 2000, 4200})
   void largerFleetsAreServedWithinTheLimits(int machines) throws Exception {
-    play(machines);
+    runFleet(machines);
   }
 
-  private static void play(int machines) throws Exception {
+  private static void runFleet(int machines) throws Exception {
     int jobs = 2 * machines / TASKS_PER_JOB;
     String text =
         String.format(
@@ -53,8 +53,8 @@
             at 60 crash leader 4
             until 240
             """,
-            STATE_RPS,
-            STATE_WRITES,
+            STATE_REQUESTS_PER_S,
+            STATE_WRITES_PER_S,
             machines,
             5 + 0.2 * jobs,
             TASKS_PER_JOB);
@@ -62,7 +62,7 @@
     Measurements measurements = new Measurements();
     scenario.measureWith(measurements);
     double[] heapMb = new double[1];
-    scenario.beforeRun(w -> w.sim.at(OWNER_ENDS_MS, () -> heapMb[0] = endOwner(w)));
+    scenario.beforeRun(w -> w.sim.at(OWNER_CRASH_AT_MS, () -> heapMb[0] = crashOwner(w)));
     assertEquals(List.of(), scenario.play(1, false));
     World world = scenario.world();
     int done = world.jobs.resultCount();
@@ -82,23 +82,23 @@
         world.checker.tasks().starts() >= machines, "starts " + world.checker.tasks().starts());
     assertEquals(0, store.meter().refusedForSize(), "transactions refused for their size");
     assertTrue(
-        store.meter().largestChangesPerS() <= 2 * STATE_WRITES,
+        store.meter().largestChangesPerS() <= 2 * STATE_WRITES_PER_S,
         "changes " + store.meter().largestChangesPerS());
     assertTrue(
-        store.meter().largestRequestsPerS() <= 2 * STATE_RPS,
+        store.meter().largestRequestsPerS() <= 2 * STATE_REQUESTS_PER_S,
         "requests " + store.meter().largestRequestsPerS());
-    assertTrue(measurements.largestMessage("/peer/beat") < MAX_PEER_REQUEST);
+    assertTrue(measurements.largestMessage("/peer/beat") < MAX_PEER_REQUEST_BYTES);
   }
 
   /** Ends the owner; returns what it held: the heap in use with it and without it. */
-  private static double endOwner(World world) {
+  private static double crashOwner(World world) {
     ControllerNode owner = world.owner(0).orElseThrow();
-    long with = usedAfterCollection();
-    owner.crash(OWNER_BACK_MS);
-    return (with - usedAfterCollection()) / 1e6;
+    long usedWithOwner = usedHeapAfterGc();
+    owner.crash(OWNER_RESTART_MS);
+    return (usedWithOwner - usedHeapAfterGc()) / 1e6;
   }
 
-  private static long usedAfterCollection() {
+  private static long usedHeapAfterGc() {
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
--- a/src/test/java/shorecrank/sim/ServiceFaults.java
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -69,7 +69,7 @@
     if (value.isMissingNode()) {
       throw line.error("the value is no JSON");
     }
-    return world -> world.store.poke(key, value);
+    return world -> world.store.overwrite(key, value);
   }
 
   /** {@code foreign-write JOB BY}: a stranger writes the record, at an epoch higher by so much. */
@@ -79,13 +79,13 @@
     return world -> {
       ObjectNode record = world.store.peek(key).deepCopy();
       record.put("e", record.path("e").asLong() + by).put("w", "stranger");
-      world.store.poke(key, record);
+      world.store.overwrite(key, record);
     };
   }
 
   /** {@code remove-record JOB}: a stranger removes the record. */
   private static Action removeRecord(ScenarioLine line) {
     String key = JobRecord.LIVE_PREFIX + line.word(1);
-    return world -> world.store.poke(key, null);
+    return world -> world.store.overwrite(key, null);
   }
 }
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -24,7 +24,7 @@
   static final int SHARD_INDEX = 4;
 
   private final World world;
-  private final StringBuilder file = new StringBuilder();
+  private final StringBuilder settingsText = new StringBuilder();
   private ShareSettings settings;
 
   private final OrderSender orders;
@@ -34,23 +34,23 @@
     this.orders = new OrderSender(world, OperatorPaths.SHARES_ORDERS);
   }
 
-  /** Adds a line to the operators' file. */
+  /** Adds a line to the operators' settingsText. */
   void addSetting(String text) {
-    file.append(text).append('\n');
+    settingsText.append(text).append('\n');
   }
 
   boolean isEnabled() {
-    return !file.isEmpty();
+    return !settingsText.isEmpty();
   }
 
   /** The settings with which a controller starts; null for a version without shares. */
-  ShareSettings start(ControllerNode node) {
-    if (!isEnabled() || !world.rollouts.knowsShares(node)) {
+  ShareSettings settingsFor(ControllerNode node) {
+    if (!isEnabled() || !world.rollouts.supportsShares(node)) {
       return null;
     }
     if (settings == null) {
       try {
-        settings = ShareSettings.read(file.toString());
+        settings = ShareSettings.read(settingsText.toString());
       } catch (InvalidConfigException e) {
         throw new IllegalArgumentException(e);
       }
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -10,7 +10,7 @@
 /** What moves take and cost, in simulated time; figures are printed for docs/measurements.md. */
 @Tag("shares")
 class SharesMeasurementTest {
-  private static final String SITE =
+  private static final String FLEET =
       """
       controllers 3
       zones a,b
@@ -25,18 +25,18 @@
   /**
    * Some machine is always being emptied here, and some task always waits: that alone is no fault.
    */
-  private static World play(String text, Measurements measurements) throws Exception {
+  private static World runScenario(String text, Measurements measurements) throws Exception {
     Scenario scenario = new Scenario("measurement", text);
     scenario.measureWith(measurements);
-    List<String> broken = scenario.play(1, false);
-    assertEquals(List.of(), broken.stream().filter(b -> !b.contains("waits: ")).toList());
+    List<String> violations = scenario.play(1, false);
+    assertEquals(List.of(), violations.stream().filter(v -> !v.contains("waits: ")).toList());
     return scenario.world();
   }
 
   @Test
-  void timeOfMovesByTaskLength() throws Exception {
+  void measuresMovesByTaskLength() throws Exception {
     for (int taskS : new int[] {5, 20, 60}) {
-      StringBuilder text = new StringBuilder(SITE);
+      StringBuilder text = new StringBuilder(FLEET);
       text.append("set parts: 2\nshares automatic: false move_timeout_s: 300\n");
       text.append("at 5 submit wk-1 team=t tasks=6000 cpus=1 run=%d\n".formatted(taskS));
       text.append("at 5 submit wk-2 team=u tasks=6000 cpus=1 run=%d\n".formatted(taskS));
@@ -46,7 +46,7 @@
             "at %d share-order n0 o%d move from=%d count=2 to=%d\n"
                 .formatted(s, s, from, 1 - from));
       }
-      World world = play(text.append("until 600\n").toString(), null);
+      World world = runScenario(text.append("until 600\n").toString(), null);
       long done = world.counters.total("shares.moves.done");
       System.out.printf(
           Locale.ROOT,
@@ -63,11 +63,11 @@
   }
 
   @Test
-  void waitingOfASpike() throws Exception {
+  void measuresWaitDuringSpike() throws Exception {
     for (String shards :
         List.of("set parts: 1", "set parts: 2", "set parts: 2\nshares settle_s: 1")) {
       String text =
-          SITE
+          FLEET
               + shards
               + """
 
@@ -76,19 +76,19 @@
               until 600
               """;
       Scenario scenario = new Scenario("spike", text);
-      double[] spikeDone = {-1};
-      double[] backlogDone = {-1};
+      double[] spikeDoneS = {-1};
+      double[] backlogDoneS = {-1};
       double[] idleCpuS = {0};
-      scenario.beforeRun(world -> sample(world, spikeDone, backlogDone, idleCpuS));
-      List<String> broken = scenario.play(1, false);
+      scenario.beforeRun(world -> sample(world, spikeDoneS, backlogDoneS, idleCpuS));
+      List<String> violations = scenario.play(1, false);
       System.out.printf(
           Locale.ROOT,
           "%s: spike done after %.0f s, backlog after %.0f s, idle while tasks wait %.0f CPU s%s%n",
           shards.replace('\n', ' '),
-          spikeDone[0] < 0 ? -1 : spikeDone[0] - 20,
-          backlogDone[0] < 0 ? -1 : backlogDone[0] - 10,
+          spikeDoneS[0] < 0 ? -1 : spikeDoneS[0] - 20,
+          backlogDoneS[0] < 0 ? -1 : backlogDoneS[0] - 10,
           idleCpuS[0],
-          broken.isEmpty() ? "" : ", broken: " + broken);
+          violations.isEmpty() ? "" : ", broken: " + violations);
     }
   }
 
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void costOfTheFullestController() throws Exception {
+  void measuresBusiestController() throws Exception {
     for (int machines : new int[] {1000, 4000}) {
       for (int shards : new int[] {1, 3, 8}) {
         Measurements measurements = new Measurements();
@@ -134,13 +134,13 @@
             """
                 .formatted(
                     shards, shares, machines, machines, machines, machines / 2, machines / 2);
-        World world = play(text, measurements);
-        long fullest =
+        World world = runScenario(text, measurements);
+        long busiest =
             world.controllers().stream()
                 .mapToLong(n -> ((SimulatedController) n).busyNanos())
                 .max()
                 .orElse(0);
-        long all =
+        long total =
             world.controllers().stream()
                 .mapToLong(n -> ((SimulatedController) n).busyNanos())
                 .sum();
@@ -150,8 +150,8 @@
                 + " moves %d, largest heartbeat %d KB%n",
             machines,
             shards,
-            fullest / 1e9,
-            all / 1e9,
+            busiest / 1e9,
+            total / 1e9,
             world.checker.tasks().starts(),
             world.counters.total("shares.moves.done"),
             measurements.largestMessage("/peer/beat") / 1024);
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import shorecrank.config.Settings;
 import shorecrank.config.SettingsFile;
-import shorecrank.sim.ProcessFleet.Run;
+import shorecrank.sim.ProcessFleet.ClientResult;
 
 /**
  * Real controllers on loopback with two shards, and an operator with the client: machines move
@@ -25,30 +25,30 @@
 class SharesProcessTest {
   private static final int MACHINES = 6;
   private static final int CONTROLLERS = 3;
-  private static final long MINUTE_MS = 30_000;
-  private static final long TEN_MINUTES_MS = 600_000;
-  private static final int END_EVERY = 4;
+  private static final long SHORT_RUN_MS = 30_000;
+  private static final long LONG_RUN_MS = 600_000;
+  private static final int CRASH_EVERY_ROUNDS = 4;
 
   @TempDir Path dir;
   private ProgramVersion program;
-  private Settings tuning;
+  private Settings settings;
   private int orders;
   private int accepted;
-  private int ended;
+  private int crashes;
 
   @BeforeEach
   void describe() throws Exception {
-    Path settings = Files.writeString(dir.resolve("settings.textproto"), "parts: 2");
+    Path settingsFile = Files.writeString(dir.resolve("settings.textproto"), "parts: 2");
     Path rollout = Files.writeString(dir.resolve("rollout.textproto"), "settle_s: 1");
     Path shares =
         Files.writeString(
             dir.resolve("shares.textproto"),
             "automatic: false move_timeout_s: 20 team { name: \"t\" weight: 2 }");
-    tuning = SettingsFile.read(Files.readString(settings));
+    settings = SettingsFile.read(Files.readString(settingsFile));
     program =
-        ProgramVersions.present(
+        ProgramVersions.current(
             "--settings",
-            settings.toString(),
+            settingsFile.toString(),
             "--rollout",
             rollout.toString(),
             "--shares",
@@ -56,13 +56,13 @@
   }
 
   @Test
-  void aMinute() throws Exception {
-    try (ProcessFleet fleet = new ProcessFleet(1, program, MACHINES, tuning)) {
+  void everyJobEndsOnceWhileMachinesMoveAndControllersCrash() throws Exception {
+    try (ProcessFleet fleet = new ProcessFleet(1, program, MACHINES, settings)) {
       fleet.submitEvery(600);
-      rise(fleet);
-      session(fleet);
-      mistakes(fleet);
-      moveFor(fleet, MINUTE_MS, new Random(1));
+      raiseLevel(fleet);
+      runOperatorSession(fleet);
+      rejectInvalidCommands(fleet);
+      moveFor(fleet, SHORT_RUN_MS, new Random(1));
       fleet.finish();
       checkOutcome(fleet);
     }
@@ -74,27 +74,27 @@
    */
   @Tag("shares")
   @Test
-  void tenMinutes() throws Exception {
-    try (ProcessFleet fleet = new ProcessFleet(2, program, MACHINES, tuning)) {
+  void everyJobEndsOnceAfterTenMinutesOfOverload() throws Exception {
+    try (ProcessFleet fleet = new ProcessFleet(2, program, MACHINES, settings)) {
       fleet.submitEvery(600);
-      rise(fleet);
-      moveFor(fleet, TEN_MINUTES_MS, new Random(Long.getLong("seed", 2)));
+      raiseLevel(fleet);
+      moveFor(fleet, LONG_RUN_MS, new Random(Long.getLong("seed", 2)));
       fleet.finishBacklog();
       checkOutcome(fleet);
     }
   }
 
-  private static void rise(ProcessFleet fleet) {
-    Run early = fleet.client("shares", "move", "@", "--from=0", "--count=1", "--to=1");
+  private static void raiseLevel(ProcessFleet fleet) {
+    ClientResult early = fleet.runClient("shares", "move", "@", "--from=0", "--count=1", "--to=1");
     assertEquals(1, early.status(), early.out());
     assertTrue(early.err().contains("feature level in force knows no shares"), early.err());
     // Refused until the leader has heard all controllers.
     fleet.await(
         "the level to rise",
-        () -> fleet.client("rollout", "finalize", "@", "--level=2").status() == 0);
+        () -> fleet.runClient("rollout", "finalize", "@", "--level=2").status() == 0);
     fleet.await(
         "machines to be movable",
-        () -> fleet.client("shares", "show", "@").out().startsWith("machines may move"));
+        () -> fleet.runClient("shares", "show", "@").out().startsWith("machines may move"));
     fleet.await("machines of both shards", () -> fleet.world.shares.machinesByShard().size() == 2);
   }
 
@@ -102,29 +102,32 @@
     return fleet.world.shares.machinesByShard();
   }
 
-  private void session(ProcessFleet fleet) {
-    Run show = fleet.client("shares", "show", "@");
+  private void runOperatorSession(ProcessFleet fleet) {
+    ClientResult show = fleet.runClient("shares", "show", "@");
     assertEquals(0, show.status(), show.err());
     assertTrue(show.out().contains("SHARD"), show.out());
     System.out.println(show.out());
-    Run dry = fleet.client("shares", "move", "@", "--from=0", "--count=1", "--to=1", "--dry-run");
+    ClientResult dry =
+        fleet.runClient("shares", "move", "@", "--from=0", "--count=1", "--to=1", "--dry-run");
     assertTrue(dry.out().startsWith("dry run: 1 machines move to 1"), dry.out() + dry.err());
-    fleet.serveFor(1500);
+    fleet.runFor(1500);
     assertEquals(0, fleet.world.shares.state().nextMove() - 1);
-    Run set = fleet.client("shares", "set", "@", "--team=u", "--min=8", "--json");
+    ClientResult set = fleet.runClient("shares", "set", "@", "--team=u", "--min=8", "--json");
     assertEquals(0, set.status(), set.err());
     assertTrue(set.out().contains("\"accepted\" : true"), set.out());
     // The same order at two controllers is one order, with one answer.
-    Run one = fleet.clientOf(0, "shares", "move", "@", "--from=0", "--count=1", "--to=1", "--id=a");
-    Run two = fleet.clientOf(1, "shares", "move", "@", "--from=0", "--count=1", "--to=1", "--id=a");
+    ClientResult one =
+        fleet.runClientAt(0, "shares", "move", "@", "--from=0", "--count=1", "--to=1", "--id=a");
+    ClientResult two =
+        fleet.runClientAt(1, "shares", "move", "@", "--from=0", "--count=1", "--to=1", "--id=a");
     assertEquals(0, one.status(), one.err());
     assertEquals(one, two);
     assertEquals(2, fleet.world.shares.state().nextMove());
     fleet.await("the end of the move", () -> fleet.world.shares.state().active().isEmpty());
-    fleet.serveFor(500);
+    fleet.runFor(500);
   }
 
-  private static void mistakes(ProcessFleet fleet) {
+  private static void rejectInvalidCommands(ProcessFleet fleet) {
     for (List<String> words :
         List.of(
             List.of("shares", "move", "@"),
@@ -134,7 +137,7 @@
             List.of("shares", "set", "@", "--team=t"),
             List.of("shares", "set", "@", "--team=t", "--weight=heavy"),
             List.of("shares", "abort", "@"))) {
-      Run run = fleet.client(words.toArray(String[]::new));
+      ClientResult run = fleet.runClient(words.toArray(String[]::new));
       assertEquals(2, run.status(), words.toString());
       assertEquals(1, run.err().strip().lines().count(), run.err());
     }
@@ -146,7 +149,7 @@
             List.of("shares", "set", "@", "--team=t", "--min=100000"),
             List.of("shares", "set", "@", "--team=x", "--min=1"),
             List.of("shares", "abort", "@", "--move=99"))) {
-      Run run = fleet.client(words.toArray(String[]::new));
+      ClientResult run = fleet.runClient(words.toArray(String[]::new));
       assertEquals(1, run.status(), words.toString() + run.out());
       assertEquals(1, run.err().strip().lines().count(), run.err());
     }
@@ -155,18 +158,18 @@
   private void moveFor(ProcessFleet fleet, long ms, Random random) {
     long end = fleet.world.sim.now() + ms;
     for (int round = 1; fleet.world.sim.now() < end; round++) {
-      order(fleet, random);
-      if (round % END_EVERY == 0) {
+      orderMove(fleet, random);
+      if (round % CRASH_EVERY_ROUNDS == 0) {
         int index = random.nextInt(CONTROLLERS);
         fleet.node(index).crash(random.nextBoolean() ? 300 : 1500);
-        ended++;
+        crashes++;
       }
-      fleet.serveFor(1500 + random.nextInt(2500));
+      fleet.runFor(1500 + random.nextInt(2500));
     }
   }
 
   /** Some machines go to the other shard, by an order of this client's. */
-  private void order(ProcessFleet fleet, Random random) {
+  private void orderMove(ProcessFleet fleet, Random random) {
     int from = random.nextInt(2);
     List<String> there = new ArrayList<>(assigned(fleet).getOrDefault(from, List.of()));
     int count = Math.min(there.size() - 1, 1 + random.nextInt(2));
@@ -174,8 +177,8 @@
       return;
     }
     orders++;
-    Run run =
-        fleet.client(
+    ClientResult run =
+        fleet.runClient(
             "shares",
             "move",
             "@",
@@ -202,7 +205,7 @@
         orders,
         accepted,
         done,
-        ended);
+        crashes);
     assertEquals(fleet.submitted(), fleet.world.checker.answers().endedJobCount());
     assertTrue(done > 0, "no machine has moved");
     assertTrue(fleet.world.checker.tasks().starts() <= tasks, "tasks were started again");
--- a/src/test/java/shorecrank/sim/SimulatedCloud.java
+++ b/src/test/java/shorecrank/sim/SimulatedCloud.java
@@ -20,8 +20,8 @@
   private static final double MS_PER_S = 1000;
   private static final long SNAPSHOT_EVERY_MS = 1000;
   private static final int SNAPSHOTS_KEPT = 100;
-  private static final double SHORTEST_BOOT = 0.6;
-  private static final double BOOT_SPREAD = 0.9;
+  private static final double MIN_BOOT_FACTOR = 0.6;
+  private static final double BOOT_FACTOR_RANGE = 0.9;
   private static final double PRICE_PER_CPU = 0.04;
   private static final double SPOT_PRICE_PER_CPU = 0.015;
 
@@ -59,10 +59,10 @@
   private final World world;
   private final Simulation sim;
   private final TreeMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, List<String>> rentedByClaim = new HashMap<>();
+  private final Map<String, List<String>> machinesOfClaim = new HashMap<>();
   private final Map<String, String> requestOfClaim = new HashMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
-  private final Set<String> returned = new HashSet<>();
+  private final Set<String> released = new HashSet<>();
   private int nextNumber = 1;
   private long outageUntilMs = -1;
   private int capacity = 100;
@@ -102,7 +102,7 @@
 
   /** Whether a controller has ever returned the machine. */
   boolean wasReturned(String machine) {
-    return returned.contains(machine);
+    return released.contains(machine);
   }
 
   private void takeSnapshot() {
@@ -128,17 +128,17 @@
     machines.put(name, machine);
     largestSize = Math.max(largestSize, machines.size());
     if (bootS <= 0) {
-      bringUp(machine);
+      finishBoot(machine);
     } else if (bootsToFail > 0) {
       bootsToFail--;
     } else {
-      double factor = SHORTEST_BOOT + sim.random().nextDouble() * BOOT_SPREAD;
-      sim.after((long) (bootS * MS_PER_S * factor), () -> bringUp(machine));
+      double factor = MIN_BOOT_FACTOR + sim.random().nextDouble() * BOOT_FACTOR_RANGE;
+      sim.after((long) (bootS * MS_PER_S * factor), () -> finishBoot(machine));
     }
     return name;
   }
 
-  private void bringUp(Machine machine) {
+  private void finishBoot(Machine machine) {
     if (machines.get(machine.name) == machine) {
       machine.worker =
           new SimulatedWorker(world, machine.name, machine.type, machine.zone, machine.spot);
@@ -165,7 +165,7 @@
       reply.accept(200, catalog());
     } else if (path.equals("/hosts/release")) {
       for (JsonNode name : body.path("hosts")) {
-        returned.add(name.asText());
+        released.add(name.asText());
         removeMachine(name.asText());
       }
       reply.accept(200, Json.object());
@@ -218,15 +218,15 @@
     if (earlier != null && !earlier.equals(request)) {
       world.checker.report("claim_reused: " + claim + " used for another request");
     }
-    List<String> rented = rentedByClaim.get(claim);
+    List<String> rented = machinesOfClaim.get(claim);
     if (rented == null) {
       int count = Math.min(body.path("count").asInt(), capacity - machines.size());
       if (count <= 0) {
         reply.accept(503, Json.error("no capacity"));
         return;
       }
-      rented = bootAll(body, count);
-      rentedByClaim.put(claim, rented);
+      rented = addMachines(body, count);
+      machinesOfClaim.put(claim, rented);
     }
     ObjectNode answer = Json.object();
     ArrayNode names = answer.putArray("hosts");
@@ -234,7 +234,7 @@
     reply.accept(200, answer);
   }
 
-  private List<String> bootAll(JsonNode body, int count) {
+  private List<String> addMachines(JsonNode body, int count) {
     String type = body.path("hosttype").asText();
     String zone = body.path("site").asText();
     boolean spot = body.path("loaner").asBoolean();
--- a/src/test/java/shorecrank/sim/SimulatedController.java
+++ b/src/test/java/shorecrank/sim/SimulatedController.java
@@ -22,27 +22,27 @@
   private static final int FIRST_TICK_SPREAD_MS = 50;
 
   /** Clocks drift by up to half of this, either way. */
-  private static final double CLOCK_DRIFT = 0.001;
+  private static final double CLOCK_DRIFT_RANGE = 0.001;
 
-  private static final int CLOCK_OFFSETS_MS = 1_000_000;
+  private static final int MAX_CLOCK_OFFSET_MS = 1_000_000;
 
   /** Time of day when a run begins, in milliseconds. */
-  private static final long TIME_OF_DAY_MS = 1_000_000_000_000L;
+  private static final long WALL_CLOCK_START_MS = 1_000_000_000_000L;
 
   private final Simulation sim;
   private final double clockRate;
   private final long clockOffsetMs;
   private final Map<Long, ReplyHandler> replies = new HashMap<>();
   private long nextReply = 1;
-  private ControllerStateMachine core;
+  private ControllerStateMachine stateMachine;
   private long frozenUntilMs = -1;
   private long busyNanos;
 
   SimulatedController(World world, int index) {
     super(world, index);
     this.sim = world.sim;
-    this.clockRate = 1 + (sim.random().nextDouble() - 0.5) * CLOCK_DRIFT;
-    this.clockOffsetMs = sim.random().nextInt(CLOCK_OFFSETS_MS);
+    this.clockRate = 1 + (sim.random().nextDouble() - 0.5) * CLOCK_DRIFT_RANGE;
+    this.clockOffsetMs = sim.random().nextInt(MAX_CLOCK_OFFSET_MS);
   }
 
   /** Processor time of its steps, if that is measured. */
@@ -52,22 +52,22 @@
 
   @Override
   void launch() {
-    RolloutSetup setup = world().rollouts.start(this);
-    WriterId writer = new WriterId(label() + "." + life());
-    core =
+    RolloutSetup setup = world().rollouts.setupForStart(this);
+    WriterId writer = new WriterId(label() + "." + startCount());
+    stateMachine =
         new ControllerStateMachine(
-            PlatformFile.read(world(), this),
+            NodeConfigWriter.config(world(), this),
             world().rollouts.settings(this),
             writer,
             setup,
-            world().shares.start(this));
-    int mine = life();
-    sim.after(FIRST_TICK_MS + sim.random().nextInt(FIRST_TICK_SPREAD_MS), () -> tick(mine));
+            world().shares.settingsFor(this));
+    int startNumber = startCount();
+    sim.after(FIRST_TICK_MS + sim.random().nextInt(FIRST_TICK_SPREAD_MS), () -> tick(startNumber));
   }
 
   @Override
   void kill() {
-    core = null;
+    stateMachine = null;
     replies.clear();
   }
 
@@ -76,18 +76,18 @@
     frozenUntilMs = sim.now() + durationMs;
   }
 
-  private void tick(int mine) {
-    if (!isAlive(mine)) {
+  private void tick(int startNumber) {
+    if (!isSameRun(startNumber)) {
       return;
     }
     if (sim.now() < frozenUntilMs) {
-      sim.at(frozenUntilMs, () -> tick(mine));
+      sim.at(frozenUntilMs, () -> tick(startNumber));
       return;
     }
     step(new Input.Tick(() -> false));
     world().checker.roundCompleted(this);
-    world().counters.addRounds(core.ownedEpochs().size());
-    sim.after(TICK_MS, () -> tick(mine));
+    world().counters.addRounds(stateMachine.ownedEpochs().size());
+    sim.after(TICK_MS, () -> tick(startNumber));
   }
 
   /** Hands an input in; a frozen process reads what came meanwhile once it goes on. */
@@ -96,11 +96,11 @@
       step(input);
       return;
     }
-    int mine = life();
+    int startNumber = startCount();
     sim.at(
         frozenUntilMs,
         () -> {
-          if (isAlive(mine)) {
+          if (isSameRun(startNumber)) {
             step(input);
           }
         });
@@ -116,36 +116,36 @@
 
   @Override
   Map<ShardId, Epoch> ownedEpochs() {
-    return core.ownedEpochs();
+    return stateMachine.ownedEpochs();
   }
 
   @Override
   Set<MachineName> commandedMachines() {
-    return isUp() ? core.commandedMachines(steadyTime()) : Set.of();
+    return isUp() ? stateMachine.commandedMachines(localTime()) : Set.of();
   }
 
   @Override
   Map<ShardId, Epoch> commandedEpochs() {
-    return isUp() ? core.commandedEpochs(steadyTime()) : Map.of();
+    return isUp() ? stateMachine.commandedEpochs(localTime()) : Map.of();
   }
 
-  private MonotonicTime steadyTime() {
+  private MonotonicTime localTime() {
     return new MonotonicTime((long) (sim.now() * clockRate) + clockOffsetMs);
   }
 
   private void step(Input input) {
-    MonotonicTime now = steadyTime();
+    MonotonicTime now = localTime();
     long began = System.nanoTime();
     List<Output> outputs =
-        core.step(input, now, TIME_OF_DAY_MS + sim.now(), sim.random().nextLong());
+        stateMachine.step(input, now, WALL_CLOCK_START_MS + sim.now(), sim.random().nextLong());
     busyNanos += world().recorder.recordStep(input, System.nanoTime() - began, outputs);
     for (Output output : outputs) {
       world().recorder.recordOutput(this, output);
-      carryOut(output);
+      perform(output);
     }
   }
 
-  private void carryOut(Output output) {
+  private void perform(Output output) {
     if (output instanceof Output.Reply reply) {
       ReplyHandler handler = replies.remove(reply.reply());
       if (handler != null) {
--- a/src/test/java/shorecrank/sim/SimulatedStateService.java
+++ b/src/test/java/shorecrank/sim/SimulatedStateService.java
@@ -47,7 +47,7 @@
     this.sim = sim;
     this.leases = new StateServiceLeases(sim);
     this.meter = new StateServiceMeter(sim);
-    sim.after(EXPIRY_CHECK_MS, this::expire);
+    sim.after(EXPIRY_CHECK_MS, this::expireLeasesAndWatches);
   }
 
   /** What it was asked for so far. */
@@ -75,18 +75,18 @@
     sim.after(
         durationMs,
         () -> {
-          if (!isOut()) {
+          if (!isInOutage()) {
             leases.renewAll();
           }
         });
   }
 
-  private boolean isOut() {
+  private boolean isInOutage() {
     return sim.now() < outageUntilMs;
   }
 
-  private void expire() {
-    if (!isOut()) {
+  private void expireLeasesAndWatches() {
+    if (!isInOutage()) {
       leases.expired().forEach(this::endLease);
       for (Watch watch : List.copyOf(watches)) {
         if (watch.untilMs <= sim.now()) {
@@ -94,7 +94,7 @@
         }
       }
     }
-    sim.after(EXPIRY_CHECK_MS, this::expire);
+    sim.after(EXPIRY_CHECK_MS, this::expireLeasesAndWatches);
   }
 
   private void endLease(long lease) {
@@ -130,7 +130,7 @@
     Map<String, String> query = query(pathAndQuery.length > 1 ? pathAndQuery[1] : "");
     if (resource.equals("/changes")) {
       watch(query, reply);
-    } else if (isOut()) {
+    } else if (isInOutage()) {
       reply.unavailable();
     } else if (resource.equals("/store")) {
       list(query, reply);
@@ -217,20 +217,20 @@
     long from = Long.parseLong(query.get("from"));
     long untilMs = sim.now() + Long.parseLong(query.get("holdMs"));
     watches.add(new Watch(query.get("prefix"), from, untilMs, reply));
-    if (!isOut()) {
+    if (!isInOutage()) {
       wakeWatches();
     }
   }
 
   private void wakeWatches() {
     for (Watch watch : List.copyOf(watches)) {
-      if (!news(watch).isEmpty()) {
+      if (!changesFor(watch).isEmpty()) {
         answer(watch);
       }
     }
   }
 
-  private List<Change> news(Watch watch) {
+  private List<Change> changesFor(Watch watch) {
     int from = changes.size();
     while (from > 0 && changes.get(from - 1).revision > watch.from) {
       from--;
@@ -248,7 +248,7 @@
     watches.remove(watch);
     ObjectNode answer = revisionOnly();
     ArrayNode news = answer.putArray("news");
-    for (Change change : news(watch)) {
+    for (Change change : changesFor(watch)) {
       ObjectNode written = news.addObject();
       if (change.data == null) {
         written.put("drop", change.key);
@@ -264,9 +264,9 @@
 
   private void transact(JsonNode body, ReplyHandler reply) {
     JsonNode operations = body.path("apply");
-    String refusal = refusal(body, operations);
-    if (!refusal.isEmpty()) {
-      reply.accept(400, Json.error(refusal));
+    String rejection = rejectionReason(body, operations);
+    if (!rejection.isEmpty()) {
+      reply.accept(400, Json.error(rejection));
       return;
     }
     ObjectNode conflict = Json.object();
@@ -295,7 +295,7 @@
   }
 
   /** Why a transaction is not looked at; empty if it is. */
-  private String refusal(JsonNode body, JsonNode operations) {
+  private String rejectionReason(JsonNode body, JsonNode operations) {
     int most = limits.transactionOperations();
     if (operations.size() > most
         || body.path("guards").size() > GUARDS_PER_OPERATION * most
@@ -341,10 +341,10 @@
   }
 
   /** All keys as they were right after a revision. */
-  Map<String, VersionedValue> at(long then) {
+  Map<String, VersionedValue> entriesAt(long atRevision) {
     Map<String, VersionedValue> all = new TreeMap<>();
     for (Change change : changes) {
-      if (change.revision > then) {
+      if (change.revision > atRevision) {
         break;
       }
       if (change.data == null) {
@@ -361,7 +361,7 @@
    *
    * @param data null to remove it
    */
-  void poke(String key, JsonNode data) {
+  void overwrite(String key, JsonNode data) {
     revision++;
     if (data == null) {
       entries.remove(key);
--- a/src/test/java/shorecrank/sim/SimulatedWorker.java
+++ b/src/test/java/shorecrank/sim/SimulatedWorker.java
@@ -8,14 +8,14 @@
 final class SimulatedWorker {
   private static final double MS_PER_S = 1000;
   private static final long TICK_MS = 50;
-  private static final long LEAST_BETWEEN_REPORTS_MS = 500;
-  private static final int FIRST_REPORT_WITHIN_MS = 500;
+  private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
+  private static final int FIRST_HEARTBEAT_WITHIN_MS = 500;
   private static final int REDIRECT_WITHIN_MS = 500;
-  private static final long NEXT_CONTROLLER_AFTER_MS = 1000;
+  private static final long CONTROLLER_SWITCH_DELAY_MS = 1000;
   private static final long ANSWER_TIMEOUT_MS = 4000;
 
   /** Clocks drift by up to half of this, either way. */
-  private static final double CLOCK_DRIFT = 0.001;
+  private static final double CLOCK_DRIFT_RANGE = 0.001;
 
   private final World world;
   private final Simulation sim;
@@ -28,18 +28,18 @@
   private long incarnation = 1;
   private long sequence;
   private long token;
-  private double noticeS = -1;
-  private boolean sick;
+  private double preemptionNoticeS = -1;
+  private boolean failsTasks;
   private boolean removed;
   private long hungUntilMs = -1;
-  private long answeredReportSentMs;
+  private long answeredHeartbeatSentMs;
   private int controller;
-  private boolean reportInFlight;
-  private long reports;
-  private long lastReportMs = -100_000;
-  private long nextReportMs;
-  private long tokenChangeMs = -100_000;
-  private boolean changed;
+  private boolean heartbeatInFlight;
+  private long heartbeats;
+  private long lastHeartbeatMs = -100_000;
+  private long nextHeartbeatMs;
+  private long lastTokenHeartbeatMs = -100_000;
+  private boolean heartbeatDue;
 
   SimulatedWorker(World world, String name, String type, String zone, boolean spot) {
     this.world = world;
@@ -49,9 +49,9 @@
     this.zone = zone;
     this.spot = spot;
     this.tasks = new WorkerTasks(world, this);
-    this.clockRate = 1 + (sim.random().nextDouble() - 0.5) * CLOCK_DRIFT;
-    this.answeredReportSentMs = sim.now();
-    this.nextReportMs = sim.now() + sim.random().nextInt(FIRST_REPORT_WITHIN_MS);
+    this.clockRate = 1 + (sim.random().nextDouble() - 0.5) * CLOCK_DRIFT_RANGE;
+    this.answeredHeartbeatSentMs = sim.now();
+    this.nextHeartbeatMs = sim.now() + sim.random().nextInt(FIRST_HEARTBEAT_WITHIN_MS);
     this.controller = sim.random().nextInt(world.controllers().size());
     tick();
   }
@@ -108,16 +108,16 @@
 
   /** All tasks fail on it from now on. */
   void startFailingTasks() {
-    sick = true;
+    failsTasks = true;
   }
 
   boolean failsTasks() {
-    return sick;
+    return failsTasks;
   }
 
   /** The cloud announces that it takes the machine back in so many seconds. */
-  void giveNotice(double seconds) {
-    noticeS = seconds;
+  void announcePreemption(double seconds) {
+    preemptionNoticeS = seconds;
   }
 
   /** The machine is taken away or returned: everything on it is gone. */
@@ -137,36 +137,36 @@
     if (!isHung()) {
       tasks.progress();
       long now = sim.now();
-      boolean soon = changed && now - lastReportMs >= LEAST_BETWEEN_REPORTS_MS;
-      if (!reportInFlight && (now >= nextReportMs || soon)) {
-        sendReport();
+      boolean sendEarly = heartbeatDue && now - lastHeartbeatMs >= MIN_HEARTBEAT_INTERVAL_MS;
+      if (!heartbeatInFlight && (now >= nextHeartbeatMs || sendEarly)) {
+        sendHeartbeat();
       }
     }
     sim.after(TICK_MS, this::tick);
   }
 
   private void checkLease() {
-    if ((sim.now() - answeredReportSentMs) * clockRate > world.site.leaseS() * MS_PER_S) {
+    if ((sim.now() - answeredHeartbeatSentMs) * clockRate > world.site.leaseS() * MS_PER_S) {
       if (tasks.killAll()) {
         world.counters.addLeaseExpiry();
       }
       incarnation++;
-      answeredReportSentMs = sim.now();
-      changed = true;
+      answeredHeartbeatSentMs = sim.now();
+      heartbeatDue = true;
     }
   }
 
   /** Something is to be reported soon. */
-  void noteChange() {
-    changed = true;
+  void requestHeartbeat() {
+    heartbeatDue = true;
   }
 
-  private void seeToken(long seen) {
-    if (seen > token) {
-      token = seen;
-      if (sim.now() - tokenChangeMs > world.site.leaseS() * MS_PER_S / 2) {
-        tokenChangeMs = sim.now();
-        changed = true;
+  private void observeToken(long observed) {
+    if (observed > token) {
+      token = observed;
+      if (sim.now() - lastTokenHeartbeatMs > world.site.leaseS() * MS_PER_S / 2) {
+        lastTokenHeartbeatMs = sim.now();
+        heartbeatDue = true;
       }
     }
   }
@@ -185,87 +185,87 @@
     checkLease();
     long from = body.path("epoch").asLong(-1);
     if (from < token || body.path("tenure").asLong(-1) != incarnation) {
-      reply.accept(409, report());
+      reply.accept(409, heartbeat());
       return;
     }
-    seeToken(from);
+    observeToken(from);
     body.path("orders").forEach(tasks::execute);
-    reply.accept(200, report());
+    reply.accept(200, heartbeat());
   }
 
   // ---- reports ---------------------------------------------------------------------------------
 
-  private ObjectNode report() {
-    ObjectNode report = Json.object().put("host", name).put("addr", address());
-    report.put("hosttype", type).put("site", zone).put("loaner", spot);
-    report.put("tenure", incarnation).put("serial", ++sequence).put("epoch", token);
-    if (noticeS >= 0) {
-      report.put("reclaimInS", noticeS);
+  private ObjectNode heartbeat() {
+    ObjectNode heartbeat = Json.object().put("host", name).put("addr", address());
+    heartbeat.put("hosttype", type).put("site", zone).put("loaner", spot);
+    heartbeat.put("tenure", incarnation).put("serial", ++sequence).put("epoch", token);
+    if (preemptionNoticeS >= 0) {
+      heartbeat.put("reclaimInS", preemptionNoticeS);
     } else {
-      report.putNull("reclaimInS");
+      heartbeat.putNull("reclaimInS");
     }
-    tasks.writeTo(report.putArray("pieces"));
-    return report;
+    tasks.writeTo(heartbeat.putArray("pieces"));
+    return heartbeat;
   }
 
   /** A report that waits for its answer. */
-  private record SentReport(int controller, long number, long incarnation, long sentMs) {}
+  private record SentHeartbeat(int controller, long number, long incarnation, long sentMs) {}
 
-  private void sendReport() {
-    reportInFlight = true;
-    changed = false;
-    lastReportMs = sim.now();
+  private void sendHeartbeat() {
+    heartbeatInFlight = true;
+    heartbeatDue = false;
+    lastHeartbeatMs = sim.now();
     double share = 0.75 + sim.random().nextDouble() * 0.5;
-    nextReportMs = sim.now() + (long) (world.site.reportS() * MS_PER_S * share);
-    SentReport sent = new SentReport(controller, ++reports, incarnation, sim.now());
-    ObjectNode body = report();
+    nextHeartbeatMs = sim.now() + (long) (world.site.reportS() * MS_PER_S * share);
+    SentHeartbeat sent = new SentHeartbeat(controller, ++heartbeats, incarnation, sim.now());
+    ObjectNode body = heartbeat();
     world.network.sendHeartbeat(
         this,
         world.controllers().get(controller),
         body,
         (status, answer) -> {
-          if (!awaits(sent)) {
+          if (!isAwaiting(sent)) {
             return;
           }
           if (isHung()) {
             // Read once it goes on, if that is soon enough.
-            sim.at(hungUntilMs, () -> takeLateAnswer(sent, status, answer));
+            sim.at(hungUntilMs, () -> handleDelayedAnswer(sent, status, answer));
           } else {
-            takeAnswer(sent, status, answer);
+            handleAnswer(sent, status, answer);
           }
         });
     sim.after(ANSWER_TIMEOUT_MS, () -> giveUp(sent));
   }
 
-  private boolean awaits(SentReport sent) {
-    return sent.number == reports && reportInFlight && !removed;
+  private boolean isAwaiting(SentHeartbeat sent) {
+    return sent.number == heartbeats && heartbeatInFlight && !removed;
   }
 
-  private void giveUp(SentReport sent) {
-    if (sent.number == reports && reportInFlight) {
-      reportInFlight = false;
-      reports++;
-      turnToNextController();
+  private void giveUp(SentHeartbeat sent) {
+    if (sent.number == heartbeats && heartbeatInFlight) {
+      heartbeatInFlight = false;
+      heartbeats++;
+      switchToNextController();
     }
   }
 
-  private void takeLateAnswer(SentReport sent, int status, JsonNode answer) {
-    if (awaits(sent)) {
+  private void handleDelayedAnswer(SentHeartbeat sent, int status, JsonNode answer) {
+    if (isAwaiting(sent)) {
       checkLease();
-      takeAnswer(sent, status, answer);
+      handleAnswer(sent, status, answer);
     }
   }
 
-  private void turnToNextController() {
+  private void switchToNextController() {
     controller = (controller + 1) % world.controllers().size();
-    nextReportMs = Math.max(nextReportMs, sim.now() + NEXT_CONTROLLER_AFTER_MS);
-    changed = false;
+    nextHeartbeatMs = Math.max(nextHeartbeatMs, sim.now() + CONTROLLER_SWITCH_DELAY_MS);
+    heartbeatDue = false;
   }
 
-  private void takeAnswer(SentReport sent, int status, JsonNode answer) {
-    reportInFlight = false;
+  private void handleAnswer(SentHeartbeat sent, int status, JsonNode answer) {
+    heartbeatInFlight = false;
     if (status == 200) {
-      takeOrders(sent, answer);
+      handleCommandsOf(sent, answer);
       return;
     }
     int redirect =
@@ -277,20 +277,20 @@
             : sent.controller;
     if (redirect != sent.controller) {
       controller = redirect;
-      nextReportMs = sim.now() + sim.random().nextInt(REDIRECT_WITHIN_MS);
+      nextHeartbeatMs = sim.now() + sim.random().nextInt(REDIRECT_WITHIN_MS);
     } else {
-      turnToNextController();
-      nextReportMs = sim.now() + NEXT_CONTROLLER_AFTER_MS;
+      switchToNextController();
+      nextHeartbeatMs = sim.now() + CONTROLLER_SWITCH_DELAY_MS;
     }
   }
 
-  private void takeOrders(SentReport sent, JsonNode answer) {
+  private void handleCommandsOf(SentHeartbeat sent, JsonNode answer) {
     long from = answer.path("epoch").asLong(-1);
     if (from < token || sent.incarnation != incarnation) {
       return;
     }
-    seeToken(from);
-    answeredReportSentMs = sent.sentMs;
+    observeToken(from);
+    answeredHeartbeatSentMs = sent.sentMs;
     answer.path("orders").forEach(tasks::execute);
   }
 }
--- a/src/test/java/shorecrank/sim/Simulation.java
+++ b/src/test/java/shorecrank/sim/Simulation.java
@@ -5,7 +5,7 @@
 
 /** Simulated time, the events that are due, and the run's random numbers. */
 final class Simulation {
-  /** Events of the same time happen in the order in which they were planned. */
+  /** Events of the same time happen in the order in which they were scheduled. */
   private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
@@ -15,7 +15,7 @@
 
   private final SplittableRandom random;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private long planned;
+  private long scheduled;
   private long nowMs;
 
   Simulation(long seed) {
@@ -34,12 +34,12 @@
 
   /** Plans an event so many milliseconds from now. */
   void after(long ms, Runnable action) {
-    events.add(new Event(nowMs + Math.max(0, ms), planned++, action));
+    events.add(new Event(nowMs + Math.max(0, ms), scheduled++, action));
   }
 
   /** Plans an event for a time; for now if that is over. */
   void at(long ms, Runnable action) {
-    events.add(new Event(Math.max(nowMs, ms), planned++, action));
+    events.add(new Event(Math.max(nowMs, ms), scheduled++, action));
   }
 
   /** Lets all events happen that are due until a time, which is the present then. */
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -42,7 +42,7 @@
     }
     Map<String, VersionedValue> then = new TreeMap<>();
     store
-        .at(archive.manifest().revision())
+        .entriesAt(archive.manifest().revision())
         .forEach(
             (key, version) -> {
               if (ArchiveKeys.ARCHIVED_PREFIXES.stream().anyMatch(key::startsWith)) {
--- a/src/test/java/shorecrank/sim/SubmittedJobs.java
+++ b/src/test/java/shorecrank/sim/SubmittedJobs.java
@@ -44,7 +44,7 @@
   }
 
   /** All ids, in an order that does not change while none is added. */
-  List<String> shuffledIds() {
+  List<String> idsInStableOrder() {
     return List.copyOf(submitted);
   }
 
@@ -71,11 +71,11 @@
   /** The job itself and all that it depends on, directly or through others. */
   Set<String> withDependencies(String job) {
     Set<String> all = new HashSet<>();
-    List<String> open = new ArrayList<>(List.of(job));
-    while (!open.isEmpty()) {
-      String next = open.remove(open.size() - 1);
+    List<String> pending = new ArrayList<>(List.of(job));
+    while (!pending.isEmpty()) {
+      String next = pending.remove(pending.size() - 1);
       if (all.add(next) && plans.containsKey(next)) {
-        open.addAll(plans.get(next).dependencies());
+        pending.addAll(plans.get(next).dependencies());
       }
     }
     return all;
--- a/src/test/java/shorecrank/sim/UserBehavior.java
+++ b/src/test/java/shorecrank/sim/UserBehavior.java
@@ -9,28 +9,28 @@
 
 /** What users do for a while that is hard on the service. */
 final class UserBehavior {
-  private static final int CLOSE_LOOKS = 12;
-  private static final long CLOSE_LOOK_EVERY_MS = 3;
-  private static final int CLOSE_LOOK_SPREAD_MS = 5;
+  private static final int BURST_REQUESTS = 12;
+  private static final long BURST_INTERVAL_MS = 3;
+  private static final int BURST_JITTER_MS = 5;
 
   /** Each fourth close look submits the job again. */
-  private static final int SUBMIT_EVERY = 4;
+  private static final int SUBMIT_EVERY_NTH = 4;
 
   private static final int CANCEL_AT_END_WITHIN_MS = 400;
   private static final int CANCEL_NOW_WITHIN_MS = 200;
-  private static final int MOST_HANGING = 8;
-  private static final int FIRST_MALFORMED = 900_000;
-  private static final int MALFORMED_EVERY_MS = 400;
+  private static final int MAX_HANGING_MACHINES = 8;
+  private static final int FIRST_MALFORMED_JOB = 900_000;
+  private static final int MALFORMED_INTERVAL_MS = 400;
   private static final double TOO_MANY_CPUS = 5000;
 
   private final World world;
   private final Simulation sim;
   private final Set<String> seenPhases = new HashSet<>();
-  private long closeLooksUntilMs = -1;
+  private long burstsUntilMs = -1;
   private long cancelAtEndUntilMs = -1;
   private double cancelAtEndShare;
-  private long oddRequestsUntilMs = -1;
-  private String cancelledClass = "";
+  private long unusualRequestsUntilMs = -1;
+  private String cancelledJobClass = "";
   private long cancelledAfterMs;
 
   UserBehavior(World world) {
@@ -46,24 +46,24 @@
 
   /** For a while users ask all controllers within milliseconds of any news of their jobs. */
   void queryAllControllersFor(long durationMs) {
-    closeLooksUntilMs = sim.now() + durationMs;
+    burstsUntilMs = sim.now() + durationMs;
   }
 
   /** A user has an answer: acceptance and end of a job are news. */
   void answered(UserRequest request, int status, JsonNode body) {
     String job = request.job();
     boolean accepted = request.kind() == Kind.SUBMIT && status == 201;
-    boolean news = accepted || (status == 200 && isNewEnd(job, body.path("phase").asText()));
-    if (!news || sim.now() >= closeLooksUntilMs) {
+    boolean isNews = accepted || (status == 200 && isNewEnd(job, body.path("phase").asText()));
+    if (!isNews || sim.now() >= burstsUntilMs) {
       return;
     }
     List<ControllerNode> nodes = world.controllers();
-    for (int i = 0; i < CLOSE_LOOKS; i++) {
+    for (int i = 0; i < BURST_REQUESTS; i++) {
       ControllerNode node = nodes.get(i % nodes.size());
-      boolean submits = i % SUBMIT_EVERY == SUBMIT_EVERY - 1;
+      boolean submits = i % SUBMIT_EVERY_NTH == SUBMIT_EVERY_NTH - 1;
       sim.after(
-          1 + i * CLOSE_LOOK_EVERY_MS + sim.random().nextInt(CLOSE_LOOK_SPREAD_MS),
-          () -> lookAt(node, job, submits));
+          1 + i * BURST_INTERVAL_MS + sim.random().nextInt(BURST_JITTER_MS),
+          () -> sendBurstRequest(node, job, submits));
     }
   }
 
@@ -72,7 +72,7 @@
     return seenPhases.add(job + phase) && AnswerHistory.isFinalPhase(phase);
   }
 
-  private void lookAt(ControllerNode node, String job, boolean submits) {
+  private void sendBurstRequest(ControllerNode node, String job, boolean submits) {
     UserRequest request =
         submits ? UserRequest.submit(job, world.jobs.plan(job)) : UserRequest.query(job);
     client().send(node, request, ReplyHandler.IGNORE);
@@ -98,13 +98,13 @@
 
   /** Each new job of a class is cancelled so long after it came; an empty class ends that. */
   void cancelEach(String jobClass, long afterMs) {
-    cancelledClass = jobClass;
+    cancelledJobClass = jobClass;
     cancelledAfterMs = afterMs;
   }
 
   /** A new job was submitted. */
   void submitted(String job, JobPlan plan) {
-    if (plan.jobClass().equals(cancelledClass)) {
+    if (plan.jobClass().equals(cancelledJobClass)) {
       sim.after(cancelledAfterMs, () -> world.users.cancel(job));
     }
   }
@@ -121,7 +121,7 @@
     for (String job : running) {
       world.workers().stream()
           .filter(worker -> worker.tasks().runs(job))
-          .limit(MOST_HANGING - Math.min(MOST_HANGING, hanging.size()))
+          .limit(MAX_HANGING_MACHINES - Math.min(MAX_HANGING_MACHINES, hanging.size()))
           .forEach(hanging::add);
       sim.after(sim.random().nextInt(CANCEL_NOW_WITHIN_MS), () -> world.users.cancel(job));
     }
@@ -135,22 +135,23 @@
 
   /** Submissions repeated, done jobs cancelled, jobs that fit no machine or lack a field. */
   void sendUnusualRequestsFor(long durationMs) {
-    oddRequestsUntilMs = sim.now() + durationMs;
-    sendOdd(FIRST_MALFORMED);
+    unusualRequestsUntilMs = sim.now() + durationMs;
+    sendUnusual(FIRST_MALFORMED_JOB);
   }
 
-  private void sendOdd(int number) {
-    if (sim.now() >= oddRequestsUntilMs) {
+  private void sendUnusual(int number) {
+    if (sim.now() >= unusualRequestsUntilMs) {
       return;
     }
-    repeatAny();
+    repeatRandomRequest();
     sendMalformed(number);
     sim.after(
-        MALFORMED_EVERY_MS + sim.random().nextInt(MALFORMED_EVERY_MS), () -> sendOdd(number + 1));
+        MALFORMED_INTERVAL_MS + sim.random().nextInt(MALFORMED_INTERVAL_MS),
+        () -> sendUnusual(number + 1));
   }
 
-  private void repeatAny() {
-    List<String> all = world.jobs.shuffledIds();
+  private void repeatRandomRequest() {
+    List<String> all = world.jobs.idsInStableOrder();
     if (all.isEmpty()) {
       return;
     }
--- a/src/test/java/shorecrank/sim/UserClient.java
+++ b/src/test/java/shorecrank/sim/UserClient.java
@@ -8,7 +8,7 @@
 /** Sends users' requests through the load balancer, and has every answer checked. */
 final class UserClient {
   /** So long after its end a controller still gets connections. */
-  private static final long NOTICED_AFTER_MS = 3000;
+  private static final long FAILURE_DETECTION_MS = 3000;
 
   /** Sees every answer before who has asked. */
   @FunctionalInterface
@@ -20,7 +20,7 @@
   private final World world;
   private final Simulation sim;
   private final AnswerObserver observer;
-  private final Set<String> unreachable = new HashSet<>();
+  private final Set<String> jobsWithoutRequests = new HashSet<>();
 
   UserClient(World world, AnswerObserver observer) {
     this.world = world;
@@ -30,44 +30,44 @@
 
   /** No request about a job arrives from now on. */
   void dropRequestsAbout(String job) {
-    unreachable.add(job);
+    jobsWithoutRequests.add(job);
   }
 
   /** Sends a request to a controller that the load balancer chooses. */
   void send(UserRequest request, ReplyHandler reply) {
     List<ControllerNode> nodes = world.controllers();
-    List<ControllerNode> healthy = nodes.stream().filter(this::isTakenForHealthy).toList();
+    List<ControllerNode> healthy = nodes.stream().filter(this::isConsideredHealthy).toList();
     List<ControllerNode> among = healthy.isEmpty() ? nodes : healthy;
     send(among.get(sim.random().nextInt(among.size())), request, reply);
   }
 
-  private boolean isTakenForHealthy(ControllerNode node) {
-    return node.isUp() || sim.now() - node.downSinceMs() < NOTICED_AFTER_MS;
+  private boolean isConsideredHealthy(ControllerNode node) {
+    return node.isUp() || sim.now() - node.downSinceMs() < FAILURE_DETECTION_MS;
   }
 
   /** Sends a request to one controller. */
   void send(ControllerNode to, UserRequest request, ReplyHandler reply) {
     String job = request.job();
     long askedAtMs = sim.now();
-    KnownJobState before = world.checker.answers().snapshot(job);
-    boolean[] over = new boolean[1];
-    ReplyHandler once =
+    KnownJobState toldBefore = world.checker.answers().snapshot(job);
+    boolean[] done = new boolean[1];
+    ReplyHandler firstAnswer =
         (status, body) -> {
-          if (over[0]) {
+          if (done[0]) {
             return;
           }
-          over[0] = true;
+          done[0] = true;
           if (status != ReplyHandler.NO_ANSWER) {
-            world.checker.answered(new UserAnswer(request.kind(), job, status, body, before));
+            world.checker.answered(new UserAnswer(request.kind(), job, status, body, toldBefore));
             observer.answered(request, status, body);
           }
           world.checker.requestFinished(
               job, askedAtMs, status == 200 || status == 201 || status == 404);
           reply.accept(status, body);
         };
-    sim.after(request.timeoutMs(), once::noAnswer);
-    if (!unreachable.contains(job)) {
-      world.network.sendUserRequest(to, request.message(), once);
+    sim.after(request.timeoutMs(), firstAnswer::noAnswer);
+    if (!jobsWithoutRequests.contains(job)) {
+      world.network.sendUserRequest(to, request.message(), firstAnswer);
     }
   }
 }
--- a/src/test/java/shorecrank/sim/WorkerTasks.java
+++ b/src/test/java/shorecrank/sim/WorkerTasks.java
@@ -14,7 +14,7 @@
   private static final double ROUNDING = 1e-9;
 
   /** How long a task runs that fails. */
-  private static final long FAILING_MS = 300;
+  private static final long FAILING_RUN_MS = 300;
 
   private final World world;
   private final SimulatedWorker worker;
@@ -88,7 +88,7 @@
         }
       }
       case RUNNING -> {
-        if (fails(task)) {
+        if (willFail(task)) {
           exit(task, "error");
         } else {
           results.add(task.id());
@@ -103,7 +103,7 @@
     }
   }
 
-  private boolean fails(SimulatedTask task) {
+  private boolean willFail(SimulatedTask task) {
     return worker.failsTasks() || plan(task).faulty();
   }
 
@@ -111,17 +111,17 @@
     task.run(now());
     world.checker.started(worker, task);
     long leftMs = (long) (plan(task).runS() * MS_PER_S) - world.jobs.savedMs(task.id());
-    task.runUntil(now() + (fails(task) ? FAILING_MS : Math.max(1, leftMs)));
-    worker.noteChange();
+    task.runUntil(now() + (willFail(task) ? FAILING_RUN_MS : Math.max(1, leftMs)));
+    worker.requestHeartbeat();
   }
 
   private void exit(SimulatedTask task, String cause) {
-    leave(task);
+    leaveMachine(task);
     task.exit(cause);
-    worker.noteChange();
+    worker.requestHeartbeat();
   }
 
-  private void leave(SimulatedTask task) {
+  private void leaveMachine(SimulatedTask task) {
     if (task.leaveMachine()) {
       world.checker.stopped(worker, task);
     }
@@ -130,7 +130,7 @@
   /** Ends all of them and forgets them; returns whether there were any. */
   boolean killAll() {
     boolean any = !tasks.isEmpty();
-    List.copyOf(tasks.values()).forEach(this::leave);
+    List.copyOf(tasks.values()).forEach(this::leaveMachine);
     tasks.clear();
     return any;
   }
@@ -158,7 +158,7 @@
         if (task != null && task.isExited()) {
           world.checker.reapCommanded(worker, id, attempt);
           tasks.remove(key(id, attempt));
-          worker.noteChange();
+          worker.requestHeartbeat();
         }
       }
       default -> world.checker.report("unknown_command: " + command);
@@ -176,7 +176,7 @@
       }
     }
     tasks.put(key(id, attempt), task);
-    worker.noteChange();
+    worker.requestHeartbeat();
     JobPlan plan = plan(task);
     if (plan == null) {
       task.exit("unknown");
@@ -200,6 +200,6 @@
     } else if (task.phase() != TaskPhase.SAVING || windDownS == 0) {
       exit(task, "halted");
     }
-    worker.noteChange();
+    worker.requestHeartbeat();
   }
 }
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -130,9 +130,9 @@
   }
 
   /** Where a controller finds others and is found. */
-  PlatformFile.Addresses addresses(ControllerNode node) {
+  NodeConfigWriter.Addresses addresses(ControllerNode node) {
     String host = "10.0.0." + (node.index() + 1);
-    return new PlatformFile.Addresses(host + ":80", host + ":81", "10.2.0.1:1", "10.2.0.2:1");
+    return new NodeConfigWriter.Addresses(host + ":80", host + ":81", "10.2.0.1:1", "10.2.0.2:1");
   }
 
   // ---- machines --------------------------------------------------------------------------------
