--- a/src/test/java/shorecrank/sim/Backlog.java
+++ b/src/test/java/shorecrank/sim/Backlog.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 import shorecrank.protocol.Ids.ShardId;
 
-/** The work that users have submitted and that machines have not done yet. */
+/** Submitted work that has no result yet, and the time that the machines need for it. */
 final class Backlog {
   private final World world;
 
@@ -16,9 +16,9 @@
   }
 
   /**
-   * How long the machines take for the tasks without a result: the processor time that each team's
-   * tasks hold, over what the team may use of the machines that its shard is sure to keep. Teams of
-   * one shard count one after the other, shards side by side.
+   * Returns how long the machines need for all tasks without a result, in milliseconds: for each
+   * team, the processor seconds of its tasks divided by the processors that it can use in its
+   * shard. The durations of one shard's teams are added, and the longest shard counts.
    */
   long durationMs() {
     Map<ShardId, Double> seconds = new HashMap<>();
@@ -33,8 +33,9 @@
   }
 
   /**
-   * Processor seconds by team. A task holds its processors from the fetch of its image until the
-   * heartbeat after its end, which comes after a whole pause at the latest.
+   * Returns the remaining processor seconds of each team. A task holds its processors from the
+   * start of the image fetch until the first heartbeat after its end, so a whole heartbeat interval
+   * is included.
    */
   private Map<String, Double> remainingCpuSeconds() {
     Map<String, Double> remaining = new HashMap<>();
@@ -53,7 +54,10 @@
     return remaining;
   }
 
-  /** Processors of a shard's machines without those about to leave it, but of one at the least. */
+  /**
+   * Returns the processors that a team can use in its shard: those of at least one machine, without
+   * machines that are moving to another shard, and at most the team's limit.
+   */
   private double usableCpus(String team, ShardId shard) {
     Set<String> leaving =
         world.shares.state().active().stream()
--- a/src/test/java/shorecrank/sim/ControllerFaults.java
+++ b/src/test/java/shorecrank/sim/ControllerFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Controllers that end or freeze. */
+/** Scenario actions that crash or freeze controllers. */
 final class ControllerFaults {
   static final Map<String, Action.Reader> ACTIONS =
       Map.of("crash", ControllerFaults::crash, "freeze", ControllerFaults::freeze);
@@ -11,14 +11,17 @@
 
   private ControllerFaults() {}
 
-  /** {@code crash WHO [SECONDS]}: ends and starts again after a while. */
+  /** {@code crash WHO [SECONDS]}: kills the controllers and restarts them after this time. */
   private static Action crash(ScenarioLine line) {
     ControllerSelector selector = ControllerSelector.read(line, 1);
     long restartMs = line.has(2) ? line.milliseconds(2) : RESTART_MS;
     return world -> selector.forEach(world, node -> node.crash(restartMs));
   }
 
-  /** {@code freeze WHO SECONDS}: does nothing for a while, and then goes on. */
+  /**
+   * {@code freeze WHO SECONDS}: suspends the controllers for this time; they then continue with the
+   * state that they had.
+   */
   private static Action freeze(ScenarioLine line) {
     ControllerSelector selector = ControllerSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
--- a/src/test/java/shorecrank/sim/ControllerLog.java
+++ b/src/test/java/shorecrank/sim/ControllerLog.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** What controllers logged, and what happens when they first log something. */
+/** The log lines of all controllers, and actions that run when a text is first logged. */
 final class ControllerLog {
   private static final double MS_PER_S = 1000;
 
@@ -17,20 +17,23 @@
   private final Map<String, Runnable> triggers = new TreeMap<>();
 
   /**
-   * @param verbose whether lines are printed too
+   * @param verbose whether lines are also printed
    */
   ControllerLog(Simulation sim, boolean verbose) {
     this.sim = sim;
     this.verbose = verbose;
   }
 
-  /** A controller logs a line. */
+  /**
+   * Records a line that a controller has logged, and schedules the actions that wait for its text.
+   */
   void add(String label, String text) {
     if (verbose) {
       System.out.printf("%9.3f %s %s%n", sim.now() / MS_PER_S, label, text);
     }
     lines.add(text);
-    // What is to happen at this very moment: before anything else of this step takes effect.
+    // Scheduled at the current time: the action runs before any message that is sent later in this
+    // step arrives.
     for (Iterator<Map.Entry<String, Runnable>> all = triggers.entrySet().iterator();
         all.hasNext(); ) {
       Map.Entry<String, Runnable> trigger = all.next();
@@ -41,7 +44,10 @@
     }
   }
 
-  /** Has something done, once, when a controller first logs a text, after what was asked before. */
+  /**
+   * Registers an action to run once, when a controller first logs the text; actions registered
+   * earlier for the same text run before it.
+   */
   void whenLogged(String text, Runnable action) {
     triggers.merge(
         text,
@@ -53,12 +59,15 @@
             });
   }
 
-  /** Has something done, once, when a controller first logs a text, and nothing else then. */
+  /**
+   * Registers an action to run once, when a controller first logs the text, in place of any action
+   * registered for the same text.
+   */
   void replaceWhenLogged(String text, Runnable action) {
     triggers.put(text, action);
   }
 
-  /** The first line that holds a text. */
+  /** Returns the first line that contains the text. */
   Optional<String> firstContaining(String text) {
     return lines.stream().filter(line -> line.contains(text)).findFirst();
   }
--- a/src/test/java/shorecrank/sim/ControllerNode.java
+++ b/src/test/java/shorecrank/sim/ControllerNode.java
@@ -6,7 +6,7 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.ShardId;
 
-/** A controller of a world, whether it runs in this process or in one of its own. */
+/** A controller of a {@link World}, run inside the test's process or as a process of its own. */
 abstract class ControllerNode {
   private final World world;
   private final int index;
@@ -23,54 +23,62 @@
     this.zone = world.site.zoneOf(index);
   }
 
-  /** The world that it is part of. */
+  /** Returns the world that this controller belongs to. */
   World world() {
     return world;
   }
 
-  /** Its number among the controllers, from 0. */
+  /** Returns the controller's index, from 0. */
   int index() {
     return index;
   }
 
-  /** Its name, such as {@code n0}. */
+  /** Returns the controller's label, such as {@code n0}. */
   String label() {
     return label;
   }
 
-  /** The zone that it runs in. */
+  /** Returns the zone that the controller runs in. */
   String zone() {
     return zone;
   }
 
-  /** Whether its process runs; it may be frozen or cut off. */
+  /**
+   * Reports whether the controller has started and has not crashed since; it may be frozen or cut
+   * off.
+   */
   boolean isUp() {
     return up;
   }
 
-  /** How many times it has started. */
+  /** Returns how many times the controller has started. */
   int startCount() {
     return startCount;
   }
 
-  /** Whether it runs, and has not ended since it had started so many times. */
+  /**
+   * Reports whether the controller is up and still in its start of the given number, so without a
+   * restart since.
+   *
+   * @param startNumber a value of {@link #startCount()}
+   */
   boolean isSameRun(int startNumber) {
     return up && startCount == startNumber;
   }
 
-  /** Simulated time of its latest end. */
+  /** Returns the simulated time of the latest crash, in milliseconds. */
   long downSinceMs() {
     return downSinceMs;
   }
 
-  /** Starts its process. */
+  /** Starts the controller. */
   final void start() {
     up = true;
     startCount++;
     launch();
   }
 
-  /** Ends its process, which starts again so much later; does nothing if it has ended. */
+  /** Crashes the controller and restarts it after the given time; does nothing if it is down. */
   final void crash(long restartMs) {
     if (!up) {
       return;
@@ -82,31 +90,37 @@
     world.sim.after(restartMs, this::start);
   }
 
-  /** Hands a request in if its process runs; the answer may come later or never. */
+  /** Delivers a request if the controller is up; the answer may come later or never. */
   final void receive(ControllerRequest request, ReplyHandler reply) {
     if (up) {
       handle(request, reply);
     }
   }
 
-  /** Brings the process up. */
+  /** Starts the process, or its simulation. */
   abstract void launch();
 
-  /** Ends the process at once. */
+  /** Ends the process at once, without a shutdown. */
   abstract void kill();
 
-  /** Has it do nothing for a while, and go on then. */
+  /** Suspends the process for the given time. */
   abstract void freeze(long durationMs);
 
-  /** Hands a request to the process. */
+  /** Passes a request to the process. */
   abstract void handle(ControllerRequest request, ReplyHandler reply);
 
-  /** The epochs of the shards that it owns. */
+  /** Returns the shards that the controller owns, with their epochs. */
   abstract Map<ShardId, Epoch> ownedEpochs();
 
-  /** The epochs of the shards that it may command now, as far as that can be seen. */
+  /**
+   * Returns the shards whose workers the controller may command now, with their epochs; empty if
+   * the implementation can't observe it.
+   */
   abstract Map<ShardId, Epoch> commandedEpochs();
 
-  /** The machines that it may command now, as far as that can be seen. */
+  /**
+   * Returns the machines that the controller may command now; empty if the implementation can't
+   * observe it.
+   */
   abstract Set<MachineName> commandedMachines();
 }
--- a/src/test/java/shorecrank/sim/ControllerProcess.java
+++ b/src/test/java/shorecrank/sim/ControllerProcess.java
@@ -24,7 +24,7 @@
 import shorecrank.protocol.Ids.ShardId;
 import shorecrank.protocol.Json;
 
-/** A controller as a process of its own, of any version of the program. */
+/** A controller that runs as a process of its own, in any version of the program. */
 final class ControllerProcess extends ControllerNode {
   private static final long PROBE_EVERY_MS = 250;
   private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(2);
@@ -41,8 +41,8 @@
   private long nextProbeMs;
 
   /**
-   * @param directory for its file and what it prints
-   * @param inbox takes what the thread that plays the world has to do
+   * @param directory for the configuration file and the process's output
+   * @param inbox runs tasks on the simulation thread
    */
   ControllerProcess(
       World world,
@@ -60,17 +60,19 @@
     this.inbox = inbox;
   }
 
-  /** Where it is found and what it finds. */
+  /**
+   * Returns the addresses that the controller listens on and those of the services that it uses.
+   */
   NodeConfigWriter.Addresses addresses() {
     return addresses;
   }
 
-  /** What it runs from its next start on. */
+  /** Returns the version that the controller's next start uses. */
   ProgramVersion version() {
     return version;
   }
 
-  /** Runs as this version from its next start on. */
+  /** Sets the version that the controller's next start uses. */
   void upgrade(ProgramVersion to) {
     version = to;
   }
@@ -101,7 +103,7 @@
     process.destroyForcibly();
   }
 
-  /** Ends the process for good, if it was ever started. */
+  /** Ends the process without a restart, if it was ever started. */
   void destroy() {
     if (process != null) {
       process.destroyForcibly();
@@ -113,7 +115,10 @@
     throw new UnsupportedOperationException("a process can't be frozen");
   }
 
-  /** Whether it runs, or was ended by the test. */
+  /**
+   * Reports whether the process is alive or was stopped by the test; false if it has ended by
+   * itself.
+   */
   boolean isAliveOrStoppedByTest() {
     return !isUp() || process.isAlive();
   }
@@ -146,14 +151,17 @@
                     }));
   }
 
-  /** A counter of its own, as it tells operators; 0 if it has none of that name. */
+  /** Returns the value of a metric that this process exports; 0 if it exports none of this name. */
   double metric(String name) {
     String text = get(addresses.peers() + "/metrics").orElse("");
     Matcher line = Pattern.compile("(?m)^" + Pattern.quote(name) + "\\s+(\\S+)").matcher(text);
     return line.find() ? Double.parseDouble(line.group(1)) : 0;
   }
 
-  /** Whether it says that it can take requests; asked every quarter of a second at the most. */
+  /**
+   * Reports whether the process says that it can take requests; asks it at most every {@link
+   * #PROBE_EVERY_MS}.
+   */
   boolean isHealthy() {
     long now = world().sim.now();
     if (!isUp()) {
@@ -165,7 +173,7 @@
     return healthy;
   }
 
-  /** The body of a 200; empty for any other answer, or none. */
+  /** Returns the body of an answer with status 200; empty for any other answer, or none. */
   private Optional<String> get(String url) {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + url)).timeout(PROBE_TIMEOUT).build();
@@ -195,13 +203,13 @@
     return owned;
   }
 
-  /** What a process may command is not seen from outside. */
+  /** Returns an empty map: a process doesn't show what it may command. */
   @Override
   Map<ShardId, Epoch> commandedEpochs() {
     return Map.of();
   }
 
-  /** What a process may command is not seen from outside. */
+  /** Returns an empty set: a process doesn't show what it may command. */
   @Override
   Set<MachineName> commandedMachines() {
     return Set.of();
--- a/src/test/java/shorecrank/sim/ControllerSelector.java
+++ b/src/test/java/shorecrank/sim/ControllerSelector.java
@@ -7,24 +7,24 @@
 import java.util.regex.Pattern;
 
 /**
- * Which controllers an action is for, found out when it runs: {@code all}, {@code leader}, {@code
- * owner} (of shard 0), {@code owner-of-SHARD}, {@code other} (one that neither leads nor owns shard
- * 0), or a label such as {@code n0}.
+ * Selects the controllers that a scenario action applies to, at the time when the action runs:
+ * {@code all}, {@code leader}, {@code owner} (of shard 0), {@code owner-of-SHARD}, {@code other}
+ * (one that is neither leader nor owner of shard 0), or a label such as {@code n0}.
  */
 @FunctionalInterface
 interface ControllerSelector {
   Pattern OWNER_OF = Pattern.compile("owner-of-(\\d+)");
   Pattern LABEL = Pattern.compile("n\\d+");
 
-  /** Those that are meant now; none if nobody has the role. */
+  /** Returns the selected controllers; empty if none has the role now. */
   List<ControllerNode> select(World world);
 
-  /** Does something to each that is meant. */
+  /** Applies an action to each selected controller. */
   default void forEach(World world, Consumer<ControllerNode> action) {
     select(world).forEach(action);
   }
 
-  /** Reads the word at an index. */
+  /** Reads the selector at a word index of a scenario line. */
   static ControllerSelector read(ScenarioLine line, int index) {
     String word = line.word(index);
     Matcher ownerOf = OWNER_OF.matcher(word);
--- a/src/test/java/shorecrank/sim/Cut.java
+++ b/src/test/java/shorecrank/sim/Cut.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An interruption of some links, which ends by itself. */
+/** A temporary interruption of some network links. */
 final class Cut {
   private final long untilMs;
   private final CutMode mode;
@@ -14,24 +14,24 @@
     this.mode = mode;
   }
 
-  /** Whether it is not over at a time. */
+  /** Reports whether the cut is still in effect at the given time. */
   boolean isActive(long nowMs) {
     return untilMs > nowMs;
   }
 
-  /** Whether senders are refused. */
+  /** Reports whether senders are refused at once. */
   boolean refuses() {
     return mode == CutMode.REFUSE;
   }
 
-  /** Takes a message: it is kept until the cut is over, or lost. */
+  /** Intercepts a message: keeps it until the cut ends, or drops it. */
   void intercept(Runnable delivery) {
     if (mode == CutMode.HOLD) {
       held.add(delivery);
     }
   }
 
-  /** Delivers what was kept, in order. */
+  /** Delivers the kept messages, in the order in which they were sent. */
   void deliverHeld() {
     held.forEach(Runnable::run);
   }
--- a/src/test/java/shorecrank/sim/CutMode.java
+++ b/src/test/java/shorecrank/sim/CutMode.java
@@ -2,10 +2,10 @@
 
 /** What a cut does to messages. */
 enum CutMode {
-  /** They are lost. */
+  /** Messages are lost. */
   DROP,
-  /** They arrive when the cut is over. */
+  /** Messages are delivered when the cut ends. */
   HOLD,
-  /** Whoever sends them is told at once that there is no service. */
+  /** The sender is told at once that the service is unavailable. */
   REFUSE
 }
--- a/src/test/java/shorecrank/sim/Cuts.java
+++ b/src/test/java/shorecrank/sim/Cuts.java
@@ -6,19 +6,20 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The cuts of a run: of controllers' links, of zones, and of single workers. */
+/** The network cuts of a run: of controllers' links, of zones, and of single workers. */
 final class Cuts {
-  /** Users, the state service and the cloud are in no zone. */
+  /** Stands for the zone of users, the state service and the cloud, which are in no zone. */
   private static final String REGIONAL = "";
 
-  /** Some links of one controller. */
+  /** A cut of one controller's links of a kind. */
   private record LinkCut(LinkKind link, Cut cut) {}
 
-  /** What goes to or from one worker. */
+  /** A cut of the messages to or from one worker. */
   private record WorkerCut(WorkerDirection direction, Cut cut) {}
 
   /**
-   * Two zones that can't reach each other, or one that reaches nothing outside if other is null.
+   * A cut between two zones, or between one zone and everything outside it if {@code other} is
+   * null.
    */
   private record ZoneCut(String zone, String other, Cut cut) {
     boolean isBetween(String one, String two) {
@@ -39,19 +40,19 @@
     this.faults = faults;
   }
 
-  /** Cuts links of a controller from now on. */
+  /** Cuts a controller's links of one kind from now on. */
   void cutLinks(ControllerNode node, LinkKind link, long durationMs, CutMode mode) {
     Cut cut = startCut(durationMs, mode);
     controllerCuts.computeIfAbsent(node, k -> new ArrayList<>()).add(new LinkCut(link, cut));
   }
 
-  /** Cuts a worker off from now on, one way or both. */
+  /** Cuts off a worker from now on, in one direction or both. */
   void cutWorker(String worker, WorkerDirection direction, long durationMs, CutMode mode) {
     Cut cut = startCut(durationMs, mode);
     workerCuts.computeIfAbsent(worker, k -> new ArrayList<>()).add(new WorkerCut(direction, cut));
   }
 
-  /** Cuts a zone off from all that is outside. */
+  /** Cuts off a zone from everything outside it. */
   void isolateZone(String zone, long durationMs, CutMode mode) {
     zoneCuts.add(new ZoneCut(zone, null, startCut(durationMs, mode)));
   }
@@ -68,24 +69,32 @@
     return cut;
   }
 
-  /** The cut between a controller and the users or a regional service, if there is one now. */
+  /**
+   * Returns the active cut between a controller and the users or a regional service; empty if there
+   * is none.
+   */
   Optional<Cut> forRegionalService(ControllerNode node, LinkKind link) {
     return forLinks(node, link).or(() -> betweenZones(node.zone(), REGIONAL));
   }
 
-  /** Whether a controller is told at once that it can't use its links of a kind. */
+  /**
+   * Reports whether requests that a controller sends over links of this kind are refused at once.
+   */
   boolean refuses(ControllerNode node, LinkKind link) {
     return forLinks(node, link).map(Cut::refuses).orElse(false);
   }
 
-  /** The cut between two controllers, if there is one now. */
+  /** Returns the active cut between two controllers; empty if there is none. */
   Optional<Cut> betweenPeers(ControllerNode one, ControllerNode other) {
     return forLinks(one, LinkKind.PEERS)
         .or(() -> forLinks(other, LinkKind.PEERS))
         .or(() -> betweenZones(one.zone(), other.zone()));
   }
 
-  /** The cut of what goes one way between a worker and a controller, if there is one now. */
+  /**
+   * Returns the active cut in one direction between a worker and a controller; empty if there is
+   * none.
+   */
   Optional<Cut> forWorker(SimulatedWorker worker, ControllerNode node, WorkerDirection direction) {
     return workerCuts.getOrDefault(worker.name(), List.of()).stream()
         .filter(c -> c.cut.isActive(sim.now()) && c.direction.includes(direction))
--- a/src/test/java/shorecrank/sim/DuplicateMessages.java
+++ b/src/test/java/shorecrank/sim/DuplicateMessages.java
@@ -5,15 +5,18 @@
 import java.util.List;
 
 /**
- * Second copies of workers' heartbeats and of direct commands, which arrive late and maybe
- * elsewhere. Nobody waits for the answers to them.
+ * Delivers second copies of workers' heartbeats and of direct commands, late and in part to other
+ * controllers. Answers to the copies are discarded.
  */
 final class DuplicateMessages {
   private static final double MS_PER_S = 1000;
   private static final int MIN_HEARTBEAT_DELAY_MS = 2000;
   private static final int MIN_COMMAND_DELAY_MS = 500;
 
-  /** How often it is looked who leads, and for how long after the last copy was made. */
+  /**
+   * Interval of the checks for a new leader, and how long after the last copied heartbeat the
+   * checks go on.
+   */
   private static final long LEADER_POLL_MS = 20;
 
   private static final long LEADER_POLL_LIMIT_MS = 60_000;
@@ -33,7 +36,13 @@
     this.sim = world.sim;
   }
 
-  /** For a while every message arrives a second time, so much later at most or just so much. */
+  /**
+   * Duplicates every heartbeat and direct command that is sent within the given time.
+   *
+   * @param maxDelayS range of the random delay of each copy, which is added to a minimum; the exact
+   *     delay if {@code allInOrder}
+   * @param allInOrder whether all copies have the same delay, so that they keep their order
+   */
   void duplicateFor(long durationMs, double maxDelayS, boolean allInOrder) {
     replayAtLeaderChange = false;
     inOrder = allInOrder;
@@ -42,7 +51,10 @@
     world.faults.addFault(durationMs + (long) (maxDelayS * MS_PER_S) + DELIVERY_MARGIN_MS);
   }
 
-  /** A copy of each heartbeat of a while is kept, and reaches all under the next leader. */
+  /**
+   * Copies each heartbeat that is sent within the given time, and delivers the copies to all
+   * controllers once another leader is elected.
+   */
   void replayToNextLeader(long durationMs) {
     replayAtLeaderChange = true;
     untilMs = sim.now() + durationMs;
@@ -60,14 +72,14 @@
       world.faults.addFault(0);
       List<Runnable> all = List.copyOf(kept);
       kept.clear();
-      // Some copies come in order, some do not.
+      // Each copy has its own random delay, so that some arrive out of order.
       all.forEach(copy -> sim.after(sim.random().nextInt(REPLAY_SPREAD_MS), copy));
     } else if (sim.now() < giveUpAtMs) {
       sim.after(LEADER_POLL_MS, () -> replayOnceLeaderChanges(formerLeader, giveUpAtMs));
     }
   }
 
-  /** A worker has sent a heartbeat to a controller. */
+  /** Copies a heartbeat that a worker has sent to a controller, if duplication is on. */
   void onHeartbeatSent(ControllerNode to, JsonNode body) {
     if (sim.now() >= untilMs) {
       return;
@@ -83,7 +95,7 @@
     sim.after(delayMs(MIN_HEARTBEAT_DELAY_MS), () -> at.receive(copy, ReplyHandler.IGNORE));
   }
 
-  /** A controller has sent commands straight to a worker. */
+  /** Copies commands that a controller has sent directly to a worker, if duplication is on. */
   void onCommandsSent(SimulatedWorker to, JsonNode body) {
     if (sim.now() < untilMs && !replayAtLeaderChange) {
       sim.after(delayMs(MIN_COMMAND_DELAY_MS), () -> to.takeCommands(body, ReplyHandler.IGNORE));
--- a/src/test/java/shorecrank/sim/ExpectedOrderAnswer.java
+++ b/src/test/java/shorecrank/sim/ExpectedOrderAnswer.java
@@ -1,9 +1,9 @@
 package shorecrank.sim;
 
 /**
- * What the answers to an operator's order are expected to say.
+ * The expected answer to an operator's order.
  *
- * @param words that they hold; may be empty
+ * @param words text that the answer must contain; may be empty
  */
 record ExpectedOrderAnswer(String id, boolean accepted, String words) {
   /** Reads {@code NAME ID accepted|refused [words]}. */
@@ -16,7 +16,7 @@
     return new ExpectedOrderAnswer(line.word(1), verdict.equals("accepted"), words);
   }
 
-  /** Whether there are answers, and all of them say so. */
+  /** Reports whether the order was answered at least once, and all its answers are as expected. */
   boolean matches(OrderSender orders) {
     return orders.allAnswersMatch(id, accepted, words);
   }
--- a/src/test/java/shorecrank/sim/FaultPeriod.java
+++ b/src/test/java/shorecrank/sim/FaultPeriod.java
@@ -1,8 +1,11 @@
 package shorecrank.sim;
 
-/** Until when the faults known so far last. */
+/** The time until which the faults injected so far last. */
 final class FaultPeriod {
-  /** An election, an allocation of an epoch and a recovery take no longer. */
+  /**
+   * Longest time from the end of a fault until an election, the allocation of an epoch and a shard
+   * recovery are complete.
+   */
   private static final long FAILOVER_MS = 15_000;
 
   private final Simulation sim;
@@ -12,17 +15,17 @@
     this.sim = sim;
   }
 
-  /** A fault begins that lasts so long from now. */
+  /** Records a fault that lasts from now for the given time. */
   void addFault(long durationMs) {
     overAtMs = Math.max(overAtMs, sim.now() + durationMs);
   }
 
-  /** Whether all were over at a time. */
+  /** Reports whether all recorded faults were over at the given time. */
   boolean areOverAt(long ms) {
     return ms >= overAtMs;
   }
 
-  /** Whether one is not over, or has just been: a failover may still be under way. */
+  /** Reports whether a fault lasts, or ended so recently that a failover may still be under way. */
   boolean mayStillHaveEffects() {
     return sim.now() < overAtMs + FAILOVER_MS;
   }
--- a/src/test/java/shorecrank/sim/FaultScript.java
+++ b/src/test/java/shorecrank/sim/FaultScript.java
@@ -1,6 +1,6 @@
 package shorecrank.sim;
 
-/** Actions that are drawn from the seed, written as in a scenario file and separated by ";". */
+/** Runs generated scenario actions, written as in a scenario file and separated by ";". */
 final class FaultScript {
   private static final String SEPARATOR = ";";
   private static final double MS_PER_S = 1000;
@@ -9,14 +9,14 @@
   private final ScenarioLine origin;
 
   /**
-   * @param origin the line that asked for them
+   * @param origin the scenario line that asked for the actions
    */
   FaultScript(World world, ScenarioLine origin) {
     this.world = world;
     this.origin = origin;
   }
 
-  /** Runs actions at a time. */
+  /** Schedules actions for a time, in seconds from the start of the run. */
   void schedule(double seconds, String actions) {
     for (String action : actions.split(SEPARATOR)) {
       world.sim.at((long) (seconds * MS_PER_S), () -> run(action));
--- a/src/test/java/shorecrank/sim/FreePorts.java
+++ b/src/test/java/shorecrank/sim/FreePorts.java
@@ -8,8 +8,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Addresses that a controller can listen on now and after each restart: their ports are below those
- * that the system hands out for outgoing connections.
+ * Finds addresses that a controller can listen on now and after each restart. The ports are below
+ * the range that the operating system uses for outgoing connections, which could otherwise take a
+ * port while its controller is down.
  */
 final class FreePorts {
   private static final int LOWEST_PORT = 15_000;
@@ -22,7 +23,7 @@
     this.random = random;
   }
 
-  /** An address on loopback that nobody listens on. */
+  /** Returns an address on loopback that nobody listens on. */
   String nextAddress() {
     while (true) {
       int port = LOWEST_PORT + random.nextInt(PORTS);
--- a/src/test/java/shorecrank/sim/IdleController.java
+++ b/src/test/java/shorecrank/sim/IdleController.java
@@ -8,7 +8,7 @@
 import shorecrank.protocol.Ids.MachineName;
 import shorecrank.protocol.Ids.ShardId;
 
-/** A controller that does nothing and answers nothing; tests say what it may command. */
+/** A controller that does nothing and answers nothing; tests set what it may command. */
 final class IdleController extends ControllerNode {
   private final Map<ShardId, Epoch> shards = new HashMap<>();
   private final Set<MachineName> machines = new HashSet<>();
@@ -17,12 +17,12 @@
     super(world, index);
   }
 
-  /** It may command a shard. */
+  /** Lets the controller command a shard at an epoch. */
   void commandShard(int shard, long epoch) {
     shards.put(new ShardId(shard), new Epoch(epoch));
   }
 
-  /** It may command a machine. */
+  /** Lets the controller command a machine. */
   void commandMachine(String machine) {
     machines.add(new MachineName(machine));
   }
--- a/src/test/java/shorecrank/sim/JobPlan.java
+++ b/src/test/java/shorecrank/sim/JobPlan.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A job as its user describes it, and how its tasks behave on the simulated machines. */
+/** A job as its user describes it, and how its tasks behave on simulated machines. */
 final class JobPlan {
   private final String team;
   private final String jobClass;
@@ -46,107 +46,107 @@
     this.dependencies = from.dependencies;
   }
 
-  /** A plan of one short task, to be changed. */
+  /** Returns a builder for a plan of one short task. */
   static Builder builder() {
     return new Builder();
   }
 
-  /** Whose quota it counts against. */
+  /** Returns the team whose quota the job counts against. */
   String team() {
     return team;
   }
 
-  /** Class whose objective applies. */
+  /** Returns the job class, which selects the service-level objective. */
   String jobClass() {
     return jobClass;
   }
 
-  /** Image that a machine fetches before it runs a task. */
+  /** Returns the image that a machine fetches before it runs a task. */
   String image() {
     return image;
   }
 
-  /** The only zone allowed; null for any. */
+  /** Returns the only zone that the tasks may run in; null for any. */
   String zone() {
     return zone;
   }
 
-  /** The only type of machine allowed; null for any. */
+  /** Returns the only machine type that the tasks may run on; null for any. */
   String machineType() {
     return machineType;
   }
 
-  /** As on the wire: prod, urgent, normal or low. */
+  /** Returns the priority as on the wire: prod, urgent, normal or low. */
   String priority() {
     return priority;
   }
 
-  /** Number of tasks. */
+  /** Returns the number of tasks. */
   int tasks() {
     return tasks;
   }
 
-  /** Processors of each task. */
+  /** Returns the processors that each task needs. */
   double cpus() {
     return cpus;
   }
 
-  /** Memory of each task. */
+  /** Returns the memory that each task needs, in gigabytes. */
   double memoryGb() {
     return memoryGb;
   }
 
-  /** How long a task runs, in seconds. */
+  /** Returns how long a task runs, in seconds. */
   double runS() {
     return runS;
   }
 
-  /** How long a machine fetches the image, in seconds. */
+  /** Returns how long a machine fetches the image, in seconds. */
   double fetchS() {
     return fetchS;
   }
 
-  /** How long a task takes to save its progress, in seconds. */
+  /** Returns how long a task takes to save a checkpoint, in seconds. */
   double checkpointS() {
     return checkpointS;
   }
 
-  /** When it should be done, in seconds from its submission; 0 for no such time. */
+  /** Returns the deadline in seconds from submission; 0 for none. */
   double dueS() {
     return dueS;
   }
 
-  /** Whether stopped tasks save their progress. */
+  /** Reports whether a task that is stopped saves a checkpoint first. */
   boolean checkpoints() {
     return checkpoints;
   }
 
-  /** Whether it may run on spot machines. */
+  /** Reports whether the tasks may run on spot machines. */
   boolean spot() {
     return spot;
   }
 
-  /** Whether all its tasks must be in one zone. */
+  /** Reports whether all tasks must run in one zone. */
   boolean together() {
     return together;
   }
 
-  /** Whether at most half of its tasks, rounded up, may be in one zone. */
+  /** Reports whether at most half of the tasks, rounded up, may run in one zone. */
   boolean spread() {
     return spread;
   }
 
-  /** Whether its tasks fail on every machine. */
+  /** Reports whether the tasks fail on every machine. */
   boolean faulty() {
     return faulty;
   }
 
-  /** Jobs that have to be done before it. */
+  /** Returns the ids of the jobs that must be done before this one starts. */
   List<String> dependencies() {
     return dependencies;
   }
 
-  /** Collects what a plan says; what is left out has a plain value. */
+  /** Builds a plan; fields that are not set keep a default value. */
   static final class Builder {
     private String team = "t";
     private String jobClass = "c";
@@ -282,7 +282,7 @@
       return this;
     }
 
-    /** The plan as described so far. */
+    /** Returns the plan with the values set so far. */
     JobPlan build() {
       return new JobPlan(this);
     }
--- a/src/test/java/shorecrank/sim/LinkKind.java
+++ b/src/test/java/shorecrank/sim/LinkKind.java
@@ -1,6 +1,6 @@
 package shorecrank.sim;
 
-/** Kinds of connections of a controller, by who is at the other end. */
+/** Kinds of a controller's network links, by who is at the other end. */
 enum LinkKind {
   STATE,
   CLOUD,
@@ -9,7 +9,7 @@
   USERS,
   ALL;
 
-  /** Whether a cut of these links stops what goes over those. */
+  /** Reports whether a cut of this kind of link interrupts links of the other kind. */
   boolean includes(LinkKind other) {
     return this == other || this == ALL;
   }
--- a/src/test/java/shorecrank/sim/LoopbackServers.java
+++ b/src/test/java/shorecrank/sim/LoopbackServers.java
@@ -18,37 +18,37 @@
 import shorecrank.protocol.Json;
 
 /**
- * Addresses on loopback at which stand-ins are reached. Requests are handled one after the other,
- * by the thread that plays the world.
+ * HTTP servers on loopback for the simulated services. Requests are handled one after the other on
+ * the simulation thread.
  */
 final class LoopbackServers implements AutoCloseable {
-  /** Watches are answered late. */
+  /** Longer than any watch request, which the state service holds until a key changes. */
   private static final int ANSWER_TIMEOUT_S = 90;
 
   private final Executor executor;
   private final Consumer<Runnable> inbox;
   private final List<HttpServer> servers = new ArrayList<>();
 
-  /** What a stand-in does with a request. */
+  /** Handles the requests to one server. */
   @FunctionalInterface
   interface Handler {
-    /** Takes it; the answer may come later. */
+    /** Handles a request; the answer may come later. */
     void handle(String method, String path, JsonNode body, ReplyHandler reply);
   }
 
-  /** An answer on its way to the thread that sends it. */
+  /** An answer that is passed to the server thread that sends it. */
   private record Answer(int status, JsonNode body) {}
 
   /**
-   * @param threads that wait for requests and answers
-   * @param inbox takes what the playing thread has to do
+   * @param executor runs the server threads, which wait for requests and answers
+   * @param inbox runs tasks on the simulation thread
    */
   LoopbackServers(Executor executor, Consumer<Runnable> inbox) {
     this.executor = executor;
     this.inbox = inbox;
   }
 
-  /** Serves at a new address, which is returned. */
+  /** Starts a server and returns its address. */
   String serve(Handler handler) {
     try {
       HttpServer server =
--- a/src/test/java/shorecrank/sim/MachineFaults.java
+++ b/src/test/java/shorecrank/sim/MachineFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Machines that hang, fail tasks, or are taken by the cloud. */
+/** Scenario actions that make machines hang, fail tasks, or be reclaimed by the cloud. */
 final class MachineFaults {
   static final Map<String, Action.Reader> ACTIONS =
       Map.of(
@@ -14,26 +14,29 @@
 
   private MachineFaults() {}
 
-  /** {@code hang MACHINES SECONDS}: nothing runs on them for a while. */
+  /** {@code hang MACHINES SECONDS}: the machines run nothing for this time. */
   private static Action hang(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
     return world -> machines.forEach(world, worker -> worker.hang(durationMs));
   }
 
-  /** {@code fail-tasks MACHINES}: every task fails on them. */
+  /** {@code fail-tasks MACHINES}: every task on the machines fails from now on. */
   private static Action failTasks(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     return world -> machines.forEach(world, worker -> worker.startFailingTasks());
   }
 
-  /** {@code preempt-machine MACHINES}: the cloud takes them back without notice. */
+  /** {@code preempt-machine MACHINES}: the cloud reclaims the machines without notice. */
   private static Action preempt(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     return world -> machines.forEach(world, worker -> world.cloud.removeMachine(worker.name()));
   }
 
-  /** {@code preemption-notice MACHINES SECONDS}: the cloud takes them back after a notice. */
+  /**
+   * {@code preemption-notice MACHINES SECONDS}: the cloud announces that it reclaims the machines,
+   * and does so after this time.
+   */
   private static Action preemptionNotice(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     double noticeS = line.decimal(2);
@@ -47,7 +50,7 @@
             });
   }
 
-  /** {@code capacity COUNT}: so many machines can be rented at a time. */
+  /** {@code capacity COUNT}: sets how many machines the cloud rents at a time. */
   private static Action capacity(ScenarioLine line) {
     int capacity = line.integer(1);
     return world -> world.cloud.setCapacity(capacity);
--- a/src/test/java/shorecrank/sim/MachineSelector.java
+++ b/src/test/java/shorecrank/sim/MachineSelector.java
@@ -5,8 +5,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Which machines an action is for, found out when it runs: {@code all}, {@code zone=ZONE}, {@code
- * of=JOB} (one that runs a task of it), or a machine's name.
+ * Selects the machines that a scenario action applies to, at the time when the action runs: {@code
+ * all}, {@code zone=ZONE}, {@code of=JOB} (one that runs a task of the job), or a machine's name.
  */
 @FunctionalInterface
 interface MachineSelector {
@@ -14,15 +14,15 @@
   String JOB = "of=";
   Pattern NAME = Pattern.compile("n-\\d+");
 
-  /** Those that are there now. */
+  /** Returns the selected machines that are up now. */
   List<SimulatedWorker> select(World world);
 
-  /** Does something to each that is meant. */
+  /** Applies an action to each selected machine. */
   default void forEach(World world, Consumer<SimulatedWorker> action) {
     select(world).forEach(action);
   }
 
-  /** Reads the word at an index. */
+  /** Reads the selector at a word index of a scenario line. */
   static MachineSelector read(ScenarioLine line, int index) {
     String word = line.word(index);
     if (word.equals("all")) {
--- a/src/test/java/shorecrank/sim/Measurements.java
+++ b/src/test/java/shorecrank/sim/Measurements.java
@@ -7,11 +7,11 @@
 import shorecrank.coordination.step.Output;
 import shorecrank.protocol.Json;
 
-/** Processor time of the controllers' steps and the sizes of what they send, by kind. */
+/** Processor time of the controllers' steps and sizes of the messages that they send, by kind. */
 final class Measurements {
   private static final double NANOS_PER_MS = 1e6;
 
-  /** Steps of one kind. */
+  /** Count and processor time of the steps of one kind. */
   private static final class Steps {
     long count;
     long nanos;
@@ -21,7 +21,11 @@
   private final Map<String, Steps> steps = new TreeMap<>();
   private final Map<String, Integer> largestBodyBytes = new TreeMap<>();
 
-  /** A controller has made a step that took so many nanoseconds. */
+  /**
+   * Records a controller's step and the sizes of the messages in its output.
+   *
+   * @param nanos processor time of the step, in nanoseconds
+   */
   void step(Input input, long nanos, List<Output> outputs) {
     Steps s = steps.computeIfAbsent(kind(input), k -> new Steps());
     s.count++;
@@ -47,7 +51,7 @@
     return input instanceof Input.Tick ? "round" : "answer";
   }
 
-  /** The largestBodyBytes body of a kind of message, in bytes. */
+  /** Returns the size of the largest body of a kind of message, in bytes; 0 if none was sent. */
   int largestMessage(String kind) {
     return largestBodyBytes.getOrDefault(kind, 0);
   }
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -12,9 +12,9 @@
 import shorecrank.config.SettingsFile;
 
 /**
- * An upgrade while serving: real processes of the version in production and of this one, side by
- * side and on each other's data. It checks the protocol's rules, which hold at any speed, and that
- * each pair of versions was met as leader and owner.
+ * Upgrades a fleet of real controller processes, of the production version and of the current one,
+ * under load and on shared data. Checks the protocol's rules, which hold at any speed, and that
+ * each combination of versions occurs as leader and shard owner.
  */
 @Tag("mixed-versions")
 class MixedVersionsTest {
@@ -63,7 +63,10 @@
     }
   }
 
-  /** A roll of one while an old process leads; the shard moves to the new one, and away again. */
+  /**
+   * Upgrades n0 while n1 leads in the production version; the shard moves to n0, and to n2 when n0
+   * crashes.
+   */
   private void productionLeadsCurrentOwns() {
     upgrade(0);
     await("an old leader with a new owner", () -> leads(1) && owns(0));
@@ -74,7 +77,10 @@
     runFor(4000);
   }
 
-  /** The leader is killed; the new process leads over an old owner. */
+  /**
+   * Kills the leader n1, so that n0 leads in the current version while n2 owns the shard in the
+   * production version.
+   */
   private void currentLeadsProductionOwns() {
     awaitServing(node(0));
     world.allowLeadershipOnlyOf(node(0));
@@ -82,7 +88,8 @@
     await("a new leader with an old owner", () -> leads(0) && owns(2));
     assertEquals(production, node(2).version());
     runFor(6000);
-    // Killed before its turn: it comes back old, and meets a new owner under the new leader.
+    // n2 is killed before its upgrade, so that it restarts in the production version while both the
+    // leader and the new owner run the current one.
     node(1).upgrade(current);
     awaitServing(node(1));
     node(2).crash(3000);
@@ -90,7 +97,10 @@
     runFor(4000);
   }
 
-  /** A controller that the state service refuses passes users' requests on, to either version. */
+  /**
+   * Checks in both versions that a controller relays users' requests while the state service
+   * refuses its own.
+   */
   private void relayUserRequests() {
     awaitServing(node(2));
     refuseStateRequests(node(2));
@@ -103,7 +113,10 @@
     assertTrue(node(0).metric("user.relayed") > 0, "the new one passed nothing on");
   }
 
-  /** Its users go on asking it, and it knows after a while that it must pass them on. */
+  /**
+   * Refuses a controller's requests to the state service while users go on asking it; it relays
+   * their requests once it has noticed the refusals.
+   */
   private void refuseStateRequests(ControllerProcess node) {
     world.network.cuts().cutLinks(node, LinkKind.STATE, 8000, CutMode.REFUSE);
     for (int i = 0; i < 16; i++) {
@@ -119,7 +132,7 @@
     runFor(14_000);
   }
 
-  /** The owner of one version ends, and the other takes over on its records, several times. */
+  /** Crashes the shard owner several times, so that versions take over each other's records. */
   private void failOverRepeatedly() {
     for (int i = 0; i < 3; i++) {
       ControllerProcess owner = (ControllerProcess) world.owner(0).orElseThrow();
@@ -167,7 +180,10 @@
 
   private boolean submitting = true;
 
-  /** Two teams, one of them at its limit now and then; every fifth job is cancelled. */
+  /**
+   * Submits a job at each interval for one of two teams, one of which reaches its limit at times;
+   * cancels every fifth job.
+   */
   private void submitEvery(long ms) {
     if (!submitting) {
       return;
@@ -210,7 +226,10 @@
     assertEquals(List.of(), world.checker.violations());
   }
 
-  /** Until a controller is back and has read who leads and what machines there are. */
+  /**
+   * Waits until a controller is healthy, and for another second in which it reads the leader and
+   * the machines.
+   */
   private void awaitServing(ControllerProcess node) {
     await(node.label() + " to serve", node::isHealthy);
     world.runFor(1000);
--- a/src/test/java/shorecrank/sim/Network.java
+++ b/src/test/java/shorecrank/sim/Network.java
@@ -5,7 +5,7 @@
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.Output;
 
-/** Carries messages between all who take part, across delays and cuts. */
+/** Carries messages between controllers, workers, users and services, with delays and cuts. */
 final class Network {
   private static final int DELAYS_MS = 6;
 
@@ -23,17 +23,17 @@
     this.stateService = new StateServiceLink(sim, world.faults, world.store);
   }
 
-  /** What is cut, and is to be. */
+  /** Returns the cuts of this network. */
   Cuts cuts() {
     return cuts;
   }
 
-  /** Which messages arrive twice. */
+  /** Returns the duplication of heartbeats and commands. */
   DuplicateMessages duplicates() {
     return duplicates;
   }
 
-  /** How requests reach the state service. */
+  /** Returns the link over which requests reach the state service. */
   StateServiceLink stateService() {
     return stateService;
   }
@@ -42,7 +42,7 @@
     return 1 + sim.random().nextInt(DELAYS_MS);
   }
 
-  /** Delivers after a delay, or as the cut that is in the way has it. */
+  /** Delivers a message after a random delay, or hands it to the cut in its way. */
   private void send(Optional<Cut> cut, Runnable delivery) {
     if (cut.isEmpty()) {
       sim.after(delayMs(), delivery);
@@ -53,7 +53,10 @@
 
   // ---- from controllers ------------------------------------------------------------------------
 
-  /** Carries a controller's call out; it has the answer, or none, within the call's time. */
+  /**
+   * Carries out a controller's call; the controller gets an answer, or none, within the call's
+   * timeout.
+   */
   void call(SimulatedController from, Output.Call call) {
     ReplyHandler firstAnswer = firstAnswerOnly(from, call);
     sim.after(call.timeoutMs(), firstAnswer::noAnswer);
@@ -76,7 +79,10 @@
     }
   }
 
-  /** Only the first answer counts, and only to the process that has asked. */
+  /**
+   * Returns a handler that passes on the first answer only, and only if the controller has not
+   * restarted since the call.
+   */
   private ReplyHandler firstAnswerOnly(SimulatedController from, Output.Call call) {
     int startNumber = from.startCount();
     boolean[] answered = new boolean[1];
@@ -89,7 +95,10 @@
     };
   }
 
-  /** Commands straight to a worker: held or copied, they may be carried out long after. */
+  /**
+   * Sends commands directly to a worker; if a cut holds them or they are duplicated, the worker may
+   * get them much later.
+   */
   private void callWorker(
       SimulatedController from, String address, JsonNode body, ReplyHandler back) {
     Optional<SimulatedWorker> found =
@@ -123,7 +132,7 @@
     send(cuts.betweenPeers(from, to), () -> to.receive(request, reply));
   }
 
-  /** What a regional service does with a request. */
+  /** Handles a request to a regional service. */
   @FunctionalInterface
   private interface Service {
     void handle(ReplyHandler reply);
@@ -146,11 +155,11 @@
 
   // ---- to controllers --------------------------------------------------------------------------
 
-  /** A worker's heartbeat to a controller. */
+  /** Sends a worker's heartbeat to a controller. */
   void sendHeartbeat(SimulatedWorker from, ControllerNode to, JsonNode body, ReplyHandler back) {
     Optional<Cut> cut = cuts.forWorker(from, to, WorkerDirection.FROM_WORKER);
     if (!to.isUp() && cut.isEmpty()) {
-      // The machine is there, the process is not: the connection is refused.
+      // The controller's machine is up but its process is not, so that the connection is refused.
       sim.after(delayMs(), back::noAnswer);
       return;
     }
@@ -163,7 +172,10 @@
     duplicates.onHeartbeatSent(to, body);
   }
 
-  /** A user's request; answers come back whatever is cut, as the connection is open. */
+  /**
+   * Sends a user's request to a controller. Cuts don't affect the answer, because it uses the open
+   * connection.
+   */
   void sendUserRequest(ControllerNode to, ControllerRequest request, ReplyHandler back) {
     ReplyHandler reply = (status, body) -> sim.after(1, () -> back.accept(status, body));
     send(cuts.forRegionalService(to, LinkKind.USERS), () -> to.receive(request, reply));
--- a/src/test/java/shorecrank/sim/NetworkFaults.java
+++ b/src/test/java/shorecrank/sim/NetworkFaults.java
@@ -2,7 +2,10 @@
 
 import java.util.Map;
 
-/** Cuts between controllers, workers, zones and services, and messages that arrive twice. */
+/**
+ * Scenario actions that cut links between controllers, workers, zones and services, or duplicate
+ * messages.
+ */
 final class NetworkFaults {
   static final Map<String, Action.Reader> ACTIONS =
       Map.of(
@@ -17,7 +20,7 @@
 
   private NetworkFaults() {}
 
-  /** {@code cut WHO LINK SECONDS [drop|hold|refuse]}: controllers lose a kind of links. */
+  /** {@code cut WHO LINK SECONDS [drop|hold|refuse]}: cuts the controllers' links of one kind. */
   private static Action cut(ScenarioLine line) {
     ControllerSelector selector = ControllerSelector.read(line, 1);
     LinkKind link = line.constant(2, LinkKind.class);
@@ -29,7 +32,8 @@
   }
 
   /**
-   * {@code isolate-zone WHO SECONDS [MODE]}: the zone of a controller loses all that is outside.
+   * {@code isolate-zone WHO SECONDS [MODE]}: cuts off a controller's zone from everything outside
+   * it.
    */
   private static Action isolateZone(ScenarioLine line) {
     ControllerSelector selector = ControllerSelector.read(line, 1);
@@ -41,7 +45,7 @@
             .ifPresent(node -> world.network.cuts().isolateZone(node.zone(), durationMs, mode));
   }
 
-  /** {@code partition-zones ZONE ZONE SECONDS [MODE]}: two zones lose each other. */
+  /** {@code partition-zones ZONE ZONE SECONDS [MODE]}: cuts two zones off from each other. */
   private static Action partition(ScenarioLine line) {
     String one = line.word(1);
     String other = line.word(2);
@@ -50,7 +54,10 @@
     return world -> world.network.cuts().separateZones(one, other, durationMs, mode);
   }
 
-  /** {@code NAME MACHINES SECONDS [MODE]}: both ways, or one, between workers and controllers. */
+  /**
+   * {@code NAME MACHINES SECONDS [MODE]}: cuts links between workers and all controllers, in one
+   * direction or both.
+   */
   private static Action cutWorkers(ScenarioLine line, WorkerDirection direction) {
     MachineSelector machines = MachineSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
@@ -61,7 +68,10 @@
             worker -> world.network.cuts().cutWorker(worker.name(), direction, durationMs, mode));
   }
 
-  /** {@code duplicate-heartbeats SECONDS LATE_S [in-order]}: for a while each arrives twice. */
+  /**
+   * {@code duplicate-heartbeats SECONDS LATE_S [in-order]}: delivers each heartbeat and direct
+   * command of this time twice, the second time late.
+   */
   private static Action duplicateHeartbeats(ScenarioLine line) {
     long durationMs = line.milliseconds(1);
     double lateS = line.decimal(2);
@@ -69,7 +79,10 @@
     return world -> world.network.duplicates().duplicateFor(durationMs, lateS, inOrder);
   }
 
-  /** {@code replay-to-next-leader SECONDS}: copies of heartbeats arrive under the next leader. */
+  /**
+   * {@code replay-to-next-leader SECONDS}: delivers copies of this time's heartbeats again under
+   * the next leader.
+   */
   private static Action replayToNextLeader(ScenarioLine line) {
     long durationMs = line.milliseconds(1);
     return world -> world.network.duplicates().replayToNextLeader(durationMs);
--- a/src/test/java/shorecrank/sim/NodeConfigWriter.java
+++ b/src/test/java/shorecrank/sim/NodeConfigWriter.java
@@ -7,16 +7,19 @@
 import shorecrank.config.NodeConfigFile;
 import shorecrank.protocol.Json;
 
-/** The file that the platform hands to a controller. */
+/** Writes the platform's configuration file for a controller. */
 final class NodeConfigWriter {
   private static final double CLOUD_REQUESTS_PER_S = 4;
 
-  /** Where a controller's users and workers, its peers, the state service and the cloud are. */
+  /**
+   * Addresses of a controller for users and workers and for peers, and of the state service and the
+   * cloud that it uses.
+   */
   record Addresses(String users, String peers, String state, String cloud) {}
 
   private NodeConfigWriter() {}
 
-  /** As a controller in this process takes it. */
+  /** Returns the configuration of a simulated controller, as read from its file. */
   static NodeConfig config(World world, ControllerNode node) {
     try {
       return NodeConfigFile.read(Json.bytes(write(world, node)));
@@ -25,7 +28,7 @@
     }
   }
 
-  /** The file's contents. */
+  /** Returns the contents of a controller's file. */
   static ObjectNode write(World world, ControllerNode node) {
     Addresses own = world.addresses(node);
     ObjectNode file = Json.object().put("label", node.label()).put("location", node.zone());
--- a/src/test/java/shorecrank/sim/OrderSender.java
+++ b/src/test/java/shorecrank/sim/OrderSender.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Sends operators' orders until they are answered, like the command-line client. */
+/** Sends operators' orders until they are answered, as the command-line client does. */
 final class OrderSender {
   private static final long RETRY_MS = 1000;
   private static final long TIMEOUT_MS = 4000;
@@ -22,7 +22,9 @@
     this.path = path;
   }
 
-  /** Sends an order to a controller, and to the next ones while there is no answer. */
+  /**
+   * Sends an order to the controller at an index, and to the next ones in turn until one answers.
+   */
   void send(int index, String id, JsonNode order) {
     send(index, id, order, world.sim.now() + GIVE_UP_AFTER_MS);
   }
@@ -57,12 +59,15 @@
             });
   }
 
-  /** All answers to an order, from as many controllers as were asked. */
+  /** Returns all answers to an order; the order may have been sent to several controllers. */
   List<JsonNode> answers(String id) {
     return answers.getOrDefault(id, List.of());
   }
 
-  /** Whether all answers to an order accepted or refused it, and hold some words. */
+  /**
+   * Reports whether the order was answered, and every answer has this verdict and contains the
+   * words.
+   */
   boolean allAnswersMatch(String id, boolean accepted, String words) {
     return !answers(id).isEmpty()
         && answers(id).stream()
@@ -72,7 +77,7 @@
                         && answer.toString().contains(words));
   }
 
-  /** All answers, for the report of a failure. */
+  /** Returns all answers as text for a failure report. */
   String describe() {
     return answers.toString();
   }
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -18,7 +18,10 @@
 import shorecrank.config.SettingsFile;
 import shorecrank.protocol.RolloutMessages.RolloutState;
 
-/** Real controllers on loopback under steady load, and an operator with the command-line client. */
+/**
+ * Three real controllers on loopback under steady load, with an operator who uses the command-line
+ * client.
+ */
 final class ProcessFleet implements AutoCloseable {
   private static final long WAIT_MS = 60_000;
   private static final long CANCEL_AFTER_MS = 2500;
@@ -27,7 +30,7 @@
   private boolean submitting = true;
   private int submitted;
 
-  /** What the client did: its exit status and what it printed. */
+  /** Exit status and output of a run of the command-line client. */
   record ClientResult(int status, String out, String err) {}
 
   ProcessFleet(long seed, ProgramVersion first, int machines) throws Exception {
@@ -35,7 +38,8 @@
   }
 
   /**
-   * @param settings as in the settings file that the processes are started with
+   * @param first the version that the controllers start with
+   * @param settings the contents of the settings file that the processes are started with
    */
   ProcessFleet(long seed, ProgramVersion first, int machines, Settings settings) throws Exception {
     Path logs =
@@ -52,22 +56,22 @@
     await("the first owner", () -> world.owner(0).isPresent() && world.leader().isPresent());
   }
 
-  /** One of the three controllers. */
+  /** Returns the controller at an index from 0 to 2. */
   ControllerProcess node(int index) {
     return world.process(index);
   }
 
-  /** The rollout as the state service has it. */
+  /** Returns the rollout state that the state service holds. */
   RolloutState state() {
     return world.rollouts.state();
   }
 
-  /** How many jobs were submitted. */
+  /** Returns how many jobs were submitted. */
   int submitted() {
     return submitted;
   }
 
-  /** A job every so often, of two teams; every fifth is cancelled. */
+  /** Submits a job at each interval for one of two teams, and cancels every fifth. */
   void submitEvery(long ms) {
     if (!submitting) {
       return;
@@ -89,19 +93,22 @@
     world.sim.after(ms, () -> submitEvery(ms));
   }
 
-  /** Ends a controller; it is back as that version. */
+  /** Crashes a controller and restarts it in another version after the given time. */
   void restartAs(int index, ProgramVersion version, long backMs) {
     node(index).upgrade(version);
     node(index).crash(backMs);
   }
 
-  /** Lets the fleet go on for a while; no rule may break. */
+  /** Runs the fleet for the given time and checks that no rule is violated. */
   void runFor(long ms) {
     world.runFor(ms);
     assertEquals(List.of(), world.checker.violations());
   }
 
-  /** Lets the fleet go on until something holds; no rule may break. */
+  /**
+   * Runs the fleet until a condition holds and checks that no rule is violated; fails after {@link
+   * #WAIT_MS}.
+   */
   void await(String what, BooleanSupplier holds) {
     await(what, holds, WAIT_MS);
   }
@@ -121,7 +128,7 @@
     return runClientWith(all, words);
   }
 
-  /** The same, asking one controller. */
+  /** Runs the client while the fleet goes on; {@code @} stands for one controller's address. */
   ClientResult runClientAt(int index, String... words) {
     return runClientWith(world.addresses(node(index)).peers(), words);
   }
@@ -145,7 +152,7 @@
     return run.join();
   }
 
-  /** No more jobs; waits until each has its final answer. */
+  /** Stops the submissions and waits until each job has its final answer. */
   void finish() {
     submitting = false;
     await("the end of all jobs", world::areAllJobsOver);
@@ -153,10 +160,10 @@
   }
 
   /**
-   * The same after more work was submitted than the machines could do: as long as a task ends
-   * within each usual wait, and at the longest for the time that the machines take for the backlog
-   * and one more such wait. A job that is lost or left out is noticed one wait after the others'
-   * end.
+   * Stops the submissions and waits until each job has its final answer, after more work was
+   * submitted than the machines could do. A task must end within each {@link #WAIT_MS}, and all
+   * jobs within the time that the machines need for the backlog plus {@link #WAIT_MS}. A lost job
+   * is therefore noticed {@link #WAIT_MS} after the last other task has ended.
    */
   void finishBacklog() {
     long backlogMs = new Backlog(world).durationMs();
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -15,8 +15,8 @@
 import shorecrank.config.Settings;
 
 /**
- * The same stand-ins and checks as in simulated time, but in real time, and with real controller
- * processes on loopback, each of which may run another version.
+ * A world in real time with real controller processes on loopback, each of which may run another
+ * version. The other participants and the checks are those of the simulation.
  */
 final class ProcessWorld extends World implements AutoCloseable {
   private static final long POLL_MS = 1;
@@ -27,7 +27,7 @@
   private final HttpClient client =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).executor(threads).build();
 
-  /** What came from other threads, to be carried out in order by the one that plays. */
+  /** Tasks from other threads, which the simulation thread runs in order. */
   private final Queue<Runnable> inbox = new ConcurrentLinkedQueue<>();
 
   private final LoopbackServers servers = new LoopbackServers(threads, inbox::add);
@@ -35,23 +35,25 @@
   private final Map<String, String> workerAddresses = new HashMap<>();
   private final long startedAtNanos = System.nanoTime();
 
-  /** The only controller that gets new leases, so that it is the next to lead; null for any. */
+  /**
+   * The only controller that may get new leases, so that it becomes the next leader; null for any.
+   */
   private ControllerNode nextLeader;
 
   /**
-   * @param first the version that controllers run at first
-   * @param directory for their files and what they print
-   * @param settings as in the settings file that the processes are started with
+   * @param first the version that the controllers start with
+   * @param directory for the processes' configuration files and output
+   * @param settings the contents of the settings file that the processes are started with
    */
   ProcessWorld(long seed, ProgramVersion first, Path directory, Settings settings) {
     super(seed, settings);
     this.first = first;
     this.directory = directory;
-    // Also when the test is ended from outside, no controller is left behind.
+    // Leaves no controller process behind if the test's process is ended from outside.
     Runtime.getRuntime().addShutdownHook(new Thread(this::destroyProcesses));
   }
 
-  /** Two zones, one type of machine, and two teams of which one has a limit. */
+  /** Sets up two zones, one machine type, and two teams, one of which has a limit. */
   void describeSmallSite() {
     List<String> zones = List.of("a", "b");
     site.setZones(zones);
@@ -60,7 +62,7 @@
     site.addTeam("u", new TeamQuota(0, 0));
   }
 
-  /** From now on only this controller can come to lead; null for any. */
+  /** Lets only this controller become leader from now on; null lets any. */
   void allowLeadershipOnlyOf(ControllerNode node) {
     nextLeader = node;
   }
@@ -79,7 +81,7 @@
     return new ControllerProcess(this, index, first, addresses, directory, client, inbox::add);
   }
 
-  /** One of the controllers. */
+  /** Returns the controller at an index. */
   ControllerProcess process(int index) {
     return (ControllerProcess) controllers().get(index);
   }
@@ -88,7 +90,10 @@
     return controllers().stream().map(ControllerProcess.class::cast).toList();
   }
 
-  /** Labels of the controllers whose processes have ended by themselves. */
+  /**
+   * Returns the labels of the controllers whose processes have ended without being stopped by the
+   * test.
+   */
   List<String> unexpectedlyEnded() {
     return processes().stream()
         .filter(process -> !process.isAliveOrStoppedByTest())
@@ -121,7 +126,12 @@
 
   // ---- real time -------------------------------------------------------------------------------
 
-  /** Plays on in real time until something holds; false if it does not in time. */
+  /**
+   * Runs in real time until a condition holds.
+   *
+   * @param mostMs longest time to wait, in milliseconds
+   * @return false if the condition did not hold in time
+   */
   boolean runUntil(BooleanSupplier holds, long mostMs) {
     long end = sim.now() + mostMs;
     while (!holds.getAsBoolean()) {
@@ -133,7 +143,7 @@
     return true;
   }
 
-  /** Plays on in real time for a while. */
+  /** Runs in real time for the given time. */
   void runFor(long ms) {
     runUntil(() -> false, ms);
   }
--- a/src/test/java/shorecrank/sim/ProgramVersion.java
+++ b/src/test/java/shorecrank/sim/ProgramVersion.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A version of the program: how its process is started.
+ * A version of the program and how its process is started.
  *
- * @param command without the path of the platform's file, which comes last
+ * @param directory the working directory of the process
+ * @param command without the path of the configuration file, which is the last argument
  */
 record ProgramVersion(String name, Path directory, List<String> command) {}
--- a/src/test/java/shorecrank/sim/ProgramVersions.java
+++ b/src/test/java/shorecrank/sim/ProgramVersions.java
@@ -18,7 +18,11 @@
 
   private ProgramVersions() {}
 
-  /** This version, with the memory that the service file gives it. */
+  /**
+   * Returns the version under test, with the memory options of {@code deploy/service.toml}.
+   *
+   * @param options options of the daemon, before the configuration file
+   */
   static ProgramVersion current(String... options) throws IOException {
     List<String> command = new ArrayList<>();
     for (String word : serviceSetting("run").split(" ")) {
@@ -34,7 +38,10 @@
     return new ProgramVersion("present", PROJECT_DIRECTORY, command);
   }
 
-  /** The version in production, from the repository's history, built and run as the file says. */
+  /**
+   * Returns the production version: the commit that {@code deploy/service.toml} names, built and
+   * run with the commands in that file.
+   */
   static ProgramVersion production() throws Exception {
     String commit = serviceSetting("production");
     Path directory = PROJECT_DIRECTORY.resolve("target/production-" + commit.substring(0, 12));
--- a/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
+++ b/src/test/java/shorecrank/sim/QuotaTakeoverTest.java
@@ -17,7 +17,10 @@
 import shorecrank.storage.JobRecord;
 import shorecrank.storage.JobRecord.AttemptRange;
 
-/** An owner takes records over that name more of a team than the team may use. */
+/**
+ * Checks that a shard owner keeps a team within its limit when it takes over records whose tasks
+ * together exceed the limit.
+ */
 class QuotaTakeoverTest {
   private static final String FLEET =
       """
--- a/src/test/java/shorecrank/sim/RandomActions.java
+++ b/src/test/java/shorecrank/sim/RandomActions.java
@@ -3,14 +3,14 @@
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
 
-/** Actions that are drawn from the scenario's seed, so many between two times. */
+/** Scenario actions that are drawn from the scenario's seed, a given number within a time range. */
 abstract class RandomActions {
   private final World world;
   private final SplittableRandom random;
   private final FaultScript script;
 
   /**
-   * @param line that asked for them
+   * @param line the scenario line that asked for the actions
    */
   RandomActions(World world, ScenarioLine line) {
     this.world = world;
@@ -18,7 +18,7 @@
     this.script = new FaultScript(world, line);
   }
 
-  /** Reads {@code NAME COUNT FROM TO}, with times in seconds. */
+  /** Returns a reader for {@code NAME COUNT FROM TO}, with times in seconds. */
   static Declaration.Reader reader(BiFunction<World, ScenarioLine, RandomActions> kind) {
     return line -> {
       int count = line.integer(1);
@@ -29,30 +29,36 @@
     };
   }
 
-  /** Draws the actions and plans them. */
+  /**
+   * Draws and schedules the actions.
+   *
+   * @param count number of actions
+   * @param fromS earliest time, in seconds
+   * @param toS latest time, in seconds
+   */
   abstract void draw(int count, double fromS, double toS);
 
-  /** Where they run. */
+  /** Returns the world that the actions run in. */
   World world() {
     return world;
   }
 
-  /** What all of them are drawn from, apart from the world's own numbers. */
+  /** Returns the generator for these draws, which is independent of the world's other draws. */
   SplittableRandom random() {
     return random;
   }
 
-  /** Plans actions, or runs them now. */
+  /** Returns the script that schedules or runs the actions. */
   FaultScript script() {
     return script;
   }
 
-  /** The label of any controller. */
+  /** Draws the label of a controller. */
   String randomController() {
     return "n" + random.nextInt(world.controllers().size());
   }
 
-  /** Any of these. */
+  /** Draws one of the words. */
   String pick(String... words) {
     return words[random.nextInt(words.length)];
   }
--- a/src/test/java/shorecrank/sim/RandomFaults.java
+++ b/src/test/java/shorecrank/sim/RandomFaults.java
@@ -1,6 +1,6 @@
 package shorecrank.sim;
 
-/** Faults of all kinds, alone and together, drawn from the scenario's seed. */
+/** Faults of all kinds, alone and combined, drawn from the scenario's seed. */
 final class RandomFaults extends RandomActions {
   private static final String[] CONTROLLERS = {"owner", "leader", "all", "n0", "n1", "n2"};
   private static final String[] LINKS = {"state", "peers", "workers", "users", "all"};
@@ -8,8 +8,8 @@
   private static final int MACHINES = 8;
   private static final int KINDS = 30;
 
-  /** The longest fault takes that many tenths of a second. */
-  private static final double LONGEST = 400;
+  /** Longest duration of a fault, in tenths of a second. */
+  private static final double MAX_DURATION_TENTHS_S = 400;
 
   RandomFaults(World world, ScenarioLine line) {
     super(world, line);
@@ -19,7 +19,8 @@
   void draw(int count, double fromS, double toS) {
     for (int i = 0; i < count; i++) {
       double at = fromS + random().nextDouble() * (toS - fromS);
-      double durationS = Math.round(Math.pow(random().nextDouble(), 2) * LONGEST) / 10.0;
+      double durationS =
+          Math.round(Math.pow(random().nextDouble(), 2) * MAX_DURATION_TENTHS_S) / 10.0;
       String who = pick(CONTROLLERS);
       String node = "n" + random().nextInt(3);
       String machine = String.format("n-%06d", 1 + random().nextInt(MACHINES));
@@ -28,7 +29,10 @@
     }
   }
 
-  /** Draws the rest of a fault; which draws are made, and in which order, goes by its kind. */
+  /**
+   * Returns a fault of the given kind. Each kind makes its own further draws, in a fixed order on
+   * which the results for a seed depend.
+   */
   private String fault(
       int kind, double seconds, String who, String node, String machine, String mode) {
     return switch (kind) {
@@ -70,7 +74,7 @@
     };
   }
 
-  /** Between workers or zones nothing is refused. */
+  /** Returns a mode for cuts between workers or zones, which can't be refused. */
   private String lossOrDelay() {
     return pick("drop", "hold");
   }
--- a/src/test/java/shorecrank/sim/ReplyHandler.java
+++ b/src/test/java/shorecrank/sim/ReplyHandler.java
@@ -4,29 +4,29 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 import shorecrank.protocol.Json;
 
-/** Takes the answer to a request. */
+/** Handles the answer to a request. */
 @FunctionalInterface
 interface ReplyHandler {
-  /** The status when there was no answer in time, or no connection. */
+  /** Status that stands for no answer: a timeout or a refused connection. */
   int NO_ANSWER = 0;
 
-  /** Nobody waits for the answer. */
+  /** Ignores the answer. */
   ReplyHandler IGNORE = (status, body) -> {};
 
   /**
-   * Takes it.
+   * Handles an answer.
    *
-   * @param status of HTTP, or {@link #NO_ANSWER}
-   * @param body never null, but maybe missing
+   * @param status the HTTP status, or {@link #NO_ANSWER}
+   * @param body never null; a missing node if there is no body
    */
   void accept(int status, JsonNode body);
 
-  /** There was no answer. */
+  /** Handles that there is no answer. */
   default void noAnswer() {
     accept(NO_ANSWER, MissingNode.getInstance());
   }
 
-  /** The answer of a service that is not available. */
+  /** Handles the answer of an unavailable service: status 503. */
   default void unavailable() {
     accept(503, Json.error("trouble"));
   }
--- a/src/test/java/shorecrank/sim/UserActions.java
+++ b/src/test/java/shorecrank/sim/UserActions.java
@@ -15,8 +15,7 @@
           Map.entry("cancel-now", UserActions::cancelNow),
           Map.entry("cancel-each", UserActions::cancelEach),
           Map.entry("cancel-at-end", UserActions::cancelAtEnd),
-          Map.entry(
-              "query-everywhere", line -> timed(line, UserBehavior::queryAllControllersFor)),
+          Map.entry("query-everywhere", line -> timed(line, UserBehavior::queryAllControllersFor)),
           Map.entry(
               "malformed-requests", line -> timed(line, UserBehavior::sendUnusualRequestsFor)));
 
