--- a/src/test/java/shorecrank/sim/Measurements.java
+++ b/src/test/java/shorecrank/sim/Measurements.java
@@ -7,11 +7,11 @@
 import shorecrank.coordination.step.Output;
 import shorecrank.protocol.Json;
 
-/** Processor time of the controllers' steps and the sizes of what they send, by kind. */
+/** Processor time of the controllers' steps and sizes of the messages that they send, by kind. */
 final class Measurements {
   private static final double NANOS_PER_MS = 1e6;
 
-  /** Steps of one kind. */
+  /** Count and processor time of the steps of one kind. */
   private static final class Steps {
     long count;
     long nanos;
@@ -19,9 +19,13 @@
   }
 
   private final Map<String, Steps> steps = new TreeMap<>();
-  private final Map<String, Integer> largest = new TreeMap<>();
+  private final Map<String, Integer> largestBodyBytes = new TreeMap<>();
 
-  /** A controller has made a step that took so many nanoseconds. */
+  /**
+   * Records a controller's step and the sizes of the messages in its output.
+   *
+   * @param nanos processor time of the step, in nanoseconds
+   */
   void step(Input input, long nanos, List<Output> outputs) {
     Steps s = steps.computeIfAbsent(kind(input), k -> new Steps());
     s.count++;
@@ -29,15 +33,15 @@
     s.longest = Math.max(s.longest, nanos);
     for (Output o : outputs) {
       if (o instanceof Output.Call c && c.body() != null) {
-        message(c.path().split("\\?")[0], Json.bytes(c.body()).length);
+        recordMessage(c.path().split("\\?")[0], Json.bytes(c.body()).length);
       } else if (o instanceof Output.Reply r && r.body() != null) {
-        message("answer to " + kind(input), Json.bytes(r.body()).length);
+        recordMessage("answer to " + kind(input), Json.bytes(r.body()).length);
       }
     }
   }
 
-  private void message(String kind, int bytes) {
-    largest.merge(kind.startsWith("/store/") ? "/store" : kind, bytes, Math::max);
+  private void recordMessage(String kind, int bytes) {
+    largestBodyBytes.merge(kind.startsWith("/store/") ? "/store" : kind, bytes, Math::max);
   }
 
   private static String kind(Input input) {
@@ -47,9 +51,9 @@
     return input instanceof Input.Tick ? "round" : "answer";
   }
 
-  /** The largest body of a kind of message, in bytes. */
+  /** Returns the size of the largest body of a kind of message, in bytes; 0 if none was sent. */
   int largestMessage(String kind) {
-    return largest.getOrDefault(kind, 0);
+    return largestBodyBytes.getOrDefault(kind, 0);
   }
 
   @Override
@@ -61,7 +65,7 @@
                 String.format(
                     "  steps %-18s %8d, mean %.3f ms, longest %.1f ms%n",
                     kind, s.count, s.nanos / NANOS_PER_MS / s.count, s.longest / NANOS_PER_MS)));
-    largest.forEach(
+    largestBodyBytes.forEach(
         (kind, bytes) -> text.append(String.format("  largest %-24s %7d bytes%n", kind, bytes)));
     return text.toString();
   }
--- a/src/test/java/shorecrank/sim/Network.java
+++ b/src/test/java/shorecrank/sim/Network.java
@@ -5,7 +5,7 @@
 import shorecrank.coordination.step.Input;
 import shorecrank.coordination.step.Output;
 
-/** Carries messages between all who take part, across delays and cuts. */
+/** Carries messages between controllers, workers, users and services, with delays and cuts. */
 final class Network {
   private static final int DELAYS_MS = 6;
 
@@ -23,17 +23,17 @@
     this.stateService = new StateServiceLink(sim, world.faults, world.store);
   }
 
-  /** What is cut, and is to be. */
+  /** Returns the cuts of this network. */
   Cuts cuts() {
     return cuts;
   }
 
-  /** Which messages arrive twice. */
+  /** Returns the duplication of heartbeats and commands. */
   DuplicateMessages duplicates() {
     return duplicates;
   }
 
-  /** How requests reach the state service. */
+  /** Returns the link over which requests reach the state service. */
   StateServiceLink stateService() {
     return stateService;
   }
@@ -42,43 +42,52 @@
     return 1 + sim.random().nextInt(DELAYS_MS);
   }
 
-  /** Delivers after a delay, or as the cut that is in the way has it. */
+  /** Delivers a message after a random delay, or hands it to the cut in its way. */
   private void send(Optional<Cut> cut, Runnable delivery) {
     if (cut.isEmpty()) {
       sim.after(delayMs(), delivery);
     } else {
-      cut.get().take(delivery);
+      cut.get().intercept(delivery);
     }
   }
 
   // ---- from controllers ------------------------------------------------------------------------
 
-  /** Carries a controller's call out; it has the answer, or none, within the call's time. */
+  /**
+   * Carries out a controller's call; the controller gets an answer, or none, within the call's
+   * timeout.
+   */
   void call(SimulatedController from, Output.Call call) {
-    ReplyHandler once = once(from, call);
-    sim.after(call.timeoutMs(), once::noAnswer);
+    ReplyHandler firstAnswer = firstAnswerOnly(from, call);
+    sim.after(call.timeoutMs(), firstAnswer::noAnswer);
     if (call.target() instanceof Output.Worker worker) {
-      callWorker(from, worker.address(), call.body(), once);
+      callWorker(from, worker.address(), call.body(), firstAnswer);
     } else if (call.target() instanceof Output.Peer peer) {
-      callPeer(from, world.node(peer.label().value()), call, once);
+      callPeer(from, world.node(peer.label().value()), call, firstAnswer);
     } else if (call.target() == Output.Service.STATE) {
       callService(
           from,
-          Link.STATE,
-          once,
+          LinkKind.STATE,
+          firstAnswer,
           reply -> stateService.send(call.method(), call.path(), call.body(), reply));
     } else {
       callService(
-          from, Link.CLOUD, once, reply -> world.cloud.handle(call.path(), call.body(), reply));
+          from,
+          LinkKind.CLOUD,
+          firstAnswer,
+          reply -> world.cloud.handle(call.path(), call.body(), reply));
     }
   }
 
-  /** Only the first answer counts, and only to the process that has asked. */
-  private ReplyHandler once(SimulatedController from, Output.Call call) {
-    int life = from.life();
+  /**
+   * Returns a handler that passes on the first answer only, and only if the controller has not
+   * restarted since the call.
+   */
+  private ReplyHandler firstAnswerOnly(SimulatedController from, Output.Call call) {
+    int startNumber = from.startCount();
     boolean[] answered = new boolean[1];
     return (status, body) -> {
-      if (!answered[0] && from.isAlive(life)) {
+      if (!answered[0] && from.isSameRun(startNumber)) {
         answered[0] = true;
         world.counters.recordWatchChanges(body.path("news").size());
         from.input(new Input.Answer(call.call(), status, body));
@@ -86,7 +95,10 @@
     };
   }
 
-  /** Commands straight to a worker: held or copied, they may be carried out long after. */
+  /**
+   * Sends commands directly to a worker; if a cut holds them or they are duplicated, the worker may
+   * get them much later.
+   */
   private void callWorker(
       SimulatedController from, String address, JsonNode body, ReplyHandler back) {
     Optional<SimulatedWorker> found =
@@ -99,17 +111,17 @@
     ReplyHandler reply =
         (status, report) ->
             send(
-                cuts.ofWorker(worker, from, WorkerDirection.FROM_WORKER),
+                cuts.forWorker(worker, from, WorkerDirection.FROM_WORKER),
                 () -> back.accept(status, report));
     send(
-        cuts.ofWorker(worker, from, WorkerDirection.TO_WORKER),
+        cuts.forWorker(worker, from, WorkerDirection.TO_WORKER),
         () -> worker.takeCommands(body, reply));
-    duplicates.sentCommands(worker, body);
+    duplicates.onCommandsSent(worker, body);
   }
 
   private void callPeer(
       SimulatedController from, ControllerNode to, Output.Call call, ReplyHandler back) {
-    if (cuts.refuses(from, Link.PEERS)) {
+    if (cuts.refuses(from, LinkKind.PEERS)) {
       sim.after(delayMs(), back::unavailable);
       return;
     }
@@ -120,15 +132,15 @@
     send(cuts.betweenPeers(from, to), () -> to.receive(request, reply));
   }
 
-  /** What a regional service does with a request. */
+  /** Handles a request to a regional service. */
   @FunctionalInterface
   private interface Service {
     void handle(ReplyHandler reply);
   }
 
   private void callService(
-      SimulatedController from, Link link, ReplyHandler back, Service service) {
-    Optional<Cut> cut = cuts.toRegion(from, link);
+      SimulatedController from, LinkKind link, ReplyHandler back, Service service) {
+    Optional<Cut> cut = cuts.forRegionalService(from, link);
     if (cut.isPresent() && cut.get().refuses()) {
       sim.after(delayMs(), back::unavailable);
       return;
@@ -136,33 +148,36 @@
     ReplyHandler reply =
         (status, body) ->
             send(
-                cuts.toRegion(from, link),
-                () -> back.accept(status, world.rollouts.asRead(from, body)));
+                cuts.forRegionalService(from, link),
+                () -> back.accept(status, world.rollouts.asReadBy(from, body)));
     send(cut, () -> service.handle(reply));
   }
 
   // ---- to controllers --------------------------------------------------------------------------
 
-  /** A worker's heartbeat to a controller. */
+  /** Sends a worker's heartbeat to a controller. */
   void sendHeartbeat(SimulatedWorker from, ControllerNode to, JsonNode body, ReplyHandler back) {
-    Optional<Cut> cut = cuts.ofWorker(from, to, WorkerDirection.FROM_WORKER);
+    Optional<Cut> cut = cuts.forWorker(from, to, WorkerDirection.FROM_WORKER);
     if (!to.isUp() && cut.isEmpty()) {
-      // The machine is there, the process is not: the connection is refused.
+      // The controller's machine is up but its process is not, so that the connection is refused.
       sim.after(delayMs(), back::noAnswer);
       return;
     }
     ReplyHandler reply =
         (status, answer) ->
             send(
-                cuts.ofWorker(from, to, WorkerDirection.TO_WORKER),
+                cuts.forWorker(from, to, WorkerDirection.TO_WORKER),
                 () -> back.accept(status, answer));
     send(cut, () -> to.receive(ControllerRequest.heartbeat(body), reply));
-    duplicates.sentHeartbeat(to, body);
+    duplicates.onHeartbeatSent(to, body);
   }
 
-  /** A user's request; answers come back whatever is cut, as the connection is open. */
+  /**
+   * Sends a user's request to a controller. Cuts don't affect the answer, because it uses the open
+   * connection.
+   */
   void sendUserRequest(ControllerNode to, ControllerRequest request, ReplyHandler back) {
     ReplyHandler reply = (status, body) -> sim.after(1, () -> back.accept(status, body));
-    send(cuts.toRegion(to, Link.USERS), () -> to.receive(request, reply));
+    send(cuts.forRegionalService(to, LinkKind.USERS), () -> to.receive(request, reply));
   }
 }
