--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -23,7 +23,8 @@
  * <p>The keys are listed page by page, then the changes made meanwhile are read prefix by prefix.
  * Each answer with changes is complete up to its own revision. Changes above the lowest of these
  * revisions are left out, so that the archive holds the keys as they were at that revision. If the
- * service no longer has all changes, the manifest marks the archive as not consistent.
+ * service no longer has all changes, or that revision is below one at which a page was listed, the
+ * manifest marks the archive as not consistent.
  *
  * <p>At most one call is in flight. Every write is guarded by the leader's term. A write of unknown
  * outcome is repeated with the same guards.
--- a/src/main/java/shorecrank/rollout/Archiver.java
+++ b/src/main/java/shorecrank/rollout/Archiver.java
@@ -34,7 +34,7 @@
   private MonotonicTime retryAt = MonotonicTime.NEVER;
 
   /**
-   * Creates an archiver without an archive.
+   * Creates an archiver with no archive under way.
    *
    * @param build the version of this program
    * @param archivesToKeep the number of complete archives kept in the state service
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -100,7 +100,7 @@
     Set<String> sorted = new TreeSet<>();
     features.forEach(feature -> sorted.add(feature.keyPrefix()));
     this.prefixes = List.copyOf(sorted);
-    // A limiter of its own, separate from the leader's other writes, which are few.
+    // The pass does not take from the write budget of the leader's other writes, which are few.
     double maxRate = environment.maxChangesPerSecond() * CAPACITY_FRACTION;
     this.rate = new RateLimiter(Math.min(rewritesPerS, maxRate));
     this.cursor = cursor;
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -295,8 +295,8 @@
   // ---- operators -------------------------------------------------------------------------------
 
   /**
-   * Executes an order, unless the outcome of an order with the same id is stored; then it returns
-   * that outcome.
+   * Executes an order and passes its outcome to {@code then}. If the outcome of an order with the
+   * same id is stored, the order is not executed and {@code then} receives the stored outcome.
    */
   public void order(RolloutOrder order, OnOutcome then) {
     if (!store.isIdle()) {
--- a/src/main/java/shorecrank/rollout/RolloutOrders.java
+++ b/src/main/java/shorecrank/rollout/RolloutOrders.java
@@ -20,9 +20,9 @@
   private final Archiver archiver;
 
   /**
-   * Creates an instance that decides by the given level checks and archives.
+   * Creates an instance for the leader's process.
    *
-   * @param ownAnnouncement the levels and the build of this controller, the leader
+   * @param ownAnnouncement the levels and the build of this controller
    * @param raiseBlockers returns the reasons why the level may not be raised, regardless of for how
    *     long the members have supported it; empty if it may be raised
    */
@@ -40,7 +40,8 @@
    *
    * @param next the state to write to the feature level's key, without the order's outcome; empty
    *     if the key is not written
-   * @param isAccepted whether the order is executed, or has been already
+   * @param isAccepted false if the order is refused; true if it is executed or has nothing left to
+   *     do
    * @param text the answer to the operator
    * @param archiveId the archive that the order starts or that is being written already; empty if
    *     the order concerns none
--- a/src/main/java/shorecrank/storage/CommitResult.java
+++ b/src/main/java/shorecrank/storage/CommitResult.java
@@ -26,8 +26,8 @@
   record Refused(int status) implements CommitResult {}
 
   /**
-   * The transaction may have been committed or may still be. {@code status} is the HTTP status, or
-   * 0 if there was no answer.
+   * The transaction may have been committed or may still be committed later. {@code status} is the
+   * HTTP status, or 0 if there was no answer.
    */
   record Unknown(int status) implements CommitResult {}
 
@@ -36,7 +36,7 @@
     return this instanceof Committed;
   }
 
-  /** Reports whether it is unknown if the transaction was or will be committed. */
+  /** Reports whether it is unknown whether the transaction was or will be committed. */
   default boolean isUnknown() {
     return this instanceof Unknown;
   }
--- a/src/test/java/shorecrank/storage/DenseRecordTest.java
+++ b/src/test/java/shorecrank/storage/DenseRecordTest.java
@@ -40,7 +40,10 @@
     return JobSpecCodec.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Returns a record in which every other task is running, and a fourth of the others are done. */
+  /**
+   * Returns a record in which every other task is running, each as a range of its own on a random
+   * machine, and a fourth of the other tasks are done.
+   */
   private static JobRecord scattered(int ranges, String machine) throws MalformedMessageException {
     Random random = new Random(7);
     BitSet done = new BitSet();
--- a/src/test/java/shorecrank/storage/RateLimiterTest.java
+++ b/src/test/java/shorecrank/storage/RateLimiterTest.java
@@ -18,7 +18,9 @@
     return new MonotonicTime(ms);
   }
 
-  /** At 10 tokens per second: whether one token is available some time after tokens were taken. */
+  /**
+   * Parameters: tokens taken from a full bucket of 10, then the wait, then whether a token is left.
+   */
   @ParameterizedTest
   @CsvSource({
     "9, 0, true",
