--- a/src/test/java/shorecrank/sim/ControllerProcess.java
+++ b/src/test/java/shorecrank/sim/ControllerProcess.java
@@ -77,7 +77,7 @@
     version = to;
   }
 
-  // ---- its process -----------------------------------------------------------------------------
+  // ---- process ---------------------------------------------------------------------------------
 
   @Override
   void launch() {
@@ -188,7 +188,7 @@
     }
   }
 
-  // ---- what is seen from outside ---------------------------------------------------------------
+  // ---- observed state --------------------------------------------------------------------------
 
   @Override
   Map<ShardId, Epoch> ownedEpochs() {
--- a/src/test/java/shorecrank/sim/DuplicateMessages.java
+++ b/src/test/java/shorecrank/sim/DuplicateMessages.java
@@ -13,13 +13,12 @@
   private static final int MIN_HEARTBEAT_DELAY_MS = 2000;
   private static final int MIN_COMMAND_DELAY_MS = 500;
 
-  /**
-   * Interval of the checks for a new leader, and how long after the last copied heartbeat the
-   * checks go on.
-   */
+  /** Interval of the checks for a new leader. */
   private static final long LEADER_POLL_MS = 20;
 
+  /** How long after the last copied heartbeat the checks for a new leader go on. */
   private static final long LEADER_POLL_LIMIT_MS = 60_000;
+
   private static final int REPLAY_SPREAD_MS = 1500;
   private static final long DELIVERY_MARGIN_MS = 2000;
 
--- a/src/test/java/shorecrank/sim/LoopbackServers.java
+++ b/src/test/java/shorecrank/sim/LoopbackServers.java
@@ -22,7 +22,10 @@
  * the simulation thread.
  */
 final class LoopbackServers implements AutoCloseable {
-  /** Longer than any watch request, which the state service holds until a key changes. */
+  /**
+   * Allows for watch requests, which the state service answers when a key changes or the time of
+   * the watch ends.
+   */
   private static final int ANSWER_TIMEOUT_S = 90;
 
   private final Executor executor;
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -69,11 +69,11 @@
    */
   private void productionLeadsCurrentOwns() {
     upgrade(0);
-    await("an old leader with a new owner", () -> leads(1) && owns(0));
+    await("a production leader with a current owner", () -> leads(1) && owns(0));
     assertEquals(production, node(1).version());
     runFor(6000);
     node(0).crash(9000);
-    await("a failover to an old one", () -> owns(2));
+    await("a failover to a production owner", () -> owns(2));
     runFor(4000);
   }
 
@@ -85,15 +85,15 @@
     awaitServing(node(0));
     world.allowLeadershipOnlyOf(node(0));
     node(1).crash(12_000);
-    await("a new leader with an old owner", () -> leads(0) && owns(2));
+    await("a current leader with a production owner", () -> leads(0) && owns(2));
     assertEquals(production, node(2).version());
     runFor(6000);
-    // n2 is killed before its upgrade, so that it restarts in the production version while both the
-    // leader and the new owner run the current one.
     node(1).upgrade(current);
     awaitServing(node(1));
+    // n2 is killed before its upgrade, so that it restarts in the production version while both the
+    // leader and the new owner run the current one.
     node(2).crash(3000);
-    await("a failover to a new one", () -> owns(1));
+    await("a failover to a current owner", () -> owns(1));
     runFor(4000);
   }
 
@@ -104,13 +104,13 @@
   private void relayUserRequests() {
     awaitServing(node(2));
     refuseStateRequests(node(2));
-    assertTrue(node(2).metric("user.relayed") > 0, "the old one passed nothing on");
+    assertTrue(node(2).metric("user.relayed") > 0, "the production version relayed nothing");
     world.allowLeadershipOnlyOf(node(2));
     node(0).crash(9000);
-    await("an old leader again", () -> leads(2));
+    await("a production leader again", () -> leads(2));
     awaitServing(node(0));
     refuseStateRequests(node(0));
-    assertTrue(node(0).metric("user.relayed") > 0, "the new one passed nothing on");
+    assertTrue(node(0).metric("user.relayed") > 0, "the current version relayed nothing");
   }
 
   /**
@@ -166,10 +166,10 @@
   private void finish() {
     submitting = false;
     await("the end of all jobs", world::areAllJobsOver);
-    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended by themselves");
+    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended unexpectedly");
   }
 
-  // ---- the site and its load -------------------------------------------------------------------
+  // ---- fleet and load --------------------------------------------------------------------------
 
   private void describeSite() {
     world.describeSmallSite();
@@ -235,9 +235,9 @@
     world.runFor(1000);
   }
 
-  private void await(String what, BooleanSupplier holds) {
-    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended by themselves");
-    assertTrue(world.runUntil(holds, WAIT_MS), "waited in vain for " + what);
+  private void await(String what, BooleanSupplier condition) {
+    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended unexpectedly");
+    assertTrue(world.runUntil(condition, WAIT_MS), "timed out waiting for " + what);
     assertEquals(List.of(), world.checker.violations());
   }
 }
--- a/src/test/java/shorecrank/sim/Network.java
+++ b/src/test/java/shorecrank/sim/Network.java
@@ -51,7 +51,7 @@
     }
   }
 
-  // ---- from controllers ------------------------------------------------------------------------
+  // ---- messages sent by controllers ------------------------------------------------------------
 
   /**
    * Carries out a controller's call; the controller gets an answer, or none, within the call's
@@ -100,19 +100,19 @@
    * get them much later.
    */
   private void callWorker(
-      SimulatedController from, String address, JsonNode body, ReplyHandler back) {
-    Optional<SimulatedWorker> found =
+      SimulatedController from, String address, JsonNode body, ReplyHandler onAnswer) {
+    Optional<SimulatedWorker> target =
         world.workers().stream().filter(worker -> worker.address().equals(address)).findFirst();
-    if (found.isEmpty()) {
-      sim.after(delayMs(), back::noAnswer);
+    if (target.isEmpty()) {
+      sim.after(delayMs(), onAnswer::noAnswer);
       return;
     }
-    SimulatedWorker worker = found.get();
+    SimulatedWorker worker = target.get();
     ReplyHandler reply =
         (status, report) ->
             send(
                 cuts.forWorker(worker, from, WorkerDirection.FROM_WORKER),
-                () -> back.accept(status, report));
+                () -> onAnswer.accept(status, report));
     send(
         cuts.forWorker(worker, from, WorkerDirection.TO_WORKER),
         () -> worker.takeCommands(body, reply));
@@ -120,15 +120,15 @@
   }
 
   private void callPeer(
-      SimulatedController from, ControllerNode to, Output.Call call, ReplyHandler back) {
+      SimulatedController from, ControllerNode to, Output.Call call, ReplyHandler onAnswer) {
     if (cuts.refuses(from, LinkKind.PEERS)) {
-      sim.after(delayMs(), back::unavailable);
+      sim.after(delayMs(), onAnswer::unavailable);
       return;
     }
     ControllerRequest request =
         new ControllerRequest(true, call.method(), call.path(), call.body());
     ReplyHandler reply =
-        (status, body) -> send(cuts.betweenPeers(to, from), () -> back.accept(status, body));
+        (status, body) -> send(cuts.betweenPeers(to, from), () -> onAnswer.accept(status, body));
     send(cuts.betweenPeers(from, to), () -> to.receive(request, reply));
   }
 
@@ -139,35 +139,36 @@
   }
 
   private void callService(
-      SimulatedController from, LinkKind link, ReplyHandler back, Service service) {
+      SimulatedController from, LinkKind link, ReplyHandler onAnswer, Service service) {
     Optional<Cut> cut = cuts.forRegionalService(from, link);
     if (cut.isPresent() && cut.get().refuses()) {
-      sim.after(delayMs(), back::unavailable);
+      sim.after(delayMs(), onAnswer::unavailable);
       return;
     }
     ReplyHandler reply =
         (status, body) ->
             send(
                 cuts.forRegionalService(from, link),
-                () -> back.accept(status, world.rollouts.asReadBy(from, body)));
+                () -> onAnswer.accept(status, world.rollouts.asReadBy(from, body)));
     send(cut, () -> service.handle(reply));
   }
 
-  // ---- to controllers --------------------------------------------------------------------------
+  // ---- messages sent to controllers ------------------------------------------------------------
 
   /** Sends a worker's heartbeat to a controller. */
-  void sendHeartbeat(SimulatedWorker from, ControllerNode to, JsonNode body, ReplyHandler back) {
+  void sendHeartbeat(
+      SimulatedWorker from, ControllerNode to, JsonNode body, ReplyHandler onAnswer) {
     Optional<Cut> cut = cuts.forWorker(from, to, WorkerDirection.FROM_WORKER);
     if (!to.isUp() && cut.isEmpty()) {
       // The controller's machine is up but its process is not, so that the connection is refused.
-      sim.after(delayMs(), back::noAnswer);
+      sim.after(delayMs(), onAnswer::noAnswer);
       return;
     }
     ReplyHandler reply =
         (status, answer) ->
             send(
                 cuts.forWorker(from, to, WorkerDirection.TO_WORKER),
-                () -> back.accept(status, answer));
+                () -> onAnswer.accept(status, answer));
     send(cut, () -> to.receive(ControllerRequest.heartbeat(body), reply));
     duplicates.onHeartbeatSent(to, body);
   }
@@ -176,8 +177,8 @@
    * Sends a user's request to a controller. Cuts don't affect the answer, because it uses the open
    * connection.
    */
-  void sendUserRequest(ControllerNode to, ControllerRequest request, ReplyHandler back) {
-    ReplyHandler reply = (status, body) -> sim.after(1, () -> back.accept(status, body));
+  void sendUserRequest(ControllerNode to, ControllerRequest request, ReplyHandler onAnswer) {
+    ReplyHandler reply = (status, body) -> sim.after(1, () -> onAnswer.accept(status, body));
     send(cuts.forRegionalService(to, LinkKind.USERS), () -> to.receive(request, reply));
   }
 }
--- a/src/test/java/shorecrank/sim/NodeConfigWriter.java
+++ b/src/test/java/shorecrank/sim/NodeConfigWriter.java
@@ -30,9 +30,9 @@
 
   /** Returns the contents of a controller's file. */
   static ObjectNode write(World world, ControllerNode node) {
-    Addresses own = world.addresses(node);
+    Addresses addresses = world.addresses(node);
     ObjectNode file = Json.object().put("label", node.label()).put("location", node.zone());
-    file.put("public_addr", own.users()).put("peer_bind", own.peers());
+    file.put("public_addr", addresses.users()).put("peer_bind", addresses.peers());
     ArrayNode members = file.putArray("members");
     for (ControllerNode other : world.controllers()) {
       if (other != node) {
@@ -43,7 +43,7 @@
             .put("addr", world.addresses(other).peers());
       }
     }
-    file.putObject("endpoints").put("cloud", own.cloud()).put("state", own.state());
+    file.putObject("endpoints").put("cloud", addresses.cloud()).put("state", addresses.state());
     writeSettings(file.putObject("settings"), world);
     return file;
   }
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -109,14 +109,14 @@
    * Runs the fleet until a condition holds and checks that no rule is violated; fails after {@link
    * #WAIT_MS}.
    */
-  void await(String what, BooleanSupplier holds) {
-    await(what, holds, WAIT_MS);
+  void await(String what, BooleanSupplier condition) {
+    await(what, condition, WAIT_MS);
   }
 
-  private void await(String what, BooleanSupplier holds, long ms) {
-    assertTrue(world.runUntil(holds, ms), "waited in vain for " + what);
+  private void await(String what, BooleanSupplier condition, long ms) {
+    assertTrue(world.runUntil(condition, ms), "timed out waiting for " + what);
     assertEquals(List.of(), world.checker.violations());
-    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended by themselves");
+    assertEquals(List.of(), world.unexpectedlyEnded(), "controllers ended unexpectedly");
   }
 
   /** Runs the client while the fleet goes on; {@code @} stands for all controllers' addresses. */
@@ -148,7 +148,7 @@
                       line.toArray(String[]::new));
               return new ClientResult(status, out.toString(), err.toString());
             });
-    assertTrue(world.runUntil(run::isDone, WAIT_MS), "the client does not end: " + line);
+    assertTrue(world.runUntil(run::isDone, WAIT_MS), "the client did not end: " + line);
     return run.join();
   }
 
@@ -167,20 +167,20 @@
    */
   void finishBacklog() {
     long backlogMs = new Backlog(world).durationMs();
-    long began = world.sim.now();
-    long end = began + backlogMs + WAIT_MS;
+    long startedAtMs = world.sim.now();
+    long endAtMs = startedAtMs + backlogMs + WAIT_MS;
     submitting = false;
     while (!world.areAllJobsOver()) {
       int results = world.jobs.resultCount();
       await(
           "the end of a task or of all jobs",
           () -> world.jobs.resultCount() > results || world.areAllJobsOver(),
-          Math.min(WAIT_MS, end - world.sim.now()));
+          Math.min(WAIT_MS, endAtMs - world.sim.now()));
     }
     System.out.printf(
         "all jobs ended %.1f s after the last was submitted; allowed were %.1f s and %.1f s for"
             + " the backlog%n",
-        (world.sim.now() - began) / 1000.0, WAIT_MS / 1000.0, backlogMs / 1000.0);
+        (world.sim.now() - startedAtMs) / 1000.0, WAIT_MS / 1000.0, backlogMs / 1000.0);
     checkEnd();
   }
 
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -72,7 +72,8 @@
   @Override
   ControllerNode newController(int index) {
     String state =
-        servers.serve((method, path, body, reply) -> state(index, method, path, body, reply));
+        servers.serve(
+            (method, path, body, reply) -> handleStateRequest(index, method, path, body, reply));
     String cloudAddress =
         servers.serve((method, path, body, reply) -> cloud.handle(path, body, reply));
     NodeConfigWriter.Addresses addresses =
@@ -113,11 +114,12 @@
         name -> servers.serve((method, path, body, reply) -> worker.takeCommands(body, reply)));
   }
 
-  private void state(int from, String method, String path, JsonNode body, ReplyHandler reply) {
+  private void handleStateRequest(
+      int from, String method, String path, JsonNode body, ReplyHandler reply) {
     ControllerNode node = controllers().get(from);
     boolean refused = network.cuts().forRegionalService(node, LinkKind.STATE).isPresent();
-    boolean noLease = path.equals("/grants") && nextLeader != null && nextLeader != node;
-    if (refused || noLease) {
+    boolean mayNotLead = path.equals("/grants") && nextLeader != null && nextLeader != node;
+    if (refused || mayNotLead) {
       reply.unavailable();
     } else {
       store.handle(method, path, body, reply);
@@ -129,12 +131,12 @@
   /**
    * Runs in real time until a condition holds.
    *
-   * @param mostMs longest time to wait, in milliseconds
+   * @param timeoutMs longest time to wait, in milliseconds
    * @return false if the condition did not hold in time
    */
-  boolean runUntil(BooleanSupplier holds, long mostMs) {
-    long end = sim.now() + mostMs;
-    while (!holds.getAsBoolean()) {
+  boolean runUntil(BooleanSupplier condition, long timeoutMs) {
+    long end = sim.now() + timeoutMs;
+    while (!condition.getAsBoolean()) {
       if (sim.now() >= end) {
         return false;
       }
--- a/src/test/java/shorecrank/sim/RandomFaults.java
+++ b/src/test/java/shorecrank/sim/RandomFaults.java
@@ -21,11 +21,11 @@
       double at = fromS + random().nextDouble() * (toS - fromS);
       double durationS =
           Math.round(Math.pow(random().nextDouble(), 2) * MAX_DURATION_TENTHS_S) / 10.0;
-      String who = pick(CONTROLLERS);
+      String target = pick(CONTROLLERS);
       String node = "n" + random().nextInt(3);
       String machine = String.format("n-%06d", 1 + random().nextInt(MACHINES));
       String mode = pick(MODES);
-      script().schedule(at, fault(random().nextInt(KINDS), durationS, who, node, machine, mode));
+      script().schedule(at, fault(random().nextInt(KINDS), durationS, target, node, machine, mode));
     }
   }
 
@@ -34,9 +34,10 @@
    * which the results for a seed depend.
    */
   private String fault(
-      int kind, double seconds, String who, String node, String machine, String mode) {
+      int kind, double seconds, String target, String node, String machine, String mode) {
     return switch (kind) {
-      case 0, 1 -> "crash " + who + " " + (random().nextBoolean() ? "0.2" : "" + (2 + seconds / 8));
+      case 0, 1 ->
+          "crash " + target + " " + (random().nextBoolean() ? "0.2" : "" + (2 + seconds / 8));
       case 2 -> "freeze " + node + " " + seconds;
       case 3, 4 -> "cut " + node + " " + pick(LINKS) + " " + seconds + " " + mode;
       case 5 ->
@@ -56,11 +57,11 @@
       case 18 -> "late-writes 0." + (1 + random().nextInt(6)) + " " + seconds + " at-once";
       case 19 -> "replay-to-next-leader " + seconds + ";crash leader 0.3";
       case 20 ->
-          "replay-to-next-leader " + (seconds + 5) + ";crash " + who + " " + (1 + seconds / 8);
+          "replay-to-next-leader " + (seconds + 5) + ";crash " + target + " " + (1 + seconds / 8);
       case 21 -> "cut-heartbeats " + machine + " " + seconds + " " + lossOrDelay();
       case 22 -> "slow-state " + (5 + random().nextInt(40)) + " " + seconds;
       case 23 -> "cut leader state 14 refuse;cancel-now 2;outage state " + (seconds + 10);
-      case 24 -> "cancel-now 3 " + seconds + ";crash " + who + " 2";
+      case 24 -> "cancel-now 3 " + seconds + ";crash " + target + " 2";
       case 25 -> "cancel-now 2;cut owner state " + seconds + " refuse";
       case 26 ->
           "cut leader state "
@@ -70,7 +71,7 @@
               + " hold;cancel-now 2";
       case 27 -> "cut-worker zone=a " + seconds + " hold;crash owner 3;cancel-now 1";
       case 28 -> "cut-answers zone=a " + seconds + ";crash leader 1";
-      default -> "crash " + who + " 0.3;crash " + who + " 0.1";
+      default -> "crash " + target + " 0.3;crash " + target + " 0.1";
     };
   }
 
--- a/src/test/java/shorecrank/sim/RandomRolloutActions.java
+++ b/src/test/java/shorecrank/sim/RandomRolloutActions.java
@@ -1,6 +1,6 @@
 package shorecrank.sim;
 
-/** Upgrades, returns of earlier versions, orders and faults, all drawn from the seed. */
+/** Upgrades, downgrades, operators' orders and faults, drawn from the scenario's seed. */
 final class RandomRolloutActions extends RandomActions {
   private static final String[] VERSIONS = {"none", "0-0", "0-1", "0-1", "0-1", "0-2", "0-2"};
   private static final String NEWEST = "0-2";
@@ -10,7 +10,9 @@
     super(world, line);
   }
 
-  /** After the last action all controllers get the newest version. */
+  /**
+   * Draws the actions, and schedules the newest version for all controllers after the last of them.
+   */
   @Override
   void draw(int count, double fromS, double toS) {
     for (int i = 0; i < count; i++) {
@@ -31,13 +33,13 @@
   }
 
   private String action(int number) {
-    String back = random().nextInt(3) == 0 ? "0.3" : "" + (1 + random().nextInt(4));
+    String restartS = random().nextInt(3) == 0 ? "0.3" : "" + (1 + random().nextInt(4));
     String version = pick(VERSIONS);
     String seconds = "" + (1 + random().nextInt(12));
     return switch (random().nextInt(20)) {
-      case 0, 1, 2, 3 -> "roll " + randomController() + " " + version + " " + back;
-      case 4 -> "roll leader " + version + " " + back;
-      case 5 -> "roll owner " + version + " " + back;
+      case 0, 1, 2, 3 -> "roll " + randomController() + " " + version + " " + restartS;
+      case 4 -> "roll leader " + version + " " + restartS;
+      case 5 -> "roll owner " + version + " " + restartS;
       case 6, 7, 8 ->
           "rollout-order "
               + randomController()
@@ -54,13 +56,13 @@
               + random().nextInt(2);
       case 11 -> "rollout-order n0 o" + number + " abort;rollout-order n1 o" + number + " abort";
       case 12 -> "rollout-order " + randomController() + " o" + number + " archive";
-      case 13 -> "crash " + randomTarget() + " " + back;
+      case 13 -> "crash " + randomTarget() + " " + restartS;
       case 14 -> "freeze " + randomTarget() + " " + seconds;
       case 15 -> "cut " + randomTarget() + " state " + seconds + " hold";
       case 16 -> "cut " + randomTarget() + " peers " + seconds + " drop";
       case 17 -> "late-writes 0.4 " + seconds;
       case 18 -> "outage state " + seconds;
-      default -> "cancel-now 2;crash " + randomTarget() + " " + back;
+      default -> "cancel-now 2;crash " + randomTarget() + " " + restartS;
     };
   }
 }
--- a/src/test/java/shorecrank/sim/RandomShareActions.java
+++ b/src/test/java/shorecrank/sim/RandomShareActions.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * Orders that move machines all the time, and faults at the steps of those moves, all drawn from
- * the seed.
+ * Orders that move machines throughout the run, and faults that strike at the steps of those moves,
+ * drawn from the scenario's seed.
  */
 final class RandomShareActions extends RandomActions {
   private static final double ORDER_EVERY_S = 2;
 
-  /** Moves whose steps may meet a fault: those numbered from 1 to here. */
+  /** Highest number of a move that a fault may strike; numbers start at 1. */
   private static final int MOVES = 24;
 
-  /** What a leader logs as a move goes from step to step. */
+  /** What a leader logs at each step of a move. */
   private static final String[] STEPS = {
     "move.requested id=", "move.draining id=", "move.handed_over id=", "move.done id="
   };
@@ -36,7 +36,10 @@
     }
   }
 
-  /** Moves up to three machines, wherever they are, to a shard; some at once through two nodes. */
+  /**
+   * Orders a move of up to three machines to a random shard; at times orders a second move of the
+   * same machines through a random controller, or aborts all moves.
+   */
   private void orderMove() {
     List<String> machines = world().workers().stream().map(SimulatedWorker::name).toList();
     if (machines.isEmpty()) {
@@ -77,9 +80,9 @@
   private String fault() {
     String seconds = "" + (1 + random().nextInt(12));
     String mode = pick("drop", "hold", "refuse");
-    String back = random().nextInt(2) == 0 ? "0.3" : "" + (1 + random().nextInt(5));
+    String restartS = random().nextInt(2) == 0 ? "0.3" : "" + (1 + random().nextInt(5));
     return switch (random().nextInt(18)) {
-      case 0, 1, 2 -> "crash " + randomTarget() + " " + back;
+      case 0, 1, 2 -> "crash " + randomTarget() + " " + restartS;
       case 3, 4 -> "freeze " + randomTarget() + " " + seconds;
       case 5 -> "cut " + randomTarget() + " state " + seconds + " " + mode;
       case 6 -> "cut " + randomTarget() + " peers " + seconds + " " + mode;
@@ -88,7 +91,7 @@
       case 9 -> "late-writes 1 2";
       case 10 -> "late-writes 0.6 5";
       case 11 -> "late-writes 1 2 at-once";
-      case 12 -> "crash all " + back;
+      case 12 -> "crash all " + restartS;
       case 13 -> "duplicate-heartbeats 8 30";
       case 14 -> "replay-to-next-leader 6;crash leader 0.3";
       case 15 -> "hang " + randomMachine() + " " + seconds;
--- a/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/RolloutMeasurementTest.java
@@ -16,14 +16,14 @@
 import shorecrank.rollout.ArchiveValueCodec;
 import shorecrank.storage.JobRecord;
 
-/** What rises and falls of the level cost, in simulated time. */
+/** Measures in simulated time what it costs to raise and lower the feature level. */
 @Tag("scale")
 class RolloutMeasurementTest {
   private static final int JOBS = 1000;
   private static final long DOWNGRADE_AT_MS = 120_000;
   private static final long POLL_MS = 100;
 
-  /** Counts of what reached the state service. */
+  /** Traffic at the state service while the level is lowered. */
   private static final class Traffic {
     int requests;
     int changes;
@@ -115,7 +115,10 @@
     }
   }
 
-  /** Mean and longest time until users' submissions were accepted. */
+  /**
+   * Returns count, mean and maximum of the times until submissions were accepted, for jobs that
+   * were submitted in a time range.
+   */
   private static String acceptanceTimes(World world, long fromMs, long toMs) {
     var stats =
         world.checker.answers().acceptances().stream()
--- a/src/test/java/shorecrank/sim/RolloutProcessTest.java
+++ b/src/test/java/shorecrank/sim/RolloutProcessTest.java
@@ -12,7 +12,8 @@
 import shorecrank.sim.ProcessFleet.ClientResult;
 
 /**
- * Real controllers and the client, as an operator uses them: up one level, an archive, and back.
+ * An operator uses the client with real controllers to raise the feature level, to create an
+ * archive, and to lower the level again.
  */
 class RolloutProcessTest {
   @TempDir Path dir;
@@ -37,17 +38,18 @@
     assertTrue(fleet.runClient("rollout", "status", "@").out().startsWith("level 0, stable"));
     ClientResult order = fleet.runClientAt(0, "rollout", "finalize", "@", "--level=1", "--id=up");
     assertEquals(0, order.status(), order.err());
-    // The same order at another controller has the same answer, and no further effect.
+    // The same order id at another controller gets the same answer and has no further effect.
     ClientResult again = fleet.runClientAt(1, "rollout", "finalize", "@", "--level=1", "--id=up");
     assertEquals(order, again);
     fleet.await("level 1", () -> fleet.state().level().value() == 1);
     fleet.await("a dense record", () -> fleet.world.rollouts.denseRecordCount() > 0);
     assertEquals(1, fleet.world.checker.rollout().rises());
     fleet.runFor(1500);
-    String[] told = new String[3];
+    String[] statusLines = new String[3];
     for (int i = 0; i < 3; i++) {
-      told[i] = fleet.runClientAt(i, "rollout", "status", "@").out().lines().findFirst().orElse("");
-      assertEquals("level 1, stable, written at most 1", told[i]);
+      statusLines[i] =
+          fleet.runClientAt(i, "rollout", "status", "@").out().lines().findFirst().orElse("");
+      assertEquals("level 1, stable, written at most 1", statusLines[i]);
     }
   }
 
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -12,8 +12,8 @@
 import shorecrank.sim.ProcessFleet.ClientResult;
 
 /**
- * Three real controllers, of the version in production and of this one, upgraded and downgraded in
- * random order under steady load: every job has one final answer.
+ * Upgrades and downgrades three real controllers between the production version and the current
+ * one, in random order under steady load: every job gets exactly one final answer.
  */
 @Tag("mixed-versions")
 class RolloutVersionsTest {
@@ -22,9 +22,9 @@
 
   @TempDir Path dir;
   private int restarts;
-  private int rises;
-  private int falls;
-  private int returnsAtLevel;
+  private int raises;
+  private int lowerings;
+  private int productionReturnsAtLevel;
 
   @Test
   void everyJobEndsOnceWhileVersionsGoUpAndDown() throws Exception {
@@ -47,9 +47,9 @@
           ROUNDS,
           fleet.submitted(),
           restarts,
-          rises,
-          falls,
-          returnsAtLevel,
+          raises,
+          lowerings,
+          productionReturnsAtLevel,
           fleet.world.checker.answers().endedJobCount());
       assertEquals(fleet.submitted(), fleet.world.checker.answers().endedJobCount());
     }
@@ -63,7 +63,7 @@
       if (random.nextBoolean()) {
         lower(fleet);
       } else {
-        returnsAtLevel++;
+        productionReturnsAtLevel++;
       }
     }
     roll(fleet, index, up ? current : production);
@@ -100,7 +100,7 @@
           return run.status() == 0;
         });
     fleet.await("level 1", () -> fleet.state().level().value() == 1);
-    rises++;
+    raises++;
     fleet.runFor(2500);
   }
 
@@ -112,7 +112,7 @@
         "the order to be taken",
         () -> fleet.runClient("rollout", "downgrade", "@", "--timeout=3").status() == 0);
     fleet.await("level 0", () -> fleet.state().level().value() == 0);
-    falls++;
+    lowerings++;
     assertEquals(0, fleet.world.rollouts.denseRecordCount());
   }
 }
--- a/src/test/java/shorecrank/sim/Rollouts.java
+++ b/src/test/java/shorecrank/sim/Rollouts.java
@@ -23,21 +23,24 @@
 import shorecrank.rollout.RolloutSetup;
 import shorecrank.storage.JobRecord;
 
-/** Versions and settings of the controllers, and operators' orders of the feature level. */
+/**
+ * The versions and settings of the simulated controllers, and operators' orders about the feature
+ * level.
+ */
 final class Rollouts {
   /**
    * A version of the program.
    *
-   * @param supported null for those from before feature levels
+   * @param supported the feature levels it supports; null for a version that has no feature levels
    */
   record Version(LevelRange supported) {
-    /** Whether it can run at a level. */
+    /** Reports whether the version can run at a feature level. */
     boolean supports(FeatureLevel level) {
       LevelRange range = supported == null ? LevelRange.UNANNOUNCED : supported;
       return range.supports(level);
     }
 
-    /** As in scenarios: {@code none}, or {@code 0-1}. */
+    /** Parses a version as written in scenarios: {@code none}, or a range such as {@code 0-1}. */
     static Version of(String text) {
       if (text.equals("none")) {
         return new Version(null);
@@ -64,12 +67,19 @@
     this.orders = new OrderSender(world, OperatorPaths.ROLLOUT_ORDERS);
   }
 
-  /** Controllers know feature levels, with the settings of an operators' file. */
+  /**
+   * Enables feature levels in the controllers.
+   *
+   * @param text contents of the operators' rollout settings file
+   */
   void enable(String text) throws InvalidConfigException {
     rolloutSettings = RolloutSettings.read(text);
   }
 
-  /** Has the level and the forms watched only: what runs is not known here. */
+  /**
+   * Enables the checks of feature level and record forms with default settings, for real processes
+   * whose versions are not known here.
+   */
   void enableWithDefaults() throws InvalidConfigException {
     enable("");
   }
@@ -78,17 +88,17 @@
     return rolloutSettings != null;
   }
 
-  /** What a controller runs as from its next start on. */
+  /** Sets the version that a controller's next start uses. */
   void setVersion(int index, Version version) {
     nextVersions.put(index, version);
   }
 
-  /** A controller has other settings from its next start on. */
+  /** Sets other settings for a controller, from its next start on. */
   void setSettings(int index, String text) {
     settingsOverrides.put(index, text);
   }
 
-  /** What a controller's settings file says. */
+  /** Returns the contents of a controller's settings file. */
   Settings settings(ControllerNode node) {
     String other = settingsOverrides.get(node.index());
     try {
@@ -98,7 +108,12 @@
     }
   }
 
-  /** The setup with which a controller starts; null for a version from before levels. */
+  /**
+   * Returns the rollout setup for a controller that starts now, and records the version that it
+   * runs.
+   *
+   * @return null if feature levels are not enabled or the version has none
+   */
   RolloutSetup setupForStart(ControllerNode node) {
     if (!isEnabled()) {
       return null;
@@ -116,22 +131,22 @@
         : RolloutSetup.of(rolloutSettings, "build-" + supported, settings(node), supported);
   }
 
-  /** What a controller runs, or ran last; null if that is not known. */
+  /** Returns the version that a controller runs, or ran last; null if it is not known. */
   Version runningVersion(ControllerNode node) {
     return runningVersions.get(node.index());
   }
 
-  /** Since when a controller runs its version, in simulated time. */
+  /** Returns the simulated time since when a controller has run its version, in milliseconds. */
   long runningSinceMs(int index) {
     return runningSinceMs.get(index);
   }
 
-  /** All controllers that have started, by index, and what they run. */
+  /** Passes the index and version of each controller that has started to a consumer. */
   void forEachRunning(BiConsumer<Integer, Version> consumer) {
     runningVersions.forEach(consumer);
   }
 
-  /** Whether the version that a controller runs knows of shares, and has them enabled. */
+  /** Reports whether a controller runs a version that supports shares. */
   boolean supportsShares(ControllerNode node) {
     Version version = runningVersion(node);
     return version != null && version.supports(Feature.SHARES.level());
@@ -142,7 +157,10 @@
     return !isEnabled() || version == null || version.supports(Feature.DENSE_RECORDS.level());
   }
 
-  /** What a version that knows no dense records makes of an answer: it finds no body in them. */
+  /**
+   * Returns an answer as a controller's version reads it: a version without dense records finds no
+   * body in them.
+   */
   JsonNode asReadBy(ControllerNode node, JsonNode answer) {
     if (readsDenseRecords(node)) {
       return answer;
@@ -161,31 +179,31 @@
     }
   }
 
-  /** The rollout as the state service has it. */
+  /** Returns the rollout state that the state service holds. */
   RolloutState state() {
     JsonNode value = world.store.peek(RolloutMessages.KEY);
     RolloutState state = value.isMissingNode() ? null : RolloutCodec.readState(value).orElse(null);
     return state == null ? RolloutState.INITIAL : state;
   }
 
-  /** How many live records are in the dense form. */
+  /** Returns how many live job records are in the dense form. */
   long denseRecordCount() {
     return world.store.keys(JobRecord.LIVE_PREFIX).stream()
         .filter(key -> JobRecord.isDense(world.store.peek(key)))
         .count();
   }
 
-  /** Sends an order to a controller until it is answered, like an operator's client. */
+  /** Sends an order to a controller until it is answered, as an operator's client does. */
   void sendOrder(int index, String id, OrderKind kind, int level) {
     orders.send(index, id, RolloutOrderCodec.write(new RolloutOrder(id, kind, level)));
   }
 
-  /** Operators' orders and the answers to them. */
+  /** Returns the sender of rollout orders, which also holds the answers. */
   OrderSender orders() {
     return orders;
   }
 
-  /** What there is, for the report of a failure. */
+  /** Returns the state of the rollout as text for a failure report. */
   String describe() {
     RolloutRule rule = world.checker.rollout();
     return Json.object()
--- a/src/test/java/shorecrank/sim/ScaleTest.java
+++ b/src/test/java/shorecrank/sim/ScaleTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A fleet that is rented from nothing, assigned, heard and given tasks, while leader and owner end
- * once each. Larger fleets run with {@code -Pscale}.
+ * Rents a whole fleet, assigns its machines and runs tasks on them, while the leader and the shard
+ * owner crash once each. Larger fleets run with {@code -Pscale}.
  */
 class ScaleTest {
   private static final int STATE_REQUESTS_PER_S = 250;
   private static final int STATE_WRITES_PER_S = 250;
 
-  /** Other controllers take no larger request. */
+  /** Largest request that a controller accepts from another one. */
   private static final int MAX_PEER_REQUEST_BYTES = 512 * 1024;
 
   private static final int TASKS_PER_JOB = 150;
@@ -90,7 +90,10 @@
     assertTrue(measurements.largestMessage("/peer/beat") < MAX_PEER_REQUEST_BYTES);
   }
 
-  /** Ends the owner; returns what it held: the heap in use with it and without it. */
+  /**
+   * Crashes the shard owner and returns the heap that it occupied in megabytes: the heap in use
+   * before the crash less the heap in use after it.
+   */
   private static double crashOwner(World world) {
     ControllerNode owner = world.owner(0).orElseThrow();
     long usedWithOwner = usedHeapAfterGc();
--- a/src/test/java/shorecrank/sim/ServiceFaults.java
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -7,7 +7,10 @@
 import shorecrank.protocol.Json;
 import shorecrank.storage.JobRecord;
 
-/** Outages of the regional services, slow and late writes, and strangers' changes of keys. */
+/**
+ * Scenario actions for outages of the regional services, slow answers and late writes, and for keys
+ * that another program changes.
+ */
 final class ServiceFaults {
   static final Map<String, Action.Reader> ACTIONS =
       Map.of(
@@ -21,7 +24,7 @@
 
   private ServiceFaults() {}
 
-  /** {@code outage state|cloud SECONDS}: every request is answered with 503. */
+  /** {@code outage state|cloud SECONDS}: the service answers every request with 503. */
   private static Action outage(ScenarioLine line) {
     long durationMs = line.milliseconds(2);
     Action begin =
@@ -36,7 +39,9 @@
     };
   }
 
-  /** {@code slow-state FACTOR SECONDS}: the state service answers that much slower. */
+  /**
+   * {@code slow-state FACTOR SECONDS}: multiplies the delays of the state service by the factor.
+   */
   private static Action slow(ScenarioLine line) {
     double factor = line.decimal(1);
     long durationMs = line.milliseconds(2);
@@ -44,8 +49,8 @@
   }
 
   /**
-   * {@code late-writes SHARE SECONDS [at-once]}: a share of transactions gets no answer, and is
-   * carried out late or at once.
+   * {@code late-writes SHARE SECONDS [at-once]}: a share of the transactions gets no answer; the
+   * state service applies them seconds later, or immediately with {@code at-once}.
    */
   private static Action lateWrites(ScenarioLine line) {
     double share = line.decimal(1);
@@ -57,12 +62,12 @@
     return world -> world.network.stateService().loseAnswers(share, durationMs, atOnce);
   }
 
-  /** {@code lower-limits}: those that were planned hold from now on. */
+  /** {@code lower-limits}: puts the planned limits of the state service into effect. */
   private static Action lowerLimits(ScenarioLine line) {
     return world -> world.store.setLimits(world.site.nextLimits().orElseThrow());
   }
 
-  /** {@code write-key KEY JSON}: a stranger writes a key. */
+  /** {@code write-key KEY JSON}: writes a key as another program would. */
   private static Action writeKey(ScenarioLine line) {
     String key = line.word(1);
     JsonNode value = Json.parse(line.textFrom(2).getBytes(StandardCharsets.UTF_8));
@@ -72,7 +77,10 @@
     return world -> world.store.overwrite(key, value);
   }
 
-  /** {@code foreign-write JOB BY}: a stranger writes the record, at an epoch higher by so much. */
+  /**
+   * {@code foreign-write JOB BY}: writes the job's record as another program would, at an epoch
+   * raised by this number.
+   */
   private static Action foreignWrite(ScenarioLine line) {
     String key = JobRecord.LIVE_PREFIX + line.word(1);
     long by = line.longInteger(2);
@@ -83,7 +91,7 @@
     };
   }
 
-  /** {@code remove-record JOB}: a stranger removes the record. */
+  /** {@code remove-record JOB}: removes the job's record as another program would. */
   private static Action removeRecord(ScenarioLine line) {
     String key = JobRecord.LIVE_PREFIX + line.word(1);
     return world -> world.store.overwrite(key, null);
--- a/src/test/java/shorecrank/sim/Shares.java
+++ b/src/test/java/shorecrank/sim/Shares.java
@@ -15,9 +15,15 @@
 import shorecrank.protocol.ShareStateMessages.SharesState;
 import shorecrank.rebalance.ShareSettings;
 
-/** The settings of shares, operators' orders of them, and what controllers wrote of both. */
+/**
+ * The settings of shares, operators' orders about shares and moves, and what the controllers have
+ * stored of both.
+ */
 final class Shares {
-  /** Keys of machines' assignments, and where name and shard stand in each entry. */
+  /**
+   * Prefix of the keys that hold the machines' assignments. Each machine's entry is an array, with
+   * its name and shard at the indexes below.
+   */
   static final String ASSIGNMENT_PREFIX = "hosts/";
 
   static final int NAME_INDEX = 0;
@@ -34,7 +40,7 @@
     this.orders = new OrderSender(world, OperatorPaths.SHARES_ORDERS);
   }
 
-  /** Adds a line to the operators' settingsText. */
+  /** Adds a line to the operators' settings file. */
   void addSetting(String text) {
     settingsText.append(text).append('\n');
   }
@@ -43,7 +49,10 @@
     return !settingsText.isEmpty();
   }
 
-  /** The settings with which a controller starts; null for a version without shares. */
+  /**
+   * Returns the settings for a controller that starts now; null if shares are not enabled or its
+   * version has none.
+   */
   ShareSettings settingsFor(ControllerNode node) {
     if (!isEnabled() || !world.rollouts.supportsShares(node)) {
       return null;
@@ -58,14 +67,17 @@
     return settings;
   }
 
-  /** Shares and moves as the state service has them. */
+  /** Returns the shares and moves that the state service holds. */
   SharesState state() {
     JsonNode value = world.store.peek(ShareStateMessages.KEY);
     SharesState state = value.isMissingNode() ? null : ShareStateCodec.read(value).orElse(null);
     return state == null ? SharesState.INITIAL : state;
   }
 
-  /** Machines by shard, as the state service has them. */
+  /**
+   * Returns the machines assigned to each shard in the state service; a shard without machines has
+   * no entry.
+   */
   Map<Integer, List<String>> machinesByShard() {
     Map<Integer, List<String>> byShard = new TreeMap<>();
     for (String key : world.store.keys(ASSIGNMENT_PREFIX)) {
@@ -79,17 +91,17 @@
     return byShard;
   }
 
-  /** Sends an order to a controller until it is answered, like an operator's client. */
+  /** Sends an order to a controller until it is answered, as an operator's client does. */
   void sendOrder(int index, ShareOrder order) {
     orders.send(index, order.id(), ShareOrderCodec.write(order));
   }
 
-  /** Operators' orders and the answers to them. */
+  /** Returns the sender of share orders, which also holds the answers. */
   OrderSender orders() {
     return orders;
   }
 
-  /** What there is, for the report of a failure. */
+  /** Returns the state of shares and moves as text for a failure report. */
   String describe() {
     return Json.object()
         .put("state", ShareStateCodec.write(state()).toString())
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** What moves take and cost, in simulated time; figures are printed for docs/measurements.md. */
+/**
+ * Measures in simulated time how long moves of machines take and what they cost. The printed
+ * figures are for docs/measurements.md.
+ */
 @Tag("shares")
 class SharesMeasurementTest {
   private static final String FLEET =
@@ -23,7 +26,8 @@
       """;
 
   /**
-   * Some machine is always being emptied here, and some task always waits: that alone is no fault.
+   * Runs a scenario and checks its violations, except those of waiting tasks: in these scenarios
+   * some machine always drains and some task always waits, which alone is no fault.
    */
   private static World runScenario(String text, Measurements measurements) throws Exception {
     Scenario scenario = new Scenario("measurement", text);
@@ -92,7 +96,13 @@
     }
   }
 
-  /** Once a second: who is done, and how many processors idle while something waits. */
+  /**
+   * Records once a second which jobs are done, and adds the idle processors while a task waits.
+   *
+   * @param spike time at which the urgent job was done, in seconds; negative until then
+   * @param backlog time at which the other job was done, in seconds; negative until then
+   * @param idle idle processor seconds so far
+   */
   private static void sample(World world, double[] spike, double[] backlog, double[] idle) {
     double now = world.sim.now() / 1000.0;
     if (spike[0] < 0 && world.checker.answers().isDone("wk-2")) {
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -18,9 +18,9 @@
 import shorecrank.sim.ProcessFleet.ClientResult;
 
 /**
- * Real controllers on loopback with two shards, and an operator with the client: machines move
- * every few seconds under steady load while controllers end. No rule breaks, no start comes from
- * another shard than the machine's, and every job has one final answer.
+ * Moves machines between two shards of real controllers every few seconds, under steady load and
+ * while controllers crash. No rule is violated, no start comes from another shard than the
+ * machine's, and every job gets exactly one final answer.
  */
 class SharesProcessTest {
   private static final int MACHINES = 6;
@@ -69,8 +69,8 @@
   }
 
   /**
-   * The jobs ask for more processors than team t may use, and moves at random leave its shard fewer
-   * still: a backlog grows for ten minutes, and what is left of it at the end takes its time.
+   * The jobs need more processors than team t may use, and random moves take machines from its
+   * shard. The backlog grows for ten minutes, and the jobs left at the end need extra time.
    */
   @Tag("shares")
   @Test
@@ -88,7 +88,7 @@
     ClientResult early = fleet.runClient("shares", "move", "@", "--from=0", "--count=1", "--to=1");
     assertEquals(1, early.status(), early.out());
     assertTrue(early.err().contains("feature level in force knows no shares"), early.err());
-    // Refused until the leader has heard all controllers.
+    // Refused until the leader has received heartbeats of all controllers.
     fleet.await(
         "the level to rise",
         () -> fleet.runClient("rollout", "finalize", "@", "--level=2").status() == 0);
@@ -115,7 +115,7 @@
     ClientResult set = fleet.runClient("shares", "set", "@", "--team=u", "--min=8", "--json");
     assertEquals(0, set.status(), set.err());
     assertTrue(set.out().contains("\"accepted\" : true"), set.out());
-    // The same order at two controllers is one order, with one answer.
+    // The same order id at two controllers is one order with one answer.
     ClientResult one =
         fleet.runClientAt(0, "shares", "move", "@", "--from=0", "--count=1", "--to=1", "--id=a");
     ClientResult two =
@@ -168,11 +168,14 @@
     }
   }
 
-  /** Some machines go to the other shard, by an order of this client's. */
+  /**
+   * Orders one or two machines to move to the other shard, from a random shard that keeps at least
+   * one.
+   */
   private void orderMove(ProcessFleet fleet, Random random) {
     int from = random.nextInt(2);
-    List<String> there = new ArrayList<>(assigned(fleet).getOrDefault(from, List.of()));
-    int count = Math.min(there.size() - 1, 1 + random.nextInt(2));
+    List<String> machines = new ArrayList<>(assigned(fleet).getOrDefault(from, List.of()));
+    int count = Math.min(machines.size() - 1, 1 + random.nextInt(2));
     if (count < 1) {
       return;
     }
@@ -186,7 +189,7 @@
             "--to=" + (1 - from),
             "--from=" + from,
             "--count=" + count);
-    // Machines that are moving already can't be ordered again; that is said.
+    // Machines that are already moving can't be ordered again; the client exits with status 1.
     assertTrue(run.status() == 0 || run.status() == 1, run.err());
     accepted += run.status() == 0 ? 1 : 0;
   }
--- a/src/test/java/shorecrank/sim/SimulatedCloud.java
+++ b/src/test/java/shorecrank/sim/SimulatedCloud.java
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 import shorecrank.protocol.Json;
 
-/** A stand-in for the cloud, made from the protocol's page. */
+/** A simulated cloud that implements the protocol of the real one. */
 final class SimulatedCloud {
-  /** How old the machine list is, in seconds. */
+  /** Age of the machine list that the cloud returns, in seconds. */
   static final double LIST_LAG_S = 3;
 
   private static final double MS_PER_S = 1000;
@@ -25,7 +25,7 @@
   private static final double PRICE_PER_CPU = 0.04;
   private static final double SPOT_PRICE_PER_CPU = 0.015;
 
-  /** A rented machine; it has a worker once it is up. */
+  /** A rented machine; its worker is null until it has booted. */
   private static final class Machine {
     private final String name;
     private final String type;
@@ -53,7 +53,7 @@
     }
   }
 
-  /** The machine list as it was at a time. */
+  /** The machine list at a point in time. */
   private record Snapshot(long atMs, List<ObjectNode> machines) {}
 
   private final World world;
@@ -75,32 +75,36 @@
     takeSnapshot();
   }
 
-  /** How many machines can be there at a time; rental requests beyond that are refused. */
+  /** Sets how many machines can be rented at a time; requests beyond that are refused. */
   void setCapacity(int count) {
     capacity = count;
   }
 
-  /** The next rented machines, so many, never come up. */
+  /**
+   * Makes the next machines fail to boot.
+   *
+   * @param count how many
+   */
   void failBoots(int count) {
     bootsToFail = count;
   }
 
-  /** Refuses all requests for a while. */
+  /** Refuses all requests for the given time. */
   void beginOutage(long durationMs) {
     outageUntilMs = sim.now() + durationMs;
   }
 
-  /** How many machines there are, with those that boot. */
+  /** Returns the number of rented machines, including those that are booting. */
   int size() {
     return machines.size();
   }
 
-  /** The most machines that were there at one moment. */
+  /** Returns the largest number of machines that were rented at a time. */
   int largestSize() {
     return largestSize;
   }
 
-  /** Whether a controller has ever returned the machine. */
+  /** Reports whether a controller has ever released the machine. */
   boolean wasReturned(String machine) {
     return released.contains(machine);
   }
@@ -119,8 +123,8 @@
   /**
    * Adds a machine.
    *
-   * @param bootS its nominal boot time in seconds; 0 if it is up at once
-   * @return its name
+   * @param bootS nominal boot time in seconds; 0 if it is up at once
+   * @return the machine's name
    */
   String addMachine(String type, String zone, boolean spot, double bootS) {
     String name = String.format("n-%06d", nextNumber++);
@@ -146,7 +150,7 @@
     }
   }
 
-  /** Takes a machine away, with everything on it. */
+  /** Removes a machine and everything on it. */
   void removeMachine(String name) {
     Machine machine = machines.remove(name);
     if (machine != null && machine.worker != null) {
@@ -157,7 +161,7 @@
 
   // ---- requests --------------------------------------------------------------------------------
 
-  /** Carries a request out now. */
+  /** Handles a request immediately. */
   void handle(String path, JsonNode body, ReplyHandler reply) {
     if (sim.now() < outageUntilMs) {
       reply.unavailable();
@@ -186,12 +190,12 @@
         .types()
         .forEach(
             (name, type) -> {
-              ObjectNode written = types.addObject().put("sku", name).put("cpus", type.cpus());
-              written.put("accelerators", 0).put("memoryGb", type.memoryGb()).put("localGb", 50);
-              written.put("fetchGbPerS", 1.0);
-              written.put("hourly", type.cpus() * PRICE_PER_CPU);
-              written.put("spotPrice", type.cpus() * SPOT_PRICE_PER_CPU);
-              ArrayNode zones = written.put("startupS", type.bootS()).putArray("sites");
+              ObjectNode entry = types.addObject().put("sku", name).put("cpus", type.cpus());
+              entry.put("accelerators", 0).put("memoryGb", type.memoryGb()).put("localGb", 50);
+              entry.put("fetchGbPerS", 1.0);
+              entry.put("hourly", type.cpus() * PRICE_PER_CPU);
+              entry.put("spotPrice", type.cpus() * SPOT_PRICE_PER_CPU);
+              ArrayNode zones = entry.put("startupS", type.bootS()).putArray("sites");
               type.zones().forEach(zones::add);
             });
     return catalog;
--- a/src/test/java/shorecrank/sim/SimulatedController.java
+++ b/src/test/java/shorecrank/sim/SimulatedController.java
@@ -15,18 +15,20 @@
 import shorecrank.protocol.Json;
 import shorecrank.rollout.RolloutSetup;
 
-/** A controller whose state machine runs in this process, on the simulated clock. */
+/** A controller whose state machine runs inside the test's process, on the simulated clock. */
 final class SimulatedController extends ControllerNode {
   private static final long TICK_MS = 50;
   private static final long FIRST_TICK_MS = 20;
   private static final int FIRST_TICK_SPREAD_MS = 50;
 
-  /** Clocks drift by up to half of this, either way. */
+  /**
+   * A controller's clock runs faster or slower than simulated time by up to half of this fraction.
+   */
   private static final double CLOCK_DRIFT_RANGE = 0.001;
 
   private static final int MAX_CLOCK_OFFSET_MS = 1_000_000;
 
-  /** Time of day when a run begins, in milliseconds. */
+  /** Wall-clock time at which a run begins, in milliseconds since 1970. */
   private static final long WALL_CLOCK_START_MS = 1_000_000_000_000L;
 
   private final Simulation sim;
@@ -45,7 +47,7 @@
     this.clockOffsetMs = sim.random().nextInt(MAX_CLOCK_OFFSET_MS);
   }
 
-  /** Processor time of its steps, if that is measured. */
+  /** Returns the processor time of all steps, in nanoseconds; 0 if it is not measured. */
   long busyNanos() {
     return busyNanos;
   }
@@ -90,7 +92,9 @@
     sim.after(TICK_MS, () -> tick(startNumber));
   }
 
-  /** Hands an input in; a frozen process reads what came meanwhile once it goes on. */
+  /**
+   * Passes an input to the state machine. A frozen controller processes it when the freeze ends.
+   */
   void input(Input input) {
     if (sim.now() >= frozenUntilMs) {
       step(input);
@@ -135,10 +139,10 @@
 
   private void step(Input input) {
     MonotonicTime now = localTime();
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     List<Output> outputs =
         stateMachine.step(input, now, WALL_CLOCK_START_MS + sim.now(), sim.random().nextLong());
-    busyNanos += world().recorder.recordStep(input, System.nanoTime() - began, outputs);
+    busyNanos += world().recorder.recordStep(input, System.nanoTime() - startNanos, outputs);
     for (Output output : outputs) {
       world().recorder.recordOutput(this, output);
       perform(output);
--- a/src/test/java/shorecrank/sim/SimulatedStateService.java
+++ b/src/test/java/shorecrank/sim/SimulatedStateService.java
@@ -12,7 +12,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.rollout.ArchiveFormat.VersionedValue;
 
-/** A stand-in for the state service, made from the protocol's page. */
+/** A simulated state service that implements the protocol of the real one. */
 final class SimulatedStateService {
   private static final long EXPIRY_CHECK_MS = 50;
   private static final int MAX_TRANSACTION_BYTES = 65_536;
@@ -22,13 +22,13 @@
   private static final String KEY_PATH = "/store/";
   private static final String LEASES_PATH = "/grants";
 
-  /** A key's value with the revision of its last change, and its lease or 0. */
+  /** A key's value, the revision of its last change, and its lease or 0. */
   private record Entry(JsonNode data, long revision, long lease) {}
 
   /** A change of a key; the data is null if the key was removed. */
   private record Change(String key, JsonNode data, long revision) {}
 
-  /** A request that waits for changes of keys with a prefix, after a revision. */
+  /** A request that waits for changes after a revision to keys with a prefix. */
   private record Watch(String prefix, long from, long untilMs, ReplyHandler reply) {}
 
   private final Simulation sim;
@@ -50,12 +50,12 @@
     sim.after(EXPIRY_CHECK_MS, this::expireLeasesAndWatches);
   }
 
-  /** What it was asked for so far. */
+  /** Returns the counts of the requests received so far. */
   StateServiceMeter meter() {
     return meter;
   }
 
-  /** The sizes that it takes. */
+  /** Returns the size limits that are in effect. */
   StateLimits limits() {
     return limits;
   }
@@ -64,12 +64,15 @@
     limits = newLimits;
   }
 
-  /** Has the operations of each transaction shown to somebody, right before they are applied. */
+  /**
+   * Registers an observer that gets the operations of each transaction right before they are
+   * applied.
+   */
   void beforeTransactions(Consumer<JsonNode> observer) {
     observers.add(observer);
   }
 
-  /** Refuses all requests for a while; after that, all leases have their full time again. */
+  /** Refuses all requests for the given time; when it ends, all leases are renewed. */
   void beginOutage(long durationMs) {
     outageUntilMs = Math.max(outageUntilMs, sim.now() + durationMs);
     sim.after(
@@ -110,19 +113,26 @@
 
   // ---- requests --------------------------------------------------------------------------------
 
-  /** Carries a transaction out, so long after it was sent; nobody waits for the answer. */
+  /**
+   * Applies a transaction that its sender has stopped waiting for.
+   *
+   * @param sentBeforeMs how long ago it was sent, in milliseconds
+   */
   void applyLate(long sentBeforeMs, JsonNode body) {
     lateByMs = sentBeforeMs;
     handle("POST", "/multi", body, ReplyHandler.IGNORE);
     lateByMs = 0;
   }
 
-  /** How long ago the transaction was sent that is being carried out late; 0 if it is not late. */
+  /**
+   * Returns how long ago the transaction that is being applied was sent, in milliseconds; 0 if it
+   * is not a late one.
+   */
   long lateByMs() {
     return lateByMs;
   }
 
-  /** Carries a request out now. */
+  /** Handles a request immediately. */
   void handle(String method, String path, JsonNode body, ReplyHandler reply) {
     meter.add(body == null ? 0 : body.path("apply").size());
     String[] pathAndQuery = path.split("\\?", 2);
@@ -294,11 +304,11 @@
     wakeWatches();
   }
 
-  /** Why a transaction is not looked at; empty if it is. */
+  /** Returns why a transaction is rejected before its guards are checked; empty if it is not. */
   private String rejectionReason(JsonNode body, JsonNode operations) {
-    int most = limits.transactionOperations();
-    if (operations.size() > most
-        || body.path("guards").size() > GUARDS_PER_OPERATION * most
+    int maxOperations = limits.transactionOperations();
+    if (operations.size() > maxOperations
+        || body.path("guards").size() > GUARDS_PER_OPERATION * maxOperations
         || Json.bytes(body).length > MAX_TRANSACTION_BYTES) {
       meter.addRefusedForSize();
       return "too large";
@@ -327,20 +337,20 @@
     changes.add(new Change(key, null, revision));
   }
 
-  // ---- from outside ----------------------------------------------------------------------------
+  // ---- access for tests ------------------------------------------------------------------------
 
-  /** A key's value as it is now; missing if there is no such key. */
+  /** Returns a key's current value; a missing node if the key does not exist. */
   JsonNode peek(String key) {
     Entry entry = entries.get(key);
     return entry == null ? Json.parse(null) : entry.data;
   }
 
-  /** All keys with a prefix, in their order. */
+  /** Returns all keys with a prefix, in ascending order. */
   List<String> keys(String prefix) {
     return entries.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
   }
 
-  /** All keys as they were right after a revision. */
+  /** Returns all keys with their values as they were right after a revision. */
   Map<String, VersionedValue> entriesAt(long atRevision) {
     Map<String, VersionedValue> all = new TreeMap<>();
     for (Change change : changes) {
@@ -357,9 +367,9 @@
   }
 
   /**
-   * Changes a key as a stranger would, without guards.
+   * Changes a key without guards, as another program could.
    *
-   * @param data null to remove it
+   * @param data null to remove the key
    */
   void overwrite(String key, JsonNode data) {
     revision++;
--- a/src/test/java/shorecrank/sim/SimulatedTask.java
+++ b/src/test/java/shorecrank/sim/SimulatedTask.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** An attempt of a task on a simulated machine. */
+/** An attempt to run a task on a simulated machine. */
 final class SimulatedTask {
   private final String id;
   private final long attempt;
@@ -18,17 +18,17 @@
     this.attempt = attempt;
   }
 
-  /** Job and index, as on the wire. */
+  /** Returns the task's id as on the wire: job and index. */
   String id() {
     return id;
   }
 
-  /** The id of its job. */
+  /** Returns the id of the task's job. */
   String job() {
     return SubmittedJobs.jobOf(id);
   }
 
-  /** Where it stands. */
+  /** Returns the current phase. */
   TaskPhase phase() {
     return phase;
   }
@@ -37,63 +37,78 @@
     return phase == TaskPhase.EXITED;
   }
 
-  /** Whether it is on its machine, as the protocol's rules count that. */
+  /**
+   * Reports whether the attempt counts as being on its machine by the protocol's rules: from the
+   * start of the task until it ends.
+   */
   boolean isOnMachine() {
     return onMachine;
   }
 
-  /** When it came to run. */
+  /** Returns the simulated time at which the task started to run, in milliseconds. */
   long runningSinceMs() {
     return runningSinceMs;
   }
 
-  /** Whether its phase ends now, if nothing ends it before. */
+  /** Reports whether the current phase ends at the given time, if nothing ended it earlier. */
   boolean isPhaseOver(long nowMs) {
     return !isExited() && nowMs >= phaseEndsAtMs;
   }
 
-  /** It waits for its image until then. */
+  /** Sets the time at which the image will have been fetched. */
   void fetchUntil(long ms) {
     phaseEndsAtMs = ms;
   }
 
-  /** It has its image, and is on its machine from now on. */
+  /** Starts the task: its image is fetched, and it is on its machine from now on. */
   void run(long nowMs) {
     phase = TaskPhase.RUNNING;
     onMachine = true;
     runningSinceMs = nowMs;
   }
 
-  /** It runs until then, if nothing stops it. */
+  /** Sets the time at which the task will complete if nothing stops it. */
   void runUntil(long ms) {
     phaseEndsAtMs = ms;
   }
 
-  /** It was told to stop, and saves its progress until then. */
+  /**
+   * Starts to save a checkpoint, after a command to stop.
+   *
+   * @param ms simulated time at which the checkpoint will be saved
+   */
   void saveUntil(long ms) {
     phase = TaskPhase.SAVING;
     phaseEndsAtMs = ms;
   }
 
-  /** Its progress is saved. */
+  /** Marks the checkpoint as saved. */
   void keepProgress() {
     progressKept = true;
   }
 
-  /** It ends. */
+  /**
+   * Ends the attempt.
+   *
+   * @param why the cause as on the wire
+   */
   void exit(String why) {
     phase = TaskPhase.EXITED;
     cause = why;
   }
 
-  /** It is on its machine no more; returns whether it was. */
+  /**
+   * Takes the attempt off its machine.
+   *
+   * @return whether it was on the machine
+   */
   boolean leaveMachine() {
     boolean was = onMachine;
     onMachine = false;
     return was;
   }
 
-  /** Puts it into a report. */
+  /** Writes the attempt's state into a heartbeat. */
   void writeTo(ObjectNode report) {
     report.put("piece", id).put("try", attempt).put("phase", phase.wireName());
     if (isExited()) {
--- a/src/test/java/shorecrank/sim/SimulatedUsers.java
+++ b/src/test/java/shorecrank/sim/SimulatedUsers.java
@@ -5,14 +5,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The users: they submit jobs, ask about them, cancel some, and repeat what was not answered. */
+/**
+ * The simulated users: they submit jobs, query and cancel them, and repeat requests that got no
+ * answer.
+ */
 final class SimulatedUsers {
   private static final long GIVE_UP_MS = 60_000;
   private static final long RETRY_MS = 1000;
   private static final long QUERY_EVERY_MS = 5000;
   private static final int FIRST_QUERY_WITHIN_MS = 3000;
 
-  /** Some ask again long after they were told of the end. */
+  /** Time after which a user queries a job once more when its end is known already. */
   private static final long LATE_QUERY_MS = 15_000;
 
   private final World world;
@@ -29,27 +32,36 @@
     this.client = new UserClient(world, behavior::answered);
   }
 
-  /** Sends their requests. */
+  /** Returns the client that sends the users' requests. */
   UserClient client() {
     return client;
   }
 
-  /** What they do beyond submitting and asking. */
+  /** Returns the users' additional behavior beyond submitting and querying. */
   UserBehavior behavior() {
     return behavior;
   }
 
-  /** Status of the latest answer to a query, or of a submission that was refused; 0 if none. */
+  /**
+   * Returns the status of the latest answer to a query, or of a submission that failed; 0 if there
+   * is none.
+   */
   int latestStatus(String job) {
     return latestStatuses.getOrDefault(job, 0);
   }
 
-  /** Whether the job's user gave up submitting it while there still were faults. */
+  /**
+   * Reports whether the job's user stopped retrying the submission while faults could still have
+   * effects.
+   */
   boolean gaveUpDuringFaults(String job) {
     return givenUpInFaults.contains(job);
   }
 
-  /** A new job; its user repeats the submission until it is answered, and then asks about it. */
+  /**
+   * Submits a new job: repeats the submission until it is answered, and then queries the job until
+   * it has ended.
+   */
   void submit(String job, JobPlan plan) {
     world.jobs.submit(job, plan);
     world.checker.submitted(job);
@@ -57,13 +69,13 @@
     behavior.submitted(job, plan);
   }
 
-  /** Submits again a job that may be long over. */
+  /** Submits a known job again, which may have ended long ago. */
   void resubmit(String job) {
     UserRequest request = UserRequest.submit(job, world.jobs.plan(job));
     trySubmit(request, sim.now() + GIVE_UP_MS, false);
   }
 
-  /** Submits a job again at one controller, once. */
+  /** Submits a known job again, once and to one controller. */
   void resubmitAt(ControllerNode node, String job) {
     client.send(node, UserRequest.submit(job, world.jobs.plan(job)), ReplyHandler.IGNORE);
   }
@@ -98,12 +110,12 @@
     sim.after(QUERY_EVERY_MS, () -> queryUntilOver(job));
   }
 
-  /** Asks how a job stands, once. */
+  /** Queries a job once. */
   void query(String job) {
     client.send(UserRequest.query(job), (status, body) -> latestStatuses.put(job, status));
   }
 
-  /** Asks for a job to be cancelled until that is confirmed. */
+  /** Requests the cancellation of a job until that is confirmed. */
   void cancel(String job) {
     world.jobs.requestCancel(job);
     tryCancel(job, sim.now() + GIVE_UP_MS);
@@ -119,7 +131,7 @@
         });
   }
 
-  /** A task has completed; called by its worker. */
+  /** Records that a task has completed; called by its worker. */
   void completed(String task) {
     world.jobs.addResult(task);
     behavior.completed(SubmittedJobs.jobOf(task));
--- a/src/test/java/shorecrank/sim/SimulatedWorker.java
+++ b/src/test/java/shorecrank/sim/SimulatedWorker.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import shorecrank.protocol.Json;
 
-/** A stand-in for a machine and its worker, made from the protocol's page. */
+/** A simulated machine with its worker, which implements the worker's side of the protocol. */
 final class SimulatedWorker {
   private static final double MS_PER_S = 1000;
   private static final long TICK_MS = 50;
@@ -14,7 +14,7 @@
   private static final long CONTROLLER_SWITCH_DELAY_MS = 1000;
   private static final long ANSWER_TIMEOUT_MS = 4000;
 
-  /** Clocks drift by up to half of this, either way. */
+  /** A worker's clock runs faster or slower than simulated time by up to half of this fraction. */
   private static final double CLOCK_DRIFT_RANGE = 0.001;
 
   private final World world;
@@ -39,7 +39,7 @@
   private long lastHeartbeatMs = -100_000;
   private long nextHeartbeatMs;
   private long lastTokenHeartbeatMs = -100_000;
-  private boolean heartbeatDue;
+  private boolean earlyHeartbeatRequested;
 
   SimulatedWorker(World world, String name, String type, String zone, boolean spot) {
     this.world = world;
@@ -56,17 +56,17 @@
     tick();
   }
 
-  /** The machine's name. */
+  /** Returns the machine's name. */
   String name() {
     return name;
   }
 
-  /** The machine's type. */
+  /** Returns the machine's type. */
   String type() {
     return type;
   }
 
-  /** The machine's zone. */
+  /** Returns the machine's zone. */
   String zone() {
     return zone;
   }
@@ -75,29 +75,29 @@
     return spot;
   }
 
-  /** What is on the machine. */
+  /** Returns the tasks on the machine. */
   WorkerTasks tasks() {
     return tasks;
   }
 
-  /** Starts at 1, and rises each time its lease expires. */
+  /** Returns the worker's incarnation, which starts at 1 and increases when its lease expires. */
   long incarnation() {
     return incarnation;
   }
 
-  /** The highest fencing token that it has seen. */
+  /** Returns the highest fencing token that the worker has seen. */
   long token() {
     return token;
   }
 
-  /** Where commands reach it. */
+  /** Returns the address at which the worker receives direct commands. */
   String address() {
     return world.workerAddress(this);
   }
 
   // ---- faults ----------------------------------------------------------------------------------
 
-  /** Nothing runs on the machine for a while. */
+  /** Suspends everything on the machine for the given time. */
   void hang(long durationMs) {
     hungUntilMs = sim.now() + durationMs;
   }
@@ -106,7 +106,7 @@
     return sim.now() < hungUntilMs;
   }
 
-  /** All tasks fail on it from now on. */
+  /** Makes all tasks on the machine fail from now on. */
   void startFailingTasks() {
     failsTasks = true;
   }
@@ -115,29 +115,38 @@
     return failsTasks;
   }
 
-  /** The cloud announces that it takes the machine back in so many seconds. */
+  /**
+   * Announces that the cloud reclaims the machine.
+   *
+   * @param seconds time until then
+   */
   void announcePreemption(double seconds) {
     preemptionNoticeS = seconds;
   }
 
-  /** The machine is taken away or returned: everything on it is gone. */
+  /**
+   * Removes the machine and everything on it, because the cloud has reclaimed it or a controller
+   * has released it.
+   */
   void remove() {
     removed = true;
     tasks.killAll();
   }
 
-  // ---- as time goes on -------------------------------------------------------------------------
+  // ---- progress over time ----------------------------------------------------------------------
 
   private void tick() {
     if (removed) {
       return;
     }
-    // A hung machine runs nothing, and past its lease it will never run these tasks again.
+    // Also checked while the machine hangs: it runs nothing then, and once its lease has expired it
+    // never runs the same tasks again.
     checkLease();
     if (!isHung()) {
       tasks.progress();
       long now = sim.now();
-      boolean sendEarly = heartbeatDue && now - lastHeartbeatMs >= MIN_HEARTBEAT_INTERVAL_MS;
+      boolean sendEarly =
+          earlyHeartbeatRequested && now - lastHeartbeatMs >= MIN_HEARTBEAT_INTERVAL_MS;
       if (!heartbeatInFlight && (now >= nextHeartbeatMs || sendEarly)) {
         sendHeartbeat();
       }
@@ -152,13 +161,13 @@
       }
       incarnation++;
       answeredHeartbeatSentMs = sim.now();
-      heartbeatDue = true;
+      earlyHeartbeatRequested = true;
     }
   }
 
-  /** Something is to be reported soon. */
+  /** Requests that the next heartbeat is sent early, because something has changed. */
   void requestHeartbeat() {
-    heartbeatDue = true;
+    earlyHeartbeatRequested = true;
   }
 
   private void observeToken(long observed) {
@@ -166,14 +175,14 @@
       token = observed;
       if (sim.now() - lastTokenHeartbeatMs > world.site.leaseS() * MS_PER_S / 2) {
         lastTokenHeartbeatMs = sim.now();
-        heartbeatDue = true;
+        earlyHeartbeatRequested = true;
       }
     }
   }
 
-  // ---- commands that come by themselves --------------------------------------------------------
+  // ---- direct commands -------------------------------------------------------------------------
 
-  /** Takes direct commands; a hung machine reads them once it goes on. */
+  /** Executes direct commands; a hung machine does so when the hang ends. */
   void takeCommands(JsonNode body, ReplyHandler reply) {
     if (removed) {
       return;
@@ -183,17 +192,17 @@
       return;
     }
     checkLease();
-    long from = body.path("epoch").asLong(-1);
-    if (from < token || body.path("tenure").asLong(-1) != incarnation) {
+    long senderToken = body.path("epoch").asLong(-1);
+    if (senderToken < token || body.path("tenure").asLong(-1) != incarnation) {
       reply.accept(409, heartbeat());
       return;
     }
-    observeToken(from);
+    observeToken(senderToken);
     body.path("orders").forEach(tasks::execute);
     reply.accept(200, heartbeat());
   }
 
-  // ---- reports ---------------------------------------------------------------------------------
+  // ---- heartbeats ------------------------------------------------------------------------------
 
   private ObjectNode heartbeat() {
     ObjectNode heartbeat = Json.object().put("host", name).put("addr", address());
@@ -208,15 +217,15 @@
     return heartbeat;
   }
 
-  /** A report that waits for its answer. */
+  /** A heartbeat that waits for its answer. */
   private record SentHeartbeat(int controller, long number, long incarnation, long sentMs) {}
 
   private void sendHeartbeat() {
     heartbeatInFlight = true;
-    heartbeatDue = false;
+    earlyHeartbeatRequested = false;
     lastHeartbeatMs = sim.now();
-    double share = 0.75 + sim.random().nextDouble() * 0.5;
-    nextHeartbeatMs = sim.now() + (long) (world.site.reportS() * MS_PER_S * share);
+    double factor = 0.75 + sim.random().nextDouble() * 0.5;
+    nextHeartbeatMs = sim.now() + (long) (world.site.reportS() * MS_PER_S * factor);
     SentHeartbeat sent = new SentHeartbeat(controller, ++heartbeats, incarnation, sim.now());
     ObjectNode body = heartbeat();
     world.network.sendHeartbeat(
@@ -228,7 +237,8 @@
             return;
           }
           if (isHung()) {
-            // Read once it goes on, if that is soon enough.
+            // A hung machine reads the answer when the hang ends, unless its lease has expired by
+            // then.
             sim.at(hungUntilMs, () -> handleDelayedAnswer(sent, status, answer));
           } else {
             handleAnswer(sent, status, answer);
@@ -259,13 +269,13 @@
   private void switchToNextController() {
     controller = (controller + 1) % world.controllers().size();
     nextHeartbeatMs = Math.max(nextHeartbeatMs, sim.now() + CONTROLLER_SWITCH_DELAY_MS);
-    heartbeatDue = false;
+    earlyHeartbeatRequested = false;
   }
 
   private void handleAnswer(SentHeartbeat sent, int status, JsonNode answer) {
     heartbeatInFlight = false;
     if (status == 200) {
-      handleCommandsOf(sent, answer);
+      executeCommands(sent, answer);
       return;
     }
     int redirect =
@@ -284,12 +294,12 @@
     }
   }
 
-  private void handleCommandsOf(SentHeartbeat sent, JsonNode answer) {
-    long from = answer.path("epoch").asLong(-1);
-    if (from < token || sent.incarnation != incarnation) {
+  private void executeCommands(SentHeartbeat sent, JsonNode answer) {
+    long senderToken = answer.path("epoch").asLong(-1);
+    if (senderToken < token || sent.incarnation != incarnation) {
       return;
     }
-    observeToken(from);
+    observeToken(senderToken);
     answeredHeartbeatSentMs = sent.sentMs;
     answer.path("orders").forEach(tasks::execute);
   }
--- a/src/test/java/shorecrank/sim/Simulation.java
+++ b/src/test/java/shorecrank/sim/Simulation.java
@@ -3,9 +3,9 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Simulated time, the events that are due, and the run's random numbers. */
+/** The simulated clock, the scheduled events, and the run's random numbers. */
 final class Simulation {
-  /** Events of the same time happen in the order in which they were scheduled. */
+  /** An event; events of the same time run in the order in which they were scheduled. */
   private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
@@ -22,27 +22,35 @@
     random = new SplittableRandom(seed);
   }
 
-  /** Milliseconds since the run began. */
+  /** Returns the simulated time, in milliseconds since the run began. */
   long now() {
     return nowMs;
   }
 
-  /** What all random choices of a run are drawn from. */
+  /** Returns the generator for all random choices of the run. */
   SplittableRandom random() {
     return random;
   }
 
-  /** Plans an event so many milliseconds from now. */
+  /**
+   * Schedules an event.
+   *
+   * @param ms delay from now, in milliseconds
+   */
   void after(long ms, Runnable action) {
     events.add(new Event(nowMs + Math.max(0, ms), scheduled++, action));
   }
 
-  /** Plans an event for a time; for now if that is over. */
+  /**
+   * Schedules an event.
+   *
+   * @param ms simulated time of the event; it runs at the current time if that is later
+   */
   void at(long ms, Runnable action) {
     events.add(new Event(Math.max(nowMs, ms), scheduled++, action));
   }
 
-  /** Lets all events happen that are due until a time, which is the present then. */
+  /** Runs all events that are due until a time, and advances the clock to that time. */
   void runUntil(long ms) {
     while (!events.isEmpty() && events.peek().atMs <= ms) {
       Event event = events.poll();
--- a/src/test/java/shorecrank/sim/Site.java
+++ b/src/test/java/shorecrank/sim/Site.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** What the platform's operators have set up: zones, types of machines, teams, and limits. */
+/** What the platform's operators have set up: zones, machine types, teams, and limits. */
 final class Site {
   private List<String> zones = List.of("a");
   private final Map<String, MachineType> types = new TreeMap<>();
@@ -22,111 +22,118 @@
   private StateLimits nextLimits;
   private boolean nextLimitsAnnounced;
 
-  /** The zones that controllers are in, in turn. */
+  /** Sets the zones; controllers are placed in them in turn. */
   void setZones(List<String> names) {
     zones = List.copyOf(names);
   }
 
-  /** The zone of a controller, by its index. */
+  /** Returns the zone of the controller at an index. */
   String zoneOf(int controller) {
     return zones.get(controller % zones.size());
   }
 
-  /** There is a type of machine. */
+  /** Adds a machine type. */
   void addType(String name, MachineType type) {
     types.put(name, type);
   }
 
-  /** A type of machine; null if there is none of that name. */
+  /** Returns a machine type; null if there is none of that name. */
   MachineType type(String name) {
     return types.get(name);
   }
 
-  /** All types of machines, by name. */
+  /** Returns all machine types by name. */
   Map<String, MachineType> types() {
     return Collections.unmodifiableMap(types);
   }
 
-  /** There is a team. */
+  /** Adds a team. */
   void addTeam(String name, TeamQuota quota) {
     teams.put(name, quota);
   }
 
-  /** All teams, by name. */
+  /** Returns the quotas of all teams by name. */
   Map<String, TeamQuota> teams() {
     return Collections.unmodifiableMap(teams);
   }
 
-  /** Whether a team has a limit. */
+  /** Reports whether a team has a limit. */
   boolean isLimited(String team) {
     return teams.containsKey(team) && teams.get(team).limitCpus() > 0;
   }
 
-  /** Whether a team may use so many processors; one that is not known may use any. */
+  /** Reports whether a team may use this number of processors; true for an unknown team. */
   boolean isWithinLimit(String team, double cpus) {
     return !teams.containsKey(team) || teams.get(team).allows(cpus);
   }
 
-  /** An objective as the platform's file has it. */
+  /** Adds a service-level objective, in the form of the platform's configuration file. */
   void addObjective(ObjectNode objective) {
     objectives.add(objective);
   }
 
-  /** All objectives, as the platform's file has them. */
+  /** Returns all service-level objectives, in the form of the platform's configuration file. */
   List<ObjectNode> objectives() {
     return Collections.unmodifiableList(objectives);
   }
 
-  /** Seconds between a worker's heartbeats, of its lease, and until a cancelled job has to end. */
+  /**
+   * Sets the workers' timings, in seconds: the interval of heartbeats, the lease, and the time
+   * within which a cancelled job must end.
+   */
   void setWorkerTimes(double newReportS, double newLeaseS, double newCancelS) {
     reportS = newReportS;
     leaseS = newLeaseS;
     cancelS = newCancelS;
   }
 
-  /** Seconds between a worker's heartbeats. */
+  /** Returns the interval of a worker's heartbeats, in seconds. */
   double reportS() {
     return reportS;
   }
 
-  /** Seconds of a worker's lease. */
+  /** Returns the duration of a worker's lease, in seconds. */
   double leaseS() {
     return leaseS;
   }
 
-  /** Seconds until a cancelled job has to end. */
+  /** Returns the time within which a cancelled job must end, in seconds. */
   double cancelS() {
     return cancelS;
   }
 
-  /** Requests and changes that the state service takes each second. */
+  /** Sets how many requests and changes the state service accepts per second. */
   void setStateRates(double requestsPerS, double writesPerS) {
     stateRequestsPerS = requestsPerS;
     stateWritesPerS = writesPerS;
   }
 
-  /** Requests that the state service takes each second. */
+  /** Returns how many requests the state service accepts per second. */
   double stateRequestsPerS() {
     return stateRequestsPerS;
   }
 
-  /** Changes that the state service takes each second. */
+  /** Returns how many changes the state service accepts per second. */
   double stateWritesPerS() {
     return stateWritesPerS;
   }
 
-  /** The limits that the state service will have, and whether controllers are told before. */
+  /**
+   * Sets the limits that the state service will have later.
+   *
+   * @param announced whether the controllers' configuration names them in advance
+   */
   void setNextLimits(StateLimits limits, boolean announced) {
     nextLimits = limits;
     nextLimitsAnnounced = announced;
   }
 
-  /** The limits that the state service will have, if there will be others. */
+  /** Returns the limits that the state service will have later; empty if they stay the same. */
   Optional<StateLimits> nextLimits() {
     return Optional.ofNullable(nextLimits);
   }
 
-  /** The same, if controllers are told. */
+  /** Returns the later limits that are announced to the controllers; empty if there are none. */
   Optional<StateLimits> announcedLimits() {
     return nextLimitsAnnounced ? nextLimits() : Optional.empty();
   }
--- a/src/test/java/shorecrank/sim/StateLimits.java
+++ b/src/test/java/shorecrank/sim/StateLimits.java
@@ -1,4 +1,9 @@
 package shorecrank.sim;
 
-/** Size limits of the state service: operations of a transaction, and kilobytes of a value. */
+/**
+ * Size limits of the state service.
+ *
+ * @param transactionOperations largest number of operations in a transaction
+ * @param valueKb largest value, in kilobytes
+ */
 record StateLimits(int transactionOperations, int valueKb) {}
--- a/src/test/java/shorecrank/sim/StateServiceLeases.java
+++ b/src/test/java/shorecrank/sim/StateServiceLeases.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The leases of the state service; each ends when it has not been renewed in time. */
+/** The leases of the simulated state service; a lease that is not renewed in time expires. */
 final class StateServiceLeases {
   private final Simulation sim;
   private final Map<Long, Long> endsAtMs = new HashMap<>();
@@ -16,7 +16,7 @@
     this.sim = sim;
   }
 
-  /** Grants a lease; returns its id. */
+  /** Grants a lease and returns its id. */
   long grant(long durationMs) {
     long id = nextId++;
     endsAtMs.put(id, sim.now() + durationMs);
@@ -24,27 +24,27 @@
     return id;
   }
 
-  /** Whether a lease was granted and has not ended. */
+  /** Reports whether a lease was granted and has not been removed. */
   boolean contains(long id) {
     return endsAtMs.containsKey(id);
   }
 
-  /** Gives a lease its full time again. */
+  /** Renews a lease for its full duration. */
   void renew(long id) {
     endsAtMs.put(id, sim.now() + durationsMs.get(id));
   }
 
-  /** Gives all leases their full time again. */
+  /** Renews all leases for their full durations. */
   void renewAll() {
     endsAtMs.replaceAll((id, end) -> sim.now() + durationsMs.get(id));
   }
 
-  /** Ends a lease. */
+  /** Removes a lease. */
   void remove(long id) {
     endsAtMs.remove(id);
   }
 
-  /** Those whose time has run out. */
+  /** Returns the ids of the leases that have expired. */
   List<Long> expired() {
     List<Long> expired = new ArrayList<>(endsAtMs.keySet());
     expired.removeIf(id -> endsAtMs.get(id) >= sim.now());
--- a/src/test/java/shorecrank/sim/StateServiceLink.java
+++ b/src/test/java/shorecrank/sim/StateServiceLink.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The way of requests to the state service, which may be slow or lose transactions' answers. */
+/** Carries requests to the state service; can be slow, or lose answers to transactions. */
 final class StateServiceLink {
   private static final double MEAN_ONE_WAY_MS = 5;
   private static final long MIN_LATE_MS = 2000;
@@ -24,7 +24,11 @@
     this.store = store;
   }
 
-  /** That share of transactions gets no answer and is carried out late, or at once. */
+  /**
+   * Loses the answers to a share of the transactions that are sent within the given time.
+   *
+   * @param atOnce whether those transactions are applied at once, not seconds later
+   */
   void loseAnswers(double share, long durationMs, boolean atOnce) {
     faults.addFault(durationMs + MAX_LATE_MS);
     lateShare = share;
@@ -32,19 +36,19 @@
     lateAtOnce = atOnce;
   }
 
-  /** Every answer takes longer by a factor. */
+  /** Multiplies the delay of each request and of each answer by a factor. */
   void slowDown(double factor, long durationMs) {
     faults.addFault(durationMs);
     slowFactor = factor;
     slowUntilMs = sim.now() + durationMs;
   }
 
-  /** Hands a request over; a transaction may come late, or only its answer be lost. */
+  /** Delivers a request; a transaction may be delivered late, or its answer may be lost. */
   void send(String method, String path, JsonNode body, ReplyHandler reply) {
     boolean mayBeLate = sim.now() < lateUntilMs && path.equals("/multi");
     if (mayBeLate && sim.random().nextDouble() < lateShare) {
-      long lateMs = lateAtOnce ? 0 : MIN_LATE_MS + sim.random().nextInt(LATE_SPREAD_MS);
-      sim.after(lateMs, () -> store.applyLate(lateMs, body));
+      long delayMs = lateAtOnce ? 0 : MIN_LATE_MS + sim.random().nextInt(LATE_SPREAD_MS);
+      sim.after(delayMs, () -> store.applyLate(delayMs, body));
     } else if (sim.now() < slowUntilMs) {
       long eachWayMs = (long) (MEAN_ONE_WAY_MS * slowFactor * (0.5 + sim.random().nextDouble()));
       ReplyHandler slowReply =
--- a/src/test/java/shorecrank/sim/StateServiceMeter.java
+++ b/src/test/java/shorecrank/sim/StateServiceMeter.java
@@ -1,6 +1,6 @@
 package shorecrank.sim;
 
-/** Counts what the state service is asked for, altogether and within each second of the clock. */
+/** Counts the requests to the state service, in total and per second of simulated time. */
 final class StateServiceMeter {
   private static final long MS_PER_S = 1000;
 
@@ -17,7 +17,11 @@
     this.sim = sim;
   }
 
-  /** A request comes, with so many changes. */
+  /**
+   * Counts a request.
+   *
+   * @param changes number of changes in it
+   */
   void add(int changes) {
     if (sim.now() / MS_PER_S != second) {
       second = sim.now() / MS_PER_S;
@@ -31,27 +35,27 @@
     largestChangesPerS = Math.max(largestChangesPerS, changesThisSecond);
   }
 
-  /** A transaction is refused for its size. */
+  /** Counts a transaction that was rejected because of its size. */
   void addRefusedForSize() {
     refusedForSize++;
   }
 
-  /** All requests so far. */
+  /** Returns the number of requests so far. */
   int requests() {
     return requests;
   }
 
-  /** The most requests that came within one second of the clock. */
+  /** Returns the largest number of requests within a second of simulated time. */
   int largestRequestsPerS() {
     return largestRequestsPerS;
   }
 
-  /** The most changes that were asked for within one second of the clock. */
+  /** Returns the largest number of requested changes within a second of simulated time. */
   int largestChangesPerS() {
     return largestChangesPerS;
   }
 
-  /** Transactions refused for their size. */
+  /** Returns the number of transactions that were rejected because of their size. */
   int refusedForSize() {
     return refusedForSize;
   }
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -10,7 +10,7 @@
 import shorecrank.rollout.ArchiveReader.Archive;
 import shorecrank.rollout.ArchiveValueCodec;
 
-/** An archive as it stands in the state service, compared with what the service held. */
+/** An archive in the state service, compared with the keys that the service held. */
 final class StoredArchive {
   private final SimulatedStateService store;
   private final String id;
@@ -20,7 +20,7 @@
     this.id = id;
   }
 
-  /** The file that its chunks make up. */
+  /** Returns the archive file, joined from its chunks. */
   byte[] bytes() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int i = 0; ; i++) {
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Whether it is whole, and shows the keys as they were at the revision it names. */
+  /** Reports whether the archive is intact, and holds the keys as they were at its revision. */
   boolean matches() {
     Archive archive;
     try {
@@ -52,7 +52,10 @@
     return archive.manifest().consistent() && text(archive.keys()).equals(text(then));
   }
 
-  /** Numbers that were read are of other types than those that were written. */
+  /**
+   * Returns the values as text for comparison: numbers parsed from an archive have other JSON node
+   * types than those that were written.
+   */
   private static Map<String, String> text(Map<String, VersionedValue> keys) {
     Map<String, String> text = new TreeMap<>();
     keys.forEach((key, v) -> text.put(key, v.revision() + " " + v.data()));
--- a/src/test/java/shorecrank/sim/SubmittedJobs.java
+++ b/src/test/java/shorecrank/sim/SubmittedJobs.java
@@ -9,7 +9,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The jobs of a run as their users know them, and what their tasks have achieved. */
+/**
+ * The jobs of a run as their users know them, with the results and saved progress of their tasks.
+ */
 final class SubmittedJobs {
   private final Map<String, JobPlan> plans = new TreeMap<>();
   private final Set<String> submitted = new HashSet<>();
@@ -17,58 +19,58 @@
   private final Set<String> results = new HashSet<>();
   private final Map<String, Long> savedMs = new HashMap<>();
 
-  /** The id of a task's job. */
+  /** Returns the id of a task's job. */
   static String jobOf(String task) {
     return task.substring(0, task.lastIndexOf('/'));
   }
 
-  /** A user submits a job. */
+  /** Records that a user submits a job. */
   void submit(String job, JobPlan plan) {
     plans.put(job, plan);
     submitted.add(job);
   }
 
-  /** Whether any user has submitted the job. */
+  /** Reports whether any user has submitted the job. */
   boolean isSubmitted(String job) {
     return submitted.contains(job);
   }
 
-  /** Null if there is no such job. */
+  /** Returns a job's plan; null if there is no such job. */
   JobPlan plan(String job) {
     return plans.get(job);
   }
 
-  /** All ids, in their order. */
+  /** Returns the ids of all jobs, in ascending order. */
   Set<String> ids() {
     return Collections.unmodifiableSet(plans.keySet());
   }
 
-  /** All ids, in an order that does not change while none is added. */
+  /** Returns the ids of all jobs, in an order that stays the same until a job is submitted. */
   List<String> idsInStableOrder() {
     return List.copyOf(submitted);
   }
 
-  /** The tasks of all jobs together. */
+  /** Returns the number of tasks of all jobs. */
   int taskCount() {
     return plans.values().stream().mapToInt(JobPlan::tasks).sum();
   }
 
-  /** Its user asks for the job to be cancelled. */
+  /** Records that a user requests the job's cancellation. */
   void requestCancel(String job) {
     cancelRequested.add(job);
   }
 
-  /** Whether its user has asked for the job to be cancelled. */
+  /** Reports whether a user has requested the job's cancellation. */
   boolean isCancelRequested(String job) {
     return cancelRequested.contains(job);
   }
 
-  /** Whether this job, or one that it depends on, was to be cancelled. */
+  /** Reports whether the cancellation of this job, or of one that it depends on, was requested. */
   boolean isCancelExpected(String job) {
     return withDependencies(job).stream().anyMatch(cancelRequested::contains);
   }
 
-  /** The job itself and all that it depends on, directly or through others. */
+  /** Returns the job and all jobs that it depends on, directly or indirectly. */
   Set<String> withDependencies(String job) {
     Set<String> all = new HashSet<>();
     List<String> pending = new ArrayList<>(List.of(job));
@@ -81,22 +83,22 @@
     return all;
   }
 
-  /** A task has completed. */
+  /** Records that a task has completed. */
   void addResult(String task) {
     results.add(task);
   }
 
-  /** Whether a task has completed. */
+  /** Reports whether a task has completed. */
   boolean hasResult(String task) {
     return results.contains(task);
   }
 
-  /** How many tasks have completed. */
+  /** Returns how many tasks have completed. */
   int resultCount() {
     return results.size();
   }
 
-  /** Whether all tasks of a job have completed. */
+  /** Reports whether all tasks of a job have completed. */
   boolean hasAllResults(String job) {
     for (int i = 0; i < plans.get(job).tasks(); i++) {
       if (!hasResult(job + "/" + i)) {
@@ -106,12 +108,12 @@
     return true;
   }
 
-  /** A task has saved progress of so many milliseconds more. */
+  /** Adds to the progress that a task has saved, in milliseconds. */
   void addSavedMs(String task, long ms) {
     savedMs.merge(task, ms, Long::sum);
   }
 
-  /** Progress that a task has saved, in milliseconds. */
+  /** Returns the progress that a task has saved, in milliseconds. */
   long savedMs(String task) {
     return savedMs.getOrDefault(task, 0L);
   }
--- a/src/test/java/shorecrank/sim/UserAnswer.java
+++ b/src/test/java/shorecrank/sim/UserAnswer.java
@@ -7,19 +7,19 @@
 /**
  * An answer to a user.
  *
- * @param toldBefore what users had been told when the request was sent
+ * @param toldBefore what users already knew about the job when the request was sent
  */
 record UserAnswer(Kind kind, String job, int status, JsonNode body, KnownJobState toldBefore) {
   boolean isOk() {
     return status == 200 || status == 201;
   }
 
-  /** Where the job stands by this answer; empty if it does not say. */
+  /** Returns the job's phase in this answer; empty if the answer names none. */
   String phase() {
     return body.path("phase").asText();
   }
 
-  /** What it answers, for reports. */
+  /** Returns the kind of request and the job as text for a failure report. */
   String describe() {
     return kind.name().toLowerCase(Locale.ROOT) + " " + job;
   }
--- a/src/test/java/shorecrank/sim/UserBehavior.java
+++ b/src/test/java/shorecrank/sim/UserBehavior.java
@@ -7,13 +7,16 @@
 import java.util.Set;
 import shorecrank.sim.UserRequest.Kind;
 
-/** What users do for a while that is hard on the service. */
+/**
+ * Temporary user behavior that is hard on the service: request bursts, cancellations, and unusual
+ * requests.
+ */
 final class UserBehavior {
   private static final int BURST_REQUESTS = 12;
   private static final long BURST_INTERVAL_MS = 3;
   private static final int BURST_JITTER_MS = 5;
 
-  /** Each fourth close look submits the job again. */
+  /** Every fourth request of a burst submits the job again; the others query it. */
   private static final int SUBMIT_EVERY_NTH = 4;
 
   private static final int CANCEL_AT_END_WITHIN_MS = 400;
@@ -42,14 +45,20 @@
     return world.users.client();
   }
 
-  // ---- close looks -----------------------------------------------------------------------------
+  // ---- request bursts --------------------------------------------------------------------------
 
-  /** For a while users ask all controllers within milliseconds of any news of their jobs. */
+  /**
+   * Makes users send a burst of requests to all controllers whenever a job was accepted or has
+   * ended.
+   */
   void queryAllControllersFor(long durationMs) {
     burstsUntilMs = sim.now() + durationMs;
   }
 
-  /** A user has an answer: acceptance and end of a job are news. */
+  /**
+   * Sends a burst of requests if the answer tells the acceptance or the end of a job for the first
+   * time.
+   */
   void answered(UserRequest request, int status, JsonNode body) {
     String job = request.job();
     boolean accepted = request.kind() == Kind.SUBMIT && status == 201;
@@ -67,7 +76,7 @@
     }
   }
 
-  /** Whether this phase is an end that no user was told of before. */
+  /** Reports whether this phase is an end that no user has been told before. */
   private boolean isNewEnd(String job, String phase) {
     return seenPhases.add(job + phase) && AnswerHistory.isFinalPhase(phase);
   }
@@ -80,13 +89,15 @@
 
   // ---- cancellations ---------------------------------------------------------------------------
 
-  /** That share of the jobs that end is cancelled at the moment of the end. */
+  /**
+   * Cancels a share of the jobs at the moment when their last task completes, for the given time.
+   */
   void cancelAtEnd(double share, long durationMs) {
     cancelAtEndShare = share;
     cancelAtEndUntilMs = sim.now() + durationMs;
   }
 
-  /** A task of the job has completed. */
+  /** Cancels the job if its last task has completed and it is among the share to cancel. */
   void completed(String job) {
     if (sim.now() >= cancelAtEndUntilMs || sim.random().nextDouble() >= cancelAtEndShare) {
       return;
@@ -96,20 +107,25 @@
     }
   }
 
-  /** Each new job of a class is cancelled so long after it came; an empty class ends that. */
+  /** Cancels each new job of a class after the given time; an empty class stops this. */
   void cancelEach(String jobClass, long afterMs) {
     cancelledJobClass = jobClass;
     cancelledAfterMs = afterMs;
   }
 
-  /** A new job was submitted. */
+  /** Cancels the new job later if it belongs to the class to cancel. */
   void submitted(String job, JobPlan plan) {
     if (plan.jobClass().equals(cancelledJobClass)) {
       sim.after(cancelledAfterMs, () -> world.users.cancel(job));
     }
   }
 
-  /** So many running jobs are cancelled within a moment; their machines may hang. */
+  /**
+   * Cancels running jobs within a moment.
+   *
+   * @param count how many
+   * @param hangMs how long machines that run their tasks hang, in milliseconds; 0 if they don't
+   */
   void cancelNow(int count, long hangMs) {
     Set<SimulatedWorker> hanging = new HashSet<>();
     List<String> running =
@@ -131,9 +147,12 @@
     }
   }
 
-  // ---- odd requests ----------------------------------------------------------------------------
+  // ---- unusual requests ------------------------------------------------------------------------
 
-  /** Submissions repeated, done jobs cancelled, jobs that fit no machine or lack a field. */
+  /**
+   * Makes users repeat submissions, cancel finished jobs, and submit jobs that fit no machine or
+   * are malformed, for the given time.
+   */
   void sendUnusualRequestsFor(long durationMs) {
     unusualRequestsUntilMs = sim.now() + durationMs;
     sendUnusual(FIRST_MALFORMED_JOB);
@@ -151,11 +170,11 @@
   }
 
   private void repeatRandomRequest() {
-    List<String> all = world.jobs.idsInStableOrder();
-    if (all.isEmpty()) {
+    List<String> jobs = world.jobs.idsInStableOrder();
+    if (jobs.isEmpty()) {
       return;
     }
-    String job = all.get(sim.random().nextInt(all.size()));
+    String job = jobs.get(sim.random().nextInt(jobs.size()));
     if (world.checker.answers().phase(job).equals(AnswerHistory.DONE)) {
       client().send(UserRequest.cancel(job), ReplyHandler.IGNORE);
     } else if (world.checker.answers().isAccepted(job)) {
--- a/src/test/java/shorecrank/sim/UserClient.java
+++ b/src/test/java/shorecrank/sim/UserClient.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** Sends users' requests through the load balancer, and has every answer checked. */
+/** Sends users' requests through a load balancer, and has every answer checked. */
 final class UserClient {
-  /** So long after its end a controller still gets connections. */
+  /** Time until the load balancer stops sending connections to a controller that is down. */
   private static final long FAILURE_DETECTION_MS = 3000;
 
-  /** Sees every answer before who has asked. */
+  /** Observes every answer before the sender of the request handles it. */
   @FunctionalInterface
   interface AnswerObserver {
-    /** A user has an answer. */
+    /** Called for each answer. */
     void answered(UserRequest request, int status, JsonNode body);
   }
 
@@ -28,7 +28,7 @@
     this.observer = observer;
   }
 
-  /** No request about a job arrives from now on. */
+  /** Drops all requests about a job from now on. */
   void dropRequestsAbout(String job) {
     jobsWithoutRequests.add(job);
   }
@@ -37,15 +37,15 @@
   void send(UserRequest request, ReplyHandler reply) {
     List<ControllerNode> nodes = world.controllers();
     List<ControllerNode> healthy = nodes.stream().filter(this::isConsideredHealthy).toList();
-    List<ControllerNode> among = healthy.isEmpty() ? nodes : healthy;
-    send(among.get(sim.random().nextInt(among.size())), request, reply);
+    List<ControllerNode> candidates = healthy.isEmpty() ? nodes : healthy;
+    send(candidates.get(sim.random().nextInt(candidates.size())), request, reply);
   }
 
   private boolean isConsideredHealthy(ControllerNode node) {
     return node.isUp() || sim.now() - node.downSinceMs() < FAILURE_DETECTION_MS;
   }
 
-  /** Sends a request to one controller. */
+  /** Sends a request to a controller. */
   void send(ControllerNode to, UserRequest request, ReplyHandler reply) {
     String job = request.job();
     long askedAtMs = sim.now();
--- a/src/test/java/shorecrank/sim/UserRequest.java
+++ b/src/test/java/shorecrank/sim/UserRequest.java
@@ -8,8 +8,8 @@
 /**
  * A user's request about a job.
  *
- * @param body null for none
- * @param timeoutMs how long its user waits for the answer
+ * @param message the request as sent to a controller
+ * @param timeoutMs how long the user waits for the answer, in milliseconds
  */
 record UserRequest(Kind kind, String job, ControllerRequest message, int timeoutMs) {
   private static final String JOBS = "/api/jobs";
@@ -17,26 +17,26 @@
   private static final int QUERY_TIMEOUT_MS = 2000;
   private static final double CHECKPOINT_EVERY_S = 5;
 
-  /** What a user wants. */
+  /** Kinds of requests. */
   enum Kind {
     SUBMIT,
     QUERY,
     CANCEL,
-    /** A submission that has to be refused. */
+    /** A submission that must be refused. */
     MALFORMED
   }
 
-  /** Submits a job, again or for the first time. */
+  /** Creates a submission of a job, which may have been submitted before. */
   static UserRequest submit(String job, JobPlan plan) {
     return change(Kind.SUBMIT, job, JOBS, write(job, plan));
   }
 
-  /** Submits a job whose description is wrong. */
+  /** Creates a submission with an invalid job description. */
   static UserRequest malformed(String job, JsonNode description) {
     return change(Kind.MALFORMED, job, JOBS, description);
   }
 
-  /** Asks for a job to be cancelled. */
+  /** Creates a request to cancel a job. */
   static UserRequest cancel(String job) {
     return change(Kind.CANCEL, job, JOBS + "/" + job + "/abort", Json.object());
   }
@@ -46,13 +46,13 @@
     return new UserRequest(kind, job, message, CHANGE_TIMEOUT_MS);
   }
 
-  /** Asks how a job stands. */
+  /** Creates a query of a job's state. */
   static UserRequest query(String job) {
     ControllerRequest message = new ControllerRequest(false, "GET", JOBS + "/" + job, null);
     return new UserRequest(Kind.QUERY, job, message, QUERY_TIMEOUT_MS);
   }
 
-  /** A job's description as on the wire. */
+  /** Returns a job's description as on the wire. */
   static ObjectNode write(String job, JobPlan plan) {
     ObjectNode written = Json.object().put("nameId", job).put("jobclass", plan.jobClass());
     written.put("owner", plan.team()).put("shape", "array").put("urgency", plan.priority());
--- a/src/test/java/shorecrank/sim/WorkerDirection.java
+++ b/src/test/java/shorecrank/sim/WorkerDirection.java
@@ -1,12 +1,12 @@
 package shorecrank.sim;
 
-/** Which way messages between a worker and the controllers are cut. */
+/** Direction in which messages between a worker and the controllers are cut. */
 enum WorkerDirection {
   BOTH,
   TO_WORKER,
   FROM_WORKER;
 
-  /** Whether a cut this way stops what goes that way. */
+  /** Reports whether a cut in this direction stops messages in the other one. */
   boolean includes(WorkerDirection other) {
     return this == BOTH || this == other;
   }
--- a/src/test/java/shorecrank/sim/WorkerTasks.java
+++ b/src/test/java/shorecrank/sim/WorkerTasks.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The tasks on a simulated machine, and what commands do to them. */
+/** The tasks on a simulated machine, and the commands that start, stop and remove them. */
 final class WorkerTasks {
   private static final double MS_PER_S = 1000;
   private static final double ROUNDING = 1e-9;
 
-  /** How long a task runs that fails. */
+  /** How long a task runs before it fails, if it is one that fails. */
   private static final long FAILING_RUN_MS = 300;
 
   private final World world;
@@ -39,20 +39,26 @@
     return world.jobs.plan(task.job());
   }
 
-  // ---- what there is ---------------------------------------------------------------------------
+  // ---- state -----------------------------------------------------------------------------------
 
-  /** Whether a task of the job is on the machine. */
+  /** Reports whether a task of the job is on the machine. */
   boolean runs(String job) {
     return tasks.values().stream().anyMatch(task -> task.isOnMachine() && task.job().equals(job));
   }
 
-  /** Whether an attempt has not exited, or may yet be started unless its job is cancelled. */
+  /**
+   * Reports whether an attempt may still run: it has not exited, or it has not started and its job
+   * is not cancelled.
+   */
   boolean mayRun(String task, long attempt, boolean isCancelled) {
     SimulatedTask held = tasks.get(key(task, attempt));
     return held == null ? !isCancelled : !held.isExited();
   }
 
-  /** Processors that no task uses or waits to use. */
+  /**
+   * Returns the processors that are free: neither a running task uses them nor one that fetches its
+   * image.
+   */
   double freeCpus() {
     double used = 0;
     for (SimulatedTask task : tasks.values()) {
@@ -61,14 +67,14 @@
     return world.site.type(worker.type()).cpus() - used;
   }
 
-  /** Puts all of them into a report. */
+  /** Writes all tasks into a heartbeat. */
   void writeTo(ArrayNode report) {
     tasks.values().forEach(task -> task.writeTo(report.addObject()));
   }
 
-  // ---- as time goes on -------------------------------------------------------------------------
+  // ---- progress over time ----------------------------------------------------------------------
 
-  /** Has tasks go on to their next phase whose time has come. */
+  /** Moves each task whose phase has ended to its next phase. */
   void progress() {
     for (SimulatedTask task : tasks.values()) {
       if (task.isPhaseOver(now())) {
@@ -127,7 +133,11 @@
     }
   }
 
-  /** Ends all of them and forgets them; returns whether there were any. */
+  /**
+   * Ends and removes all tasks.
+   *
+   * @return whether there were any
+   */
   boolean killAll() {
     boolean any = !tasks.isEmpty();
     List.copyOf(tasks.values()).forEach(this::leaveMachine);
@@ -137,7 +147,7 @@
 
   // ---- commands --------------------------------------------------------------------------------
 
-  /** Carries a command out. */
+  /** Executes a command. */
   void execute(JsonNode command) {
     String id = command.path("piece").asText();
     long attempt = command.path("try").asLong();
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -11,7 +11,10 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Controllers and stand-ins for all others on one clock, with faults and checks. */
+/**
+ * Controllers, a simulated environment for them (state service, cloud, workers, users), and the
+ * checks, all on one clock.
+ */
 class World {
   final Simulation sim;
   final Site site = new Site();
@@ -37,7 +40,8 @@
   }
 
   /**
-   * @param settings what the controllers' settings file says, unless one gets another
+   * @param settings the contents of the controllers' settings file, unless a controller gets its
+   *     own
    */
   World(long seed, Settings settings, RunOptions options) {
     this.sim = new Simulation(seed);
@@ -55,29 +59,29 @@
     this.store.beforeTransactions(checker::beforeTransaction);
   }
 
-  /** What the controllers' settings file says, unless one has another. */
+  /** Returns the contents of the controllers' settings file, unless a controller has its own. */
   Settings settings() {
     return settings;
   }
 
-  /** An {@code expect} line found something else. */
+  /** Records that an {@code expect} line of the scenario was not met. */
   void addUnmetExpectation(String what) {
     unmetExpectations.add(what);
   }
 
-  /** What {@code expect} lines found otherwise. */
+  /** Returns the {@code expect} lines that were not met, with what was found. */
   List<String> unmetExpectations() {
     return Collections.unmodifiableList(unmetExpectations);
   }
 
-  /** Whether users were told of the end of all their jobs. */
+  /** Reports whether users have been told the end of all their jobs. */
   boolean areAllJobsOver() {
     return jobs.ids().stream().allMatch(checker.answers()::isOver);
   }
 
   // ---- controllers -----------------------------------------------------------------------------
 
-  /** Starts so many controllers. */
+  /** Creates and starts this number of controllers. */
   void startControllers(int count) {
     for (int i = 0; i < count; i++) {
       controllers.add(newController(i));
@@ -85,23 +89,23 @@
     controllers.forEach(ControllerNode::start);
   }
 
-  /** A controller that has not started. */
+  /** Creates a controller without starting it. */
   ControllerNode newController(int index) {
     return new SimulatedController(this, index);
   }
 
-  /** All controllers, by index. */
+  /** Returns all controllers, by index. */
   List<ControllerNode> controllers() {
     return Collections.unmodifiableList(controllers);
   }
 
-  /** The controller of that label, if there is one. */
+  /** Returns the controller with a label, if there is one. */
   Optional<ControllerNode> findNode(String label) {
     return controllers.stream().filter(node -> node.label().equals(label)).findFirst();
   }
 
   /**
-   * The controller of that label.
+   * Returns the controller with a label.
    *
    * @throws IllegalArgumentException if there is none
    */
@@ -110,26 +114,29 @@
         .orElseThrow(() -> new IllegalArgumentException("no controller is named " + label));
   }
 
-  /** The controller that leads, as the state service has it. */
+  /** Returns the leader that the state service names, if there is one. */
   Optional<ControllerNode> leader() {
     return findNode(store.peek("leader").path("label").asText(""));
   }
 
-  /** The controller that owns a shard at the highest epoch, of those that run. */
+  /**
+   * Returns the owner of a shard: of the controllers that are up, the one that owns it at the
+   * highest epoch.
+   */
   Optional<ControllerNode> owner(int shard) {
-    ControllerNode best = null;
+    ControllerNode owner = null;
     long highest = -1;
     for (ControllerNode node : controllers) {
       Epoch epoch = node.isUp() ? node.ownedEpochs().get(new ShardId(shard)) : null;
       if (epoch != null && epoch.value() > highest) {
         highest = epoch.value();
-        best = node;
+        owner = node;
       }
     }
-    return Optional.ofNullable(best);
+    return Optional.ofNullable(owner);
   }
 
-  /** Where a controller finds others and is found. */
+  /** Returns the addresses of a controller and of the services that it uses. */
   NodeConfigWriter.Addresses addresses(ControllerNode node) {
     String host = "10.0.0." + (node.index() + 1);
     return new NodeConfigWriter.Addresses(host + ":80", host + ":81", "10.2.0.1:1", "10.2.0.2:1");
@@ -137,32 +144,32 @@
 
   // ---- machines --------------------------------------------------------------------------------
 
-  /** A machine is up, and its worker begins to report. */
+  /** Adds the worker of a machine that has booted. */
   void addWorker(SimulatedWorker worker) {
     workers.put(worker.name(), worker);
   }
 
-  /** A machine is gone. */
+  /** Removes the worker of a machine that is gone. */
   void removeWorker(String name) {
     workers.remove(name);
   }
 
-  /** The workers of all machines that are up, in the order of their names. */
+  /** Returns the workers of all machines that are up, in the order of their names. */
   Collection<SimulatedWorker> workers() {
     return Collections.unmodifiableCollection(workers.values());
   }
 
-  /** The worker of a machine, if it is up. */
+  /** Returns the worker of a machine, if the machine is up. */
   Optional<SimulatedWorker> worker(String name) {
     return Optional.ofNullable(workers.get(name));
   }
 
-  /** A worker that runs a task of the job, if any does. */
+  /** Returns a worker that runs a task of the job, if there is one. */
   Optional<SimulatedWorker> workerRunning(String job) {
     return workers.values().stream().filter(worker -> worker.tasks().runs(job)).findFirst();
   }
 
-  /** Where commands for a worker go. */
+  /** Returns the address for direct commands to a worker. */
   String workerAddress(SimulatedWorker worker) {
     int number = Integer.parseInt(worker.name().substring(2));
     return "10.1." + number / 250 + "." + (1 + number % 250) + ":9000";
