--- a/src/test/java/shorecrank/sim/CountExpectations.java
+++ b/src/test/java/shorecrank/sim/CountExpectations.java
@@ -66,7 +66,7 @@
   /** Parses {@code returned MACHINE}: a controller has returned the machine to the cloud. */
   private static Expectation returned(ScenarioLine line) {
     String machine = line.word(1);
-    return withoutDetail(world -> world.cloud.wasReturned(machine));
+    return withoutDetail(world -> world.cloud.wasReleased(machine));
   }
 
   /**
--- a/src/test/java/shorecrank/sim/SimulatedCloud.java
+++ b/src/test/java/shorecrank/sim/SimulatedCloud.java
@@ -105,7 +105,7 @@
   }
 
   /** Reports whether a controller has ever released the machine. */
-  boolean wasReturned(String machine) {
+  boolean wasReleased(String machine) {
     return released.contains(machine);
   }
 
