--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -60,7 +60,8 @@
    * @param cpusMax 0 for no limit
    * @param gpusMax 0 for no limit
    */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  public record Team(
+      String name, double guaranteedCpus, double cpusMax, double guaranteedGpus, double gpusMax) {}
 
   /**
    * A service-level objective of a class of jobs.
--- a/src/main/java/shorecrank/coordination/scheduling/TeamGuarantees.java
+++ b/src/main/java/shorecrank/coordination/scheduling/TeamGuarantees.java
@@ -33,7 +33,7 @@
       job.scheduling().setWithinGuarantee(false);
       Team team = teams.get(job.spec().team());
       if (team != null
-          && (team.cpus() > 0 || team.gpus() > 0)
+          && (team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0)
           && !job.isCancelled()
           && job.scheduling().isReady()) {
         byTeam.computeIfAbsent(job.spec().team(), name -> new ArrayList<>()).add(job);
@@ -50,7 +50,7 @@
       cpus += job.spec().tasks() * job.spec().cpus();
       gpus += job.spec().tasks() * job.spec().gpus();
       job.scheduling()
-          .setWithinGuarantee(cpus <= team.cpus() + EPSILON && gpus <= team.gpus() + EPSILON);
+          .setWithinGuarantee(cpus <= team.guaranteedCpus() + EPSILON && gpus <= team.guaranteedGpus() + EPSILON);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -169,7 +169,7 @@
     double guaranteedTotal = 0;
     for (Map.Entry<String, Double> entry : requestedCpus.entrySet()) {
       NodeConfig.Team team = context.config().teams().get(entry.getKey());
-      guaranteedTotal += team == null ? 0 : Math.min(team.cpus(), entry.getValue());
+      guaranteedTotal += team == null ? 0 : Math.min(team.guaranteedCpus(), entry.getValue());
     }
     return guaranteedTotal;
   }
