--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -49,10 +49,10 @@
   /**
    * A controller of the fleet.
    *
-   * @param location its zone; empty if that is not known
+   * @param zone where it runs; empty if that is not known
    * @param addr where its peers reach it
    */
-  public record Member(ControllerName label, String location, Address addr) {}
+  public record Member(ControllerName label, String zone, Address addr) {}
 
   /**
    * A team with its guaranteed shares and its limits, in CPUs and GPUs.
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -86,7 +86,7 @@
   String zoneOf(ControllerName controller) {
     for (Member member : context.config().members()) {
       if (member.label().equals(controller)) {
-        return member.location();
+        return member.zone();
       }
     }
     return context.config().zone();
