--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -68,11 +68,11 @@
    *
    * @param kind {@code wait}, {@code finished} or {@code deadline}
    * @param withinS the time within which it should happen, in seconds
-   * @param share of the jobs for which it should hold, from 0 to 1
-   * @param times factor on a job's own deadline
+   * @param jobFraction of the jobs for which it should hold, from 0 to 1
+   * @param deadlineFactor factor on a job's own deadline
    */
   public record Objective(
-      String kind, String jobClass, double withinS, double share, double times) {}
+      String kind, String jobClass, double withinS, double jobFraction, double deadlineFactor) {}
 
   /**
    * The protocol's times for workers, in seconds.
--- a/src/main/java/shorecrank/coordination/scheduling/ServiceObjectives.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ServiceObjectives.java
@@ -49,7 +49,7 @@
       switch (objective.kind()) {
         case START_KIND -> targets.add(new Target.Start(objective.withinS()));
         case END_KIND -> targets.add(new Target.End(objective.withinS(), 0));
-        case DEADLINE_KIND -> targets.add(new Target.End(0, objective.times()));
+        case DEADLINE_KIND -> targets.add(new Target.End(0, objective.deadlineFactor()));
         default -> {
           // Objectives of other kinds don't affect the order of jobs.
         }
