--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -77,11 +77,12 @@
   /**
    * The protocol's times for workers, in seconds.
    *
-   * @param reportS between two heartbeats of a worker
+   * @param heartbeatIntervalS between two heartbeats of a worker
    * @param leaseS a worker without an answer for so long kills its tasks
-   * @param cancelS within which no task of a cancelled job may run any more
+   * @param cancellationDeadlineS within which no task of a cancelled job may run any more
    */
-  public record WorkerTimings(double reportS, double leaseS, double cancelS) {}
+  public record WorkerTimings(
+      double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {}
 
   /**
    * Limits of the state service.
--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -180,7 +180,7 @@
       context.error(
           "settings.cancellation.unsafe cancel_s=%.1f lease_s=%.1f"
               + " effect=\"without the state service cancelled tasks may outlast cancel_s\"",
-          context.config().workers().cancelS(), context.config().workers().leaseS());
+          context.config().workers().cancellationDeadlineS(), context.config().workers().leaseS());
     }
   }
 
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -125,7 +125,7 @@
   private boolean isOverdue(Machine machine) {
     long redirectMs = machine.session().lastHeard().isBefore(grantedAt) ? REDIRECT_MS : 0;
     return silentMs(machine)
-        > context.config().workers().reportS() * OVERDUE_MS_PER_INTERVAL_S
+        > context.config().workers().heartbeatIntervalS() * OVERDUE_MS_PER_INTERVAL_S
             + OVERDUE_MARGIN_MS
             + redirectMs;
   }
@@ -160,6 +160,6 @@
   public boolean isFresh(Machine machine) {
     return machine.session().isReconciled()
         && silentMs(machine)
-            < context.config().workers().reportS() * FRESH_MS_PER_INTERVAL_S + FRESH_MARGIN_MS;
+            < context.config().workers().heartbeatIntervalS() * FRESH_MS_PER_INTERVAL_S + FRESH_MARGIN_MS;
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -103,7 +103,7 @@
     for (TaskAttempt attempt : machine.attempts()) {
       JobSpec spec = attempt.job().spec();
       double remainingS = attempt.remainingSeconds(context.now());
-      double heartbeatS = context.config().workers().reportS();
+      double heartbeatS = context.config().workers().heartbeatIntervalS();
       double moveS = spec.checkpointDurationS() + machine.fullFetchSeconds(spec) / 2 + heartbeatS;
       if (attempt.canMoveByCheckpoint(context.now())) {
         plan.attempts.add(attempt);
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -109,7 +109,7 @@
                     spec,
                     tasksToPlace,
                     requiredZone,
-                    new BinPacking.Clock(context.now(), context.config().workers().reportS())),
+                    new BinPacking.Clock(context.now(), context.config().workers().heartbeatIntervalS())),
                 candidates,
                 context.settings().sampleSize(),
                 context.random());
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -88,7 +88,7 @@
       // All start targets are missed already, so preemption would gain nothing.
       return false;
     }
-    double heartbeatS = context.config().workers().reportS();
+    double heartbeatS = context.config().workers().heartbeatIntervalS();
     return waitedS
         > targetS
             - longestFetchS(job.spec())
@@ -160,7 +160,7 @@
   private Victims cheapestVictims(Job job, String zone) {
     JobSpec spec = job.spec();
     MonotonicTime now = context.now();
-    double heartbeatS = context.config().workers().reportS();
+    double heartbeatS = context.config().workers().heartbeatIntervalS();
     double maxLostWork = MAX_LOST_WORK_RATIO * spec.cpus() * Math.max(MIN_RUN_S, spec.estimateS());
     Victims best = Victims.NONE;
     double bestCost = Double.MAX_VALUE;
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -125,7 +125,7 @@
   }
 
   private double earliestReleaseMs() {
-    double heartbeatMs = context.config().workers().reportS() * MS_PER_S;
+    double heartbeatMs = context.config().workers().heartbeatIntervalS() * MS_PER_S;
     return SILENT_HEARTBEAT_INTERVALS * heartbeatMs + SILENT_MARGIN_MS;
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -328,7 +328,7 @@
     return new JobDuration(
         job.spec().imageGb() / Math.max(MIN_FETCH_GB_PER_S, fetchGbPerS),
         // On average, a command waits half a heartbeat interval.
-        context.config().workers().reportS() / 2,
+        context.config().workers().heartbeatIntervalS() / 2,
         Math.max(MIN_RUN_S, job.spec().estimateS()));
   }
 
--- a/src/main/java/shorecrank/coordination/step/CancellationStalenessLimit.java
+++ b/src/main/java/shorecrank/coordination/step/CancellationStalenessLimit.java
@@ -26,9 +26,9 @@
 
   /** Computes the limit from the platform's timings for workers. */
   CancellationStalenessLimit(NodeConfig config) {
-    double spareS = config.workers().cancelS() - config.workers().leaseS();
+    double spareS = config.workers().cancellationDeadlineS() - config.workers().leaseS();
     this.safeMs = (long) (spareS * MS_PER_S * (1 - DRIFT) - MARGIN_MS);
-    this.minMs = (long) (MIN_HEARTBEATS * MS_PER_S * config.workers().reportS() + MIN_MARGIN_MS);
+    this.minMs = (long) (MIN_HEARTBEATS * MS_PER_S * config.workers().heartbeatIntervalS() + MIN_MARGIN_MS);
   }
 
   /**
--- a/src/main/java/shorecrank/transport/ControllerEventLoop.java
+++ b/src/main/java/shorecrank/transport/ControllerEventLoop.java
@@ -83,7 +83,7 @@
   /** Binds both addresses and begins rounds; fails if an address can't be bound. */
   public void start() throws InterruptedException {
     int sockets = config.limits().sockets();
-    int idleS = (int) Math.max(MIN_IDLE_S, IDLE_HEARTBEATS * config.workers().reportS());
+    int idleS = (int) Math.max(MIN_IDLE_S, IDLE_HEARTBEATS * config.workers().heartbeatIntervalS());
     HttpServer users =
         new HttpServer(
             (int) (sockets * PUBLIC_SOCKETS_SHARE),
