--- a/src/main/java/shorecrank/config/SettingsFile.java
+++ b/src/main/java/shorecrank/config/SettingsFile.java
@@ -52,7 +52,7 @@
       values.put(setting, setting.field.numberOf(message));
     }
     Settings settings = settings(values);
-    if (settings.renewMs() * 2 > settings.leaseMs()) {
+    if (settings.heartbeatIntervalMs() * 2 > settings.leaseMs()) {
       throw new InvalidConfigException("renew_ms", "must be at most half of lease_ms");
     }
     return settings;
--- a/src/main/java/shorecrank/coordination/ControllerStateMachine.java
+++ b/src/main/java/shorecrank/coordination/ControllerStateMachine.java
@@ -146,7 +146,7 @@
         setup.settings(),
         setup.announcement(),
         members,
-        context.settings().renewMs());
+        context.settings().heartbeatIntervalMs());
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -109,7 +109,7 @@
   private void send() {
     MonotonicTime sentAt = context.now();
     ControllerName to = election.leader();
-    int interval = context.settings().renewMs();
+    int interval = context.settings().heartbeatIntervalMs();
     scheduleIn(interval - interval / 10 + context.random().nextInt(interval / 5 + 1));
     Heartbeat heartbeat = compose();
     if (election.isHoldingKey()) {
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -61,7 +61,7 @@
   boolean canServe(ControllerState controller) {
     return controller.isStoreReachable()
         && controller.msSinceHeartbeat(context.now())
-            <= context.settings().renewMs() * 2L + SERVING_MARGIN_MS;
+            <= context.settings().heartbeatIntervalMs() * 2L + SERVING_MARGIN_MS;
   }
 
   /** Reports whether a controller other than {@code except} reaches the state service. */
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -110,7 +110,7 @@
    */
   void extendLeasesAfterInterruption() {
     MonotonicTime heardBy =
-        context.now().plus(context.settings().renewMs() * ALLOWED_MISSED_HEARTBEATS);
+        context.now().plus(context.settings().heartbeatIntervalMs() * ALLOWED_MISSED_HEARTBEATS);
     for (ShardState shard : shards.values()) {
       shard.extendLease(heardBy);
     }
--- a/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
@@ -64,7 +64,7 @@
       queuedCpus += demand.cpus();
     }
     context.gauge("cpus.waited_for.in_limit", queuedCpus);
-    long windowMs = context.settings().idleReturnS() * MS_PER_S;
+    long windowMs = context.settings().peakDemandWindowS() * MS_PER_S;
     double peakCpus = peaks.record(fleet.usedCpus + unservedCpus, context.now(), windowMs);
     double cpusToKeep = peakCpus * PEAK_MARGIN_FACTOR;
     for (Machine machine : fleet.active) {
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -111,7 +111,7 @@
                     requiredZone,
                     new BinPacking.Clock(context.now(), context.config().workers().heartbeatIntervalS())),
                 candidates,
-                context.settings().sampleSize(),
+                context.settings().placementSampleSize(),
                 context.random());
         if (machine == null) {
           return;
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -69,7 +69,7 @@
       context.count("report.renewed.no_lease");
       replies.renewOnly(reply, machine, heartbeat);
     } else if ((freed || HeartbeatReplies.hasUncommittedAttempt(machine))
-        && context.settings().parkMs() > 0) {
+        && context.settings().replyDeferralMs() > 0) {
       // The freed capacity can be used again in this answer once the next placement is
       // committed, and commands that wait for a commit need not wait for the machine's next
       // heartbeat.
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -74,7 +74,7 @@
    * settings allow.
    */
   void defer(long reply, Machine machine) {
-    machine.session().deferReply(reply, context.now().plus(context.settings().parkMs()));
+    machine.session().deferReply(reply, context.now().plus(context.settings().replyDeferralMs()));
     deferred.add(machine);
     roundPending = true;
   }
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -160,7 +160,7 @@
       } else if (job.record().isWritable(now)
           && (urgency == WriteUrgency.NOW
               || job.isReadyForFinalRecord()
-              || now.since(job.record().urgentSince()) >= context.settings().mergeMs())) {
+              || now.since(job.record().urgentSince()) >= context.settings().completionDelayMs())) {
         due.add(job);
       }
     }
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -52,7 +52,7 @@
     this.writer = writer;
     this.budget = new StoreBudget(config);
     this.cancellationStalenessLimit = new CancellationStalenessLimit(config);
-    this.storeReachability = new StoreReachability(settings.stateFreshMs());
+    this.storeReachability = new StoreReachability(settings.stateAnswerValidMs());
   }
 
   // ---- the step ----------------------------------------------------------------------------
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -33,12 +33,12 @@
   void theServiceStaysReachableForTheConfiguredTimeAfterAnAnswer() {
     readAndAnswer(200);
     driver.after(
-        StepDriver.SETTINGS.stateFreshMs() - 1, () -> assertTrue(context.isStoreReachable()));
+        StepDriver.SETTINGS.stateAnswerValidMs() - 1, () -> assertTrue(context.isStoreReachable()));
     driver.after(1, () -> assertFalse(context.isStoreReachable()));
     driver.after(500, () -> {});
     readAndAnswer(200);
     assertEquals(
-        new MonotonicTime(StepDriver.SETTINGS.stateFreshMs() + 500), context.storeReachableSince());
+        new MonotonicTime(StepDriver.SETTINGS.stateAnswerValidMs() + 500), context.storeReachableSince());
   }
 
   @Test
