--- a/src/main/java/shorecrank/config/SettingsFile.java
+++ b/src/main/java/shorecrank/config/SettingsFile.java
@@ -27,8 +27,8 @@
 
     private final Field field;
 
-    Setting(String name, double min, double max, double unset) {
-      this.field = Field.number(name, min, max, unset);
+    Setting(String name, double min, double max, double defaultValue) {
+      this.field = Field.number(name, min, max, defaultValue);
     }
   }
 
@@ -38,7 +38,7 @@
   public static Settings defaults() {
     Map<Setting, Double> values = new EnumMap<>(Setting.class);
     for (Setting setting : Setting.values()) {
-      values.put(setting, setting.field.unset());
+      values.put(setting, setting.field.defaultValue());
     }
     return settings(values);
   }
--- a/src/main/java/shorecrank/config/TextProto.java
+++ b/src/main/java/shorecrank/config/TextProto.java
@@ -37,17 +37,17 @@
    *
    * @param min the least number allowed
    * @param max the greatest number allowed
-   * @param unset the number where it is not set; for a flag 1 for true
+   * @param defaultValue the number where it is not set; for a flag 1 for true
    */
-  public record Field(String name, Kind kind, double min, double max, double unset) {
+  public record Field(String name, Kind kind, double min, double max, double defaultValue) {
     /** A number within a range, both ends included. */
-    public static Field number(String name, double min, double max, double unset) {
-      return new Field(name, Kind.NUMBER, min, max, unset);
+    public static Field number(String name, double min, double max, double defaultValue) {
+      return new Field(name, Kind.NUMBER, min, max, defaultValue);
     }
 
     /** True or false. */
-    public static Field flag(String name, boolean unset) {
-      return new Field(name, Kind.FLAG, 0, 1, unset ? 1 : 0);
+    public static Field flag(String name, boolean defaultValue) {
+      return new Field(name, Kind.FLAG, 0, 1, defaultValue ? 1 : 0);
     }
 
     /** A text; empty where it is not set. */
@@ -58,13 +58,13 @@
     /** The number in a message that {@link #parse} has read, or the default. */
     public double numberOf(Message message) {
       Object value = value(message);
-      return value == null ? unset : (Double) value;
+      return value == null ? defaultValue : (Double) value;
     }
 
     /** The flag in a message that {@link #parse} has read, or the default. */
     public boolean flagOf(Message message) {
       Object value = value(message);
-      return value == null ? unset != 0 : (Boolean) value;
+      return value == null ? defaultValue != 0 : (Boolean) value;
     }
 
     /** The text in a message that {@link #parse} has read; empty if it is not set. */
@@ -83,7 +83,7 @@
   /** Settings in braces behind a name, which may be given any number of times. */
   public record Group(String name, List<Field> fields) {
     /** The groups of this name in a message that {@link #parse} has read, in their order. */
-    public List<Message> of(Message message) {
+    public List<Message> messagesIn(Message message) {
       FieldDescriptor field = message.getDescriptorForType().findFieldByName(name);
       List<Message> all = new ArrayList<>();
       for (Object one : (List<?>) message.getField(field)) {
@@ -115,7 +115,7 @@
     DynamicMessage message = builder.build();
     check("", fields, message);
     for (Group group : groups) {
-      for (Message one : group.of(message)) {
+      for (Message one : group.messagesIn(message)) {
         check(group.name() + ".", group.fields(), one);
       }
     }
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -53,7 +53,7 @@
 
   /** Returns the share of a team that is neither listed in the settings nor set by an operator. */
   public static TeamShare defaultShare(String team) {
-    return new TeamShare(team, WEIGHT.unset(), MIN_CPUS.unset(), MAX_CPUS.unset());
+    return new TeamShare(team, WEIGHT.defaultValue(), MIN_CPUS.defaultValue(), MAX_CPUS.defaultValue());
   }
 
   /**
@@ -76,7 +76,7 @@
   private static List<TeamShare> teams(Message message) throws InvalidConfigException {
     List<TeamShare> teams = new ArrayList<>();
     Set<String> names = new HashSet<>();
-    for (Message teamMessage : TEAM.of(message)) {
+    for (Message teamMessage : TEAM.messagesIn(message)) {
       TeamShare team =
           new TeamShare(
               TEAM_NAME.textOf(teamMessage),
