--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -160,6 +160,7 @@
   public boolean isFresh(Machine machine) {
     return machine.session().isReconciled()
         && silentMs(machine)
-            < context.config().workers().heartbeatIntervalS() * FRESH_MS_PER_INTERVAL_S + FRESH_MARGIN_MS;
+            < context.config().workers().heartbeatIntervalS() * FRESH_MS_PER_INTERVAL_S
+                + FRESH_MARGIN_MS;
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
@@ -32,7 +32,8 @@
     Job job = demand.job();
     int tasks = demand.tasks();
     double runS = Math.max(MIN_RUN_S, job.spec().estimateS());
-    double parallel = Math.min(tasks, Math.ceil(tasks * runS / context.settings().queueClearingS()));
+    double parallel =
+        Math.min(tasks, Math.ceil(tasks * runS / context.settings().queueClearingS()));
     return parallel * cpuEquivalent(job.spec(), shard.catalog());
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -109,7 +109,8 @@
                     spec,
                     tasksToPlace,
                     requiredZone,
-                    new BinPacking.Clock(context.now(), context.config().workers().heartbeatIntervalS())),
+                    new BinPacking.Clock(
+                        context.now(), context.config().workers().heartbeatIntervalS())),
                 candidates,
                 context.settings().placementSampleSize(),
                 context.random());
--- a/src/main/java/shorecrank/coordination/scheduling/TeamGuarantees.java
+++ b/src/main/java/shorecrank/coordination/scheduling/TeamGuarantees.java
@@ -50,7 +50,8 @@
       cpus += job.spec().tasks() * job.spec().cpus();
       gpus += job.spec().tasks() * job.spec().gpus();
       job.scheduling()
-          .setWithinGuarantee(cpus <= team.guaranteedCpus() + EPSILON && gpus <= team.guaranteedGpus() + EPSILON);
+          .setWithinGuarantee(
+              cpus <= team.guaranteedCpus() + EPSILON && gpus <= team.guaranteedGpus() + EPSILON);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -91,7 +91,8 @@
         && unanswered < maxUnanswered()
         && session.isReconciled()
         && session.acceptsDirectCommands(lease.epoch())
-        && session.secondsToNextAnswer(context.now(), context.config().workers().heartbeatIntervalS())
+        && session.secondsToNextAnswer(
+                    context.now(), context.config().workers().heartbeatIntervalS())
                 * MS_PER_S
             >= MIN_TIME_TO_ANSWER_MS;
   }
--- a/src/main/java/shorecrank/coordination/step/CancellationStalenessLimit.java
+++ b/src/main/java/shorecrank/coordination/step/CancellationStalenessLimit.java
@@ -28,7 +28,8 @@
   CancellationStalenessLimit(NodeConfig config) {
     double spareS = config.workers().cancellationDeadlineS() - config.workers().leaseS();
     this.safeMs = (long) (spareS * MS_PER_S * (1 - DRIFT) - MARGIN_MS);
-    this.minMs = (long) (MIN_HEARTBEATS * MS_PER_S * config.workers().heartbeatIntervalS() + MIN_MARGIN_MS);
+    this.minMs =
+        (long) (MIN_HEARTBEATS * MS_PER_S * config.workers().heartbeatIntervalS() + MIN_MARGIN_MS);
   }
 
   /**
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -53,7 +53,8 @@
 
   /** Returns the share of a team that is neither listed in the settings nor set by an operator. */
   public static TeamShare defaultShare(String team) {
-    return new TeamShare(team, WEIGHT.defaultValue(), MIN_CPUS.defaultValue(), MAX_CPUS.defaultValue());
+    return new TeamShare(
+        team, WEIGHT.defaultValue(), MIN_CPUS.defaultValue(), MAX_CPUS.defaultValue());
   }
 
   /**
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -38,7 +38,8 @@
     driver.after(500, () -> {});
     readAndAnswer(200);
     assertEquals(
-        new MonotonicTime(StepDriver.SETTINGS.stateAnswerValidMs() + 500), context.storeReachableSince());
+        new MonotonicTime(StepDriver.SETTINGS.stateAnswerValidMs() + 500),
+        context.storeReachableSince());
   }
 
   @Test
