--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -39,25 +39,25 @@
       @Mixin ClientOptions options,
       @Parameters(paramLabel = "FILE", description = "where it goes") Path file,
       @Mixin OrderOptions order) {
-    ControllerClient client = options.client();
+    ControllerClient client = options.createClient();
     try {
       Answer answer =
           client.post(
               OperatorPaths.ROLLOUT_ORDERS,
               RolloutOrderCodec.write(
-                  new RolloutOrder(order.idOrNew(), OrderKind.ARCHIVE, NO_LEVEL)));
+                  new RolloutOrder(order.orderId(), OrderKind.ARCHIVE, NO_LEVEL)));
       if (!answer.isOk()) {
         return options.printAnswer(answer, "");
       }
       String archive = Json.text(answer.body().path("archive"));
       new ArchiveDownload(new StoredKeys(client), archive).fetchInto(file);
-      return describe(options, read(file));
+      return printSummary(options, read(file));
     } catch (NoAnswerException e) {
-      return options.reportUnknown(e);
+      return options.reportNoAnswer(e);
     } catch (IOException e) {
-      return options.complain(ExitStatus.REFUSED, file + ": can't be written");
+      return options.printError(ExitStatus.REFUSED, file + ": can't be written");
     } catch (DamagedArchiveException e) {
-      return options.complain(ExitStatus.REFUSED, file + ": " + e.getMessage());
+      return options.printError(ExitStatus.REFUSED, file + ": " + e.getMessage());
     }
   }
 
@@ -67,11 +67,11 @@
       @Parameters(paramLabel = "FILE", description = "the archive") Path file,
       @Mixin OutputOptions options) {
     try {
-      return describe(options, read(file));
+      return printSummary(options, read(file));
     } catch (IOException e) {
-      return options.complain(ExitStatus.REFUSED, file + ": can't be read");
+      return options.printError(ExitStatus.REFUSED, file + ": can't be read");
     } catch (DamagedArchiveException e) {
-      return options.complain(ExitStatus.REFUSED, file + ": " + e.getMessage());
+      return options.printError(ExitStatus.REFUSED, file + ": " + e.getMessage());
     }
   }
 
@@ -86,18 +86,18 @@
     try {
       archive = read(file);
     } catch (IOException e) {
-      return options.complain(ExitStatus.REFUSED, file + ": can't be read");
+      return options.printError(ExitStatus.REFUSED, file + ": can't be read");
     } catch (DamagedArchiveException e) {
-      return options.complain(ExitStatus.REFUSED, file + ": " + e.getMessage());
+      return options.printError(ExitStatus.REFUSED, file + ": " + e.getMessage());
     }
     Map<String, JsonNode> stored = new TreeMap<>();
-    StoredKeys keys = new StoredKeys(options.client());
+    StoredKeys keys = new StoredKeys(options.createClient());
     try {
       for (String prefix : ArchiveKeys.ARCHIVED_PREFIXES) {
         keys.forEach(prefix, entry -> stored.put(entry.key(), entry.value()));
       }
     } catch (NoAnswerException e) {
-      return options.reportUnknown(e);
+      return options.reportNoAnswer(e);
     }
     Map<String, String> differences = compare(archive.keys(), stored);
     printDifferences(options, archive.keys().size(), differences);
@@ -148,7 +148,7 @@
   }
 
   /** Prints what an archive that was read completely says of itself. */
-  private static int describe(OutputOptions options, Archive archive) {
+  private static int printSummary(OutputOptions options, Archive archive) {
     Manifest manifest = archive.manifest();
     if (options.isJson()) {
       options.printJson(
--- a/src/main/java/shorecrank/client/ArchiveDownload.java
+++ b/src/main/java/shorecrank/client/ArchiveDownload.java
@@ -18,28 +18,28 @@
   private static final int MAX_POLLS = 7200;
 
   private final StoredKeys keys;
-  private final String archive;
+  private final String archiveId;
 
   /**
    * Creates a download.
    *
-   * @param archive the archive's id
+   * @param archiveId the archive's id
    */
-  ArchiveDownload(StoredKeys keys, String archive) {
+  ArchiveDownload(StoredKeys keys, String archiveId) {
     this.keys = keys;
-    this.archive = archive;
+    this.archiveId = archiveId;
   }
 
   /** Waits until the archive is complete, then fetches it; the file appears only when it is. */
   void fetchInto(Path file) throws NoAnswerException, IOException {
     awaitComplete();
     Path partial = file.resolveSibling(file.getFileName() + ".part");
-    String firstChunk = ArchiveKeys.chunkKey(archive, 0);
+    String firstChunk = ArchiveKeys.chunkKey(archiveId, 0);
     String prefix = firstChunk.substring(0, firstChunk.lastIndexOf('/') + 1);
     try (OutputStream out = Files.newOutputStream(partial)) {
       ChunkWriter writer = new ChunkWriter(out);
       keys.forEach(prefix, writer::write);
-      writer.check();
+      writer.throwFailure();
     }
     Files.move(partial, file, StandardCopyOption.REPLACE_EXISTING);
   }
@@ -51,16 +51,16 @@
       }
       ControllerClient.pause(POLL_MS);
     }
-    throw new NoAnswerException("archive " + archive + " is not complete yet");
+    throw new NoAnswerException("archive " + archiveId + " is not complete yet");
   }
 
   private boolean isComplete() throws NoAnswerException {
     boolean[] complete = new boolean[1];
     keys.forEach(
-        ArchiveKeys.indexKey(archive),
-        key ->
+        ArchiveKeys.indexKey(archiveId),
+        entry ->
             complete[0] |=
-                ArchiveValueCodec.readIndex(key.key(), key.value())
+                ArchiveValueCodec.readIndex(entry.key(), entry.value())
                     .map(IndexEntry::isComplete)
                     .orElse(false));
     return complete[0];
@@ -88,7 +88,7 @@
       }
     }
 
-    private void check() throws IOException {
+    private void throwFailure() throws IOException {
       if (failure != null) {
         throw failure;
       }
--- a/src/main/java/shorecrank/client/ClientCommand.java
+++ b/src/main/java/shorecrank/client/ClientCommand.java
@@ -30,13 +30,13 @@
 
   /** Runs a command that prints to these writers, and returns the exit status. */
   public static int run(PrintWriter out, PrintWriter err, String... args) {
-    CommandLine line = new CommandLine(new ClientCommand()).setOut(out).setErr(err);
-    line.setParameterExceptionHandler(
-        (failure, rejected) -> {
-          String message = failure.getMessage().replace('\n', ' ');
-          failure.getCommandLine().getErr().println("shorecrank: " + message);
+    CommandLine commandLine = new CommandLine(new ClientCommand()).setOut(out).setErr(err);
+    commandLine.setParameterExceptionHandler(
+        (e, arguments) -> {
+          String message = e.getMessage().replace('\n', ' ');
+          e.getCommandLine().getErr().println("shorecrank: " + message);
           return ExitStatus.USAGE;
         });
-    return line.execute(args);
+    return commandLine.execute(args);
   }
 }
--- a/src/main/java/shorecrank/client/ClientOptions.java
+++ b/src/main/java/shorecrank/client/ClientOptions.java
@@ -33,18 +33,18 @@
   private int timeoutS;
 
   /** A client of the controllers that are named; fails if an option's value can't be used. */
-  ControllerClient client() {
+  ControllerClient createClient() {
     if (timeoutS < 0 || timeoutS > MAX_TIMEOUT_S) {
       throw usageError("--timeout must be from 0 to " + MAX_TIMEOUT_S);
     }
     List<URI> addresses = new ArrayList<>();
     for (String controller : controllers) {
-      addresses.add(address(controller));
+      addresses.add(parseAddress(controller));
     }
     return new ControllerClient(addresses, Duration.ofSeconds(timeoutS));
   }
 
-  private URI address(String controller) {
+  private URI parseAddress(String controller) {
     URI address;
     try {
       address = URI.create("http://" + controller);
@@ -75,7 +75,7 @@
       return answer.isOk() ? ExitStatus.OK : ExitStatus.REFUSED;
     }
     if (!answer.isOk()) {
-      return complain(ExitStatus.REFUSED, answer.reason());
+      return printError(ExitStatus.REFUSED, answer.reason());
     }
     out().println(text);
     return ExitStatus.OK;
@@ -88,14 +88,14 @@
    */
   int showStatus(String path, BiConsumer<JsonNode, PrintWriter> printer) {
     try {
-      Answer answer = client().post(path, Json.object());
+      Answer answer = createClient().post(path, Json.object());
       if (answer.isOk() && !isJson()) {
         printer.accept(answer.body(), out());
         return ExitStatus.OK;
       }
       return printAnswer(answer, "");
     } catch (NoAnswerException e) {
-      return reportUnknown(e);
+      return reportNoAnswer(e);
     }
   }
 
@@ -106,22 +106,22 @@
    */
   int sendOrder(String path, String id, JsonNode order) {
     try {
-      Answer answer = client().post(path, order);
+      Answer answer = createClient().post(path, order);
       return printAnswer(answer, answer.reason());
     } catch (NoAnswerException e) {
       if (!isJson()) {
-        complain(ExitStatus.UNKNOWN, "send the same order again with --id " + id);
+        printError(ExitStatus.UNKNOWN, "send the same order again with --id " + id);
       }
-      return reportUnknown(e);
+      return reportNoAnswer(e);
     }
   }
 
   /** Prints that no controller could tell, and returns the exit status. */
-  int reportUnknown(NoAnswerException failure) {
+  int reportNoAnswer(NoAnswerException failure) {
     if (isJson()) {
       printJson(OperatorRequestCodec.writeUnknown(failure.getMessage()));
       return ExitStatus.UNKNOWN;
     }
-    return complain(ExitStatus.UNKNOWN, "unknown: " + failure.getMessage());
+    return printError(ExitStatus.UNKNOWN, "unknown: " + failure.getMessage());
   }
 }
--- a/src/main/java/shorecrank/client/ControllerClient.java
+++ b/src/main/java/shorecrank/client/ControllerClient.java
@@ -57,7 +57,7 @@
 
   /** Sends the same request until some controller answers it. */
   Answer post(String path, JsonNode body) throws NoAnswerException {
-    long end = System.nanoTime() + timeout.toNanos();
+    long deadlineNanos = System.nanoTime() + timeout.toNanos();
     String reason = "";
     while (true) {
       for (URI controller : controllers) {
@@ -71,7 +71,7 @@
           reason = controller.getAuthority() + " does not answer";
         }
       }
-      if (System.nanoTime() > end) {
+      if (System.nanoTime() > deadlineNanos) {
         throw new NoAnswerException(reason);
       }
       pause(RETRY_MS);
--- a/src/main/java/shorecrank/client/OrderOptions.java
+++ b/src/main/java/shorecrank/client/OrderOptions.java
@@ -12,7 +12,7 @@
   private String id;
 
   /** The id that was given, or a new one; the same at each call. */
-  String idOrNew() {
+  String orderId() {
     if (id == null) {
       id = UUID.randomUUID().toString();
     }
--- a/src/main/java/shorecrank/client/OutputOptions.java
+++ b/src/main/java/shorecrank/client/OutputOptions.java
@@ -35,7 +35,7 @@
   }
 
   /** Prints one line on standard error and returns the exit status. */
-  final int complain(int status, String message) {
+  final int printError(int status, String message) {
     command.commandLine().getErr().println("shorecrank: " + message);
     return status;
   }
--- a/src/main/java/shorecrank/client/RolloutCommand.java
+++ b/src/main/java/shorecrank/client/RolloutCommand.java
@@ -57,7 +57,7 @@
       throw options.usageError("--level must be 0 or more");
     }
     RolloutOrder order =
-        new RolloutOrder(orderOptions.idOrNew(), kind, level == null ? NO_LEVEL : level);
+        new RolloutOrder(orderOptions.orderId(), kind, level == null ? NO_LEVEL : level);
     return options.sendOrder(
         OperatorPaths.ROLLOUT_ORDERS, order.id(), RolloutOrderCodec.write(order));
   }
--- a/src/main/java/shorecrank/client/RolloutStatusPrinter.java
+++ b/src/main/java/shorecrank/client/RolloutStatusPrinter.java
@@ -39,13 +39,13 @@
 
   /** A member of an earlier version announces neither its build nor its levels. */
   private static void printMember(JsonNode member, PrintWriter out) {
-    boolean announces = member.has("lowest");
+    boolean announcesLevels = member.has("lowest");
     long heardMsAgo = member.path("heardMsAgo").asLong();
     out.printf(
         "%-16s %-14s %-8s %-12s %s%n",
         Json.text(member.path("label")),
-        announces ? Json.text(member.path("build")) : "-",
-        announces ? member.path("lowest") + "-" + member.path("highest") : "none",
+        announcesLevels ? Json.text(member.path("build")) : "-",
+        announcesLevels ? member.path("lowest") + "-" + member.path("highest") : "none",
         heardMsAgo < 0 ? "never" : "%.1f s ago".formatted(heardMsAgo / MS_PER_S),
         member.path("settingsDiffer").asBoolean() ? "DIFFER" : "ok");
   }
--- a/src/main/java/shorecrank/client/SharesCommand.java
+++ b/src/main/java/shorecrank/client/SharesCommand.java
@@ -19,7 +19,7 @@
 @Command(name = "shares", description = "Watches and steers which shard has which machines.")
 final class SharesCommand {
   /** The option of orders that can be checked without being carried out. */
-  static final class DryRun {
+  static final class DryRunOption {
     @Option(names = "--dry-run", description = "say what would be done, and do nothing")
     private boolean dryRun;
   }
@@ -45,12 +45,12 @@
               paramLabel = "CPUS",
               description = "processors that it gets at the most; 0 for no bound")
           Double max,
-      @Mixin DryRun dryRun,
+      @Mixin DryRunOption dryRun,
       @Mixin OrderOptions order) {
     if (weight == null && min == null && max == null) {
       throw options.usageError("one of --weight, --min, --max is needed");
     }
-    return send(options, new SetShare(order.idOrNew(), dryRun.dryRun, team, weight, min, max));
+    return send(options, new SetShare(order.orderId(), dryRun.dryRun, team, weight, min, max));
   }
 
   /** Orders moves of machines, by name or by number. */
@@ -73,7 +73,7 @@
               defaultValue = "0",
               description = "so many, the soonest empty first")
           int count,
-      @Mixin DryRun dryRun,
+      @Mixin DryRunOption dryRun,
       @Mixin OrderOptions order) {
     List<MachineName> names = new ArrayList<>();
     if (machines != null) {
@@ -90,7 +90,7 @@
     ShardId source = from == null ? null : new ShardId(from);
     return send(
         options,
-        new MoveMachines(order.idOrNew(), dryRun.dryRun, names, source, count, new ShardId(to)));
+        new MoveMachines(order.orderId(), dryRun.dryRun, names, source, count, new ShardId(to)));
   }
 
   /** Orders the end of moves under way. */
@@ -106,16 +106,17 @@
               paramLabel = "ID",
               defaultValue = "",
               description = "all moves of an order")
-          String ofOrder,
+          String moveOrderId,
       @Option(names = "--all", description = "all moves") boolean all,
-      @Mixin DryRun dryRun,
+      @Mixin DryRunOption dryRun,
       @Mixin OrderOptions order) {
-    int named = (move > 0 ? 1 : 0) + (ofOrder.isEmpty() ? 0 : 1) + (all ? 1 : 0);
-    if (named != 1) {
+    int selectors = (move > 0 ? 1 : 0) + (moveOrderId.isEmpty() ? 0 : 1) + (all ? 1 : 0);
+    if (selectors != 1) {
       throw options.usageError("one of --move, --order, --all is needed");
     }
     return send(
-        options, new AbortMoves(order.idOrNew(), dryRun.dryRun, new MoveId(move), ofOrder, all));
+        options,
+        new AbortMoves(order.orderId(), dryRun.dryRun, new MoveId(move), moveOrderId, all));
   }
 
   private static int send(ClientOptions options, ShareOrder order) {
--- a/src/main/java/shorecrank/client/SharesStatusPrinter.java
+++ b/src/main/java/shorecrank/client/SharesStatusPrinter.java
@@ -21,21 +21,22 @@
   }
 
   private static void printShards(JsonNode shards, PrintWriter out) {
-    String row = "%-6s %-16s %9s %9s %9s %9s %9s  %s%n";
-    out.printf(row, "SHARD", "OWNER", "MACHINES", "CPUS", "TARGET", "RUNNING", "WAITING", "TEAMS");
+    String rowFormat = "%-6s %-16s %9s %9s %9s %9s %9s  %s%n";
+    out.printf(
+        rowFormat, "SHARD", "OWNER", "MACHINES", "CPUS", "TARGET", "RUNNING", "WAITING", "TEAMS");
     for (JsonNode shard : shards) {
       List<String> teams = new ArrayList<>();
       shard.path("teams").forEach(team -> teams.add(team.asText()));
       String owner = Json.text(shard.path("owner"));
       out.printf(
-          row,
+          rowFormat,
           shard.path("shard").asInt(),
           owner.isEmpty() ? "-" : owner,
           shard.path("machines").asInt(),
-          amount(shard, "cpus"),
-          amount(shard, "target"),
-          amount(shard, "running"),
-          amount(shard, "waiting"),
+          formatNumber(shard, "cpus"),
+          formatNumber(shard, "target"),
+          formatNumber(shard, "running"),
+          formatNumber(shard, "waiting"),
           String.join(",", teams));
     }
   }
@@ -47,9 +48,9 @@
       out.printf(
           "%-24s %9s %9s %9s%n",
           Json.text(team.path("team")),
-          amount(team, "weight"),
-          amount(team, "minCpus"),
-          isLimited ? amount(team, "maxCpus") : "none");
+          formatNumber(team, "weight"),
+          formatNumber(team, "minCpus"),
+          isLimited ? formatNumber(team, "maxCpus") : "none");
     }
   }
 
@@ -82,7 +83,7 @@
   }
 
   /** A number without needless decimals. */
-  private static String amount(JsonNode row, String field) {
+  private static String formatNumber(JsonNode row, String field) {
     double value = row.path(field).asDouble();
     return value == Math.rint(value) ? Long.toString((long) value) : "%.1f".formatted(value);
   }
--- a/src/main/java/shorecrank/config/ConfigSection.java
+++ b/src/main/java/shorecrank/config/ConfigSection.java
@@ -48,11 +48,12 @@
         path + field, "must be IP:PORT with a port from 1 to " + MAX_PORT);
   }
 
-  /** A number within a range, both ends included; {@code unset} if it is missing or null. */
-  double number(String field, double min, double max, double unset) throws InvalidConfigException {
+  /** A number within a range, both ends included; {@code defaultValue} if it is missing or null. */
+  double number(String field, double min, double max, double defaultValue)
+      throws InvalidConfigException {
     JsonNode value = json.path(field);
     if (value.isMissingNode() || value.isNull()) {
-      return unset;
+      return defaultValue;
     }
     double number = value.isNumber() ? value.doubleValue() : Double.NaN;
     if (!(number >= min && number <= max)) {
@@ -62,7 +63,8 @@
   }
 
   /** The same for a whole number; a fraction is cut off. */
-  int wholeNumber(String field, double min, double max, int unset) throws InvalidConfigException {
-    return (int) number(field, min, max, unset);
+  int wholeNumber(String field, double min, double max, int defaultValue)
+      throws InvalidConfigException {
+    return (int) number(field, min, max, defaultValue);
   }
 }
--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -94,7 +94,7 @@
    */
   public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
     /** The lower of each of both limits. */
-    StateLimits within(StateLimits other) {
+    StateLimits min(StateLimits other) {
       return new StateLimits(
           Math.min(rps, other.rps),
           Math.min(writeRps, other.writeRps),
--- a/src/main/java/shorecrank/config/NodeConfigFile.java
+++ b/src/main/java/shorecrank/config/NodeConfigFile.java
@@ -18,7 +18,7 @@
 /** Reads the platform's file, which is JSON. */
 public final class NodeConfigFile {
   /** Above any amount that makes sense. */
-  private static final double UNBOUNDED = 1e9;
+  private static final double MAX_NUMBER = 1e9;
 
   private static final double HOUR_S = 3600;
   private static final double DAY_S = 86400;
@@ -77,10 +77,10 @@
           name,
           new Team(
               name,
-              team.number("cpus", 0, UNBOUNDED, 0),
-              team.number("cpus_max", 0, UNBOUNDED, 0),
-              team.number("gpus", 0, UNBOUNDED, 0),
-              team.number("gpus_max", 0, UNBOUNDED, 0)));
+              team.number("cpus", 0, MAX_NUMBER, 0),
+              team.number("cpus_max", 0, MAX_NUMBER, 0),
+              team.number("gpus", 0, MAX_NUMBER, 0),
+              team.number("gpus_max", 0, MAX_NUMBER, 0)));
     }
     return teams;
   }
@@ -94,33 +94,33 @@
           new Objective(
               objective.optionalText("kind"),
               objective.optionalText("class"),
-              objective.number("within_s", 0, UNBOUNDED, 0),
-              objective.number("share", 0, UNBOUNDED, 0),
-              objective.number("times", 0, UNBOUNDED, 1)));
+              objective.number("within_s", 0, MAX_NUMBER, 0),
+              objective.number("share", 0, MAX_NUMBER, 0),
+              objective.number("times", 0, MAX_NUMBER, 1)));
     }
     return List.copyOf(objectives);
   }
 
   /** The lower limits come into force without notice, so only what both allow is ever written. */
   private static StateLimits readStateLimits(ConfigSection state) throws InvalidConfigException {
-    StateLimits now = readStateLimits(state, DEFAULT_STATE_LIMITS);
+    StateLimits current = readStateLimits(state, DEFAULT_STATE_LIMITS);
     JsonNode next = state.json().path("next");
     if (next.isMissingNode() || next.isNull()) {
-      return now;
+      return current;
     }
     if (!next.isObject()) {
       throw new InvalidConfigException("settings.state.next", "must be an object with limits");
     }
-    return now.within(readStateLimits(state.section("next"), now));
+    return current.min(readStateLimits(state.section("next"), current));
   }
 
-  private static StateLimits readStateLimits(ConfigSection limits, StateLimits unset)
+  private static StateLimits readStateLimits(ConfigSection limits, StateLimits defaults)
       throws InvalidConfigException {
     return new StateLimits(
-        limits.number("rps", 1, UNBOUNDED, unset.rps()),
-        limits.number("write_rps", 1, UNBOUNDED, unset.writeRps()),
-        limits.number("value_kb", 1, 64, unset.valueKb()),
-        limits.wholeNumber("txn_ops", 4, 100000, unset.txnOps()));
+        limits.number("rps", 1, MAX_NUMBER, defaults.rps()),
+        limits.number("write_rps", 1, MAX_NUMBER, defaults.writeRps()),
+        limits.number("value_kb", 1, 64, defaults.valueKb()),
+        limits.wholeNumber("txn_ops", 4, 100000, defaults.txnOps()));
   }
 
   private static WorkerTimings readWorkerTimings(ConfigSection workers)
@@ -133,14 +133,14 @@
 
   private static CloudLimits readCloudLimits(ConfigSection cloud) throws InvalidConfigException {
     return new CloudLimits(
-        cloud.number("rps", 0.1, UNBOUNDED, 4), cloud.number("list_lag_s", 0, HOUR_S, 5));
+        cloud.number("rps", 0.1, MAX_NUMBER, 4), cloud.number("list_lag_s", 0, HOUR_S, 5));
   }
 
   private static ProcessLimits readProcessLimits(ConfigSection quota)
       throws InvalidConfigException {
     return new ProcessLimits(
         quota.number("cores", 0.01, 1024, 1),
-        quota.number("mem_mb", 16, UNBOUNDED, 512),
-        quota.wholeNumber("sockets", 16, UNBOUNDED, 1000));
+        quota.number("mem_mb", 16, MAX_NUMBER, 512),
+        quota.wholeNumber("sockets", 16, MAX_NUMBER, 1000));
   }
 }
--- a/src/main/java/shorecrank/config/SettingsFile.java
+++ b/src/main/java/shorecrank/config/SettingsFile.java
@@ -11,7 +11,7 @@
 public final class SettingsFile {
   /** Every setting with its name in the file, range and default. */
   private enum Setting {
-    PARTS("parts", 1, 64, 1),
+    SHARDS("parts", 1, 64, 1),
     LEASE_MS("lease_ms", 1000, 60_000, 5000),
     RENEW_MS("renew_ms", 100, 30_000, 1000),
     LEADER_TTL_MS("leader_ttl_ms", 1000, 60_000, 5000),
@@ -40,7 +40,7 @@
     for (Setting setting : Setting.values()) {
       values.put(setting, setting.field.defaultValue());
     }
-    return settings(values);
+    return toSettings(values);
   }
 
   /** Reads a file's text; what is not set has its default. */
@@ -51,16 +51,16 @@
     for (Setting setting : Setting.values()) {
       values.put(setting, setting.field.numberOf(message));
     }
-    Settings settings = settings(values);
+    Settings settings = toSettings(values);
     if (settings.heartbeatIntervalMs() * 2 > settings.leaseMs()) {
       throw new InvalidConfigException("renew_ms", "must be at most half of lease_ms");
     }
     return settings;
   }
 
-  private static Settings settings(Map<Setting, Double> values) {
+  private static Settings toSettings(Map<Setting, Double> values) {
     return new Settings(
-        values.get(Setting.PARTS).intValue(),
+        values.get(Setting.SHARDS).intValue(),
         values.get(Setting.LEASE_MS).intValue(),
         values.get(Setting.RENEW_MS).intValue(),
         values.get(Setting.LEADER_TTL_MS).intValue(),
--- a/src/main/java/shorecrank/config/TextProto.java
+++ b/src/main/java/shorecrank/config/TextProto.java
@@ -85,11 +85,11 @@
     /** The groups of this name in a message that {@link #parse} has read, in their order. */
     public List<Message> messagesIn(Message message) {
       FieldDescriptor field = message.getDescriptorForType().findFieldByName(name);
-      List<Message> all = new ArrayList<>();
-      for (Object one : (List<?>) message.getField(field)) {
-        all.add((Message) one);
+      List<Message> messages = new ArrayList<>();
+      for (Object element : (List<?>) message.getField(field)) {
+        messages.add((Message) element);
       }
-      return all;
+      return messages;
     }
   }
 
@@ -115,8 +115,8 @@
     DynamicMessage message = builder.build();
     check("", fields, message);
     for (Group group : groups) {
-      for (Message one : group.messagesIn(message)) {
-        check(group.name() + ".", group.fields(), one);
+      for (Message groupMessage : group.messagesIn(message)) {
+        check(group.name() + ".", group.fields(), groupMessage);
       }
     }
     return message;
--- a/src/main/java/shorecrank/daemon/DaemonOptions.java
+++ b/src/main/java/shorecrank/daemon/DaemonOptions.java
@@ -22,7 +22,7 @@
   }
 
   /** Describes the options. */
-  static CommandSpec describe(String version) {
+  static CommandSpec commandSpec(String version) {
     return CommandSpec.create()
         .name("shorecrank")
         .version("shorecrank " + version)
@@ -61,12 +61,12 @@
         .build();
   }
 
-  private static OptionSpec.Builder flag(String name, String... more) {
-    return OptionSpec.builder(name, more).type(boolean.class);
+  private static OptionSpec.Builder flag(String name, String... aliases) {
+    return OptionSpec.builder(name, aliases).type(boolean.class);
   }
 
   /** Whether to make a training run for the class archive in place of serving. */
-  boolean isTraining() {
+  boolean isTrainingRun() {
     return parsed.hasMatchedOption(TRAINING);
   }
 
--- a/src/main/java/shorecrank/daemon/Main.java
+++ b/src/main/java/shorecrank/daemon/Main.java
@@ -30,33 +30,34 @@
     if (args.length > 0 && !args[0].startsWith("-")) {
       return ClientCommand.run(args);
     }
-    String packaged = Main.class.getPackage().getImplementationVersion();
-    CommandLine line =
-        new CommandLine(DaemonOptions.describe(packaged == null ? "(unpackaged)" : packaged));
+    String packageVersion = Main.class.getPackage().getImplementationVersion();
+    CommandLine commandLine =
+        new CommandLine(
+            DaemonOptions.commandSpec(packageVersion == null ? "(unpackaged)" : packageVersion));
     ParseResult parsed;
     try {
-      parsed = line.parseArgs(args);
+      parsed = commandLine.parseArgs(args);
     } catch (ParameterException e) {
-      return complain(e.getMessage().replace('\n', ' '));
+      return printError(e.getMessage().replace('\n', ' '));
     }
     if (parsed.isUsageHelpRequested()) {
-      line.usage(System.out);
+      commandLine.usage(System.out);
       return 0;
     }
     if (parsed.isVersionHelpRequested()) {
-      line.printVersionHelp(System.out);
+      commandLine.printVersionHelp(System.out);
       return 0;
     }
     try {
       configureLog(System.getenv("LOG_LEVEL"));
       DaemonOptions options = new DaemonOptions(parsed);
-      if (options.isTraining()) {
+      if (options.isTrainingRun()) {
         train();
         return 0;
       }
-      start(DaemonConfig.load(options, packaged == null ? "unpackaged" : packaged));
+      start(DaemonConfig.load(options, packageVersion == null ? "unpackaged" : packageVersion));
     } catch (StartupException e) {
-      return complain(e.getMessage());
+      return printError(e.getMessage());
     }
     Thread.currentThread().join();
     return 0;
@@ -101,7 +102,7 @@
     }
   }
 
-  private static int complain(String reason) {
+  private static int printError(String reason) {
     System.err.println("shorecrank: " + reason);
     return EXIT_USAGE;
   }
--- a/src/main/java/shorecrank/transport/ControllerEventLoop.java
+++ b/src/main/java/shorecrank/transport/ControllerEventLoop.java
@@ -38,30 +38,30 @@
   /** A connection may be idle for some heartbeats of a worker, and no less than this. */
   private static final int MIN_IDLE_S = 30;
 
-  private static final int IDLE_HEARTBEATS = 4;
+  private static final int IDLE_HEARTBEAT_INTERVALS = 4;
 
   /**
    * Shares of the process's sockets for users and workers, and for peers; the others are for
    * connections that are cut but still count, and for outgoing ones.
    */
-  private static final double PUBLIC_SOCKETS_SHARE = 0.8;
+  private static final double PUBLIC_SOCKETS_FRACTION = 0.8;
 
-  private static final double PEER_SOCKETS_SHARE = 0.05;
+  private static final double PEER_SOCKETS_FRACTION = 0.05;
   private static final int MIN_PEER_SOCKETS = 16;
 
   private final NodeConfig config;
   private final Settings settings;
   private final ControllerStateMachine stateMachine;
   private final ControllerMetrics metrics;
-  private final MultiThreadIoEventLoopGroup group =
+  private final MultiThreadIoEventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop loop = group.next();
+  private final EventLoop loop = eventLoops.next();
   private final NanoClock nanoClock = SystemNanoClock.INSTANCE;
   private final EpochClock wallClock = SystemEpochClock.INSTANCE;
-  private final SplittableRandom entropy = new SplittableRandom(new SecureRandom().nextLong());
-  private final Long2ObjectOpenHashMap<Exchange> exchanges = new Long2ObjectOpenHashMap<>();
-  private final OutboundCalls calls;
-  private long nextExchange = 1;
+  private final SplittableRandom stepSeeds = new SplittableRandom(new SecureRandom().nextLong());
+  private final Long2ObjectOpenHashMap<Exchange> pendingExchanges = new Long2ObjectOpenHashMap<>();
+  private final OutboundCalls outboundCalls;
+  private long nextExchangeId = 1;
 
   /** When the next round is due, on the nanosecond clock. */
   private long nextRoundNanos;
@@ -76,30 +76,32 @@
     this.settings = settings;
     this.stateMachine = stateMachine;
     this.metrics = new ControllerMetrics(meters);
-    this.calls = new OutboundCalls(loop, config);
-    calls.register(metrics);
+    this.outboundCalls = new OutboundCalls(loop, config);
+    outboundCalls.registerMetrics(metrics);
   }
 
   /** Binds both addresses and begins rounds; fails if an address can't be bound. */
   public void start() throws InterruptedException {
     int sockets = config.limits().sockets();
-    int idleS = (int) Math.max(MIN_IDLE_S, IDLE_HEARTBEATS * config.workers().heartbeatIntervalS());
+    int idleS =
+        (int)
+            Math.max(MIN_IDLE_S, IDLE_HEARTBEAT_INTERVALS * config.workers().heartbeatIntervalS());
     HttpServer users =
         new HttpServer(
-            (int) (sockets * PUBLIC_SOCKETS_SHARE),
+            (int) (sockets * PUBLIC_SOCKETS_FRACTION),
             idleS,
             HttpServer.MAX_BODY_BYTES,
             (exchange, method, path, body) -> receive(exchange, false, method, path, body));
     HttpServer peers =
         new HttpServer(
-            Math.max(MIN_PEER_SOCKETS, (int) (sockets * PEER_SOCKETS_SHARE)),
+            Math.max(MIN_PEER_SOCKETS, (int) (sockets * PEER_SOCKETS_FRACTION)),
             idleS,
             HttpServer.MAX_PEER_BODY_BYTES,
             (exchange, method, path, body) -> receive(exchange, true, method, path, body));
-    users.bind(group, config.publicAddr());
-    peers.bind(group, config.peerBind());
-    metrics.observe("sockets.public", users, HttpServer::openConnections);
-    metrics.observe("sockets.peers.in", peers, HttpServer::openConnections);
+    users.bind(eventLoops, config.publicAddr());
+    peers.bind(eventLoops, config.peerBind());
+    metrics.registerGauge("sockets.public", users, HttpServer::openConnections);
+    metrics.registerGauge("sockets.peers.in", peers, HttpServer::openConnections);
     nextRoundNanos = nanoClock.nanoTime();
     loop.execute(this::runRound);
     if (LOG.isDebugEnabled()) {
@@ -115,30 +117,30 @@
       exchange.reply(200, "text/plain", text, 0);
       return;
     }
-    long id = nextExchange++;
-    exchanges.put(id, exchange);
+    long id = nextExchangeId++;
+    pendingExchanges.put(id, exchange);
     step(new Input.Request(id, fromPeer, method, path, body));
   }
 
   private void runRound() {
-    long begin = nanoClock.nanoTime();
-    metrics.recordLateRound(Math.max(0, begin - nextRoundNanos));
+    long startedNanos = nanoClock.nanoTime();
+    metrics.recordRoundDelay(Math.max(0, startedNanos - nextRoundNanos));
     long budget = TimeUnit.MILLISECONDS.toNanos(settings.roundBudgetMs());
-    step(new Input.Tick(() -> nanoClock.nanoTime() - begin > budget));
+    step(new Input.Tick(() -> nanoClock.nanoTime() - startedNanos > budget));
     nextRoundNanos = nanoClock.nanoTime() + TimeUnit.MILLISECONDS.toNanos(settings.roundMs());
     loop.schedule(this::runRound, settings.roundMs(), TimeUnit.MILLISECONDS);
   }
 
   private void step(Input input) {
     List<Output> outputs;
-    long begin = nanoClock.nanoTime();
+    long startedNanos = nanoClock.nanoTime();
     try {
       outputs =
           stateMachine.step(
               input,
               new MonotonicTime(TimeUnit.NANOSECONDS.toMillis(nanoClock.nanoTime())),
               wallClock.time(),
-              entropy.nextLong());
+              stepSeeds.nextLong());
     } catch (RuntimeException | Error e) {
       // A step that failed half way leaves state that can't be trusted: a new process rebuilds it.
       LOG.error("controller.step.failed input={}", input.getClass().getSimpleName(), e);
@@ -146,20 +148,20 @@
       return;
     }
     for (Output output : outputs) {
-      carryOut(output);
+      execute(output);
     }
-    metrics.recordStep(input, nanoClock.nanoTime() - begin);
+    metrics.recordStep(input, nanoClock.nanoTime() - startedNanos);
   }
 
-  private void carryOut(Output output) {
+  private void execute(Output output) {
     if (output instanceof Output.Reply reply) {
-      Exchange exchange = exchanges.remove(reply.reply());
+      Exchange exchange = pendingExchanges.remove(reply.reply());
       if (exchange != null) {
         byte[] body = Json.bytes(reply.body());
         exchange.reply(reply.status(), "application/json", body, reply.retryAfterS());
       }
     } else if (output instanceof Output.Call call) {
-      calls.send(call, (status, body) -> step(new Input.Answer(call.call(), status, body)));
+      outboundCalls.send(call, (status, body) -> step(new Input.Answer(call.call(), status, body)));
     } else if (output instanceof Output.Log log) {
       log(log);
     } else if (output instanceof Output.Count count) {
--- a/src/main/java/shorecrank/transport/ControllerMetrics.java
+++ b/src/main/java/shorecrank/transport/ControllerMetrics.java
@@ -20,14 +20,14 @@
   private static final String REPORT_PATH = "/v1/report";
 
   private final MeterRegistry registry;
-  private final Timer lateRounds;
-  private final Map<String, Timer> steps = new HashMap<>();
+  private final Timer roundDelays;
+  private final Map<String, Timer> stepTimers = new HashMap<>();
   private final Object2DoubleOpenHashMap<String> gauges = new Object2DoubleOpenHashMap<>();
   private final Map<String, Double> lastLogged = new TreeMap<>();
 
   ControllerMetrics(MeterRegistry registry) {
     this.registry = registry;
-    this.lateRounds = registry.timer("round.late");
+    this.roundDelays = registry.timer("round.late");
     registry.gauge("heap.used", this, metrics -> usedHeapBytes());
   }
 
@@ -37,24 +37,24 @@
   }
 
   /** Shows a value of an object; the registry does not keep the object from being collected. */
-  <T> void observe(String metric, T object, ToDoubleFunction<T> value) {
+  <T> void registerGauge(String metric, T object, ToDoubleFunction<T> value) {
     registry.gauge(metric, object, value);
   }
 
   /** Records how much later than planned a round began, in nanoseconds. */
-  void recordLateRound(long nanos) {
-    lateRounds.record(nanos, TimeUnit.NANOSECONDS);
+  void recordRoundDelay(long nanos) {
+    roundDelays.record(nanos, TimeUnit.NANOSECONDS);
   }
 
   /** Records the time that an input took, in nanoseconds. */
   void recordStep(Input input, long nanos) {
-    steps
-        .computeIfAbsent(kind(input), kind -> registry.timer("step." + kind))
+    stepTimers
+        .computeIfAbsent(inputKind(input), kind -> registry.timer("step." + kind))
         .record(nanos, TimeUnit.NANOSECONDS);
   }
 
   /** Kinds of work, so that an operator sees where the processor time goes. */
-  private static String kind(Input input) {
+  private static String inputKind(Input input) {
     if (input instanceof Input.Request request) {
       if (request.fromPeer()) {
         return "peer";
@@ -90,11 +90,11 @@
     values()
         .forEach(
             (name, value) -> {
-              Double before = lastLogged.put(name, value);
-              if (before == null || before.doubleValue() != value) {
-                double shown =
-                    gauges.containsKey(name) ? value : value - (before == null ? 0 : before);
-                changes.append(' ').append(name).append('=').append(String.format("%.4g", shown));
+              Double previous = lastLogged.put(name, value);
+              if (previous == null || previous.doubleValue() != value) {
+                double logged =
+                    gauges.containsKey(name) ? value : value - (previous == null ? 0 : previous);
+                changes.append(' ').append(name).append('=').append(String.format("%.4g", logged));
               }
             });
     LOG.debug("metrics.changed{}", changes);
--- a/src/main/java/shorecrank/transport/HttpClientPool.java
+++ b/src/main/java/shorecrank/transport/HttpClientPool.java
@@ -50,8 +50,8 @@
   private final EventLoop loop;
   private final Address address;
   private final int maxConnections;
-  private final ArrayDeque<Channel> idle = new ArrayDeque<>();
-  private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+  private final ArrayDeque<Channel> idleChannels = new ArrayDeque<>();
+  private final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
   private int openConnections;
 
   HttpClientPool(EventLoop loop, Address address, int maxConnections) {
@@ -67,7 +67,7 @@
 
   /** The number of calls under way or waiting for a connection. */
   int pendingCalls() {
-    return openConnections - idle.size() + waiting.size();
+    return openConnections - idleChannels.size() + waitingCalls.size();
   }
 
   /** A call until its response has been handled. */
@@ -88,7 +88,7 @@
       this.path = path;
       this.body = body;
       this.handler = handler;
-      this.timeout = loop.schedule(this::giveUp, timeoutMs, TimeUnit.MILLISECONDS);
+      this.timeout = loop.schedule(this::abort, timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     private boolean isFinished() {
@@ -99,18 +99,18 @@
       if (isFinished()) {
         return;
       }
-      ResponseHandler once = handler;
+      ResponseHandler pendingHandler = handler;
       handler = null;
       timeout.cancel(false);
-      once.handle(status, response);
+      pendingHandler.handle(status, response);
     }
 
     private void finishWithoutResponse() {
       finish(NO_RESPONSE, Json.parse(null));
     }
 
-    private void giveUp() {
-      waiting.remove(this);
+    private void abort() {
+      waitingCalls.remove(this);
       if (channel != null) {
         channel.close();
       }
@@ -144,7 +144,9 @@
   void call(String method, String path, JsonNode body, int timeoutMs, ResponseHandler handler) {
     byte[] bytes = body == null ? null : Json.bytes(body);
     Call call = new Call(method, path, bytes, timeoutMs, handler);
-    for (Channel channel = idle.pollLast(); channel != null; channel = idle.pollLast()) {
+    for (Channel channel = idleChannels.pollLast();
+        channel != null;
+        channel = idleChannels.pollLast()) {
       if (channel.isActive()) {
         send(channel, call);
         return;
@@ -152,10 +154,10 @@
     }
     if (openConnections < maxConnections) {
       connect(call);
-    } else if (waiting.size() < MAX_WAITING_CALLS) {
-      waiting.add(call);
+    } else if (waitingCalls.size() < MAX_WAITING_CALLS) {
+      waitingCalls.add(call);
     } else {
-      loop.execute(call::giveUp);
+      loop.execute(call::abort);
     }
   }
 
@@ -199,14 +201,16 @@
 
   /** Closes the connections that are idle. */
   void close() {
-    for (Channel channel = idle.pollLast(); channel != null; channel = idle.pollLast()) {
+    for (Channel channel = idleChannels.pollLast();
+        channel != null;
+        channel = idleChannels.pollLast()) {
       channel.close();
     }
   }
 
   private void onClosed() {
     openConnections--;
-    Call next = waiting.poll();
+    Call next = waitingCalls.poll();
     if (next != null) {
       connect(next);
     }
@@ -231,10 +235,10 @@
       byte[] body = ByteBufUtil.getBytes(response.content());
       if (!HttpUtil.isKeepAlive(response)) {
         context.close();
-      } else if (call != null && !waiting.isEmpty()) {
-        send(context.channel(), waiting.poll());
+      } else if (call != null && !waitingCalls.isEmpty()) {
+        send(context.channel(), waitingCalls.poll());
       } else {
-        idle.add(context.channel());
+        idleChannels.add(context.channel());
       }
       if (call != null) {
         call.finish(response.status().code(), Json.parse(body));
@@ -243,7 +247,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      idle.remove(context.channel());
+      idleChannels.remove(context.channel());
       Call call = current;
       current = null;
       if (call != null) {
--- a/src/main/java/shorecrank/transport/HttpServer.java
+++ b/src/main/java/shorecrank/transport/HttpServer.java
@@ -44,10 +44,10 @@
   private static final String HEALTH_PATH = "/healthz";
 
   /** Connections above the limit that are still answered with an error, as a share of it. */
-  private static final double EXCESS_SHARE = 0.06;
+  private static final double EXCESS_FRACTION = 0.06;
 
-  private static final String JSON = "application/json";
-  private static final int TOO_MANY_RETRY_AFTER_S = 2;
+  private static final String JSON_CONTENT_TYPE = "application/json";
+  private static final int OVERLOAD_RETRY_AFTER_S = 2;
 
   private final int maxConnections;
   private final int idleS;
@@ -96,7 +96,7 @@
   }
 
   private void accept(SocketChannel channel) {
-    if (openConnections >= maxConnections * (1 + EXCESS_SHARE)) {
+    if (openConnections >= maxConnections * (1 + EXCESS_FRACTION)) {
       channel.close();
       return;
     }
@@ -157,7 +157,7 @@
       if (!request.decoderResult().isSuccess()) {
         refuse(channel, 400, "malformed request", 0);
       } else if (isExcess && !request.uri().equals(HEALTH_PATH)) {
-        refuse(channel, 503, "too many connections", TOO_MANY_RETRY_AFTER_S);
+        refuse(channel, 503, "too many connections", OVERLOAD_RETRY_AFTER_S);
       } else {
         Exchange exchange = new Exchange(channel, HttpUtil.isKeepAlive(request));
         byte[] body = ByteBufUtil.getBytes(request.content());
@@ -166,7 +166,8 @@
     }
 
     private void refuse(ChannelHandlerContext channel, int status, String reason, int retryAfterS) {
-      new Exchange(channel, false).reply(status, JSON, Json.bytes(Json.error(reason)), retryAfterS);
+      new Exchange(channel, false)
+          .reply(status, JSON_CONTENT_TYPE, Json.bytes(Json.error(reason)), retryAfterS);
     }
 
     /** The connection was idle for too long. */
--- a/src/main/java/shorecrank/transport/OutboundCalls.java
+++ b/src/main/java/shorecrank/transport/OutboundCalls.java
@@ -36,11 +36,11 @@
   }
 
   /** Shows operators the numbers of calls and connections. */
-  void register(ControllerMetrics metrics) {
-    metrics.observe("state.calls.open", state, HttpClientPool::pendingCalls);
-    metrics.observe("sockets.state", state, HttpClientPool::openConnections);
-    metrics.observe("sockets.cloud", cloud, HttpClientPool::openConnections);
-    metrics.observe(
+  void registerMetrics(ControllerMetrics metrics) {
+    metrics.registerGauge("state.calls.open", state, HttpClientPool::pendingCalls);
+    metrics.registerGauge("sockets.state", state, HttpClientPool::openConnections);
+    metrics.registerGauge("sockets.cloud", cloud, HttpClientPool::openConnections);
+    metrics.registerGauge(
         "sockets.peers.out",
         peers,
         pools -> pools.values().stream().mapToInt(HttpClientPool::openConnections).sum());
