--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -49,10 +49,10 @@
   /**
    * A controller of the fleet.
    *
-   * @param location its zone; empty if that is not known
+   * @param zone where it runs; empty if that is not known
    * @param addr where its peers reach it
    */
-  public record Member(ControllerName label, String location, Address addr) {}
+  public record Member(ControllerName label, String zone, Address addr) {}
 
   /**
    * A team with its guaranteed shares and its limits, in CPUs and GPUs.
@@ -60,27 +60,29 @@
    * @param cpusMax 0 for no limit
    * @param gpusMax 0 for no limit
    */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  public record Team(
+      String name, double guaranteedCpus, double cpusMax, double guaranteedGpus, double gpusMax) {}
 
   /**
    * A service-level objective of a class of jobs.
    *
    * @param kind {@code wait}, {@code finished} or {@code deadline}
    * @param withinS the time within which it should happen, in seconds
-   * @param share of the jobs for which it should hold, from 0 to 1
-   * @param times factor on a job's own deadline
+   * @param jobFraction of the jobs for which it should hold, from 0 to 1
+   * @param deadlineFactor factor on a job's own deadline
    */
   public record Objective(
-      String kind, String jobClass, double withinS, double share, double times) {}
+      String kind, String jobClass, double withinS, double jobFraction, double deadlineFactor) {}
 
   /**
    * The protocol's times for workers, in seconds.
    *
-   * @param reportS between two heartbeats of a worker
+   * @param heartbeatIntervalS between two heartbeats of a worker
    * @param leaseS a worker without an answer for so long kills its tasks
-   * @param cancelS within which no task of a cancelled job may run any more
+   * @param cancellationDeadlineS within which no task of a cancelled job may run any more
    */
-  public record WorkerTimings(double reportS, double leaseS, double cancelS) {}
+  public record WorkerTimings(
+      double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {}
 
   /**
    * Limits of the state service.
@@ -92,7 +94,7 @@
    */
   public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
     /** The lower of each of both limits. */
-    StateLimits within(StateLimits other) {
+    StateLimits min(StateLimits other) {
       return new StateLimits(
           Math.min(rps, other.rps),
           Math.min(writeRps, other.writeRps),
--- a/src/main/java/shorecrank/coordination/leader/ControllerTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerTable.java
@@ -61,7 +61,7 @@
   boolean canServe(ControllerState controller) {
     return controller.isStoreReachable()
         && controller.msSinceHeartbeat(context.now())
-            <= context.settings().renewMs() * 2L + SERVING_MARGIN_MS;
+            <= context.settings().heartbeatIntervalMs() * 2L + SERVING_MARGIN_MS;
   }
 
   /** Reports whether a controller other than {@code except} reaches the state service. */
@@ -86,7 +86,7 @@
   String zoneOf(ControllerName controller) {
     for (Member member : context.config().members()) {
       if (member.label().equals(controller)) {
-        return member.location();
+        return member.zone();
       }
     }
     return context.config().zone();
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -109,9 +109,10 @@
                     spec,
                     tasksToPlace,
                     requiredZone,
-                    new BinPacking.Clock(context.now(), context.config().workers().reportS())),
+                    new BinPacking.Clock(
+                        context.now(), context.config().workers().heartbeatIntervalS())),
                 candidates,
-                context.settings().sampleSize(),
+                context.settings().placementSampleSize(),
                 context.random());
         if (machine == null) {
           return;
