--- a/src/main/java/shorecrank/coordination/model/JobTasks.java
+++ b/src/main/java/shorecrank/coordination/model/JobTasks.java
@@ -148,7 +148,7 @@
   }
 
   /** Marks the next attempt number as used, so that no later attempt gets it. */
-  public void takeAttemptNumber() {
+  public void useAttemptNumber() {
     lastAttemptNumber++;
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -144,7 +144,7 @@
       if (tasks == 0) {
         return false;
       }
-      job.tasks().takeAttemptNumber();
+      job.tasks().useAttemptNumber();
       job.record().recordPlacedRange();
       hasPlaced = true;
       tasksToPlace -= tasks;
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -151,7 +151,7 @@
 
   private void place(Job job, int index, Machine machine) {
     AttemptNumber number = job.tasks().nextAttemptNumber();
-    job.tasks().takeAttemptNumber();
+    job.tasks().useAttemptNumber();
     job.record().recordPlacedRange();
     shard.attach(TaskAttempt.place(job, index, machine, number, context.now()));
   }
--- a/src/test/java/shorecrank/coordination/model/JobTasksTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobTasksTest.java
@@ -73,7 +73,7 @@
   void attemptNumbersIncrease() {
     assertFalse(tasks.wasPlaced());
     AttemptNumber first = tasks.nextAttemptNumber();
-    tasks.takeAttemptNumber();
+    tasks.useAttemptNumber();
     assertTrue(tasks.wasPlaced());
     assertEquals(first.value() + 1, tasks.nextAttemptNumber().value());
   }
