--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -74,7 +74,7 @@
    * soon. If it hears only some of them, it is probably cut off together with these; no other
    * controller can renew their leases, so it goes on doing that.
    */
-  public boolean missesManyWorkers() {
+  public boolean isMissingManyWorkers() {
     int heard = 0;
     int reported = 0;
     for (Machine machine : machines) {
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -134,9 +134,9 @@
    * on no lease being renewed after it.
    *
    * @param isAlone whether no other controller has been heard lately
-   * @param missesManyWorkers whether a part of the machines has just stopped sending heartbeats
+   * @param isMissingManyWorkers whether a part of the machines has just stopped sending heartbeats
    */
-  boolean isInGrace(boolean isAlone, boolean missesManyWorkers) {
+  boolean isInGrace(boolean isAlone, boolean isMissingManyWorkers) {
     long expiredForMs = context.now().since(validUntil);
     if (expiredForMs < 0 || expiredForMs >= context.settings().graceMs()) {
       return false;
@@ -148,7 +148,7 @@
           Math.min(expiredForMs, context.now().since(context.storeReachableSince()));
       return reachableForMs < context.settings().leaderTtlMs() + ELECTION_MS;
     }
-    return !isAlone || missesManyWorkers || expiredForMs < context.settings().leaseMs() * 2L;
+    return !isAlone || isMissingManyWorkers || expiredForMs < context.settings().leaseMs() * 2L;
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -67,7 +67,7 @@
   private final boolean sharesEnabled;
 
   private MonotonicTime reviewedAt = MonotonicTime.NEVER;
-  private boolean missesManyWorkers;
+  private boolean isMissingManyWorkers;
 
   /**
    * Creates the owner of a shard and logs its epoch.
@@ -208,7 +208,7 @@
    * @param isAlone whether no other controller has been heard lately
    */
   public boolean isInGrace(boolean isAlone) {
-    return lease.isInGrace(isAlone, missesManyWorkers);
+    return lease.isInGrace(isAlone, isMissingManyWorkers);
   }
 
   /**
@@ -308,7 +308,7 @@
     UtilizationGauges.update(context, state);
     UtilizationGauges.updateTeams(context, jobs.teamUses());
     quotaGuard.review();
-    missesManyWorkers = liveness.missesManyWorkers();
+    isMissingManyWorkers = liveness.isMissingManyWorkers();
     jobs.queueAllForReview();
   }
 
--- a/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -136,6 +136,6 @@
       add(machine(heard + number).heardAt(GRANTED_AT));
     }
     advanceToMsAfterGrant(20_000);
-    assertEquals(many, liveness.missesManyWorkers());
+    assertEquals(many, liveness.isMissingManyWorkers());
   }
 }
--- a/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
+++ b/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
@@ -62,7 +62,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // expiredForMs, isAlone, missesManyWorkers, isInGrace; the state service is unreachable
+    // expiredForMs, isAlone, isMissingManyWorkers, isInGrace; the state service is unreachable
     "-1, false, false, false",
     "0, true, false, true",
     "11999, true, false, true",
@@ -73,9 +73,9 @@
     "60000, false, true, false",
   })
   void gracePeriodLastsTwoLeasesWhenAlone(
-      long expiredForMs, boolean isAlone, boolean missesManyWorkers, boolean isInGrace) {
+      long expiredForMs, boolean isAlone, boolean isMissingManyWorkers, boolean isInGrace) {
     lease.renew(EPOCH, at(100));
     context.begin(at(100 + expiredForMs), 0, 1);
-    assertEquals(isInGrace, lease.isInGrace(isAlone, missesManyWorkers));
+    assertEquals(isInGrace, lease.isInGrace(isAlone, isMissingManyWorkers));
   }
 }
