--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -109,7 +109,7 @@
 
   /** Notifies all shard owners that a user has been told that the job is cancelled. */
   void onJobCancelled(JobId job) {
-    shardOwners.values().forEach(shardOwner -> shardOwner.learnCancelled(job));
+    shardOwners.values().forEach(shardOwner -> shardOwner.recordConfirmedCancellation(job));
   }
 
   /** Passes the types of machines that can be rented to all shard owners, present and future. */
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -248,7 +248,7 @@
    * committed and final, so every controller that the workers still obey may stop the tasks, also
    * in the grace period.
    */
-  public void learnCancelled(JobId id) {
+  public void recordConfirmedCancellation(JobId id) {
     Job job = jobs.find(id);
     if (job == null) {
       dependencies.onJobCancelled(id);
