--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -99,7 +99,7 @@
   MonotonicTime oldestCancellationView() {
     MonotonicTime oldest = MonotonicTime.NEVER;
     for (ShardOwner shardOwner : shardOwners.values()) {
-      MonotonicTime seen = shardOwner.cancellationsKnownUpTo();
+      MonotonicTime seen = shardOwner.cancellationsShownUpTo();
       if (oldest == MonotonicTime.NEVER || (seen != MonotonicTime.NEVER && seen.isBefore(oldest))) {
         oldest = seen;
       }
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -145,7 +145,7 @@
         shardOwner.handleHeartbeat(received.reply, received.heartbeat, shardOwner.isLeaseValid());
         return;
       }
-      if (shardOwner.cancellationsKnownUpTo() == MonotonicTime.NEVER && canHold(received)) {
+      if (shardOwner.cancellationsShownUpTo() == MonotonicTime.NEVER && canHold(received)) {
         // A new owner has not read the cancellations yet; it does so while it reads the records.
         held.add(received);
         return;
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -229,7 +229,7 @@
    * Returns the time up to which the state service has shown this owner all cancellations; NEVER
    * until all records are read.
    */
-  public MonotonicTime cancellationsKnownUpTo() {
+  public MonotonicTime cancellationsShownUpTo() {
     return recovery.knownUpTo();
   }
 
