--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -108,7 +108,7 @@
   /** Records that the stored record is one of this object's own writes. */
   public void adoptOwnWrite(JobRecord stored) {
     record.adoptOwnWrite(stored);
-    tasks.forgetRecordedExits(record.committedSequence());
+    tasks.removeRecordedExits(record.committedSequence());
   }
 
   /**
@@ -120,7 +120,7 @@
    */
   public void recordCommitted(long sequence, Revision revision, Epoch epoch, JobStatus status) {
     record.recordCommitted(sequence, revision, epoch, status);
-    tasks.forgetRecordedExits(sequence);
+    tasks.removeRecordedExits(sequence);
   }
 
   /** Adds an attempt to this job and to the attempt's machine. */
--- a/src/main/java/shorecrank/coordination/model/JobTasks.java
+++ b/src/main/java/shorecrank/coordination/model/JobTasks.java
@@ -220,7 +220,7 @@
    *
    * @param committedSequence the sequence number of the last committed write
    */
-  void forgetRecordedExits(long committedSequence) {
+  void removeRecordedExits(long committedSequence) {
     exits.values().removeIf(sequence -> sequence <= committedSequence);
   }
 
--- a/src/main/java/shorecrank/coordination/model/WorkerSession.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerSession.java
@@ -234,12 +234,12 @@
   }
 
   /** Records that the tasks on the machine are no longer known. */
-  public void forgetReconciliation() {
+  public void clearReconciled() {
     reconciled = false;
   }
 
   /** Records that the worker has to show this owner's epoch again before its heartbeats count. */
-  public void forgetConfirmation() {
+  public void clearConfirmed() {
     confirmed = false;
     reconciled = false;
   }
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -127,7 +127,7 @@
     }
     jobs.forgetRelinquished();
     dependencies.clear();
-    machines.forgetReconciliation();
+    machines.clearReconciled();
     machines.references().clear();
   }
 
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -147,7 +147,7 @@
     Machine machine = machine(name);
     describe(machine, assignment.machine());
     if (machine.assignment().assign(assignment, context.now())) {
-      machine.session().forgetConfirmation();
+      machine.session().clearConfirmed();
     }
     if (!machine.assignment().isHandoverRequested()) {
       handovers.forget(name);
@@ -159,7 +159,7 @@
     Machine machine = machines.get(name);
     if (machine != null) {
       machine.assignment().unassign();
-      machine.session().forgetReconciliation();
+      machine.session().clearReconciled();
       if (machine.isEmpty()) {
         callbacks.refuseDeferredReply(machine);
         remove(machine);
@@ -212,10 +212,10 @@
   }
 
   /** Forgets what workers have reported of their tasks, before all records are read again. */
-  void forgetReconciliation() {
+  void clearReconciled() {
     for (Machine machine : machines.values()) {
       callbacks.refuseDeferredReply(machine);
-      machine.session().forgetReconciliation();
+      machine.session().clearReconciled();
     }
   }
 
--- a/src/test/java/shorecrank/coordination/model/JobTasksTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobTasksTest.java
@@ -85,9 +85,9 @@
     tasks.recordExit(attempt, 7);
     assertFalse(tasks.isExitRecorded(attempt, 6));
     assertTrue(tasks.isExitRecorded(attempt, 7));
-    tasks.forgetRecordedExits(6);
+    tasks.removeRecordedExits(6);
     assertTrue(tasks.hasPendingExit(attempt));
-    tasks.forgetRecordedExits(7);
+    tasks.removeRecordedExits(7);
     assertFalse(tasks.hasPendingExit(attempt));
   }
 
--- a/src/test/java/shorecrank/coordination/model/MachineBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/MachineBuilder.java
@@ -83,7 +83,7 @@
       machine.session().recordConfirmed(heartbeat, heardAt);
       machine.session().recordReconciled(heartbeat);
       if (!confirmed) {
-        machine.session().forgetConfirmation();
+        machine.session().clearConfirmed();
       }
     }
     return machine;
--- a/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -71,7 +71,7 @@
     Machine machine = machine(1).heardAt(GRANTED_AT).build();
     advanceToMsAfterGrant(0);
     assertTrue(liveness.isFresh(machine), "reconciled");
-    machine.session().forgetReconciliation();
+    machine.session().clearReconciled();
     assertFalse(liveness.isFresh(machine), "not reconciled");
   }
 
