--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -156,7 +156,7 @@
       return;
     }
     if (result instanceof HeartbeatResult.Malformed) {
-      context.reportRefusal("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
+      context.reportError("peer.malformed", "peer.message.malformed kind=heartbeat_answer");
     } else if (result instanceof HeartbeatResult.Refused refused && !refused.reachesStore()) {
       peerReachability.recordLeaderWithoutStore();
     }
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -137,7 +137,7 @@
    * @param repliedKind the kind of message as the reply to the sender names it
    */
   private void refuseMalformed(Input.Request request, String loggedKind, String repliedKind) {
-    context.reportRefusal("peer.malformed", "peer.message.malformed kind=" + loggedKind);
+    context.reportError("peer.malformed", "peer.message.malformed kind=" + loggedKind);
     context.reply(request.reply(), BAD_REQUEST, Json.error("malformed " + repliedKind));
   }
 }
--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -69,7 +69,7 @@
     try {
       heartbeat = WorkerHeartbeatCodec.read(Json.parse(request.body()));
     } catch (MalformedMessageException malformed) {
-      context.reportRefusal("report.malformed", "worker.heartbeat.malformed");
+      context.reportError("report.malformed", "worker.heartbeat.malformed");
       context.reply(request.reply(), BAD_REQUEST, Json.error("malformed report"));
       return;
     }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -308,7 +308,7 @@
 
   private void campaign() {
     if (isProtected() && !supported.supports(level)) {
-      context.reportRefusal(
+      context.reportError(
           "leader.unfit",
           "leader.unfit level=" + level + " supported=\"" + supported + "\" reason=unsupported");
       enter(State.READING, UNSUPPORTED_LEVEL_PAUSE_MS);
--- a/src/main/java/shorecrank/coordination/leader/RolloutView.java
+++ b/src/main/java/shorecrank/coordination/leader/RolloutView.java
@@ -57,7 +57,7 @@
     if (reason == null) {
       return true;
     }
-    context.reportRefusal(
+    context.reportError(
         "shard.owner_refused",
         "shard.owner.refused controller=" + controller + " reason=\"" + reason + "\"");
     return false;
--- a/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
+++ b/src/main/java/shorecrank/coordination/leader/StepLeaderEnvironment.java
@@ -71,8 +71,8 @@
   }
 
   @Override
-  public void reportRefusal(String metric, String what) {
-    context.reportRefusal(metric, what);
+  public void reportError(String metric, String what) {
+    context.reportError(metric, what);
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -233,7 +233,7 @@
           ConfirmedCancellations confirmed =
               CancellationCodec.read(body, maxJobsPerAnswer).orElse(null);
           if (confirmed == null) {
-            context.reportRefusal(
+            context.reportError(
                 "peer.malformed", "peer.message.malformed kind=confirmations controller=" + name);
           } else {
             recordAnswer(peer, confirmed, sent);
--- a/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
+++ b/src/main/java/shorecrank/coordination/request/LeaderForwarder.java
@@ -151,7 +151,7 @@
    * @param error the error message for the operator
    */
   void refuseMalformed(Input.Request request, String metric, String event, String error) {
-    context.reportRefusal(metric, event);
+    context.reportError(metric, event);
     context.reply(request.reply(), BAD_REQUEST, Json.error(error));
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
+++ b/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
@@ -51,7 +51,7 @@
     for (TeamUse use : quotas.uses()) {
       if (use.isAboveLimit() && isUseKnown(use.team().name())) {
         knownAboveLimit.add(use.team().name());
-        context.reportRefusal("quota.exceeded", "team.quota.exceeded " + use.logFields());
+        context.reportError("quota.exceeded", "team.quota.exceeded " + use.logFields());
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -325,7 +325,7 @@
 
   /** Counts and logs a key of the state service whose value this build cannot read. */
   public void reportUnreadableValue(String key) {
-    reportRefusal("state.unreadable", "store.value.unreadable key=" + key);
+    reportError("state.unreadable", "store.value.unreadable key=" + key);
   }
 
   /**
@@ -334,8 +334,8 @@
    * @param metric the counter; at most one line per counter is logged every few seconds
    * @param event the log line: the event's name and its fields
    */
-  public void reportRefusal(String metric, String event) {
-    outputs.reportRefusal(metric, event, now);
+  public void reportError(String metric, String event) {
+    outputs.reportError(metric, event, now);
   }
 
   /** Increments a counter by one. */
--- a/src/main/java/shorecrank/coordination/step/StepOutputs.java
+++ b/src/main/java/shorecrank/coordination/step/StepOutputs.java
@@ -53,7 +53,7 @@
    * Counts a refusal, and logs it unless a refusal with the same metric was logged within {@link
    * #REFUSAL_LOG_PAUSE_MS}.
    */
-  void reportRefusal(String metric, String event, MonotonicTime now) {
+  void reportError(String metric, String event, MonotonicTime now) {
     count(metric, 1);
     MonotonicTime loggedAt = refusalLoggedAt.getOrDefault(metric, MonotonicTime.NEVER);
     if (now.since(loggedAt) >= REFUSAL_LOG_PAUSE_MS) {
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -57,7 +57,7 @@
    * @param metric the counter; at most one line per counter is logged every few seconds
    * @param what the log line: the event's name and its fields
    */
-  void reportRefusal(String metric, String what);
+  void reportError(String metric, String what);
 
   /** Sets a gauge. */
   void gauge(String metric, double value);
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -217,7 +217,7 @@
       Revision term, Optional<V> found, Revision foundRevision, boolean mayWrite) {
     isKnown = found.isPresent();
     if (!isKnown) {
-      environment.reportRefusal(
+      environment.reportError(
           "state.unreadable", "store.value.unreadable key=%s".formatted(codec.key()));
     }
     Reading reading =
--- a/src/main/java/shorecrank/rebalance/ShardCountCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardCountCheck.java
@@ -62,7 +62,7 @@
     if (result instanceof ListResult.Page page) {
       hasNoJobs = page.entries().isEmpty();
       if (!hasNoJobs) {
-        environment.reportRefusal(
+        environment.reportError(
             "shares.parts_refused",
             "shards.refused configured=%d in_force=%d reason=\"jobs exist: set it back\""
                 .formatted(configuredShards, shares.state().shards()));
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -77,7 +77,7 @@
     for (Entry stored : page.entries()) {
       Optional<IndexEntry> entry = ArchiveValueCodec.readIndex(stored.key(), stored.value());
       if (entry.isEmpty()) {
-        environment.reportRefusal(
+        environment.reportError(
             "state.unreadable", "store.value.unreadable key=%s".formatted(stored.key()));
       } else if (entry.get().isComplete()) {
         complete.add(entry.get());
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -196,7 +196,7 @@
         pending.add(rewrite);
       } else {
         unreadable++;
-        environment.reportRefusal(
+        environment.reportError(
             "state.unreadable", "store.value.unreadable key=%s".formatted(entry.key()));
       }
       return;
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -101,7 +101,7 @@
 
   private List<String> refuse(long atMs) {
     context.begin(new MonotonicTime(atMs), atMs, 1);
-    context.reportRefusal("report.malformed", "worker.heartbeat.malformed");
+    context.reportError("report.malformed", "worker.heartbeat.malformed");
     return context.end().stream().map(output -> output.getClass().getSimpleName()).toList();
   }
 }
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -137,7 +137,7 @@
     public void info(String format, Object... args) {}
 
     @Override
-    public void reportRefusal(String metric, String what) {
+    public void reportError(String metric, String what) {
       refusals.add(metric);
     }
 
