--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -159,7 +159,7 @@
    * Reports whether the quota use of the job's team is known as far as this record goes: no late
    * write of an earlier owner can add attempts to it.
    */
-  public boolean isTeamUseKnown() {
+  public boolean isTeamUsageKnown() {
     return claimed || (!hasOwner() && !claimRequired);
   }
 
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -132,15 +132,15 @@
     return isLimited(team) && usage != null && use(team, usage).isAboveLimit();
   }
 
-  private static TeamUse use(Team team, Usage usage) {
+  private static TeamUsage use(Team team, Usage usage) {
     Amount placed = usage.placed;
     Amount withdrawn = usage.withdrawn;
-    return new TeamUse(team, placed.cpus, placed.gpus, withdrawn.cpus, withdrawn.gpus);
+    return new TeamUsage(team, placed.cpus, placed.gpus, withdrawn.cpus, withdrawn.gpus);
   }
 
   /** Returns the use of each team that has a limit and has ever used something, by team name. */
-  public List<TeamUse> uses() {
-    List<TeamUse> uses = new ArrayList<>();
+  public List<TeamUsage> uses() {
+    List<TeamUsage> uses = new ArrayList<>();
     usageByTeam.forEach(
         (name, usage) -> {
           if (isLimited(name)) {
--- a/src/main/java/shorecrank/coordination/model/TeamUse.java
+++ b/src/main/java/shorecrank/coordination/model/TeamUsage.java
@@ -11,7 +11,7 @@
  * @param withdrawnCpus processors of attempts that were withdrawn but that records may still name
  * @param withdrawnGpus accelerators of attempts that were withdrawn but that records may still name
  */
-public record TeamUse(
+public record TeamUsage(
     Team team, double cpus, double gpus, double withdrawnCpus, double withdrawnGpus) {
   /** Tolerance for the rounding errors of sums of fractional processors. */
   private static final double EPSILON = 1e-6;
--- a/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/shorecrank/coordination/scheduling/PlacementRound.java
@@ -142,18 +142,18 @@
       List<Job> sorted, List<Machine> available, List<Machine> draining, RoundBudget budget) {
     int start = resumeIndex(sorted);
     resumeAt = null;
-    boolean teamUseKnown = isTeamUseKnown();
+    boolean teamUsageKnown = isTeamUsageKnown();
     if (start < 0) {
-      start = placeUrgent(sorted, available, teamUseKnown, budget);
+      start = placeUrgent(sorted, available, teamUsageKnown, budget);
     }
     for (int i = start; i < sorted.size(); i++) {
       if (budget.isExhausted()) {
         resumeAt = sorted.get(i).id();
         return;
       }
-      placeIfAllowed(sorted.get(i), teamUseKnown, available);
+      placeIfAllowed(sorted.get(i), teamUsageKnown, available);
     }
-    placeOnDraining(sorted, teamUseKnown, draining);
+    placeOnDraining(sorted, teamUsageKnown, draining);
   }
 
   /**
@@ -176,12 +176,12 @@
    * an earlier owner can add to them, or while another owner has the record of a job, whose tasks
    * may still run.
    */
-  private boolean isTeamUseKnown() {
+  private boolean isTeamUsageKnown() {
     if (shard.hasRecordOfOtherOwner()) {
       return false;
     }
     for (Job job : shard.jobs().values()) {
-      if (!job.record().isTeamUseKnown()) {
+      if (!job.record().isTeamUsageKnown()) {
         return false;
       }
     }
@@ -196,7 +196,7 @@
    * @return the number of urgent jobs done, which this round need not consider again
    */
   private int placeUrgent(
-      List<Job> sorted, List<Machine> available, boolean teamUseKnown, RoundBudget budget) {
+      List<Job> sorted, List<Machine> available, boolean teamUsageKnown, RoundBudget budget) {
     int urgent = 0;
     while (urgent < sorted.size() && sorted.get(urgent).scheduling().slackS() < URGENT_SLACK_S) {
       urgent++;
@@ -206,16 +206,16 @@
     for (int i = 0; i < end && !budget.isExhausted(); i++) {
       Job job = sorted.get(i);
       if (i < urgent) {
-        placeIfAllowed(job, teamUseKnown, available);
+        placeIfAllowed(job, teamUsageKnown, available);
         placed = i + 1;
       } else {
-        placeByImageLocality(job, teamUseKnown, available);
+        placeByImageLocality(job, teamUsageKnown, available);
       }
     }
     return placed;
   }
 
-  private void placeByImageLocality(Job job, boolean teamUseKnown, List<Machine> available) {
+  private void placeByImageLocality(Job job, boolean teamUsageKnown, List<Machine> available) {
     List<Machine> machinesWithImage = new ArrayList<>();
     for (Machine machine : available) {
       if (machine.holdsOrFetchesImage(job.spec())) {
@@ -223,7 +223,7 @@
       }
     }
     if (!machinesWithImage.isEmpty()) {
-      placeIfAllowed(job, teamUseKnown, machinesWithImage);
+      placeIfAllowed(job, teamUsageKnown, machinesWithImage);
       available.removeIf(machine -> !machine.hasFreeCpus());
     }
   }
@@ -232,7 +232,7 @@
    * Places the tasks that are still queued on draining machines, and cancels the drain of those
    * machines.
    */
-  private void placeOnDraining(List<Job> sorted, boolean teamUseKnown, List<Machine> draining) {
+  private void placeOnDraining(List<Job> sorted, boolean teamUsageKnown, List<Machine> draining) {
     List<Machine> before = List.copyOf(draining);
     int[] attemptsBefore = before.stream().mapToInt(machine -> machine.attempts().size()).toArray();
     for (Job job : sorted) {
@@ -240,7 +240,7 @@
         break;
       }
       if (job.queuedTaskCount() > 0) {
-        placeIfAllowed(job, teamUseKnown, draining);
+        placeIfAllowed(job, teamUsageKnown, draining);
       }
     }
     for (int i = 0; i < attemptsBefore.length; i++) {
@@ -251,8 +251,8 @@
     }
   }
 
-  private void placeIfAllowed(Job job, boolean teamUseKnown, List<Machine> available) {
-    if (teamUseKnown || !quotas.isLimited(job.spec().team())) {
+  private void placeIfAllowed(Job job, boolean teamUsageKnown, List<Machine> available) {
+    if (teamUsageKnown || !quotas.isLimited(job.spec().team())) {
       placer.place(job, available);
     }
   }
--- a/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
@@ -73,7 +73,7 @@
         && machine.session().isConfirmed()
         && liveness.isFresh(machine)
         && !machine.session().tokens().hasPendingDirectCommand()
-        && !references.mayName(machine.name())
+        && !references.mayBeNamed(machine.name())
         && listsOnlyForeignTasks(machine);
   }
 
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -166,7 +166,7 @@
   }
 
   /** Reports whether any record may name the machine, now or once a late write is applied. */
-  boolean mayName(MachineName machine) {
+  boolean mayBeNamed(MachineName machine) {
     return writableByOthers > 0 || counts.getInt(machine) > 0;
   }
 
--- a/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
+++ b/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
@@ -5,7 +5,7 @@
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.TeamQuotas;
-import shorecrank.coordination.model.TeamUse;
+import shorecrank.coordination.model.TeamUsage;
 import shorecrank.coordination.step.StepContext;
 
 /**
@@ -48,15 +48,15 @@
   /** Finds the teams that are certainly above their limits and logs each as an error. */
   void review() {
     knownAboveLimit.clear();
-    for (TeamUse use : quotas.uses()) {
-      if (use.isAboveLimit() && isUseKnown(use.team().name())) {
+    for (TeamUsage use : quotas.uses()) {
+      if (use.isAboveLimit() && isUsageKnown(use.team().name())) {
         knownAboveLimit.add(use.team().name());
         context.reportError("quota.exceeded", "team.quota.exceeded " + use.logFields());
       }
     }
   }
 
-  private boolean isUseKnown(String team) {
+  private boolean isUsageKnown(String team) {
     for (Job job : jobs.all().values()) {
       if (job.spec().team().equals(team) && !areAllMachinesReconciled(job)) {
         return false;
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -9,7 +9,7 @@
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.TeamQuotas;
-import shorecrank.coordination.model.TeamUse;
+import shorecrank.coordination.model.TeamUsage;
 import shorecrank.coordination.model.WriteUrgency;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
@@ -71,7 +71,7 @@
   }
 
   /** Returns the usage of the teams with a limit. */
-  List<TeamUse> teamUses() {
+  List<TeamUsage> teamUsages() {
     return quotas.uses();
   }
 
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -306,7 +306,7 @@
     machines.expireLeases(liveness);
     machines.revokeMovableAttempts();
     UtilizationGauges.update(context, state);
-    UtilizationGauges.updateTeams(context, jobs.teamUses());
+    UtilizationGauges.updateTeams(context, jobs.teamUsages());
     quotaGuard.review();
     isMissingManyWorkers = liveness.isMissingManyWorkers();
     jobs.queueAllForReview();
--- a/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
+++ b/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
@@ -1,7 +1,7 @@
 package shorecrank.coordination.shard;
 
 import shorecrank.coordination.model.Job;
-import shorecrank.coordination.model.TeamUse;
+import shorecrank.coordination.model.TeamUsage;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.MonotonicTime;
 
@@ -31,7 +31,7 @@
     int toClaim = 0;
     for (Job job : jobs.all().values()) {
       attempts += job.tasks().attemptCount();
-      toClaim += job.record().isTeamUseKnown() ? 0 : 1;
+      toClaim += job.record().isTeamUsageKnown() ? 0 : 1;
     }
     context.info(
         "shard.recovered shard=%s epoch=%s jobs=%d revision=%d attempts=%d to_claim=%d read_ms=%d",
@@ -42,10 +42,10 @@
         attempts,
         toClaim,
         context.now().since(began));
-    jobs.teamUses().forEach(use -> logUse(use, revision));
+    jobs.teamUsages().forEach(use -> logUsage(use, revision));
   }
 
-  private void logUse(TeamUse use, long revision) {
+  private void logUsage(TeamUsage use, long revision) {
     context.info(
         "team.use %s shard=%s epoch=%s revision=%d",
         use.logFields(), lease.shard(), lease.epoch(), revision);
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -4,7 +4,7 @@
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.Machine;
 import shorecrank.coordination.model.TaskAttempt;
-import shorecrank.coordination.model.TeamUse;
+import shorecrank.coordination.model.TeamUsage;
 import shorecrank.coordination.scheduling.ShardView;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.WorkerMessages.TaskState;
@@ -52,8 +52,8 @@
   }
 
   /** Sets the usage gauges of each team with a limit. */
-  static void updateTeams(StepContext context, List<TeamUse> uses) {
-    for (TeamUse use : uses) {
+  static void updateTeams(StepContext context, List<TeamUsage> uses) {
+    for (TeamUsage use : uses) {
       String team = use.team().name();
       context.gauge("team.cpus.placed." + team, use.cpus());
       context.gauge("team.gpus.placed." + team, use.gpus());
--- a/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobRecordStateTest.java
@@ -64,12 +64,12 @@
 
   @Test
   void teamUseIsKnownOnceNoEarlierOwnerCanWrite() {
-    assertTrue(record.isTeamUseKnown(), "no owner has written the record");
+    assertTrue(record.isTeamUsageKnown(), "no owner has written the record");
     record.requireClaim();
-    assertFalse(record.isTeamUseKnown());
+    assertFalse(record.isTeamUsageKnown());
     record.beginWrite();
     job.recordCommitted(record.sequence(), new Revision(9), EPOCH, QUEUED);
-    assertTrue(record.isTeamUseKnown());
+    assertTrue(record.isTeamUsageKnown());
   }
 
   @Test
--- a/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
+++ b/src/test/java/shorecrank/coordination/shard/MachineReferencesTest.java
@@ -25,8 +25,8 @@
   }
 
   private void assertMayBeNamed(boolean first, boolean second) {
-    assertEquals(first, references.mayName(FIRST), "n-1");
-    assertEquals(second, references.mayName(SECOND), "n-2");
+    assertEquals(first, references.mayBeNamed(FIRST), "n-1");
+    assertEquals(second, references.mayBeNamed(SECOND), "n-2");
   }
 
   private void readOwnRecordNamingFirst() {
