--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -151,7 +151,7 @@
   }
 
   /** Reports whether the job is known to be cancelled. */
-  public boolean isKnown(JobId id) {
+  public boolean isCancelled(JobId id) {
     return cancelledJobs.getIfPresent(id) != null;
   }
 
@@ -169,7 +169,7 @@
 
   /** Records a job as cancelled, and passes it to the listener if it was not known before. */
   private void cancelAndNotify(JobId id) {
-    if (!isKnown(id)) {
+    if (!isCancelled(id)) {
       recordCancelled(id);
       jobListener.accept(id);
     }
--- a/src/main/java/shorecrank/coordination/request/JobLookup.java
+++ b/src/main/java/shorecrank/coordination/request/JobLookup.java
@@ -158,7 +158,7 @@
       JobId id = pending.poll();
       if (id == null) {
         callback.accept(new LookupResult.Found(waiting));
-      } else if (cancellations.isKnown(id)) {
+      } else if (cancellations.isCancelled(id)) {
         finishCancelled();
       } else {
         findRecord(id, result -> onRead(id, result));
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -58,7 +58,7 @@
   /** Adds a job with its unmet dependencies, or cancels it if one of them is cancelled. */
   public void add(Job job) {
     for (JobId dependency : List.copyOf(job.scheduling().unmetDependencies())) {
-      if (cancellations.isKnown(dependency)) {
+      if (cancellations.isCancelled(dependency)) {
         cancel(job);
         return;
       }
--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -75,7 +75,7 @@
 
   private boolean isCancelled(JobId id) {
     Job job = jobs.find(id);
-    return (job != null && job.isCancelled()) || cancellations.isKnown(id);
+    return (job != null && job.isCancelled()) || cancellations.isCancelled(id);
   }
 
   private static void addStopsForUnlisted(
--- a/src/test/java/shorecrank/coordination/request/JobLookupTest.java
+++ b/src/test/java/shorecrank/coordination/request/JobLookupTest.java
@@ -100,7 +100,7 @@
     driver.answer(200, record(JOB, false, DEPENDENCY));
     driver.answer(200, record(DEPENDENCY, true));
     assertEquals(JobState.CANCELLED, foundState());
-    assertTrue(cancellations.isKnown(DEPENDENCY));
+    assertTrue(cancellations.isCancelled(DEPENDENCY));
   }
 
   @Test
