--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -49,7 +49,7 @@
     }
 
     /** Subtracts the processors and accelerators of a number of tasks. */
-    public void take(JobSpec spec, int tasks) {
+    public void subtract(JobSpec spec, int tasks) {
       cpus -= tasks * spec.cpus();
       gpus -= tasks * spec.gpus();
     }
@@ -175,7 +175,7 @@
     for (Machine machine : machines) {
       for (Machine.UnrecordedTask unrecorded : machine.unrecordedTasks()) {
         if (unrecorded.job().spec().team().equals(name)) {
-          headroom.take(unrecorded.job().spec(), 1);
+          headroom.subtract(unrecorded.job().spec(), 1);
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
+++ b/src/main/java/shorecrank/coordination/scheduling/QueuedDemand.java
@@ -26,7 +26,7 @@
       int tasks = headroom.queuedTasksThatFit(job);
       if (tasks > 0) {
         demands.add(new QueuedDemand(job, tasks));
-        headroom.take(job.spec(), tasks);
+        headroom.subtract(job.spec(), tasks);
       }
     }
     return demands;
--- a/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
+++ b/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
@@ -126,7 +126,7 @@
     Job first = job(2).ofTeam("limited").tasks(3, 2, 0).build();
     Job second = job(3).ofTeam("limited").tasks(9, 1, 0).build();
     TeamQuotas.Headroom headroom = quotas.headroom("limited");
-    headroom.take(first.spec(), headroom.queuedTasksThatFit(first));
+    headroom.subtract(first.spec(), headroom.queuedTasksThatFit(first));
     assertEquals(4, headroom.queuedTasksThatFit(second));
   }
 }
