--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -139,16 +139,16 @@
   }
 
   /** Returns the use of each team that has a limit and has ever used something, by team name. */
-  public List<TeamUsage> uses() {
-    List<TeamUsage> uses = new ArrayList<>();
+  public List<TeamUsage> usages() {
+    List<TeamUsage> usages = new ArrayList<>();
     usageByTeam.forEach(
         (name, usage) -> {
           if (isLimited(name)) {
-            uses.add(use(teams.get(name), usage));
+            usages.add(use(teams.get(name), usage));
           }
         });
-    uses.sort(Comparator.comparing(use -> use.team().name()));
-    return uses;
+    usages.sort(Comparator.comparing(use -> use.team().name()));
+    return usages;
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
+++ b/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
@@ -48,7 +48,7 @@
   /** Finds the teams that are certainly above their limits and logs each as an error. */
   void review() {
     knownAboveLimit.clear();
-    for (TeamUsage use : quotas.uses()) {
+    for (TeamUsage use : quotas.usages()) {
       if (use.isAboveLimit() && isUsageKnown(use.team().name())) {
         knownAboveLimit.add(use.team().name());
         context.reportError("quota.exceeded", "team.quota.exceeded " + use.logFields());
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -72,7 +72,7 @@
 
   /** Returns the usage of the teams with a limit. */
   List<TeamUsage> teamUsages() {
-    return quotas.uses();
+    return quotas.usages();
   }
 
   // ---- attempts --------------------------------------------------------------------------------
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -52,8 +52,8 @@
   }
 
   /** Sets the usage gauges of each team with a limit. */
-  static void updateTeams(StepContext context, List<TeamUsage> uses) {
-    for (TeamUsage use : uses) {
+  static void updateTeams(StepContext context, List<TeamUsage> usages) {
+    for (TeamUsage use : usages) {
       String team = use.team().name();
       context.gauge("team.cpus.placed." + team, use.cpus());
       context.gauge("team.gpus.placed." + team, use.gpus());
--- a/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
+++ b/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
@@ -83,7 +83,7 @@
     quotas.allocate(spec);
     quotas.withdraw(spec);
     assertEquals(1, fitting("limited", 5, 2, 0));
-    assertEquals(List.of(new TeamUsage(TEAMS.get("limited"), 4, 1, 4, 1)), quotas.uses());
+    assertEquals(List.of(new TeamUsage(TEAMS.get("limited"), 4, 1, 4, 1)), quotas.usages());
     quotas.releaseWithdrawn(spec, 1);
     assertEquals(3, fitting("limited", 5, 2, 0));
   }
