--- a/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
+++ b/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
@@ -72,7 +72,7 @@
    *
    * @return whether all dependencies are met now
    */
-  public boolean dependencyMet(JobId dependency, long wallMs) {
+  public boolean recordDependencyMet(JobId dependency, long wallMs) {
     unmetDependencies.remove(dependency);
     if (unmetDependencies.isEmpty()) {
       readyAtMs = wallMs;
@@ -156,7 +156,7 @@
   }
 
   /** Records that a task has succeeded, which shows that the job itself is not at fault. */
-  public void taskSucceeded() {
+  public void recordSuccess() {
     failedOn.clear();
     backoffExponent = 0;
   }
@@ -167,7 +167,7 @@
    * @param jobAtFault whether the machine is known not to be at fault
    * @return whether the job is taken to be at fault rather than the machine
    */
-  public boolean taskFailed(MachineName machine, boolean jobAtFault, MonotonicTime now) {
+  public boolean recordFailure(MachineName machine, boolean jobAtFault, MonotonicTime now) {
     failedOn.add(machine);
     if (failedOn.size() > MAX_FAULTY_MACHINES || jobAtFault) {
       backoffExponent = Math.min(backoffExponent + 1, MAX_BACKOFF_EXPONENT);
--- a/src/main/java/shorecrank/coordination/model/MachineHealth.java
+++ b/src/main/java/shorecrank/coordination/model/MachineHealth.java
@@ -31,7 +31,7 @@
   }
 
   /** Records that a task on the machine has succeeded. */
-  public void taskSucceeded() {
+  public void recordSuccess() {
     failuresInRow = 0;
   }
 
@@ -46,7 +46,7 @@
    *
    * @return whether this failure puts the machine into quarantine
    */
-  public boolean taskFailed(MonotonicTime now) {
+  public boolean recordFailure(MonotonicTime now) {
     failuresInRow++;
     if (failuresInRow < FAILURES_TO_QUARANTINE || !quarantinedUntil.isBefore(now)) {
       return false;
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -105,7 +105,7 @@
     }
     urgency.invalidate();
     for (Job job : waiting) {
-      if (job.scheduling().dependencyMet(id, context.wallMs())) {
+      if (job.scheduling().recordDependencyMet(id, context.wallMs())) {
         context.count("job.ready");
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -150,8 +150,8 @@
     switch (status.exitReason()) {
       case DONE -> {
         job.tasks().markDone(attempt.index());
-        job.scheduling().taskSucceeded();
-        machine.health().taskSucceeded();
+        job.scheduling().recordSuccess();
+        machine.health().recordSuccess();
       }
       case STOPPED -> {}
       case INSUFFICIENT_RESOURCES ->
@@ -173,10 +173,10 @@
     MonotonicTime now = context.now();
     context.count("task.failed");
     boolean isJobAtFault = reason == ExitReason.UNKNOWN;
-    if (job.scheduling().taskFailed(machine.name(), isJobAtFault, now)) {
+    if (job.scheduling().recordFailure(machine.name(), isJobAtFault, now)) {
       context.info(
           "job.held_back job=%s failed_machines=%d", job.id(), job.scheduling().failedMachines());
-    } else if (machine.health().taskFailed(now)) {
+    } else if (machine.health().recordFailure(now)) {
       context.info("machine.quarantined machine=%s", machine.name());
       context.count("machine.quarantined");
     }
--- a/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
@@ -18,9 +18,9 @@
   void jobIsReadyOnceItsLastDependencyIsMet() {
     Job job = JobBuilder.job(3).dependsOn(1, 2).acceptedAtMs(5).build();
     assertEquals(0, job.queuedTaskCount());
-    assertFalse(job.scheduling().dependencyMet(JobBuilder.id(1), 100));
+    assertFalse(job.scheduling().recordDependencyMet(JobBuilder.id(1), 100));
     assertEquals(5, job.scheduling().readyAtMs(), "one dependency is not met");
-    assertTrue(job.scheduling().dependencyMet(JobBuilder.id(2), 200));
+    assertTrue(job.scheduling().recordDependencyMet(JobBuilder.id(2), 200));
     assertEquals(200, job.scheduling().readyAtMs());
     assertEquals(1, job.queuedTaskCount());
   }
@@ -41,7 +41,7 @@
     JobSchedulingState state = JobBuilder.job(1).build().scheduling();
     boolean atFault = false;
     for (int i = 1; i <= failures; i++) {
-      atFault = state.taskFailed(new MachineName("m-" + i), isLastJobsFault && i == failures, NOW);
+      atFault = state.recordFailure(new MachineName("m-" + i), isLastJobsFault && i == failures, NOW);
     }
     assertEquals(isAtFault, atFault);
     assertEquals(isAtFault, state.isBackingOff());
@@ -53,9 +53,9 @@
   void successClearsFailures() {
     JobSchedulingState state = JobBuilder.job(1).build().scheduling();
     MachineName machine = new MachineName("m-1");
-    state.taskFailed(machine, true, NOW);
+    state.recordFailure(machine, true, NOW);
     assertTrue(state.hasFailedOn(machine));
-    state.taskSucceeded();
+    state.recordSuccess();
     assertFalse(state.hasFailed());
     assertFalse(state.isBackingOff());
   }
