--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -89,7 +89,7 @@
     context.count("report.unconfirmed");
     machine.session().recordUnconfirmed(heartbeat);
     // Even a delayed copy proves that its incarnation has begun, so all earlier ones have ended.
-    machines.loseEarlierIncarnations(machine);
+    machines.abandonEarlierIncarnations(machine);
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -72,7 +72,7 @@
   private boolean reconcileUnlisted(
       Machine machine, TaskAttempt attempt, WorkerHeartbeat heartbeat, WithdrawalLog log) {
     if (attempt.incarnation().compareTo(heartbeat.incarnation()) < 0) {
-      jobs.lose(attempt);
+      jobs.abandon(attempt);
       return true;
     }
     if (!attempt.isCommitted() || !attempt.job().record().isClaimed()) {
@@ -124,7 +124,7 @@
     if (reason == WithdrawalReason.CANCELLED) {
       // The record is marked as cancelled, so a later owner does not start the attempt either, and
       // its quota can be released at once.
-      jobs.lose(attempt);
+      jobs.abandon(attempt);
     } else {
       jobs.withdraw(attempt);
     }
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -29,7 +29,7 @@
   /** Actions of the owner on a machine's attempts and on its deferred reply. */
   interface Callbacks {
     /** Gives up an attempt that is certainly not running any more and has left no result. */
-    void loseAttempt(TaskAttempt attempt);
+    void abandonAttempt(TaskAttempt attempt);
 
     /** Refuses the deferred reply to the machine's heartbeat, if there is one. */
     void refuseDeferredReply(Machine machine);
@@ -173,7 +173,7 @@
       handovers.forget(name);
       Machine machine = machines.get(name);
       if (machine != null) {
-        loseAll(machine, "released");
+        abandonAll(machine, "released");
         callbacks.refuseDeferredReply(machine);
         machine.clearUnrecordedTasks();
         remove(machine);
@@ -189,10 +189,10 @@
   // ---- lost attempts ----------------------------------------------------------------------------
 
   /** Gives up all attempts on a machine, none of which is running any more. */
-  void loseAll(Machine machine, String reason) {
+  void abandonAll(Machine machine, String reason) {
     int count = machine.attempts().size();
     for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
-      callbacks.loseAttempt(attempt);
+      callbacks.abandonAttempt(attempt);
     }
     if (count > 0) {
       context.info(
@@ -203,10 +203,10 @@
   }
 
   /** Gives up a machine's attempts of incarnations before its current one. */
-  void loseEarlierIncarnations(Machine machine) {
+  void abandonEarlierIncarnations(Machine machine) {
     for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
       if (attempt.incarnation().compareTo(machine.session().incarnation()) < 0) {
-        callbacks.loseAttempt(attempt);
+        callbacks.abandonAttempt(attempt);
       }
     }
   }
@@ -228,7 +228,7 @@
       if (!machine.isEmpty()
           && !machine.assignment().isAssignedElsewhere()
           && liveness.isLeaseExpired(machine)) {
-        loseAll(machine, "its worker's lease ran out");
+        abandonAll(machine, "its worker's lease ran out");
         machine.clearUnrecordedTasks();
         machine.session().endIncarnation();
       }
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -144,7 +144,7 @@
    * Gives up an attempt that is certainly not running any more, has left no result and can't be
    * started again.
    */
-  void lose(TaskAttempt attempt) {
+  void abandon(TaskAttempt attempt) {
     detach(attempt);
     attempt.job().requestWrite(WriteUrgency.LATER, context.now());
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -129,8 +129,8 @@
   /** Applies the registry's decisions to the jobs and the deferred replies. */
   private final class RegistryCallbacks implements MachineRegistry.Callbacks {
     @Override
-    public void loseAttempt(TaskAttempt attempt) {
-      jobs.lose(attempt);
+    public void abandonAttempt(TaskAttempt attempt) {
+      jobs.abandon(attempt);
     }
 
     @Override
--- a/src/test/java/shorecrank/coordination/shard/ShardJobsTest.java
+++ b/src/test/java/shorecrank/coordination/shard/ShardJobsTest.java
@@ -82,7 +82,7 @@
   void lostAttemptIsReleasedAtOnce() {
     TaskAttempt attempt = attach();
     write();
-    jobs.lose(attempt);
+    jobs.abandon(attempt);
     assertHeadroomForOther(8);
     assertEquals(WriteUrgency.LATER, job.record().urgency());
   }
