--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -99,7 +99,7 @@
   MonotonicTime oldestCancellationView() {
     MonotonicTime oldest = MonotonicTime.NEVER;
     for (ShardOwner shardOwner : shardOwners.values()) {
-      MonotonicTime seen = shardOwner.cancellationsKnownUpTo();
+      MonotonicTime seen = shardOwner.cancellationsShownUpTo();
       if (oldest == MonotonicTime.NEVER || (seen != MonotonicTime.NEVER && seen.isBefore(oldest))) {
         oldest = seen;
       }
@@ -109,7 +109,7 @@
 
   /** Notifies all shard owners that a user has been told that the job is cancelled. */
   void onJobCancelled(JobId job) {
-    shardOwners.values().forEach(shardOwner -> shardOwner.learnCancelled(job));
+    shardOwners.values().forEach(shardOwner -> shardOwner.recordConfirmedCancellation(job));
   }
 
   /** Passes the types of machines that can be rented to all shard owners, present and future. */
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -49,7 +49,7 @@
     }
 
     /** Subtracts the processors and accelerators of a number of tasks. */
-    public void take(JobSpec spec, int tasks) {
+    public void subtract(JobSpec spec, int tasks) {
       cpus -= tasks * spec.cpus();
       gpus -= tasks * spec.gpus();
     }
@@ -132,23 +132,23 @@
     return isLimited(team) && usage != null && use(team, usage).isAboveLimit();
   }
 
-  private static TeamUse use(Team team, Usage usage) {
+  private static TeamUsage use(Team team, Usage usage) {
     Amount placed = usage.placed;
     Amount withdrawn = usage.withdrawn;
-    return new TeamUse(team, placed.cpus, placed.gpus, withdrawn.cpus, withdrawn.gpus);
+    return new TeamUsage(team, placed.cpus, placed.gpus, withdrawn.cpus, withdrawn.gpus);
   }
 
   /** Returns the use of each team that has a limit and has ever used something, by team name. */
-  public List<TeamUse> uses() {
-    List<TeamUse> uses = new ArrayList<>();
+  public List<TeamUsage> usages() {
+    List<TeamUsage> usages = new ArrayList<>();
     usageByTeam.forEach(
         (name, usage) -> {
           if (isLimited(name)) {
-            uses.add(use(teams.get(name), usage));
+            usages.add(use(teams.get(name), usage));
           }
         });
-    uses.sort(Comparator.comparing(use -> use.team().name()));
-    return uses;
+    usages.sort(Comparator.comparing(use -> use.team().name()));
+    return usages;
   }
 
   /**
@@ -175,7 +175,7 @@
     for (Machine machine : machines) {
       for (Machine.UnrecordedTask unrecorded : machine.unrecordedTasks()) {
         if (unrecorded.job().spec().team().equals(name)) {
-          headroom.take(unrecorded.job().spec(), 1);
+          headroom.subtract(unrecorded.job().spec(), 1);
         }
       }
     }
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -9,7 +9,7 @@
 import shorecrank.coordination.model.Job;
 import shorecrank.coordination.model.TaskAttempt;
 import shorecrank.coordination.model.TeamQuotas;
-import shorecrank.coordination.model.TeamUse;
+import shorecrank.coordination.model.TeamUsage;
 import shorecrank.coordination.model.WriteUrgency;
 import shorecrank.coordination.step.StepContext;
 import shorecrank.protocol.Ids.JobId;
@@ -71,8 +71,8 @@
   }
 
   /** Returns the usage of the teams with a limit. */
-  List<TeamUse> teamUses() {
-    return quotas.uses();
+  List<TeamUsage> teamUsages() {
+    return quotas.usages();
   }
 
   // ---- attempts --------------------------------------------------------------------------------
@@ -144,7 +144,7 @@
    * Gives up an attempt that is certainly not running any more, has left no result and can't be
    * started again.
    */
-  void lose(TaskAttempt attempt) {
+  void abandon(TaskAttempt attempt) {
     detach(attempt);
     attempt.job().requestWrite(WriteUrgency.LATER, context.now());
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -67,7 +67,7 @@
   private final boolean sharesEnabled;
 
   private MonotonicTime reviewedAt = MonotonicTime.NEVER;
-  private boolean missesManyWorkers;
+  private boolean isMissingManyWorkers;
 
   /**
    * Creates the owner of a shard and logs its epoch.
@@ -129,8 +129,8 @@
   /** Applies the registry's decisions to the jobs and the deferred replies. */
   private final class RegistryCallbacks implements MachineRegistry.Callbacks {
     @Override
-    public void loseAttempt(TaskAttempt attempt) {
-      jobs.lose(attempt);
+    public void abandonAttempt(TaskAttempt attempt) {
+      jobs.abandon(attempt);
     }
 
     @Override
@@ -208,7 +208,7 @@
    * @param isAlone whether no other controller has been heard lately
    */
   public boolean isInGrace(boolean isAlone) {
-    return lease.isInGrace(isAlone, missesManyWorkers);
+    return lease.isInGrace(isAlone, isMissingManyWorkers);
   }
 
   /**
@@ -229,7 +229,7 @@
    * Returns the time up to which the state service has shown this owner all cancellations; NEVER
    * until all records are read.
    */
-  public MonotonicTime cancellationsKnownUpTo() {
+  public MonotonicTime cancellationsShownUpTo() {
     return recovery.knownUpTo();
   }
 
@@ -248,7 +248,7 @@
    * committed and final, so every controller that the workers still obey may stop the tasks, also
    * in the grace period.
    */
-  public void learnCancelled(JobId id) {
+  public void recordConfirmedCancellation(JobId id) {
     Job job = jobs.find(id);
     if (job == null) {
       dependencies.onJobCancelled(id);
@@ -306,9 +306,9 @@
     machines.expireLeases(liveness);
     machines.revokeMovableAttempts();
     UtilizationGauges.update(context, state);
-    UtilizationGauges.updateTeams(context, jobs.teamUses());
+    UtilizationGauges.updateTeams(context, jobs.teamUsages());
     quotaGuard.review();
-    missesManyWorkers = liveness.missesManyWorkers();
+    isMissingManyWorkers = liveness.isMissingManyWorkers();
     jobs.queueAllForReview();
   }
 
--- a/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
+++ b/src/test/java/shorecrank/coordination/model/TeamQuotasTest.java
@@ -83,7 +83,7 @@
     quotas.allocate(spec);
     quotas.withdraw(spec);
     assertEquals(1, fitting("limited", 5, 2, 0));
-    assertEquals(List.of(new TeamUse(TEAMS.get("limited"), 4, 1, 4, 1)), quotas.uses());
+    assertEquals(List.of(new TeamUsage(TEAMS.get("limited"), 4, 1, 4, 1)), quotas.usages());
     quotas.releaseWithdrawn(spec, 1);
     assertEquals(3, fitting("limited", 5, 2, 0));
   }
@@ -126,7 +126,7 @@
     Job first = job(2).ofTeam("limited").tasks(3, 2, 0).build();
     Job second = job(3).ofTeam("limited").tasks(9, 1, 0).build();
     TeamQuotas.Headroom headroom = quotas.headroom("limited");
-    headroom.take(first.spec(), headroom.queuedTasksThatFit(first));
+    headroom.subtract(first.spec(), headroom.queuedTasksThatFit(first));
     assertEquals(4, headroom.queuedTasksThatFit(second));
   }
 }
