--- a/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
@@ -41,7 +41,8 @@
     JobSchedulingState state = JobBuilder.job(1).build().scheduling();
     boolean atFault = false;
     for (int i = 1; i <= failures; i++) {
-      atFault = state.recordFailure(new MachineName("m-" + i), isLastJobsFault && i == failures, NOW);
+      atFault =
+          state.recordFailure(new MachineName("m-" + i), isLastJobsFault && i == failures, NOW);
     }
     assertEquals(isAtFault, atFault);
     assertEquals(isAtFault, state.isBackingOff());
