--- a/src/test/java/shorecrank/sim/DuplicateMessages.java
+++ b/src/test/java/shorecrank/sim/DuplicateMessages.java
@@ -28,7 +28,7 @@
   private int maxDelayMs;
   private boolean inOrder;
   private boolean replayAtLeaderChange;
-  private final List<Runnable> kept = new ArrayList<>();
+  private final List<Runnable> copies = new ArrayList<>();
 
   DuplicateMessages(World world) {
     this.world = world;
@@ -69,8 +69,8 @@
     String leader = leaderWriter();
     if (!leader.isEmpty() && !leader.equals(formerLeader)) {
       world.faults.addFault(0);
-      List<Runnable> all = List.copyOf(kept);
-      kept.clear();
+      List<Runnable> all = List.copyOf(copies);
+      copies.clear();
       // Each copy has its own random delay, so that some arrive out of order.
       all.forEach(copy -> sim.after(sim.random().nextInt(REPLAY_SPREAD_MS), copy));
     } else if (sim.now() < giveUpAtMs) {
@@ -85,7 +85,8 @@
     }
     ControllerRequest copy = ControllerRequest.heartbeat(body);
     if (replayAtLeaderChange) {
-      kept.add(() -> world.controllers().forEach(node -> node.receive(copy, ReplyHandler.IGNORE)));
+      copies.add(
+          () -> world.controllers().forEach(node -> node.receive(copy, ReplyHandler.IGNORE)));
       return;
     }
     List<ControllerNode> nodes = world.controllers();
--- a/src/test/java/shorecrank/sim/MixedVersionsTest.java
+++ b/src/test/java/shorecrank/sim/MixedVersionsTest.java
@@ -38,7 +38,7 @@
     try (ProcessWorld w =
         new ProcessWorld(seed, production, runDirectory, SettingsFile.defaults())) {
       world = w;
-      describeSite();
+      setUpFleet();
       world.allowLeadershipOnlyOf(null);
       world.startControllers(3);
       world.allowLeadershipOnlyOf(node(1));
@@ -171,8 +171,8 @@
 
   // ---- fleet and load --------------------------------------------------------------------------
 
-  private void describeSite() {
-    world.describeSmallSite();
+  private void setUpFleet() {
+    world.setUpSmallSite();
     world.cloud.setCapacity(6);
     world.site.setNextLimits(new StateLimits(5, 2), true);
     world.users.behavior().queryAllControllersFor(600_000);
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -45,7 +45,7 @@
     Path logs =
         Files.createDirectories(ProgramVersions.PROJECT_DIRECTORY.resolve("target/process-fleet"));
     world = new ProcessWorld(seed, first, Files.createTempDirectory(logs, "run"), settings);
-    world.describeSmallSite();
+    world.setUpSmallSite();
     world.cloud.setCapacity(machines + 2);
     world.users.behavior().queryAllControllersFor(600_000);
     world.rollouts.enableWithDefaults();
--- a/src/test/java/shorecrank/sim/ProcessWorld.java
+++ b/src/test/java/shorecrank/sim/ProcessWorld.java
@@ -54,7 +54,7 @@
   }
 
   /** Sets up two zones, one machine type, and two teams, one of which has a limit. */
-  void describeSmallSite() {
+  void setUpSmallSite() {
     List<String> zones = List.of("a", "b");
     site.setZones(zones);
     site.addType("p8", new MachineType(8, 32, 5, zones));
--- a/src/test/java/shorecrank/sim/RolloutVersionsTest.java
+++ b/src/test/java/shorecrank/sim/RolloutVersionsTest.java
@@ -27,7 +27,7 @@
   private int productionReturnsAtLevel;
 
   @Test
-  void everyJobEndsOnceWhileVersionsGoUpAndDown() throws Exception {
+  void everyJobEndsOnceDuringUpgradesAndDowngrades() throws Exception {
     Path settings = dir.resolve("rollout.textproto");
     Files.writeString(settings, "settle_s: 2 rewrites_per_s: 50");
     ProgramVersion production = ProgramVersions.production();
@@ -36,7 +36,7 @@
     try (ProcessFleet fleet = new ProcessFleet(1, production, 4)) {
       fleet.submitEvery(900);
       for (int round = 0; round < ROUNDS; round++) {
-        round(fleet, random, production, current);
+        runRound(fleet, random, production, current);
       }
       upgradeAll(fleet, current);
       lower(fleet);
@@ -55,7 +55,7 @@
     }
   }
 
-  private void round(
+  private void runRound(
       ProcessFleet fleet, Random random, ProgramVersion production, ProgramVersion current) {
     int index = random.nextInt(CONTROLLERS);
     boolean up = random.nextInt(3) > 0;
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -37,7 +37,7 @@
   private int crashes;
 
   @BeforeEach
-  void describe() throws Exception {
+  void writeSettings() throws Exception {
     Path settingsFile = Files.writeString(dir.resolve("settings.textproto"), "parts: 2");
     Path rollout = Files.writeString(dir.resolve("rollout.textproto"), "settle_s: 1");
     Path shares =
--- a/src/test/java/shorecrank/sim/SimulatedUsers.java
+++ b/src/test/java/shorecrank/sim/SimulatedUsers.java
@@ -23,7 +23,7 @@
   private final UserClient client;
   private final UserBehavior behavior;
   private final Map<String, Integer> latestStatuses = new HashMap<>();
-  private final Set<String> givenUpInFaults = new HashSet<>();
+  private final Set<String> givenUpDuringFaults = new HashSet<>();
 
   SimulatedUsers(World world) {
     this.world = world;
@@ -55,7 +55,7 @@
    * effects.
    */
   boolean gaveUpDuringFaults(String job) {
-    return givenUpInFaults.contains(job);
+    return givenUpDuringFaults.contains(job);
   }
 
   /**
@@ -96,7 +96,7 @@
     } else {
       latestStatuses.put(job, status);
       if (!refused && world.faults.mayStillHaveEffects()) {
-        givenUpInFaults.add(job);
+        givenUpDuringFaults.add(job);
       }
     }
   }
--- a/src/test/java/shorecrank/sim/StateServiceLink.java
+++ b/src/test/java/shorecrank/sim/StateServiceLink.java
@@ -36,7 +36,7 @@
     lateAtOnce = atOnce;
   }
 
-  /** Multiplies the delay of each request and of each answer by a factor. */
+  /** Multiplies the delay of each request and of each answer by a factor, for the given time. */
   void slowDown(double factor, long durationMs) {
     faults.addFault(durationMs);
     slowFactor = factor;
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -49,14 +49,14 @@
                 then.put(key, version);
               }
             });
-    return archive.manifest().consistent() && text(archive.keys()).equals(text(then));
+    return archive.manifest().consistent() && asText(archive.keys()).equals(asText(then));
   }
 
   /**
    * Returns the values as text for comparison: numbers parsed from an archive have other JSON node
    * types than those that were written.
    */
-  private static Map<String, String> text(Map<String, VersionedValue> keys) {
+  private static Map<String, String> asText(Map<String, VersionedValue> keys) {
     Map<String, String> text = new TreeMap<>();
     keys.forEach((key, v) -> text.put(key, v.revision() + " " + v.data()));
     return text;
