--- a/src/test/java/shorecrank/sim/UserBehavior.java
+++ b/src/test/java/shorecrank/sim/UserBehavior.java
@@ -49,7 +49,7 @@
 
   /**
    * Makes users send a burst of requests to all controllers whenever a job was accepted or has
-   * ended.
+   * ended, for the given time.
    */
   void queryAllControllersFor(long durationMs) {
     burstsUntilMs = sim.now() + durationMs;
