--- a/src/test/java/shorecrank/sim/SimulatedWorker.java
+++ b/src/test/java/shorecrank/sim/SimulatedWorker.java
@@ -29,7 +29,7 @@
   private long sequence;
   private long token;
   private double preemptionNoticeS = -1;
-  private boolean failsTasks;
+  private boolean failingTasks;
   private boolean removed;
   private long hungUntilMs = -1;
   private long answeredHeartbeatSentMs;
@@ -108,11 +108,11 @@
 
   /** Makes all tasks on the machine fail from now on. */
   void startFailingTasks() {
-    failsTasks = true;
+    failingTasks = true;
   }
 
-  boolean failsTasks() {
-    return failsTasks;
+  boolean isFailingTasks() {
+    return failingTasks;
   }
 
   /**
--- a/src/test/java/shorecrank/sim/WaitingRule.java
+++ b/src/test/java/shorecrank/sim/WaitingRule.java
@@ -65,7 +65,7 @@
 
   private static boolean canRun(SimulatedWorker worker, JobPlan plan) {
     return !worker.isHung()
-        && !worker.failsTasks()
+        && !worker.isFailingTasks()
         && PlacementConstraintRule.allows(plan, worker)
         && worker.tasks().freeCpus() >= plan.cpus() - CPU_TOLERANCE;
   }
--- a/src/test/java/shorecrank/sim/WorkerTasks.java
+++ b/src/test/java/shorecrank/sim/WorkerTasks.java
@@ -110,7 +110,7 @@
   }
 
   private boolean willFail(SimulatedTask task) {
-    return worker.failsTasks() || plan(task).faulty();
+    return worker.isFailingTasks() || plan(task).faulty();
   }
 
   private void run(SimulatedTask task) {
