--- a/src/main/java/shorecrank/client/ArchiveCommand.java
+++ b/src/main/java/shorecrank/client/ArchiveCommand.java
@@ -25,15 +25,15 @@
 import shorecrank.rollout.ArchiveReader.Archive;
 import shorecrank.rollout.ArchiveReader.DamagedArchiveException;
 
-/** Makes, checks and compares archives of the service's keys. */
+/** The subcommands that create, verify and compare archives of the state service's keys. */
 @Command(name = "archive", description = "Makes, checks and compares archives of the keys.")
 final class ArchiveCommand {
   private static final int MAX_DIFFERENCES_PRINTED = 20;
 
-  /** An order without a level. */
+  /** The value of {@link RolloutOrder#target} in an order for an archive, which has no level. */
   private static final int NO_LEVEL = -1;
 
-  /** Orders an archive and fetches it once it is complete. */
+  /** Orders an archive, downloads it when it is complete, and verifies the downloaded file. */
   @Command(name = "create", description = "Has an archive made and fetches it.")
   int create(
       @Mixin ClientOptions options,
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Checks an archive's file without asking a controller. */
+  /** Verifies an archive file; needs no connection to a controller. */
   @Command(name = "verify", description = "Checks that an archive is whole and undamaged.")
   int verify(
       @Parameters(paramLabel = "FILE", description = "the archive") Path file,
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Compares an archive's file with the keys as they are now. */
+  /** Compares an archive file with the current keys of the state service. */
   @Command(
       name = "diff",
       description = "Compares an archive with the state service; 1 if they differ.")
@@ -104,7 +104,11 @@
     return differences.isEmpty() ? ExitStatus.OK : ExitStatus.REFUSED;
   }
 
-  /** What became of each key that is not as it was, in the order of keys. */
+  /**
+   * Returns the differences between an archive and the stored keys, sorted by key.
+   *
+   * @return {@code added}, {@code changed} or {@code removed} for each key that differs
+   */
   private static Map<String, String> compare(
       Map<String, VersionedValue> archived, Map<String, JsonNode> stored) {
     Map<String, String> differences = new TreeMap<>();
@@ -147,7 +151,11 @@
     }
   }
 
-  /** Prints what an archive that was read completely says of itself. */
+  /**
+   * Prints an archive's id, build, feature level, number of keys and revision.
+   *
+   * @return the exit status {@link ExitStatus#OK}
+   */
   private static int printSummary(OutputOptions options, Archive archive) {
     Manifest manifest = archive.manifest();
     if (options.isJson()) {
--- a/src/main/java/shorecrank/client/ArchiveDownload.java
+++ b/src/main/java/shorecrank/client/ArchiveDownload.java
@@ -10,27 +10,34 @@
 import shorecrank.rollout.ArchiveKeys.IndexEntry;
 import shorecrank.rollout.ArchiveValueCodec;
 
-/** Fetches an archive that the controllers make into a file. */
+/** Downloads an archive from the state service, through the controllers, into a file. */
 final class ArchiveDownload {
   private static final long POLL_MS = 500;
 
-  /** An hour of polls. */
+  /** Limits the wait for an archive to one hour, at one poll every {@link #POLL_MS}. */
   private static final int MAX_POLLS = 7200;
 
   private final StoredKeys keys;
   private final String archiveId;
 
   /**
-   * Creates a download.
+   * Creates a download that does nothing until {@link #fetchInto} is called.
    *
-   * @param archiveId the archive's id
+   * @param archiveId the id of the archive to download
    */
   ArchiveDownload(StoredKeys keys, String archiveId) {
     this.keys = keys;
     this.archiveId = archiveId;
   }
 
-  /** Waits until the archive is complete, then fetches it; the file appears only when it is. */
+  /**
+   * Waits until the archive is complete, then downloads it. The chunks go into a file beside the
+   * given one, which is renamed after the last chunk: an interrupted download never leaves a
+   * partial file under the given name.
+   *
+   * @throws NoAnswerException if the archive is not complete within an hour, or no controller
+   *     answers
+   */
   void fetchInto(Path file) throws NoAnswerException, IOException {
     awaitComplete();
     Path partial = file.resolveSibling(file.getFileName() + ".part");
@@ -66,7 +73,10 @@
     return complete[0];
   }
 
-  /** Writes chunks to a stream; keeps the last failure, as the keys are read to their end. */
+  /**
+   * Writes chunks to a stream. An {@link IOException} is kept and thrown after the last key,
+   * because the consumer of {@link StoredKeys#forEach} cannot throw it.
+   */
   private static final class ChunkWriter {
     private final OutputStream out;
     private IOException failure;
@@ -78,7 +88,7 @@
     private void write(Entry entry) {
       byte[] chunk = ArchiveValueCodec.readChunk(entry.value());
       if (chunk == null) {
-        // The archive is verified once it is here, which names what is missing.
+        // The verification of the downloaded file reports the missing chunk.
         return;
       }
       try {
--- a/src/main/java/shorecrank/client/ClientCommand.java
+++ b/src/main/java/shorecrank/client/ClientCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** The command-line client: every command that is not the daemon itself. */
+/** The root command of the command-line client for operators. */
 @Command(
     name = "shorecrank",
     mixinStandardHelpOptions = true,
@@ -23,12 +23,20 @@
     throw new ParameterException(spec.commandLine(), "a command is missing");
   }
 
-  /** Runs a command and returns the process's exit status; see {@link ExitStatus}. */
+  /**
+   * Runs a command that prints to standard output and standard error.
+   *
+   * @return the exit status of the process; see {@link ExitStatus}
+   */
   public static int run(String... args) {
     return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
   }
 
-  /** Runs a command that prints to these writers, and returns the exit status. */
+  /**
+   * Runs a command that prints to the given writers.
+   *
+   * @return the exit status; see {@link ExitStatus}
+   */
   public static int run(PrintWriter out, PrintWriter err, String... args) {
     CommandLine commandLine = new CommandLine(new ClientCommand()).setOut(out).setErr(err);
     commandLine.setParameterExceptionHandler(
--- a/src/main/java/shorecrank/client/ClientOptions.java
+++ b/src/main/java/shorecrank/client/ClientOptions.java
@@ -13,7 +13,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.OperatorRequestCodec;
 
-/** The options of every command that asks controllers, and how answers are printed. */
+/** The options of commands that send requests to controllers, and the output of the answers. */
 final class ClientOptions extends OutputOptions {
   private static final int MAX_TIMEOUT_S = 3600;
 
@@ -22,17 +22,21 @@
       required = true,
       split = ",",
       paramLabel = "HOST:PORT",
-      description = "peer addresses of controllers; the first that can tell answers")
+      description = "peer addresses of controllers, tried in turn until one answers")
   private List<String> controllers = new ArrayList<>();
 
   @Option(
       names = "--timeout",
       paramLabel = "SECONDS",
       defaultValue = "15",
-      description = "how long to go on asking until one can tell (default: ${DEFAULT-VALUE})")
+      description = "how long to retry until a controller answers (default: ${DEFAULT-VALUE})")
   private int timeoutS;
 
-  /** A client of the controllers that are named; fails if an option's value can't be used. */
+  /**
+   * Creates a client of the controllers given on the command line.
+   *
+   * @throws ParameterException if an address or the timeout is invalid
+   */
   ControllerClient createClient() {
     if (timeoutS < 0 || timeoutS > MAX_TIMEOUT_S) {
       throw usageError("--timeout must be from 0 to " + MAX_TIMEOUT_S);
@@ -57,16 +61,16 @@
     return address;
   }
 
-  /** The exception of a command line that can't be used, with the line that the user sees. */
+  /** Returns the exception for an invalid command line; the user sees the message as one line. */
   ParameterException usageError(String message) {
     return new ParameterException(command().commandLine(), message);
   }
 
   /**
-   * Prints an answer as JSON, or as a line of text; without JSON a refusal's reason goes to
-   * standard error.
+   * Prints a controller's answer: with {@code --json} its body, otherwise one line of text. If the
+   * controller refused the request, the line is the reason, on standard error.
    *
-   * @param text what to print if the answer is no refusal
+   * @param text the line to print if the controller did not refuse the request
    * @return the exit status
    */
   int printAnswer(Answer answer, String text) {
@@ -82,8 +86,10 @@
   }
 
   /**
-   * Asks for a status and prints it, as JSON or in the words of a printer.
+   * Requests a status and prints it.
    *
+   * @param path the path of the status request
+   * @param printer prints the status as text; not called with {@code --json}
    * @return the exit status
    */
   int showStatus(String path, BiConsumer<JsonNode, PrintWriter> printer) {
@@ -100,8 +106,9 @@
   }
 
   /**
-   * Sends an order and prints what became of it.
+   * Sends an order and prints the controller's answer, or that the order's outcome is unknown.
    *
+   * @param id the id of the order, with which the user can safely send it again
    * @return the exit status
    */
   int sendOrder(String path, String id, JsonNode order) {
@@ -116,7 +123,11 @@
     }
   }
 
-  /** Prints that no controller could tell, and returns the exit status. */
+  /**
+   * Prints that no controller answered, so that the outcome of the request is unknown.
+   *
+   * @return the exit status {@link ExitStatus#UNKNOWN}
+   */
   int reportNoAnswer(NoAnswerException failure) {
     if (isJson()) {
       printJson(OperatorRequestCodec.writeUnknown(failure.getMessage()));
--- a/src/main/java/shorecrank/client/ControllerClient.java
+++ b/src/main/java/shorecrank/client/ControllerClient.java
@@ -13,8 +13,8 @@
 import shorecrank.protocol.Json;
 
 /**
- * Asks controllers on their peer addresses, one after another, until one answers or the time is
- * over.
+ * Sends requests to the peer addresses of controllers, one controller after another, until one
+ * answers or the timeout expires.
  */
 final class ControllerClient {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
@@ -23,14 +23,19 @@
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
-  /** A controller's answer; the status is that of HTTP. */
+  /**
+   * A controller's answer.
+   *
+   * @param status the HTTP status
+   * @param body the parsed body, or a missing node if it is not JSON
+   */
   record Answer(int status, JsonNode body) {
-    /** Whether the controller has done what it was asked. */
+    /** Reports whether the controller accepted the request. */
     boolean isOk() {
       return status == OK;
     }
 
-    /** The one line that says why something was refused. */
+    /** Returns the one-line message of the answer, such as the reason for a refusal. */
     String reason() {
       String text = Json.text(body.path("text"));
       return text.isEmpty() ? Json.text(body.path("error")) : text;
@@ -48,14 +53,21 @@
   /**
    * Creates a client.
    *
-   * @param timeout how long to go on asking; each controller is asked once at least
+   * @param controllers the peer addresses, in the order in which they are tried
+   * @param timeout how long requests are retried; each controller is tried at least once
    */
   ControllerClient(List<URI> controllers, Duration timeout) {
     this.controllers = controllers;
     this.timeout = timeout;
   }
 
-  /** Sends the same request until some controller answers it. */
+  /**
+   * Sends a request to each controller in turn until one answers it with a status other than 503.
+   * Status 503 is retried: the controller cannot answer now, for example because it does not reach
+   * the leader.
+   *
+   * @throws NoAnswerException if no controller has answered when the timeout expires
+   */
   Answer post(String path, JsonNode body) throws NoAnswerException {
     long deadlineNanos = System.nanoTime() + timeout.toNanos();
     String reason = "";
@@ -93,7 +105,7 @@
     }
   }
 
-  /** Waits. */
+  /** Sleeps for a number of milliseconds. */
   static void pause(long ms) {
     try {
       Thread.sleep(ms);
--- a/src/main/java/shorecrank/client/NoAnswerException.java
+++ b/src/main/java/shorecrank/client/NoAnswerException.java
@@ -1,6 +1,9 @@
 package shorecrank.client;
 
-/** No controller could tell in time; an order may have been carried out. */
+/**
+ * Thrown if no controller answers a request in time. If the request was an order, it may have been
+ * carried out.
+ */
 final class NoAnswerException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/shorecrank/client/OrderOptions.java
+++ b/src/main/java/shorecrank/client/OrderOptions.java
@@ -3,15 +3,15 @@
 import java.util.UUID;
 import picocli.CommandLine.Option;
 
-/** The options of every command that gives an order. */
+/** The options of commands that send an order. */
 final class OrderOptions {
   @Option(
       names = "--id",
       paramLabel = "ID",
-      description = "names this order: under one id it is carried out once")
+      description = "id of this order; orders with the same id are carried out once")
   private String id;
 
-  /** The id that was given, or a new one; the same at each call. */
+  /** Returns the id from the command line, or a random one; every call returns the same id. */
   String orderId() {
     if (id == null) {
       id = UUID.randomUUID().toString();
--- a/src/main/java/shorecrank/client/OutputOptions.java
+++ b/src/main/java/shorecrank/client/OutputOptions.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The options of every command that say how its result is printed. */
+/** The options that determine how a command prints its result. */
 class OutputOptions {
   @Spec(Spec.Target.MIXEE)
   private CommandSpec command;
@@ -14,27 +14,31 @@
   @Option(names = "--json", description = "print the answer as JSON")
   private boolean json;
 
-  /** Whether to print the result as JSON. */
+  /** Reports whether the result is to be printed as JSON. */
   final boolean isJson() {
     return json;
   }
 
-  /** The command that has these options. */
+  /** Returns the command that these options belong to. */
   final CommandSpec command() {
     return command;
   }
 
-  /** Standard output. */
+  /** Returns the writer for the command's output. */
   final PrintWriter out() {
     return command.commandLine().getOut();
   }
 
-  /** Prints JSON over several lines. */
+  /** Prints indented JSON. */
   final void printJson(JsonNode result) {
     out().println(result.toPrettyString());
   }
 
-  /** Prints one line on standard error and returns the exit status. */
+  /**
+   * Prints an error message as one line on standard error.
+   *
+   * @return the given exit status, so that a command can return the result of this method
+   */
   final int printError(int status, String message) {
     command.commandLine().getErr().println("shorecrank: " + message);
     return status;
--- a/src/main/java/shorecrank/client/RolloutCommand.java
+++ b/src/main/java/shorecrank/client/RolloutCommand.java
@@ -8,19 +8,19 @@
 import shorecrank.protocol.RolloutMessages.RolloutOrder;
 import shorecrank.protocol.RolloutOrderCodec;
 
-/** Watches and steers the feature level of a fleet. */
+/** The subcommands that show and change the feature level of a fleet. */
 @Command(name = "rollout", description = "Watches and steers the feature level of a fleet.")
 final class RolloutCommand {
-  /** The level of an order that leaves it to the leader. */
+  /** The level in an order with which the leader chooses the level itself. */
   private static final int NO_LEVEL = -1;
 
-  /** Prints the fleet's feature level. */
+  /** Prints the feature level and the members of the fleet. */
   @Command(name = "status", description = "Shows the level, the members and what is waited for.")
   int status(@Mixin ClientOptions options) {
     return options.showStatus(OperatorPaths.ROLLOUT_STATUS, RolloutStatusPrinter::print);
   }
 
-  /** Orders a rise of the level. */
+  /** Orders the leader to raise the level. */
   @Command(name = "finalize", description = "Raises the level, once all members support it.")
   int finalizeLevel(
       @Mixin ClientOptions options,
@@ -33,7 +33,7 @@
     return send(options, OrderKind.FINALIZE, level, order);
   }
 
-  /** Orders a fall of the level. */
+  /** Orders the leader to lower the level. */
   @Command(
       name = "downgrade",
       description = "Puts records back into earlier forms, then lowers the level.")
@@ -45,7 +45,7 @@
     return send(options, OrderKind.DOWNGRADE, level, order);
   }
 
-  /** Orders the end of a rise or fall under way. */
+  /** Orders the leader to stop raising or lowering the level. */
   @Command(name = "abort", description = "Stops a rise or a fall; the level stays what it is.")
   int abort(@Mixin ClientOptions options, @Mixin OrderOptions order) {
     return send(options, OrderKind.ABORT, null, order);
--- a/src/main/java/shorecrank/client/RolloutStatusPrinter.java
+++ b/src/main/java/shorecrank/client/RolloutStatusPrinter.java
@@ -4,13 +4,13 @@
 import java.io.PrintWriter;
 import shorecrank.protocol.Json;
 
-/** Prints the status of a fleet's feature level as text. */
+/** Prints the status of a rollout as text. */
 final class RolloutStatusPrinter {
   private static final double MS_PER_S = 1000.0;
 
   private RolloutStatusPrinter() {}
 
-  /** Prints a controller's answer to a status request. */
+  /** Prints the answer to a request for {@code OperatorPaths.ROLLOUT_STATUS}. */
   static void print(JsonNode status, PrintWriter out) {
     printLevel(status, out);
     String archive = Json.text(status.path("archive"));
@@ -37,7 +37,7 @@
     out.printf("rises %s%n", rises + (isHeld ? " (held back)" : ""));
   }
 
-  /** A member of an earlier version announces neither its build nor its levels. */
+  /** Prints one member. Members of earlier versions announce neither their build nor levels. */
   private static void printMember(JsonNode member, PrintWriter out) {
     boolean announcesLevels = member.has("lowest");
     long heardMsAgo = member.path("heardMsAgo").asLong();
--- a/src/main/java/shorecrank/client/SharesCommand.java
+++ b/src/main/java/shorecrank/client/SharesCommand.java
@@ -15,22 +15,22 @@
 import shorecrank.protocol.ShareOrderMessages.SetShare;
 import shorecrank.protocol.ShareOrderMessages.ShareOrder;
 
-/** Watches and steers which shard has which machines. */
+/** The subcommands that show and change the assignment of machines to shards. */
 @Command(name = "shares", description = "Watches and steers which shard has which machines.")
 final class SharesCommand {
-  /** The option of orders that can be checked without being carried out. */
+  /** The option with which an order is only checked, not carried out. */
   static final class DryRunOption {
     @Option(names = "--dry-run", description = "say what would be done, and do nothing")
     private boolean dryRun;
   }
 
-  /** Prints shards, targets and moves. */
+  /** Prints the shards with their machines and targets, the teams' shares, and the moves. */
   @Command(name = "show", description = "Shows shards, their machines and targets, and moves.")
   int show(@Mixin ClientOptions options) {
     return options.showStatus(OperatorPaths.SHARES_STATUS, SharesStatusPrinter::print);
   }
 
-  /** Orders a change of a team's share. */
+  /** Orders the leader to change a team's weight, minimum or maximum. */
   @Command(name = "set", description = "Sets a team's weight, minimum or maximum.")
   int set(
       @Mixin ClientOptions options,
@@ -53,7 +53,7 @@
     return send(options, new SetShare(order.orderId(), dryRun.dryRun, team, weight, min, max));
   }
 
-  /** Orders moves of machines, by name or by number. */
+  /** Orders the leader to move machines, selected by name or by shard and number of machines. */
   @Command(name = "move", description = "Moves machines to a shard.")
   int move(
       @Mixin ClientOptions options,
@@ -93,7 +93,7 @@
         new MoveMachines(order.orderId(), dryRun.dryRun, names, source, count, new ShardId(to)));
   }
 
-  /** Orders the end of moves under way. */
+  /** Orders the leader to abort moves. */
   @Command(
       name = "abort",
       description = "Aborts moves whose machines have not been handed over yet.")
--- a/src/main/java/shorecrank/client/SharesStatusPrinter.java
+++ b/src/main/java/shorecrank/client/SharesStatusPrinter.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import shorecrank.protocol.Json;
 
-/** Prints the machines of shards and the moves between them as text. */
+/** Prints the assignment of machines to shards, and the moves between shards, as text. */
 final class SharesStatusPrinter {
   private SharesStatusPrinter() {}
 
-  /** Prints a controller's answer to a status request. */
+  /** Prints the answer to a request for {@code OperatorPaths.SHARES_STATUS}. */
   static void print(JsonNode status, PrintWriter out) {
     String reason = Json.text(status.path("reason"));
     out.println(reason.isEmpty() ? "machines may move" : "no machine moves: " + reason);
@@ -82,7 +82,7 @@
     }
   }
 
-  /** A number without needless decimals. */
+  /** Returns a field's number: whole numbers without decimals, others with one decimal. */
   private static String formatNumber(JsonNode row, String field) {
     double value = row.path(field).asDouble();
     return value == Math.rint(value) ? Long.toString((long) value) : "%.1f".formatted(value);
--- a/src/main/java/shorecrank/client/StoredKeys.java
+++ b/src/main/java/shorecrank/client/StoredKeys.java
@@ -8,7 +8,7 @@
 import shorecrank.protocol.StoreCodec;
 import shorecrank.protocol.StoreMessages.Entry;
 
-/** Keys of the state service, as the controllers read them for the client now. */
+/** Reads the current keys of the state service through a controller. */
 final class StoredKeys {
   private final ControllerClient client;
 
@@ -16,7 +16,11 @@
     this.client = client;
   }
 
-  /** Hands each key with a prefix to a consumer, in their order, reading page after page. */
+  /**
+   * Passes all keys with a prefix to a consumer, sorted by key, reading one page after another.
+   *
+   * @throws NoAnswerException if a controller refuses to read a page, or none answers
+   */
   void forEach(String prefix, Consumer<Entry> consumer) throws NoAnswerException {
     String after = "";
     while (true) {
--- a/src/main/java/shorecrank/config/ConfigSection.java
+++ b/src/main/java/shorecrank/config/ConfigSection.java
@@ -4,21 +4,22 @@
 import shorecrank.config.NodeConfig.Address;
 
 /**
- * An object of the platform's JSON file with the path that leads to it, so that a failure names the
- * whole path of a field.
+ * A JSON object of the platform's configuration file. It is kept with its path in the file, so that
+ * errors name the full path of a field.
  *
- * @param json the object, or a missing node if the file does not have it
- * @param path of the object, with a dot behind it; empty for the file itself
+ * @param json the object, or a missing node if it is absent from the file
+ * @param path the object's path with a dot at the end, such as {@code settings.workers.}; empty for
+ *     the top-level object
  */
 record ConfigSection(JsonNode json, String path) {
   private static final int MAX_PORT = 65535;
 
-  /** A part of this object; nothing is set in it if the file does not have it. */
+  /** Returns the object in a field; if the field is absent, all fields of the result are absent. */
   ConfigSection section(String field) {
     return new ConfigSection(json.path(field), path + field + ".");
   }
 
-  /** Text that has to be there. */
+  /** Returns the string in a required field. */
   String text(String field) throws InvalidConfigException {
     JsonNode value = json.path(field);
     if (!value.isTextual() || value.textValue().isBlank()) {
@@ -27,12 +28,12 @@
     return value.textValue();
   }
 
-  /** Text that may be missing; then it is empty. */
+  /** Returns the string in an optional field; empty if the field is absent. */
   String optionalText(String field) {
     return json.path(field).asText("");
   }
 
-  /** An address that has to be there. */
+  /** Returns the address in a required field. */
   Address address(String field) throws InvalidConfigException {
     String text = text(field);
     int colon = text.lastIndexOf(':');
@@ -42,13 +43,19 @@
         return new Address(text.substring(0, colon), port);
       }
     } catch (NumberFormatException e) {
-      // Reported below, like a port out of range.
+      // The port is no number: the exception below is the same as for a port out of range.
     }
     throw new InvalidConfigException(
         path + field, "must be IP:PORT with a port from 1 to " + MAX_PORT);
   }
 
-  /** A number within a range, both ends included; {@code defaultValue} if it is missing or null. */
+  /**
+   * Returns the number in an optional field.
+   *
+   * @param min the lowest number allowed
+   * @param max the highest number allowed
+   * @param defaultValue the result if the field is absent or null
+   */
   double number(String field, double min, double max, double defaultValue)
       throws InvalidConfigException {
     JsonNode value = json.path(field);
@@ -62,7 +69,10 @@
     return number;
   }
 
-  /** The same for a whole number; a fraction is cut off. */
+  /**
+   * Returns the number in an optional field, rounded down to an integer. The parameters are those
+   * of {@link #number}.
+   */
   int wholeNumber(String field, double min, double max, int defaultValue)
       throws InvalidConfigException {
     return (int) number(field, min, max, defaultValue);
--- a/src/main/java/shorecrank/config/InvalidConfigException.java
+++ b/src/main/java/shorecrank/config/InvalidConfigException.java
@@ -1,8 +1,8 @@
 package shorecrank.config;
 
 /**
- * A configuration file that cannot be used. The message, which is shown to the operator as one
- * line, names the field and the reason, including the allowed range if there is one.
+ * Thrown if a configuration file is invalid. The message is shown to the operator as one line; it
+ * names the field, what is wrong with its value, and the allowed range if there is one.
  */
 public final class InvalidConfigException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -10,23 +10,23 @@
   private final String field;
 
   /**
-   * A field that is missing, malformed or out of range.
+   * Creates an exception for a field that is missing, malformed or out of range.
    *
-   * @param field its path in the file, such as {@code settings.workers.lease_s}
-   * @param reason what is wrong with it, worded to follow the field's name
+   * @param field the field's path in the file, such as {@code settings.workers.lease_s}
+   * @param reason what is wrong with the value; the message is the path followed by this text
    */
   public InvalidConfigException(String field, String reason) {
     super(field + " " + reason);
     this.field = field;
   }
 
-  /** A file that cannot be parsed; the parser's message says where. */
+  /** Creates an exception for a file that cannot be parsed; the parser's message gives the line. */
   InvalidConfigException(String parserMessage) {
     super(parserMessage);
     this.field = "";
   }
 
-  /** The path of the field; empty if the file as a whole cannot be parsed. */
+  /** Returns the path of the invalid field; empty if the file cannot be parsed. */
   public String field() {
     return field;
   }
--- a/src/main/java/shorecrank/config/NodeConfig.java
+++ b/src/main/java/shorecrank/config/NodeConfig.java
@@ -5,17 +5,22 @@
 import shorecrank.protocol.Ids.ControllerName;
 
 /**
- * What the platform tells a controller of itself, its fleet and their limits; {@link
- * NodeConfigFile} reads it.
+ * The configuration that the platform gives to a controller: its addresses, the other controllers
+ * of the fleet, and the limits of the services it uses. {@link NodeConfigFile} reads it.
  *
  * @param label this controller's name
- * @param zone where this controller runs; empty if that is not known
- * @param publicAddr where users and workers reach this controller
- * @param peerBind where this controller listens to its peers and operators
+ * @param zone the zone in which this controller runs; empty if unknown
+ * @param publicAddr the address on which this controller serves users and workers
+ * @param peerBind the address on which this controller serves its peers and operators
  * @param members the other controllers of the fleet
- * @param cloudAddr the cloud's interface
- * @param stateAddr the state service
- * @param teams by name, in the order of names
+ * @param cloudAddr the address of the cloud's interface
+ * @param stateAddr the address of the state service
+ * @param teams the teams by name, sorted by name
+ * @param objectives the service-level objectives of all job classes
+ * @param workers the timings of the protocol between workers and controllers
+ * @param state the limits of the state service
+ * @param cloud the limits of the cloud's interface
+ * @param limits the resources that this process may use
  */
 public record NodeConfig(
     ControllerName label,
@@ -34,7 +39,7 @@
 
   /** A host and its port. */
   public record Address(String host, int port) {
-    /** Splits a text that is known to be {@code HOST:PORT}. */
+    /** Parses an address; the text must have the form {@code HOST:PORT}. */
     public static Address of(String text) {
       int colon = text.lastIndexOf(':');
       return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -47,18 +52,19 @@
   }
 
   /**
-   * A controller of the fleet.
+   * Another controller of the fleet.
    *
-   * @param zone where it runs; empty if that is not known
-   * @param addr where its peers reach it
+   * @param label the controller's name
+   * @param zone the zone in which the controller runs; empty if unknown
+   * @param addr the controller's peer address
    */
   public record Member(ControllerName label, String zone, Address addr) {}
 
   /**
-   * A team with its guaranteed shares and its limits, in CPUs and GPUs.
+   * A team with its guarantees and limits, in CPUs and GPUs.
    *
-   * @param cpusMax 0 for no limit
-   * @param gpusMax 0 for no limit
+   * @param cpusMax the limit on the CPUs that the team may use at once; 0 for no limit
+   * @param gpusMax the limit on the GPUs that the team may use at once; 0 for no limit
    */
   public record Team(
       String name, double guaranteedCpus, double cpusMax, double guaranteedGpus, double gpusMax) {}
@@ -66,34 +72,39 @@
   /**
    * A service-level objective of a class of jobs.
    *
-   * @param kind {@code wait}, {@code finished} or {@code deadline}
-   * @param withinS the time within which it should happen, in seconds
-   * @param jobFraction of the jobs for which it should hold, from 0 to 1
-   * @param deadlineFactor factor on a job's own deadline
+   * @param kind what the objective limits: {@code wait}, the time until a job's tasks start; {@code
+   *     finished}, the time until the job ends; or {@code deadline}, the time until the job ends as
+   *     a multiple of the job's own deadline
+   * @param withinS the limit in seconds, for the kinds {@code wait} and {@code finished}
+   * @param jobFraction the fraction of the class's jobs that should meet the objective, from 0 to 1
+   * @param deadlineFactor the multiple of a job's own deadline, for the kind {@code deadline}
    */
   public record Objective(
       String kind, String jobClass, double withinS, double jobFraction, double deadlineFactor) {}
 
   /**
-   * The protocol's times for workers, in seconds.
+   * The timings of the protocol between workers and controllers, in seconds.
    *
-   * @param heartbeatIntervalS between two heartbeats of a worker
-   * @param leaseS a worker without an answer for so long kills its tasks
-   * @param cancellationDeadlineS within which no task of a cancelled job may run any more
+   * @param heartbeatIntervalS the time between two heartbeats of a worker (setting {@code
+   *     report_s})
+   * @param leaseS the duration of a worker's lease: a worker whose heartbeats get no answer for
+   *     this long kills its tasks
+   * @param cancellationDeadlineS the time after a job's cancellation by which all its tasks must
+   *     have ended (setting {@code cancel_s})
    */
   public record WorkerTimings(
       double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {}
 
   /**
-   * Limits of the state service.
+   * The limits of the state service.
    *
-   * @param rps requests per second
-   * @param writeRps changes per second
-   * @param valueKb size of a value, in KiB
-   * @param txnOps changes in a transaction
+   * @param rps the maximum number of requests per second
+   * @param writeRps the maximum number of changes per second
+   * @param valueKb the maximum size of a value, in KiB
+   * @param txnOps the maximum number of changes in a transaction
    */
   public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
-    /** The lower of each of both limits. */
+    /** Returns, for each limit, the lower one of this object and another. */
     StateLimits min(StateLimits other) {
       return new StateLimits(
           Math.min(rps, other.rps),
@@ -104,13 +115,13 @@
   }
 
   /**
-   * Limits of the cloud's interface.
+   * The limits of the cloud's interface.
    *
-   * @param rps requests per second
-   * @param listLagS how old a list of machines may be, in seconds
+   * @param rps the maximum number of requests per second
+   * @param listLagS how many seconds a list of machines may lag behind the actual machines
    */
   public record CloudLimits(double rps, double listLagS) {}
 
-  /** What this process may use: processor cores, memory in MiB, and open sockets. */
+  /** The resources that this process may use: processor cores, memory in MiB, and open sockets. */
   public record ProcessLimits(double cores, double memoryMb, int sockets) {}
 }
--- a/src/main/java/shorecrank/config/NodeConfigFile.java
+++ b/src/main/java/shorecrank/config/NodeConfigFile.java
@@ -15,9 +15,9 @@
 import shorecrank.protocol.Ids.ControllerName;
 import shorecrank.protocol.Json;
 
-/** Reads the platform's file, which is JSON. */
+/** Reads the platform's configuration file, which is in JSON. */
 public final class NodeConfigFile {
-  /** Above any amount that makes sense. */
+  /** The highest accepted value of numbers that have no lower maximum of their own. */
   private static final double MAX_NUMBER = 1e9;
 
   private static final double HOUR_S = 3600;
@@ -26,7 +26,12 @@
 
   private NodeConfigFile() {}
 
-  /** Reads the file's bytes; the first field that is missing or out of range is reported. */
+  /**
+   * Parses the file's content.
+   *
+   * @throws InvalidConfigException if the content is no JSON object, or a field is missing,
+   *     malformed or out of range; the message names the first such field
+   */
   public static NodeConfig read(byte[] text) throws InvalidConfigException {
     JsonNode json = Json.parse(text);
     if (!json.isObject()) {
@@ -101,7 +106,10 @@
     return List.copyOf(objectives);
   }
 
-  /** The lower limits come into force without notice, so only what both allow is ever written. */
+  /**
+   * Returns, for each limit, the lower one of the current and the announced limits. The announced
+   * limits in {@code next} come into force without notice, so writes always observe both.
+   */
   private static StateLimits readStateLimits(ConfigSection state) throws InvalidConfigException {
     StateLimits current = readStateLimits(state, DEFAULT_STATE_LIMITS);
     JsonNode next = state.json().path("next");
--- a/src/main/java/shorecrank/config/Settings.java
+++ b/src/main/java/shorecrank/config/Settings.java
@@ -1,24 +1,32 @@
 package shorecrank.config;
 
 /**
- * The operators' settings; {@link SettingsFile} reads them and defines ranges and defaults.
+ * The operators' settings. {@link SettingsFile} reads them and defines their names in the file,
+ * their ranges and their defaults.
  *
- * @param shards the number of shards that teams are divided into
- * @param leaseMs how long a shard's lease lasts
- * @param heartbeatIntervalMs how often a controller sends a heartbeat to the leader
- * @param leaderTtlMs how long the leader's key lasts in the state service without a renewal
- * @param graceMs how long an owner may renew workers' leases after its own has expired
- * @param stateAnswerValidMs how long without an answer until the state service counts as
- *     unreachable
- * @param placementSampleSize machines considered for a placement before all are
- * @param roundMs pause between scheduling rounds
- * @param roundBudgetMs time that a round may take; the next one goes on where it stopped
- * @param completionDelayMs how long completions of tasks wait to be written with other changes of
- *     their job
- * @param replyDeferralMs how long the reply to a heartbeat that frees capacity is deferred to the
- *     next commit
- * @param peakDemandWindowS the period whose peak need for machines decides how many are kept
- * @param queueClearingS machines are rented to finish the waiting work within about this time
+ * @param shards the number of shards among which the teams are divided (setting {@code parts})
+ * @param leaseMs the duration of a shard owner's lease
+ * @param heartbeatIntervalMs the time between two heartbeats of a controller to the leader (setting
+ *     {@code renew_ms})
+ * @param leaderTtlMs how long the state service keeps the leader's key if the leader does not renew
+ *     it
+ * @param graceMs how long after the expiry of its own lease a shard owner may still renew the
+ *     leases of workers
+ * @param stateAnswerValidMs how long after its last answer the state service still counts as
+ *     reachable (setting {@code state_fresh_ms})
+ * @param placementSampleSize the number of machines that are drawn at random and compared for a
+ *     placement; all machines are compared only if none of these fits (setting {@code sample_size})
+ * @param roundMs the pause between two scheduling rounds
+ * @param roundBudgetMs the time after which a scheduling round stops; the next round continues with
+ *     the job at which it stopped
+ * @param completionDelayMs how long the completion of a task may wait before it is written, so that
+ *     it is written together with other changes of its job (setting {@code merge_ms})
+ * @param replyDeferralMs how long the reply to a worker's heartbeat may be deferred until a
+ *     placement on capacity freed by the heartbeat is committed (setting {@code park_ms})
+ * @param peakDemandWindowS the length of the period, in seconds, whose peak demand determines how
+ *     many machines are kept (setting {@code idle_return_s})
+ * @param queueClearingS the time, in seconds, within which the rented machines should be able to
+ *     finish the queued tasks (setting {@code clear_s})
  */
 public record Settings(
     int shards,
--- a/src/main/java/shorecrank/config/SettingsFile.java
+++ b/src/main/java/shorecrank/config/SettingsFile.java
@@ -7,9 +7,9 @@
 import java.util.stream.Stream;
 import shorecrank.config.TextProto.Field;
 
-/** Reads the operators' settings, which are in protobuf text format. */
+/** Reads the file with the operators' settings, which is in protobuf text format. */
 public final class SettingsFile {
-  /** Every setting with its name in the file, range and default. */
+  /** The settings, each with its name in the file, the ends of its range, and its default. */
   private enum Setting {
     SHARDS("parts", 1, 64, 1),
     LEASE_MS("lease_ms", 1000, 60_000, 5000),
@@ -34,7 +34,7 @@
 
   private SettingsFile() {}
 
-  /** The settings that apply where nothing is set. */
+  /** Returns the settings that apply without a settings file. */
   public static Settings defaults() {
     Map<Setting, Double> values = new EnumMap<>(Setting.class);
     for (Setting setting : Setting.values()) {
@@ -43,7 +43,11 @@
     return toSettings(values);
   }
 
-  /** Reads a file's text; what is not set has its default. */
+  /**
+   * Parses the text of a settings file. Settings that are absent from it have their defaults.
+   *
+   * @throws InvalidConfigException if a setting is unknown, malformed or out of range
+   */
   public static Settings read(String text) throws InvalidConfigException {
     List<Field> fields = Stream.of(Setting.values()).map(setting -> setting.field).toList();
     Message message = TextProto.parse("Settings", fields, text);
--- a/src/main/java/shorecrank/config/TextProto.java
+++ b/src/main/java/shorecrank/config/TextProto.java
@@ -15,7 +15,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads settings in protobuf text format, described by a list of fields in place of a schema. */
+/**
+ * Parses settings in protobuf text format. A list of fields with names, ranges and defaults
+ * describes them in place of a {@code .proto} file.
+ */
 public final class TextProto {
   private TextProto() {}
 
@@ -33,56 +36,62 @@
   }
 
   /**
-   * A setting with its range and default; flags and texts have no range.
+   * A setting with its range and default. The range is ignored for flags and texts.
    *
-   * @param min the least number allowed
-   * @param max the greatest number allowed
-   * @param defaultValue the number where it is not set; for a flag 1 for true
+   * @param min the lowest number allowed
+   * @param max the highest number allowed
+   * @param defaultValue the number that applies if the setting is absent; for a flag, 1 for true
+   *     and 0 for false; ignored for a text
    */
   public record Field(String name, Kind kind, double min, double max, double defaultValue) {
-    /** A number within a range, both ends included. */
+    /** Describes a number from {@code min} to {@code max}, both inclusive. */
     public static Field number(String name, double min, double max, double defaultValue) {
       return new Field(name, Kind.NUMBER, min, max, defaultValue);
     }
 
-    /** True or false. */
+    /** Describes a setting that is true or false. */
     public static Field flag(String name, boolean defaultValue) {
       return new Field(name, Kind.FLAG, 0, 1, defaultValue ? 1 : 0);
     }
 
-    /** A text; empty where it is not set. */
+    /** Describes a text, which is empty if it is absent. */
     public static Field text(String name) {
       return new Field(name, Kind.TEXT, 0, 0, 0);
     }
 
-    /** The number in a message that {@link #parse} has read, or the default. */
+    /** Returns this setting's number in a parsed message, or the default if it is absent. */
     public double numberOf(Message message) {
       Object value = value(message);
       return value == null ? defaultValue : (Double) value;
     }
 
-    /** The flag in a message that {@link #parse} has read, or the default. */
+    /** Returns this setting's flag in a parsed message, or the default if it is absent. */
     public boolean flagOf(Message message) {
       Object value = value(message);
       return value == null ? defaultValue != 0 : (Boolean) value;
     }
 
-    /** The text in a message that {@link #parse} has read; empty if it is not set. */
+    /** Returns this setting's text in a parsed message; empty if it is absent. */
     public String textOf(Message message) {
       Object value = value(message);
       return value == null ? "" : (String) value;
     }
 
-    /** Null if the field is not set. */
+    /** Returns this setting's value in a parsed message, or null if it is absent. */
     private Object value(Message message) {
       FieldDescriptor field = message.getDescriptorForType().findFieldByName(name);
       return message.hasField(field) ? message.getField(field) : null;
     }
   }
 
-  /** Settings in braces behind a name, which may be given any number of times. */
+  /**
+   * A named group of settings, written in braces after the name. The text may contain any number of
+   * groups with the same name.
+   *
+   * @param fields the settings that one group may contain
+   */
   public record Group(String name, List<Field> fields) {
-    /** The groups of this name in a message that {@link #parse} has read, in their order. */
+    /** Returns the groups of this name in a parsed message, in the order of the text. */
     public List<Message> messagesIn(Message message) {
       FieldDescriptor field = message.getDescriptorForType().findFieldByName(name);
       List<Message> messages = new ArrayList<>();
@@ -94,16 +103,19 @@
   }
 
   /**
-   * Reads a text; the failure names a field that is unknown, malformed or out of range.
+   * Parses settings without groups.
    *
-   * @param type the name of the message, for the parser's failures
+   * @param type the name of the message type that the parser's error messages show
+   * @param fields the settings that the text may contain
+   * @throws InvalidConfigException if a setting is unknown, malformed or out of range; the message
+   *     names it
    */
   public static Message parse(String type, List<Field> fields, String text)
       throws InvalidConfigException {
     return parse(type, fields, List.of(), text);
   }
 
-  /** Reads a text with groups of fields; see {@link #parse(String, List, String)}. */
+  /** Parses settings with groups; otherwise the same as {@link #parse(String, List, String)}. */
   public static Message parse(String type, List<Field> fields, List<Group> groups, String text)
       throws InvalidConfigException {
     DynamicMessage.Builder builder = DynamicMessage.newBuilder(descriptor(type, fields, groups));
--- a/src/main/java/shorecrank/config/package-info.java
+++ b/src/main/java/shorecrank/config/package-info.java
@@ -1,9 +1,10 @@
 /**
- * What a controller is configured with: the platform's file, the operators' settings, and the
- * reader for settings in protobuf text format that rollouts and shares use for theirs.
+ * The configuration of a controller: the platform's configuration file, the operators' settings,
+ * and the parser for settings in protobuf text format, which {@code shorecrank.rollout} and {@code
+ * shorecrank.rebalance} use as well.
  *
- * <p>Its one job is to turn files into typed values that are within their ranges, or to fail with
- * an {@link shorecrank.config.InvalidConfigException} that names the field. It imports {@code
- * shorecrank.protocol} only; every package above reads its values, the daemon reads the files.
+ * <p>The package turns the content of files into typed values that are within their ranges, or
+ * throws an {@link shorecrank.config.InvalidConfigException} that names the field. The daemon reads
+ * the files. The package imports only {@code shorecrank.protocol}.
  */
 package shorecrank.config;
--- a/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
+++ b/src/main/java/shorecrank/daemon/ClassArchiveTraining.java
@@ -14,9 +14,10 @@
 import shorecrank.config.SettingsFile;
 
 /**
- * A short run on loopback in which the controller is its own state service, cloud and peer, so that
- * the classes it needs are loaded and the JVM can archive them. Start-up then costs a fraction of
- * the processor time.
+ * A short training run that loads the classes a controller needs, from which the JVM makes a class
+ * archive. With the archive, a controller needs a fraction of the processor time to start. In the
+ * training run the addresses of the state service, the cloud and the only peer are the controller's
+ * own, on loopback.
  */
 final class ClassArchiveTraining {
   private static final int START_ATTEMPTS = 5;
@@ -42,7 +43,12 @@
       {"from":"b","writer":"w","stateOk":true,"ver":0,"parts":[],"seen":[]}
       """;
 
-  /** The ports on which the controller listens. */
+  /**
+   * The ports on which the controller listens.
+   *
+   * @param users the port of the public address, for users and workers
+   * @param peers the port of the peer address
+   */
   private record Ports(int users, int peers) {
     private static Ports free() throws IOException {
       return new Ports(freePort(), freePort());
@@ -51,7 +57,7 @@
 
   private ClassArchiveTraining() {}
 
-  /** Starts a controller and sends it some of each kind of request; what it answers is ignored. */
+  /** Starts a controller and sends it several requests of each kind; the answers are ignored. */
   static void run() throws IOException, InterruptedException, InvalidConfigException {
     Ports ports = start();
     HttpClient client = HttpClient.newHttpClient();
@@ -66,7 +72,10 @@
     }
   }
 
-  /** Starts a controller on two free ports, on others if another process was quicker. */
+  /**
+   * Starts a controller on two free ports. Tries again with other ports if it cannot be started, as
+   * another process may have bound one of them in the meantime.
+   */
   private static Ports start() throws IOException, InterruptedException, InvalidConfigException {
     for (int attempt = 1; ; attempt++) {
       Ports ports = Ports.free();
@@ -75,7 +84,8 @@
         new ControllerProcess(config, "rehearsal").start();
         return ports;
       } catch (Exception e) {
-        // The network library throws the checked exception of a failed bind undeclared.
+        // Netty throws the IOException of a failed bind without declaring it, so it can't be named
+        // in the catch clause.
         if (attempt == START_ATTEMPTS) {
           throw e;
         }
@@ -95,7 +105,7 @@
     return NodeConfigFile.read(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Sends a request: a POST with a body, or a GET without one. */
+  /** Sends a POST request with a body, or a GET request if the body is null. */
   private static void send(HttpClient client, int port, String path, String body)
       throws IOException, InterruptedException {
     HttpRequest.Builder request =
--- a/src/main/java/shorecrank/daemon/ControllerProcess.java
+++ b/src/main/java/shorecrank/daemon/ControllerProcess.java
@@ -8,7 +8,7 @@
 import shorecrank.protocol.Ids.WriterId;
 import shorecrank.transport.ControllerEventLoop;
 
-/** One controller process: the state machine and the event loop that runs it. */
+/** A controller: its state machine and the event loop that runs the state machine. */
 final class ControllerProcess {
   private static final Logger LOG = LoggerFactory.getLogger("shorecrank");
 
@@ -16,9 +16,10 @@
   private final NodeConfig node;
 
   /**
-   * Creates a controller that is not started yet.
+   * Creates a controller without starting it.
    *
-   * @param identity names this process and no other, also not a later one under the same label
+   * @param identity identifies this process; it must differ from that of every other process,
+   *     including later processes of the controller with the same label
    */
   ControllerProcess(DaemonConfig config, String identity) {
     this.node = config.node();
@@ -30,7 +31,7 @@
         new ControllerEventLoop(node, config.settings(), stateMachine, new SimpleMeterRegistry());
   }
 
-  /** Starts to serve; fails if an address can't be bound. */
+  /** Starts the controller; throws an {@code IOException}, undeclared, if it cannot bind a port. */
   void start() throws InterruptedException {
     eventLoop.start();
     LOG.info(
--- a/src/main/java/shorecrank/daemon/DaemonConfig.java
+++ b/src/main/java/shorecrank/daemon/DaemonConfig.java
@@ -14,20 +14,28 @@
 import shorecrank.rollout.RolloutSetup;
 
 /**
- * All that a controller process is configured with.
+ * The complete configuration of a controller process.
  *
- * @param rollout null if rollouts are not enabled
- * @param shares null if shares are not enabled
+ * @param node the platform's configuration of this controller
+ * @param settings the operators' settings, or the defaults if there is no file of settings
+ * @param rollout the setup of rollouts, or null if rollouts are not enabled
+ * @param shares the settings of shares, or null if shares are not enabled
  */
 record DaemonConfig(
     NodeConfig node, Settings settings, RolloutSetup rollout, ShareSettings shares) {
 
-  /** Turns a file's content into a value. */
+  /** Reads and parses a file. */
   private interface Reader<T> {
     T read(Path file) throws IOException, InvalidConfigException;
   }
 
-  /** Reads the files in the order of their options; the first that cannot be used is reported. */
+  /**
+   * Loads all files that the command line names.
+   *
+   * @param version the version of this build
+   * @throws StartupException if an option is missing or a file is invalid; the message names the
+   *     first such file
+   */
   static DaemonConfig load(DaemonOptions options, String version) throws StartupException {
     Path nodeFile = options.config();
     Optional<Path> settingsFile = options.settings();
--- a/src/main/java/shorecrank/daemon/DaemonOptions.java
+++ b/src/main/java/shorecrank/daemon/DaemonOptions.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Model.UsageMessageSpec;
 import picocli.CommandLine.ParseResult;
 
-/** The daemon's command line. */
+/** The options on the daemon's command line. */
 final class DaemonOptions {
   private static final String CONFIG = "--config";
   private static final String SETTINGS = "--settings";
@@ -21,7 +21,11 @@
     this.parsed = parsed;
   }
 
-  /** Describes the options. */
+  /**
+   * Returns the specification of the daemon's command line.
+   *
+   * @param version the version of this build, which {@code --version} prints
+   */
   static CommandSpec commandSpec(String version) {
     return CommandSpec.create()
         .name("shorecrank")
@@ -35,8 +39,8 @@
                     "Commands for operators: rollout status|finalize|downgrade|abort,",
                     "archive create|verify|diff, shares show|set|move|abort; each has its own",
                     "--help."))
-        .addOption(fileOption(CONFIG, "the platform's file (JSON)"))
-        .addOption(fileOption(SETTINGS, "the operators' own settings (protobuf text format)"))
+        .addOption(fileOption(CONFIG, "the platform's configuration file (JSON)"))
+        .addOption(fileOption(SETTINGS, "the operators' settings (protobuf text format)"))
         .addOption(
             fileOption(ROLLOUT, "enables rollouts, with these settings (protobuf text format)"))
         .addOption(
@@ -47,7 +51,7 @@
         .addOption(
             flag(TRAINING)
                 .hidden(true)
-                .description("a short run on loopback, from which a class archive is made")
+                .description("makes a short training run on loopback for the JVM's class archive")
                 .build())
         .addOption(flag("--help", "-h").usageHelp(true).build())
         .addOption(flag("--version", "-V").versionHelp(true).build());
@@ -65,27 +69,27 @@
     return OptionSpec.builder(name, aliases).type(boolean.class);
   }
 
-  /** Whether to make a training run for the class archive in place of serving. */
+  /** Reports whether to make a training run for the class archive instead of serving. */
   boolean isTrainingRun() {
     return parsed.hasMatchedOption(TRAINING);
   }
 
-  /** The platform's file. */
+  /** Returns the platform's configuration file, which is required. */
   Path config() throws StartupException {
     return file(CONFIG).orElseThrow(() -> new StartupException("--config FILE is required"));
   }
 
-  /** The file of the operators' settings. */
+  /** Returns the file with the operators' settings. */
   Optional<Path> settings() {
     return file(SETTINGS);
   }
 
-  /** The file with settings of rollouts. */
+  /** Returns the file with the settings of rollouts. */
   Optional<Path> rollout() {
     return file(ROLLOUT);
   }
 
-  /** The file with settings of shares. */
+  /** Returns the file with the settings of shares. */
   Optional<Path> shares() {
     return file(SHARES);
   }
--- a/src/main/java/shorecrank/daemon/Main.java
+++ b/src/main/java/shorecrank/daemon/Main.java
@@ -9,19 +9,25 @@
 import shorecrank.client.ClientCommand;
 import shorecrank.config.NodeConfig;
 
-/** The program: a controller daemon, or a command of the client. */
+/** The entry point of the controller daemon and of the command-line client. */
 public final class Main {
   private static final int EXIT_USAGE = 2;
   private static final Set<String> LOG_LEVELS = Set.of("error", "info", "debug");
   private static final String DEFAULT_LOG_LEVEL = "info";
   private static final String LOGGER_PROPERTIES = "org.slf4j.simpleLogger.";
 
-  /** Enough of a random UUID to tell processes of one controller apart. */
+  /**
+   * The number of characters of a random UUID that identify this process: 12 hexadecimal digits and
+   * a hyphen.
+   */
   private static final int IDENTITY_LENGTH = 13;
 
   private Main() {}
 
-  /** Runs the program; its exit status is 0, 2 for a mistake at the start, or the client's. */
+  /**
+   * Runs a client command if the first argument is not an option, otherwise the daemon. The daemon
+   * exits with status 2 if it cannot start, and a client command with an {@code ExitStatus}.
+   */
   public static void main(String[] args) throws InterruptedException {
     System.exit(run(args));
   }
@@ -64,9 +70,10 @@
   }
 
   /**
-   * Sets the log up, before the first logger is made.
+   * Configures the log. Has to be called before the first logger is created, because the logging
+   * library reads the properties only then.
    *
-   * @param requested null or blank for the default level
+   * @param requested the level, or null or blank for the default
    */
   private static void configureLog(String requested) throws StartupException {
     String level = DEFAULT_LOG_LEVEL;
@@ -86,8 +93,10 @@
     try {
       ClassArchiveTraining.run();
     } catch (Exception e) {
-      // Threads that were started would keep a process alive that has failed, and a build waiting.
-      throw new StartupException("the rehearsal failed: " + e, e);
+      // As a StartupException the failure ends the process. Otherwise the controller's threads
+      // would
+      // keep it alive, and the build that has started it would wait forever.
+      throw new StartupException("the training run failed: " + e, e);
     }
   }
 
--- a/src/main/java/shorecrank/daemon/StartupException.java
+++ b/src/main/java/shorecrank/daemon/StartupException.java
@@ -1,6 +1,6 @@
 package shorecrank.daemon;
 
-/** The daemon cannot start; the message is the one line that the operator sees. */
+/** Thrown if the daemon cannot start. The message is shown to the operator as one line. */
 final class StartupException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/shorecrank/daemon/package-info.java
+++ b/src/main/java/shorecrank/daemon/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The program's entry: the daemon's command line, its configuration files, and the start of one
- * controller process; any other command line goes to the client.
+ * The entry point of the program: it parses the daemon's command line, loads the configuration
+ * files and starts a controller, or passes the command line to the client.
  *
- * <p>Its one job is to put the parts together. It may import every other package; nothing imports
- * it. A mistake at the start is one line on standard error and exit status 2.
+ * <p>The package may import every other package; none imports it. If the daemon cannot start, it
+ * prints one line on standard error and exits with status 2.
  */
 package shorecrank.daemon;
--- a/src/main/java/shorecrank/transport/ControllerEventLoop.java
+++ b/src/main/java/shorecrank/transport/ControllerEventLoop.java
@@ -26,8 +26,8 @@
 import shorecrank.transport.HttpServer.Exchange;
 
 /**
- * Runs the controller's state machine on one thread: requests, responses and the passing of time go
- * in, and what it wants done is carried out.
+ * Runs the controller's state machine on one thread. Requests, responses to calls and periodic
+ * ticks are the inputs of the state machine; the event loop executes the outputs of each step.
  */
 public final class ControllerEventLoop {
   private static final Logger LOG = LoggerFactory.getLogger("shorecrank");
@@ -35,18 +35,25 @@
   private static final int METRICS_LOG_PERIOD_S = 10;
   private static final String METRICS_PATH = "/metrics";
 
-  /** A connection may be idle for some heartbeats of a worker, and no less than this. */
+  /** The shortest idle time after which a server closes a connection. */
   private static final int MIN_IDLE_S = 30;
 
+  /**
+   * The idle time after which a server closes a connection, in intervals of workers' heartbeats, so
+   * that a worker's connection stays open from one heartbeat to the next.
+   */
   private static final int IDLE_HEARTBEAT_INTERVALS = 4;
 
   /**
-   * Shares of the process's sockets for users and workers, and for peers; the others are for
-   * connections that are cut but still count, and for outgoing ones.
+   * The fraction of the process's sockets for connections of users and workers. The sockets that
+   * remain after these and those of peers are for outgoing connections, and for connections that
+   * are broken but not closed yet.
    */
   private static final double PUBLIC_SOCKETS_FRACTION = 0.8;
 
+  /** The fraction of the process's sockets for connections of peers and operators. */
   private static final double PEER_SOCKETS_FRACTION = 0.05;
+
   private static final int MIN_PEER_SOCKETS = 16;
 
   private final NodeConfig config;
@@ -63,10 +70,14 @@
   private final OutboundCalls outboundCalls;
   private long nextExchangeId = 1;
 
-  /** When the next round is due, on the nanosecond clock. */
+  /** The time on {@link #nanoClock} at which the next scheduling round is due. */
   private long nextRoundNanos;
 
-  /** Creates an event loop that does nothing until it is started. */
+  /**
+   * Creates an event loop that does nothing until it is started.
+   *
+   * @param meters the registry in which the controller's metrics are kept
+   */
   public ControllerEventLoop(
       NodeConfig config,
       Settings settings,
@@ -80,7 +91,10 @@
     outboundCalls.registerMetrics(metrics);
   }
 
-  /** Binds both addresses and begins rounds; fails if an address can't be bound. */
+  /**
+   * Binds the public and the peer address and starts the scheduling rounds. Throws an {@code
+   * IOException}, undeclared, if an address cannot be bound.
+   */
   public void start() throws InterruptedException {
     int sockets = config.limits().sockets();
     int idleS =
@@ -142,7 +156,8 @@
               wallClock.time(),
               stepSeeds.nextLong());
     } catch (RuntimeException | Error e) {
-      // A step that failed half way leaves state that can't be trusted: a new process rebuilds it.
+      // The failed step may have changed only a part of the state. The process ends, so that a new
+      // one recovers a consistent state from the state service.
       LOG.error("controller.step.failed input={}", input.getClass().getSimpleName(), e);
       Runtime.getRuntime().halt(EXIT_STEP_FAILED);
       return;
--- a/src/main/java/shorecrank/transport/ControllerMetrics.java
+++ b/src/main/java/shorecrank/transport/ControllerMetrics.java
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory;
 import shorecrank.coordination.step.Input;
 
-/** The controller's metrics: how they are recorded, shown to operators, and logged. */
+/** Records the controller's metrics, renders them for operators, and logs their changes. */
 final class ControllerMetrics {
   private static final Logger LOG = LoggerFactory.getLogger("shorecrank");
   private static final String REPORT_PATH = "/v1/report";
@@ -36,24 +36,27 @@
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  /** Shows a value of an object; the registry does not keep the object from being collected. */
+  /**
+   * Registers a gauge that is computed from an object. The registry holds the object by a weak
+   * reference, so it has to be reachable from elsewhere.
+   */
   <T> void registerGauge(String metric, T object, ToDoubleFunction<T> value) {
     registry.gauge(metric, object, value);
   }
 
-  /** Records how much later than planned a round began, in nanoseconds. */
+  /** Records by how many nanoseconds a scheduling round began later than planned. */
   void recordRoundDelay(long nanos) {
     roundDelays.record(nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Records the time that an input took, in nanoseconds. */
+  /** Records how many nanoseconds the state machine took to process an input. */
   void recordStep(Input input, long nanos) {
     stepTimers
         .computeIfAbsent(inputKind(input), kind -> registry.timer("step." + kind))
         .record(nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Kinds of work, so that an operator sees where the processor time goes. */
+  /** Returns the kind of an input; the processing time is recorded for each kind separately. */
   private static String inputKind(Input input) {
     if (input instanceof Input.Request request) {
       if (request.fromPeer()) {
@@ -64,12 +67,12 @@
     return input instanceof Input.Tick ? "round" : "answer";
   }
 
-  /** Adds to a counter. */
+  /** Adds a number to a counter, which is created if it does not exist. */
   void increment(String metric, long by) {
     registry.counter(metric).increment(by);
   }
 
-  /** Sets a gauge. */
+  /** Sets a gauge, which is created if it does not exist. */
   void updateGauge(String metric, double value) {
     if (!gauges.containsKey(metric)) {
       registry.gauge(metric, gauges, values -> values.getDouble(metric));
@@ -77,14 +80,17 @@
     gauges.put(metric, value);
   }
 
-  /** All metrics as text, a line with name and value each. */
+  /** Returns all metrics as text, with the name and value of one metric on each line. */
   String text() {
     StringBuilder text = new StringBuilder();
     values().forEach((name, value) -> text.append(name).append(' ').append(value).append('\n'));
     return text.toString();
   }
 
-  /** Logs what has changed since the last time: gauges as they are, others by how much. */
+  /**
+   * Logs the metrics that have changed since the last call: of a gauge set by {@link #updateGauge}
+   * the value, of any other metric the difference from the last logged value.
+   */
   void logChanges() {
     StringBuilder changes = new StringBuilder();
     values()
--- a/src/main/java/shorecrank/transport/HttpClientPool.java
+++ b/src/main/java/shorecrank/transport/HttpClientPool.java
@@ -26,21 +26,24 @@
 import shorecrank.config.NodeConfig.Address;
 import shorecrank.protocol.Json;
 
-/** Keeps a bounded number of connections to one address; one request at a time on each. */
+/**
+ * Sends HTTP requests to one address over a limited number of connections. A connection carries one
+ * request at a time; calls above that wait for a connection.
+ */
 final class HttpClientPool {
-  /** Takes the response to a call. */
+  /** Handles the response to a call. */
   interface ResponseHandler {
     /**
-     * Takes a response.
+     * Handles the response, or the lack of one.
      *
-     * @param status of HTTP, or {@link #NO_RESPONSE} if there was none in time, so that it is not
-     *     known whether the request was carried out
-     * @param body a missing node if there is none, or none in JSON
+     * @param status the HTTP status, or {@link #NO_RESPONSE} if no response came within the
+     *     timeout, so that it is unknown whether the request was carried out
+     * @param body the parsed body, or a missing node if there is none or it is not JSON
      */
     void handle(int status, JsonNode body);
   }
 
-  /** The status of a call without a response. */
+  /** The status that stands for a call without a response. */
   static final int NO_RESPONSE = 0;
 
   private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
@@ -60,27 +63,27 @@
     this.maxConnections = maxConnections;
   }
 
-  /** The number of connections that are open or being opened. */
+  /** Returns the number of connections that are open or being opened. */
   int openConnections() {
     return openConnections;
   }
 
-  /** The number of calls under way or waiting for a connection. */
+  /** Returns the number of calls that are in progress or waiting for a connection. */
   int pendingCalls() {
     return openConnections - idleChannels.size() + waitingCalls.size();
   }
 
-  /** A call until its response has been handled. */
+  /** A call whose response has not been handled yet. */
   private final class Call {
     private final String method;
     private final String path;
     private final byte[] body;
     private final ScheduledFuture<?> timeout;
 
-    /** Null once the response has been handled. */
+    /** Handles the response; null once it has been called. */
     private ResponseHandler handler;
 
-    /** Null until the call has a connection. */
+    /** The connection of this call; null while the call waits for one. */
     private Channel channel;
 
     Call(String method, String path, byte[] body, int timeoutMs, ResponseHandler handler) {
@@ -136,10 +139,11 @@
   }
 
   /**
-   * Sends a request.
+   * Sends a request. Without a free connection the call waits for one; if too many calls wait
+   * already, the handler gets {@link #NO_RESPONSE}.
    *
-   * @param body null for none
-   * @param handler runs once, later, on the event loop
+   * @param body the body, or null to send none
+   * @param handler called exactly once, on the event loop, after this method has returned
    */
   void call(String method, String path, JsonNode body, int timeoutMs, ResponseHandler handler) {
     byte[] bytes = body == null ? null : Json.bytes(body);
@@ -199,7 +203,7 @@
         });
   }
 
-  /** Closes the connections that are idle. */
+  /** Closes the idle connections. */
   void close() {
     for (Channel channel = idleChannels.pollLast();
         channel != null;
@@ -222,12 +226,15 @@
     channel.writeAndFlush(call.request());
   }
 
-  /** One connection with the call under way on it. */
+  /** Handles the responses on one connection. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    /** Null while the connection is idle. */
+    /** The call in progress on this connection; null while the connection is idle. */
     private Call current;
 
-    /** The connection serves the next call before the response is handled, which may add calls. */
+    /**
+     * Passes the response to its call. Before that, the connection is given to the next waiting
+     * call or becomes idle, so that calls made by the handler of the response can use it.
+     */
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
       Call call = current;
--- a/src/main/java/shorecrank/transport/HttpServer.java
+++ b/src/main/java/shorecrank/transport/HttpServer.java
@@ -26,24 +26,37 @@
 import shorecrank.config.NodeConfig.Address;
 import shorecrank.protocol.Json;
 
-/** An HTTP server on one address that hands each request on, with an exchange for the reply. */
+/** An HTTP server on one address. It passes each request to a handler, which replies to it. */
 final class HttpServer {
-  /** Takes requests; the exchange is replied to once, now or later, on the event loop. */
+  /** Handles requests. */
   interface RequestHandler {
-    /** Takes a request that has been received completely. */
+    /**
+     * Handles a request that has been received completely.
+     *
+     * @param exchange takes the reply, which is sent exactly once on the event loop, by this method
+     *     or later
+     * @param path the path with the query string, if there is one
+     * @param body the received bytes; empty if there is no body
+     */
     void handle(Exchange exchange, String method, String path, byte[] body);
   }
 
-  /** Of requests by users and workers, as the protocol has it. */
+  /** The maximum body size of requests from users and workers, as defined by the protocol. */
   static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Of requests by other controllers: a message may hold all machines. */
+  /** The maximum body size of requests from controllers, whose messages may list all machines. */
   static final int MAX_PEER_BODY_BYTES = 512 * 1024;
 
-  /** Answered above the limit too: a controller with too many connections is not a dead one. */
+  /**
+   * The path that is also served on connections above the limit, so that health checks do not take
+   * a controller with too many connections for a dead one.
+   */
   private static final String HEALTH_PATH = "/healthz";
 
-  /** Connections above the limit that are still answered with an error, as a share of it. */
+  /**
+   * The number of connections above the limit that are accepted, as a fraction of the limit.
+   * Requests on them are answered with an error; connections above this number are closed at once.
+   */
   private static final double EXCESS_FRACTION = 0.06;
 
   private static final String JSON_CONTENT_TYPE = "application/json";
@@ -56,12 +69,14 @@
   private int openConnections;
 
   /**
-   * Creates a server that is not bound yet.
+   * Creates a server that is not bound to an address yet.
    *
-   * @param maxConnections on connections above this number requests are answered with 503; far
-   *     above it, connections are closed
-   * @param idleS seconds after which a connection without traffic is closed: its other end may be
-   *     gone, and it counts all the same
+   * @param maxConnections the number of connections above which requests on further connections are
+   *     answered with status 503; connections above {@link #EXCESS_FRACTION} more than this are
+   *     closed at once
+   * @param idleS the time in seconds after which a connection without traffic is closed, as the
+   *     client may be gone while the connection still counts towards the limit
+   * @param maxBodyBytes the maximum size of a request's body
    */
   HttpServer(int maxConnections, int idleS, int maxBodyBytes, RequestHandler handler) {
     this.maxConnections = maxConnections;
@@ -70,17 +85,17 @@
     this.handler = handler;
   }
 
-  /** The number of connections that are open. */
+  /** Returns the number of open connections. */
   int openConnections() {
     return openConnections;
   }
 
-  /** Binds the address; fails if it can't be bound. */
+  /** Binds an address; throws an {@code IOException}, undeclared, if it cannot be bound. */
   void bind(EventLoopGroup group, Address address) throws InterruptedException {
     new ServerBootstrap()
         .group(group)
         .channel(NioServerSocketChannel.class)
-        // All clients may want to connect at one moment.
+        // All clients may connect at the same time.
         .option(ChannelOption.SO_BACKLOG, maxConnections)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -111,7 +126,7 @@
         .addLast(new Connection(isExcess));
   }
 
-  /** The place for the reply to one request. */
+  /** Sends the reply to one request. */
   static final class Exchange {
     private final ChannelHandlerContext channel;
     private final boolean isKeepAlive;
@@ -124,7 +139,8 @@
     /**
      * Sends the reply.
      *
-     * @param retryAfterS seconds after which the client should ask again; 0 to say nothing of it
+     * @param retryAfterS the seconds after which the client should send its request again; 0 to
+     *     send no {@code Retry-After} header
      */
     void reply(int status, String contentType, byte[] body, int retryAfterS) {
       ByteBuf content = Unpooled.wrappedBuffer(body);
@@ -144,10 +160,16 @@
     }
   }
 
-  /** One connection; a request on it is refused if it is malformed or there are too many. */
+  /** Handles the requests on one connection; refuses them if they are malformed. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final boolean isExcess;
 
+    /**
+     * Creates the handler of a connection.
+     *
+     * @param isExcess whether the connection is above the limit, so that only health checks are
+     *     served on it
+     */
     Connection(boolean isExcess) {
       this.isExcess = isExcess;
     }
@@ -170,7 +192,7 @@
           .reply(status, JSON_CONTENT_TYPE, Json.bytes(Json.error(reason)), retryAfterS);
     }
 
-    /** The connection was idle for too long. */
+    /** Closes the connection, which was idle for {@link #idleS} seconds. */
     @Override
     public void userEventTriggered(ChannelHandlerContext channel, Object event) {
       channel.close();
--- a/src/main/java/shorecrank/transport/OutboundCalls.java
+++ b/src/main/java/shorecrank/transport/OutboundCalls.java
@@ -15,7 +15,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.transport.HttpClientPool.ResponseHandler;
 
-/** Sends the controller's calls to the state service, the cloud, its peers and workers. */
+/** Sends the controller's calls to the state service, the cloud, other controllers and workers. */
 final class OutboundCalls {
   private static final int STATE_CONNECTIONS = 24;
   private static final int CLOUD_CONNECTIONS = 12;
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Shows operators the numbers of calls and connections. */
+  /** Registers the metrics with the numbers of calls and connections. */
   void registerMetrics(ControllerMetrics metrics) {
     metrics.registerGauge("state.calls.open", state, HttpClientPool::pendingCalls);
     metrics.registerGauge("sockets.state", state, HttpClientPool::openConnections);
@@ -46,7 +46,10 @@
         pools -> pools.values().stream().mapToInt(HttpClientPool::openConnections).sum());
   }
 
-  /** Sends a call; the handler runs once, later, on the event loop. */
+  /**
+   * Sends a call. The handler is called exactly once, on the event loop, after this method has
+   * returned.
+   */
   void send(Call call, ResponseHandler handler) {
     if (call.target() instanceof Worker worker) {
       sendToWorker(worker, call, handler);
@@ -66,7 +69,10 @@
     }
   }
 
-  /** There are hundreds of workers, and each is called rarely: no connection stays open. */
+  /**
+   * Sends a call to a worker on a connection that is closed after the response. Connections are not
+   * kept, because there are hundreds of workers and each is called rarely.
+   */
   private void sendToWorker(Worker worker, Call call, ResponseHandler handler) {
     HttpClientPool connection = new HttpClientPool(loop, Address.of(worker.address()), 1);
     connection.call(
--- a/src/main/java/shorecrank/transport/package-info.java
+++ b/src/main/java/shorecrank/transport/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Sockets, clocks and metrics of a controller process: one event loop that feeds requests,
- * responses and ticks into the state machine and carries out its outputs.
+ * The sockets, clocks and metrics of a controller process. One event loop passes requests,
+ * responses and ticks to the controller's state machine and executes its outputs.
  *
- * <p>It decides nothing; all decisions are made in {@code shorecrank.coordination}. It imports
- * {@code shorecrank.protocol}, {@code shorecrank.config}, and of coordination the state machine
- * with its inputs and outputs. The daemon calls it.
+ * <p>The package makes no decisions about jobs, machines or shards; {@code shorecrank.coordination}
+ * makes them. It imports {@code shorecrank.protocol}, {@code shorecrank.config}, and from {@code
+ * shorecrank.coordination} only the state machine with its inputs and outputs. The daemon calls it.
  */
 package shorecrank.transport;
