--- a/src/test/java/shorecrank/ArchitectureTest.java
+++ b/src/test/java/shorecrank/ArchitectureTest.java
@@ -14,10 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The order of the packages: none depends on one above it. */
+/** Checks the layering of the packages: no package depends on one in a higher layer. */
 class ArchitectureTest {
-  /** From the lowest to the highest; docs/architecture.md says what each holds. */
-  private static final List<String> FLOORS =
+  /**
+   * The layers, one package each, from the lowest to the highest. docs/architecture.md describes
+   * the packages.
+   */
+  private static final List<String> LAYERS =
       List.of(
           "shorecrank.protocol",
           "shorecrank.config",
@@ -41,33 +44,33 @@
           .withImportOption(new DoNotIncludeTests())
           .importPackages("shorecrank");
 
-  /** The floors, each once. */
-  static List<String> floors() {
-    return FLOORS;
+  /** Returns the parameters of {@link #dependsOnNoHigherLayer}. */
+  static List<String> layers() {
+    return LAYERS;
   }
 
   @ParameterizedTest
-  @MethodSource("floors")
-  void dependsOnNoFloorAbove(String floor) {
-    List<String> above = FLOORS.subList(FLOORS.indexOf(floor) + 1, FLOORS.size());
-    if (above.isEmpty()) {
+  @MethodSource("layers")
+  void dependsOnNoHigherLayer(String layer) {
+    List<String> higherLayers = LAYERS.subList(LAYERS.indexOf(layer) + 1, LAYERS.size());
+    if (higherLayers.isEmpty()) {
       return;
     }
     noClasses()
         .that()
-        .resideInAPackage(floor)
+        .resideInAPackage(layer)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(above.toArray(String[]::new))
+        .resideInAnyPackage(higherLayers.toArray(String[]::new))
         .check(CLASSES);
   }
 
   @Test
-  void everyPackageHasAFloor() {
+  void everyPackageHasALayer() {
     Set<String> packages = new TreeSet<>();
     for (JavaClass type : CLASSES) {
       packages.add(type.getPackageName());
     }
-    assertEquals(new TreeSet<>(FLOORS), packages);
+    assertEquals(new TreeSet<>(LAYERS), packages);
   }
 }
--- a/src/test/java/shorecrank/config/NodeConfigFileTest.java
+++ b/src/test/java/shorecrank/config/NodeConfigFileTest.java
@@ -15,7 +15,10 @@
 import shorecrank.config.NodeConfig.WorkerTimings;
 import shorecrank.protocol.Json;
 
-/** The platform's file: defaults of what is missing, and failures that name field and reason. */
+/**
+ * Tests the reader of the platform's configuration file: defaults of absent settings, and errors
+ * that name the field and the reason.
+ */
 class NodeConfigFileTest {
   private static final String MINIMAL =
       "{'label':'n','public_addr':'1.2.3.4:80','peer_bind':'1.2.3.4:81',"
@@ -26,7 +29,7 @@
   }
 
   @Test
-  void whatIsMissingHasItsDefault() throws Exception {
+  void absentSettingsHaveDefaults() throws Exception {
     NodeConfig config = NodeConfigFile.read(bytes(MINIMAL));
     assertEquals(new Address("1.2.3.5", 1), config.cloudAddr());
     assertEquals("", config.zone());
@@ -55,7 +58,7 @@
         "settings|{'cloud':{'list_lag_s':3601}}|settings.cloud.list_lag_s must be a number from 0.0 to 3600.0",
         "settings|{'quota':{'sockets':1}}|settings.quota.sockets must be a number from 16.0 to 1.0E9"
       })
-  void failuresNameFieldAndReason(String field, String value, String message) {
+  void errorNamesFieldAndReason(String field, String value, String message) {
     ObjectNode file = (ObjectNode) Json.parse(bytes(MINIMAL));
     file.set(field, Json.parse(bytes(value)));
     InvalidConfigException e =
@@ -68,7 +71,7 @@
   @CsvSource(
       quoteCharacter = '~',
       value = {"[]", "7", "{", "null"})
-  void aFileThatIsNoObjectIsRefused(String text) {
+  void rejectsFileThatIsNoJsonObject(String text) {
     InvalidConfigException e =
         assertThrows(InvalidConfigException.class, () -> NodeConfigFile.read(bytes(text)));
     assertEquals("the file must hold a JSON object", e.getMessage());
--- a/src/test/java/shorecrank/config/SettingsTest.java
+++ b/src/test/java/shorecrank/config/SettingsTest.java
@@ -11,10 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Defaults and ranges of the settings and of the platform's limits; failures name the field. */
+/**
+ * Tests the defaults and ranges of the operators' settings and of the state service's limits, and
+ * that errors name the field.
+ */
 class SettingsTest {
   @Test
-  void shippedExampleHoldsTheDefaults() throws Exception {
+  void exampleFileContainsDefaults() throws Exception {
     assertEquals(
         SettingsFile.defaults(),
         SettingsFile.read(Files.readString(Path.of("deploy/settings.textproto"))));
@@ -29,13 +32,13 @@
     "colour: 3, colour",
     "parts: many, parts"
   })
-  void badSettingsNameTheField(String text, String message) {
+  void errorNamesInvalidSetting(String text, String message) {
     InvalidConfigException e =
         assertThrows(InvalidConfigException.class, () -> SettingsFile.read(text));
     assertTrue(e.getMessage().contains(message) || text.startsWith("parts: many"), e.getMessage());
   }
 
-  private static NodeConfig platform(String state) throws Exception {
+  private static NodeConfig configWithStateLimits(String state) throws Exception {
     String file =
         "{'label':'n','public_addr':'1.2.3.4:80','peer_bind':'1.2.3.4:81',"
             + "'endpoints':{'cloud':'1.2.3.5:1','state':'1.2.3.6:1'},'settings':{'state':"
@@ -44,15 +47,18 @@
     return NodeConfigFile.read(file.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Lower limits come without notice, so both hold from the start; what is not named stays. */
+  /**
+   * Announced limits come into force without notice, so the lower one of the current and the
+   * announced limit applies at once. A limit that is not announced keeps its current value.
+   */
   @Test
-  void theLowerOfBothLimitsHolds() throws Exception {
-    NodeConfig.StateLimits s =
-        platform(
+  void lowerOfCurrentAndAnnouncedLimitApplies() throws Exception {
+    NodeConfig.StateLimits limits =
+        configWithStateLimits(
                 "{'rps':70,'write_rps':25,'value_kb':16,'txn_ops':16,'next':{'value_kb':2,'txn_ops':50}}")
             .state();
-    assertEquals(new NodeConfig.StateLimits(70, 25, 2, 16), s);
-    assertEquals(16, platform("{'value_kb':16,'next':null}").state().valueKb());
+    assertEquals(new NodeConfig.StateLimits(70, 25, 2, 16), limits);
+    assertEquals(16, configWithStateLimits("{'value_kb':16,'next':null}").state().valueKb());
   }
 
   @ParameterizedTest
@@ -63,9 +69,10 @@
         "{'next':{'value_kb':0}}, settings.state.next.value_kb must be a number from 1",
         "{'next':{'txn_ops':'many'}}, settings.state.next.txn_ops must be a number from 4"
       })
-  void badLowerLimitsNameTheField(String state, String message) {
+  void errorNamesInvalidAnnouncedLimit(String state, String message) {
     InvalidConfigException e =
-        assertThrows(InvalidConfigException.class, () -> platform(state.replace("''", "'")));
+        assertThrows(
+            InvalidConfigException.class, () -> configWithStateLimits(state.replace("''", "'")));
     assertTrue(e.getMessage().startsWith(message), e.getMessage());
   }
 }
--- a/src/test/java/shorecrank/daemon/ProcessTest.java
+++ b/src/test/java/shorecrank/daemon/ProcessTest.java
@@ -26,7 +26,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import shorecrank.protocol.Json;
 
-/** The real process, over loopback, against a small state service and cloud. */
+/**
+ * Starts the program in a process of its own and sends requests to it over loopback. {@link
+ * ServiceStub} takes the place of the state service and the cloud.
+ */
 class ProcessTest {
   @TempDir Path dir;
   private final List<Process> started = new ArrayList<>();
@@ -44,27 +47,27 @@
   }
 
   @Test
-  void commandLineMistakesAreOneLineAndStatusTwo() throws Exception {
-    Path bad =
+  void startupErrorIsOneLineAndExitStatusTwo() throws Exception {
+    Path invalidConfig =
         Files.writeString(dir.resolve("bad.json"), "{\"label\":\"a\",\"public_addr\":\"x\"}");
-    Path good = config(freePort(), freePort(), "");
-    Path badRollout = Files.writeString(dir.resolve("rollout.textproto"), "settle_s: -1");
+    Path validConfig = config(freePort(), freePort(), "");
+    Path invalidRollout = Files.writeString(dir.resolve("rollout.textproto"), "settle_s: -1");
     for (List<String> args :
         List.of(
             List.<String>of(),
             List.of("--colour"),
             List.of("--config", dir.resolve("none").toString()),
-            List.of("--config", bad.toString()),
-            List.of("--config", good.toString(), "--rollout", badRollout.toString()),
+            List.of("--config", invalidConfig.toString()),
+            List.of("--config", validConfig.toString(), "--rollout", invalidRollout.toString()),
             List.of("explode"),
             List.of("rollout", "explode"))) {
-      Process process = run(args);
+      Process process = start(args);
       String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
       assertTrue(process.waitFor(20, TimeUnit.SECONDS));
       assertEquals(2, process.exitValue(), err);
       assertEquals(1, err.strip().lines().count(), err);
     }
-    Process help = run(List.of("--help"));
+    Process help = start(List.of("--help"));
     String out = new String(help.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(help.waitFor(20, TimeUnit.SECONDS));
     assertEquals(0, help.exitValue());
@@ -72,11 +75,11 @@
   }
 
   @Test
-  void servesUsersAndAWorker() throws Exception {
+  void runsJobOfUserOnWorker() throws Exception {
     int publicPort = freePort();
     int peerPort = freePort();
     Path config = config(publicPort, peerPort, "");
-    run(List.of("--config", config.toString()));
+    start(List.of("--config", config.toString()));
     await(() -> send("GET", publicPort, "/healthz", null).statusCode() == 200);
     assertEquals(400, send("POST", publicPort, "/api/jobs", "{").statusCode());
     assertEquals(404, send("GET", publicPort, "/api/jobs/wk-9", null).statusCode());
@@ -99,15 +102,17 @@
         400, send("POST", publicPort, "/api/jobs", job.formatted("t", 0, 1.0)).statusCode());
     assertEquals(
         400, send("POST", publicPort, "/api/jobs", job.formatted("t", 1, -1.0)).statusCode());
-    String good = job.formatted("t", 1, 1.0);
-    assertEquals(201, send("POST", publicPort, "/api/jobs", good).statusCode());
-    assertEquals(200, send("POST", publicPort, "/api/jobs", good).statusCode());
+    String validJob = job.formatted("t", 1, 1.0);
+    assertEquals(201, send("POST", publicPort, "/api/jobs", validJob).statusCode());
+    assertEquals(200, send("POST", publicPort, "/api/jobs", validJob).statusCode());
 
-    // A worker by hand: report until told to start, then report the end.
+    // This test acts as the worker: it sends heartbeats until an answer orders a start, then
+    // reports
+    // that the task has ended.
     int sequence = 1;
     JsonNode start = null;
     for (int i = 0; i < 60 && start == null; i++) {
-      JsonNode orders = body(report(publicPort, sequence++, "")).path("orders");
+      JsonNode orders = body(sendHeartbeat(publicPort, sequence++, "")).path("orders");
       if (orders.size() > 0) {
         start = orders.get(0);
       }
@@ -117,14 +122,14 @@
     String done =
         "{\"piece\":\"wk-1/0\",\"try\":%d,\"phase\":\"exited\",\"cause\":\"done\"}"
             .formatted(start.path("try").asLong());
-    boolean reaped = false;
-    for (int i = 0; i < 60 && !reaped; i++) {
-      for (JsonNode o : body(report(publicPort, sequence++, done)).path("orders")) {
-        reaped |= o.path("verb").asText().equals("reap");
+    boolean reapOrdered = false;
+    for (int i = 0; i < 60 && !reapOrdered; i++) {
+      for (JsonNode order : body(sendHeartbeat(publicPort, sequence++, done)).path("orders")) {
+        reapOrdered |= order.path("verb").asText().equals("reap");
       }
       Thread.sleep(200);
     }
-    assertTrue(reaped);
+    assertTrue(reapOrdered);
     await(() -> send("GET", publicPort, "/api/jobs/wk-1", null).body().contains("\"done\""));
     assertTrue(send("GET", peerPort, "/metrics", null).body().contains("job.done"));
   }
@@ -141,58 +146,69 @@
             .formatted(publicPort, peerPort, port, port, moreSettings));
   }
 
-  /** Whoever comes when all connections are taken is told so, and when to come back. */
+  /**
+   * Requests on connections above the limit get status 503 with a {@code Retry-After} header, and
+   * health checks are still answered. Clients would otherwise wait for their timeouts, and a health
+   * check would take the controller for dead.
+   */
   @Test
-  void aCrowdIsAnsweredNotLeftHanging() throws Exception {
+  void repliesUnavailableAboveConnectionLimit() throws Exception {
     int publicPort = freePort();
     Path config = config(publicPort, freePort(), ",\"quota\":{\"sockets\":40}");
-    run(List.of("--config", config.toString()));
+    start(List.of("--config", config.toString()));
     await(() -> send("GET", publicPort, "/healthz", null).statusCode() == 200);
-    List<Socket> idle = new ArrayList<>();
+    List<Socket> idleSockets = new ArrayList<>();
     try {
       await(
           () -> {
-            String answer = raw(publicPort, "/api/jobs/wk-1");
-            if (answer.isEmpty() && !idle.isEmpty()) {
-              // On a busy machine a closed connection may count for a while: that was one too many.
-              idle.remove(idle.size() - 1).close();
+            String answer = rawRequest(publicPort, "/api/jobs/wk-1");
+            if (answer.isEmpty() && !idleSockets.isEmpty()) {
+              // The server closes connections far above its limit without an answer. On a busy
+              // machine it reaches that number while it still counts connections that this test has
+              // closed. With one idle connection less, the next request is answered with 503.
+              idleSockets.remove(idleSockets.size() - 1).close();
             } else if (!answer.startsWith("HTTP/1.1 503")) {
-              idle.add(new Socket(InetAddress.getLoopbackAddress(), publicPort));
+              idleSockets.add(new Socket(InetAddress.getLoopbackAddress(), publicPort));
             }
             return answer.startsWith("HTTP/1.1 503");
           });
-      assertTrue(raw(publicPort, "/api/jobs/wk-1").toLowerCase().contains("retry-after:"));
-      assertTrue(raw(publicPort, "/healthz").startsWith("HTTP/1.1 200"));
+      assertTrue(rawRequest(publicPort, "/api/jobs/wk-1").toLowerCase().contains("retry-after:"));
+      assertTrue(rawRequest(publicPort, "/healthz").startsWith("HTTP/1.1 200"));
     } finally {
-      for (Socket s : idle) {
-        s.close();
+      for (Socket socket : idleSockets) {
+        socket.close();
       }
     }
-    await(() -> raw(publicPort, "/api/jobs/wk-1").startsWith("HTTP/1.1 404"));
+    await(() -> rawRequest(publicPort, "/api/jobs/wk-1").startsWith("HTTP/1.1 404"));
   }
 
-  /** One request on a connection of its own. */
-  private static String raw(int port, String path) throws IOException {
-    try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      s.setSoTimeout(5000);
-      s.getOutputStream()
+  /**
+   * Sends a GET request on a new connection.
+   *
+   * @return the response with its headers, or an empty string if the server closed the connection
+   */
+  private static String rawRequest(int port, String path) throws IOException {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+      socket.setSoTimeout(5000);
+      socket
+          .getOutputStream()
           .write(
               ("GET " + path + " HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
                   .getBytes(StandardCharsets.US_ASCII));
-      return new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
   }
 
-  /** The highest token the worker by hand has seen. */
-  private long shown;
+  /** The highest epoch in the answers to heartbeats, which the next heartbeat has to show. */
+  private long highestEpochSeen;
 
   private static JsonNode body(HttpResponse<String> response) {
     return Json.parse(response.body().getBytes(StandardCharsets.UTF_8));
   }
 
-  private HttpResponse<String> report(int publicPort, int sequence, String pieces)
+  private HttpResponse<String> sendHeartbeat(int publicPort, int sequence, String pieces)
       throws Exception {
-    HttpResponse<String> r =
+    HttpResponse<String> response =
         send(
             "POST",
             publicPort,
@@ -201,31 +217,31 @@
             {"host":"n-1","addr":"127.0.0.1:9","hosttype":"big","site":"z","loaner":false,
              "tenure":1,"serial":%d,"epoch":%d,"reclaimInS":null,"pieces":[%s]}
             """
-                .formatted(sequence, shown, pieces));
-    shown = Math.max(shown, body(r).path("epoch").asLong());
-    return r;
+                .formatted(sequence, highestEpochSeen, pieces));
+    highestEpochSeen = Math.max(highestEpochSeen, body(response).path("epoch").asLong());
+    return response;
   }
 
-  /** A condition to wait for; a failed connection counts as not yet met. */
-  private interface Check {
+  /** A condition to wait for; an {@link IOException} means that it does not hold yet. */
+  private interface Condition {
     boolean holds() throws Exception;
   }
 
-  private static void await(Check check) throws Exception {
+  private static void await(Condition condition) throws Exception {
     for (int i = 0; i < 100; i++) {
       try {
-        if (check.holds()) {
+        if (condition.holds()) {
           return;
         }
       } catch (IOException e) {
-        // The process is not up yet.
+        // The process has not bound its ports yet.
       }
       Thread.sleep(200);
     }
-    assertTrue(check.holds());
+    assertTrue(condition.holds());
   }
 
-  private Process run(List<String> args) throws IOException {
+  private Process start(List<String> args) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     Collections.addAll(
@@ -253,8 +269,8 @@
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 }
--- a/src/test/java/shorecrank/daemon/ServiceStub.java
+++ b/src/test/java/shorecrank/daemon/ServiceStub.java
@@ -13,15 +13,25 @@
 import java.util.concurrent.Executors;
 import shorecrank.protocol.Json;
 
-/** A small state service and a cloud without machines, at one address on loopback. */
+/** A minimal state service and a cloud without machines, at one address on loopback. */
 final class ServiceStub implements AutoCloseable {
   private static final String KEY_PATH = "/store/";
-  private static final long WATCH_MS = 100;
 
-  /** A key's value with the revision of its last change. */
+  /** How long a request for changes is held before it is answered. */
+  private static final long WATCH_HOLD_MS = 100;
+
+  /**
+   * The value of a key.
+   *
+   * @param revision the revision at which the key was last written
+   */
   private record Entry(JsonNode data, long revision) {}
 
-  /** An answer to a request. */
+  /**
+   * An answer to a request.
+   *
+   * @param status the HTTP status
+   */
   private record Answer(int status, JsonNode body) {}
 
   private final ExecutorService threads = Executors.newCachedThreadPool();
@@ -36,7 +46,7 @@
     server.start();
   }
 
-  /** Where it listens. */
+  /** Returns the port on which this stub listens. */
   int port() {
     return server.getAddress().getPort();
   }
@@ -47,7 +57,7 @@
     String query = exchange.getRequestURI().getQuery();
     if (path.equals("/changes")) {
       try {
-        Thread.sleep(WATCH_MS);
+        Thread.sleep(WATCH_HOLD_MS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -68,8 +78,8 @@
       case "/catalog" -> new Answer(200, catalog());
       case "/grants" -> new Answer(200, empty.put("hold", 1));
       case "/multi" -> transact(body);
-      case "/store" -> new Answer(200, list("entries", "k", parse(query)));
-      case "/changes" -> new Answer(200, list("news", "write", parse(query)));
+      case "/store" -> new Answer(200, list("entries", "k", parseQuery(query)));
+      case "/changes" -> new Answer(200, list("news", "write", parseQuery(query)));
       case "/hosts" -> {
         empty.putArray("hosts");
         yield new Answer(200, empty);
@@ -117,7 +127,7 @@
     return new Answer(200, answer.put("ledgerRev", revision));
   }
 
-  private static Map<String, String> parse(String query) {
+  private static Map<String, String> parseQuery(String query) {
     Map<String, String> parameters = new TreeMap<>();
     for (String parameter : query.split("&")) {
       String[] parts = parameter.split("=", 2);
@@ -126,17 +136,23 @@
     return parameters;
   }
 
-  /** Keys with a prefix; for a watch, those that were written after a revision. */
+  /**
+   * Returns the entries whose keys have the prefix in the query. For a watch, only those written
+   * after the revision in the query are returned.
+   *
+   * @param name the field that holds the list; {@code news} for a watch
+   * @param keyName the field that holds the key of each entry
+   */
   private ObjectNode list(String name, String keyName, Map<String, String> query) {
     ObjectNode answer = Json.object();
     boolean isWatch = name.equals("news");
     long from = isWatch ? Long.parseLong(query.get("from")) : -1;
     for (Map.Entry<String, Entry> entry : entries.entrySet()) {
-      Entry value = entry.getValue();
-      if (entry.getKey().startsWith(query.get("prefix")) && value.revision > from) {
-        ObjectNode written = answer.withArray(name).addObject();
-        written.put(keyName, entry.getKey()).put("stamp", value.revision);
-        written.set("data", value.data);
+      Entry stored = entry.getValue();
+      if (entry.getKey().startsWith(query.get("prefix")) && stored.revision > from) {
+        ObjectNode item = answer.withArray(name).addObject();
+        item.put(keyName, entry.getKey()).put("stamp", stored.revision);
+        item.set("data", stored.data);
       }
     }
     return answer.put("ledgerRev", revision);
