--- a/src/main/java/shorecrank/config/NodeConfigFile.java
+++ b/src/main/java/shorecrank/config/NodeConfigFile.java
@@ -17,7 +17,7 @@
 
 /** Reads the platform's configuration file, which is in JSON. */
 public final class NodeConfigFile {
-  /** The highest accepted value of numbers that have no lower maximum of their own. */
+  /** The maximum of settings that need no tighter one. */
   private static final double MAX_NUMBER = 1e9;
 
   private static final double HOUR_S = 3600;
@@ -108,7 +108,7 @@
 
   /**
    * Returns, for each limit, the lower one of the current and the announced limits. The announced
-   * limits in {@code next} come into force without notice, so writes always observe both.
+   * limits in {@code next} come into force without notice, so the controller always observes both.
    */
   private static StateLimits readStateLimits(ConfigSection state) throws InvalidConfigException {
     StateLimits current = readStateLimits(state, DEFAULT_STATE_LIMITS);
--- a/src/main/java/shorecrank/daemon/Main.java
+++ b/src/main/java/shorecrank/daemon/Main.java
@@ -93,9 +93,8 @@
     try {
       ClassArchiveTraining.run();
     } catch (Exception e) {
-      // As a StartupException the failure ends the process. Otherwise the controller's threads
-      // would
-      // keep it alive, and the build that has started it would wait forever.
+      // A StartupException ends the process. With any other exception, the controller's threads
+      // would keep the process alive and the build that started it waiting.
       throw new StartupException("the training run failed: " + e, e);
     }
   }
--- a/src/main/java/shorecrank/transport/HttpClientPool.java
+++ b/src/main/java/shorecrank/transport/HttpClientPool.java
@@ -28,7 +28,7 @@
 
 /**
  * Sends HTTP requests to one address over a limited number of connections. A connection carries one
- * request at a time; calls above that wait for a connection.
+ * request at a time. While all connections are in use, further calls wait.
  */
 final class HttpClientPool {
   /** Handles the response to a call. */
--- a/src/main/java/shorecrank/transport/HttpServer.java
+++ b/src/main/java/shorecrank/transport/HttpServer.java
@@ -71,9 +71,9 @@
   /**
    * Creates a server that is not bound to an address yet.
    *
-   * @param maxConnections the number of connections above which requests on further connections are
-   *     answered with status 503; connections above {@link #EXCESS_FRACTION} more than this are
-   *     closed at once
+   * @param maxConnections the limit on connections. Requests on connections above the limit are
+   *     answered with status 503, and if {@link #EXCESS_FRACTION} is exceeded as well, further
+   *     connections are closed at once
    * @param idleS the time in seconds after which a connection without traffic is closed, as the
    *     client may be gone while the connection still counts towards the limit
    * @param maxBodyBytes the maximum size of a request's body
@@ -160,7 +160,10 @@
     }
   }
 
-  /** Handles the requests on one connection; refuses them if they are malformed. */
+  /**
+   * Handles the requests on one connection. Refuses malformed requests, and if the connection is
+   * above the limit, all requests except health checks.
+   */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final boolean isExcess;
 
--- a/src/test/java/shorecrank/daemon/ProcessTest.java
+++ b/src/test/java/shorecrank/daemon/ProcessTest.java
@@ -106,9 +106,8 @@
     assertEquals(201, send("POST", publicPort, "/api/jobs", validJob).statusCode());
     assertEquals(200, send("POST", publicPort, "/api/jobs", validJob).statusCode());
 
-    // This test acts as the worker: it sends heartbeats until an answer orders a start, then
-    // reports
-    // that the task has ended.
+    // This test acts as the worker: it sends heartbeats until an answer orders a start, and then
+    // reports that the task has ended.
     int sequence = 1;
     JsonNode start = null;
     for (int i = 0; i < 60 && start == null; i++) {
