--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -219,7 +219,9 @@
 
   // ---- reachability of other processes -----------------------------------------------------
 
-  /** Reports whether the state service has answered within the {@code stateFreshMs} setting. */
+  /**
+   * Reports whether the state service has answered within the {@code stateAnswerValidMs} setting.
+   */
   public boolean isStoreReachable() {
     return storeReachability.isReachable(now);
   }
