--- a/src/main/java/shorecrank/coordination/model/CommandTokens.java
+++ b/src/main/java/shorecrank/coordination/model/CommandTokens.java
@@ -63,25 +63,25 @@
    * Forgets all direct starts, because the worker has begun a new incarnation, which rejects
    * commands sent to an earlier one.
    */
-  void forgetDirectStarts() {
+  void clearDirectStarts() {
     directStarts.clear();
   }
 
   /**
-   * Records that a direct command was sent. The caller calls {@link #directCommandAnswered()} once
+   * Records that a direct command was sent. The caller calls {@link #recordDirectCommandAnswered()} once
    * it is answered or times out.
    */
-  public void directCommandSent() {
+  public void recordDirectCommandSent() {
     unansweredDirectCommands++;
   }
 
   /** Records that a direct command to start an attempt was sent under a token. */
-  public void directStartSent(TaskAttemptId attempt, FencingToken token) {
+  public void recordDirectStartSent(TaskAttemptId attempt, FencingToken token) {
     directStarts.put(attempt, token);
   }
 
   /** Records that a direct command was answered or has timed out. */
-  public void directCommandAnswered() {
+  public void recordDirectCommandAnswered() {
     unansweredDirectCommands--;
     answeredDirectCommands++;
   }
--- a/src/main/java/shorecrank/coordination/model/ImageCache.java
+++ b/src/main/java/shorecrank/coordination/model/ImageCache.java
@@ -21,12 +21,12 @@
   private final Object2IntOpenHashMap<String> tasksByImage = new Object2IntOpenHashMap<>();
 
   /** Adds a task placed on the machine, which then fetches the image if it does not hold it. */
-  void taskAdded(String image) {
+  void addTask(String image) {
     tasksByImage.addTo(image, 1);
   }
 
   /** Removes a task that has left the machine from the number of tasks that use the image. */
-  void taskRemoved(String image) {
+  void removeTask(String image) {
     if (tasksByImage.addTo(image, -1) <= 1) {
       tasksByImage.removeInt(image);
     }
--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -100,7 +100,7 @@
     record.adopt(stored, revision);
     tasks.adopt(stored.done(), stored.attemptCount());
     if (tasks.wasPlaced()) {
-      scheduling.meetAllDependencies();
+      scheduling.markAllDependenciesMet();
     }
     cancelled |= stored.cancelled();
   }
--- a/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
+++ b/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
@@ -82,7 +82,7 @@
   }
 
   /** Marks all dependencies as met, because a task of the job was placed before. */
-  void meetAllDependencies() {
+  void markAllDependenciesMet() {
     unmetDependencies.clear();
   }
 
--- a/src/main/java/shorecrank/coordination/model/JobTasks.java
+++ b/src/main/java/shorecrank/coordination/model/JobTasks.java
@@ -24,7 +24,7 @@
   private final BitSet done = new BitSet();
 
   /** The tasks that are not free to be placed. */
-  private final BitSet taken = new BitSet();
+  private final BitSet unavailable = new BitSet();
 
   /** Attempts by task index. An attempt stays until it can no longer run on its machine. */
   private final Int2ObjectAVLTreeMap<TaskAttempt> attempts = new Int2ObjectAVLTreeMap<>();
@@ -46,7 +46,7 @@
     lastAttemptNumber = Math.max(lastAttemptNumber, recordedAttemptNumber);
     done.clear();
     done.or(recordedDone);
-    taken.or(done);
+    unavailable.or(done);
     exits.clear();
   }
 
@@ -70,7 +70,7 @@
   /** Marks a task as succeeded. */
   public void markDone(int index) {
     done.set(index);
-    taken.set(index);
+    unavailable.set(index);
   }
 
   /** Returns a copy of the set of tasks that have succeeded. */
@@ -113,7 +113,7 @@
   /** Adds an attempt to its task and to its machine. */
   void add(TaskAttempt attempt) {
     attempts.put(attempt.index(), attempt);
-    taken.set(attempt.index());
+    unavailable.set(attempt.index());
     attempt.machine().add(attempt);
   }
 
@@ -128,7 +128,7 @@
 
   private void release(int index) {
     if (!done.get(index) && !attempts.containsKey(index) && !unrecordedTasks.containsKey(index)) {
-      taken.clear(index);
+      unavailable.clear(index);
     }
   }
 
@@ -156,12 +156,12 @@
 
   /** Returns how many tasks are free to be placed, whether or not the job itself has to wait. */
   int freeCount() {
-    return Math.max(0, size - taken.cardinality());
+    return Math.max(0, size - unavailable.cardinality());
   }
 
   /** Returns the index of the first free task from an index on, or -1 if there is none. */
   public int nextFree(int from) {
-    int index = taken.nextClearBit(from);
+    int index = unavailable.nextClearBit(from);
     return index < size ? index : -1;
   }
 
@@ -172,7 +172,7 @@
    * not start on another machine meanwhile.
    */
   void markUnrecorded(int index) {
-    taken.set(index);
+    unavailable.set(index);
     unrecordedTasks.addTo(index, 1);
   }
 
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -192,7 +192,7 @@
   }
 
   /** Forgets which images the machine holds, because a new incarnation of its worker has none. */
-  public void forgetImages() {
+  public void clearImages() {
     images.clear();
   }
 
@@ -201,7 +201,7 @@
   /** Adds an attempt that is placed on this machine. */
   void add(TaskAttempt attempt) {
     if (attempts.add(attempt)) {
-      images.taskAdded(attempt.job().spec().image());
+      images.addTask(attempt.job().spec().image());
       use(attempt.job().spec(), 1);
     }
   }
@@ -211,8 +211,8 @@
     if (!attempts.remove(attempt)) {
       return;
     }
-    images.taskRemoved(attempt.job().spec().image());
-    if (!attempt.isRoomReassigned()) {
+    images.removeTask(attempt.job().spec().image());
+    if (!attempt.isCapacityReassigned()) {
       use(attempt.job().spec(), -1);
     }
   }
@@ -221,9 +221,9 @@
    * Frees the capacity of an attempt for another one, which is placed now but is only started once
    * this attempt has been stopped.
    */
-  public void reassignRoom(TaskAttempt attempt) {
-    if (!attempt.isRoomReassigned()) {
-      attempt.setRoomReassigned();
+  public void reassignCapacity(TaskAttempt attempt) {
+    if (!attempt.isCapacityReassigned()) {
+      attempt.setCapacityReassigned();
       use(attempt.job().spec(), -1);
     }
   }
--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -30,7 +30,7 @@
   private boolean startSent;
   private boolean startInLastAnswer;
   private boolean revoked;
-  private boolean roomReassigned;
+  private boolean capacityReassigned;
 
   /**
    * @param index the index of the task in its job
@@ -163,7 +163,7 @@
    * Reports whether the answer to the worker's last heartbeat contained a start of this attempt,
    * and resets that.
    */
-  public boolean takeStartInLastAnswer() {
+  public boolean clearStartInLastAnswer() {
     boolean wasInLastAnswer = startInLastAnswer;
     startInLastAnswer = false;
     return wasInLastAnswer;
@@ -186,13 +186,13 @@
    * Reports whether the capacity that this attempt uses is already given to another attempt, which
    * is started once this one has been stopped.
    */
-  boolean isRoomReassigned() {
-    return roomReassigned;
+  boolean isCapacityReassigned() {
+    return capacityReassigned;
   }
 
   /** Marks the capacity that this attempt uses as given to another attempt. */
-  void setRoomReassigned() {
-    roomReassigned = true;
+  void setCapacityReassigned() {
+    capacityReassigned = true;
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -45,7 +45,7 @@
   /** The machines of a zone from which heartbeats are expected, and those that are overdue. */
   private static final class ZoneCount {
     int expected;
-    int unheard;
+    int overdue;
   }
 
   private final StepContext context;
@@ -75,15 +75,15 @@
    * controller can renew their leases, so it goes on doing that.
    */
   public boolean isMissingManyWorkers() {
-    int heard = 0;
+    int responding = 0;
     int reported = 0;
     for (Machine machine : machines) {
       if (machine.session().hasConfirmedHeartbeat()) {
         reported++;
-        heard += isOverdue(machine) ? 0 : 1;
+        responding += isOverdue(machine) ? 0 : 1;
       }
     }
-    return heard * 3 < reported * 2;
+    return responding * 3 < reported * 2;
   }
 
   /**
@@ -92,7 +92,7 @@
    */
   public WorkerReachability reachability() {
     int expected = 0;
-    int unheard = 0;
+    int overdue = 0;
     Map<String, ZoneCount> byZone = new TreeMap<>();
     for (Machine machine : machines) {
       if (machine.info() != null
@@ -102,19 +102,19 @@
         expected++;
         zone.expected++;
         if (isOverdue(machine)) {
-          unheard++;
-          zone.unheard++;
+          overdue++;
+          zone.overdue++;
         }
       }
     }
     List<String> unreachableZones = new ArrayList<>();
     byZone.forEach(
         (zone, count) -> {
-          if (count.unheard * 2 > count.expected) {
+          if (count.overdue * 2 > count.expected) {
             unreachableZones.add(zone);
           }
         });
-    return new WorkerReachability(expected, unheard, unreachableZones);
+    return new WorkerReachability(expected, overdue, unreachableZones);
   }
 
   /**
@@ -123,7 +123,7 @@
    * then tries another controller, so a new owner allows it that time in addition.
    */
   private boolean isOverdue(Machine machine) {
-    long redirectMs = machine.session().lastHeard().isBefore(grantedAt) ? REDIRECT_MS : 0;
+    long redirectMs = machine.session().lastConfirmedAt().isBefore(grantedAt) ? REDIRECT_MS : 0;
     return silentMs(machine)
         > context.config().workers().heartbeatIntervalS() * OVERDUE_MS_PER_INTERVAL_S
             + OVERDUE_MARGIN_MS
@@ -135,7 +135,7 @@
    * killed all its tasks.
    */
   public boolean isLeaseExpired(Machine machine) {
-    MonotonicTime from = machine.session().lastHeard();
+    MonotonicTime from = machine.session().lastConfirmedAt();
     if (!machine.session().isConfirmed()) {
       // An earlier owner may have renewed the lease until the end of its grace period.
       long graceMs = context.settings().graceMs();
@@ -152,8 +152,8 @@
    * shard was granted to this owner if that is later.
    */
   public long silentMs(Machine machine) {
-    MonotonicTime lastHeard = machine.session().lastHeard();
-    return context.now().since(lastHeard.isBefore(grantedAt) ? grantedAt : lastHeard);
+    MonotonicTime lastConfirmedAt = machine.session().lastConfirmedAt();
+    return context.now().since(lastConfirmedAt.isBefore(grantedAt) ? grantedAt : lastConfirmedAt);
   }
 
   /** Reports whether a recent heartbeat shows which tasks are on the machine. */
--- a/src/main/java/shorecrank/coordination/model/WorkerSession.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerSession.java
@@ -34,8 +34,8 @@
   private Incarnation endedIncarnation = new Incarnation(-1);
 
   private long sequence = -1;
-  private MonotonicTime firstHeard = MonotonicTime.NEVER;
-  private MonotonicTime lastHeard = MonotonicTime.NEVER;
+  private MonotonicTime firstConfirmedAt = MonotonicTime.NEVER;
+  private MonotonicTime lastConfirmedAt = MonotonicTime.NEVER;
 
   /** The address for direct commands, or empty if the worker has named none. */
   private String address = "";
@@ -86,13 +86,13 @@
    * Returns when the last confirmed heartbeat arrived; {@link MonotonicTime#NEVER} before the first
    * one.
    */
-  public MonotonicTime lastHeard() {
-    return lastHeard;
+  public MonotonicTime lastConfirmedAt() {
+    return lastConfirmedAt;
   }
 
   /** Reports whether a confirmed heartbeat has ever arrived. */
   public boolean hasConfirmedHeartbeat() {
-    return firstHeard != MonotonicTime.NEVER;
+    return firstConfirmedAt != MonotonicTime.NEVER;
   }
 
   /** Returns the address for direct commands, or an empty string if the worker has named none. */
@@ -189,12 +189,12 @@
   public void recordConfirmed(WorkerHeartbeat heartbeat, MonotonicTime now) {
     tokens.resetAnsweredDirectCommands();
     if (isNewIncarnation(heartbeat)) {
-      tokens.forgetDirectStarts();
+      tokens.clearDirectStarts();
     }
     tokens.recordShown(heartbeat.token());
-    lastHeard = now;
-    if (firstHeard == MonotonicTime.NEVER) {
-      firstHeard = now;
+    lastConfirmedAt = now;
+    if (firstConfirmedAt == MonotonicTime.NEVER) {
+      firstConfirmedAt = now;
     }
     confirmed = true;
     incarnation = heartbeat.incarnation();
@@ -216,8 +216,8 @@
    *
    * @return the change to report
    */
-  public Responsiveness recordAnswerTaken(boolean taken, MonotonicTime now) {
-    if (taken) {
+  public Responsiveness recordAnswerReceived(boolean received, MonotonicTime now) {
+    if (received) {
       boolean regained = unresponsive && missedAnswers >= MISSED_ANSWERS_TO_REPORT;
       unresponsive = false;
       missedAnswers = 0;
@@ -269,7 +269,7 @@
     if (hasDeferredReply()) {
       return 0;
     }
-    return Math.max(0, heartbeatIntervalS - now.since(lastHeard) / 1000.0);
+    return Math.max(0, heartbeatIntervalS - now.since(lastConfirmedAt) / 1000.0);
   }
 
   /** Reports whether the answer to the last heartbeat is deferred until a write is committed. */
@@ -293,7 +293,7 @@
   }
 
   /** Returns the request whose answer was deferred; the caller answers it now with status 200. */
-  public long takeDeferredReply() {
+  public long removeDeferredReply() {
     long reply = deferredReply;
     deferredReply = NO_REPLY;
     return reply;
@@ -302,6 +302,6 @@
   /** Returns the request whose answer was deferred; the caller refuses it now. */
   public long refuseDeferredReply() {
     answered = false;
-    return takeDeferredReply();
+    return removeDeferredReply();
   }
 }
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -72,7 +72,7 @@
 
   /** Removes a job that has ended or left the shard; its dependents continue to wait. */
   public void remove(Job job) {
-    urgency.forget(job);
+    urgency.remove(job);
     for (JobId dependency : job.scheduling().unmetDependencies()) {
       Set<Job> waiting = dependents.get(dependency);
       if (waiting != null && waiting.remove(job) && waiting.isEmpty()) {
--- a/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
+++ b/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
@@ -47,7 +47,7 @@
   }
 
   /** Removes a job that has ended or left the shard. */
-  void forget(Job job) {
+  void remove(Job job) {
     outdated |= urgencies.remove(job) != null;
   }
 
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -141,7 +141,7 @@
   private void stop(Victims victims) {
     for (TaskAttempt attempt : victims.attempts) {
       attempt.revoke();
-      victims.machine.reassignRoom(attempt);
+      victims.machine.reassignCapacity(attempt);
     }
     context.count("task.preempted");
     for (TaskAttempt attempt : victims.attempts) {
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -365,7 +365,7 @@
   }
 
   /** Forgets a job that has ended or left the shard; it still counts in its class. */
-  public void forget(Job job) {
+  public void remove(Job job) {
     countedJobs.remove(job);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -103,11 +103,11 @@
     FencingToken token = tokens.current(lease.epoch());
     for (WorkerCommand command : commands) {
       if (command instanceof Start) {
-        tokens.directStartSent(command.attemptId(), token);
+        tokens.recordDirectStartSent(command.attemptId(), token);
       }
     }
     unanswered++;
-    tokens.directCommandSent();
+    tokens.recordDirectCommandSent();
     context.count("orders.direct");
     context.callWorker(
         session.address(),
@@ -116,7 +116,7 @@
         TIMEOUT_MS,
         (status, body) -> {
           unanswered--;
-          tokens.directCommandAnswered();
+          tokens.recordDirectCommandAnswered();
           if (status != OK) {
             context.count("orders.direct.failed");
           }
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -43,7 +43,7 @@
    */
   void handle(long reply, WorkerHeartbeat heartbeat, boolean mayCommand) {
     Machine machine = machines.machine(heartbeat.machine());
-    machines.describe(
+    machines.initInfo(
         machine,
         new MachineInfo(heartbeat.machine(), heartbeat.type(), heartbeat.zone(), heartbeat.spot()));
     WorkerSession session = machine.session();
@@ -104,7 +104,7 @@
     boolean isConsecutive = session.isConsecutive(heartbeat);
     replies.refuseDeferred(machine);
     if (session.isNewIncarnation(heartbeat)) {
-      machine.forgetImages();
+      machine.clearImages();
     }
     if (!session.hasConfirmedHeartbeat()) {
       machine.setIdleSince(now);
@@ -146,11 +146,11 @@
     boolean answerReceived = isConsecutive;
     boolean wasUnresponsive = machine.session().isUnresponsive();
     for (TaskAttempt attempt : machine.attempts()) {
-      if (attempt.takeStartInLastAnswer()) {
+      if (attempt.clearStartInLastAnswer()) {
         answerReceived &= attempt.isListed();
       }
     }
-    switch (machine.session().recordAnswerTaken(answerReceived, context.now())) {
+    switch (machine.session().recordAnswerReceived(answerReceived, context.now())) {
       case REGAINED -> context.info("machine.responsive machine=%s", machine.name());
       case LOST -> {
         context.info("machine.unresponsive machine=%s", machine.name());
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -116,7 +116,7 @@
       if (all || settled || !context.now().isBefore(machine.session().deferredUntil())) {
         context.count(settled ? "report.parked.settled" : "report.parked.expired");
         deferred.remove(machine);
-        long reply = machine.session().takeDeferredReply();
+        long reply = machine.session().removeDeferredReply();
         if (lease.isValid() && !lease.isEnded()) {
           replyWithCommands(reply, machine);
         } else {
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -111,21 +111,21 @@
 
   // ---- removal ----------------------------------------------------------------------------------
 
-  private void forget(Job job) {
+  private void remove(Job job) {
     jobs.remove(job);
-    queue.forget(job);
+    queue.remove(job);
     dependencies.remove(job);
   }
 
   /** Removes all jobs, so that their records can be read again. */
-  void forgetAll() {
+  void removeAll() {
     for (Job job : new ArrayList<>(jobs.all().values())) {
       if (job.isCancelled()) {
         cancellations.recordCancelled(job.id());
       }
-      forget(job);
+      remove(job);
     }
-    jobs.forgetRelinquished();
+    jobs.clearRelinquished();
     dependencies.clear();
     machines.clearReconciled();
     machines.references().clear();
@@ -136,7 +136,7 @@
    * cancelled.
    */
   @Override
-  public void cancelled(Job job) {
+  public void onCancelled(Job job) {
     job.cancel();
     jobs.detachUncommitted(job);
     context.info("job.cancelled job=%s", job.id());
@@ -148,30 +148,30 @@
    * since all dependencies come first.
    */
   void cancelWithDependency(Job job) {
-    cancelled(job);
+    onCancelled(job);
     job.requestWrite(WriteUrgency.NOW, context.now());
   }
 
   @Override
-  public void ended(Job job, JobState state) {
-    forget(job);
+  public void onEnded(Job job, JobState state) {
+    remove(job);
     dependencies.onJobEnded(job.id(), state);
   }
 
   @Override
-  public void committed(Job job) {
+  public void onCommitted(Job job) {
     jobs.recordCommitted(job);
     JobRecordState record = job.record();
     placementLog.logCommitted(job, record.committedSequence(), record.revision(), lease.epoch());
   }
 
   @Override
-  public void recordMissing(Job job) {
+  public void onRecordMissing(Job job) {
     relinquish(job, null);
   }
 
   @Override
-  public void refused(Job job, JobRecord record) {
+  public void onRefused(Job job, JobRecord record) {
     relinquish(job, record);
   }
 
@@ -181,7 +181,7 @@
    */
   private void relinquish(Job job, JobRecord record) {
     JobId id = job.id();
-    forget(job);
+    remove(job);
     jobs.relinquish(id);
     if (record == null) {
       machines.references().recordRemoved(id);
@@ -204,7 +204,7 @@
   }
 
   @Override
-  public void replaced(Job job, JobRecord record, Revision revision) {
+  public void onReplaced(Job job, JobRecord record, Revision revision) {
     jobs.detachAll(job);
     job.record().unclaim();
     job.adopt(record, revision);
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -74,10 +74,10 @@
   /** Receives the outcomes of writes. */
   interface Listener {
     /** Called when the final record of a job is committed. */
-    void ended(Job job, JobStatus status);
+    void onEnded(Job job, JobStatus status);
 
     /** Called when a transaction has its answer or has timed out, after its jobs are up to date. */
-    void answered(List<RecordWrite> writes, boolean isCommitted);
+    void onAnswered(List<RecordWrite> writes, boolean isCommitted);
   }
 
   private final StepContext context;
@@ -330,14 +330,14 @@
       context.count("txn.unanswered");
       pausedUntil = now.plus(UNKNOWN_PAUSE_MS + context.random().nextInt(UNKNOWN_PAUSE_SPREAD_MS));
     }
-    listener.answered(writes, result.isCommitted());
+    listener.onAnswered(writes, result.isCommitted());
   }
 
   private void handleCommitted(RecordWrite write, Revision revision) {
     Job job = write.job();
     job.recordCommitted(write.sequence(), revision, lease.epoch(), write.status());
     if (write.isFinal()) {
-      listener.ended(job, write.status());
+      listener.onEnded(job, write.status());
     } else {
       jobs.recordCommitted(job);
       placementLog.logCommitted(job, write.sequence(), revision, lease.epoch());
--- a/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
@@ -52,7 +52,7 @@
    * Forgets the handover of a machine that may be used here again, is assigned to another shard, or
    * is gone.
    */
-  void forget(MachineName machine) {
+  void remove(MachineName machine) {
     handedOver.remove(machine);
   }
 
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -105,7 +105,7 @@
   }
 
   /** Sets the type, zone and kind of a machine, if they are not known yet. */
-  void describe(Machine machine, MachineInfo info) {
+  void initInfo(Machine machine, MachineInfo info) {
     if (machine.info() == null) {
       machine.setInfo(info);
       machine.setType(catalog.get(info.type()));
@@ -136,7 +136,7 @@
   public void updateAssignment(MachineAssignment assignment) {
     MachineName name = assignment.machine().name();
     if (!assignment.shard().equals(lease.shard())) {
-      handovers.forget(name);
+      handovers.remove(name);
       removeAssignment(name);
       Machine kept = machines.get(name);
       if (kept != null) {
@@ -145,12 +145,12 @@
       return;
     }
     Machine machine = machine(name);
-    describe(machine, assignment.machine());
+    initInfo(machine, assignment.machine());
     if (machine.assignment().assign(assignment, context.now())) {
       machine.session().clearConfirmed();
     }
     if (!machine.assignment().isHandoverRequested()) {
-      handovers.forget(name);
+      handovers.remove(name);
     }
   }
 
@@ -170,7 +170,7 @@
   /** Removes machines that were released, and gives up all attempts on them. */
   public void removeReleased(Collection<MachineName> names) {
     for (MachineName name : names) {
-      handovers.forget(name);
+      handovers.remove(name);
       Machine machine = machines.get(name);
       if (machine != null) {
         abandonAll(machine, "released");
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -181,7 +181,7 @@
   }
 
   /** Forgets the relinquished jobs, which this owner may own again under a higher epoch. */
-  void forgetRelinquished() {
+  void clearRelinquished() {
     relinquished.clear();
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -142,15 +142,15 @@
   /** Acts on the outcomes of writes. */
   private final class WriteListener implements JobRecordWriter.Listener {
     @Override
-    public void ended(Job job, JobStatus status) {
+    public void onEnded(Job job, JobStatus status) {
       statusQueries.recordEnded(job.id(), status);
-      lifecycle.ended(job, status.state());
+      lifecycle.onEnded(job, status.state());
       context.info("job.ended job=%s state=%s epoch=%s", job.id(), status.state(), lease.epoch());
       context.count(job.isCancelled() ? "job.withdrawn" : "job.done");
     }
 
     @Override
-    public void answered(List<RecordWrite> writes, boolean isCommitted) {
+    public void onAnswered(List<RecordWrite> writes, boolean isCommitted) {
       replies.sendDue();
       if (isCommitted) {
         directCommands.sendStarts(writes);
@@ -172,7 +172,7 @@
    */
   public void renewLease(Epoch granted, MonotonicTime until) {
     if (lease.renew(granted, until)) {
-      recovery.epochRaised();
+      recovery.handleEpochRaised();
     }
   }
 
@@ -230,7 +230,7 @@
    * until all records are read.
    */
   public MonotonicTime cancellationsShownUpTo() {
-    return recovery.knownUpTo();
+    return recovery.shownUpTo();
   }
 
   /**
@@ -239,8 +239,8 @@
    * ends the tasks whose cancellation this owner may have missed.
    */
   public boolean knowsRecentCancellations() {
-    MonotonicTime horizon = cancellations.knownUpTo(recovery.knownUpTo());
-    return context.now().since(horizon) <= context.maxCancellationStalenessMs();
+    MonotonicTime knownUpTo = cancellations.knownUpTo(recovery.shownUpTo());
+    return context.now().since(knownUpTo) <= context.maxCancellationStalenessMs();
   }
 
   /**
@@ -253,7 +253,7 @@
     if (job == null) {
       dependencies.onJobCancelled(id);
     } else if (!job.isCancelled()) {
-      lifecycle.cancelled(job);
+      lifecycle.onCancelled(job);
       if (lease.isValid() && !job.record().isInFlight()) {
         resolver.reread(job);
       }
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -49,7 +49,7 @@
   private final CancellationLog cancellations;
 
   private boolean ready;
-  private MonotonicTime readyAt = MonotonicTime.NEVER;
+  private MonotonicTime readySince = MonotonicTime.NEVER;
   private boolean restartRequested;
 
   /** Increases with each listing, so that answers to an earlier one are recognized. */
@@ -66,7 +66,7 @@
   /**
    * Time up to which the state service has shown all changes of records, including cancellations.
    */
-  private MonotonicTime knownUpTo = MonotonicTime.NEVER;
+  private MonotonicTime shownUpTo = MonotonicTime.NEVER;
 
   ShardRecovery(
       StepContext context,
@@ -91,23 +91,23 @@
   }
 
   /** Returns when the last complete listing of all records ended; NEVER if there was none. */
-  MonotonicTime readyAt() {
-    return readyAt;
+  MonotonicTime readySince() {
+    return readySince;
   }
 
   /**
    * Returns the time up to which the state service has shown all changes; NEVER until all records
    * have been read.
    */
-  MonotonicTime knownUpTo() {
-    return knownUpTo;
+  MonotonicTime shownUpTo() {
+    return shownUpTo;
   }
 
   /**
    * Requests that all records be read again if any job is relinquished, since it may belong to this
    * owner again under the higher epoch.
    */
-  void epochRaised() {
+  void handleEpochRaised() {
     restartRequested |= jobs.hasRelinquished();
   }
 
@@ -121,7 +121,7 @@
 
   /** Removes all jobs, so that a new listing can begin. */
   private void restart() {
-    lifecycle.forgetAll();
+    lifecycle.removeAll();
     ready = false;
     listingInProgress = false;
     listingNumber++;
@@ -186,9 +186,9 @@
       return;
     }
     listingInProgress = false;
-    advanceKnownUpTo(began);
+    advanceShownUpTo(began);
     ready = true;
-    readyAt = context.now();
+    readySince = context.now();
     new TakeoverLog(context, lease, jobs).logRecovered(knownRevision, began);
   }
 
@@ -196,9 +196,9 @@
     return lease.isOfShard(record.spec().team());
   }
 
-  private void advanceKnownUpTo(MonotonicTime sent) {
-    if (knownUpTo.isBefore(sent)) {
-      knownUpTo = sent;
+  private void advanceShownUpTo(MonotonicTime sent) {
+    if (shownUpTo.isBefore(sent)) {
+      shownUpTo = sent;
     }
   }
 
@@ -241,7 +241,7 @@
         handleChange(new JobId(change.key().substring(JobRecord.LIVE_PREFIX.length())), change);
       }
       knownRevision = Math.max(knownRevision, changes.revision());
-      advanceKnownUpTo(sent);
+      advanceShownUpTo(sent);
       watchRetryAt = context.now().plus(WATCH_PAUSE_MS);
     } else {
       watchRetryAt = context.now().plus(WATCH_RETRY_MS + context.random().nextInt(WATCH_RETRY_MS));
@@ -272,7 +272,7 @@
     if (isMarked && !job.isCancelled()) {
       // The mark is committed, since the watch shows it; reading the record again may fail for
       // long.
-      lifecycle.cancelled(job);
+      lifecycle.onCancelled(job);
     }
     resolver.rereadIfOutdated(job);
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardState.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardState.java
@@ -79,7 +79,7 @@
 
   @Override
   public MonotonicTime readySince() {
-    return recovery.readyAt();
+    return recovery.readySince();
   }
 
   @Override
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -17,38 +17,38 @@
 
   /** Sets the gauges that count the shard's processors by what they are used for. */
   static void update(StepContext context, ShardView shard) {
-    double heard = 0;
-    double commanded = 0;
-    double pulling = 0;
-    double running = 0;
-    double taken = 0;
+    double freshCpus = 0;
+    double commandedCpus = 0;
+    double fetchingCpus = 0;
+    double runningCpus = 0;
+    double usedCpus = 0;
     for (Machine machine : shard.machines().values()) {
       if (machine.type() == null || !shard.liveness().isFresh(machine)) {
         continue;
       }
-      heard += machine.type().cpus();
-      taken += machine.usedCpus();
+      freshCpus += machine.type().cpus();
+      usedCpus += machine.usedCpus();
       for (TaskAttempt attempt : machine.attempts()) {
         double cpus = attempt.job().spec().cpus();
         if (attempt.state() == null) {
-          commanded += cpus;
+          commandedCpus += cpus;
         } else if (attempt.state() == TaskState.WAITING_FOR_IMAGE) {
-          pulling += cpus;
+          fetchingCpus += cpus;
         } else {
-          running += cpus;
+          runningCpus += cpus;
         }
       }
     }
-    double waiting = 0;
+    double queuedCpus = 0;
     for (Job job : shard.jobs().values()) {
-      waiting += job.queuedTaskCount() * job.spec().cpus();
+      queuedCpus += job.queuedTaskCount() * job.spec().cpus();
     }
-    context.gauge("cpus.heard", heard);
-    context.gauge("cpus.taken", taken);
-    context.gauge("cpus.commanded", commanded);
-    context.gauge("cpus.pulling", pulling);
-    context.gauge("cpus.running", running);
-    context.gauge("cpus.waited_for", waiting);
+    context.gauge("cpus.heard", freshCpus);
+    context.gauge("cpus.taken", usedCpus);
+    context.gauge("cpus.commanded", commandedCpus);
+    context.gauge("cpus.pulling", fetchingCpus);
+    context.gauge("cpus.running", runningCpus);
+    context.gauge("cpus.waited_for", queuedCpus);
   }
 
   /** Sets the usage gauges of each team with a limit. */
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -30,25 +30,25 @@
     boolean isCurrent(Job job);
 
     /** Called when the record belongs to another owner, so that the job must be relinquished. */
-    void refused(Job job, JobRecord record);
+    void onRefused(Job job, JobRecord record);
 
     /** Called when a write of this owner turns out to be committed. */
-    void committed(Job job);
+    void onCommitted(Job job);
 
     /** Called when there is no readable record, so that the job must be relinquished. */
-    void recordMissing(Job job);
+    void onRecordMissing(Job job);
 
     /** Called when the record is marked as cancelled by a user. */
-    void cancelled(Job job);
+    void onCancelled(Job job);
 
     /** Called when the job has ended. */
-    void ended(Job job, JobState state);
+    void onEnded(Job job, JobState state);
 
     /**
      * Called when a write of an earlier owner was committed before this owner's, so that the job
      * must be rebuilt from its record.
      */
-    void replaced(Job job, JobRecord record, Revision revision);
+    void onReplaced(Job job, JobRecord record, Revision revision);
   }
 
   private final StepContext context;
@@ -134,7 +134,7 @@
   private void handleFound(Job job, Entry entry) {
     JobRecord record = JobRecord.read(entry.value());
     if (record == null) {
-      jobHandler.recordMissing(job);
+      jobHandler.onRecordMissing(job);
       return;
     }
     reconcile(job, record, entry.revision());
@@ -175,10 +175,10 @@
             : null;
     if (finalRecord != null) {
       references.recordRemoved(job.id());
-      jobHandler.ended(job, finalRecord.state());
+      jobHandler.onEnded(job, finalRecord.state());
       context.info("job.found_ended job=%s state=%s", job.id(), finalRecord.state());
     } else if (result instanceof ReadResult.Absent) {
-      jobHandler.recordMissing(job);
+      jobHandler.onRecordMissing(job);
     } else {
       retryLater(job, FINAL_RETRY_MS);
     }
@@ -188,7 +188,7 @@
 
   private void reconcile(Job job, JobRecord record, Revision revision) {
     if (lease.isRefusedBy(record)) {
-      jobHandler.refused(job, record);
+      jobHandler.onRefused(job, record);
       return;
     }
     boolean isOwnWrite = job.record().isOwnWrite(record, context.writer());
@@ -202,7 +202,7 @@
       job.adoptOwnWrite(record);
       adoptCancellation(job, record, revision);
       if (isNewlyCommitted) {
-        jobHandler.committed(job);
+        jobHandler.onCommitted(job);
       }
     } else if (!hasOwner && !job.record().hasOwner()) {
       // No owner has written the record, so only a user's cancellation mark can have changed it.
@@ -211,7 +211,7 @@
       context.info(
           "job.record.replaced job=%s record_epoch=%s epoch=%s",
           job.id(), record.epoch(), lease.epoch());
-      jobHandler.replaced(job, record, revision);
+      jobHandler.onReplaced(job, record, revision);
     }
     job.requestWrite(WriteUrgency.NOW, context.now());
   }
@@ -219,7 +219,7 @@
   private void adoptCancellation(Job job, JobRecord record, Revision revision) {
     job.record().adoptRevision(record, revision);
     if (record.cancelled() && !job.isCancelled()) {
-      jobHandler.cancelled(job);
+      jobHandler.onCancelled(job);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/step/AnswerHandler.java
+++ b/src/main/java/shorecrank/coordination/step/AnswerHandler.java
@@ -12,5 +12,5 @@
    *     process may still carry the call out
    * @param body the parsed body, or a missing node if there is none
    */
-  void answer(int status, JsonNode body);
+  void handle(int status, JsonNode body);
 }
--- a/src/main/java/shorecrank/coordination/step/PeerClient.java
+++ b/src/main/java/shorecrank/coordination/step/PeerClient.java
@@ -33,13 +33,13 @@
 
   /** Sends a heartbeat to the leader. */
   public void sendHeartbeat(
-      ControllerName to, Heartbeat heartbeat, int timeoutMs, Consumer<HeartbeatResult> then) {
+      ControllerName to, Heartbeat heartbeat, int timeoutMs, Consumer<HeartbeatResult> callback) {
     context.callPeer(
         to,
         PeerPaths.HEARTBEAT,
         HeartbeatCodec.write(heartbeat),
         timeoutMs,
-        (status, body) -> then.accept(heartbeatResult(status, body)));
+        (status, body) -> callback.accept(heartbeatResult(status, body)));
   }
 
   private static HeartbeatResult heartbeatResult(int status, JsonNode body) {
@@ -58,7 +58,7 @@
   /**
    * Queries a shard's owner for the status of jobs.
    *
-   * @param then receives the status of each job that the owner knows; empty if the owner does not
+   * @param callback receives the status of each job that the owner knows; empty if the owner does not
    *     answer
    */
   public void queryStatus(
@@ -66,14 +66,14 @@
       ShardId shard,
       Collection<JobId> jobs,
       int timeoutMs,
-      Consumer<Map<JobId, JobStatus>> then) {
+      Consumer<Map<JobId, JobStatus>> callback) {
     context.callPeer(
         owner,
         PeerPaths.STATUS_QUERY,
         StatusQueryCodec.writeQuery(shard, jobs),
         timeoutMs,
         (status, body) ->
-            then.accept(
+            callback.accept(
                 status == OK ? StatusQueryCodec.readAnswer(body) : Map.<JobId, JobStatus>of()));
   }
 
--- a/src/main/java/shorecrank/coordination/step/PendingCalls.java
+++ b/src/main/java/shorecrank/coordination/step/PendingCalls.java
@@ -8,12 +8,12 @@
   private long nextNumber = 1;
 
   /** The target of a call and the handler of its answer. */
-  record PendingCall(Output.Target target, AnswerHandler then) {}
+  record PendingCall(Output.Target target, AnswerHandler handler) {}
 
   /** Adds a call and returns its number, which is unique within the process. */
-  long add(Output.Target target, AnswerHandler then) {
+  long add(Output.Target target, AnswerHandler handler) {
     long number = nextNumber++;
-    calls.put(number, new PendingCall(target, then));
+    calls.put(number, new PendingCall(target, handler));
     return number;
   }
 
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -75,7 +75,7 @@
 
   /** Ends the step and returns its outputs, in the order in which they were added. */
   public List<Output> end() {
-    return outputs.take();
+    return outputs.removeAll();
   }
 
   /** Returns the configuration that the platform provides. */
@@ -157,13 +157,13 @@
    * @param body the body to send, or null if there is none
    */
   public void callStore(
-      String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
+      String method, String path, JsonNode body, int timeoutMs, AnswerHandler handler) {
     budget.requests().take(1, now);
     count("state.requests");
     if (body != null && body.has(CHANGES_FIELD)) {
       count("state.writes", body.path(CHANGES_FIELD).size());
     }
-    call(Output.Service.STATE, method, path, body, timeoutMs, then);
+    call(Output.Service.STATE, method, path, body, timeoutMs, handler);
   }
 
   /**
@@ -172,20 +172,20 @@
    * @param body the body to send, or null if there is none
    */
   public void callCloud(
-      String method, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
-    call(Output.Service.CLOUD, method, path, body, timeoutMs, then);
+      String method, String path, JsonNode body, int timeoutMs, AnswerHandler handler) {
+    call(Output.Service.CLOUD, method, path, body, timeoutMs, handler);
   }
 
   /** Sends a POST request to a worker. */
   public void callWorker(
-      String address, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
-    call(new Output.Worker(address), "POST", path, body, timeoutMs, then);
+      String address, String path, JsonNode body, int timeoutMs, AnswerHandler handler) {
+    call(new Output.Worker(address), "POST", path, body, timeoutMs, handler);
   }
 
   /** Sends a POST request to another controller. Typed calls are offered by {@link #peers()}. */
   public void callPeer(
-      ControllerName to, String path, JsonNode body, int timeoutMs, AnswerHandler then) {
-    call(new Output.Peer(to), "POST", path, body, timeoutMs, then);
+      ControllerName to, String path, JsonNode body, int timeoutMs, AnswerHandler handler) {
+    call(new Output.Peer(to), "POST", path, body, timeoutMs, handler);
   }
 
   private void call(
@@ -194,8 +194,8 @@
       String path,
       JsonNode body,
       int timeoutMs,
-      AnswerHandler then) {
-    long number = calls.add(target, then);
+      AnswerHandler handler) {
+    long number = calls.add(target, handler);
     outputs.call(new Output.Call(number, target, method, path, body, timeoutMs));
   }
 
@@ -214,7 +214,7 @@
       budget.drain();
       count("state.throttled");
     }
-    call.then().answer(answer.status(), answer.body());
+    call.handler().handle(answer.status(), answer.body());
   }
 
   // ---- reachability of other processes -----------------------------------------------------
--- a/src/main/java/shorecrank/coordination/step/StepOutputs.java
+++ b/src/main/java/shorecrank/coordination/step/StepOutputs.java
@@ -16,10 +16,10 @@
   private List<Output> outputs = new ArrayList<>();
 
   /** Removes and returns all outputs. */
-  List<Output> take() {
-    List<Output> taken = outputs;
+  List<Output> removeAll() {
+    List<Output> removed = outputs;
     outputs = new ArrayList<>();
-    return taken;
+    return removed;
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/step/StepStateStore.java
+++ b/src/main/java/shorecrank/coordination/step/StepStateStore.java
@@ -31,13 +31,13 @@
   }
 
   @Override
-  public void read(String key, int timeoutMs, Consumer<ReadResult> then) {
+  public void read(String key, int timeoutMs, Consumer<ReadResult> callback) {
     context.callStore(
         "GET",
         StorePaths.key(key),
         null,
         timeoutMs,
-        (status, body) -> then.accept(readResult(status, body)));
+        (status, body) -> callback.accept(readResult(status, body)));
   }
 
   private static ReadResult readResult(int status, JsonNode body) {
@@ -50,13 +50,13 @@
 
   @Override
   public void list(
-      String prefix, String after, int limit, int timeoutMs, Consumer<ListResult> then) {
+      String prefix, String after, int limit, int timeoutMs, Consumer<ListResult> callback) {
     context.callStore(
         "GET",
         StorePaths.list(prefix, after, limit),
         null,
         timeoutMs,
-        (status, body) -> then.accept(listResult(status, body)));
+        (status, body) -> callback.accept(listResult(status, body)));
   }
 
   private static ListResult listResult(int status, JsonNode body) {
@@ -68,24 +68,24 @@
   }
 
   @Override
-  public void watch(String prefix, long afterRevision, int holdMs, Consumer<WatchResult> then) {
+  public void watch(String prefix, long afterRevision, int holdMs, Consumer<WatchResult> callback) {
     context.callStore(
         "GET",
         StorePaths.watch(prefix, afterRevision, holdMs),
         null,
         holdMs + WATCH_MARGIN_MS,
-        (status, body) -> then.accept(watchResult(status, body)));
+        (status, body) -> callback.accept(watchResult(status, body)));
   }
 
   @Override
   public void readChanges(
-      String prefix, long afterRevision, int timeoutMs, Consumer<WatchResult> then) {
+      String prefix, long afterRevision, int timeoutMs, Consumer<WatchResult> callback) {
     context.callStore(
         "GET",
         StorePaths.watch(prefix, afterRevision, 0),
         null,
         timeoutMs,
-        (status, body) -> then.accept(watchResult(status, body)));
+        (status, body) -> callback.accept(watchResult(status, body)));
   }
 
   private static WatchResult watchResult(int status, JsonNode body) {
@@ -98,13 +98,13 @@
   }
 
   @Override
-  public void commit(Transaction transaction, int timeoutMs, Consumer<CommitResult> then) {
+  public void commit(Transaction transaction, int timeoutMs, Consumer<CommitResult> callback) {
     context.callStore(
         "POST",
         StorePaths.TRANSACTION,
         transaction.body(),
         timeoutMs,
-        (status, body) -> then.accept(commitResult(status, body)));
+        (status, body) -> callback.accept(commitResult(status, body)));
   }
 
   private static CommitResult commitResult(int status, JsonNode body) {
