--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -65,8 +65,8 @@
    * would expire although the workers are healthy.
    */
   boolean isUnreachableForWorkers(ShardId id, ShardState shard, WorkerReachability workers) {
-    if (workers.unheard() < MIN_UNHEARD
-        || workers.unheard() * MIN_UNHEARD_DIVISOR < workers.expected()
+    if (workers.overdue() < MIN_UNHEARD
+        || workers.overdue() * MIN_UNHEARD_DIVISOR < workers.expected()
         || shard.msSinceUnreachable(context.now()) < REPLACEMENT_PAUSE_MS) {
       return false;
     }
@@ -80,7 +80,7 @@
       heardElsewhere += controller.misroutedWorkers(id);
       hasReachableCandidate |= isLikelyReachable(entry.getKey(), shard.owner(), workers);
     }
-    boolean isHalfHeardElsewhere = heardElsewhere * 2 >= workers.unheard();
+    boolean isHalfHeardElsewhere = heardElsewhere * 2 >= workers.overdue();
     return hasReachableCandidate && isHalfHeardElsewhere;
   }
 
@@ -93,7 +93,7 @@
    */
   private boolean isLikelyReachable(
       ControllerName candidate, ControllerName owner, WorkerReachability workers) {
-    boolean areTwoThirdsUnheard = workers.unheard() * 3 > workers.expected() * 2;
+    boolean areTwoThirdsUnheard = workers.overdue() * 3 > workers.expected() * 2;
     if (areTwoThirdsUnheard) {
       return true;
     }
--- a/src/main/java/shorecrank/coordination/model/CommandTokens.java
+++ b/src/main/java/shorecrank/coordination/model/CommandTokens.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Records that a direct command was sent. The caller calls {@link #recordDirectCommandAnswered()} once
-   * it is answered or times out.
+   * Records that a direct command was sent. The caller calls {@link #recordDirectCommandAnswered()}
+   * once it is answered or times out.
    */
   public void recordDirectCommandSent() {
     unansweredDirectCommands++;
--- a/src/main/java/shorecrank/coordination/step/PeerClient.java
+++ b/src/main/java/shorecrank/coordination/step/PeerClient.java
@@ -58,8 +58,8 @@
   /**
    * Queries a shard's owner for the status of jobs.
    *
-   * @param callback receives the status of each job that the owner knows; empty if the owner does not
-   *     answer
+   * @param callback receives the status of each job that the owner knows; empty if the owner does
+   *     not answer
    */
   public void queryStatus(
       ControllerName owner,
--- a/src/main/java/shorecrank/protocol/HeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatCodec.java
@@ -74,7 +74,7 @@
     object.put(REFUSED_EPOCH, report.refusedEpoch().value());
     object.put(HAS_QUEUED_TASKS, report.hasQueuedTasks());
     WorkerReachability reachability = report.reachability();
-    object.put(EXPECTED, reachability.expected()).put(UNHEARD, reachability.unheard());
+    object.put(EXPECTED, reachability.expected()).put(UNHEARD, reachability.overdue());
     ArrayNode zones = object.putArray(UNREACHABLE_ZONES);
     reachability.unreachableZones().forEach(zones::add);
     ArrayNode requests = object.putArray(CAPACITY_REQUESTS);
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -34,10 +34,10 @@
    * How many of a shard's workers do not reach the shard's owner with their heartbeats.
    *
    * @param expected number of machines whose heartbeats should reach the owner
-   * @param unheard how many of {@code expected} have not sent a heartbeat in time
-   * @param unreachableZones zones in which more than half of the expected machines are unheard
+   * @param overdue how many of {@code expected} have not sent a heartbeat in time
+   * @param unreachableZones zones in which more than half of the expected workers are overdue
    */
-  public record WorkerReachability(int expected, int unheard, List<String> unreachableZones) {}
+  public record WorkerReachability(int expected, int overdue, List<String> unreachableZones) {}
 
   /**
    * A machine that the shard's owner has emptied for a move and hands over.
