--- a/src/main/java/shorecrank/coordination/ForeignWorkers.java
+++ b/src/main/java/shorecrank/coordination/ForeignWorkers.java
@@ -53,7 +53,7 @@
   }
 
   /** Removes and returns unassigned machines, at most as many as fit into one heartbeat. */
-  List<MachineInfo> takeUnassigned() {
+  List<MachineInfo> pollUnassigned() {
     List<MachineInfo> taken = new ArrayList<>();
     Iterator<MachineInfo> left = unassigned.values().iterator();
     while (left.hasNext() && taken.size() < MAX_MACHINES_PER_MESSAGE) {
--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -133,7 +133,7 @@
 
   private Heartbeat compose() {
     List<ShardReport> reports = shards.report();
-    List<MachineInfo> unassigned = foreignWorkers.takeUnassigned();
+    List<MachineInfo> unassigned = foreignWorkers.pollUnassigned();
     if (foreignWorkers.hasUnassigned()) {
       // The machines that did not fit into this message are not delayed by a whole interval.
       scheduleIn(BATCH_DELAY_MS);
--- a/src/main/java/shorecrank/coordination/PeerRequestRouter.java
+++ b/src/main/java/shorecrank/coordination/PeerRequestRouter.java
@@ -65,11 +65,13 @@
       case PeerPaths.CONFIRMED_CANCELLATIONS ->
           post(request, () -> handleConfirmationQuery(request));
       case PeerPaths.FORWARDED_REQUEST -> post(request, () -> handleForwardedRequest(request));
-      case OperatorPaths.ROLLOUT_STATUS -> handlers.rollouts.status(request);
-      case OperatorPaths.ROLLOUT_ORDERS -> post(request, () -> handlers.rollouts.order(request));
-      case OperatorPaths.ROLLOUT_KEYS -> post(request, () -> handlers.rollouts.keys(request));
-      case OperatorPaths.SHARES_STATUS -> handlers.shares.show(request);
-      case OperatorPaths.SHARES_ORDERS -> post(request, () -> handlers.shares.order(request));
+      case OperatorPaths.ROLLOUT_STATUS -> handlers.rollouts.handleStatus(request);
+      case OperatorPaths.ROLLOUT_ORDERS ->
+          post(request, () -> handlers.rollouts.handleOrder(request));
+      case OperatorPaths.ROLLOUT_KEYS ->
+          post(request, () -> handlers.rollouts.handleKeysQuery(request));
+      case OperatorPaths.SHARES_STATUS -> handlers.shares.handleStatus(request);
+      case OperatorPaths.SHARES_ORDERS -> post(request, () -> handlers.shares.handleOrder(request));
       default -> context.reply(request.reply(), NOT_FOUND, Json.error("no such path"));
     }
   }
--- a/src/main/java/shorecrank/coordination/RequestForwarder.java
+++ b/src/main/java/shorecrank/coordination/RequestForwarder.java
@@ -37,10 +37,10 @@
    * Forwards a request if another controller is known to reach the state service: to the leader or,
    * if this controller leads or no leader is known, to a random other controller.
    *
-   * @param failed run if the other controller gives no answer that can be passed on to the user
+   * @param onFailure run if the other controller gives no answer that can be passed on to the user
    * @return false if there is no such controller; the caller then has to answer the request
    */
-  boolean forward(UserRequest request, Runnable failed) {
+  boolean forward(UserRequest request, Runnable onFailure) {
     if (!peerReachability.isReachable()
         || peerReachability.msSinceReport() > PEER_INFO_MAX_AGE_MS) {
       return false;
@@ -64,7 +64,7 @@
             FORWARD_TIMEOUT_MS,
             request.reply(),
             RequestForwarder::isFinal,
-            status -> failed.run());
+            status -> onFailure.run());
     return true;
   }
 
--- a/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
+++ b/src/main/java/shorecrank/coordination/StatusQueryForwarder.java
@@ -41,20 +41,20 @@
   /**
    * Queries the shard's owner for the job's status.
    *
-   * @param then receives the status; empty if the owner is unknown, does not answer or does not
+   * @param callback receives the status; empty if the owner is unknown, does not answer or does not
    *     know the status
    */
-  void query(ShardId shard, JobId job, StatusCallback then) {
+  void query(ShardId shard, JobId job, StatusCallback callback) {
     ShardOwner shardOwner = shards.find(shard);
     if (shardOwner != null) {
-      shardOwner.queryStatus(job, then);
+      shardOwner.queryStatus(job, callback);
     } else if (owners.findOther(shard).isEmpty()) {
-      then.onStatus(Optional.empty());
+      callback.onStatus(Optional.empty());
     } else {
       pending
           .computeIfAbsent(shard, key -> new LinkedHashMap<>())
           .computeIfAbsent(job, key -> new ArrayList<>(1))
-          .add(then);
+          .add(callback);
     }
   }
 
--- a/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignedMachine.java
@@ -151,7 +151,7 @@
    * @param isSingleShard whether the fleet has only one shard; the epoch is then left out, since no
    *     other shard can own the machine
    */
-  MachineAssignment describe(boolean isSingleShard, MonotonicTime now) {
+  MachineAssignment toMachineAssignment(boolean isSingleShard, MonotonicTime now) {
     Epoch lowestEpoch = isSingleShard ? Epoch.NONE : epoch();
     return new MachineAssignment(
         info(), shard(), now.since(assignedAt), lowestEpoch, handoverRequested, move);
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -99,11 +99,11 @@
   /**
    * Reads all assignments again.
    *
-   * @param then receives the assignments; empty if a page could not be read
+   * @param callback receives the assignments; empty if a page could not be read
    */
-  void load(Consumer<Optional<List<StoredAssignment>>> then) {
+  void load(Consumer<Optional<List<StoredAssignment>>> callback) {
     revisions.clear();
-    readPages("", new ArrayList<>(), entries -> then.accept(entries.map(this::restore)));
+    readPages("", new ArrayList<>(), entries -> callback.accept(entries.map(this::restore)));
   }
 
   private List<StoredAssignment> restore(List<Entry> entries) {
@@ -127,9 +127,9 @@
    * Reads all keys page by page.
    *
    * @param after the last key that was read; empty for the first page
-   * @param then receives all entries; empty if a page could not be read
+   * @param callback receives all entries; empty if a page could not be read
    */
-  private void readPages(String after, List<Entry> read, Consumer<Optional<List<Entry>>> then) {
+  private void readPages(String after, List<Entry> read, Consumer<Optional<List<Entry>>> callback) {
     context
         .store()
         .list(
@@ -139,15 +139,15 @@
             CALL_TIMEOUT_MS,
             result -> {
               if (!(result instanceof ListResult.Page page)) {
-                then.accept(Optional.empty());
+                callback.accept(Optional.empty());
                 return;
               }
               List<Entry> entries = page.entries();
               read.addAll(entries);
               if (page.more() && !entries.isEmpty()) {
-                readPages(entries.get(entries.size() - 1).key(), read, then);
+                readPages(entries.get(entries.size() - 1).key(), read, callback);
               } else {
-                then.accept(Optional.of(read));
+                callback.accept(Optional.of(read));
               }
             });
   }
--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -93,9 +93,9 @@
    *
    * @param claim the idempotency key: repeating a request with the same key rents no further
    *     machines
-   * @param then receives the outcome
+   * @param callback receives the outcome
    */
-  void rent(String claim, Offer offer, int count, Consumer<RentResult> then) {
+  void rent(String claim, Offer offer, int count, Consumer<RentResult> callback) {
     context.callCloud(
         "POST",
         CloudMessages.RENTAL_PATH,
@@ -103,13 +103,13 @@
         CALL_TIMEOUT_MS,
         (status, body) -> {
           if (status == OK) {
-            then.accept(new RentResult.Rented(CloudCodec.readRented(body)));
+            callback.accept(new RentResult.Rented(CloudCodec.readRented(body)));
           } else if (status == UNAVAILABLE && NO_CAPACITY.equals(Json.text(body.path(ERROR)))) {
-            then.accept(new RentResult.NoCapacity());
+            callback.accept(new RentResult.NoCapacity());
           } else if (status == BAD_REQUEST) {
-            then.accept(new RentResult.Malformed());
+            callback.accept(new RentResult.Malformed());
           } else {
-            then.accept(new RentResult.Unknown());
+            callback.accept(new RentResult.Unknown());
           }
         });
   }
@@ -117,31 +117,31 @@
   /**
    * Releases machines.
    *
-   * @param then receives whether the cloud has taken all of them back
+   * @param callback receives whether the cloud has taken all of them back
    */
-  void release(List<MachineName> machines, Consumer<Boolean> then) {
+  void release(List<MachineName> machines, Consumer<Boolean> callback) {
     context.callCloud(
         "POST",
         CloudMessages.RELEASE_PATH,
         CloudCodec.writeRelease(machines),
         CALL_TIMEOUT_MS,
-        (status, body) -> then.accept(status == OK));
+        (status, body) -> callback.accept(status == OK));
   }
 
   /**
    * Reads a page of the machine list.
    *
    * @param after the name of the last machine of the previous page; empty for the first page
-   * @param then receives the page, or the failure
+   * @param callback receives the page, or the failure
    */
-  void list(String after, Consumer<ListingResult> then) {
+  void list(String after, Consumer<ListingResult> callback) {
     context.callCloud(
         "GET",
         CloudMessages.listPath(after),
         null,
         CALL_TIMEOUT_MS,
         (status, body) ->
-            then.accept(
+            callback.accept(
                 status == OK
                     ? new ListingResult.Page(CloudCodec.readListed(body), CloudCodec.hasMore(body))
                     : new ListingResult.Unavailable()));
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -17,7 +17,7 @@
   private final MachineReleases releases;
   private final UnavailableOffers unavailable;
   private final MachineRental rental;
-  private final MachineListing listing;
+  private final MachineListReconciler listing;
 
   CloudProvisioner(
       StepContext context,
@@ -30,7 +30,8 @@
     this.releases = releases;
     this.unavailable = new UnavailableOffers(context);
     this.rental = new MachineRental(context, loadedTerm, client, unavailable, admission);
-    this.listing = new MachineListing(context, loadedTerm, machines, client, releases, admission);
+    this.listing =
+        new MachineListReconciler(context, loadedTerm, machines, client, releases, admission);
   }
 
   /** Updates the machine types that the cloud offers. */
@@ -81,6 +82,6 @@
    * again.
    */
   List<UnavailableOffer> unavailableOffers() {
-    return unavailable.describe();
+    return unavailable.current();
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -440,7 +440,7 @@
   }
 
   @Override
-  public void levelSwitched(FeatureLevel to, Revision revision) {
+  public void onLevelSwitched(FeatureLevel to, Revision revision) {
     boolean otherKey = isProtected() != isProtected(to);
     level = to;
     leaderKeyRevision = revision;
--- a/src/main/java/shorecrank/coordination/leader/GrantClient.java
+++ b/src/main/java/shorecrank/coordination/leader/GrantClient.java
@@ -37,9 +37,9 @@
    * Creates a grant.
    *
    * @param ttlMs the time to live in milliseconds
-   * @param then receives the grant's id; empty if it is not known whether the grant exists
+   * @param callback receives the grant's id; empty if it is not known whether the grant exists
    */
-  void create(long ttlMs, Consumer<OptionalLong> then) {
+  void create(long ttlMs, Consumer<OptionalLong> callback) {
     context.callStore(
         "POST",
         StorePaths.GRANTS,
@@ -47,23 +47,24 @@
         CALL_TIMEOUT_MS,
         (status, body) -> {
           long grant = StoreCodec.readGrantId(body);
-          then.accept(status != OK || grant < 0 ? OptionalLong.empty() : OptionalLong.of(grant));
+          callback.accept(
+              status != OK || grant < 0 ? OptionalLong.empty() : OptionalLong.of(grant));
         });
   }
 
   /**
    * Renews a grant.
    *
-   * @param then receives the outcome
+   * @param callback receives the outcome
    */
-  void renew(long grant, Consumer<Renewal> then) {
+  void renew(long grant, Consumer<Renewal> callback) {
     context.callStore(
         "POST",
         StorePaths.grantRenewal(grant),
         Json.object(),
         CALL_TIMEOUT_MS,
         (status, body) ->
-            then.accept(
+            callback.accept(
                 switch (status) {
                   case OK -> Renewal.RENEWED;
                   case NOT_FOUND -> Renewal.ENDED;
@@ -74,14 +75,14 @@
   /**
    * Revokes a grant.
    *
-   * @param then receives whether the grant is known to have ended
+   * @param callback receives whether the grant is known to have ended
    */
-  void revoke(long grant, Consumer<Boolean> then) {
+  void revoke(long grant, Consumer<Boolean> callback) {
     context.callStore(
         "DELETE",
         StorePaths.grant(grant),
         null,
         CALL_TIMEOUT_MS,
-        (status, body) -> then.accept(status == OK || status == NOT_FOUND));
+        (status, body) -> callback.accept(status == OK || status == NOT_FOUND));
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/Leader.java
+++ b/src/main/java/shorecrank/coordination/leader/Leader.java
@@ -124,7 +124,7 @@
       return;
     }
     rollout.updateGate();
-    assigner.observe();
+    assigner.refresh();
     if (!isReady()) {
       if (!loadedTerm.isCurrent(election.term())
           && !recovery.isLoading()
@@ -201,7 +201,7 @@
     rollout.recordHeartbeat(heartbeat);
     List<Lease> leases = leaseRenewal.renew(heartbeat, sender);
     handleReports(heartbeat);
-    for (MachineInfo machine : heartbeat.seenMachines()) {
+    for (MachineInfo machine : heartbeat.unassignedMachines()) {
       admission.admitDiscovered(machine, "source=heartbeat controller=" + heartbeat.sender());
     }
     return answerBuilder.build(heartbeat, leases);
--- a/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -110,7 +110,7 @@
     }
     context.info(
         "shard.revoked shard=%s owner=%s reason=workers_unreached heard=%d expected=%d",
-        id, shard.owner(), workers.expected() - workers.unheard(), workers.expected());
+        id, shard.owner(), workers.expected() - workers.overdue(), workers.expected());
     context.count("part.unreached");
     shard.revokeUnreachable(workers.unreachableZones(), context.now());
     return false;
--- a/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineAssigner.java
@@ -21,7 +21,7 @@
    * Reads the assigner's stored state if that is due; called on every tick, also while no shard may
    * be granted.
    */
-  void observe();
+  void refresh();
 
   /**
    * Reports whether an assignment of unknown outcome may still be carried out; no other assignment
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -93,14 +93,14 @@
   /**
    * Reads all assignments again.
    *
-   * @param then receives whether that succeeded
+   * @param callback receives whether that succeeded
    */
-  void load(Consumer<Boolean> then) {
+  void load(Consumer<Boolean> callback) {
     machines.clear();
     store.load(
         assignments -> {
           assignments.ifPresent(all -> all.forEach(this::restore));
-          then.accept(assignments.isPresent());
+          callback.accept(assignments.isPresent());
         });
   }
 
@@ -161,7 +161,7 @@
    * Tells a machine's owner that it may go on using the machine, since no move concerns it any
    * more.
    */
-  void keep(AssignedMachine machine) {
+  void clearMove(AssignedMachine machine) {
     machine.updateMove(MoveId.NONE, false, changes.advance());
   }
 
@@ -242,7 +242,7 @@
     }
     for (AssignedMachine machine : machines.values()) {
       if (mayAnnounce(machine, isSingleShard) && (isComplete || machine.version() > known)) {
-        assigned.add(machine.describe(isSingleShard, context.now()));
+        assigned.add(machine.toMachineAssignment(isSingleShard, context.now()));
       }
     }
     if (!isComplete) {
--- a/src/main/java/shorecrank/coordination/leader/MachineListing.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListReconciler.java
@@ -18,7 +18,7 @@
  * Reads the cloud's machine list and reconciles it with the leader's machines: assigns unknown
  * machines, and releases those that have failed or disappeared from the list.
  */
-final class MachineListing {
+final class MachineListReconciler {
   /** The part of the cloud's rate limit that reading the machine list may use. */
   private static final double CALL_SHARE = 0.3;
 
@@ -84,7 +84,7 @@
   private MonotonicTime nextReadAt = new MonotonicTime(0);
   private Map<String, MachineType> catalog = Map.of();
 
-  MachineListing(
+  MachineListReconciler(
       StepContext context,
       LoadedTerm loadedTerm,
       MachineDirectory machines,
@@ -177,7 +177,7 @@
     long lagMs = (long) (context.config().cloud().listLagS() * 2 * MS_PER_S) + LAG_MARGIN_MS;
     listed.forEach(machine -> reconcile(machine, lagMs, now));
     releaseUnlisted(lagMs);
-    releases.forgetOld(now);
+    releases.removeOld(now);
     context.gauge("machines", machines.size());
   }
 
--- a/src/main/java/shorecrank/coordination/leader/MachineReleases.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineReleases.java
@@ -91,7 +91,7 @@
   }
 
   /** Forgets releases that were confirmed long ago. */
-  void forgetOld(MonotonicTime now) {
+  void removeOld(MonotonicTime now) {
     released.values().removeIf(at -> now.since(at) > RELEASED_RETENTION_MS);
   }
 
--- a/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
@@ -98,7 +98,7 @@
   }
 
   /** Records that the transaction was committed at a revision. */
-  void committed(Revision revision) {
+  void onCommitted(Revision revision) {
     store.commitTransfer(buckets, values.keySet(), revision);
     moved.forEach(directory::completeTransfer);
   }
@@ -108,7 +108,7 @@
    *
    * @param conflict whether a guard failed, so that the keys' revisions have to be read again
    */
-  void refused(boolean conflict) {
+  void onRefused(boolean conflict) {
     store.cancelTransfer(buckets.keySet());
     moved.keySet().forEach(directory::cancelTransfer);
     if (conflict) {
--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -23,10 +23,10 @@
   /**
    * The minimum number of unheard workers for a replacement; a single worker is no reason for one.
    */
-  private static final int MIN_UNHEARD = 2;
+  private static final int MIN_OVERDUE = 2;
 
   /** An owner is replaced only if it doesn't hear at least 1/5 of its workers. */
-  private static final int MIN_UNHEARD_DIVISOR = 5;
+  private static final int MIN_OVERDUE_DIVISOR = 5;
 
   private final StepContext context;
   private final ControllerTable controllers;
@@ -65,23 +65,23 @@
    * would expire although the workers are healthy.
    */
   boolean isUnreachableForWorkers(ShardId id, ShardState shard, WorkerReachability workers) {
-    if (workers.unheard() < MIN_UNHEARD
-        || workers.unheard() * MIN_UNHEARD_DIVISOR < workers.expected()
+    if (workers.overdue() < MIN_OVERDUE
+        || workers.overdue() * MIN_OVERDUE_DIVISOR < workers.expected()
         || shard.msSinceUnreachable(context.now()) < REPLACEMENT_PAUSE_MS) {
       return false;
     }
-    int heardElsewhere = 0;
+    int reachingOthers = 0;
     boolean hasReachableCandidate = false;
     for (Map.Entry<ControllerName, ControllerState> entry : controllers.entries()) {
       ControllerState controller = entry.getValue();
       if (entry.getKey().equals(shard.owner()) || !controllers.canServe(controller)) {
         continue;
       }
-      heardElsewhere += controller.misroutedWorkers(id);
+      reachingOthers += controller.misroutedWorkers(id);
       hasReachableCandidate |= isLikelyReachable(entry.getKey(), shard.owner(), workers);
     }
-    boolean isHalfHeardElsewhere = heardElsewhere * 2 >= workers.unheard();
-    return hasReachableCandidate && isHalfHeardElsewhere;
+    boolean isHalfReachingOthers = reachingOthers * 2 >= workers.overdue();
+    return hasReachableCandidate && isHalfReachingOthers;
   }
 
   /**
@@ -93,8 +93,8 @@
    */
   private boolean isLikelyReachable(
       ControllerName candidate, ControllerName owner, WorkerReachability workers) {
-    boolean areTwoThirdsUnheard = workers.unheard() * 3 > workers.expected() * 2;
-    if (areTwoThirdsUnheard) {
+    boolean areTwoThirdsOverdue = workers.overdue() * 3 > workers.expected() * 2;
+    if (areTwoThirdsOverdue) {
       return true;
     }
     String zone = controllers.zoneOf(candidate);
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -102,7 +102,7 @@
   }
 
   @Override
-  public void observe() {
+  public void refresh() {
     moves.refresh();
   }
 
@@ -140,7 +140,7 @@
 
   @Override
   public Collection<FleetMachine> machines() {
-    return machines.all().stream().map(this::describe).toList();
+    return machines.all().stream().map(this::toFleetMachine).toList();
   }
 
   @Override
@@ -154,10 +154,10 @@
   @Override
   public FleetMachine machine(MachineName name) {
     AssignedMachine machine = machines.get(name);
-    return machine == null ? null : describe(machine);
+    return machine == null ? null : toFleetMachine(machine);
   }
 
-  private FleetMachine describe(AssignedMachine machine) {
+  private FleetMachine toFleetMachine(AssignedMachine machine) {
     MachineInfo info = machine.info();
     MachineType type = catalog.get(info.type());
     return new FleetMachine(
@@ -181,8 +181,8 @@
   }
 
   @Override
-  public void raiseEpochAbove(ShardId shard, Epoch least) {
-    shards.raiseEpochAbove(shard, least);
+  public void raiseEpochAbove(ShardId shard, Epoch lowerBound) {
+    shards.raiseEpochAbove(shard, lowerBound);
   }
 
   @Override
@@ -192,7 +192,7 @@
 
   @Override
   public void clearMove(MachineName name) {
-    machines.keep(machines.get(name));
+    machines.clearMove(machines.get(name));
   }
 
   @Override
@@ -235,13 +235,13 @@
     }
 
     @Override
-    public void committed(Revision at) {
-      transfer.committed(at);
+    public void onCommitted(Revision at) {
+      transfer.onCommitted(at);
     }
 
     @Override
-    public void refused(boolean conflict) {
-      transfer.refused(conflict);
+    public void onRefused(boolean conflict) {
+      transfer.onRefused(conflict);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public void observe() {}
+  public void refresh() {}
 
   @Override
   public boolean isUnsettled() {
@@ -92,7 +92,7 @@
     if (!report.echoesMoveIds()) {
       // An owner of an earlier version doesn't repeat the move's id, so its handover could be
       // premature or belong to a move that has ended. Its machines are therefore kept.
-      keepAll(report.shard());
+      clearMoves(report.shard());
       return;
     }
     for (MachineHandover handover : report.handovers()) {
@@ -118,10 +118,10 @@
     }
   }
 
-  private void keepAll(ShardId shard) {
+  private void clearMoves(ShardId shard) {
     for (AssignedMachine machine : machines.all()) {
       if (machine.isHandoverRequested() && machine.shard().equals(shard)) {
-        machines.keep(machine);
+        machines.clearMove(machine);
       }
     }
   }
@@ -158,7 +158,7 @@
   private void handOver(AssignedMachine machine, ShardId from) {
     ShardId to = machine.reclaimedBy() != null ? machine.reclaimedBy() : neediest();
     if (to.equals(from)) {
-      machines.keep(machine);
+      machines.clearMove(machine);
       return;
     }
     Epoch last = Epoch.higher(machine.epoch(), shards.epoch(from));
--- a/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
+++ b/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
@@ -64,7 +64,7 @@
    * Returns the offers that are not requested at the moment, with the time until they are requested
    * again.
    */
-  List<UnavailableOffer> describe() {
+  List<UnavailableOffer> current() {
     List<UnavailableOffer> offers = new ArrayList<>();
     unavailableUntil.forEach(
         (offer, until) -> {
--- a/src/main/java/shorecrank/coordination/request/JobLookup.java
+++ b/src/main/java/shorecrank/coordination/request/JobLookup.java
@@ -48,7 +48,7 @@
   }
 
   /** Caches the shard of a job. */
-  void rememberShard(JobSpec spec) {
+  void cacheShard(JobSpec spec) {
     shards.put(spec.id(), ShardId.of(spec.team(), context.settings().shards()));
   }
 
@@ -110,7 +110,7 @@
       context.reportUnreadableValue(key);
       return new LookupResult.Unknown();
     }
-    rememberShard(record.spec());
+    cacheShard(record.spec());
     return new LookupResult.Found(new Unfinished(record, entry.revision()));
   }
 
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -56,7 +56,7 @@
   }
 
   /** Answers with the feature level in force and the levels that the controllers support. */
-  public void status(Input.Request request) {
+  public void handleStatus(Input.Request request) {
     leader.answerOrForward(
         request,
         OperatorPaths.ROLLOUT_STATUS,
@@ -64,7 +64,7 @@
   }
 
   /** Executes an operator's order and answers with its outcome. */
-  public void order(Input.Request request) {
+  public void handleOrder(Input.Request request) {
     leader.answerOrForward(request, OperatorPaths.ROLLOUT_ORDERS, () -> execute(request));
   }
 
@@ -80,7 +80,7 @@
           "malformed order, or level out of range");
       return;
     }
-    rollout.order(
+    rollout.handleOrder(
         order,
         outcome ->
             leader.replyOutcome(
@@ -88,7 +88,7 @@
   }
 
   /** Answers with a page of the scheduler's keys or of those of its archives, and no others. */
-  public void keys(Input.Request request) {
+  public void handleKeysQuery(Input.Request request) {
     if (!leader.requireEnabled(request)) {
       return;
     }
--- a/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
@@ -31,7 +31,7 @@
   }
 
   /** Answers with the shares of the shards and the machine moves in progress. */
-  public void show(Input.Request request) {
+  public void handleStatus(Input.Request request) {
     leader.answerOrForward(
         request,
         OperatorPaths.SHARES_STATUS,
@@ -39,7 +39,7 @@
   }
 
   /** Executes an operator's order and answers with its outcome. */
-  public void order(Input.Request request) {
+  public void handleOrder(Input.Request request) {
     leader.answerOrForward(request, OperatorPaths.SHARES_ORDERS, () -> execute(request));
   }
 
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -119,7 +119,7 @@
   }
 
   private void create(Submission submission, JobState state, int attemptsLeft) {
-    jobs.rememberShard(submission.spec);
+    jobs.cacheShard(submission.spec);
     context
         .store()
         .commit(
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -304,7 +304,7 @@
     Set<String> failedKeys =
         result instanceof CommitResult.Conflict conflict ? conflict.failedKeys() : Set.of();
     if (failedKeys.contains(RolloutMessages.KEY)) {
-      gate.guardFailed();
+      gate.onGuardFailed();
     }
     for (RecordWrite write : writes) {
       Job job = write.job();
--- a/src/main/java/shorecrank/leadership/LeaderKey.java
+++ b/src/main/java/shorecrank/leadership/LeaderKey.java
@@ -66,7 +66,7 @@
     void addGuards(Transaction transaction);
 
     /** Called after a write was refused because the guards of the given keys failed. */
-    void guardsFailed(Set<String> failedKeys);
+    void onGuardsFailed(Set<String> failedKeys);
 
     /** Reports whether a write that was refused by a guard may have been committed nevertheless. */
     boolean isConflictInDoubt();
@@ -80,7 +80,7 @@
      * @param isCommitted whether the write was committed
      * @param before the last known value while the key was in doubt
      */
-    void outcomeResolved(boolean isCommitted, V before);
+    void onOutcomeResolved(boolean isCommitted, V before);
   }
 
   private final LeaderEnvironment environment;
@@ -235,17 +235,17 @@
   private void finishWrite(boolean isCommitted, V before) {
     pending = null;
     isInDoubt = false;
-    rules.outcomeResolved(isCommitted, before);
+    rules.onOutcomeResolved(isCommitted, before);
   }
 
   /**
    * Writes a value. Callers must check {@link #isIdle} first.
    *
    * @param additions adds operations that are committed atomically with the write
-   * @param then receives the result, which is unknown if this process stopped leading, or the key
-   *     was read in another term, before the answer came
+   * @param callback receives the result, which is unknown if this process stopped leading, or the
+   *     key was read in another term, before the answer came
    */
-  public void write(V next, Consumer<Transaction> additions, Consumer<CommitResult> then) {
+  public void write(V next, Consumer<Transaction> additions, Consumer<CommitResult> callback) {
     pending = next;
     pendingTerm = readTerm;
     commit(
@@ -257,7 +257,7 @@
           if (!isInDoubt) {
             pending = null;
           }
-          then.accept(result);
+          callback.accept(result);
         });
   }
 
@@ -276,7 +276,7 @@
         });
   }
 
-  private void commit(V next, Consumer<Transaction> additions, Consumer<CommitResult> then) {
+  private void commit(V next, Consumer<Transaction> additions, Consumer<CommitResult> callback) {
     Revision term = readTerm;
     Transaction transaction = new Transaction();
     leadership.guard(transaction);
@@ -287,7 +287,7 @@
         transaction,
         result -> {
           if (!readTerm.equals(term)) {
-            then.accept(new CommitResult.Unknown(0));
+            callback.accept(new CommitResult.Unknown(0));
             return;
           }
           if (result instanceof CommitResult.Committed committed) {
@@ -299,10 +299,10 @@
           if (result instanceof CommitResult.Conflict conflict) {
             // Another process leads, a guard that the rules added has failed, or an earlier write
             // that was in doubt has been committed.
-            rules.guardsFailed(conflict.failedKeys());
+            rules.onGuardsFailed(conflict.failedKeys());
             readTerm = Revision.ABSENT;
           }
-          then.accept(result);
+          callback.accept(result);
         });
   }
 }
--- a/src/main/java/shorecrank/leadership/Leadership.java
+++ b/src/main/java/shorecrank/leadership/Leadership.java
@@ -25,5 +25,5 @@
   void addLevelSwitch(Transaction transaction, FeatureLevel to);
 
   /** Called after a transaction that switches to a feature level was committed at a revision. */
-  void levelSwitched(FeatureLevel to, Revision revision);
+  void onLevelSwitched(FeatureLevel to, Revision revision);
 }
--- a/src/main/java/shorecrank/leadership/SequentialStore.java
+++ b/src/main/java/shorecrank/leadership/SequentialStore.java
@@ -43,9 +43,9 @@
   }
 
   /** Reads a key. */
-  public void read(String key, Consumer<ReadResult> then) {
+  public void read(String key, Consumer<ReadResult> callback) {
     isBusy = true;
-    environment.store().read(key, CALL_TIMEOUT_MS, result -> finish(result, then));
+    environment.store().read(key, CALL_TIMEOUT_MS, result -> finish(result, callback));
   }
 
   /**
@@ -54,27 +54,29 @@
    * @param after the last key of the previous page; empty for the first page
    * @param limit the maximum number of keys in the page
    */
-  public void list(String prefix, String after, int limit, Consumer<ListResult> then) {
+  public void list(String prefix, String after, int limit, Consumer<ListResult> callback) {
     isBusy = true;
-    environment.store().list(prefix, after, limit, CALL_TIMEOUT_MS, result -> finish(result, then));
+    environment
+        .store()
+        .list(prefix, after, limit, CALL_TIMEOUT_MS, result -> finish(result, callback));
   }
 
   /** Reads the changes of keys with a prefix after a revision, without waiting for further ones. */
-  public void readChanges(String prefix, long afterRevision, Consumer<WatchResult> then) {
+  public void readChanges(String prefix, long afterRevision, Consumer<WatchResult> callback) {
     isBusy = true;
     environment
         .store()
-        .readChanges(prefix, afterRevision, CALL_TIMEOUT_MS, result -> finish(result, then));
+        .readChanges(prefix, afterRevision, CALL_TIMEOUT_MS, result -> finish(result, callback));
   }
 
   /** Commits a transaction if all its guards hold. */
-  public void commit(Transaction transaction, Consumer<CommitResult> then) {
+  public void commit(Transaction transaction, Consumer<CommitResult> callback) {
     isBusy = true;
-    environment.store().commit(transaction, CALL_TIMEOUT_MS, result -> finish(result, then));
+    environment.store().commit(transaction, CALL_TIMEOUT_MS, result -> finish(result, callback));
   }
 
-  private <R> void finish(R result, Consumer<R> then) {
+  private <R> void finish(R result, Consumer<R> callback) {
     isBusy = false;
-    then.accept(result);
+    callback.accept(result);
   }
 }
--- a/src/main/java/shorecrank/protocol/HeartbeatCodec.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatCodec.java
@@ -26,13 +26,13 @@
   private static final String STORE_REACHABLE = "stateOk";
   private static final String ASSIGNMENT_VERSION = "ver";
   private static final String SHARDS = "parts";
-  private static final String SEEN_MACHINES = "seen";
+  private static final String UNASSIGNED_MACHINES = "seen";
   private static final String MISROUTED_WORKERS = "strays";
 
   private static final String REFUSED_EPOCH = "fenced";
   private static final String HAS_QUEUED_TASKS = "queued";
   private static final String EXPECTED = "expected";
-  private static final String UNHEARD = "unheard";
+  private static final String OVERDUE = "unheard";
   private static final String UNREACHABLE_ZONES = "deafTo";
   private static final String CAPACITY_REQUESTS = "wants";
   private static final String COUNT = "count";
@@ -55,8 +55,10 @@
     for (ShardReport report : heartbeat.shards()) {
       putReport(shards.addObject(), report);
     }
-    ArrayNode seen = message.putArray(SEEN_MACHINES);
-    heartbeat.seenMachines().forEach(machine -> PeerFields.putMachine(seen.addObject(), machine));
+    ArrayNode unassigned = message.putArray(UNASSIGNED_MACHINES);
+    heartbeat
+        .unassignedMachines()
+        .forEach(machine -> PeerFields.putMachine(unassigned.addObject(), machine));
     ArrayNode misrouted = message.putArray(MISROUTED_WORKERS);
     heartbeat
         .misroutedWorkers()
@@ -74,7 +76,7 @@
     object.put(REFUSED_EPOCH, report.refusedEpoch().value());
     object.put(HAS_QUEUED_TASKS, report.hasQueuedTasks());
     WorkerReachability reachability = report.reachability();
-    object.put(EXPECTED, reachability.expected()).put(UNHEARD, reachability.unheard());
+    object.put(EXPECTED, reachability.expected()).put(OVERDUE, reachability.overdue());
     ArrayNode zones = object.putArray(UNREACHABLE_ZONES);
     reachability.unreachableZones().forEach(zones::add);
     ArrayNode requests = object.putArray(CAPACITY_REQUESTS);
@@ -118,9 +120,9 @@
     for (JsonNode report : message.path(SHARDS)) {
       shards.add(readReport(report));
     }
-    List<MachineInfo> seen = new ArrayList<>();
-    for (JsonNode machine : message.path(SEEN_MACHINES)) {
-      seen.add(PeerFields.readMachine(machine));
+    List<MachineInfo> unassigned = new ArrayList<>();
+    for (JsonNode machine : message.path(UNASSIGNED_MACHINES)) {
+      unassigned.add(PeerFields.readMachine(machine));
     }
     Map<ShardId, Integer> misrouted = new HashMap<>();
     for (JsonNode pair : message.path(MISROUTED_WORKERS)) {
@@ -132,7 +134,7 @@
         message.path(STORE_REACHABLE).asBoolean(),
         message.path(ASSIGNMENT_VERSION).asLong(-1),
         shards,
-        seen,
+        unassigned,
         misrouted,
         RolloutCodec.readAnnouncement(message.path(RolloutCodec.HEARTBEAT_FIELD)).orElse(null));
   }
@@ -151,7 +153,7 @@
         // valid.
         new Epoch(Fields.readCount(object.path(REFUSED_EPOCH), REFUSED_EPOCH)),
         object.path(HAS_QUEUED_TASKS).asBoolean(),
-        new WorkerReachability(readInt(object, EXPECTED), readInt(object, UNHEARD), zones),
+        new WorkerReachability(readInt(object, EXPECTED), readInt(object, OVERDUE), zones),
         requests,
         PeerFields.readMachineNames(object, MACHINES_TO_RELEASE),
         PeerFields.readMachineNames(object, SPARE_MACHINES),
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -34,10 +34,10 @@
    * How many of a shard's workers do not reach the shard's owner with their heartbeats.
    *
    * @param expected number of machines whose heartbeats should reach the owner
-   * @param unheard how many of {@code expected} have not sent a heartbeat in time
-   * @param unreachableZones zones in which more than half of the expected machines are unheard
+   * @param overdue how many of {@code expected} have not sent a heartbeat in time
+   * @param unreachableZones zones in which more than half of the expected machines are overdue
    */
-  public record WorkerReachability(int expected, int unheard, List<String> unreachableZones) {}
+  public record WorkerReachability(int expected, int overdue, List<String> unreachableZones) {}
 
   /**
    * A machine that the shard's owner has emptied for a move and hands over.
@@ -104,7 +104,8 @@
    * @param storeReachable whether the state service answers the sender
    * @param assignmentVersion the version of the machine assignments that the sender knows; negative
    *     if it knows none
-   * @param seenMachines machines without an assignment whose workers sent heartbeats to the sender
+   * @param unassignedMachines machines without an assignment whose workers sent heartbeats to the
+   *     sender
    * @param misroutedWorkers by shard, the number of workers that recently sent heartbeats to the
    *     sender instead of to the shard's owner
    * @param announcement the build and feature levels that the sender supports; null if it announces
@@ -116,7 +117,7 @@
       boolean storeReachable,
       long assignmentVersion,
       List<ShardReport> shards,
-      List<MachineInfo> seenMachines,
+      List<MachineInfo> unassignedMachines,
       Map<ShardId, Integer> misroutedWorkers,
       Announcement announcement) {}
 
--- a/src/main/java/shorecrank/protocol/RolloutCodec.java
+++ b/src/main/java/shorecrank/protocol/RolloutCodec.java
@@ -47,7 +47,7 @@
   private static final String ARCHIVE_UNDER_WAY = "archiveUnderWay";
   private static final String MEMBERS = "members";
   private static final String LABEL = "label";
-  private static final String HEARD_MS_AGO = "heardMsAgo";
+  private static final String MS_SINCE_HEARTBEAT = "heardMsAgo";
   private static final String SETTINGS_DIFFER = "settingsDiffer";
   private static final String WAITING_FOR = "waitingFor";
   private static final String REWRITTEN = "rewritten";
@@ -214,7 +214,7 @@
       if (member.announcement() != null) {
         object.setAll(writeAnnouncement(member.announcement()));
       }
-      object.put(HEARD_MS_AGO, member.heardMsAgo());
+      object.put(MS_SINCE_HEARTBEAT, member.msSinceHeartbeat());
       object.put(SETTINGS_DIFFER, member.settingsDiffer());
     }
     ArrayNode waiting = message.putArray(WAITING_FOR);
--- a/src/main/java/shorecrank/protocol/RolloutMessages.java
+++ b/src/main/java/shorecrank/protocol/RolloutMessages.java
@@ -196,11 +196,11 @@
    *
    * @param label the controller's name
    * @param announcement what the controller has announced; null if nothing
-   * @param heardMsAgo milliseconds since its last heartbeat
+   * @param msSinceHeartbeat milliseconds since its last heartbeat
    * @param settingsDiffer whether its settings differ from the leader's
    */
   public record RolloutMember(
-      String label, Announcement announcement, long heardMsAgo, boolean settingsDiffer) {}
+      String label, Announcement announcement, long msSinceHeartbeat, boolean settingsDiffer) {}
 
   /**
    * The status of the feature level for operators.
--- a/src/main/java/shorecrank/rebalance/FleetAssignments.java
+++ b/src/main/java/shorecrank/rebalance/FleetAssignments.java
@@ -24,12 +24,12 @@
    *
    * @param offer the machine type, the zone and whether it is a spot machine
    * @param cpus the machine's processors; 0 while the machine type is not known
-   * @param term the epoch under which the machine was assigned to the shard
+   * @param epoch the epoch under which the machine was assigned to the shard
    * @param move the move for which the shard's owner has an instruction, either to drain the
    *     machine or to report its arrival; {@link MoveId#NONE} if there is no instruction
    */
   record FleetMachine(
-      MachineName name, Offer offer, double cpus, ShardId shard, Epoch term, MoveId move) {
+      MachineName name, Offer offer, double cpus, ShardId shard, Epoch epoch, MoveId move) {
     /**
      * Creates a move of the machine to another shard, in its first phase.
      *
@@ -37,7 +37,7 @@
      * @param wallMs the wall-clock time, in milliseconds since 1970
      */
     Move moveTo(ShardId to, MoveId id, String orderId, long wallMs) {
-      return new Move(id, name, shard, to, term, MovePhase.REQUESTED, orderId, wallMs, "");
+      return new Move(id, name, shard, to, epoch, MovePhase.REQUESTED, orderId, wallMs, "");
     }
   }
 
@@ -59,8 +59,8 @@
   /** Returns the name of the controller that owns a shard; empty if the shard has no owner. */
   String owner(ShardId shard);
 
-  /** Requests an epoch above {@code least} for a shard's present owner. */
-  void raiseEpochAbove(ShardId shard, Epoch least);
+  /** Requests an epoch above {@code lowerBound} for a shard's present owner. */
+  void raiseEpochAbove(ShardId shard, Epoch lowerBound);
 
   /** Instructs the machine's owner to drain the machine and to release it. */
   void requestHandover(MachineName machine, MoveId move);
@@ -73,7 +73,7 @@
 
   /**
    * Assignments that are written in one transaction. No other assignment is written until {@link
-   * #committed} or {@link #refused} is called.
+   * #onCommitted} or {@link #onRefused} is called.
    */
   interface Handover {
     /** Returns the machines that are assigned: as many of the requested ones as fit. */
@@ -86,14 +86,14 @@
     void addTo(Transaction transaction);
 
     /** Applies the assignments: the transaction was committed at the given revision. */
-    void committed(Revision at);
+    void onCommitted(Revision at);
 
     /**
      * Discards the assignments: the transaction was not committed and never will be.
      *
      * @param conflict whether the transaction failed because of one of its guards
      */
-    void refused(boolean conflict);
+    void onRefused(boolean conflict);
   }
 
   /**
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -23,7 +23,7 @@
      *
      * @param isCommitted false if the change was refused or its outcome is not known yet
      */
-    void finished(boolean isCommitted);
+    void onFinished(boolean isCommitted);
   }
 
   private static final Runnable NOTHING_TO_LOG = () -> {};
@@ -69,8 +69,8 @@
   }
 
   /** Writes a change that assigns no machine; the store must be idle. */
-  void write(SharesState next, CommitListener then) {
-    write(next, null, then);
+  void write(SharesState next, CommitListener listener) {
+    write(next, null, listener);
   }
 
   /**
@@ -79,11 +79,11 @@
    * @param handover the assignments that are written in the same transaction; null if there are
    *     none
    */
-  void write(SharesState next, Handover handover, CommitListener then) {
+  void write(SharesState next, Handover handover, CommitListener listener) {
     int operations = 1 + (handover == null ? 0 : handover.operations());
     if (!environment.tryTakeWrites(operations)) {
       handleRefusal(handover, false);
-      then.finished(false);
+      listener.onFinished(false);
       return;
     }
     pendingHandover = handover;
@@ -100,9 +100,10 @@
             pendingHandover = null;
             pendingLog = NOTHING_TO_LOG;
           }
-          // If the outcome is unknown, outcomeResolved is called later. Until then isInDoubt keeps
+          // If the outcome is unknown, onOutcomeResolved is called later. Until then isInDoubt
+          // keeps
           // all other assignments from being written.
-          then.finished(result.isCommitted());
+          listener.onFinished(result.isCommitted());
         });
   }
 
@@ -113,7 +114,7 @@
   }
 
   /** Completes a write whose outcome was unknown until now. */
-  void outcomeResolved(boolean isCommitted) {
+  void onOutcomeResolved(boolean isCommitted) {
     Handover handover = pendingHandover;
     pendingHandover = null;
     if (isCommitted) {
@@ -134,7 +135,7 @@
     if (handover == null) {
       return;
     }
-    handover.refused(isConflict);
+    handover.onRefused(isConflict);
     for (MachineName machine : handover.machines()) {
       Move move = store.state().activeMoveOf(machine);
       if (move != null) {
@@ -146,14 +147,14 @@
   private void handleCommit(
       SharesState before, SharesState after, Handover handover, Revision revision) {
     if (handover != null) {
-      handover.committed(revision);
+      handover.onCommitted(revision);
     }
     pendingHandover = null;
     writePendingLog();
     for (Move move : after.ended()) {
       if (!before.ended().contains(move)) {
         times.recordEnd(move);
-        reports.forget(move);
+        reports.remove(move);
       }
     }
     instructions.synchronize();
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -37,7 +37,7 @@
      *
      * @param outcome null if the outcome is not known and the operator has to send the order again
      */
-    void completed(ShareOutcome outcome);
+    void onOutcome(ShareOutcome outcome);
   }
 
   private final LeaderEnvironment environment;
@@ -76,10 +76,10 @@
     this.fleet = fleet;
     this.teams = new TeamShares(teamNames, settings.teams(), fleet.shardCount());
     this.reasonsAgainstMoves = reasonsAgainstMoves;
-    this.store = new SharesStore(environment, leadership, gate, this::outcomeResolved);
+    this.store = new SharesStore(environment, leadership, gate, this::onOutcomeResolved);
     this.shardCountCheck = new ShardCountCheck(environment, store, fleet.shardCount());
     this.reports = new OwnerReports(environment);
-    this.times = new MoveTimes(environment, settings.restS());
+    this.times = new MoveTimes(environment, settings.cooldownS());
     MoveCapacity capacity = new MoveCapacity(environment);
     this.planner =
         new RebalancePlanner(environment, fleet, settings, teams, reports, times, capacity);
@@ -91,8 +91,8 @@
         new ShareOrderEvaluator(fleet, teams, reports::candidates, capacity::maxActive);
   }
 
-  private void outcomeResolved(boolean isCommitted) {
-    committer.outcomeResolved(isCommitted);
+  private void onOutcomeResolved(boolean isCommitted) {
+    committer.onOutcomeResolved(isCommitted);
   }
 
   /**
@@ -167,7 +167,7 @@
 
   /** Handles a new epoch of a shard, for a new owner or for the same one. */
   public void handleNewEpoch(ShardId shard) {
-    reports.ownerChanged(shard, store.state());
+    reports.onOwnerChanged(shard, store.state());
   }
 
   /** Returns the shard to which a new machine is to be assigned. */
@@ -190,9 +190,9 @@
   }
 
   /** Executes an operator's order, once for each order id, and reports the outcome. */
-  public void handleOrder(ShareOrder order, OutcomeListener then) {
+  public void handleOrder(ShareOrder order, OutcomeListener listener) {
     if (!store.isReadable() || store.isInDoubt()) {
-      then.completed(null);
+      listener.onOutcome(null);
       return;
     }
     ShareOrderEvaluator.Decision decision =
@@ -200,11 +200,11 @@
     ShareOutcome outcome = decision.outcome();
     Optional<SharesState> next = decision.next();
     if (next.isEmpty()) {
-      then.completed(outcome);
+      listener.onOutcome(outcome);
       return;
     }
     if (!store.isIdle()) {
-      then.completed(null);
+      listener.onOutcome(null);
       return;
     }
     environment.info("shares.ordered id=%s text=\"%s\"", order.id(), outcome.text());
@@ -212,7 +212,7 @@
         next.get()
             .withShards(fleet.shardCount())
             .withOutcome(outcome, MoveCapacity.MAX_ORDER_OUTCOMES),
-        isCommitted -> then.completed(isCommitted ? outcome : null));
+        isCommitted -> listener.onOutcome(isCommitted ? outcome : null));
   }
 
   /** Returns the status of shares for operators; null while the shares' key is not readable. */
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -47,7 +47,7 @@
    * What the leader knows of a move's machine.
    *
    * @param assignedTo the machine's shard; null if the machine is not known
-   * @param term the epoch under which the machine was assigned
+   * @param epoch the epoch under which the machine was assigned
    * @param progress the drain progress that the present owner has reported; null if it has reported
    *     none for this move
    * @param ownerSupportsMoves false if the present owner's last report came from a version that
@@ -59,7 +59,7 @@
    */
   record Observation(
       ShardId assignedTo,
-      Epoch term,
+      Epoch epoch,
       DrainProgress progress,
       boolean ownerSupportsMoves,
       boolean isReleased,
@@ -114,7 +114,7 @@
 
   private static Step beforeHandover(Move move, Observation observation, double timeoutS) {
     if (!observation.assignedTo.equals(move.from())
-        || !observation.term.equals(move.assignmentEpoch())) {
+        || !observation.epoch.equals(move.assignmentEpoch())) {
       return Step.abort(Reason.REASSIGNED);
     }
     if (!observation.ownerSupportsMoves) {
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -103,7 +103,7 @@
     FleetMachine machine = fleet.machine(move.machine());
     return new Observation(
         machine == null ? null : machine.shard(),
-        machine == null ? Epoch.NONE : machine.term(),
+        machine == null ? Epoch.NONE : machine.epoch(),
         reports.progress(move),
         reports.ownerSupportsMoves(move),
         reports.isReleased(move),
@@ -119,12 +119,12 @@
   private boolean hasNewerEpoch(Move move) {
     FleetMachine machine = fleet.machine(move.machine());
     Epoch last = fleet.epoch(move.from());
-    Epoch least = machine == null ? last : Epoch.higher(machine.term(), last);
+    Epoch lowerBound = machine == null ? last : Epoch.higher(machine.epoch(), last);
     if (fleet.owner(move.to()).isEmpty()) {
       return false;
     }
-    if (!fleet.epoch(move.to()).isAbove(least)) {
-      fleet.raiseEpochAbove(move.to(), least);
+    if (!fleet.epoch(move.to()).isAbove(lowerBound)) {
+      fleet.raiseEpochAbove(move.to(), lowerBound);
       return false;
     }
     return true;
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -89,7 +89,7 @@
    * new epoch. Under the new epoch the owner was told that released machines are still assigned to
    * it, so it has to release them again.
    */
-  void ownerChanged(ShardId shard, SharesState state) {
+  void onOwnerChanged(ShardId shard, SharesState state) {
     reports.remove(shard);
     for (Move move : state.active()) {
       if (move.from().equals(shard)) {
@@ -150,7 +150,7 @@
   }
 
   /** Forgets the reports on a move that has ended. */
-  void forget(Move move) {
+  void remove(Move move) {
     released.remove(move.id());
     arrived.remove(move.id());
   }
--- a/src/main/java/shorecrank/rebalance/ShareSettings.java
+++ b/src/main/java/shorecrank/rebalance/ShareSettings.java
@@ -19,7 +19,7 @@
  * @param movesAtOnce the number of moves under way at which no further automatic move begins
  * @param settleS the time, in seconds, for which a shard has to be below its target before a
  *     machine is moved to it automatically
- * @param restS the time, in seconds, after a move during which the machine is not moved
+ * @param cooldownS the time, in seconds, after a move during which the machine is not moved
  *     automatically
  * @param timeoutS the age, in seconds, at which a move is aborted if its machine has not been
  *     handed over; a move whose machine has been handed over is aborted at twice this age
@@ -31,18 +31,18 @@
     boolean automatic,
     int movesAtOnce,
     double settleS,
-    double restS,
+    double cooldownS,
     double timeoutS,
     double tolerance,
     List<TeamShare> teams) {
   private static final Field AUTOMATIC = Field.flag("automatic", true);
   private static final Field MOVES_AT_ONCE = Field.number("moves_at_once", 1, 1000, 8);
   private static final Field SETTLE_S = Field.number("settle_s", 0, 3600, 3);
-  private static final Field REST_S = Field.number("rest_s", 0, 86_400, 20);
+  private static final Field COOLDOWN_S = Field.number("rest_s", 0, 86_400, 20);
   private static final Field TIMEOUT_S = Field.number("move_timeout_s", 5, 86_400, 120);
   private static final Field TOLERANCE = Field.number("tolerance", 0, 1, 0.1);
   private static final List<Field> FIELDS =
-      List.of(AUTOMATIC, MOVES_AT_ONCE, SETTLE_S, REST_S, TIMEOUT_S, TOLERANCE);
+      List.of(AUTOMATIC, MOVES_AT_ONCE, SETTLE_S, COOLDOWN_S, TIMEOUT_S, TOLERANCE);
 
   private static final Field TEAM_NAME = Field.text("name");
   private static final Field WEIGHT = Field.number("weight", 0, 1e6, 1);
@@ -68,7 +68,7 @@
         AUTOMATIC.flagOf(message),
         (int) MOVES_AT_ONCE.numberOf(message),
         SETTLE_S.numberOf(message),
-        REST_S.numberOf(message),
+        COOLDOWN_S.numberOf(message),
         TIMEOUT_S.numberOf(message),
         TOLERANCE.numberOf(message),
         teams(message));
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -34,7 +34,7 @@
   @FunctionalInterface
   interface ResolutionListener {
     /** Called once the outcome of the write in doubt is known. */
-    void outcomeResolved(boolean isCommitted);
+    void onOutcomeResolved(boolean isCommitted);
   }
 
   private final FeatureGate gate;
@@ -95,10 +95,10 @@
    * Writes the key; {@link #isIdle} must be true.
    *
    * @param additions adds the guards and writes that belong into the same transaction
-   * @param then receives the result, which may be an unknown outcome
+   * @param callback receives the result, which may be an unknown outcome
    */
-  void write(SharesState next, Consumer<Transaction> additions, Consumer<CommitResult> then) {
-    key.write(next, additions, then);
+  void write(SharesState next, Consumer<Transaction> additions, Consumer<CommitResult> callback) {
+    key.write(next, additions, callback);
   }
 
   /** Guards writes by the feature level, and resolves writes of unknown outcome. */
@@ -114,9 +114,9 @@
     }
 
     @Override
-    public void guardsFailed(Set<String> failedKeys) {
+    public void onGuardsFailed(Set<String> failedKeys) {
       if (failedKeys.contains(RolloutMessages.KEY)) {
-        gate.guardFailed();
+        gate.onGuardFailed();
       }
     }
 
@@ -143,8 +143,8 @@
     }
 
     @Override
-    public void outcomeResolved(boolean isCommitted, SharesState before) {
-      listener.outcomeResolved(isCommitted);
+    public void onOutcomeResolved(boolean isCommitted, SharesState before) {
+      listener.onOutcomeResolved(isCommitted);
     }
   }
 }
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -227,9 +227,9 @@
 
   // ---- writing ---------------------------------------------------------------------------------
 
-  private void commit(Transaction transaction, Consumer<CommitResult> then) {
+  private void commit(Transaction transaction, Consumer<CommitResult> callback) {
     leadership.guard(transaction);
-    store.commit(transaction, then);
+    store.commit(transaction, callback);
   }
 
   private void writeChunk() {
--- a/src/main/java/shorecrank/rollout/FeatureGate.java
+++ b/src/main/java/shorecrank/rollout/FeatureGate.java
@@ -52,7 +52,7 @@
    * Called after a guard on the feature level's key has failed; no feature is permitted until a
    * newer notice is received.
    */
-  public void guardFailed() {
+  public void onGuardFailed() {
     if (latest != null) {
       refusedUpTo = latest.revision();
     }
--- a/src/main/java/shorecrank/rollout/LevelStore.java
+++ b/src/main/java/shorecrank/rollout/LevelStore.java
@@ -105,9 +105,9 @@
    * Writes the key; call it only if {@link #isIdle}.
    *
    * @param next the new value
-   * @param then receives the result
+   * @param callback receives the result
    */
-  void write(RolloutState next, Consumer<CommitResult> then) {
+  void write(RolloutState next, Consumer<CommitResult> callback) {
     FeatureLevel level = next.level();
     boolean switchesLevel = !level.equals(key.value().level());
     key.write(
@@ -119,14 +119,14 @@
         },
         result -> {
           if (result.isCommitted() && switchesLevel) {
-            levelSwitched(level);
+            onLevelSwitched(level);
           }
-          then.accept(result);
+          callback.accept(result);
         });
   }
 
-  private void levelSwitched(FeatureLevel level) {
-    leadership.levelSwitched(level, key.revision());
+  private void onLevelSwitched(FeatureLevel level) {
+    leadership.onLevelSwitched(level, key.revision());
     key.continueUnderNewTerm();
   }
 
@@ -141,7 +141,7 @@
     public void addGuards(Transaction transaction) {}
 
     @Override
-    public void guardsFailed(Set<String> failedKeys) {}
+    public void onGuardsFailed(Set<String> failedKeys) {}
 
     @Override
     public boolean isConflictInDoubt() {
@@ -161,10 +161,10 @@
     }
 
     @Override
-    public void outcomeResolved(boolean isCommitted, RolloutState before) {
+    public void onOutcomeResolved(boolean isCommitted, RolloutState before) {
       FeatureLevel level = key.value().level();
       if (isCommitted && key.isKnown() && !level.equals(before.level())) {
-        levelSwitched(level);
+        onLevelSwitched(level);
       }
     }
   }
--- a/src/main/java/shorecrank/rollout/MemberAnnouncements.java
+++ b/src/main/java/shorecrank/rollout/MemberAnnouncements.java
@@ -25,10 +25,10 @@
    * @param announcement null if the heartbeat announced no levels
    * @param since the time since which this process has sent the same announcement without
    *     interruption
-   * @param heardAt when the heartbeat arrived
+   * @param receivedAt when the heartbeat arrived
    */
   private record LastHeartbeat(
-      WriterId writer, Announcement announcement, MonotonicTime since, MonotonicTime heardAt) {
+      WriterId writer, Announcement announcement, MonotonicTime since, MonotonicTime receivedAt) {
     /**
      * Reports whether the given heartbeat comes from the same process with the same announcement.
      */
@@ -97,9 +97,9 @@
   /**
    * Returns the milliseconds since a member's last heartbeat; -1 if none has arrived in this term.
    */
-  long heardMsAgo(ControllerName member, MonotonicTime now) {
+  long msSinceHeartbeat(ControllerName member, MonotonicTime now) {
     LastHeartbeat last = lastHeartbeats.get(member);
-    return last == null ? -1 : now.since(last.heardAt);
+    return last == null ? -1 : now.since(last.receivedAt);
   }
 
   /** Reports whether a member has announced shared settings that differ from this controller's. */
@@ -137,9 +137,9 @@
       LastHeartbeat last = lastHeartbeats.get(member);
       if (last == null) {
         blockers.add(member + ": not heard by this leader yet");
-      } else if (now.since(last.heardAt) > heartbeatTimeoutMs) {
+      } else if (now.since(last.receivedAt) > heartbeatTimeoutMs) {
         blockers.add(
-            "%s: not heard for %.0f s".formatted(member, now.since(last.heardAt) / 1000.0));
+            "%s: not heard for %.0f s".formatted(member, now.since(last.receivedAt) / 1000.0));
       } else if (last.announcement == null) {
         blockers.add(member + ": announces no levels, so it counts as level 0");
       } else if (!last.announcement.supported().supports(level)) {
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -49,14 +49,14 @@
 
   /** Receives the outcome of an order. */
   @FunctionalInterface
-  public interface OnOutcome {
+  public interface OutcomeListener {
     /**
      * Called once per order.
      *
      * @param outcome null if the outcome is unknown or the order could not be executed now; the
      *     operator has to send the order again
      */
-    void outcome(OrderOutcome outcome);
+    void onOutcome(OrderOutcome outcome);
   }
 
   private final LeaderEnvironment environment;
@@ -198,14 +198,14 @@
     environment.gauge("rollout.settings_differ", differing);
   }
 
-  private void change(RolloutState next, Consumer<CommitResult> then) {
+  private void change(RolloutState next, Consumer<CommitResult> callback) {
     if (!environment.tryTakeWrites(1)) {
       return;
     }
     if (next.phase() != RolloutPhase.FALLING) {
       rewriter = null;
     }
-    store.write(next, then);
+    store.write(next, callback);
   }
 
   private void recordArchive(String id) {
@@ -295,18 +295,19 @@
   // ---- operators -------------------------------------------------------------------------------
 
   /**
-   * Executes an order and passes its outcome to {@code then}. If the outcome of an order with the
-   * same id is stored, the order is not executed and {@code then} receives the stored outcome.
+   * Executes an order and passes its outcome to {@code listener}. If the outcome of an order with
+   * the same id is stored, the order is not executed and {@code listener} receives the stored
+   * outcome.
    */
-  public void order(RolloutOrder order, OnOutcome then) {
+  public void handleOrder(RolloutOrder order, OutcomeListener listener) {
     if (!store.isIdle()) {
-      then.outcome(null);
+      listener.onOutcome(null);
       return;
     }
     RolloutState state = store.state();
     for (OrderOutcome earlier : state.recentOrders()) {
       if (earlier.id().equals(order.id())) {
-        then.outcome(earlier);
+        listener.onOutcome(earlier);
         return;
       }
     }
@@ -314,11 +315,11 @@
     OrderOutcome outcome = decision.outcomeOf(order);
     if (decision.next().isEmpty()) {
       // The outcome is not stored: nothing has changed, so executing the order again is harmless.
-      then.outcome(outcome);
+      listener.onOutcome(outcome);
       return;
     }
     if (!environment.tryTakeWrites(1)) {
-      then.outcome(null);
+      listener.onOutcome(null);
       return;
     }
     environment.info(
@@ -332,7 +333,7 @@
           if (isCommitted && !decision.archiveId().isEmpty() && archiver.currentId().isEmpty()) {
             archiver.start(decision.archiveId(), store.state().level());
           }
-          then.outcome(isCommitted ? outcome : null);
+          listener.onOutcome(isCommitted ? outcome : null);
         });
   }
 
@@ -351,7 +352,7 @@
           new RolloutMember(
               member.value(),
               announcements.announcement(member),
-              announcements.heardMsAgo(member, environment.now()),
+              announcements.msSinceHeartbeat(member, environment.now()),
               announcements.settingsDiffer(member)));
     }
     Optional<RecordRewriter> currentRewriter = Optional.ofNullable(rewriter);
--- a/src/test/java/shorecrank/coordination/ForeignWorkersTest.java
+++ b/src/test/java/shorecrank/coordination/ForeignWorkersTest.java
@@ -51,9 +51,9 @@
       foreignWorkers.addUnassigned(machine(number));
     }
     foreignWorkers.addUnassigned(machine(500));
-    assertEquals(500, foreignWorkers.takeUnassigned().size());
+    assertEquals(500, foreignWorkers.pollUnassigned().size());
     assertTrue(foreignWorkers.hasUnassigned());
-    assertEquals(List.of(machine(500)), foreignWorkers.takeUnassigned());
+    assertEquals(List.of(machine(500)), foreignWorkers.pollUnassigned());
     assertFalse(foreignWorkers.hasUnassigned());
   }
 
--- a/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -95,7 +95,7 @@
     add(machine(1).heardAt(GRANTED_AT));
     add(machine(2).heardAt(GRANTED_AT.plus(-1)));
     advanceToMsAfterGrant(ms);
-    assertEquals(overdue, liveness.reachability().unheard());
+    assertEquals(overdue, liveness.reachability().overdue());
   }
 
   @Test
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -172,7 +172,7 @@
     public void addLevelSwitch(Transaction transaction, FeatureLevel to) {}
 
     @Override
-    public void levelSwitched(FeatureLevel to, Revision revision) {}
+    public void onLevelSwitched(FeatureLevel to, Revision revision) {}
   }
 
   /** Rules by which a read resolves a write in doubt only if it finds a changed revision. */
@@ -191,7 +191,7 @@
     }
 
     @Override
-    public void guardsFailed(Set<String> failedKeys) {}
+    public void onGuardsFailed(Set<String> failedKeys) {}
 
     @Override
     public boolean isConflictInDoubt() {
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void outcomeResolved(boolean isCommitted, String before) {
+    public void onOutcomeResolved(boolean isCommitted, String before) {
       outcomes.add(isCommitted);
     }
   }
