--- a/src/test/java/shorecrank/sim/ControllerNode.java
+++ b/src/test/java/shorecrank/sim/ControllerNode.java
@@ -57,10 +57,9 @@
   }
 
   /**
-   * Reports whether the controller is up and still in its start of the given number, so without a
-   * restart since.
+   * Reports whether the controller is up and has not restarted since a particular start.
    *
-   * @param startNumber a value of {@link #startCount()}
+   * @param startNumber the value of {@link #startCount()} after that start
    */
   boolean isSameRun(int startNumber) {
     return up && startCount == startNumber;
--- a/src/test/java/shorecrank/sim/Cuts.java
+++ b/src/test/java/shorecrank/sim/Cuts.java
@@ -11,7 +11,7 @@
   /** Stands for the zone of users, the state service and the cloud, which are in no zone. */
   private static final String REGIONAL = "";
 
-  /** A cut of one controller's links of a kind. */
+  /** A cut of one controller's links of one kind. */
   private record LinkCut(LinkKind link, Cut cut) {}
 
   /** A cut of the messages to or from one worker. */
--- a/src/test/java/shorecrank/sim/Measurements.java
+++ b/src/test/java/shorecrank/sim/Measurements.java
@@ -15,7 +15,7 @@
   private static final class Steps {
     long count;
     long nanos;
-    long longest;
+    long longestNanos;
   }
 
   private final Map<String, Steps> steps = new TreeMap<>();
@@ -30,7 +30,7 @@
     Steps s = steps.computeIfAbsent(kind(input), k -> new Steps());
     s.count++;
     s.nanos += nanos;
-    s.longest = Math.max(s.longest, nanos);
+    s.longestNanos = Math.max(s.longestNanos, nanos);
     for (Output o : outputs) {
       if (o instanceof Output.Call c && c.body() != null) {
         recordMessage(c.path().split("\\?")[0], Json.bytes(c.body()).length);
@@ -64,7 +64,10 @@
             text.append(
                 String.format(
                     "  steps %-18s %8d, mean %.3f ms, longest %.1f ms%n",
-                    kind, s.count, s.nanos / NANOS_PER_MS / s.count, s.longest / NANOS_PER_MS)));
+                    kind,
+                    s.count,
+                    s.nanos / NANOS_PER_MS / s.count,
+                    s.longestNanos / NANOS_PER_MS)));
     largestBodyBytes.forEach(
         (kind, bytes) -> text.append(String.format("  largest %-24s %7d bytes%n", kind, bytes)));
     return text.toString();
--- a/src/test/java/shorecrank/sim/ProcessFleet.java
+++ b/src/test/java/shorecrank/sim/ProcessFleet.java
@@ -161,9 +161,10 @@
 
   /**
    * Stops the submissions and waits until each job has its final answer, after more work was
-   * submitted than the machines could do. A task must end within each {@link #WAIT_MS}, and all
-   * jobs within the time that the machines need for the backlog plus {@link #WAIT_MS}. A lost job
-   * is therefore noticed {@link #WAIT_MS} after the last other task has ended.
+   * submitted than the machines could do. At least one task must end in every period of {@link
+   * #WAIT_MS}, and all jobs within the time that the machines need for the backlog plus {@link
+   * #WAIT_MS}. A lost job is therefore noticed {@link #WAIT_MS} after the last other task has
+   * ended.
    */
   void finishBacklog() {
     long backlogMs = new Backlog(world).durationMs();
--- a/src/test/java/shorecrank/sim/RandomFaults.java
+++ b/src/test/java/shorecrank/sim/RandomFaults.java
@@ -75,7 +75,7 @@
     };
   }
 
-  /** Returns a mode for cuts between workers or zones, which can't be refused. */
+  /** Draws a mode for cuts of workers or zones, to which {@code refuse} does not apply. */
   private String lossOrDelay() {
     return pick("drop", "hold");
   }
--- a/src/test/java/shorecrank/sim/RolloutProcessTest.java
+++ b/src/test/java/shorecrank/sim/RolloutProcessTest.java
@@ -84,9 +84,9 @@
     ClientResult tooHigh = fleet.runClient("rollout", "finalize", "@", "--level=9");
     assertEquals(1, tooHigh.status());
     assertTrue(tooHigh.err().contains("out of range"), tooHigh.err());
-    ClientResult nothing = fleet.runClient("rollout", "abort", "@");
-    assertEquals(1, nothing.status());
-    assertTrue(nothing.err().contains("nothing is under way"), nothing.err());
+    ClientResult abortWhenStable = fleet.runClient("rollout", "abort", "@");
+    assertEquals(1, abortWhenStable.status());
+    assertTrue(abortWhenStable.err().contains("nothing is under way"), abortWhenStable.err());
   }
 
   private static void lowerLevel(ProcessFleet fleet) {
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -26,7 +26,7 @@
       """;
 
   /**
-   * Runs a scenario and checks its violations, except those of waiting tasks: in these scenarios
+   * Runs a scenario and checks its violations, except those of tasks that wait: in these scenarios
    * some machine always drains and some task always waits, which alone is no fault.
    */
   private static World runScenario(String text, Measurements measurements) throws Exception {
--- a/src/test/java/shorecrank/sim/SharesProcessTest.java
+++ b/src/test/java/shorecrank/sim/SharesProcessTest.java
@@ -116,12 +116,12 @@
     assertEquals(0, set.status(), set.err());
     assertTrue(set.out().contains("\"accepted\" : true"), set.out());
     // The same order id at two controllers is one order with one answer.
-    ClientResult one =
+    ClientResult first =
         fleet.runClientAt(0, "shares", "move", "@", "--from=0", "--count=1", "--to=1", "--id=a");
-    ClientResult two =
+    ClientResult second =
         fleet.runClientAt(1, "shares", "move", "@", "--from=0", "--count=1", "--to=1", "--id=a");
-    assertEquals(0, one.status(), one.err());
-    assertEquals(one, two);
+    assertEquals(0, first.status(), first.err());
+    assertEquals(first, second);
     assertEquals(2, fleet.world.shares.state().nextMove());
     fleet.await("the end of the move", () -> fleet.world.shares.state().active().isEmpty());
     fleet.runFor(500);
--- a/src/test/java/shorecrank/sim/SimulatedTask.java
+++ b/src/test/java/shorecrank/sim/SimulatedTask.java
@@ -90,11 +90,11 @@
   /**
    * Ends the attempt.
    *
-   * @param why the cause as on the wire
+   * @param exitCause the cause as on the wire
    */
-  void exit(String why) {
+  void exit(String exitCause) {
     phase = TaskPhase.EXITED;
-    cause = why;
+    cause = exitCause;
   }
 
   /**
@@ -103,9 +103,9 @@
    * @return whether it was on the machine
    */
   boolean leaveMachine() {
-    boolean was = onMachine;
+    boolean wasOnMachine = onMachine;
     onMachine = false;
-    return was;
+    return wasOnMachine;
   }
 
   /** Writes the attempt's state into a heartbeat. */
--- a/src/test/java/shorecrank/sim/StoredArchive.java
+++ b/src/test/java/shorecrank/sim/StoredArchive.java
@@ -40,16 +40,16 @@
     } catch (ArchiveReader.DamagedArchiveException e) {
       return false;
     }
-    Map<String, VersionedValue> then = new TreeMap<>();
+    Map<String, VersionedValue> keysAtRevision = new TreeMap<>();
     store
         .entriesAt(archive.manifest().revision())
         .forEach(
             (key, version) -> {
               if (ArchiveKeys.ARCHIVED_PREFIXES.stream().anyMatch(key::startsWith)) {
-                then.put(key, version);
+                keysAtRevision.put(key, version);
               }
             });
-    return archive.manifest().consistent() && asText(archive.keys()).equals(asText(then));
+    return archive.manifest().consistent() && asText(archive.keys()).equals(asText(keysAtRevision));
   }
 
   /**
--- a/src/test/java/shorecrank/sim/WorkerTasks.java
+++ b/src/test/java/shorecrank/sim/WorkerTasks.java
@@ -11,7 +11,7 @@
 /** The tasks on a simulated machine, and the commands that start, stop and remove them. */
 final class WorkerTasks {
   private static final double MS_PER_S = 1000;
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   /** How long a task runs before it fails, if it is one that fails. */
   private static final long FAILING_RUN_MS = 300;
@@ -192,7 +192,8 @@
       task.exit("unknown");
     } else if (busy) {
       task.exit("busy");
-    } else if (usedCpus + plan.cpus() > world.site.type(worker.type()).cpus() + ROUNDING) {
+    } else if (usedCpus + plan.cpus()
+        > world.site.type(worker.type()).cpus() + ROUNDING_TOLERANCE) {
       task.exit("full");
       world.counters.addStartRefusedForResources();
     } else {
--- a/src/test/java/shorecrank/sim/World.java
+++ b/src/test/java/shorecrank/sim/World.java
@@ -65,8 +65,8 @@
   }
 
   /** Records that an {@code expect} line of the scenario was not met. */
-  void addUnmetExpectation(String what) {
-    unmetExpectations.add(what);
+  void addUnmetExpectation(String description) {
+    unmetExpectations.add(description);
   }
 
   /** Returns the {@code expect} lines that were not met, with what was found. */
