--- a/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
+++ b/src/main/java/shorecrank/coordination/model/AssignmentStatus.java
@@ -12,9 +12,12 @@
 public final class AssignmentStatus {
   private boolean assigned;
   private MonotonicTime since = MonotonicTime.NEVER;
-  private boolean elsewhere;
+  private boolean assignedElsewhere;
 
-  /** Heartbeats under a lower epoch may come from the time when another shard had the machine. */
+  /**
+   * The lowest epoch that a heartbeat of the machine's worker must show to count. A heartbeat with
+   * a lower one may come from the time when another shard had the machine.
+   */
   private Epoch requiredEpoch = Epoch.NONE;
 
   private boolean handoverRequested;
@@ -39,10 +42,10 @@
    * its worker.
    */
   public boolean isAssignedElsewhere() {
-    return elsewhere;
+    return assignedElsewhere;
   }
 
-  /** Returns the lowest epoch under which heartbeats of the machine's worker count. */
+  /** Returns the lowest epoch that a heartbeat of the machine's worker must show to count. */
   public Epoch requiredEpoch() {
     return requiredEpoch;
   }
@@ -75,7 +78,7 @@
    *     between, so earlier heartbeats of its worker no longer count
    */
   public boolean assign(MachineAssignment assignment, MonotonicTime now) {
-    elsewhere = false;
+    assignedElsewhere = false;
     if (!assigned) {
       assigned = true;
       since = now.plus(-assignment.ageMs());
@@ -92,13 +95,13 @@
 
   /** Records that the machine is assigned to another shard. */
   public void assignElsewhere() {
-    elsewhere = true;
+    assignedElsewhere = true;
   }
 
   /** Records that the machine is not assigned to this shard, nor to another one that is known. */
   public void unassign() {
     assigned = false;
-    elsewhere = false;
+    assignedElsewhere = false;
     handoverRequested = false;
     move = MoveId.NONE;
   }
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -54,7 +54,8 @@
   private static final int QUERY_OVERLAP_MS = 2000;
 
   /**
-   * Added to {@link StepContext#evidenceMs()} to bound how many cancellations an answer may name.
+   * Added to {@link StepContext#maxCancellationStalenessMs()}: an answer may name as many
+   * cancellations as can be confirmed in the sum of these times.
    */
   private static final int ANSWER_OVERLAP_S = 2;
 
@@ -97,16 +98,16 @@
     /**
      * Returns the time up to which all confirmations of this controller are known.
      *
-     * @param known the time up to which they are known from the state service
+     * @param shownUpTo the time up to which the state service has shown all cancellations
      */
-    MonotonicTime completeUpTo(MonotonicTime known) {
-      return extend(extend(known, previous, known), last, known);
+    MonotonicTime completeUpTo(MonotonicTime shownUpTo) {
+      return extend(extend(shownUpTo, previous, shownUpTo), last, shownUpTo);
     }
 
     private static MonotonicTime extend(
-        MonotonicTime complete, Interval interval, MonotonicTime known) {
+        MonotonicTime complete, Interval interval, MonotonicTime shownUpTo) {
       boolean extendsIt =
-          interval != null && !known.isBefore(interval.from) && complete.isBefore(interval.to);
+          interval != null && !shownUpTo.isBefore(interval.from) && complete.isBefore(interval.to);
       return extendsIt ? interval.to : complete;
     }
   }
@@ -121,8 +122,9 @@
   private final Cache<JobId, Boolean> cancelledJobs;
 
   /**
-   * How many jobs an answer of another controller may name at most: as many as can be confirmed
-   * within {@link StepContext#evidenceMs()}.
+   * The maximum number of jobs that an answer of another controller may name: as many as can be
+   * confirmed within {@link StepContext#maxCancellationStalenessMs()} plus {@link
+   * #ANSWER_OVERLAP_S}.
    */
   private final int maxJobsPerAnswer;
 
@@ -139,9 +141,9 @@
     // Each confirmation needs a write, so the write rate of the state service bounds them.
     double writesPerS = context.config().state().writeRps();
     int historySize = (int) Math.max(MIN_HISTORY_SIZE, writesPerS * HISTORY_S);
-    double evidenceS = context.maxCancellationStalenessMs() / MS_PER_S + ANSWER_OVERLAP_S;
+    double answerSpanS = context.maxCancellationStalenessMs() / MS_PER_S + ANSWER_OVERLAP_S;
     this.maxJobsPerAnswer =
-        (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, writesPerS * evidenceS);
+        (int) Math.max(CancellationMessages.DEFAULT_MAX_CANCELLATIONS, writesPerS * answerSpanS);
     this.history = new ConfirmationHistory(historySize);
     this.cancelledJobs =
         Caffeine.newBuilder().maximumSize(historySize).executor(Runnable::run).build();
@@ -255,8 +257,9 @@
    * controller. That controller queries because it does not reach the state service, so the answer
    * also names the shard owners.
    *
-   * @param withinMs the greatest age of a confirmation, in milliseconds
-   * @param maxJobs how many cancelled jobs to name at most
+   * @param withinMs the maximum age of a confirmation, in milliseconds
+   * @param maxJobs the maximum number of cancelled jobs to name
+   * @param owners the shard owners that this controller knows
    */
   public ConfirmedCancellations recentlyConfirmed(
       long withinMs, int maxJobs, Collection<OwnerInfo> owners) {
--- a/src/main/java/shorecrank/coordination/model/CommandTokens.java
+++ b/src/main/java/shorecrank/coordination/model/CommandTokens.java
@@ -53,14 +53,17 @@
     return shown;
   }
 
-  /** Records the token that a heartbeat shows and forgets direct starts with a lower token. */
+  /**
+   * Records the token that a heartbeat shows and removes direct starts with a lower token, which
+   * the worker rejects from then on.
+   */
   void recordShown(FencingToken token) {
     shown = token;
     directStarts.values().removeIf(token::isAbove);
   }
 
   /**
-   * Forgets all direct starts, because the worker has begun a new incarnation, which rejects
+   * Removes all direct starts, because the worker has begun a new incarnation, which rejects
    * commands sent to an earlier one.
    */
   void clearDirectStarts() {
--- a/src/main/java/shorecrank/coordination/model/ConfirmationHistory.java
+++ b/src/main/java/shorecrank/coordination/model/ConfirmationHistory.java
@@ -39,7 +39,7 @@
   private final int maxConfirmations;
 
   /**
-   * @param maxConfirmations how many confirmations to keep at most
+   * @param maxConfirmations the maximum number of confirmations to keep
    */
   ConfirmationHistory(int maxConfirmations) {
     this.maxConfirmations = maxConfirmations;
@@ -81,8 +81,8 @@
    * Returns the jobs whose cancellation was confirmed within the last {@code withinMs}
    * milliseconds.
    *
-   * @param maxJobs how many jobs to return at most; if more were confirmed, the returned span is
-   *     shorter than {@code withinMs}
+   * @param maxJobs the maximum number of jobs to return; if more were confirmed, the returned span
+   *     is shorter than {@code withinMs}
    */
   Recent recent(long withinMs, int maxJobs, MonotonicTime now) {
     boolean hasBegun = completeFrom != MonotonicTime.NEVER;
--- a/src/main/java/shorecrank/coordination/model/ImageCache.java
+++ b/src/main/java/shorecrank/coordination/model/ImageCache.java
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Forgets all images held, because a new incarnation of the worker starts without any. */
+  /** Removes all images held, because a new incarnation of the worker starts without any. */
   void clear() {
     images.clear();
   }
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Requires this owner to claim the record, even if no owner has written it, before the quota use
-   * of the job's team counts as known.
+   * Requires this owner to claim the record, even if no owner has written it, before the quota
+   * usage of the job's team counts as known.
    */
   public void requireClaim() {
     claimRequired = true;
@@ -156,7 +156,7 @@
   }
 
   /**
-   * Reports whether the quota use of the job's team is known as far as this record goes: no late
+   * Reports whether the quota usage of the job's team is known as far as this record goes: no late
    * write of an earlier owner can add attempts to it.
    */
   public boolean isTeamUsageKnown() {
@@ -248,7 +248,7 @@
     }
   }
 
-  /** Sends no write before a time. */
+  /** Prevents writes of the record before a time. */
   public void pauseUntil(MonotonicTime until) {
     pausedUntil = until;
   }
--- a/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
+++ b/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
@@ -21,6 +21,7 @@
   /** Limits the exponential backoff to 64 times {@link #BACKOFF_MS}. */
   private static final int MAX_BACKOFF_EXPONENT = 6;
 
+  /** Half of the pause after the first failure for which the job is taken to be at fault. */
   private static final long BACKOFF_MS = 1000;
 
   /** Pause of the job after a failure for which the machine is taken to be at fault. */
@@ -35,7 +36,10 @@
   private boolean withinGuarantee;
   private final Set<MachineName> failedOn = new ObjectOpenHashSet<>();
 
-  /** Failures through the job's own fault since its last success; bounds the length of pauses. */
+  /**
+   * The number of failures since the job's last success for which the job is taken to be at fault,
+   * at most {@link #MAX_BACKOFF_EXPONENT}. Each of them doubles the pause.
+   */
   private int backoffExponent;
 
   JobSchedulingState(JobSpec spec, long readyAtMs) {
@@ -150,7 +154,7 @@
     return failedOn.contains(machine);
   }
 
-  /** Returns on how many machines tasks of the job have failed since one last succeeded. */
+  /** Returns the number of machines on which tasks of the job have failed since one succeeded. */
   public int failedMachines() {
     return failedOn.size();
   }
--- a/src/main/java/shorecrank/coordination/model/JobTasks.java
+++ b/src/main/java/shorecrank/coordination/model/JobTasks.java
@@ -29,10 +29,13 @@
   /** Attempts by task index. An attempt stays until it can no longer run on its machine. */
   private final Int2ObjectAVLTreeMap<TaskAttempt> attempts = new Int2ObjectAVLTreeMap<>();
 
-  /** Numbers of running attempts that the record does not name, by task index. */
+  /** How many attempts of a task run although the record does not name them, by task index. */
   private final Int2IntOpenHashMap unrecordedTasks = new Int2IntOpenHashMap();
 
-  /** Attempts whose exit is not in the record yet, with the number of the write that adds it. */
+  /**
+   * Exited attempts that the committed record may still name, with the sequence number of the write
+   * that removes them from it.
+   */
   private final Map<TaskAttemptId, Long> exits = new HashMap<>();
 
   private long lastAttemptNumber;
@@ -216,7 +219,7 @@
   }
 
   /**
-   * Forgets the exits of attempts that the record no longer names.
+   * Removes the exits of attempts that the record no longer names.
    *
    * @param committedSequence the sequence number of the last committed write
    */
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -191,7 +191,7 @@
     idleSince = time;
   }
 
-  /** Forgets which images the machine holds, because a new incarnation of its worker has none. */
+  /** Removes all images that the machine held, because a new incarnation of its worker has none. */
   public void clearImages() {
     images.clear();
   }
@@ -235,7 +235,7 @@
     use(job.spec(), 1);
   }
 
-  /** Forgets all running tasks whose attempts no record names. */
+  /** Removes all running tasks whose attempts no record names. */
   public void clearUnrecordedTasks() {
     for (UnrecordedTask task : unrecordedTasks) {
       task.job().tasks().unmarkUnrecorded(task.index());
--- a/src/main/java/shorecrank/coordination/model/TaskAttempt.java
+++ b/src/main/java/shorecrank/coordination/model/TaskAttempt.java
@@ -160,8 +160,10 @@
   }
 
   /**
-   * Reports whether the answer to the worker's last heartbeat contained a start of this attempt,
-   * and resets that.
+   * Clears the mark that the answer to the worker's last heartbeat contained a start of this
+   * attempt.
+   *
+   * @return whether the mark was set
    */
   public boolean clearStartInLastAnswer() {
     boolean wasInLastAnswer = startInLastAnswer;
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -10,7 +10,7 @@
 import shorecrank.protocol.JobSpec;
 
 /**
- * The quota use of the teams of one shard: the processors and accelerators of their attempts,
+ * The quota usage of the teams of one shard: the processors and accelerators of their attempts,
  * compared with each team's limits.
  */
 public final class TeamQuotas {
@@ -18,8 +18,8 @@
   private static final double EPSILON = 1e-9;
 
   /**
-   * What a team may still use. Callers subtract the tasks that they plan to place; nothing is
-   * allocated by that.
+   * The processors and accelerators that a team may still use. Callers subtract the tasks that they
+   * plan to place, which does not change the quota usage of the team.
    */
   public static final class Headroom {
     private double cpus;
@@ -67,7 +67,7 @@
   }
 
   /** The attempts that count against the limits of one team. */
-  private static final class Usage {
+  private static final class Allocations {
     /** Attempts from their placement until they can no longer run. */
     final Amount placed = new Amount();
 
@@ -77,7 +77,7 @@
 
   private final Map<String, Team> teams;
   private final Collection<Machine> machines;
-  private final Map<String, Usage> usageByTeam = new HashMap<>();
+  private final Map<String, Allocations> allocationsByTeam = new HashMap<>();
 
   /**
    * @param teams the configured teams, by name
@@ -97,14 +97,14 @@
     return team != null && (team.cpusMax() > 0 || team.gpusMax() > 0);
   }
 
-  /** Adds an attempt of a job to the use of its team. */
+  /** Adds an attempt of a job to the usage of its team. */
   public void allocate(JobSpec spec) {
-    usage(spec).placed.add(spec, 1);
+    allocations(spec).placed.add(spec, 1);
   }
 
-  /** Removes an attempt from the use of its job's team, because it can no longer run. */
+  /** Removes an attempt from the usage of its job's team, because it can no longer run. */
   public void release(JobSpec spec) {
-    usage(spec).placed.add(spec, -1);
+    allocations(spec).placed.add(spec, -1);
   }
 
   /**
@@ -112,48 +112,51 @@
    * #releaseWithdrawn} is called for it.
    */
   public void withdraw(JobSpec spec) {
-    usage(spec).placed.add(spec, -1);
-    usage(spec).withdrawn.add(spec, 1);
+    allocations(spec).placed.add(spec, -1);
+    allocations(spec).withdrawn.add(spec, 1);
   }
 
-  /** Removes withdrawn attempts from the use of their job's team, because no record names them. */
+  /**
+   * Removes withdrawn attempts from the usage of their job's team, because no record names them.
+   */
   public void releaseWithdrawn(JobSpec spec, int attempts) {
-    usage(spec).withdrawn.add(spec, -attempts);
+    allocations(spec).withdrawn.add(spec, -attempts);
   }
 
-  private Usage usage(JobSpec spec) {
-    return usageByTeam.computeIfAbsent(spec.team(), name -> new Usage());
+  private Allocations allocations(JobSpec spec) {
+    return allocationsByTeam.computeIfAbsent(spec.team(), name -> new Allocations());
   }
 
   /** Reports whether the placed attempts, without the withdrawn ones, exceed the team's limits. */
   public boolean isAboveLimit(String name) {
     Team team = teams.get(name);
-    Usage usage = usageByTeam.get(name);
-    return isLimited(team) && usage != null && use(team, usage).isAboveLimit();
+    Allocations allocations = allocationsByTeam.get(name);
+    return isLimited(team) && allocations != null && teamUsage(team, allocations).isAboveLimit();
   }
 
-  private static TeamUsage use(Team team, Usage usage) {
-    Amount placed = usage.placed;
-    Amount withdrawn = usage.withdrawn;
+  private static TeamUsage teamUsage(Team team, Allocations allocations) {
+    Amount placed = allocations.placed;
+    Amount withdrawn = allocations.withdrawn;
     return new TeamUsage(team, placed.cpus, placed.gpus, withdrawn.cpus, withdrawn.gpus);
   }
 
-  /** Returns the use of each team that has a limit and has ever used something, by team name. */
+  /** Returns the usage of each team that has a limit and has ever used something, by team name. */
   public List<TeamUsage> usages() {
     List<TeamUsage> usages = new ArrayList<>();
-    usageByTeam.forEach(
-        (name, usage) -> {
+    allocationsByTeam.forEach(
+        (name, allocations) -> {
           if (isLimited(name)) {
-            usages.add(use(teams.get(name), usage));
+            usages.add(teamUsage(teams.get(name), allocations));
           }
         });
-    usages.sort(Comparator.comparing(use -> use.team().name()));
+    usages.sort(Comparator.comparing(usage -> usage.team().name()));
     return usages;
   }
 
   /**
-   * Returns what a team may still use, after placed and withdrawn attempts and the running tasks
-   * that no record names. A team that is not configured may use nothing.
+   * Returns the processors and accelerators that a team may still use: its limits minus those of
+   * its placed and withdrawn attempts and of its running tasks that no record names. A team that is
+   * not configured may use nothing.
    */
   public Headroom headroom(String name) {
     Team team = teams.get(name);
@@ -167,10 +170,10 @@
     if (!isLimited(team)) {
       return headroom;
     }
-    Usage usage = usageByTeam.get(name);
-    if (usage != null) {
-      headroom.cpus -= usage.placed.cpus + usage.withdrawn.cpus;
-      headroom.gpus -= usage.placed.gpus + usage.withdrawn.gpus;
+    Allocations allocations = allocationsByTeam.get(name);
+    if (allocations != null) {
+      headroom.cpus -= allocations.placed.cpus + allocations.withdrawn.cpus;
+      headroom.gpus -= allocations.placed.gpus + allocations.withdrawn.gpus;
     }
     for (Machine machine : machines) {
       for (Machine.UnrecordedTask unrecorded : machine.unrecordedTasks()) {
--- a/src/main/java/shorecrank/coordination/model/TeamUsage.java
+++ b/src/main/java/shorecrank/coordination/model/TeamUsage.java
@@ -3,7 +3,7 @@
 import shorecrank.config.NodeConfig.Team;
 
 /**
- * A team's quota use.
+ * A team's quota usage.
  *
  * @param team the team, with its limits
  * @param cpus processors of the team's placed attempts
@@ -21,7 +21,7 @@
     return isAbove(cpus, team.cpusMax()) || isAbove(gpus, team.gpusMax());
   }
 
-  /** Formats the use by placed attempts and the limits as fields of a log line. */
+  /** Formats the usage by placed attempts and the limits as fields of a log line. */
   public String logFields() {
     return String.format(
         "team=%s cpus=%.2f cpus_max=%.2f gpus=%.2f gpus_max=%.2f",
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -10,8 +10,8 @@
 import shorecrank.protocol.Ids.MonotonicTime;
 
 /**
- * The failure detector for the workers of one shard. It finds out from which workers heartbeats
- * arrive, and what follows from the silence of the others.
+ * The failure detector for the workers of one shard. It determines which workers' heartbeats arrive
+ * in time, which are overdue, and which workers' leases have expired.
  */
 public final class WorkerLiveness {
   /** A heartbeat times out after 4 s, and the worker tries the next controller 1 s later. */
@@ -33,16 +33,22 @@
 
   private static final long FRESH_MARGIN_MS = 1500;
 
-  /** Bounds the clock drift: a worker's lease lasts at most this much longer on this clock. */
+  /**
+   * Bounds the clock drift: measured with this controller's clock, a worker's lease lasts at most
+   * its duration times this factor.
+   */
   private static final double LEASE_DRIFT_FACTOR = 1.002;
 
-  /** Bounds the clock drift: an earlier owner's grace period lasts 1/500 longer at most. */
+  /**
+   * Bounds the clock drift: measured with this controller's clock, an earlier owner's grace period
+   * is longer by at most its duration divided by this number.
+   */
   private static final long GRACE_DRIFT_DIVISOR = 500;
 
   private static final long TIMER_MARGIN_MS = 1000;
   private static final double MS_PER_S = 1000;
 
-  /** The machines of a zone from which heartbeats are expected, and those that are overdue. */
+  /** How many machines of a zone should send heartbeats, and how many of these are overdue. */
   private static final class ZoneCount {
     int expected;
     int overdue;
@@ -70,9 +76,9 @@
    * to this owner.
    *
    * <p>This matters for an owner that reaches neither the state service nor another controller. If
-   * it still hears nearly all workers, another controller can serve them, so it should be replaced
-   * soon. If it hears only some of them, it is probably cut off together with these; no other
-   * controller can renew their leases, so it goes on doing that.
+   * it still receives heartbeats from nearly all workers, another controller can serve them, so it
+   * should be replaced soon. If it receives them from only some workers, it is probably cut off
+   * together with these; no other controller can renew their leases, so it keeps renewing them.
    */
   public boolean isMissingManyWorkers() {
     int responding = 0;
--- a/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CapacityPlanner.java
@@ -17,12 +17,12 @@
 /** Plans the scale-out of a shard: the cheapest machines that clear its queue in time. */
 final class CapacityPlanner {
   /**
-   * A machine that boots for longer than this many times its type's usual boot time is not counted
-   * on. Most machines are up within 1.5 times the usual boot time.
+   * A machine that has been booting for this many times its type's usual boot time no longer counts
+   * as capacity. Most machines are up within 1.5 times the usual boot time.
    */
   private static final double MAX_BOOT_FACTOR = 2;
 
-  /** Upper bound of the machines of one scarce offer in a request. */
+  /** Maximum number of machines that are requested of one scarce offer. */
   private static final int MAX_SCARCE_MACHINES = 10;
 
   /** The deficit, as a fraction of a machine's processors, for which no machine is rented. */
@@ -169,8 +169,9 @@
   }
 
   /**
-   * Reports whether a machine that was never heard may still be booting. One that takes far longer
-   * than usual may never come up, and one from another shard had booted before it was handed over.
+   * Reports whether a machine that has sent no heartbeat yet may still be booting. One that takes
+   * far longer than usual may never come up, and one from another shard had booted before it was
+   * handed over.
    */
   private boolean mayStillBoot(Machine machine) {
     return !machine.assignment().hasArrivedFromOtherShard()
--- a/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilenceDetector.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CorrelatedSilenceDetector.java
@@ -59,7 +59,8 @@
     SilenceCount fleet = new SilenceCount();
     Map<String, SilenceCount> zones = new HashMap<>();
     for (Machine machine : shard.machines().values()) {
-      // A machine with tasks has been up before, even if this owner has never heard it.
+      // A machine with tasks has been up before, even if this owner has received no heartbeat of
+      // it.
       if (machine.info() != null
           && (machine.session().hasConfirmedHeartbeat() || !machine.isEmpty())) {
         boolean isSilent = !shard.liveness().isFresh(machine);
--- a/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DemandEstimator.java
@@ -10,7 +10,7 @@
 
 /** Estimates the processors that queued tasks need, and those of a machine that they can use. */
 final class DemandEstimator {
-  /** Replaces a divisor of 0. */
+  /** Lower bound of divisors, to avoid a division by 0. */
   private static final double EPSILON = 1e-9;
 
   /** Lower bound of a task's estimated run, in seconds. */
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyGraph.java
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Cancels the dependents of a job that is finally cancelled: its record has a committed mark, or
-   * one of its dependencies is finally cancelled.
+   * Cancels the dependents of a job that is cancelled for good: its record has a committed
+   * cancellation mark, or one of its dependencies is cancelled for good.
    */
   public void onJobCancelled(JobId id) {
     Set<Job> waiting = dependents.remove(id);
@@ -138,7 +138,8 @@
     if (job.isCancelled()) {
       return;
     }
-    // Dependencies of a job never change, so its cancellation is as final as a committed mark.
+    // The dependencies of a job never change, so a job with a cancelled dependency is cancelled for
+    // good, like one whose record has a committed cancellation mark.
     cancellations.recordCancelled(job.id());
     cancelJob.accept(job);
     urgency.invalidate();
--- a/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/shorecrank/coordination/scheduling/JobPlacer.java
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Returns the machines to choose from, without those on which tasks of the job have failed; if
-     * there are no others, with them. Jobs that are spread over zones get a copy, from which full
-     * zones are removed.
+     * Returns the machines to choose from: those on which no task of the job has failed, or all
+     * available ones if tasks have failed on each. Jobs that are spread over zones get a copy, from
+     * which full zones are removed.
      */
     private List<Machine> candidates() {
       List<Machine> machines = available;
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -19,17 +19,26 @@
 
   private static final double SILENT_MARGIN_MS = 4000;
 
-  /** A silent machine is released before its lease expires if that saves more than this time. */
+  /**
+   * A silent machine is released before its worker's lease expires if that is sooner by more than
+   * this time.
+   */
   private static final double MIN_LEASE_CUT_MS = 10_000;
 
-  /** How long after its lease has expired a silent machine is released, if not earlier. */
+  /** How long after its worker's lease has expired a silent machine is released, if not earlier. */
   private static final double AFTER_LEASE_MS = 30_000;
 
-  /** How long after its lease has expired a machine in a correlated silence is released. */
+  /**
+   * How long after its worker's lease has expired a machine is released if many machines are silent
+   * at once.
+   */
   private static final double AFTER_LEASE_CORRELATED_MS = 60_000;
 
-  /** Minimum silence before a machine is released that has tasks and was never heard. */
-  private static final double NEVER_HEARD_MS = 15_000;
+  /**
+   * Minimum silence before a machine is released that has tasks but has sent no heartbeat to this
+   * owner.
+   */
+  private static final double MIN_SILENCE_BEFORE_FIRST_HEARTBEAT_MS = 15_000;
 
   /**
    * A machine that has not come up is given up after this many times its type's usual boot time
@@ -70,7 +79,7 @@
     List<MachineName> machinesToReturn = new ArrayList<>();
     for (Machine machine : shard.machines().values()) {
       if (!machine.session().hasConfirmedHeartbeat()) {
-        if (isUnheardTooLong(machine)) {
+        if (isFirstHeartbeatOverdue(machine)) {
           machinesToReturn.add(machine.name());
         }
       } else if (isSilent(machine) || isUnresponsive(machine)) {
@@ -85,22 +94,24 @@
     return machinesToReturn;
   }
 
-  /** Reports whether a machine that this owner has never heard will probably not come up. */
-  private boolean isUnheardTooLong(Machine machine) {
+  /** Reports whether a machine that has sent no heartbeat to this owner will probably send none. */
+  private boolean isFirstHeartbeatOverdue(Machine machine) {
     if (!machine.isEmpty()) {
       boolean mayBeCorrelated = silenceDetector.mayAffect(machine);
       double maxSilenceMs =
-          mayBeCorrelated ? maxSilenceMs(machine) : Math.max(NEVER_HEARD_MS, earliestReleaseMs());
+          mayBeCorrelated
+              ? maxSilenceMs(machine)
+              : Math.max(MIN_SILENCE_BEFORE_FIRST_HEARTBEAT_MS, earliestReleaseMs());
       return shard.liveness().silentMs(machine) > maxSilenceMs;
     }
     if (!machine.assignment().isAssigned()) {
       return false;
     }
-    double maxUnheardMs =
+    double maxWaitMs =
         machine.assignment().hasArrivedFromOtherShard()
             ? maxSilenceMs(machine)
             : maxBootMs(machine);
-    return context.now().since(machine.assignment().since()) > maxUnheardMs;
+    return context.now().since(machine.assignment().since()) > maxWaitMs;
   }
 
   private static double maxBootMs(Machine machine) {
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -364,7 +364,7 @@
     }
   }
 
-  /** Forgets a job that has ended or left the shard; it still counts in its class. */
+  /** Removes a job that has ended or left the shard; it still counts in its class. */
   public void remove(Job job) {
     countedJobs.remove(job);
   }
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -26,6 +26,7 @@
   /** Time within which a worker must answer. An unanswered command may still be executed. */
   private static final int TIMEOUT_MS = 1000;
 
+  /** Lower bound of the limit on unanswered direct commands. */
   private static final int MIN_CONNECTIONS = 4;
 
   /** Direct commands may use the number of sockets divided by this. */
@@ -48,7 +49,7 @@
   }
 
   /**
-   * Sends the starts that committed writes have placed.
+   * Sends the start commands for the attempts that committed writes have placed.
    *
    * <p>A direct command may be delayed or duplicated, so it is sent under a fencing token of its
    * own, and the next answer carries a higher one. Until the worker has shown the higher token, a
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -14,9 +14,9 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * Looks up tasks on a shard's machines that belong to no job of the shard. Before such a task is
- * stopped or its result discarded, the state service is asked whether another shard's record names
- * the attempt on that machine: that shard's owner has not recorded its result yet.
+ * Looks up tasks on a shard's machines that belong to no job of the shard. Such a task must not be
+ * stopped, nor its result discarded, while a record of another shard names the attempt on that
+ * machine, because that shard's owner has not recorded the result yet.
  */
 final class ForeignTasks {
   private static final int READ_TIMEOUT_MS = 2000;
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -39,7 +39,7 @@
    * Handles a heartbeat and answers it, now or after the next commit.
    *
    * @param reply the number of the request to answer
-   * @param mayCommand whether the lease is valid; if not, only the worker's lease is renewed
+   * @param mayCommand whether the worker may be commanded; if not, only its lease is renewed
    */
   void handle(long reply, WorkerHeartbeat heartbeat, boolean mayCommand) {
     Machine machine = machines.machine(heartbeat.machine());
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -147,7 +147,7 @@
 
   /**
    * Refuses the machine's deferred reply, if it has one, because a later heartbeat has arrived or
-   * the machine is gone.
+   * the machine was removed.
    */
   void refuseDeferred(Machine machine) {
     if (machine.session().hasDeferredReply()) {
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -145,7 +145,7 @@
 
   /**
    * Cancels a job because one that it depends on is cancelled. None of its tasks has been placed,
-   * since all dependencies come first.
+   * since a job's tasks are placed only once all its dependencies are done.
    */
   void cancelWithDependency(Job job) {
     onCancelled(job);
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -45,10 +45,10 @@
 
   private static final int BYTES_PER_KB = 1024;
 
-  /** Above this share of the largest value, a record drops its uncommitted placements. */
+  /** Above this share of the maximum size of a value, a record drops its uncommitted placements. */
   private static final double SHRINK_SHARE = 0.95;
 
-  /** New attempt ranges are added while the record is below this share of the largest value. */
+  /** Attempt ranges are added while a record is below this share of the maximum size of a value. */
   private static final double FILL_SHARE = 0.9;
 
   /** Pause before a record is written again that is too large even in the compact form. */
@@ -181,8 +181,9 @@
   }
 
   /**
-   * Returns the limiter of a job's writes. Claims of an earlier owner's records after a failover
-   * may use everything that the state service takes, before new placements.
+   * Returns the rate limiter of a job's writes. Claims of an earlier owner's records after a
+   * failover may use the full write rate of the state service, since no task of a job can be placed
+   * before its record is claimed.
    */
   private RateLimiter limiter(Job job) {
     return job.record().isFreeOfEarlierOwner() ? context.writeBudget() : context.userWriteBudget();
@@ -347,8 +348,9 @@
 
   /**
    * Handles the refusal of a transaction because a value in it is too large. Each record is first
-   * written alone to find the one. That record is written in the compact form from then on, and if
-   * this is too large as well, it is retried after a pause until it shrinks as its tasks end.
+   * written alone, to find the one that is too large. That record is written in the compact form
+   * from then on. If this form is too large as well, the write is retried after pauses, until the
+   * record has shrunk as its tasks end.
    */
   private void handleTooLarge(List<RecordWrite> writes, String answer, MonotonicTime now) {
     context.info(
--- a/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineHandovers.java
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Forgets the handover of a machine that may be used here again, is assigned to another shard, or
-   * is gone.
+   * Removes the handover of a machine that may be used here again, is assigned to another shard, or
+   * was released.
    */
   void remove(MachineName machine) {
     handedOver.remove(machine);
@@ -65,8 +65,8 @@
   /**
    * Reports whether nothing of this shard is on the machine or can reach it, and no record names
    * it. The worker has shown this owner's token, its last heartbeat lists no task of the shard, no
-   * direct command to it may still act, and no record names the machine, not even through a write
-   * that is applied late.
+   * direct command to it may still take effect, and no record names the machine, not even through a
+   * write that is applied late.
    */
   private boolean isReadyForHandover(Machine machine, WorkerLiveness liveness) {
     return machine.isEmpty()
--- a/src/main/java/shorecrank/coordination/shard/MachineReferences.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineReferences.java
@@ -97,7 +97,12 @@
     setWritableByOthers(reference, othersMayWrite);
   }
 
-  /** Records that a write was sent that replaces the record, guarded by the record's revision. */
+  /**
+   * Records that a write of a job's record was sent.
+   *
+   * @param guard the revision of the record that guards the write
+   * @param record the record that the write stores
+   */
   void recordSent(JobId job, long sequence, Revision guard, JobRecord record) {
     if (tracking) {
       recordSent(job, sequence, guard, machinesOf(record));
@@ -105,8 +110,10 @@
   }
 
   /**
-   * Records that a write was sent whose record names the given machines, guarded by the record's
-   * revision.
+   * Records that a write of a job's record was sent.
+   *
+   * @param guard the revision of the record that guards the write
+   * @param machines the machines that the written record names
    */
   void recordSent(JobId job, long sequence, Revision guard, Set<MachineName> machines) {
     if (!tracking) {
@@ -158,7 +165,7 @@
     }
   }
 
-  /** Removes everything, before all records are read again. */
+  /** Removes the references of all jobs, before all records are read again. */
   void clear() {
     references.clear();
     counts.clear();
--- a/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
+++ b/src/main/java/shorecrank/coordination/shard/MachineRegistry.java
@@ -28,7 +28,7 @@
 public final class MachineRegistry {
   /** Actions of the owner on a machine's attempts and on its deferred reply. */
   interface Callbacks {
-    /** Gives up an attempt that is certainly not running any more and has left no result. */
+    /** Abandons an attempt that is certainly not running any more and has left no result. */
     void abandonAttempt(TaskAttempt attempt);
 
     /** Refuses the deferred reply to the machine's heartbeat, if there is one. */
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Sets the type, zone and kind of a machine, if they are not known yet. */
+  /** Sets a machine's type, its zone and whether it is a spot machine, if not known yet. */
   void initInfo(Machine machine, MachineInfo info) {
     if (machine.info() == null) {
       machine.setInfo(info);
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Removes machines that were released, and gives up all attempts on them. */
+  /** Removes machines that were released, and abandons all attempts on them. */
   public void removeReleased(Collection<MachineName> names) {
     for (MachineName name : names) {
       handovers.remove(name);
@@ -186,9 +186,13 @@
     machinesWithFreeCpus.remove(machine);
   }
 
-  // ---- lost attempts ----------------------------------------------------------------------------
+  // ---- abandoned attempts -----------------------------------------------------------------------
 
-  /** Gives up all attempts on a machine, none of which is running any more. */
+  /**
+   * Abandons all attempts on a machine, none of which is running any more.
+   *
+   * @param reason for the log
+   */
   void abandonAll(Machine machine, String reason) {
     int count = machine.attempts().size();
     for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
@@ -202,7 +206,7 @@
     }
   }
 
-  /** Gives up a machine's attempts of incarnations before its current one. */
+  /** Abandons a machine's attempts of incarnations before its worker's current one. */
   void abandonEarlierIncarnations(Machine machine) {
     for (TaskAttempt attempt : new ArrayList<>(machine.attempts())) {
       if (attempt.incarnation().compareTo(machine.session().incarnation()) < 0) {
@@ -211,7 +215,7 @@
     }
   }
 
-  /** Forgets what workers have reported of their tasks, before all records are read again. */
+  /** Marks the tasks on all machines as no longer known, before all records are read again. */
   void clearReconciled() {
     for (Machine machine : machines.values()) {
       callbacks.refuseDeferredReply(machine);
@@ -219,12 +223,11 @@
     }
   }
 
-  /** Gives up the attempts on machines whose worker's lease has certainly expired. */
+  /** Abandons the attempts on machines whose worker's lease has certainly expired. */
   void expireLeases(WorkerLiveness liveness) {
     for (Machine machine : machines.values()) {
       // If the machine is assigned to another shard, that shard's owner may be renewing its
-      // worker's
-      // lease, so silence towards this owner proves nothing.
+      // worker's lease, so a lack of heartbeats to this owner proves nothing.
       if (!machine.isEmpty()
           && !machine.assignment().isAssignedElsewhere()
           && liveness.isLeaseExpired(machine)) {
--- a/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
+++ b/src/main/java/shorecrank/coordination/shard/QuotaGuard.java
@@ -10,8 +10,9 @@
 
 /**
  * Keeps attempts that records name from being started above their team's limit. An owner never
- * places that many, but may find them in the records: some may have ended since, or an earlier
- * version placed too many because it did not count withdrawn attempts.
+ * places more attempts than the limit allows, but the records that it takes over may name more:
+ * some of these attempts may have ended, or were placed by a version that does not count withdrawn
+ * attempts.
  */
 final class QuotaGuard {
   private final StepContext context;
@@ -48,10 +49,10 @@
   /** Finds the teams that are certainly above their limits and logs each as an error. */
   void review() {
     knownAboveLimit.clear();
-    for (TeamUsage use : quotas.usages()) {
-      if (use.isAboveLimit() && isUsageKnown(use.team().name())) {
-        knownAboveLimit.add(use.team().name());
-        context.reportError("quota.exceeded", "team.quota.exceeded " + use.logFields());
+    for (TeamUsage usage : quotas.usages()) {
+      if (usage.isAboveLimit() && isUsageKnown(usage.team().name())) {
+        knownAboveLimit.add(usage.team().name());
+        context.reportError("quota.exceeded", "team.quota.exceeded " + usage.logFields());
       }
     }
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardJobs.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardJobs.java
@@ -70,7 +70,7 @@
     return quotas.isLimited(team);
   }
 
-  /** Returns the usage of the teams with a limit. */
+  /** Returns the quota usage of the teams with a limit, by team name. */
   List<TeamUsage> teamUsages() {
     return quotas.usages();
   }
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Gives up an attempt that is certainly not running any more, has left no result and can't be
-   * started again.
+   * Abandons an attempt that is certainly not running any more, has left no result and can't be
+   * started again: removes it and requests a write of the job's record without it.
    */
   void abandon(TaskAttempt attempt) {
     detach(attempt);
@@ -180,7 +180,7 @@
     return !relinquished.isEmpty();
   }
 
-  /** Forgets the relinquished jobs, which this owner may own again under a higher epoch. */
+  /** Removes all relinquished jobs, which this owner may own again under a higher epoch. */
   void clearRelinquished() {
     relinquished.clear();
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -133,8 +133,9 @@
    * outlive an outage of the state service. The grace period is bounded because a new owner relies
    * on no lease being renewed after it.
    *
-   * @param isAlone whether no other controller has been heard lately
-   * @param isMissingManyWorkers whether a part of the machines has just stopped sending heartbeats
+   * @param isAlone whether no message from another controller has arrived lately
+   * @param isMissingManyWorkers whether heartbeats arrive from fewer than two thirds of the shard's
+   *     workers
    */
   boolean isInGrace(boolean isAlone, boolean isMissingManyWorkers) {
     long expiredForMs = context.now().since(validUntil);
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -205,7 +205,7 @@
    * Reports whether workers' leases may still be renewed, without commands, after the lease has
    * expired.
    *
-   * @param isAlone whether no other controller has been heard lately
+   * @param isAlone whether no message from another controller has arrived lately
    */
   public boolean isInGrace(boolean isAlone) {
     return lease.isInGrace(isAlone, isMissingManyWorkers);
@@ -226,8 +226,8 @@
   // ---- cancellations ---------------------------------------------------------------------------
 
   /**
-   * Returns the time up to which the state service has shown this owner all cancellations; NEVER
-   * until all records are read.
+   * Returns the time up to which the state service has shown this owner all cancellations; {@link
+   * MonotonicTime#NEVER} until all records have been read.
    */
   public MonotonicTime cancellationsShownUpTo() {
     return recovery.shownUpTo();
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -90,14 +90,17 @@
     return ready;
   }
 
-  /** Returns when the last complete listing of all records ended; NEVER if there was none. */
+  /**
+   * Returns when the last complete listing of all records ended; {@link MonotonicTime#NEVER} if
+   * there was none.
+   */
   MonotonicTime readySince() {
     return readySince;
   }
 
   /**
-   * Returns the time up to which the state service has shown all changes; NEVER until all records
-   * have been read.
+   * Returns the time up to which the state service has shown all changes; {@link
+   * MonotonicTime#NEVER} until all records have been read.
    */
   MonotonicTime shownUpTo() {
     return shownUpTo;
@@ -270,8 +273,8 @@
     }
     job.record().observeRevision(change.revision());
     if (isMarked && !job.isCancelled()) {
-      // The mark is committed, since the watch shows it; reading the record again may fail for
-      // long.
+      // The mark is committed, since the watch shows it, so the job is cancelled at once: reading
+      // the record again may fail for a long time.
       lifecycle.onCancelled(job);
     }
     resolver.rereadIfOutdated(job);
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -24,16 +24,17 @@
 import shorecrank.storage.JobRecord;
 
 /**
- * Answers queries for the status of the shard's jobs. One transaction of guards only confirms that
- * all records concerned are unchanged. So no answer is older than one given elsewhere, and a burst
- * of queries costs few requests to the state service.
+ * Answers queries for the status of the shard's jobs. Before the answer, a transaction that holds
+ * only guards confirms that the records concerned are unchanged, so that no answer is older than
+ * one that another controller has given. One transaction serves many queries, so a burst of queries
+ * costs few requests to the state service.
  */
 public final class StatusQueries {
   private static final int COMPARE_TIMEOUT_MS = 1000;
 
   /**
-   * Maximum number of comparisons of a query, after which it is answered without the store or not
-   * at all.
+   * Maximum number of comparisons of a query. After these it is answered with the final status in
+   * memory, or with an empty status if there is none.
    */
   private static final int MAX_COMPARISONS = 2;
 
--- a/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
+++ b/src/main/java/shorecrank/coordination/shard/TakeoverLog.java
@@ -23,7 +23,7 @@
   /**
    * Logs that all records have been read.
    *
-   * @param revision of the state service at the first page
+   * @param revision the revision of the state service at the first page
    * @param began when the first page was requested
    */
   void logRecovered(long revision, MonotonicTime began) {
@@ -42,12 +42,12 @@
         attempts,
         toClaim,
         context.now().since(began));
-    jobs.teamUsages().forEach(use -> logUsage(use, revision));
+    jobs.teamUsages().forEach(usage -> logUsage(usage, revision));
   }
 
-  private void logUsage(TeamUsage use, long revision) {
+  private void logUsage(TeamUsage usage, long revision) {
     context.info(
         "team.use %s shard=%s epoch=%s revision=%d",
-        use.logFields(), lease.shard(), lease.epoch(), revision);
+        usage.logFields(), lease.shard(), lease.epoch(), revision);
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
+++ b/src/main/java/shorecrank/coordination/shard/UtilizationGauges.java
@@ -53,12 +53,12 @@
 
   /** Sets the usage gauges of each team with a limit. */
   static void updateTeams(StepContext context, List<TeamUsage> usages) {
-    for (TeamUsage use : usages) {
-      String team = use.team().name();
-      context.gauge("team.cpus.placed." + team, use.cpus());
-      context.gauge("team.gpus.placed." + team, use.gpus());
-      context.gauge("team.cpus.withdrawn." + team, use.withdrawnCpus());
-      context.gauge("team.gpus.withdrawn." + team, use.withdrawnGpus());
+    for (TeamUsage usage : usages) {
+      String team = usage.team().name();
+      context.gauge("team.cpus.placed." + team, usage.cpus());
+      context.gauge("team.gpus.placed." + team, usage.gpus());
+      context.gauge("team.cpus.withdrawn." + team, usage.withdrawnCpus());
+      context.gauge("team.gpus.withdrawn." + team, usage.withdrawnGpus());
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -19,9 +19,13 @@
 final class WriteOutcomeResolver {
   private static final int READ_TIMEOUT_MS = 2000;
 
-  /** Shortest pause before an unreadable record is read again; the longest is twice that. */
+  /**
+   * Shortest pause of a job's writes after its live record could not be read; the longest is twice
+   * that. If the next write is refused, the record is read again.
+   */
   private static final int RETRY_MS = 200;
 
+  /** Pause of a job's writes after its final record could not be read. */
   private static final int FINAL_RETRY_MS = 300;
 
   /** Handles what a record that was read again says about its job. */
--- a/src/main/java/shorecrank/coordination/step/CancellationStalenessLimit.java
+++ b/src/main/java/shorecrank/coordination/step/CancellationStalenessLimit.java
@@ -18,7 +18,11 @@
   private static final int MARGIN_MS = 500;
 
   private static final int MS_PER_S = 1000;
+
+  /** Lower bound of the limit, in intervals of workers' heartbeats. */
   private static final int MIN_HEARTBEATS = 2;
+
+  /** Added to {@link #MIN_HEARTBEATS} intervals for the lower bound of the limit. */
   private static final int MIN_MARGIN_MS = 1000;
 
   private final long safeMs;
--- a/src/main/java/shorecrank/coordination/step/PeerClient.java
+++ b/src/main/java/shorecrank/coordination/step/PeerClient.java
@@ -31,7 +31,11 @@
     this.context = context;
   }
 
-  /** Sends a heartbeat to the leader. */
+  /**
+   * Sends a heartbeat to the leader.
+   *
+   * @param callback receives the result
+   */
   public void sendHeartbeat(
       ControllerName to, Heartbeat heartbeat, int timeoutMs, Consumer<HeartbeatResult> callback) {
     context.callPeer(
@@ -84,7 +88,7 @@
    * @param message the request in the form that the path of the other controller expects
    * @param reply identifies the request to reply to
    * @param isPassedOn tests whether an answer with the given status is passed on to the sender
-   * @param otherwise receives the status of an answer that is not passed on; 0 if no answer came
+   * @param fallback receives the status of an answer that is not passed on; 0 if no answer came
    *     within the timeout
    */
   public void forward(
@@ -94,7 +98,7 @@
       int timeoutMs,
       long reply,
       IntPredicate isPassedOn,
-      IntConsumer otherwise) {
+      IntConsumer fallback) {
     context.callPeer(
         to,
         path,
@@ -104,7 +108,7 @@
           if (isPassedOn.test(status)) {
             context.reply(reply, status, body);
           } else {
-            otherwise.accept(status);
+            fallback.accept(status);
           }
         });
   }
--- a/src/main/java/shorecrank/coordination/step/StepContext.java
+++ b/src/main/java/shorecrank/coordination/step/StepContext.java
@@ -226,14 +226,17 @@
     return storeReachability.isReachable(now);
   }
 
-  /** Returns when the state service last answered, or NEVER if it has not answered yet. */
+  /**
+   * Returns when the state service last answered, or {@link MonotonicTime#NEVER} if it has not
+   * answered yet.
+   */
   public MonotonicTime storeLastAnsweredAt() {
     return storeReachability.lastAnsweredAt();
   }
 
   /**
    * Returns when the state service last became reachable: at its first answer, or at the first one
-   * after it was unreachable. NEVER if it has not answered yet.
+   * after it was unreachable; {@link MonotonicTime#NEVER} if it has not answered yet.
    */
   public MonotonicTime storeReachableSince() {
     return storeReachability.reachableSince();
@@ -331,7 +334,7 @@
   }
 
   /**
-   * Counts a rejected message or value, and logs it at a limited rate.
+   * Counts an error and logs it at a limited rate.
    *
    * @param metric the counter; at most one line per counter is logged every few seconds
    * @param event the log line: the event's name and its fields
--- a/src/main/java/shorecrank/coordination/step/StepOutputs.java
+++ b/src/main/java/shorecrank/coordination/step/StepOutputs.java
@@ -9,10 +9,10 @@
 
 /** Collects the outputs of the current step, in the order in which they are added. */
 final class StepOutputs {
-  /** The shortest time between two logged refusals that are counted in the same metric. */
-  private static final int REFUSAL_LOG_PAUSE_MS = 5000;
+  /** The shortest time between two logged errors that are counted in the same metric. */
+  private static final int ERROR_LOG_PAUSE_MS = 5000;
 
-  private final Map<String, MonotonicTime> refusalLoggedAt = new HashMap<>();
+  private final Map<String, MonotonicTime> errorLoggedAt = new HashMap<>();
   private List<Output> outputs = new ArrayList<>();
 
   /** Removes and returns all outputs. */
@@ -50,14 +50,14 @@
   }
 
   /**
-   * Counts a refusal, and logs it unless a refusal with the same metric was logged within {@link
-   * #REFUSAL_LOG_PAUSE_MS}.
+   * Counts an error, and logs it unless an error with the same metric was logged within {@link
+   * #ERROR_LOG_PAUSE_MS}.
    */
   void reportError(String metric, String event, MonotonicTime now) {
     count(metric, 1);
-    MonotonicTime loggedAt = refusalLoggedAt.getOrDefault(metric, MonotonicTime.NEVER);
-    if (now.since(loggedAt) >= REFUSAL_LOG_PAUSE_MS) {
-      refusalLoggedAt.put(metric, now);
+    MonotonicTime loggedAt = errorLoggedAt.getOrDefault(metric, MonotonicTime.NEVER);
+    if (now.since(loggedAt) >= ERROR_LOG_PAUSE_MS) {
+      errorLoggedAt.put(metric, now);
       log(Output.Level.ERROR, event);
     }
   }
--- a/src/main/java/shorecrank/coordination/step/StorePageForwarder.java
+++ b/src/main/java/shorecrank/coordination/step/StorePageForwarder.java
@@ -19,10 +19,10 @@
    * @param after the last key of the previous page; empty for the first page
    * @param limit the maximum number of keys in the page
    * @param reply the number that identifies the request
-   * @param unavailable run instead of the reply if the state service does not answer with a page
+   * @param fallback run instead of the reply if the state service does not answer with a page
    */
   public void forward(
-      String prefix, String after, int limit, int timeoutMs, long reply, Runnable unavailable) {
+      String prefix, String after, int limit, int timeoutMs, long reply, Runnable fallback) {
     context.callStore(
         "GET",
         StorePaths.list(prefix, after, limit),
@@ -32,7 +32,7 @@
           if (status == OK) {
             context.reply(reply, OK, body);
           } else {
-            unavailable.run();
+            fallback.run();
           }
         });
   }
--- a/src/main/java/shorecrank/coordination/step/StoreReachability.java
+++ b/src/main/java/shorecrank/coordination/step/StoreReachability.java
@@ -44,14 +44,17 @@
     return now.since(lastAnsweredAt) < answerValidMs;
   }
 
-  /** Returns when the service last answered, or NEVER if it has not answered yet. */
+  /**
+   * Returns when the service last answered, or {@link MonotonicTime#NEVER} if it has not answered
+   * yet.
+   */
   MonotonicTime lastAnsweredAt() {
     return lastAnsweredAt;
   }
 
   /**
    * Returns when the service last became reachable: at its first answer, or at the first one after
-   * it was unreachable. NEVER if it has not answered yet.
+   * it was unreachable; {@link MonotonicTime#NEVER} if it has not answered yet.
    */
   MonotonicTime reachableSince() {
     return reachableSince;
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -52,7 +52,7 @@
   void info(String format, Object... args);
 
   /**
-   * Counts a rejected message or value, and logs it at a limited rate.
+   * Counts an error and logs it at a limited rate.
    *
    * @param metric the counter; at most one line per counter is logged every few seconds
    * @param what the log line: the event's name and its fields
