--- a/src/main/java/shorecrank/coordination/HealthCheck.java
+++ b/src/main/java/shorecrank/coordination/HealthCheck.java
@@ -29,8 +29,9 @@
 
   /**
    * Reports whether this controller should get users' requests. While no controller reaches the
-   * state service, every controller that still hears others stays healthy: otherwise a load
-   * balancer would be left without any controller, although none serves users better than another.
+   * state service, every controller that receives messages from others stays healthy: otherwise a
+   * load balancer would be left without any controller, although none serves users better than
+   * another.
    */
   boolean isHealthy() {
     if (catalog.isEmpty()) {
--- a/src/main/java/shorecrank/coordination/OwnedShards.java
+++ b/src/main/java/shorecrank/coordination/OwnedShards.java
@@ -93,15 +93,16 @@
 
   /**
    * Returns the earliest of the times up to which the shard owners have read all cancellations from
-   * the state service, or NEVER if no shard owner has read them yet. Owners that have read none are
-   * left out.
+   * the state service, or {@link MonotonicTime#NEVER} if no shard owner has read them yet. Owners
+   * that have not read them are left out.
    */
   MonotonicTime oldestCancellationView() {
     MonotonicTime oldest = MonotonicTime.NEVER;
     for (ShardOwner shardOwner : shardOwners.values()) {
-      MonotonicTime seen = shardOwner.cancellationsShownUpTo();
-      if (oldest == MonotonicTime.NEVER || (seen != MonotonicTime.NEVER && seen.isBefore(oldest))) {
-        oldest = seen;
+      MonotonicTime knownUpTo = shardOwner.cancellationsShownUpTo();
+      if (oldest == MonotonicTime.NEVER
+          || (knownUpTo != MonotonicTime.NEVER && knownUpTo.isBefore(oldest))) {
+        oldest = knownUpTo;
       }
     }
     return oldest;
--- a/src/main/java/shorecrank/coordination/OwnerTable.java
+++ b/src/main/java/shorecrank/coordination/OwnerTable.java
@@ -26,7 +26,7 @@
   private static final int LEADER_SILENCE_MS = 2500;
 
   private static final int READ_TIMEOUT_MS = 1500;
-  private static final int READ_LIMIT = 200;
+  private static final int MAX_SHARDS = 200;
 
   /** The shortest pause between two reads; up to {@link #READ_PAUSE_JITTER_MS} are added to it. */
   private static final int READ_PAUSE_MS = 800;
@@ -114,7 +114,7 @@
     isReading = true;
     context
         .store()
-        .list(ShardOwnerCodec.PREFIX, "", READ_LIMIT, READ_TIMEOUT_MS, this::handleOwnersRead);
+        .list(ShardOwnerCodec.PREFIX, "", MAX_SHARDS, READ_TIMEOUT_MS, this::handleOwnersRead);
   }
 
   private void handleOwnersRead(ListResult result) {
--- a/src/main/java/shorecrank/coordination/leader/AssignmentChangeLog.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentChangeLog.java
@@ -21,13 +21,16 @@
    * The number of low bits of a version that count the changes within one term; the higher bits
    * hold the term.
    */
-  private static final int TERM_BITS = 20;
+  private static final int CHANGE_NUMBER_BITS = 20;
 
   /** A machine whose assignment was removed, and the number of that change. */
   private record Removal(long version, MachineName name) {}
 
   private final ArrayDeque<Removal> removals = new ArrayDeque<>();
+
+  /** The lowest version since which the log holds all changes. */
   private long completeFrom;
+
   private long version;
 
   /** Returns the number of the last change of any assignment. */
@@ -47,7 +50,7 @@
   void restart(Revision term) {
     // The version has to rise above all that were sent, also if the same term is loaded a second
     // time: otherwise a controller that lags could mistake later changes for those it already has.
-    version = Math.max(version + 1, term.value() << TERM_BITS);
+    version = Math.max(version + 1, term.value() << CHANGE_NUMBER_BITS);
     removals.clear();
     completeFrom = version;
   }
@@ -65,14 +68,14 @@
   }
 
   /** Reports whether the log holds all changes after a version. */
-  boolean covers(long known) {
-    return known >= completeFrom && known <= version;
+  boolean covers(long knownVersion) {
+    return knownVersion >= completeFrom && knownVersion <= version;
   }
 
   /** Calls an action for each machine that was removed after a version, oldest removal first. */
-  void forEachRemovalAfter(long known, Consumer<MachineName> action) {
+  void forEachRemovalAfter(long knownVersion, Consumer<MachineName> action) {
     for (Removal removal : removals) {
-      if (removal.version() > known) {
+      if (removal.version() > knownVersion) {
         action.accept(removal.name());
       }
     }
--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -27,7 +27,7 @@
  * transaction at a time.
  */
 final class AssignmentStore {
-  private static final int PAGE_SIZE = 500;
+  private static final int KEYS_PER_PAGE = 500;
   private static final int CALL_TIMEOUT_MS = 1500;
 
   /**
@@ -135,7 +135,7 @@
         .list(
             BucketValues.PREFIX,
             after,
-            PAGE_SIZE,
+            KEYS_PER_PAGE,
             CALL_TIMEOUT_MS,
             result -> {
               if (!(result instanceof ListResult.Page page)) {
--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -15,8 +15,8 @@
 /**
  * Rents, releases and lists machines of the cloud, within its rate limit.
  *
- * <p>Each call passes its result to a callback later, exactly once. The caller has to obtain
- * permission from {@link #tryTake()} before each call.
+ * <p>Each call passes its result to a callback later, exactly once. Before each call, the caller
+ * has to take it from the rate limit by {@link #tryTake()}.
  */
 final class CloudClient {
   private static final int OK = 200;
@@ -71,19 +71,20 @@
   }
 
   /**
-   * Takes permission for one call from the rate limiter, if there is any, and reports whether it
-   * did.
+   * Takes one call from the cloud's rate limit.
+   *
+   * @return false if the rate limit allows no call now; then nothing is taken
    */
   boolean tryTake() {
     return rateLimiter.tryTake(1, context.now());
   }
 
-  /** Suspends calls for a second after a call has failed. */
+  /** Makes {@link #isPaused} return true for {@link #FAILURE_PAUSE_MS}, after a call has failed. */
   void pause() {
     pausedUntil = context.now().plus(FAILURE_PAUSE_MS);
   }
 
-  /** Reports whether calls are suspended after a failure. */
+  /** Reports whether no call is to be sent because a call has failed lately. */
   boolean isPaused() {
     return context.now().isBefore(pausedUntil);
   }
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -17,7 +17,7 @@
   private final MachineReleases releases;
   private final UnavailableOffers unavailable;
   private final MachineRental rental;
-  private final MachineListReconciler listing;
+  private final MachineListReconciler listReconciler;
 
   CloudProvisioner(
       StepContext context,
@@ -30,13 +30,13 @@
     this.releases = releases;
     this.unavailable = new UnavailableOffers(context);
     this.rental = new MachineRental(context, loadedTerm, client, unavailable, admission);
-    this.listing =
+    this.listReconciler =
         new MachineListReconciler(context, loadedTerm, machines, client, releases, admission);
   }
 
   /** Updates the machine types that the cloud offers. */
   void updateCatalog(Map<String, MachineType> types) {
-    listing.updateCatalog(types);
+    listReconciler.updateCatalog(types);
   }
 
   /**
@@ -47,7 +47,7 @@
     rental.beginTerm();
     releases.beginTerm();
     unavailable.beginTerm();
-    listing.beginTerm();
+    listReconciler.beginTerm();
   }
 
   /** Sends the calls that are due; called on every tick of the leader. */
@@ -59,8 +59,8 @@
       releases.send();
     }
     rental.sendWaiting();
-    if (listing.hasWork() && client.tryTake()) {
-      listing.readPage();
+    if (listReconciler.hasWork() && client.tryTake()) {
+      listReconciler.readPage();
     }
   }
 
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -126,6 +126,7 @@
     return isProtected() ? PROTECTED_KEY : KEY;
   }
 
+  /** Reports whether the leader's grant is attached to {@link #PROTECTED_KEY}. */
   private boolean isProtected() {
     return isProtected(level);
   }
@@ -268,10 +269,10 @@
     }
   }
 
-  private void handleChanges(WatchResult.Changes news) {
-    watchedRevision = Math.max(watchedRevision, news.revision());
+  private void handleChanges(WatchResult.Changes changes) {
+    watchedRevision = Math.max(watchedRevision, changes.revision());
     boolean vacant = false;
-    for (Change change : news.changes()) {
+    for (Change change : changes.changes()) {
       if (supported != null && changesGrantKeyOrLevel(change)) {
         enter(State.READING, 0);
         return;
@@ -363,9 +364,9 @@
   }
 
   /** Adds a write of this process's name to a key that is attached to its grant. */
-  private void writeName(Transaction transaction, String key, long ofGrant) {
+  private void writeName(Transaction transaction, String key, long grantId) {
     transaction.write(
-        key, LeaderNameCodec.write(context.config().label(), context.writer()), ofGrant);
+        key, LeaderNameCodec.write(context.config().label(), context.writer()), grantId);
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/leader/GrantClient.java
+++ b/src/main/java/shorecrank/coordination/leader/GrantClient.java
@@ -8,9 +8,8 @@
 import shorecrank.protocol.StorePaths;
 
 /**
- * Creates, renews and revokes grants of the state service. A grant is a lease with a time to live;
- * the state service deletes the keys that are attached to it when it is revoked or not renewed in
- * time.
+ * Creates, renews and revokes grants of the state service. A grant has a time to live; the state
+ * service deletes the keys that are attached to it when it is revoked or not renewed in time.
  */
 final class GrantClient {
   private static final int OK = 200;
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -158,8 +158,7 @@
   }
 
   /**
-   * Tells a machine's owner that it may go on using the machine, since no move concerns it any
-   * more.
+   * Clears a machine's move, which tells the machine's owner that it may go on using the machine.
    */
   void clearMove(AssignedMachine machine) {
     machine.updateMove(MoveId.NONE, false, changes.advance());
@@ -233,21 +232,21 @@
    *
    * @param isSingleShard whether the fleet has only one shard
    */
-  Changes changesSince(long known, boolean isSingleShard) {
-    boolean isComplete = !changes.covers(known);
+  Changes changesSince(long knownVersion, boolean isSingleShard) {
+    boolean isComplete = !changes.covers(knownVersion);
     List<MachineAssignment> assigned = new ArrayList<>();
     List<MachineName> removed = new ArrayList<>();
-    if (known == changes.version()) {
+    if (knownVersion == changes.version()) {
       return new Changes(isComplete, assigned, removed);
     }
     for (AssignedMachine machine : machines.values()) {
-      if (mayAnnounce(machine, isSingleShard) && (isComplete || machine.version() > known)) {
+      if (mayAnnounce(machine, isSingleShard) && (isComplete || machine.version() > knownVersion)) {
         assigned.add(machine.toMachineAssignment(isSingleShard, context.now()));
       }
     }
     if (!isComplete) {
       changes.forEachRemovalAfter(
-          known,
+          knownVersion,
           name -> {
             AssignedMachine current = machines.get(name);
             if (current == null || !mayAnnounce(current, isSingleShard)) {
--- a/src/main/java/shorecrank/coordination/leader/MachineListReconciler.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListReconciler.java
@@ -219,8 +219,9 @@
   /**
    * Releases machines that are no longer listed.
    *
-   * <p>A machine stays listed until it is gone. As lists lag and a later list may be older, a
-   * missing entry proves nothing, but a confirmed release of the machine does.
+   * <p>A machine stays listed while it exists. Since lists lag behind and a later list may be
+   * older, a missing entry does not prove that the machine no longer exists, but a confirmed
+   * release does.
    */
   private void releaseUnlisted(long lagMs) {
     for (AssignedMachine machine : machines.all()) {
--- a/src/main/java/shorecrank/coordination/leader/MachineReleases.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineReleases.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Reports whether the release of a machine was confirmed: the machine and everything that ran on
-   * it is gone.
+   * Reports whether the release of a machine was confirmed: the machine and its tasks no longer
+   * exist.
    */
   boolean wasReleased(MachineName name) {
     return released.containsKey(name);
@@ -72,7 +72,7 @@
     return released.get(name);
   }
 
-  /** Returns the machines whose release was confirmed lately. */
+  /** Returns the machines whose release was confirmed within {@link #ANNOUNCE_RELEASED_MS}. */
   List<MachineName> recentlyReleased() {
     List<MachineName> lately = new ArrayList<>();
     released.forEach(
@@ -90,7 +90,7 @@
     toRelease.add(name);
   }
 
-  /** Forgets releases that were confirmed long ago. */
+  /** Removes releases that were confirmed more than {@link #RELEASED_RETENTION_MS} ago. */
   void removeOld(MonotonicTime now) {
     released.values().removeIf(at -> now.since(at) > RELEASED_RETENTION_MS);
   }
--- a/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
+++ b/src/main/java/shorecrank/coordination/leader/OwnerFailureDetector.java
@@ -21,11 +21,12 @@
   private static final int REPLACEMENT_PAUSE_MS = 20_000;
 
   /**
-   * The minimum number of unheard workers for a replacement; a single worker is no reason for one.
+   * The minimum number of workers with overdue heartbeats for a replacement; a single worker is no
+   * reason for one.
    */
   private static final int MIN_OVERDUE = 2;
 
-  /** An owner is replaced only if it doesn't hear at least 1/5 of its workers. */
+  /** An owner is replaced only if the heartbeats of at least 1/5 of its workers are overdue. */
   private static final int MIN_OVERDUE_DIVISOR = 5;
 
   private final StepContext context;
@@ -87,9 +88,9 @@
   /**
    * Reports whether an owner's workers are likely to reach another controller.
    *
-   * <p>If no more than two thirds of the workers are unheard, a replacement must not lose the
-   * remaining ones: the candidate must be in a zone other than the owner's and those of the unheard
-   * workers.
+   * <p>If the heartbeats of no more than two thirds of the workers are overdue, the other workers
+   * have to reach the new owner too: it must be in a zone other than the present owner's and those
+   * that {@code workers} names as unreachable.
    */
   private boolean isLikelyReachable(
       ControllerName candidate, ControllerName owner, WorkerReachability workers) {
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -109,10 +109,10 @@
    * expired lease show that its owner has failed.
    */
   void extendLeasesAfterInterruption() {
-    MonotonicTime heardBy =
+    MonotonicTime heartbeatsDueBy =
         context.now().plus(context.settings().heartbeatIntervalMs() * ALLOWED_MISSED_HEARTBEATS);
     for (ShardState shard : shards.values()) {
-      shard.extendLease(heardBy);
+      shard.extendLease(heartbeatsDueBy);
     }
   }
 }
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -25,7 +25,7 @@
   /** The process for which an epoch is being allocated, or was allocated last. */
   private WriterId allocatedFor;
 
-  private boolean queued;
+  private boolean hasQueuedTasks;
   private ControllerName unreachableOwner;
   private List<String> unreachableZones = List.of();
   private MonotonicTime lastUnreachableAt = MonotonicTime.NEVER;
@@ -88,12 +88,12 @@
 
   /** Reports whether tasks are queued in the shard, by its owner's last report. */
   boolean hasQueuedTasks() {
-    return queued;
+    return hasQueuedTasks;
   }
 
   /** Records whether tasks are queued in the shard. */
-  void updateHasQueuedTasks(boolean tasksWait) {
-    queued = tasksWait;
+  void updateHasQueuedTasks(boolean hasQueued) {
+    hasQueuedTasks = hasQueued;
   }
 
   /**
@@ -101,8 +101,9 @@
    *
    * @param until the latest end of the owner's lease by this process's clock
    */
-  void assignOwner(ControllerName label, WriterId process, Epoch allocated, MonotonicTime until) {
-    owner = label;
+  void assignOwner(
+      ControllerName controller, WriterId process, Epoch allocated, MonotonicTime until) {
+    owner = controller;
     writer = process;
     epoch = allocated;
     vacant = false;
--- a/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/ShareAssigner.java
@@ -83,8 +83,8 @@
    */
   private List<String> reasonsAgainstMoves() {
     List<String> reasons = new ArrayList<>();
-    for (ControllerName label : rollout.membersNotSupporting(Feature.SHARES.level())) {
-      reasons.add(label + ": runs without shares, or a version that knows none");
+    for (ControllerName member : rollout.membersNotSupporting(Feature.SHARES.level())) {
+      reasons.add(member + ": runs without shares, or a version that knows none");
     }
     return reasons;
   }
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -18,7 +18,7 @@
    * The number of low bits of a move's id that count the moves within one term; the higher bits
    * hold the term.
    */
-  private static final int MOVE_ID_BITS = 20;
+  private static final int MOVE_NUMBER_BITS = 20;
 
   /** Queued tasks raise a shard's need by this number of machines. */
   private static final int QUEUED_TASKS_NEED = 1000;
@@ -146,7 +146,7 @@
   }
 
   private MoveId nextMoveId() {
-    return new MoveId((term.value() << MOVE_ID_BITS) + ++moveNumber);
+    return new MoveId((term.value() << MOVE_NUMBER_BITS) + ++moveNumber);
   }
 
   private boolean hasQueuedTasksElsewhere(ShardId except) {
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -24,8 +24,8 @@
   private static final int MAX_PARALLEL_LOOKUPS = 8;
 
   /**
-   * For this long, a job that was seen unfinished is taken as not cancelled. If it is cancelled in
-   * the meantime, the shard owner cancels the submitted job, as it does with jobs that were
+   * How long a job whose record showed it unfinished is taken as not cancelled. If it is cancelled
+   * in the meantime, the shard owner cancels the submitted job, as it does with jobs that were
    * accepted before the cancellation.
    */
   private static final int UNFINISHED_VALID_MS = 5000;
--- a/src/main/java/shorecrank/coordination/request/StatusHandler.java
+++ b/src/main/java/shorecrank/coordination/request/StatusHandler.java
@@ -12,7 +12,7 @@
 
 /**
  * Answers requests for the status of a job. Asks the shard owner first, to save requests to the
- * state service, and reads the state service if the owner can't tell.
+ * state service, and reads the state service if the owner does not know the status.
  */
 public final class StatusHandler {
   private final StepContext context;
@@ -25,7 +25,11 @@
   /** Queries the owner of a shard, on this or another controller. */
   @FunctionalInterface
   public interface OwnerQuery {
-    /** Queries the status of a job; the callback receives empty if the owner can't tell. */
+    /**
+     * Queries the status of a job.
+     *
+     * @param callback receives the status; empty if the owner does not know it or does not answer
+     */
     void query(ShardId shard, JobId job, StatusCallback callback);
   }
 
--- a/src/main/java/shorecrank/coordination/request/StoredJob.java
+++ b/src/main/java/shorecrank/coordination/request/StoredJob.java
@@ -8,7 +8,7 @@
 
 /** A job as read from the state service. */
 sealed interface StoredJob {
-  /** Returns the status that the job's user is told. */
+  /** Returns the status that the job's user sees. */
   JobStatus status();
 
   /** A job with a live record. */
--- a/src/main/java/shorecrank/leadership/SequentialStore.java
+++ b/src/main/java/shorecrank/leadership/SequentialStore.java
@@ -37,7 +37,7 @@
     return !isBusy && !environment.now().isBefore(pausedUntil);
   }
 
-  /** Makes {@link #isReady} return false for the given time from now on. */
+  /** Makes {@link #isReady} return false for the given time, in milliseconds from now. */
   public void pause(long pauseMs) {
     pausedUntil = environment.now().plus(pauseMs);
   }
--- a/src/main/java/shorecrank/protocol/HeartbeatMessages.java
+++ b/src/main/java/shorecrank/protocol/HeartbeatMessages.java
@@ -40,7 +40,7 @@
   public record WorkerReachability(int expected, int overdue, List<String> unreachableZones) {}
 
   /**
-   * A machine that the shard's owner has emptied for a move and hands over.
+   * A machine that the shard's owner has drained for a move and hands over.
    *
    * @param move the move; {@link MoveId#NONE} from versions that do not send its id
    */
@@ -138,7 +138,7 @@
    * @param ageMs milliseconds since the machine was assigned
    * @param requiredEpoch the lowest epoch under which heartbeats of the machine's worker count;
    *     {@link Epoch#NONE} if there is only one shard
-   * @param handoverRequested whether the owner has to empty the machine and hand it over
+   * @param handoverRequested whether the owner has to drain the machine and hand it over
    * @param move the move by which the machine is to leave the shard or has come to it; {@link
    *     MoveId#NONE} if there is none
    */
@@ -167,7 +167,7 @@
    * @param assignmentVersion the version of the machine assignments after this answer
    * @param isComplete whether {@code assigned} holds all assignments; otherwise it holds those
    *     changed since the version that the heartbeat named
-   * @param unassigned if {@code isComplete} is false, the machines that have lost their assignment
+   * @param unassigned if {@code isComplete} is false, the machines whose assignment was removed
    *     since that version; otherwise empty
    * @param released machines that were released to the cloud and no longer exist
    * @param offersWithoutCapacity offers of which the cloud had no machines
--- a/src/main/java/shorecrank/protocol/OperatorPaths.java
+++ b/src/main/java/shorecrank/protocol/OperatorPaths.java
@@ -1,8 +1,8 @@
 package shorecrank.protocol;
 
 /**
- * Paths of operators' requests to a controller's peer address. A controller that is not the leader
- * forwards them to the leader.
+ * Paths of operators' requests to a controller's peer address. Any controller answers {@link
+ * #ROLLOUT_KEYS}; a controller that is not the leader forwards the others to the leader.
  */
 public final class OperatorPaths {
   /** Returns the feature level in force and the levels that each controller supports. */
--- a/src/main/java/shorecrank/protocol/RolloutMessages.java
+++ b/src/main/java/shorecrank/protocol/RolloutMessages.java
@@ -196,7 +196,8 @@
    *
    * @param label the controller's name
    * @param announcement what the controller has announced; null if nothing
-   * @param msSinceHeartbeat milliseconds since its last heartbeat
+   * @param msSinceHeartbeat milliseconds since its last heartbeat; negative if the leader has
+   *     received none in its term
    * @param settingsDiffer whether its settings differ from the leader's
    */
   public record RolloutMember(
--- a/src/main/java/shorecrank/protocol/ShardDemandMessages.java
+++ b/src/main/java/shorecrank/protocol/ShardDemandMessages.java
@@ -30,7 +30,7 @@
   }
 
   /**
-   * The progress of emptying a machine that is to be handed over.
+   * The progress of draining a machine that is to be handed over.
    *
    * @param tasks number of tasks that the machine still holds
    * @param emptyInS seconds after which these tasks are expected to have ended
@@ -44,12 +44,12 @@
    * @param running processors that tasks use
    * @param waiting processors that queued tasks within their teams' limits need, one element per
    *     priority from the highest to the lowest
-   * @param guaranteed of the processors that tasks use or wait for, those within the teams'
+   * @param guaranteed the part of {@code running} and {@code waiting} that is within the teams'
    *     guarantees
    * @param oldestWaitS seconds for which the oldest job without any started task has waited
    * @param usableOffers offers of machines that queued tasks could run on
    * @param candidates machines that the shard could give up, the soonest empty first
-   * @param draining machines that are being emptied to be handed over
+   * @param draining machines that are being drained to be handed over
    * @param arrived moves whose machine has come to this shard and sends heartbeats to its owner
    */
   public record ShardDemand(
--- a/src/main/java/shorecrank/protocol/ShareStatusMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStatusMessages.java
@@ -12,7 +12,7 @@
   /**
    * A shard as the leader sees it.
    *
-   * @param owner the name of the controller that owns it
+   * @param owner the name of the controller that owns it; empty if the shard has no owner
    * @param machines number of its machines
    * @param cpus processors of its machines
    * @param target processors that it should have
@@ -34,7 +34,7 @@
    * A move that is under way.
    *
    * @param ageS seconds since the move began
-   * @param waitsFor what the move waits for
+   * @param waitsFor a text for operators that says what the move waits for
    */
   public record MoveStatus(Move move, double ageS, String waitsFor) {}
 
--- a/src/main/java/shorecrank/protocol/StorePaths.java
+++ b/src/main/java/shorecrank/protocol/StorePaths.java
@@ -6,8 +6,8 @@
   public static final String TRANSACTION = "/multi";
 
   /**
-   * Path of requests for grants. A grant is a time-limited hold on keys, which are removed when it
-   * ends.
+   * Path of requests for grants. A grant has a time to live; the keys that are attached to it are
+   * deleted when it ends.
    */
   public static final String GRANTS = "/grants";
 
--- a/src/main/java/shorecrank/protocol/UserMessages.java
+++ b/src/main/java/shorecrank/protocol/UserMessages.java
@@ -12,7 +12,7 @@
     RUNNING,
     /** All tasks are done. */
     DONE,
-    /** The job's user has cancelled it. */
+    /** The job's user has cancelled it, or one of its dependencies is cancelled. */
     CANCELLED
   }
 
--- a/src/main/java/shorecrank/protocol/WorkerMessages.java
+++ b/src/main/java/shorecrank/protocol/WorkerMessages.java
@@ -96,6 +96,9 @@
    */
   public record Stop(TaskAttemptId attemptId, double graceS) implements WorkerCommand {}
 
-  /** A command by which the worker forgets an attempt that has exited. */
+  /**
+   * A command that removes an exited attempt from the worker, so that its heartbeats no longer list
+   * it.
+   */
   public record Reap(TaskAttemptId attemptId) implements WorkerCommand {}
 }
--- a/src/main/java/shorecrank/rebalance/FleetAssignments.java
+++ b/src/main/java/shorecrank/rebalance/FleetAssignments.java
@@ -62,13 +62,16 @@
   /** Requests an epoch above {@code lowerBound} for a shard's present owner. */
   void raiseEpochAbove(ShardId shard, Epoch lowerBound);
 
-  /** Instructs the machine's owner to drain the machine and to release it. */
+  /**
+   * Instructs the machine's owner to drain the machine and to report when no task or record is left
+   * on it.
+   */
   void requestHandover(MachineName machine, MoveId move);
 
   /** Withdraws the instruction for a machine whose move has ended: its owner may use it. */
   void clearMove(MachineName machine);
 
-  /** Instructs the machine's new owner to report when it hears the machine. */
+  /** Instructs the machine's new owner to report when it receives the machine's heartbeats. */
   void awaitArrival(MachineName machine, MoveId move);
 
   /**
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -63,7 +63,7 @@
     return pendingHandover != null || store.isInDoubt();
   }
 
-  /** Forgets the assignments in doubt, after all assignments have been read again. */
+  /** Discards the assignments in doubt, after all assignments have been read again. */
   void reset() {
     pendingHandover = null;
   }
@@ -128,8 +128,8 @@
 
   /**
    * Leaves the machines of a refused handover with their shards. While the write was under way, the
-   * shards' owners were told that the machines are not assigned to them, so their earlier releases
-   * no longer count: each owner has to release its machine again.
+   * shards' owners were told that the machines are not assigned to them, so their earlier reports
+   * that the machines are drained no longer count: each owner has to report its machine again.
    */
   private void handleRefusal(Handover handover, boolean isConflict) {
     if (handover == null) {
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -113,7 +113,10 @@
     return committer.isInDoubt();
   }
 
-  /** Starts over after the leader has begun its term or has read all assignments again. */
+  /**
+   * Discards the reports in memory and makes the instructions again, after the leader has begun its
+   * term or has read all assignments again.
+   */
   public void beginTerm() {
     committer.reset();
     reports.clear();
@@ -123,7 +126,7 @@
 
   /**
    * Reads the shares' key if that is due, checks the number of shards and updates the instructions
-   * to owners. Called in every round of the leader, also while no shard may be granted.
+   * to owners. Called on every tick of the leader, also while no shard may be granted.
    */
   public void refresh() {
     store.tick();
@@ -134,8 +137,8 @@
   }
 
   /**
-   * Takes the next steps of moves, or begins new moves if there is no step to take. Called in every
-   * round of the leader while shards may be granted.
+   * Takes the next steps of moves, or begins new moves if there is no step to take. Called on every
+   * tick of the leader while shards may be granted.
    */
   public void tick() {
     MonotonicTime now = environment.now();
--- a/src/main/java/shorecrank/rebalance/MoveRules.java
+++ b/src/main/java/shorecrank/rebalance/MoveRules.java
@@ -13,8 +13,8 @@
  */
 final class MoveRules {
   /**
-   * The multiple of the move timeout at whose age a move is aborted if the new owner doesn't hear
-   * the handed-over machine.
+   * The age at which a move is aborted if the new owner receives no heartbeat from the handed-over
+   * machine, as a multiple of the move timeout.
    */
   private static final double ARRIVAL_TIMEOUT_FACTOR = 2;
 
@@ -54,7 +54,7 @@
    *     does not support moves
    * @param isReleased whether the present owner has reported for this move that no task or record
    *     is left on the machine
-   * @param isArrived whether the new owner has reported that it hears the machine
+   * @param isArrived whether the new owner has reported that it receives the machine's heartbeats
    * @param ageS the seconds since the move began
    */
   record Observation(
@@ -74,7 +74,7 @@
     RECORD_DRAINING,
     /** The machine is assigned to the new shard in the same transaction. */
     HAND_OVER,
-    /** The move is done: the new owner hears the machine. */
+    /** The move is done: the new owner receives the machine's heartbeats. */
     FINISH,
     /** The move ends, and the machine's assignment stays as it is. */
     ABORT
--- a/src/main/java/shorecrank/rebalance/MoveStepper.java
+++ b/src/main/java/shorecrank/rebalance/MoveStepper.java
@@ -18,8 +18,8 @@
 
 /**
  * Takes moves that are under way to their next phase: records that the machine is being drained,
- * hands the machine over once its owner has released it, ends the move once the new owner hears the
- * machine, or aborts the move.
+ * hands the machine over once its owner has reported it as drained, ends the move once the new
+ * owner receives the machine's heartbeats, or aborts the move.
  */
 final class MoveStepper {
   private final LeaderEnvironment environment;
--- a/src/main/java/shorecrank/rebalance/OwnerInstructions.java
+++ b/src/main/java/shorecrank/rebalance/OwnerInstructions.java
@@ -7,9 +7,9 @@
 import shorecrank.rebalance.FleetAssignments.FleetMachine;
 
 /**
- * Keeps the instructions that shard owners receive in line with the moves in the shares' key: the
- * present owner has to drain and release the machine, the new owner has to report when it hears the
- * machine.
+ * Keeps the instructions that shard owners receive consistent with the moves in the shares' key:
+ * the present owner has to drain the machine and hand it over, the new owner has to report when it
+ * receives the machine's heartbeats.
  */
 final class OwnerInstructions {
   private final SharesStore store;
@@ -30,7 +30,7 @@
     return store.revision().equals(announcedRevision);
   }
 
-  /** Forgets what was announced, because newly read assignments contain no instructions. */
+  /** Requires the instructions to be made again, because newly read assignments contain none. */
   void reset() {
     announcedRevision = null;
   }
--- a/src/main/java/shorecrank/rebalance/OwnerReports.java
+++ b/src/main/java/shorecrank/rebalance/OwnerReports.java
@@ -44,10 +44,12 @@
   private final LeaderEnvironment environment;
   private final Map<ShardId, Report> reports = new HashMap<>();
 
-  /** The moves whose machine was drained and released by its present owner. */
+  /**
+   * The moves whose machine the present owner has reported as drained and ready to be handed over.
+   */
   private final Set<MoveId> released = new HashSet<>();
 
-  /** The moves whose machine is heard by its new owner. */
+  /** The moves whose machine sends heartbeats to its new owner. */
   private final Set<MoveId> arrived = new HashSet<>();
 
   /** The machines that may run tasks of a shard to which they are not assigned, with that shard. */
@@ -57,7 +59,7 @@
     this.environment = environment;
   }
 
-  /** Forgets all reports. */
+  /** Removes all reports. */
   void clear() {
     reports.clear();
     released.clear();
@@ -85,9 +87,9 @@
   }
 
   /**
-   * Forgets the report and the releases of a shard's owner, because the shard has a new owner or a
-   * new epoch. Under the new epoch the owner was told that released machines are still assigned to
-   * it, so it has to release them again.
+   * Removes the report and the released machines of a shard's owner, because the shard has a new
+   * owner or a new epoch. Under the new epoch the owner was told that released machines are still
+   * assigned to it, so it has to release them again.
    */
   void onOwnerChanged(ShardId shard, SharesState state) {
     reports.remove(shard);
@@ -133,23 +135,26 @@
   }
 
   /**
-   * Reports whether the owner has reported, for this move, that no task or record uses the machine.
+   * Reports whether the present owner has released the move's machine: it has reported that no task
+   * or record is left on the machine.
    */
   boolean isReleased(Move move) {
     return released.contains(move.id());
   }
 
-  /** Reports whether the new owner has reported that it hears the machine. */
+  /** Reports whether the new owner has reported that it receives the machine's heartbeats. */
   boolean isArrived(Move move) {
     return arrived.contains(move.id());
   }
 
-  /** Forgets the release of a move's machine; without another one it can't be handed over. */
+  /**
+   * Revokes the release of a move's machine, which is not handed over until it is released again.
+   */
   void revokeRelease(Move move) {
     released.remove(move.id());
   }
 
-  /** Forgets the reports on a move that has ended. */
+  /** Removes what was reported about a move that has ended. */
   void remove(Move move) {
     released.remove(move.id());
     arrived.remove(move.id());
@@ -160,8 +165,8 @@
    * the shard whose tasks it may run.
    */
   Map<MachineName, ShardId> pollMisplaced() {
-    Map<MachineName, ShardId> taken = new TreeMap<>(misplaced);
+    Map<MachineName, ShardId> polled = new TreeMap<>(misplaced);
     misplaced.clear();
-    return taken;
+    return polled;
   }
 }
--- a/src/main/java/shorecrank/rebalance/ShardCountCheck.java
+++ b/src/main/java/shorecrank/rebalance/ShardCountCheck.java
@@ -37,8 +37,8 @@
   }
 
   private boolean isInForce() {
-    int known = shares.state().shards();
-    return known == 0 || known == configuredShards;
+    int stored = shares.state().shards();
+    return stored == 0 || stored == configuredShards;
   }
 
   /** Looks for jobs, and writes the configured number to the shares' key once there are none. */
@@ -54,10 +54,10 @@
           result -> {});
       return;
     }
-    store.list(JobRecord.LIVE_PREFIX, "", 1, this::jobsListed);
+    store.list(JobRecord.LIVE_PREFIX, "", 1, this::handleJobsListed);
   }
 
-  private void jobsListed(ListResult result) {
+  private void handleJobsListed(ListResult result) {
     store.pause(RETRY_MS);
     if (result instanceof ListResult.Page page) {
       hasNoJobs = page.entries().isEmpty();
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -134,9 +134,8 @@
       boolean isSameTerm =
           reading.previousReadTerm().equals(Revision.ABSENT)
               || reading.previousReadTerm().equals(reading.readTerm());
-      // If the feature level now forbids writes, or the term has changed, the key of the level or
-      // of
-      // the leadership has a new revision. Both guard the write, so it can't be committed any more.
+      // If the feature level now forbids writes, or the term has changed, the level's key or the
+      // leader's key has a new revision. Both guard the write, so it can't be committed any more.
       return isSameTerm && reading.wasWritable()
           ? WriteOutcome.UNKNOWN
           : WriteOutcome.NOT_COMMITTED;
