--- a/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
+++ b/src/main/java/shorecrank/coordination/WorkerHeartbeatRouter.java
@@ -95,8 +95,8 @@
         && context.now().since(context.startedAt()) < STARTUP_MS
         && canHold(received)) {
       // The leader's first answer will name the destination soon. A redirected worker retries after
-      // a second at the earliest, when its lease may have expired. After a restart of all
-      // controllers most tasks would be lost that way.
+      // a second at the earliest, and its lease may expire before that. After a restart of all
+      // controllers, redirects would thus end most tasks.
       held.add(received);
     } else if (assignment == null) {
       redirectUnassigned(received);
--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -15,8 +15,8 @@
 /**
  * Rents, releases and lists machines of the cloud, within its rate limit.
  *
- * <p>Each call passes its result to a callback later, exactly once. Before each call, the caller
- * has to take it from the rate limit by {@link #tryTake()}.
+ * <p>Each call passes its result to a callback later, exactly once. The caller has to call {@link
+ * #tryTake()} before each call to the cloud, and sends none if that returns false.
  */
 final class CloudClient {
   private static final int OK = 200;
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -64,8 +64,9 @@
   private static final int RENEWALS_PER_TTL = 4;
 
   /**
-   * The part of the time to live, 1/500, that is deducted for clock drift: grants expire by the
-   * state service's clock, and this process's clock may be fast or slow by 0.05%.
+   * A grant's time to live is divided by this number to get the part that is deducted for clock
+   * drift: grants expire by the state service's clock, and this process's clock may be fast or slow
+   * by 0.05%.
    */
   private static final int CLOCK_DRIFT_DIVISOR = 500;
 
--- a/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaseRenewal.java
@@ -51,7 +51,8 @@
   private boolean mayRenew(
       ShardId id, ShardState shard, Heartbeat heartbeat, ControllerState sender) {
     if (!heartbeat.writer().equals(shard.writer())) {
-      // A controller runs one process at a time, so the process that held the lease has ended.
+      // Another process of the same controller sent the heartbeat. A controller runs one process at
+      // a time, so the process that held the lease has ended.
       context.info("shard.owner.restarted shard=%s owner=%s", id, shard.owner());
       shard.vacate();
       return false;
--- a/src/main/java/shorecrank/coordination/leader/MachineListReconciler.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListReconciler.java
@@ -30,7 +30,9 @@
   /** The time between two readings of the machine list while no machine is assigned. */
   private static final long EMPTY_FLEET_INTERVAL_MS = 1000;
 
-  /** The pause before a page is requested that the cloud's rate limit did not allow. */
+  /**
+   * The pause before the next page is requested if the cloud's rate limit does not allow that now.
+   */
   private static final long PAGE_RETRY_MS = 200;
 
   private static final long RETRY_MS = 2000;
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -23,8 +23,8 @@
   private static final int MAX_PENDING_CLAIMS = 8;
 
   /**
-   * A shard owner's request is cut to the number of machines that the cloud's rate limit allows
-   * within this time.
+   * A shard owner's request is cut to the number of machines that the cloud's rate limit allows to
+   * be rented within this many seconds.
    */
   private static final int REQUEST_HORIZON_S = 60;
 
--- a/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardLeaseTable.java
@@ -16,7 +16,8 @@
 /** The fleet's shards by number, with their owners and leases. */
 final class ShardLeaseTable {
   /**
-   * The part of a lease's duration, 1/500, by which it may last longer on another process's clock.
+   * A lease's duration is divided by this number to get the time by which it may last longer on
+   * another process's clock.
    */
   private static final int CLOCK_DRIFT_DIVISOR = 500;
 
--- a/src/main/java/shorecrank/coordination/leader/ShardState.java
+++ b/src/main/java/shorecrank/coordination/leader/ShardState.java
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Reports whether the shard is vacant: no process holds its lease, and none may be granted it
-   * before an owner is assigned.
+   * Reports whether the shard is vacant: no process holds its lease, and the lease is granted to no
+   * process before an owner is assigned.
    */
   boolean isVacant() {
     return vacant;
--- a/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
+++ b/src/main/java/shorecrank/coordination/request/DependencyAdmission.java
@@ -24,9 +24,9 @@
   private static final int MAX_PARALLEL_LOOKUPS = 8;
 
   /**
-   * How long a job whose record showed it unfinished is taken as not cancelled. If it is cancelled
-   * in the meantime, the shard owner cancels the submitted job, as it does with jobs that were
-   * accepted before the cancellation.
+   * How long a dependency is assumed not to be cancelled after its record was read and showed it
+   * unfinished. If it is cancelled in the meantime, the shard owner cancels the submitted job, as
+   * it does with jobs that were accepted before the cancellation.
    */
   private static final int UNFINISHED_VALID_MS = 5000;
 
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -36,7 +36,7 @@
   private final JobChangeCodec codec;
 
   /**
-   * A submission that is acceptable as far as the job itself goes.
+   * A submission whose job itself is acceptable; its dependencies are checked separately.
    *
    * @param creation the transaction that creates the job's record
    */
@@ -139,7 +139,7 @@
     } else if (result instanceof CommitResult.Conflict) {
       jobs.find(submission.id(), found -> answerExisting(submission, found));
     } else if (result instanceof CommitResult.TooLarge) {
-      // The state service takes smaller values than the configured limit.
+      // The state service accepts only values that are smaller than the configured limit.
       refuse(submission.request, submission.spec, TOO_LARGE);
     } else if (isUnanswered(result) && attemptsLeft > 1) {
       // The record may have been written, or may still be: if so, the retry ends in a conflict.
--- a/src/main/java/shorecrank/protocol/ShareOrderMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareOrderMessages.java
@@ -22,11 +22,11 @@
   }
 
   /**
-   * An order that sets a team's share; what is null stays unchanged.
+   * An order that sets a team's share; a value that is null stays unchanged.
    *
-   * @param weight the factor by which the team's demand counts beside that of other teams
-   * @param minCpus processors that the team's shard keeps
-   * @param maxCpus processors that the team's shard gets at most; 0 for no limit
+   * @param weight the team's weight when processors that do not suffice for all teams are divided
+   * @param minCpus the team's part of its shard's minimum, in processors
+   * @param maxCpus the team's part of its shard's maximum, in processors; 0 for no maximum
    */
   public record SetShare(
       String id, boolean dryRun, String team, Double weight, Double minCpus, Double maxCpus)
--- a/src/main/java/shorecrank/protocol/ShareStateMessages.java
+++ b/src/main/java/shorecrank/protocol/ShareStateMessages.java
@@ -77,9 +77,9 @@
   /**
    * A team's share as an operator has set it; it replaces the share in the settings file.
    *
-   * @param weight the factor by which the team's demand counts beside that of other teams
-   * @param minCpus processors that the team's shard keeps
-   * @param maxCpus processors that the team's shard gets at most; 0 for no limit
+   * @param weight the team's weight when processors that do not suffice for all teams are divided
+   * @param minCpus the team's part of its shard's minimum, in processors
+   * @param maxCpus the team's part of its shard's maximum, in processors; 0 for no maximum
    */
   public record TeamShare(String team, double weight, double minCpus, double maxCpus) {}
 
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -63,7 +63,10 @@
     return pendingHandover != null || store.isInDoubt();
   }
 
-  /** Discards the assignments in doubt, after all assignments have been read again. */
+  /**
+   * Discards the assignments of a write whose outcome is unknown, after all assignments have been
+   * read again.
+   */
   void reset() {
     pendingHandover = null;
   }
@@ -100,9 +103,8 @@
             pendingHandover = null;
             pendingLog = NOTHING_TO_LOG;
           }
-          // If the outcome is unknown, onOutcomeResolved is called later. Until then isInDoubt
-          // keeps
-          // all other assignments from being written.
+          // If the outcome is unknown, onOutcomeResolved is called later. Until then, isInDoubt
+          // keeps all other assignments from being written.
           listener.onFinished(result.isCommitted());
         });
   }
--- a/src/main/java/shorecrank/rebalance/RebalancePlanner.java
+++ b/src/main/java/shorecrank/rebalance/RebalancePlanner.java
@@ -111,7 +111,7 @@
             (shard, share) -> {
               Optional<ShardDemand> demand = reports.freshDemand(shard);
               inputs.put(shard, new ShardInput(share, demand.orElse(null), currentCpus.get(shard)));
-              demand.ifPresent(known -> demands.put(shard, known));
+              demand.ifPresent(present -> demands.put(shard, present));
             });
     double cpus = currentCpus.values().stream().mapToDouble(Double::doubleValue).sum();
     targets = ShareTargets.compute(cpus, inputs);
