--- a/src/main/java/shorecrank/coordination/model/Job.java
+++ b/src/main/java/shorecrank/coordination/model/Job.java
@@ -72,7 +72,7 @@
     return record;
   }
 
-  /** Returns the attempts that were given up before they started and that the record may name. */
+  /** Returns the attempts that were withdrawn before they started and that the record may name. */
   public WithdrawnAttempts withdrawn() {
     return withdrawn;
   }
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -13,7 +13,10 @@
  * revision that the owner saw last.
  */
 public final class JobRecordState {
-  /** Each object numbers its writes within a range of its own, of this many bits. */
+  /**
+   * The sequence numbers of one object differ only in this many low bits, so that each object has a
+   * range of its own.
+   */
   private static final int SEQUENCE_BITS = 24;
 
   /** Writes of this object have numbers above this one; the ranges of objects do not overlap. */
@@ -78,8 +81,8 @@
   }
 
   /**
-   * Takes over only the revision and the status of a stored record, because the rest is known. The
-   * record may differ from what is known by a request to cancel the job.
+   * Takes over only the revision and the status of a stored record. The rest of the record equals
+   * the state in memory, except for a cancellation mark that a user may have added.
    */
   public void adoptRevision(JobRecord record, Revision readRevision) {
     revision = readRevision;
@@ -156,8 +159,8 @@
   }
 
   /**
-   * Reports whether the quota usage of the job's team is known as far as this record goes: no late
-   * write of an earlier owner can add attempts to it.
+   * Reports whether no late write of an earlier owner can add attempts to this record, so that the
+   * attempts that it names are the job's full part of the team's quota usage.
    */
   public boolean isTeamUsageKnown() {
     return claimed || (!hasOwner() && !claimRequired);
--- a/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
+++ b/src/main/java/shorecrank/coordination/model/JobSchedulingState.java
@@ -51,8 +51,8 @@
   // ---- dependencies ----------------------------------------------------------------------------
 
   /**
-   * Returns the jobs on which this job depends and that are not known to be recorded as done, as a
-   * live view.
+   * Returns a live view of the jobs on which this job depends, without those whose records are
+   * known to say that they are done.
    */
   public Set<JobId> unmetDependencies() {
     return unmetView;
--- a/src/main/java/shorecrank/coordination/model/Machine.java
+++ b/src/main/java/shorecrank/coordination/model/Machine.java
@@ -263,11 +263,13 @@
     return usedCpus;
   }
 
-  /** Returns the used share of the scarcest of processors, accelerators and memory, from 0 to 1. */
-  public double usedShare() {
-    double share = usedCpus / Math.max(EPSILON, type.cpus());
-    share = Math.max(share, usedMemoryGb / Math.max(EPSILON, type.memoryGb()));
-    return type.gpus() > 0 ? Math.max(share, usedGpus / type.gpus()) : share;
+  /**
+   * Returns the used fraction of the scarcest of processors, accelerators and memory, from 0 to 1.
+   */
+  public double usedFraction() {
+    double fraction = usedCpus / Math.max(EPSILON, type.cpus());
+    fraction = Math.max(fraction, usedMemoryGb / Math.max(EPSILON, type.memoryGb()));
+    return type.gpus() > 0 ? Math.max(fraction, usedGpus / type.gpus()) : fraction;
   }
 
   /** Returns the processors that no task uses; 0 if the machine's type is not known. */
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -71,7 +71,7 @@
     /** Attempts from their placement until they can no longer run. */
     final Amount placed = new Amount();
 
-    /** Attempts that were given up before they started and that records may still name. */
+    /** Attempts that were withdrawn before they started and that records may still name. */
     final Amount withdrawn = new Amount();
   }
 
@@ -108,7 +108,7 @@
   }
 
   /**
-   * Marks an attempt that was given up before it started as withdrawn. It counts until {@link
+   * Marks an attempt that has not been started as withdrawn. It counts until {@link
    * #releaseWithdrawn} is called for it.
    */
   public void withdraw(JobSpec spec) {
--- a/src/main/java/shorecrank/coordination/model/WithdrawnAttempts.java
+++ b/src/main/java/shorecrank/coordination/model/WithdrawnAttempts.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /**
- * Counts the attempts of one job that were given up before they started, as long as the job's
+ * Counts the attempts of one job that were withdrawn before they started, as long as the job's
  * record in the state service may still name them. A later shard owner would start every attempt
  * that the record names, so these attempts count against the team's quota until a write without
  * them is committed.
--- a/src/main/java/shorecrank/coordination/model/WorkerSession.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerSession.java
@@ -292,14 +292,22 @@
     deferredUntil = until;
   }
 
-  /** Returns the request whose answer was deferred; the caller answers it now with status 200. */
+  /**
+   * Removes the deferred reply.
+   *
+   * @return the number of the heartbeat request, which the caller answers now with status 200
+   */
   public long removeDeferredReply() {
     long reply = deferredReply;
     deferredReply = NO_REPLY;
     return reply;
   }
 
-  /** Returns the request whose answer was deferred; the caller refuses it now. */
+  /**
+   * Removes the deferred reply and records that the last heartbeat was refused.
+   *
+   * @return the number of the heartbeat request, which the caller refuses now
+   */
   public long refuseDeferredReply() {
     answered = false;
     return removeDeferredReply();
--- a/src/main/java/shorecrank/coordination/model/package-info.java
+++ b/src/main/java/shorecrank/coordination/model/package-info.java
@@ -9,9 +9,9 @@
  * shorecrank.coordination.model.CancellationLog} keeps the cancellations that were confirmed to
  * users.
  *
- * <p>It may import {@code shorecrank.coordination.step}, {@code shorecrank.storage} for the records
- * of jobs, {@code shorecrank.config} and {@code shorecrank.protocol}. Its callers are {@code
- * shorecrank.coordination.scheduling}, {@code shorecrank.coordination.shard}, and for cancellations
- * {@code shorecrank.coordination.request} and {@code shorecrank.coordination}.
+ * <p>The package may import {@code shorecrank.coordination.step}, {@code shorecrank.storage} for
+ * the records of jobs, {@code shorecrank.config} and {@code shorecrank.protocol}. Its callers are
+ * {@code shorecrank.coordination.scheduling}, {@code shorecrank.coordination.shard}, and for
+ * cancellations {@code shorecrank.coordination.request} and {@code shorecrank.coordination}.
  */
 package shorecrank.coordination.model;
--- a/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
+++ b/src/main/java/shorecrank/coordination/scheduling/CheckpointMigration.java
@@ -18,7 +18,7 @@
  */
 final class CheckpointMigration {
   /** The fraction of the free processors that moved tasks may take; new tasks get the rest. */
-  private static final double FREE_CPUS_SHARE = 0.5;
+  private static final double FREE_CPUS_FRACTION = 0.5;
 
   /** The machine seconds that must be saved for each machine second that the migration costs. */
   private static final double MIN_GAIN_RATIO = 2;
@@ -95,7 +95,7 @@
     for (Job job : shard.jobs().values()) {
       cpus -= job.queuedTaskCount() * job.spec().cpus();
     }
-    return cpus * FREE_CPUS_SHARE;
+    return cpus * FREE_CPUS_FRACTION;
   }
 
   private Plan plan(Machine machine) {
--- a/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DependencyLookups.java
@@ -16,8 +16,8 @@
 import shorecrank.storage.ReadResult;
 
 /**
- * Looks up dependencies in the state service whose state this shard owner does not know: jobs of
- * other shards, and jobs that ended before it took over the shard.
+ * Reads from the state service the records of dependencies whose state this shard owner does not
+ * know: jobs of other shards, and jobs that ended before this owner took over the shard.
  */
 final class DependencyLookups {
   private static final int CALL_TIMEOUT_MS = 1500;
--- a/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/DrainPlanner.java
@@ -88,7 +88,7 @@
         continue;
       }
       // Tasks on silent or leaving machines count, since they soon need processors elsewhere.
-      fleet.usedCpus += machine.usedShare() * machine.type().cpus();
+      fleet.usedCpus += machine.usedFraction() * machine.type().cpus();
       if (!machine.session().hasConfirmedHeartbeat()
           || !shard.liveness().isFresh(machine)
           || machine.isReleasing()
--- a/src/main/java/shorecrank/coordination/scheduling/FleetCapacity.java
+++ b/src/main/java/shorecrank/coordination/scheduling/FleetCapacity.java
@@ -13,7 +13,7 @@
 public record FleetCapacity(
     double fetchGbPerS, double cpus, double bootingCpus, double bootS, double runningCpuSeconds) {
   /** The usable fraction of the processors; fragmentation and image fetches take the rest. */
-  private static final double USABLE_SHARE = 0.75;
+  private static final double USABLE_FRACTION = 0.75;
 
   /**
    * Returns the seconds until the running and the booting machines have done some work.
@@ -21,8 +21,8 @@
    * @param cpuSeconds the work in processor seconds
    */
   double secondsToClear(double cpuSeconds) {
-    double usableCpus = cpus * USABLE_SHARE;
-    double usableBootingCpus = bootingCpus * USABLE_SHARE;
+    double usableCpus = cpus * USABLE_FRACTION;
+    double usableBootingCpus = bootingCpus * USABLE_FRACTION;
     if (cpuSeconds <= usableCpus * bootS || usableBootingCpus <= 0) {
       return cpuSeconds / Math.max(1, usableCpus);
     }
--- a/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
+++ b/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
@@ -108,9 +108,9 @@
      * time that the dependent takes, at each step along the chain.
      */
     Urgency urgency(Job job) {
-      Urgency known = urgencies.get(job);
-      if (known != null) {
-        return known;
+      Urgency computed = urgencies.get(job);
+      if (computed != null) {
+        return computed;
       }
       if (!path.add(job)) {
         logCycle(job);
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -110,7 +110,7 @@
    * work. Preempts only tasks that exit immediately: one heartbeat answer holds the stop and then
    * the start, and the started task needs the resources at once.
    *
-   * @param maxTasks the most tasks of the job to place
+   * @param maxTasks the maximum number of tasks of the job to place
    * @param fromIndex the task index from which to search for free tasks
    * @param requiredZone the only zone in which they may start; null for any
    * @return whether any task was placed
--- a/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ReleasePlanner.java
@@ -41,7 +41,7 @@
   private static final double MIN_SILENCE_BEFORE_FIRST_HEARTBEAT_MS = 15_000;
 
   /**
-   * A machine that has not come up is given up after this many times its type's usual boot time
+   * A machine that has not come up is released after this many times its type's usual boot time
    * plus {@link #BOOT_MARGIN_S}.
    */
   private static final double MAX_BOOT_FACTOR = 5;
--- a/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
+++ b/src/main/java/shorecrank/coordination/scheduling/SchedulingQueue.java
@@ -39,7 +39,7 @@
    * A job can still meet a deadline if this fraction of its estimated run fits before it, since
    * estimates are often wrong by half.
    */
-  private static final double MIN_RUN_SHARE = 0.5;
+  private static final double MIN_RUN_FRACTION = 0.5;
 
   /** A job ends with its slowest task, which is assumed to run this many times the estimate. */
   private static final double LAST_TASK_FACTOR = 1.3;
@@ -120,7 +120,7 @@
     }
 
     boolean mayEndWithin(double leftS) {
-      return leftS >= fetchS + commandS + runS * MIN_RUN_SHARE;
+      return leftS >= fetchS + commandS + runS * MIN_RUN_FRACTION;
     }
 
     double totalS() {
--- a/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
+++ b/src/main/java/shorecrank/coordination/shard/ForeignTasks.java
@@ -27,6 +27,7 @@
   /** Age in milliseconds after which a lookup is removed. */
   private static final long LOOKUP_RETENTION_MS = 30_000;
 
+  /** Maximum number of jobs whose last lookup is kept; above it, no further job is looked up. */
   private static final int MAX_LOOKUPS = 10_000;
 
   /** Whether a record of another shard names an attempt on a machine. */
@@ -61,8 +62,8 @@
   }
 
   /**
-   * Returns what is known of an attempt on a machine, and starts a lookup if that is out of date.
-   * With a single shard, no attempt belongs to another one.
+   * Returns whether a record of another shard names an attempt on a machine, and starts a lookup of
+   * the record if the last one is out of date. With a single shard, no attempt belongs to another.
    */
   ReferenceStatus referenceStatus(MachineName machine, TaskAttemptId attempt) {
     if (context.settings().shards() == 1) {
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -95,8 +95,8 @@
   /**
    * Records that the worker is alive.
    *
-   * @return whether its last heartbeat was answered here, and the numbers leave no room for a
-   *     heartbeat to another controller in between
+   * @return whether the worker has sent its heartbeats to no other controller since its last one to
+   *     this owner
    */
   private boolean handleConfirmed(Machine machine, WorkerHeartbeat heartbeat) {
     MonotonicTime now = context.now();
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -45,11 +45,15 @@
 
   private static final int BYTES_PER_KB = 1024;
 
-  /** Above this share of the maximum size of a value, a record drops its uncommitted placements. */
-  private static final double SHRINK_SHARE = 0.95;
+  /**
+   * Above this fraction of the maximum size of a value, a record drops its uncommitted placements.
+   */
+  private static final double SHRINK_FRACTION = 0.95;
 
-  /** Attempt ranges are added while a record is below this share of the maximum size of a value. */
-  private static final double FILL_SHARE = 0.9;
+  /**
+   * Attempt ranges are added while a record is below this fraction of the maximum size of a value.
+   */
+  private static final double FILL_FRACTION = 0.9;
 
   /** Pause before a record is written again that is too large even in the compact form. */
   private static final int TOO_LARGE_PAUSE_MS = 2000;
@@ -250,13 +254,13 @@
       double maxBytes = maxValueBytes();
       JobRecord record = job.toRecord(lease.epoch(), context.writer());
       EncodedRecord encoded = RecordValueCodec.encode(record, form);
-      if (encoded.boundBytes() > maxBytes * SHRINK_SHARE) {
+      if (encoded.boundBytes() > maxBytes * SHRINK_FRACTION) {
         shrink(job);
         record = job.toRecord(lease.epoch(), context.writer());
         encoded = RecordValueCodec.encode(record, form);
       }
       // A record without attempts always accepts one range: otherwise its job would never run.
-      int rangesLeft = (int) ((maxBytes * FILL_SHARE - encoded.boundBytes()) / RANGE_BYTES);
+      int rangesLeft = (int) ((maxBytes * FILL_FRACTION - encoded.boundBytes()) / RANGE_BYTES);
       job.record().setRangesLeft(Math.max(job.tasks().hasAttempts() ? 0 : 1, rangesLeft));
       encoded.addTo(transaction, key);
       resolver.recordSent(job, record);
--- a/src/main/java/shorecrank/coordination/shard/PlacementLog.java
+++ b/src/main/java/shorecrank/coordination/shard/PlacementLog.java
@@ -26,7 +26,7 @@
   /**
    * Logs the placement in a write of a job's record, if it holds one.
    *
-   * @param sequence the number of the write
+   * @param sequence the sequence number of the write
    * @param revision the revision at which it was committed
    * @param epoch the epoch under which it was committed
    */
--- a/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
+++ b/src/main/java/shorecrank/coordination/shard/WriteOutcomeResolver.java
@@ -200,8 +200,8 @@
     boolean othersMayWrite = !isOwnWrite && (hasOwner || job.record().isClaimRequired());
     references.recordRead(job.id(), revision, record, othersMayWrite);
     if (isOwnWrite) {
-      // The record's number shows that it is a write of this object, so memory already holds its
-      // contents. Only a user's cancellation mark may have been added.
+      // The record's sequence number shows that it is a write of this object, so memory already
+      // holds its contents. Only a user's cancellation mark may have been added.
       boolean isNewlyCommitted = record.sequence() > job.record().committedSequence();
       job.adoptOwnWrite(record);
       adoptCancellation(job, record, revision);
