--- a/src/main/java/shorecrank/coordination/scheduling/package-info.java
+++ b/src/main/java/shorecrank/coordination/scheduling/package-info.java
@@ -5,8 +5,9 @@
  *
  * <p>Decisions are derived from the jobs and machines of a {@link
  * shorecrank.coordination.scheduling.ShardView}; the package does not own the state of the shard.
- * It may import {@code shorecrank.coordination.model} and {@code shorecrank.coordination.step},
- * {@code shorecrank.storage} for the records of jobs of other shards, and the packages below these.
- * It is called by the owner of a shard, in {@code shorecrank.coordination.shard}.
+ * The package may import {@code shorecrank.coordination.model} and {@code
+ * shorecrank.coordination.step}, {@code shorecrank.storage} for the records of jobs of other
+ * shards, and the packages below these. It is called by the owner of a shard, in {@code
+ * shorecrank.coordination.shard}.
  */
 package shorecrank.coordination.scheduling;
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -122,7 +122,8 @@
    * The queued tasks.
    *
    * @param waiting the processors that they need, by priority
-   * @param oldestWaitS seconds for which the oldest job without any task has been ready
+   * @param oldestWaitS the longest time in seconds that a job without an attempt or a finished task
+   *     has been ready
    * @param usableOffers the offers of machines that they could run on
    */
   private record QueueSummary(List<Double> waiting, double oldestWaitS, List<Offer> usableOffers) {}
