--- a/src/main/java/shorecrank/coordination/leader/CloudClient.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudClient.java
@@ -84,7 +84,7 @@
     pausedUntil = context.now().plus(FAILURE_PAUSE_MS);
   }
 
-  /** Reports whether no call is to be sent because a call has failed lately. */
+  /** Reports whether no call is to be sent because a call failed recently. */
   boolean isPaused() {
     return context.now().isBefore(pausedUntil);
   }
--- a/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
+++ b/src/main/java/shorecrank/coordination/leader/CloudProvisioner.java
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Queues the rental of the machines that a shard's owner requests, except for offers that lately
-   * had no capacity.
+   * Queues the rental of the machines that a shard's owner requests, except for offers that
+   * recently had no capacity.
    */
   void request(ShardId shard, List<CapacityRequest> requests) {
     rental.request(shard, requests);
--- a/src/main/java/shorecrank/coordination/leader/ControllerState.java
+++ b/src/main/java/shorecrank/coordination/leader/ControllerState.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Returns how many workers of a shard lately sent their heartbeats to this controller instead of
-   * the shard's owner.
+   * Returns how many workers of a shard recently sent their heartbeats to this controller instead
+   * of the shard's owner.
    */
   int misroutedWorkers(ShardId shard) {
     return misroutedWorkers.getOrDefault(shard, 0);
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -79,7 +79,7 @@
     READING,
     /** Watches the key while another process leads. */
     WATCHING,
-    /** Tries to take the key, which no process holds. */
+    /** Tries to write the key, which does not exist. */
     CAMPAIGNING,
     /** Holds the key and renews its grant. */
     LEADING
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Reports whether this process took the key and has not seen its grant end; the grant may have
-   * expired since.
+   * Reports whether this process wrote the key and has had no answer that its grant has ended; the
+   * grant may have expired since.
    */
   public boolean isHoldingKey() {
     return state == State.LEADING;
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -262,8 +262,8 @@
    *
    * <p>In a fleet with several shards, an assignment has to be stored first: otherwise the next
    * leader would not know it, and could assign the machine to another shard while it runs tasks. A
-   * machine in transfer is never sent: a new owner of the shard that handed it over would take it
-   * for its own.
+   * machine in transfer is never sent: a new owner of the shard that handed the machine over would
+   * use it again.
    */
   private static boolean mayAnnounce(AssignedMachine machine, boolean isSingleShard) {
     return (machine.isRecorded() || isSingleShard) && !machine.isInTransfer();
--- a/src/main/java/shorecrank/coordination/leader/MachineReleases.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineReleases.java
@@ -74,14 +74,14 @@
 
   /** Returns the machines whose release was confirmed within {@link #ANNOUNCE_RELEASED_MS}. */
   List<MachineName> recentlyReleased() {
-    List<MachineName> lately = new ArrayList<>();
+    List<MachineName> recent = new ArrayList<>();
     released.forEach(
         (name, at) -> {
           if (context.now().since(at) < ANNOUNCE_RELEASED_MS) {
-            lately.add(name);
+            recent.add(name);
           }
         });
-    return lately;
+    return recent;
   }
 
   /** Requests another release of a released machine that exists again. */
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Queues the rental of the machines that a shard's owner requests, except for offers that lately
-   * had no capacity.
+   * Queues the rental of the machines that a shard's owner requests, except for offers that
+   * recently had no capacity.
    */
   void request(ShardId shard, List<CapacityRequest> requests) {
     for (CapacityRequest request : requests) {
--- a/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
+++ b/src/main/java/shorecrank/coordination/leader/UnavailableOffers.java
@@ -10,7 +10,7 @@
 import shorecrank.protocol.HeartbeatMessages.UnavailableOffer;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Offers for which the cloud lately had no capacity, with an exponential backoff. */
+/** Offers for which the cloud recently had no capacity, with an exponential backoff. */
 final class UnavailableOffers {
   /**
    * The time after an offer's first refusal in which it is not requested; doubled with each further
--- a/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
+++ b/src/main/java/shorecrank/coordination/request/JobChangeCodec.java
@@ -45,7 +45,7 @@
    * is written in the compact form if the plain one is too large. Jobs without dependencies always
    * have the plain form, since versions without job dependencies can't read the compact one.
    *
-   * @return empty if the record is larger than the values that the state service takes
+   * @return empty if the record is larger than the values that the state service accepts
    */
   Optional<Transaction> encodeCreation(JobSpec spec) {
     JobRecord record =
--- a/src/main/java/shorecrank/coordination/request/SubmissionRules.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionRules.java
@@ -22,7 +22,7 @@
     machineTypes = types;
   }
 
-  /** Reports whether the machine types are known; without them no submission can be judged. */
+  /** Reports whether the machine types are known; without them no submission can be checked. */
   boolean isReady() {
     return !machineTypes.isEmpty();
   }
--- a/src/main/java/shorecrank/coordination/shard/ShardLease.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardLease.java
@@ -133,11 +133,11 @@
    * outlive an outage of the state service. The grace period is bounded because a new owner relies
    * on no lease being renewed after it.
    *
-   * @param isAlone whether no message from another controller has arrived lately
+   * @param isIsolated whether no message from another controller has arrived lately
    * @param isMissingManyWorkers whether heartbeats arrive from fewer than two thirds of the shard's
    *     workers
    */
-  boolean isInGrace(boolean isAlone, boolean isMissingManyWorkers) {
+  boolean isInGrace(boolean isIsolated, boolean isMissingManyWorkers) {
     long expiredForMs = context.now().since(validUntil);
     if (expiredForMs < 0 || expiredForMs >= context.settings().graceMs()) {
       return false;
@@ -149,7 +149,7 @@
           Math.min(expiredForMs, context.now().since(context.storeReachableSince()));
       return reachableForMs < context.settings().leaderTtlMs() + ELECTION_MS;
     }
-    return !isAlone || isMissingManyWorkers || expiredForMs < context.settings().leaseMs() * 2L;
+    return !isIsolated || isMissingManyWorkers || expiredForMs < context.settings().leaseMs() * 2L;
   }
 
   /**
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -205,10 +205,10 @@
    * Reports whether workers' leases may still be renewed, without commands, after the lease has
    * expired.
    *
-   * @param isAlone whether no message from another controller has arrived lately
+   * @param isIsolated whether no message from another controller has arrived lately
    */
-  public boolean isInGrace(boolean isAlone) {
-    return lease.isInGrace(isAlone, isMissingManyWorkers);
+  public boolean isInGrace(boolean isIsolated) {
+    return lease.isInGrace(isIsolated, isMissingManyWorkers);
   }
 
   /**
--- a/src/main/java/shorecrank/protocol/JobSpec.java
+++ b/src/main/java/shorecrank/protocol/JobSpec.java
@@ -57,9 +57,9 @@
 
   /** A job's priority, from the highest to the lowest. */
   public enum Priority {
-    /** Production work: goes before all other work. */
+    /** Production work: scheduled before all other work. */
     PROD,
-    /** Urgent work: goes before ordinary work. */
+    /** Urgent work: scheduled before ordinary work. */
     URGENT,
     /** Ordinary work. */
     NORMAL,
--- a/src/main/java/shorecrank/rebalance/MoveCapacity.java
+++ b/src/main/java/shorecrank/rebalance/MoveCapacity.java
@@ -5,7 +5,7 @@
 
 /**
  * Limits how many moves and order outcomes the shares' key holds, so that its value stays below the
- * largest value that the state service takes.
+ * largest value that the state service accepts.
  */
 final class MoveCapacity {
   /** The number of ended moves that the key keeps, the latest ones. */
--- a/src/main/java/shorecrank/rebalance/ShareTargets.java
+++ b/src/main/java/shorecrank/rebalance/ShareTargets.java
@@ -17,7 +17,7 @@
  * them, so that no machine moves without a need.
  */
 final class ShareTargets {
-  /** The weight factors of processors that waiting tasks ask for, highest priority first. */
+  /** The weight factors of processors that queued tasks need, highest priority first. */
   private static final double[] PRIORITY_FACTORS = {8, 4, 2, 1};
 
   /** The wait of a shard's oldest job without a task, in seconds, that doubles its weight. */
--- a/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
+++ b/src/test/java/shorecrank/coordination/shard/ShardLeaseTest.java
@@ -62,7 +62,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // expiredForMs, isAlone, isMissingManyWorkers, isInGrace; the state service is unreachable
+    // expiredForMs, isIsolated, isMissingManyWorkers, isInGrace; the state service is unreachable
     "-1, false, false, false",
     "0, true, false, true",
     "11999, true, false, true",
@@ -72,10 +72,10 @@
     "59999, false, false, true",
     "60000, false, true, false",
   })
-  void gracePeriodLastsTwoLeasesWhenAlone(
-      long expiredForMs, boolean isAlone, boolean isMissingManyWorkers, boolean isInGrace) {
+  void gracePeriodLastsTwoLeasesWhenIsolated(
+      long expiredForMs, boolean isIsolated, boolean isMissingManyWorkers, boolean isInGrace) {
     lease.renew(EPOCH, at(100));
     context.begin(at(100 + expiredForMs), 0, 1);
-    assertEquals(isInGrace, lease.isInGrace(isAlone, isMissingManyWorkers));
+    assertEquals(isInGrace, lease.isInGrace(isIsolated, isMissingManyWorkers));
   }
 }
