--- a/src/main/java/shorecrank/client/ArchiveDownload.java
+++ b/src/main/java/shorecrank/client/ArchiveDownload.java
@@ -88,7 +88,8 @@
     private void write(Entry entry) {
       byte[] chunk = ArchiveValueCodec.readChunk(entry.value());
       if (chunk == null) {
-        // The verification of the downloaded file reports the missing chunk.
+        // A malformed chunk is left out; the verification of the downloaded file reports the
+        // damage.
         return;
       }
       try {
--- a/src/main/java/shorecrank/client/RolloutCommand.java
+++ b/src/main/java/shorecrank/client/RolloutCommand.java
@@ -11,7 +11,10 @@
 /** The subcommands that show and change the feature level of a fleet. */
 @Command(name = "rollout", description = "Watches and steers the feature level of a fleet.")
 final class RolloutCommand {
-  /** The level in an order with which the leader chooses the level itself. */
+  /**
+   * The value of {@link RolloutOrder#target} in an order that names no level. The leader then uses
+   * the default level, if this kind of order has one.
+   */
   private static final int NO_LEVEL = -1;
 
   /** Prints the feature level and the members of the fleet. */
--- a/src/main/java/shorecrank/config/ConfigSection.java
+++ b/src/main/java/shorecrank/config/ConfigSection.java
@@ -43,7 +43,7 @@
         return new Address(text.substring(0, colon), port);
       }
     } catch (NumberFormatException e) {
-      // The port is no number: the exception below is the same as for a port out of range.
+      // A port that is not a number is reported like a port out of range, by the exception below.
     }
     throw new InvalidConfigException(
         path + field, "must be IP:PORT with a port from 1 to " + MAX_PORT);
--- a/src/main/java/shorecrank/config/NodeConfigFile.java
+++ b/src/main/java/shorecrank/config/NodeConfigFile.java
@@ -17,7 +17,7 @@
 
 /** Reads the platform's configuration file, which is in JSON. */
 public final class NodeConfigFile {
-  /** The maximum of settings that need no tighter one. */
+  /** The highest number allowed in a field that has no lower maximum of its own. */
   private static final double MAX_NUMBER = 1e9;
 
   private static final double HOUR_S = 3600;
@@ -107,8 +107,9 @@
   }
 
   /**
-   * Returns, for each limit, the lower one of the current and the announced limits. The announced
-   * limits in {@code next} come into force without notice, so the controller always observes both.
+   * Returns, for each limit of the state service, the lower one of the current value and the value
+   * announced in the field {@code settings.state.next}. The announced limits come into force
+   * without notice, so the controller always observes both.
    */
   private static StateLimits readStateLimits(ConfigSection state) throws InvalidConfigException {
     StateLimits current = readStateLimits(state, DEFAULT_STATE_LIMITS);
--- a/src/main/java/shorecrank/daemon/DaemonConfig.java
+++ b/src/main/java/shorecrank/daemon/DaemonConfig.java
@@ -24,7 +24,7 @@
 record DaemonConfig(
     NodeConfig node, Settings settings, RolloutSetup rollout, ShareSettings shares) {
 
-  /** Reads and parses a file. */
+  /** Reads a configuration file and parses it into an object of type {@code T}. */
   private interface Reader<T> {
     T read(Path file) throws IOException, InvalidConfigException;
   }
--- a/src/main/java/shorecrank/daemon/Main.java
+++ b/src/main/java/shorecrank/daemon/Main.java
@@ -94,7 +94,7 @@
       ClassArchiveTraining.run();
     } catch (Exception e) {
       // A StartupException ends the process. With any other exception, the controller's threads
-      // would keep the process alive and the build that started it waiting.
+      // would keep the process alive, and the build that started the process would wait forever.
       throw new StartupException("the training run failed: " + e, e);
     }
   }
--- a/src/main/java/shorecrank/leadership/LeaderEnvironment.java
+++ b/src/main/java/shorecrank/leadership/LeaderEnvironment.java
@@ -17,7 +17,9 @@
   /** Returns the client of the state service. */
   StateStore store();
 
-  /** Reports whether this controller's share of the write rate allows that many changes now. */
+  /**
+   * Reports whether this controller's share of the write rate allows {@code changes} writes now.
+   */
   boolean hasWriteBudget(int changes);
 
   /**
--- a/src/main/java/shorecrank/rollout/ArchiveCleaner.java
+++ b/src/main/java/shorecrank/rollout/ArchiveCleaner.java
@@ -82,7 +82,8 @@
       } else if (entry.get().isComplete()) {
         complete.add(entry.get());
       } else {
-        // The index entry of an incomplete archive does not count its chunks.
+        // The index entry of an incomplete archive was written before the archive's chunks, so it
+        // does not say how many there are.
         listChunks(entry.get().id());
       }
     }
@@ -137,7 +138,7 @@
   private void handleRemoval(List<String> batch, CommitResult result) {
     if (!result.isCommitted()) {
       store.pause(RETRY_MS);
-      // The batch may have been deleted already; deleting it again has no effect.
+      // The keys of the batch may have been deleted already; deleting them again has no effect.
       for (int i = batch.size() - 1; i >= 0; i--) {
         toRemove.addFirst(batch.get(i));
       }
--- a/src/main/java/shorecrank/rollout/ArchiveTask.java
+++ b/src/main/java/shorecrank/rollout/ArchiveTask.java
@@ -150,7 +150,7 @@
     return ArchiveKeys.maxChunkBytes(environment.maxValueBytes());
   }
 
-  // ---- reading ---------------------------------------------------------------------------------
+  // ---- reading keys and changes ----------------------------------------------------------------
 
   private void list() {
     store.list(
@@ -225,7 +225,7 @@
             id, build, level.value(), firstRevision, revision, isConsistent, environment.wallMs()));
   }
 
-  // ---- writing ---------------------------------------------------------------------------------
+  // ---- writing the index entry and chunks ------------------------------------------------------
 
   private void commit(Transaction transaction, Consumer<CommitResult> callback) {
     leadership.guard(transaction);
--- a/src/main/java/shorecrank/rollout/RecordRewriter.java
+++ b/src/main/java/shorecrank/rollout/RecordRewriter.java
@@ -42,7 +42,8 @@
   private static final long RETRY_MS = 500;
 
   /**
-   * Delay before the page is read again if no earlier form of a value fits into the state service.
+   * Delay before the current page is read again if one of its values, in all earlier forms, exceeds
+   * the state service's maximum value size.
    */
   private static final long TOO_LARGE_RETRY_MS = 2000;
 
--- a/src/main/java/shorecrank/rollout/RolloutCoordinator.java
+++ b/src/main/java/shorecrank/rollout/RolloutCoordinator.java
@@ -29,8 +29,8 @@
  */
 public final class RolloutCoordinator {
   /**
-   * A member whose last heartbeat is older than this many heartbeat intervals and {@link
-   * #HEARTBEAT_TIMEOUT_EXTRA_MS} prevents the level from being raised.
+   * A member whose last heartbeat is older than this many heartbeat intervals plus {@link
+   * #HEARTBEAT_TIMEOUT_EXTRA_MS} prevents the feature level from being raised.
    */
   private static final long HEARTBEAT_TIMEOUT_INTERVALS = 3;
 
@@ -70,7 +70,7 @@
   private final Archiver archiver;
   private final RolloutOrders orders;
 
-  /** The term in which the announcements were recorded and the archive or rewriter was started. */
+  /** The term in which {@link #announcements} was filled and archives or rewrites were started. */
   private Revision term = Revision.ABSENT;
 
   /** The pass that rewrites stored values for a lower level; null if none is running. */
@@ -292,7 +292,7 @@
         });
   }
 
-  // ---- operators -------------------------------------------------------------------------------
+  // ---- operators' orders and the status --------------------------------------------------------
 
   /**
    * Executes an order and passes its outcome to {@code listener}. If the outcome of an order with
--- a/src/main/java/shorecrank/storage/JobRecordCodec.java
+++ b/src/main/java/shorecrank/storage/JobRecordCodec.java
@@ -70,7 +70,7 @@
     MACHINES,
     INCARNATIONS,
     ATTEMPTS,
-    /** Only in the compact form. */
+    /** The job's spec, which is a column only in the compact form. */
     SPEC;
 
     private JsonNode from(JsonNode columns) {
--- a/src/main/java/shorecrank/transport/HttpClientPool.java
+++ b/src/main/java/shorecrank/transport/HttpClientPool.java
@@ -80,7 +80,7 @@
     private final byte[] body;
     private final ScheduledFuture<?> timeout;
 
-    /** Handles the response; null once it has been called. */
+    /** Handles the response; null once the response has been passed to this handler. */
     private ResponseHandler handler;
 
     /** The connection of this call; null while the call waits for one. */
--- a/src/main/java/shorecrank/transport/HttpServer.java
+++ b/src/main/java/shorecrank/transport/HttpServer.java
@@ -54,8 +54,9 @@
   private static final String HEALTH_PATH = "/healthz";
 
   /**
-   * The number of connections above the limit that are accepted, as a fraction of the limit.
-   * Requests on them are answered with an error; connections above this number are closed at once.
+   * The number of connections accepted beyond {@code maxConnections}, as a fraction of it. Requests
+   * on them, except health checks, are answered with status 503. Further connections are closed at
+   * once.
    */
   private static final double EXCESS_FRACTION = 0.06;
 
