--- a/src/main/java/shorecrank/client/ControllerClient.java
+++ b/src/main/java/shorecrank/client/ControllerClient.java
@@ -66,7 +66,8 @@
    * Status 503 is retried: the controller cannot answer now, for example because it does not reach
    * the leader.
    *
-   * @throws NoAnswerException if no controller has answered when the timeout expires
+   * @throws NoAnswerException if no controller has answered with a status other than 503 when the
+   *     timeout expires
    */
   Answer post(String path, JsonNode body) throws NoAnswerException {
     long deadlineNanos = System.nanoTime() + timeout.toNanos();
