--- a/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
+++ b/src/main/java/shorecrank/coordination/leader/AssignmentStore.java
@@ -43,8 +43,8 @@
   private final Set<Integer> unsavedBuckets = new TreeSet<>();
 
   /**
-   * The revisions of the keys as last read or written. They guard the next writes: a write of
-   * unknown outcome that the state service carries out late must not overwrite a newer one.
+   * The revisions of the buckets' keys as last read or written. They guard the next writes: a write
+   * of unknown outcome that the state service carries out late must not overwrite a newer one.
    */
   private final Map<String, Revision> revisions = new TreeMap<>();
 
@@ -76,9 +76,7 @@
     return unsavedBuckets.isEmpty() && !saving;
   }
 
-  /**
-   * Reports whether a transaction with assignments, or a read of the keys' revisions, is pending.
-   */
+  /** Reports whether a transaction with assignments, or a read of the buckets' keys, is pending. */
   boolean isSaving() {
     return saving;
   }
@@ -152,7 +150,10 @@
             });
   }
 
-  /** Reads the keys' revisions again after a guard failed; no assignment is written meanwhile. */
+  /**
+   * Reads the revisions of the buckets' keys again after a guard failed; no assignment is written
+   * meanwhile.
+   */
   void readRevisions() {
     Revision term = loadedTerm.current();
     saving = true;
--- a/src/main/java/shorecrank/coordination/leader/Election.java
+++ b/src/main/java/shorecrank/coordination/leader/Election.java
@@ -39,7 +39,8 @@
   static final String PROTECTED_KEY = "leadership";
 
   /**
-   * The pause after which a controller that doesn't support the level in force reads the key again.
+   * The pause after which a controller that doesn't support the feature level in force reads the
+   * leader's key again.
    */
   private static final int UNSUPPORTED_LEVEL_PAUSE_MS = 2000;
 
@@ -53,7 +54,7 @@
   private static final int TERM_ENDED_PAUSE_MS = 50;
 
   /**
-   * The average delay of a campaign after the key's deletion; it is randomized so that the
+   * The average delay of a campaign after the leader's key is deleted; it is randomized so that the
    * controllers don't all campaign at once.
    */
   private static final int CAMPAIGN_DELAY_MS = 60;
@@ -75,13 +76,13 @@
 
   /** What a process does next in the election. */
   private enum State {
-    /** Reads the key to learn who leads. */
+    /** Reads the leader's key to learn who leads. */
     READING,
-    /** Watches the key while another process leads. */
+    /** Watches the leader's key while another process leads. */
     WATCHING,
-    /** Tries to write the key, which does not exist. */
+    /** Tries to write the leader's key, which does not exist. */
     CAMPAIGNING,
-    /** Holds the key and renews its grant. */
+    /** Holds the leader's key and renews the grant to which that key is attached. */
     LEADING
   }
 
@@ -110,7 +111,7 @@
   private Revision leaderKeyRevision = Revision.ABSENT;
 
   /**
-   * Creates an election that has not read the key yet.
+   * Creates an election that has not read the leader's key yet.
    *
    * @param supported the feature levels that this build supports; null if rollouts are not enabled
    */
@@ -142,8 +143,8 @@
   }
 
   /**
-   * Reports whether this process wrote the key and has had no answer that its grant has ended; the
-   * grant may have expired since.
+   * Reports whether this process wrote the leader's key and has had no answer that its grant has
+   * ended; the grant may have expired since.
    */
   public boolean isHoldingKey() {
     return state == State.LEADING;
@@ -241,7 +242,8 @@
       enter(State.WATCHING, 0);
       return;
     }
-    // The key carries this controller's name but belongs to another process, so an earlier process
+    // The leader's key carries this controller's name but belongs to another process, so an earlier
+    // process
     // of this controller has ended: its grant is revoked instead of waiting until it expires. Late
     // writes of that process fail, since the key's revision changes.
     grants.revoke(
@@ -347,7 +349,8 @@
   private void handleCampaignResult(long newGrant, MonotonicTime grantSent, CommitResult result) {
     if (!(result instanceof Committed committed)) {
       // The commit was refused or got no answer. If it is carried out late, its grant must no
-      // longer exist, or the key would name a process that does not consider itself the leader.
+      // longer exist, or the leader's key would name a process that does not consider itself
+      // leader.
       grants.revoke(newGrant, ended -> enter(State.READING, LOST_CAMPAIGN_PAUSE_MS));
       return;
     }
--- a/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
+++ b/src/main/java/shorecrank/coordination/leader/LeaderRecovery.java
@@ -100,7 +100,7 @@
       OwnerInfo owner = ShardOwnerCodec.read(entry.value());
       ShardState shard = shards.get(owner.shard());
       if (shard != null) {
-        // The last leader may have renewed the lease just before its term ended.
+        // The previous leader may have renewed the owner's lease just before its term ended.
         MonotonicTime leaseEnd = shards.latestLeaseEnd();
         shard.assignOwner(
             owner.controller(), ShardOwnerCodec.readWriter(entry.value()), owner.epoch(), leaseEnd);
--- a/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineDirectory.java
@@ -179,7 +179,7 @@
    * Assignments that don't fit are left out.
    *
    * @param otherOperations the number of other operations in the transaction
-   * @param otherBytes the size of the other operations
+   * @param otherBytes the size of the other operations, in bytes
    * @return the transfer; empty if no assignment can be written now
    */
   Optional<MachineTransfer> prepare(
--- a/src/main/java/shorecrank/coordination/leader/MachineListReconciler.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineListReconciler.java
@@ -60,7 +60,7 @@
 
   private static final double BOOT_MARGIN_S = 60;
 
-  /** The states of a machine in the cloud's machine list. */
+  /** The state of a failed machine in the cloud's machine list. */
   private static final String FAILED = "failed";
 
   private static final String STARTING = "starting";
--- a/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineTransfer.java
@@ -26,7 +26,7 @@
   /**
    * Creates a transfer without machines.
    *
-   * @param otherBytes the size of the transaction's other operations
+   * @param otherBytes the size of the transaction's other operations, in bytes
    */
   MachineTransfer(MachineDirectory directory, AssignmentStore store, int otherBytes) {
     this.directory = directory;
--- a/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
+++ b/src/main/java/shorecrank/coordination/leader/SpareMachineAssigner.java
@@ -20,7 +20,7 @@
    */
   private static final int MOVE_NUMBER_BITS = 20;
 
-  /** Queued tasks raise a shard's need by this number of machines. */
+  /** A shard with queued tasks counts as having this many machines fewer than it has. */
   private static final int QUEUED_TASKS_NEED = 1000;
 
   private final StepContext context;
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -54,8 +54,8 @@
   private static final int QUERY_OVERLAP_MS = 2000;
 
   /**
-   * Added to {@link StepContext#maxCancellationStalenessMs()}: an answer may name as many
-   * cancellations as can be confirmed in the sum of these times.
+   * The number of seconds added to {@link StepContext#maxCancellationStalenessMs()}: an answer may
+   * name as many cancellations as can be confirmed in the sum of these times.
    */
   private static final int ANSWER_OVERLAP_S = 2;
 
--- a/src/main/java/shorecrank/coordination/model/JobRecordState.java
+++ b/src/main/java/shorecrank/coordination/model/JobRecordState.java
@@ -14,12 +14,12 @@
  */
 public final class JobRecordState {
   /**
-   * The sequence numbers of one object differ only in this many low bits, so that each object has a
-   * range of its own.
+   * The sequence numbers of one object's writes differ only in this many low bits, so that each
+   * object has a range of its own.
    */
   private static final int SEQUENCE_BITS = 24;
 
-  /** Writes of this object have numbers above this one; the ranges of objects do not overlap. */
+  /** This object's writes have sequence numbers above this one; objects' ranges don't overlap. */
   private final long firstSequence;
 
   private Revision revision;
--- a/src/main/java/shorecrank/coordination/model/TeamQuotas.java
+++ b/src/main/java/shorecrank/coordination/model/TeamQuotas.java
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Returns how many of a job's queued tasks fit. They may replace withdrawn attempts of the same
-     * job, because one write of the job's record removes the withdrawn attempts and adds the new
-     * ones.
+     * Returns how many of a job's queued tasks fit into this headroom. They may replace withdrawn
+     * attempts of the same job, because one write of the job's record removes the withdrawn
+     * attempts and adds the new ones.
      */
     public int queuedTasksThatFit(Job job) {
       JobSpec spec = job.spec();
--- a/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerLiveness.java
@@ -143,7 +143,7 @@
   public boolean isLeaseExpired(Machine machine) {
     MonotonicTime from = machine.session().lastConfirmedAt();
     if (!machine.session().isConfirmed()) {
-      // An earlier owner may have renewed the lease until the end of its grace period.
+      // An earlier owner may have renewed the worker's lease until the end of its grace period.
       long graceMs = context.settings().graceMs();
       MonotonicTime graceEnd =
           grantedAt.plus(graceMs + graceMs / GRACE_DRIFT_DIVISOR + TIMER_MARGIN_MS);
--- a/src/main/java/shorecrank/coordination/model/WorkerSession.java
+++ b/src/main/java/shorecrank/coordination/model/WorkerSession.java
@@ -19,7 +19,7 @@
 
   /** A change of whether the worker receives the answers to its heartbeats. */
   public enum Responsiveness {
-    /** Nothing to report. */
+    /** There is no change that has to be reported. */
     UNCHANGED,
     /** The worker has now missed several answers in a row. */
     LOST,
--- a/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
+++ b/src/main/java/shorecrank/coordination/scheduling/BinPacking.java
@@ -29,7 +29,7 @@
    * The tasks of a job that need a machine.
    *
    * @param tasks how many of the job's tasks should start
-   * @param zone the only zone in which they may start; null for any
+   * @param zone the only zone in which the tasks may start; null for any
    */
   public record Request(JobSpec spec, int tasks, String zone, Clock clock) {}
 
--- a/src/main/java/shorecrank/coordination/scheduling/FleetCapacity.java
+++ b/src/main/java/shorecrank/coordination/scheduling/FleetCapacity.java
@@ -16,7 +16,7 @@
   private static final double USABLE_FRACTION = 0.75;
 
   /**
-   * Returns the seconds until the running and the booting machines have done some work.
+   * Returns the seconds that the running and the booting machines need for an amount of work.
    *
    * @param cpuSeconds the work in processor seconds
    */
--- a/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
+++ b/src/main/java/shorecrank/coordination/scheduling/InheritedUrgency.java
@@ -30,7 +30,7 @@
   private boolean cycleLogged;
 
   /**
-   * Creates an empty set of urgencies.
+   * Creates an instance without any inherited priorities or deadlines.
    *
    * @param jobs a live view of the unfinished jobs of the shard
    * @param dependents a live view of the waiting jobs, by the dependency that they wait for
@@ -41,7 +41,7 @@
     this.dependents = dependents;
   }
 
-  /** Marks the urgencies as outdated, after an edge was added to or removed from the graph. */
+  /** Marks the inherited priorities and deadlines as outdated, after a dependency has changed. */
   void invalidate() {
     outdated = true;
   }
@@ -90,7 +90,7 @@
     return urgency == null ? List.of() : urgency.deadlines;
   }
 
-  /** A depth-first traversal of the graph, from jobs to their dependents. */
+  /** A depth-first traversal of the dependency graph, from jobs to their dependents. */
   private final class Traversal {
     private final Function<Job, List<Deadline>> ownDeadlines;
     private final ToDoubleFunction<Job> durationMs;
--- a/src/main/java/shorecrank/coordination/scheduling/Preemption.java
+++ b/src/main/java/shorecrank/coordination/scheduling/Preemption.java
@@ -36,7 +36,7 @@
 
   private static final double COMMAND_MARGIN_S = 2;
 
-  /** The attempts on one machine to stop so that one task fits. */
+  /** The attempts to stop on one machine so that one task of another job fits there. */
   private record Victims(Machine machine, List<TaskAttempt> attempts) {
     static final Victims NONE = new Victims(null, List.of());
 
@@ -112,7 +112,7 @@
    *
    * @param maxTasks the maximum number of tasks of the job to place
    * @param fromIndex the task index from which to search for free tasks
-   * @param requiredZone the only zone in which they may start; null for any
+   * @param requiredZone the only zone in which the job's tasks may start; null for any
    * @return whether any task was placed
    */
   public boolean preemptFor(Job job, int maxTasks, int fromIndex, String requiredZone) {
--- a/src/main/java/shorecrank/coordination/scheduling/ShardView.java
+++ b/src/main/java/shorecrank/coordination/scheduling/ShardView.java
@@ -35,8 +35,8 @@
   MonotonicTime readySince();
 
   /**
-   * Reports whether a record of another owner has refused a write under the current epoch; false
-   * again once the owner holds the shard under a higher epoch.
+   * Reports whether this owner has given up a job under its current epoch because another owner has
+   * written the job's record; false again once this owner holds the shard under a higher epoch.
    */
   boolean hasRecordOfOtherOwner();
 
--- a/src/main/java/shorecrank/rebalance/MoveCapacity.java
+++ b/src/main/java/shorecrank/rebalance/MoveCapacity.java
@@ -8,17 +8,17 @@
  * largest value that the state service accepts.
  */
 final class MoveCapacity {
-  /** The number of ended moves that the key keeps, the latest ones. */
+  /** The number of ended moves that the shares' key keeps, the latest ones. */
   static final int MAX_ENDED_MOVES = 16;
 
-  /** The number of outcomes of operators' orders that the key keeps, the latest ones. */
+  /** The number of outcomes of operators' orders that the shares' key keeps, the latest ones. */
   static final int MAX_ORDER_OUTCOMES = 16;
 
   private static final int ENDED_MOVE_BYTES = 110;
   private static final int ORDER_OUTCOME_BYTES = 200;
   private static final int OTHER_BYTES = 200;
 
-  /** The bytes of the value that are reserved for all but the moves under way. */
+  /** The bytes of the shares' key's value that are reserved for all but the moves under way. */
   private static final int RESERVED_BYTES =
       MAX_ENDED_MOVES * ENDED_MOVE_BYTES + MAX_ORDER_OUTCOMES * ORDER_OUTCOME_BYTES + OTHER_BYTES;
 
--- a/src/main/java/shorecrank/rebalance/MoveCommitter.java
+++ b/src/main/java/shorecrank/rebalance/MoveCommitter.java
@@ -19,7 +19,7 @@
   @FunctionalInterface
   interface CommitListener {
     /**
-     * Called once.
+     * Called once for each write.
      *
      * @param isCommitted false if the change was refused or its outcome is not known yet
      */
@@ -71,13 +71,13 @@
     pendingHandover = null;
   }
 
-  /** Writes a change that assigns no machine; the store must be idle. */
+  /** Writes a change that assigns no machine; {@link SharesStore#isIdle} must be true. */
   void write(SharesState next, CommitListener listener) {
     write(next, null, listener);
   }
 
   /**
-   * Writes a change; the store must be idle.
+   * Writes a change; {@link SharesStore#isIdle} must be true.
    *
    * @param handover the assignments that are written in the same transaction; null if there are
    *     none
--- a/src/main/java/shorecrank/rebalance/MoveCoordinator.java
+++ b/src/main/java/shorecrank/rebalance/MoveCoordinator.java
@@ -33,7 +33,7 @@
   @FunctionalInterface
   public interface OutcomeListener {
     /**
-     * Called once.
+     * Called once for each order.
      *
      * @param outcome null if the outcome is not known and the operator has to send the order again
      */
--- a/src/main/java/shorecrank/rebalance/MoveTimes.java
+++ b/src/main/java/shorecrank/rebalance/MoveTimes.java
@@ -24,7 +24,7 @@
   private final Histogram durationsMs = new Histogram(MAX_RECORDED_MS, HISTOGRAM_DIGITS);
 
   /**
-   * Creates the record of one leader, without any durations or cooldowns.
+   * Creates an instance for one leader, without any durations or cooldowns.
    *
    * @param cooldownS the seconds after a move during which its machine is not moved automatically
    */
--- a/src/main/java/shorecrank/rebalance/OwnerInstructions.java
+++ b/src/main/java/shorecrank/rebalance/OwnerInstructions.java
@@ -16,7 +16,8 @@
   private final FleetAssignments fleet;
 
   /**
-   * The key's revision from which the instructions were made; null if they have to be made again.
+   * The revision of the shares' key from which the owners' instructions were made; null if the
+   * instructions have to be made again.
    */
   private Revision announcedRevision;
 
@@ -25,17 +26,20 @@
     this.fleet = fleet;
   }
 
-  /** Reports whether the instructions were made from the key's present revision. */
+  /** Reports whether the owners' instructions were made from the shares' key's present revision. */
   boolean areCurrent() {
     return store.revision().equals(announcedRevision);
   }
 
-  /** Requires the instructions to be made again, because newly read assignments contain none. */
+  /** Requires the owners' instructions to be made again: newly read assignments contain none. */
   void reset() {
     announcedRevision = null;
   }
 
-  /** Makes the instructions match the moves in the key, and withdraws those of ended moves. */
+  /**
+   * Makes the owners' instructions match the moves in the shares' key, and withdraws the
+   * instructions of ended moves.
+   */
   void synchronize() {
     if (!store.isReadable()) {
       return;
--- a/src/main/java/shorecrank/rebalance/SharesStatusBuilder.java
+++ b/src/main/java/shorecrank/rebalance/SharesStatusBuilder.java
@@ -28,7 +28,7 @@
     MoveTimes times) {
 
   /**
-   * Returns the status.
+   * Returns the status of shares and moves.
    *
    * @param reasonsAgainstMoves the reasons why no move may begin now; empty if moves may begin
    */
--- a/src/main/java/shorecrank/rebalance/SharesStore.java
+++ b/src/main/java/shorecrank/rebalance/SharesStore.java
@@ -51,12 +51,15 @@
     this.key = new LeaderKey<>(environment, leadership, CODEC, new SharesKeyRules());
   }
 
-  /** Reports whether the key was read under the present term, whatever its value. */
+  /** Reports whether the shares' key was read under the present term, whatever its value. */
   boolean isRead() {
     return key.isRead();
   }
 
-  /** Reports whether the key was read under the present term and this build can read its value. */
+  /**
+   * Reports whether the shares' key was read under the present term and this build can read its
+   * value.
+   */
   boolean isReadable() {
     return key.isReadable();
   }
@@ -66,7 +69,7 @@
     return key.isInDoubt();
   }
 
-  /** Reports whether the feature level in force permits writes of the key. */
+  /** Reports whether the feature level in force permits writes of the shares' key. */
   boolean isPermitted() {
     return gate.permits(Feature.SHARES);
   }
@@ -76,23 +79,26 @@
     return key.isIdle();
   }
 
-  /** Returns the key's revision as last read or written. */
+  /** Returns the revision of the shares' key as last read or written. */
   Revision revision() {
     return key.revision();
   }
 
-  /** Returns the key's value as last read or written; the initial value before the first read. */
+  /**
+   * Returns the value of the shares' key as last read or written; the initial value before the
+   * first read.
+   */
   SharesState state() {
     return key.value();
   }
 
-  /** Reads the key, or resolves a write of unknown outcome, if that is due. */
+  /** Reads the shares' key, or resolves a write of unknown outcome, if that is due. */
   void tick() {
     key.tick();
   }
 
   /**
-   * Writes the key; {@link #isIdle} must be true.
+   * Writes the shares' key; {@link #isIdle} must be true.
    *
    * @param additions adds the guards and writes that belong into the same transaction
    * @param callback receives the result, which may be an unknown outcome
@@ -128,7 +134,7 @@
     @Override
     public WriteOutcome resolveOutcome(Reading reading) {
       if (reading.isChanged()) {
-        // Only the leader writes the key, so this write has changed it.
+        // Only the leader writes the shares' key, so this write has changed it.
         return WriteOutcome.COMMITTED;
       }
       boolean isSameTerm =
