--- a/src/main/java/shorecrank/coordination/leader/BucketValues.java
+++ b/src/main/java/shorecrank/coordination/leader/BucketValues.java
@@ -13,7 +13,7 @@
  * change per machine would use up the state service's write rate for seconds; a bucket takes as
  * many keys as the size limit of a value requires.
  *
- * @param bytes the approximate total size of the values
+ * @param bytes the approximate total size of the values, in bytes
  */
 record BucketValues(Map<String, EncodedValue> byKey, int bytes) {
   /** The prefix of the keys of all buckets. */
--- a/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRecordCodec.java
@@ -30,7 +30,7 @@
   /**
    * One encoded machine.
    *
-   * @param bytes the size of its JSON text
+   * @param bytes the size of its JSON text, in bytes
    */
   record EncodedMachine(ArrayNode fields, int bytes) {}
 
--- a/src/main/java/shorecrank/coordination/leader/MachineRental.java
+++ b/src/main/java/shorecrank/coordination/leader/MachineRental.java
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Drops all requests at the start of a term; machines that the last leader rented appear in the
-   * machine list.
+   * Drops all requests at the start of a term; machines that the previous leader rented appear in
+   * the cloud's machine list.
    */
   void beginTerm() {
     waiting.clear();
--- a/src/main/java/shorecrank/coordination/model/CancellationLog.java
+++ b/src/main/java/shorecrank/coordination/model/CancellationLog.java
@@ -198,8 +198,8 @@
   // ---- other controllers -----------------------------------------------------------------------
 
   /**
-   * Queries the other controllers if the state service has shown nothing for a while. Called once a
-   * round.
+   * Queries the other controllers if the state service has shown nothing for {@link
+   * #WATCH_SILENCE_MS}. Called on every tick of the controller.
    *
    * @param shownUpTo the time up to which the state service has shown all cancellations to every
    *     shard owner of this process; {@link MonotonicTime#NEVER} if the process owns no shard
