--- a/src/main/java/shorecrank/coordination/OwnerTable.java
+++ b/src/main/java/shorecrank/coordination/OwnerTable.java
@@ -28,7 +28,10 @@
   private static final int READ_TIMEOUT_MS = 1500;
   private static final int MAX_SHARDS = 200;
 
-  /** The shortest pause between two reads; up to {@link #READ_PAUSE_JITTER_MS} are added to it. */
+  /**
+   * The shortest pause between two reads of the owners. A random time below {@link
+   * #READ_PAUSE_JITTER_MS} is added to it.
+   */
   private static final int READ_PAUSE_MS = 800;
 
   private static final int READ_PAUSE_JITTER_MS = 400;
--- a/src/main/java/shorecrank/coordination/request/CancellationHandler.java
+++ b/src/main/java/shorecrank/coordination/request/CancellationHandler.java
@@ -103,7 +103,8 @@
       // The record has changed, or the outcome is unknown: read it again and retry.
       cancel(request, id, attemptsLeft - 1);
     } else if (result instanceof CommitResult.TooLarge && form == Form.PLAIN) {
-      // The state service took larger values when the record was written; try the smaller form.
+      // The marked record is too large in the plain form, for instance because it was stored in a
+      // smaller form or under a higher limit of the state service: try the compact form.
       writeCancellation(request, id, job, Form.COMPACT, attemptsLeft);
     } else {
       replies.forwardOrRetryLater(request);
--- a/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/RolloutRequestHandler.java
@@ -21,14 +21,18 @@
 import shorecrank.rollout.RolloutCoordinator;
 
 /**
- * Handles operators' requests about rollouts. Every controller accepts them; the leader answers
- * those about status and orders, and every controller answers those for keys itself.
+ * Handles operators' requests about rollouts. Every controller accepts them. The leader answers
+ * requests for the status and executes orders; queries for keys are answered by the controller that
+ * receives them.
  */
 public final class RolloutRequestHandler {
   private static final int READ_TIMEOUT_MS = 2000;
   private static final int KEYS_PER_PAGE = 200;
 
-  /** The allowed form of keys; others could alter the path of the request to the state service. */
+  /**
+   * The characters that a query for keys may contain. Others could alter the path of the request to
+   * the state service.
+   */
   private static final Pattern KEY_CHARACTERS = Pattern.compile("[A-Za-z0-9/._-]+");
 
   private static final List<String> READABLE_PREFIXES =
--- a/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
+++ b/src/main/java/shorecrank/coordination/request/ShareRequestHandler.java
@@ -13,8 +13,8 @@
 import shorecrank.rebalance.MoveCoordinator;
 
 /**
- * Handles operators' requests about shares, the processors that each shard should have. Every
- * controller accepts the requests; the leader answers them.
+ * Handles operators' requests about teams' shares of the processors and about moves of machines
+ * between shards. Every controller accepts the requests; the leader answers them.
  */
 public final class ShareRequestHandler {
   private final LeaderForwarder leader;
--- a/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
+++ b/src/main/java/shorecrank/coordination/request/SubmissionHandler.java
@@ -139,10 +139,12 @@
     } else if (result instanceof CommitResult.Conflict) {
       jobs.find(submission.id(), found -> answerExisting(submission, found));
     } else if (result instanceof CommitResult.TooLarge) {
-      // The state service accepts only values that are smaller than the configured limit.
+      // The state service accepts only values that are smaller than the configured limit; the size
+      // check before the write can let a record of exactly that size pass.
       refuse(submission.request, submission.spec, TOO_LARGE);
     } else if (isUnanswered(result) && attemptsLeft > 1) {
-      // The record may have been written, or may still be: if so, the retry ends in a conflict.
+      // The unanswered transaction may have created the record, or may still create it: the retry
+      // then ends in a conflict, which is answered with the existing job.
       create(submission, state, attemptsLeft - 1);
     } else {
       replies.forwardOrRetryLater(submission.request);
--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -25,7 +25,7 @@
   /** Grace period, in seconds, of a stop that leaves the task no time to write a checkpoint. */
   private static final double NO_GRACE_S = 0;
 
-  /** Added to the checkpoint duration that a job states, in seconds. */
+  /** Seconds by which the grace period of a stop exceeds the job's stated checkpoint duration. */
   private static final double CHECKPOINT_MARGIN_S = 1;
 
   private final StepContext context;
@@ -123,8 +123,8 @@
     Job job = jobs.find(id);
     TaskAttempt attempt = job == null ? null : job.tasks().attempt(status.attemptId().index());
     if (jobs.isRelinquished(id) || (job != null && !job.record().isFreeOfEarlierOwner())) {
-      // The job has another owner, or its record is not claimed yet: only a cancelled task is
-      // stopped.
+      // The job has another owner, or this owner has not claimed the job's record yet: the only
+      // command for the task is a stop, if the job is cancelled.
       addStopIfCancelled(status, commands);
       if (attempt != null) {
         listed.add(attempt);
--- a/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
+++ b/src/main/java/shorecrank/coordination/shard/DirectCommandSender.java
@@ -20,16 +20,21 @@
  * Sends starts in direct commands, so that they need not wait for the machines' next heartbeats.
  */
 final class DirectCommandSender {
-  /** A machine whose next heartbeat is due sooner than this gets its commands in the answer. */
+  /**
+   * A machine whose next heartbeat is due sooner than this gets its commands in the answer to that
+   * heartbeat.
+   */
   private static final int MIN_TIME_TO_ANSWER_MS = 100;
 
-  /** Time within which a worker must answer. An unanswered command may still be executed. */
+  /** Timeout of a direct command. The worker may still execute one that it has not answered. */
   private static final int TIMEOUT_MS = 1000;
 
   /** Lower bound of the limit on unanswered direct commands. */
   private static final int MIN_CONNECTIONS = 4;
 
-  /** Direct commands may use the number of sockets divided by this. */
+  /**
+   * The limit on unanswered direct commands is the configured number of sockets divided by this.
+   */
   private static final int SOCKET_DIVISOR = 20;
 
   private static final int MS_PER_S = 1000;
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatHandler.java
@@ -70,9 +70,9 @@
       replies.renewOnly(reply, machine, heartbeat);
     } else if ((freed || HeartbeatReplies.hasUncommittedAttempt(machine))
         && context.settings().replyDeferralMs() > 0) {
-      // The freed capacity can be used again in this answer once the next placement is
-      // committed, and commands that wait for a commit need not wait for the machine's next
-      // heartbeat.
+      // The deferred answer can start tasks on the capacity that this heartbeat has freed, and
+      // attempts whose placement is being committed. They would otherwise wait for the machine's
+      // next heartbeat.
       replies.defer(reply, machine);
     } else {
       replies.replyWithCommands(reply, machine);
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReplies.java
@@ -32,8 +32,8 @@
   private final Set<Machine> deferred = new LinkedHashSet<>();
 
   /**
-   * Whether a reply was deferred since the last round, so that the freed capacity is not placed
-   * yet.
+   * Whether a reply was deferred since the last scheduling round, so that no task has been placed
+   * yet on the capacity that the heartbeat freed.
    */
   private boolean roundPending;
 
@@ -79,7 +79,7 @@
     roundPending = true;
   }
 
-  /** Records that a round is about to place tasks on the freed capacity. */
+  /** Records that a scheduling round begins, which may place tasks on freed capacity. */
   void beginRound() {
     roundPending = false;
   }
--- a/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
+++ b/src/main/java/shorecrank/coordination/shard/JobLifecycle.java
@@ -54,8 +54,8 @@
   /**
    * Takes over a record that was listed when the ownership began. A write that an earlier owner has
    * sent may still be applied and place more tasks of the job, which would count for its team's
-   * limit and keep machines from being handed over. Where one of these matters, the record is
-   * claimed first.
+   * limit and keep machines from being handed over. If the team has a limit, or machines can be
+   * handed over, this owner therefore claims the record at once.
    */
   void addListed(JobRecord record, Revision revision) {
     Job job = add(record, revision, true);
--- a/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
+++ b/src/main/java/shorecrank/coordination/shard/JobRecordWriter.java
@@ -59,8 +59,8 @@
   private static final int TOO_LARGE_PAUSE_MS = 2000;
 
   /**
-   * Pause of all writes after a transaction with an unknown outcome, to which a random part of the
-   * spread is added.
+   * Shortest pause of all writes after a transaction that was neither committed nor refused for a
+   * guard or its size. A random time below {@link #UNKNOWN_PAUSE_SPREAD_MS} is added.
    */
   private static final int UNKNOWN_PAUSE_MS = 80;
 
@@ -321,8 +321,8 @@
       if (result instanceof CommitResult.Committed committed) {
         handleCommitted(write, committed.revision());
       } else {
-        // Another job's guard failed, the service was overloaded, or the outcome is unknown: the
-        // next write under the same guard settles it.
+        // Another job's guard failed, the service was overloaded, or the outcome is unknown. The
+        // next write under the same guard shows whether this one was applied.
         job.requestWrite(WriteUrgency.NOW, now);
         if (failedKeys.contains(JobRecord.liveKey(job.id()))) {
           resolver.reread(job);
--- a/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardDemandReporter.java
@@ -30,7 +30,7 @@
   /** Maximum number of machines that are reported as ones the shard could give up. */
   private static final int MAX_CANDIDATES = 32;
 
-  /** Upper bound of the seconds that are reported until a machine is empty. */
+  /** Upper bound of the reported time until a machine is empty, in seconds. */
   private static final double MAX_EMPTY_S = 1e6;
 
   private final StepContext context;
--- a/src/main/java/shorecrank/coordination/shard/ShardOwner.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardOwner.java
@@ -272,8 +272,8 @@
   }
 
   /**
-   * Runs one round: processes changed records, places tasks, writes records that are due, and sends
-   * the replies that waited for this.
+   * Runs one round: watches for changed records, places tasks, writes records that are due, sends
+   * the deferred replies to heartbeats that are due, and answers pending status queries.
    */
   public void runRound(RoundBudget budget) {
     if (lease.isEnded()) {
--- a/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
+++ b/src/main/java/shorecrank/coordination/shard/ShardRecovery.java
@@ -13,16 +13,17 @@
 import shorecrank.storage.WatchResult;
 
 /**
- * Reads a shard's records from the state service: all of them when the ownership begins, then their
- * changes from that revision on. If changes were missed, all records are read again.
+ * Reads a shard's records from the state service: all of them when the ownership begins, then the
+ * changes since the revision of the listing's first page. If changes were missed, all records are
+ * read again.
  */
 final class ShardRecovery {
   private static final int PAGE_ENTRIES = 200;
   private static final int LIST_TIMEOUT_MS = 4000;
 
   /**
-   * Pause before the listing starts again after an unreadable page, to which a random part of the
-   * spread is added.
+   * Shortest pause before the listing starts again after a page could not be read. A random time
+   * below {@link #LIST_RETRY_SPREAD_MS} is added.
    */
   private static final int LIST_RETRY_MS = 200;
 
@@ -30,13 +31,14 @@
   private static final int WATCH_RETRY_MS = 200;
 
   /**
-   * Pause between watches. Each watch costs a request, and a few per second carry any number of
-   * changes.
+   * Pause between watches. Each watch costs one request, whatever the number of changes that it
+   * reports, so a few watches per second suffice.
    */
   private static final int WATCH_PAUSE_MS = 250;
 
   /**
-   * Longest time that the state service holds a watch open, which bounds the age of what it shows.
+   * Longest time that the state service holds a watch open. It bounds how far {@link #shownUpTo},
+   * which advances only when a listing or a watch is answered, falls behind.
    */
   private static final int WATCH_HOLD_MS = 2000;
 
@@ -281,8 +283,8 @@
   }
 
   private void addIfNewJob(JobId id, Change change) {
-    // Changes of a job that has ended may still arrive, so a job is added only for a record that no
-    // owner has written yet.
+    // A change of an unknown job may be a late one of a job that has ended, so a job is added only
+    // for a record that no owner has written yet.
     JobRecord record =
         JobRecord.isUnclaimed(change.value()) ? JobRecord.read(change.value()) : null;
     if (record != null && record.spec().id().equals(id) && isOfShard(record)) {
--- a/src/main/java/shorecrank/coordination/shard/StatusQueries.java
+++ b/src/main/java/shorecrank/coordination/shard/StatusQueries.java
@@ -33,8 +33,8 @@
   private static final int COMPARE_TIMEOUT_MS = 1000;
 
   /**
-   * Maximum number of comparisons of a query. After these it is answered with the final status in
-   * memory, or with an empty status if there is none.
+   * Maximum number of comparisons that a query takes part in. If the last one fails, the query is
+   * answered with the job's final status in memory, or with an empty status if there is none.
    */
   private static final int MAX_COMPARISONS = 2;
 
--- a/src/main/java/shorecrank/coordination/shard/WithdrawalLog.java
+++ b/src/main/java/shorecrank/coordination/shard/WithdrawalLog.java
@@ -12,7 +12,7 @@
  * reason.
  */
 final class WithdrawalLog {
-  /** The attempts that one line counts. */
+  /** The job and reason of the withdrawn attempts that one log line counts. */
   private record Withdrawal(Job job, WithdrawalReason reason) {}
 
   private final StepContext context;
--- a/src/main/java/shorecrank/protocol/Ids.java
+++ b/src/main/java/shorecrank/protocol/Ids.java
@@ -61,7 +61,7 @@
    * The number of a shard. Shards partition the teams, and one controller at a time owns a shard.
    */
   public record ShardId(int value) implements Comparable<ShardId> {
-    // Spreads the hashes of similar names: 2^32 divided by the golden ratio.
+    // Spreads the hashes of similar team names over the shards: 2^32 divided by the golden ratio.
     private static final int HASH_FACTOR = 0x9E3779B1;
 
     /**
@@ -121,7 +121,7 @@
    * seen.
    */
   public record FencingToken(long value) implements Comparable<FencingToken> {
-    /** Number of bits of the number below the epoch. */
+    /** Number of low bits of a token, which hold the number that the owner counts up. */
     private static final int NUMBER_BITS = 24;
 
     /**
--- a/src/main/java/shorecrank/protocol/OperatorRequestCodec.java
+++ b/src/main/java/shorecrank/protocol/OperatorRequestCodec.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Encodes and decodes queries for keys of the state service, and what all operators' requests have
- * in common, as JSON.
+ * Encodes and decodes queries for keys of the state service as JSON, and for operators' requests of
+ * every kind the mark of a forwarded request and the answer that the result is unknown.
  */
 public final class OperatorRequestCodec {
   private static final String FORWARDED = "forwarded";
