--- a/src/main/java/shorecrank/coordination/HeartbeatExchange.java
+++ b/src/main/java/shorecrank/coordination/HeartbeatExchange.java
@@ -135,7 +135,8 @@
     List<ShardReport> reports = shards.report();
     List<MachineInfo> unassigned = foreignWorkers.pollUnassigned();
     if (foreignWorkers.hasUnassigned()) {
-      // The machines that did not fit into this message are not delayed by a whole interval.
+      // Sends the machines that did not fit into this heartbeat soon, not a heartbeat interval
+      // later.
       scheduleIn(BATCH_DELAY_MS);
     }
     return new Heartbeat(
--- a/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
+++ b/src/main/java/shorecrank/coordination/shard/CommandPlanner.java
@@ -146,8 +146,8 @@
     if (job == null
         && (status.state() == TaskState.EXITED || !isCancelled(id.job()))
         && !machines.mayDiscard(machine, id)) {
-      // Another shard's record may name the attempt, and its owner may not have recorded the
-      // result.
+      // Neither stopped nor reaped: another shard's record may name the attempt, and that shard's
+      // owner may not have recorded the attempt's result.
       context.count("foreign.kept");
     } else if (status.state() != TaskState.EXITED) {
       commands.add(new Stop(id, NO_GRACE_S));
--- a/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
+++ b/src/main/java/shorecrank/coordination/shard/HeartbeatReconciler.java
@@ -160,7 +160,7 @@
       case ERROR, UNKNOWN -> recordFailure(machine, job, status.exitReason());
     }
     jobs.detach(attempt);
-    // The write in flight was sent before this exit; the next one records it.
+    // A write that is in flight was sent before this exit was known; the next write records it.
     job.tasks().recordExit(status.attemptId(), job.record().nextSequence());
     job.requestWrite(WriteUrgency.LATER, now);
   }
