--- a/src/test/java/shorecrank/config/SettingsTest.java
+++ b/src/test/java/shorecrank/config/SettingsTest.java
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Announced limits come into force without notice, so the lower one of the current and the
+   * An announced limit may come into force at any time, so the lower one of the current and the
    * announced limit applies at once. A limit that is not announced keeps its current value.
    */
   @Test
--- a/src/test/java/shorecrank/coordination/ForeignWorkersTest.java
+++ b/src/test/java/shorecrank/coordination/ForeignWorkersTest.java
@@ -16,7 +16,9 @@
 import shorecrank.protocol.Ids.MoveId;
 import shorecrank.protocol.Ids.ShardId;
 
-/** What is reported to the leader about workers whose machines this controller does not own. */
+/**
+ * Tests what is reported to the leader about workers whose machines this controller does not own.
+ */
 class ForeignWorkersTest {
   private final StepDriver driver = new StepDriver();
   private final ForeignWorkers foreignWorkers = new ForeignWorkers(driver.context());
--- a/src/test/java/shorecrank/coordination/OwnerTableTest.java
+++ b/src/test/java/shorecrank/coordination/OwnerTableTest.java
@@ -14,7 +14,9 @@
 import shorecrank.protocol.Ids.Epoch;
 import shorecrank.protocol.Ids.ShardId;
 
-/** Which controller the table returns as a shard's owner, and when it reads the state service. */
+/**
+ * Tests which controller the table returns as a shard's owner, and when it reads the state service.
+ */
 class OwnerTableTest {
   private static final ShardId SHARD = new ShardId(0);
 
--- a/src/test/java/shorecrank/coordination/RequestRoutingTest.java
+++ b/src/test/java/shorecrank/coordination/RequestRoutingTest.java
@@ -16,7 +16,8 @@
 import shorecrank.protocol.Ids.WriterId;
 
 /**
- * Which requests a controller accepts on its public and peer address, and how it rejects others.
+ * Tests which requests a controller accepts on its public and peer addresses, and how it rejects
+ * others.
  */
 class RequestRoutingTest {
   private static final String WORKER_HEARTBEAT =
--- a/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
+++ b/src/test/java/shorecrank/coordination/leader/AssignmentChangeLogTest.java
@@ -11,8 +11,8 @@
 import shorecrank.protocol.Ids.Revision;
 
 /**
- * Tests that a controller which knows a version receives all later removals, or is told to take all
- * assignments.
+ * Tests that a controller that knows a version of the assignments receives all removals after that
+ * version, or is told to take all assignments anew.
  */
 class AssignmentChangeLogTest {
   private static final int RETAINED_REMOVALS = 1000;
--- a/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/EpochAllocatorTest.java
@@ -22,8 +22,8 @@
 import shorecrank.protocol.Json;
 
 /**
- * Tests that epochs rise, that one is allocated at a time, and that an owner which a transaction
- * without an answer may still store gets no lease before the outcome is settled.
+ * Tests that epochs rise, that one is allocated at a time, and that the last owner of a shard gets
+ * no lease while a transaction without an answer may still store the shard's next owner.
  */
 class EpochAllocatorTest {
   private static final ShardId SHARD = new ShardId(0);
@@ -47,7 +47,7 @@
     return steps.answerState(200, Json.object().put("ledgerRev", revision));
   }
 
-  /** Elects this process, since an allocation is valid only in the election's own term. */
+  /** Elects this process as leader, because epochs are allocated only within a term. */
   @BeforeEach
   void winElection() {
     steps.step(election::tick);
--- a/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
+++ b/src/test/java/shorecrank/coordination/leader/OwnerFailureDetectorTest.java
@@ -46,8 +46,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // expected workers, unheard workers, zones of the unheard, unheard workers that n3 hears, is
-    // unreachable
+    // workers that owner n2 should hear, how many of them it does not hear, zones that are
+    // unreachable for n2, how many of its workers n3 hears, whether n2 is taken as unreachable
     "10, 5, a, 3, true",
     "10, 5, a, 2, false",
     "10, 1, a, 9, false",
--- a/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
+++ b/src/test/java/shorecrank/coordination/model/JobSchedulingStateTest.java
@@ -28,7 +28,7 @@
   @ParameterizedTest
   @CsvSource({
     // failures, each on another machine; whether the machine is known not to be at fault for the
-    // last one; pause in ms; whether the job is taken to be at fault
+    // last one; pause before the next start in ms; whether the job is taken to be at fault
     "1, false, 300, false",
     "2, false, 300, false",
     "3, false, 2000, true",
--- a/src/test/java/shorecrank/coordination/model/MachineBuilder.java
+++ b/src/test/java/shorecrank/coordination/model/MachineBuilder.java
@@ -56,7 +56,7 @@
     return this;
   }
 
-  /** Makes the worker one that has not shown this owner's epoch. */
+  /** Marks the worker as one that has not shown this owner's epoch yet. */
   public MachineBuilder unconfirmed() {
     confirmed = false;
     return this;
--- a/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
+++ b/src/test/java/shorecrank/coordination/model/WorkerLivenessTest.java
@@ -36,7 +36,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // ms since the last heartbeat, whether it is fresh, whether the lease has expired for certain
+    // ms since the last heartbeat, whether it is fresh, whether the worker's lease has certainly
+    // expired
     "0, true, false",
     "11499, true, false",
     "11500, false, false",
@@ -52,8 +53,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // ms since the shard was granted, whether the lease has expired for certain: one lease after
-    // the end of the grace period, with a margin
+    // ms since the shard was granted, whether the worker's lease has certainly expired: 30 s after
+    // the grace period of 60 s, with a margin
     "31061, false",
     "92180, false",
     "92181, true",
@@ -84,8 +85,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // ms since the grant, how many are overdue of two workers: one was heard at the grant, the
-    // other before it
+    // ms since the shard was granted, number of overdue workers: one of two was last heard at the
+    // grant, the other one before the grant
     "7000, 0",
     "7001, 1",
     "12000, 1",
--- a/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
+++ b/src/test/java/shorecrank/coordination/scheduling/AutoscalerTest.java
@@ -178,7 +178,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // number of heard machines in the zone, milliseconds of silence of one more, its return
+    // number of heard machines in the zone, milliseconds since the last heartbeat of one more
+    // machine, whether that machine is returned
     "2, 16000, false",
     "2, 16001, true",
   })
@@ -195,7 +196,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // milliseconds of silence of a whole zone, whether its machines are returned
+    // milliseconds since the last heartbeat of any machine in zone a, whether the
+    // machines of zone a are returned
     "90000, false",
     "90001, true",
   })
@@ -212,7 +214,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // seconds since the assignment, whether it is returned after five boot times and two minutes
+    // seconds since the machine was assigned, whether it is returned: after five boot times of 60 s
+    // and another 120 s
     "420, false",
     "421, true",
   })
--- a/src/test/java/shorecrank/coordination/step/PeerClientTest.java
+++ b/src/test/java/shorecrank/coordination/step/PeerClientTest.java
@@ -17,7 +17,7 @@
 import shorecrank.protocol.Json;
 import shorecrank.protocol.UserMessages.JobStatus;
 
-/** How the answers of other controllers are converted to the results of calls. */
+/** Tests how the answers of other controllers are converted to the results of calls. */
 class PeerClientTest {
   private static final ControllerName LEADER = new ControllerName("n2");
   private static final int TIMEOUT_MS = 1000;
--- a/src/test/java/shorecrank/coordination/step/StepContextTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepContextTest.java
@@ -12,7 +12,7 @@
 import shorecrank.config.NodeConfig.WorkerTimings;
 import shorecrank.protocol.Ids.MonotonicTime;
 
-/** Reachability of the state service, rate limits and reports of refusals. */
+/** Tests the reachability of the state service, rate limits and reports of refusals. */
 class StepContextTest {
   private final StepDriver driver = new StepDriver();
   private final StepContext context = driver.context();
@@ -65,8 +65,8 @@
   }
 
   /**
-   * With a lease of 30 s the limit is {@code cancel_s} less 30 s, reduced by 0.2% and by 500 ms,
-   * but at least two heartbeat intervals of 4 s plus 1 s.
+   * With worker leases of 30 s the staleness limit is {@code cancel_s} less 30 s, reduced by 0.2%
+   * and by 500 ms, but at least two heartbeat intervals of 4 s plus 1 s.
    */
   @ParameterizedTest
   @CsvSource({"60, 29440, true", "40, 9480, true", "39, 9000, false", "30, 9000, false"})
--- a/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
+++ b/src/test/java/shorecrank/coordination/step/StepStateStoreTest.java
@@ -17,7 +17,7 @@
 import shorecrank.storage.StateStore;
 import shorecrank.storage.WatchResult;
 
-/** How the answers of the state service are converted to the results of each kind of call. */
+/** Tests how the answers of the state service are converted to the results of each kind of call. */
 class StepStateStoreTest {
   private static final int TIMEOUT_MS = 1000;
 
--- a/src/test/java/shorecrank/daemon/ProcessTest.java
+++ b/src/test/java/shorecrank/daemon/ProcessTest.java
@@ -164,7 +164,7 @@
             if (answer.isEmpty() && !idleSockets.isEmpty()) {
               // The server closes connections far above its limit without an answer. On a busy
               // machine it reaches that number while it still counts connections that this test has
-              // closed. With one idle connection less, the next request is answered with 503.
+              // closed. Closing one idle connection lets a later request be answered with 503.
               idleSockets.remove(idleSockets.size() - 1).close();
             } else if (!answer.startsWith("HTTP/1.1 503")) {
               idleSockets.add(new Socket(InetAddress.getLoopbackAddress(), publicPort));
--- a/src/test/java/shorecrank/leadership/LeaderKeyTest.java
+++ b/src/test/java/shorecrank/leadership/LeaderKeyTest.java
@@ -27,7 +27,10 @@
 import shorecrank.storage.StateStore;
 import shorecrank.storage.WatchResult;
 
-/** A leader's key is read again in each term, and has at most one write in flight or in doubt. */
+/**
+ * Tests that a leader's key is read again in each term, and has at most one write in flight or in
+ * doubt.
+ */
 class LeaderKeyTest {
   private static final long RETRY_MS = 300;
 
--- a/src/test/java/shorecrank/rebalance/ModelState.java
+++ b/src/test/java/shorecrank/rebalance/ModelState.java
@@ -9,7 +9,7 @@
  * MoveModel} and the guards of the protocol depend on.
  */
 record ModelState(Service service, Leader leader, Source source, Messages messages, Target target) {
-  /** What the leader has told the source's owner of the machine. */
+  /** What the leader has told the source's owner about the machine. */
   enum View {
     ASSIGNED,
     /** The owner has to drain the machine and to release it. */
@@ -115,7 +115,7 @@
    * The source's owner, its task on the machine and the record of its job.
    *
    * @param ownerNumber the number of the source's present owner, counted from 1
-   * @param view what this owner was told of the machine
+   * @param view what this owner was told about the machine
    * @param released whether this owner has reported that nothing is left on the machine
    * @param claimed whether this owner has claimed the record by writing it
    * @param recorded whether the record names the machine
--- a/src/test/java/shorecrank/sim/ControllerFaults.java
+++ b/src/test/java/shorecrank/sim/ControllerFaults.java
@@ -11,7 +11,10 @@
 
   private ControllerFaults() {}
 
-  /** {@code crash WHO [SECONDS]}: kills the controllers and restarts them after this time. */
+  /**
+   * Parses {@code crash WHO [SECONDS]}: kills the controllers and restarts them after this time, by
+   * default 4 s.
+   */
   private static Action crash(ScenarioLine line) {
     ControllerSelector selector = ControllerSelector.read(line, 1);
     long restartMs = line.has(2) ? line.milliseconds(2) : RESTART_MS;
@@ -19,8 +22,8 @@
   }
 
   /**
-   * {@code freeze WHO SECONDS}: suspends the controllers for this time; they then continue with the
-   * state that they had.
+   * Parses {@code freeze WHO SECONDS}: suspends the controllers for this time; they then continue
+   * with the state that they had.
    */
   private static Action freeze(ScenarioLine line) {
     ControllerSelector selector = ControllerSelector.read(line, 1);
--- a/src/test/java/shorecrank/sim/DuplicateMessages.java
+++ b/src/test/java/shorecrank/sim/DuplicateMessages.java
@@ -38,8 +38,8 @@
   /**
    * Duplicates every heartbeat and direct command that is sent within the given time.
    *
-   * @param maxDelayS range of the random delay of each copy, which is added to a minimum; the exact
-   *     delay if {@code allInOrder}
+   * @param maxDelayS range of the random delay of each copy in seconds, which is added to a
+   *     minimum; the exact delay if {@code allInOrder}
    * @param allInOrder whether all copies have the same delay, so that they keep their order
    */
   void duplicateFor(long durationMs, double maxDelayS, boolean allInOrder) {
--- a/src/test/java/shorecrank/sim/MachineFaults.java
+++ b/src/test/java/shorecrank/sim/MachineFaults.java
@@ -14,28 +14,28 @@
 
   private MachineFaults() {}
 
-  /** {@code hang MACHINES SECONDS}: the machines run nothing for this time. */
+  /** Parses {@code hang MACHINES SECONDS}: the machines run nothing for this time. */
   private static Action hang(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     long durationMs = line.milliseconds(2);
     return world -> machines.forEach(world, worker -> worker.hang(durationMs));
   }
 
-  /** {@code fail-tasks MACHINES}: every task on the machines fails from now on. */
+  /** Parses {@code fail-tasks MACHINES}: every task on the machines fails from now on. */
   private static Action failTasks(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     return world -> machines.forEach(world, worker -> worker.startFailingTasks());
   }
 
-  /** {@code preempt-machine MACHINES}: the cloud reclaims the machines without notice. */
+  /** Parses {@code preempt-machine MACHINES}: the cloud reclaims the machines without notice. */
   private static Action preempt(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
     return world -> machines.forEach(world, worker -> world.cloud.removeMachine(worker.name()));
   }
 
   /**
-   * {@code preemption-notice MACHINES SECONDS}: the cloud announces that it reclaims the machines,
-   * and does so after this time.
+   * Parses {@code preemption-notice MACHINES SECONDS}: the cloud announces that it reclaims the
+   * machines, and does so after this time.
    */
   private static Action preemptionNotice(ScenarioLine line) {
     MachineSelector machines = MachineSelector.read(line, 1);
@@ -50,7 +50,7 @@
             });
   }
 
-  /** {@code capacity COUNT}: sets how many machines the cloud rents at a time. */
+  /** Parses {@code capacity COUNT}: sets how many machines the cloud rents at a time. */
   private static Action capacity(ScenarioLine line) {
     int capacity = line.integer(1);
     return world -> world.cloud.setCapacity(capacity);
--- a/src/test/java/shorecrank/sim/NetworkFaults.java
+++ b/src/test/java/shorecrank/sim/NetworkFaults.java
@@ -20,7 +20,10 @@
 
   private NetworkFaults() {}
 
-  /** {@code cut WHO LINK SECONDS [drop|hold|refuse]}: cuts the controllers' links of one kind. */
+  /**
+   * Parses {@code cut WHO LINK SECONDS [drop|hold|refuse]}: cuts the controllers' links of one
+   * kind.
+   */
   private static Action cut(ScenarioLine line) {
     ControllerSelector selector = ControllerSelector.read(line, 1);
     LinkKind link = line.constant(2, LinkKind.class);
@@ -32,8 +35,8 @@
   }
 
   /**
-   * {@code isolate-zone WHO SECONDS [MODE]}: cuts off a controller's zone from everything outside
-   * it.
+   * Parses {@code isolate-zone WHO SECONDS [MODE]}: cuts off a controller's zone from everything
+   * outside it.
    */
   private static Action isolateZone(ScenarioLine line) {
     ControllerSelector selector = ControllerSelector.read(line, 1);
@@ -45,7 +48,9 @@
             .ifPresent(node -> world.network.cuts().isolateZone(node.zone(), durationMs, mode));
   }
 
-  /** {@code partition-zones ZONE ZONE SECONDS [MODE]}: cuts two zones off from each other. */
+  /**
+   * Parses {@code partition-zones ZONE ZONE SECONDS [MODE]}: cuts two zones off from each other.
+   */
   private static Action partition(ScenarioLine line) {
     String one = line.word(1);
     String other = line.word(2);
@@ -55,8 +60,8 @@
   }
 
   /**
-   * {@code NAME MACHINES SECONDS [MODE]}: cuts links between workers and all controllers, in one
-   * direction or both.
+   * Parses {@code NAME MACHINES SECONDS [MODE]}: cuts links between workers and all controllers, in
+   * one direction or both.
    */
   private static Action cutWorkers(ScenarioLine line, WorkerDirection direction) {
     MachineSelector machines = MachineSelector.read(line, 1);
@@ -69,8 +74,8 @@
   }
 
   /**
-   * {@code duplicate-heartbeats SECONDS LATE_S [in-order]}: delivers each heartbeat and direct
-   * command of this time twice, the second time late.
+   * Parses {@code duplicate-heartbeats SECONDS LATE_S [in-order]}: delivers each heartbeat and
+   * direct command of this time twice, the second time late.
    */
   private static Action duplicateHeartbeats(ScenarioLine line) {
     long durationMs = line.milliseconds(1);
@@ -80,8 +85,8 @@
   }
 
   /**
-   * {@code replay-to-next-leader SECONDS}: delivers copies of this time's heartbeats again under
-   * the next leader.
+   * Parses {@code replay-to-next-leader SECONDS}: delivers copies of this time's heartbeats again
+   * under the next leader.
    */
   private static Action replayToNextLeader(ScenarioLine line) {
     long durationMs = line.milliseconds(1);
--- a/src/test/java/shorecrank/sim/RunOptions.java
+++ b/src/test/java/shorecrank/sim/RunOptions.java
@@ -8,6 +8,6 @@
  * @param digest receives every reply and call of the controllers; null to compute no digest
  */
 record RunOptions(boolean verbose, Measurements measurements, OutputDigest digest) {
-  /** Neither prints nor records anything. */
+  /** Options with which a run neither prints nor records anything. */
   static final RunOptions DEFAULT = new RunOptions(false, null, null);
 }
--- a/src/test/java/shorecrank/sim/ServiceFaults.java
+++ b/src/test/java/shorecrank/sim/ServiceFaults.java
@@ -24,7 +24,7 @@
 
   private ServiceFaults() {}
 
-  /** {@code outage state|cloud SECONDS}: the service answers every request with 503. */
+  /** Parses {@code outage state|cloud SECONDS}: the service answers every request with 503. */
   private static Action outage(ScenarioLine line) {
     long durationMs = line.milliseconds(2);
     Action begin =
@@ -40,7 +40,8 @@
   }
 
   /**
-   * {@code slow-state FACTOR SECONDS}: multiplies the delays of the state service by the factor.
+   * Parses {@code slow-state FACTOR SECONDS}: multiplies the delays of the state service by the
+   * factor.
    */
   private static Action slow(ScenarioLine line) {
     double factor = line.decimal(1);
@@ -49,8 +50,8 @@
   }
 
   /**
-   * {@code late-writes SHARE SECONDS [at-once]}: a share of the transactions gets no answer; the
-   * state service applies them seconds later, or immediately with {@code at-once}.
+   * Parses {@code late-writes SHARE SECONDS [at-once]}: a share of the transactions gets no answer;
+   * the state service applies them seconds later, or immediately with {@code at-once}.
    */
   private static Action lateWrites(ScenarioLine line) {
     double share = line.decimal(1);
@@ -62,12 +63,12 @@
     return world -> world.network.stateService().loseAnswers(share, durationMs, atOnce);
   }
 
-  /** {@code lower-limits}: puts the planned limits of the state service into effect. */
+  /** Parses {@code lower-limits}: puts the planned limits of the state service into effect. */
   private static Action lowerLimits(ScenarioLine line) {
     return world -> world.store.setLimits(world.site.nextLimits().orElseThrow());
   }
 
-  /** {@code write-key KEY JSON}: writes a key as another program would. */
+  /** Parses {@code write-key KEY JSON}: writes a key as another program would. */
   private static Action writeKey(ScenarioLine line) {
     String key = line.word(1);
     JsonNode value = Json.parse(line.textFrom(2).getBytes(StandardCharsets.UTF_8));
@@ -78,8 +79,8 @@
   }
 
   /**
-   * {@code foreign-write JOB BY}: writes the job's record as another program would, at an epoch
-   * raised by this number.
+   * Parses {@code foreign-write JOB BY}: writes the job's record as another program would, at an
+   * epoch raised by this number.
    */
   private static Action foreignWrite(ScenarioLine line) {
     String key = JobRecord.LIVE_PREFIX + line.word(1);
@@ -91,7 +92,7 @@
     };
   }
 
-  /** {@code remove-record JOB}: removes the job's record as another program would. */
+  /** Parses {@code remove-record JOB}: removes the job's record as another program would. */
   private static Action removeRecord(ScenarioLine line) {
     String key = JobRecord.LIVE_PREFIX + line.word(1);
     return world -> world.store.overwrite(key, null);
--- a/src/test/java/shorecrank/sim/ShareRule.java
+++ b/src/test/java/shorecrank/sim/ShareRule.java
@@ -35,8 +35,8 @@
 
   @Override
   void beforeTransaction(JsonNode operations) {
-    // Below this level a controller of an earlier version may lead, which writes assignments
-    // without moves.
+    // Below the feature level of shares, the leader may be of an earlier version, which writes
+    // assignments without moves.
     boolean isLevelInForce = world().rollouts.state().level().includes(Feature.SHARES.level());
     if (!world().shares.isEnabled() || !isLevelInForce) {
       return;
--- a/src/test/java/shorecrank/sim/SharesMeasurementTest.java
+++ b/src/test/java/shorecrank/sim/SharesMeasurementTest.java
@@ -97,10 +97,11 @@
   }
 
   /**
-   * Records once a second which jobs are done, and adds the idle processors while a task waits.
+   * Records once a second which of the two jobs are done, and adds up the idle processors after
+   * second 22 until both are done.
    *
-   * @param spike time at which the urgent job was done, in seconds; negative until then
-   * @param backlog time at which the other job was done, in seconds; negative until then
+   * @param spike time at which the urgent job wk-2 was done, in seconds; negative until then
+   * @param backlog time at which the job wk-1 was done, in seconds; negative until then
    * @param idle idle processor seconds so far
    */
   private static void sample(World world, double[] spike, double[] backlog, double[] idle) {
--- a/src/test/java/shorecrank/storage/RateLimiterTest.java
+++ b/src/test/java/shorecrank/storage/RateLimiterTest.java
@@ -19,7 +19,8 @@
   }
 
   /**
-   * Parameters: tokens taken from a full bucket of 10, then the wait, then whether a token is left.
+   * Columns: tokens taken from a full bucket of 10, milliseconds waited after that, whether a token
+   * is available then. The bucket gets 10 tokens per second.
    */
   @ParameterizedTest
   @CsvSource({
